--- a/entry/internal/callers/account.go
+++ b/entry/internal/callers/account.go
@@ -18,16 +18,16 @@
 	if result.Affinity {
 		counters.Add("affinity", 1)
 	}
-	c.who.refund(c.req.MaxTokens - len(result.Tokens))
+	c.customer.refund(c.req.MaxTokens - len(result.Tokens))
 	reason := ""
 	if result.Err != nil {
 		reason = result.Err.Message()
 	}
-	c.logEnd(result, reason)
+	c.logRequest(result, reason)
 }
 
 // logEnd writes the request's one line.
-func (c *call) logEnd(result dispatch.Result, reason string) {
+func (c *call) logRequest(result dispatch.Result, reason string) {
 	level := slog.LevelInfo
 	if !c.srv.cfg.Log.Enabled(c.r.Context(), level) {
 		return
@@ -35,15 +35,15 @@
 	attrs := make([]slog.Attr, 0, 16)
 	attrs = append(attrs,
 		slog.String("request", c.id),
-		slog.Uint64("revision", uint64(c.now.snapshot.Revision)),
+		slog.Uint64("revision", uint64(c.index.snapshot.Revision)),
 		slog.String("outcome", string(result.Outcome)),
 		slog.Duration("took", c.srv.cfg.Clock.Since(c.arrived)),
 	)
 	if c.keyed {
 		attrs = append(attrs, slog.String("key", c.key.String()))
 	}
-	if c.who != nil {
-		attrs = append(attrs, slog.String("customer", c.who.name))
+	if c.customer != nil {
+		attrs = append(attrs, slog.String("customer", c.customer.name))
 	}
 	if c.req != nil {
 		attrs = append(attrs, slog.String("lane", c.req.Lane))
--- a/entry/internal/callers/answer.go
+++ b/entry/internal/callers/answer.go
@@ -31,16 +31,16 @@
 		writeAnswer(w, raw)
 		return
 	}
-	var kept answerBody
-	if json.Unmarshal(raw, &kept) != nil {
+	var stored answerBody
+	if json.Unmarshal(raw, &stored) != nil {
 		writeAnswer(w, raw)
 		return
 	}
-	out := newStream(w, kept.RequestID)
-	if len(kept.Tokens) > 0 && out.tokens(kept.Version, kept.Tokens) != nil {
+	out := newStream(w, stored.RequestID)
+	if len(stored.Tokens) > 0 && out.tokens(stored.Version, stored.Tokens) != nil {
 		return
 	}
-	out.end(kept.Version, dispatch.DigestOf(kept.Tokens), len(kept.Tokens))
+	out.end(stored.Version, dispatch.DigestOf(stored.Tokens), len(stored.Tokens))
 }
 
 func wantsStream(r *http.Request) bool {
--- a/entry/internal/callers/identify.go
+++ b/entry/internal/callers/auth.go
@@ -12,17 +12,17 @@
 
 // identify returns the customer behind a call. The key is looked up by its
 // hash: the time it takes reveals nothing of the keys that exist.
-func (x *index) identify(r *http.Request) (*customer, *problem) {
+func (x *index) authenticate(r *http.Request) (*customer, *problem) {
 	header := r.Header.Get("Authorization")
 	key, found := strings.CutPrefix(header, bearerPrefix)
 	if !found || key == "" {
 		return nil, unauthorized()
 	}
-	who := x.deployment.customers[sha256.Sum256([]byte(key))]
-	if who == nil {
+	customer := x.deployment.customers[sha256.Sum256([]byte(key))]
+	if customer == nil {
 		return nil, unauthorized()
 	}
-	return who, nil
+	return customer, nil
 }
 
 func unauthorized() *problem {
--- a/entry/internal/callers/body.go
+++ b/entry/internal/callers/body.go
@@ -38,8 +38,8 @@
 // decodeRequest reads and checks the body of a request on a model.
 func decodeRequest(raw []byte) (requestBody, *problem) {
 	var body requestBody
-	if refused := decode(raw, &body); refused != nil {
-		return body, refused
+	if prob := decode(raw, &body); prob != nil {
+		return body, prob
 	}
 	switch {
 	case body.Model == "" || len(body.Model) > maxNameBytes:
@@ -57,8 +57,8 @@
 // decodeService reads and checks the body of a call to a plain service.
 func decodeService(raw []byte) (serviceBody, *problem) {
 	var body serviceBody
-	if refused := decode(raw, &body); refused != nil {
-		return body, refused
+	if prob := decode(raw, &body); prob != nil {
+		return body, prob
 	}
 	if body.DeadlineMillis < 0 {
 		return body, invalid("deadlineMillis is negative", "send the milliseconds from now, or 0 for the usual")
@@ -88,7 +88,7 @@
 
 // parseKey returns the once key of a request: from its body, else from the
 // header; given is false where it has none.
-func parseKey(r *http.Request, inBody string) (key once.Key, given bool, refused *problem) {
+func parseKey(r *http.Request, inBody string) (key once.Key, given bool, prob *problem) {
 	text := inBody
 	if text == "" {
 		text = r.Header.Get(idempotencyHeader)
--- a/entry/internal/callers/body_test.go
+++ b/entry/internal/callers/body_test.go
@@ -17,13 +17,13 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		request, refused := decodeRequest(raw)
-		if refused == nil {
+		request, prob := decodeRequest(raw)
+		if prob == nil {
 			if request.Model == "" || request.MaxTokens < 1 || request.MaxTokens > maxTokensBound || request.DeadlineMillis < 0 {
 				t.Errorf("got %+v let through, want it refused", request)
 			}
 		}
-		if _, refused = decodeService(raw); refused != nil && refused.err.Remedy() == "" {
+		if _, prob = decodeService(raw); prob != nil && prob.err.Remedy() == "" {
 			t.Error("got no remedy, want one")
 		}
 	})
--- a/entry/internal/callers/call.go
+++ b/entry/internal/callers/call.go
@@ -15,19 +15,19 @@
 
 // call is one request of a caller on its way through the filters.
 type call struct {
-	srv     *Server
-	now     *index
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	id      string    // new for this arrival; agents know the request by it
-	who     *customer // after identify
-	req     *dispatch.Request
-	hash    once.Hash
-	key     once.Key
-	keyed   bool    // the request bears a key, given or made
-	ticket  *ticket // the right to run it; nil where none is needed
-	out     *stream // nil for an answer in one piece
+	srv      *Server
+	index    *index
+	w        http.ResponseWriter
+	r        *http.Request
+	arrived  time.Time
+	id       string    // new for this arrival; agents know the request by it
+	customer *customer // after authenticate
+	req      *dispatch.Request
+	hash     once.Hash
+	key      once.Key
+	keyed    bool    // the request bears a key, given or made
+	grant    *grant  // the right to run it; nil where none is needed
+	out      *stream // nil for an answer in one piece
 }
 
 // readFunc reads a request's body into call.req and judges nothing that may
@@ -35,69 +35,69 @@
 type readFunc func(c *call) *problem
 
 // permitFunc judges the request by the document in force.
-type permitFunc func(c *call) *problem
+type authorizeFunc func(c *call) *problem
 
 // serve takes a request through the filters.
 //
 // A request that bears a key is claimed before anything may refuse it: the
 // same key may have run before, and "notRun" is only said of a key whose owner
 // granted it to this arrival.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, read readFunc, permit permitFunc) {
-	open := s.door.enter()
-	defer s.door.leave()
-	c := &call{srv: s, now: s.index(), w: w, r: r, arrived: s.cfg.Clock.Now(), id: uuid.Must(uuid.NewV7()).String()}
-	refused := c.identify()
-	if refused == nil {
-		refused = read(c)
-	}
-	if refused != nil {
-		c.refuse(refused)
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, read readFunc, authorize authorizeFunc) {
+	accepting := s.tracker.add()
+	defer s.tracker.done()
+	c := &call{srv: s, index: s.index(), w: w, r: r, arrived: s.cfg.Clock.Now(), id: uuid.Must(uuid.NewV7()).String()}
+	prob := c.authenticate()
+	if prob == nil {
+		prob = read(c)
+	}
+	if prob != nil {
+		c.refuse(prob)
 		return
 	}
 	if c.keyed && c.claim() {
 		return
 	}
-	if refused = c.admit(open, permit); refused != nil {
-		c.giveBack(refused)
-		c.refuse(refused)
+	if prob = c.admit(accepting, authorize); prob != nil {
+		c.releaseKey(prob)
+		c.refuse(prob)
 		return
 	}
 	c.run()
 }
 
-func (c *call) identify() *problem {
-	if c.now.deployment.document == nil {
+func (c *call) authenticate() *problem {
+	if c.index.deployment.document == nil {
 		return notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "no configuration is in force here yet",
-			"try again in a moment").WithRetryAfter(noDocumentRetry))
+			"try again in a moment").WithRetryAfter(noDocumentRetryAfter))
 	}
-	who, refused := c.now.identify(c.r)
-	c.who = who
-	return refused
+	customer, prob := c.index.authenticate(c.r)
+	c.customer = customer
+	return prob
 }
 
-const noDocumentRetry = time.Second
+const noDocumentRetryAfter = time.Second
 
 // admit applies what may refuse the request now.
-func (c *call) admit(open bool, permit permitFunc) *problem {
-	if !open {
-		return c.leaving()
+func (c *call) admit(accepting bool, authorize authorizeFunc) *problem {
+	if !accepting {
+		return c.shutdownProblem()
 	}
-	if refused := permit(c); refused != nil {
-		return refused
+	if prob := authorize(c); prob != nil {
+		return prob
 	}
-	return c.limit()
+	return c.checkRateLimit()
 }
 
-func (c *call) leaving() *problem {
-	refused := notRun(http.StatusServiceUnavailable, failure.New(failure.Leaving, "this entry is shutting down",
+func (c *call) shutdownProblem() *problem {
+	prob := notRun(http.StatusServiceUnavailable, failure.New(failure.Leaving, "this entry is shutting down",
 		"send the request to a spare, with a new once key if it has one").WithRetryAfter(time.Millisecond))
-	refused.spares = c.srv.spares(c.now, c.r.RemoteAddr)
-	return refused
+	prob.spares = c.srv.spares(c.index, c.r.RemoteAddr)
+	return prob
 }
 
-func (c *call) limit() *problem {
+func (c *call) checkRateLimit() *problem {
 	now := c.srv.cfg.Clock.Now()
-	ok, wait := c.who.admit(now, c.srv.cfg.Self.GetId(), c.now.reports, c.req.MaxTokens)
+	ok, wait := c.customer.admit(now, c.srv.cfg.Self.GetId(), c.index.reports, c.req.MaxTokens)
 	if ok {
 		return nil
 	}
@@ -107,31 +107,31 @@
 
 // claim gets the right to run the key; over is true where the caller has its
 // answer instead.
-func (c *call) claim() (over bool) {
+func (c *call) claim() (handled bool) {
 	claim := once.Claim{Key: c.key, Hash: c.hash, Nonce: uuid.New()}
-	won, kept, refused := c.srv.claim(context.WithoutCancel(c.r.Context()), c.now, claim)
+	granted, stored, prob := c.srv.claim(context.WithoutCancel(c.r.Context()), c.index, claim)
 	switch {
-	case refused != nil:
-		c.refuse(refused)
+	case prob != nil:
+		c.refuse(prob)
 		return true
-	case won == nil:
+	case granted == nil:
 		counters.Add("replayed", 1)
-		c.logEnd(dispatch.Result{Outcome: dispatch.Answered}, "replayed")
-		replay(c.w, c.r, kept)
+		c.logRequest(dispatch.Result{Outcome: dispatch.Answered}, "replayed")
+		replay(c.w, c.r, stored)
 		return true
 	}
-	c.ticket = won
+	c.grant = granted
 	return false
 }
 
 // giveBack frees the key of a request that was refused, before the caller
 // learns of it, and asks the caller to wait for the end of the key's hold.
-func (c *call) giveBack(refused *problem) {
-	if c.ticket == nil {
+func (c *call) releaseKey(prob *problem) {
+	if c.grant == nil {
 		return
 	}
-	c.srv.settle(context.WithoutCancel(c.r.Context()), c.ticket, once.RunNotRun, nil)
-	refused.err = refused.err.WithRetryAfter(max(refused.err.RetryAfter(), once.Hold))
+	c.srv.settle(context.WithoutCancel(c.r.Context()), c.grant, once.RunNotRun, nil)
+	prob.err = prob.err.WithRetryAfter(max(prob.err.RetryAfter(), once.Hold))
 }
 
 // visibleID is what the caller gets to know the request by: the key that the
@@ -143,27 +143,27 @@
 	return c.id
 }
 
-func (c *call) refuse(refused *problem) {
-	counters.Add(string(refused.outcome), 1)
-	c.logEnd(dispatch.Result{Outcome: refused.outcome}, refused.err.Message())
-	refused.write(c.w, c.visibleID())
+func (c *call) refuse(prob *problem) {
+	counters.Add(string(prob.outcome), 1)
+	c.logRequest(dispatch.Result{Outcome: prob.outcome}, prob.err.Message())
+	prob.write(c.w, c.visibleID())
 }
 
 // run dispatches the request and answers.
 func (c *call) run() {
 	if !c.req.Repeatable && !c.keyed {
-		c.makeKey()
+		c.generateKey()
 	}
-	c.limitWrites()
+	c.setWriteDeadline()
 	sink := dispatch.Sink{}
 	if wantsStream(c.r) && c.req.Service == "" {
 		c.out = newStream(c.w, c.visibleID())
 		sink.Tokens = c.out.tokens
 	}
-	weight, priority := c.who.standing()
-	c.req.ID, c.req.Customer, c.req.Weight, c.req.Priority = c.id, c.who.name, weight, priority
-	c.req.Retry = c.who.retry
-	c.req.Large = c.srv.isLarge(c.now, c.who.name)
+	weight, priority := c.customer.weightAndPriority()
+	c.req.ID, c.req.Customer, c.req.Weight, c.req.Priority = c.id, c.customer.name, weight, priority
+	c.req.Retry = c.customer.withdrawRetry
+	c.req.Large = c.srv.isLarge(c.index, c.customer.name)
 	result := c.srv.dispatcher.Do(c.r.Context(), c.req, sink)
 	c.account(result)
 	c.answer(result)
@@ -172,18 +172,18 @@
 // makeKey gives the request a key of this entry, so that the caller can ask
 // for its outcome. A key made now cannot be refused by age; where there is no
 // room for it, the request runs without.
-func (c *call) makeKey() {
+func (c *call) generateKey() {
 	key := once.NewKey(c.srv.cfg.Self.GetIncarnation(), uuid.MustParse(c.id))
 	claim := once.Claim{Key: key, Hash: c.hash, Nonce: uuid.New()}
 	if c.srv.keys.Claim(c.srv.now(), claim).State != once.Granted {
 		return
 	}
 	c.key, c.keyed = key, true
-	c.ticket = &ticket{claim: claim}
+	c.grant = &grant{claim: claim}
 }
 
 // limitWrites bounds how long a caller who does not read can hold the request.
-func (c *call) limitWrites() {
+func (c *call) setWriteDeadline() {
 	control := http.NewResponseController(c.w)
 	_ = control.SetWriteDeadline(c.req.Deadline.Add(writeGrace))
 }
@@ -214,33 +214,33 @@
 }
 
 func (c *call) fail(result dispatch.Result) {
-	refused := problemOf(result)
+	prob := problemFromResult(result)
 	if result.Outcome == dispatch.NotRun {
-		c.giveBack(refused)
+		c.releaseKey(prob)
 	} else {
 		c.settleLater(once.RunUnknown, nil)
 	}
 	if c.out != nil {
-		c.out.fail(refused)
+		c.out.fail(prob)
 		return
 	}
-	refused.write(c.w, c.visibleID())
+	prob.write(c.w, c.visibleID())
 }
 
 // settleLater settles a key in the background where that takes a call; a drain
 // waits for it.
 func (c *call) settleLater(outcome once.Outcome, answer []byte) {
-	if c.ticket == nil {
+	if c.grant == nil {
 		return
 	}
 	ctx := context.WithoutCancel(c.r.Context())
-	if c.ticket.address == "" {
-		c.srv.settle(ctx, c.ticket, outcome, answer)
+	if c.grant.address == "" {
+		c.srv.settle(ctx, c.grant, outcome, answer)
 		return
 	}
-	c.srv.door.enter()
+	c.srv.tracker.add()
 	go func() {
-		defer c.srv.door.leave()
-		c.srv.settle(ctx, c.ticket, outcome, answer)
+		defer c.srv.tracker.done()
+		c.srv.settle(ctx, c.grant, outcome, answer)
 	}()
 }
--- a/entry/internal/callers/claims.go
+++ b/entry/internal/callers/claims.go
@@ -15,45 +15,45 @@
 
 // Constants of claims at other entries.
 const (
-	claimTimeout  = 500 * time.Millisecond // one call
-	claimTries    = 2
-	settleTimeout = 500 * time.Millisecond
-	settleTries   = 2
-	maxHops       = 5 // processes asked for one key
-	runningRetry  = 250 * time.Millisecond
-	fullRetry     = 2 * time.Second
+	claimTimeout      = 500 * time.Millisecond // one call
+	claimAttempts     = 2
+	settleTimeout     = 500 * time.Millisecond
+	settleAttempts    = 2
+	maxHops           = 5 // processes asked for one key
+	runningRetryAfter = 250 * time.Millisecond
+	fullRetryAfter    = 2 * time.Second
 )
 
 // owners is how this entry reaches the others that own keys. Its fields are
 // the seams.
-type owners struct {
-	claim  func(ctx context.Context, address string, ask *wire.ClaimRequest) (*wire.ClaimReply, error)
-	settle func(ctx context.Context, address string, ask *wire.SettleRequest) error
+type ownerClient struct {
+	claim  func(ctx context.Context, address string, req *wire.ClaimRequest) (*wire.ClaimReply, error)
+	settle func(ctx context.Context, address string, req *wire.SettleRequest) error
 }
 
-func newOwners(pool *peer.Pool) owners {
-	return owners{
-		claim: func(ctx context.Context, address string, ask *wire.ClaimRequest) (*wire.ClaimReply, error) {
-			return wire.NewDRPCControlClient(pool.Conn(ctx, address)).Claim(ctx, ask)
+func newOwnerClient(pool *peer.Pool) ownerClient {
+	return ownerClient{
+		claim: func(ctx context.Context, address string, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
+			return wire.NewDRPCControlClient(pool.Conn(ctx, address)).Claim(ctx, req)
 		},
-		settle: func(ctx context.Context, address string, ask *wire.SettleRequest) error {
-			_, err := wire.NewDRPCControlClient(pool.Conn(ctx, address)).Settle(ctx, ask)
+		settle: func(ctx context.Context, address string, req *wire.SettleRequest) error {
+			_, err := wire.NewDRPCControlClient(pool.Conn(ctx, address)).Settle(ctx, req)
 			return err
 		},
 	}
 }
 
 // ticket is the right to run one key once.
-type ticket struct {
+type grant struct {
 	claim    once.Claim
 	address  string // of the process that granted it; empty: this one or the platform
-	platform bool   // the platform's service granted it
+	inStore  bool   // the platform's service granted it
 	revision uint64 // of the key there
 }
 
 // Claim answers another entry that asks to run a key owned by this one.
-func (s *Server) Claim(_ context.Context, ask *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	claim, err := claimOf(ask.GetKey(), ask.GetNonce(), ask.GetBodyHash())
+func (s *Server) Claim(_ context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
+	claim, err := parseClaim(req.GetKey(), req.GetNonce(), req.GetBodyHash())
 	if err != nil {
 		return nil, err
 	}
@@ -64,15 +64,15 @@
 
 // Settle takes another entry's report of how a claimed key ended, or the keys of
 // one that shuts down.
-func (s *Server) Settle(_ context.Context, ask *wire.SettleRequest) (*wire.SettleReply, error) {
-	if ask.GetHandover() != nil {
-		return &wire.SettleReply{}, s.inherit(ask.GetHandover())
+func (s *Server) Settle(_ context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
+	if req.GetHandover() != nil {
+		return &wire.SettleReply{}, s.acceptHandover(req.GetHandover())
 	}
-	claim, err := claimOf(ask.GetKey(), ask.GetNonce(), nil)
+	claim, err := parseClaim(req.GetKey(), req.GetNonce(), nil)
 	if err != nil {
 		return nil, err
 	}
-	counted, owned := s.keys.Settle(s.now(), claim, once.Outcome(ask.GetOutcome()), ask.GetAnswer())
+	counted, owned := s.keys.Settle(s.now(), claim, once.Outcome(req.GetOutcome()), req.GetAnswer())
 	if !owned {
 		return nil, failure.New(failure.NotFound, "this entry does not answer for the key", "ask its successor")
 	}
@@ -82,7 +82,7 @@
 	return &wire.SettleReply{}, nil
 }
 
-func claimOf(keyText, nonceText string, hash []byte) (once.Claim, error) {
+func parseClaim(keyText, nonceText string, hash []byte) (once.Claim, error) {
 	key, err := once.Parse(keyText)
 	if err != nil {
 		return once.Claim{}, err
@@ -99,18 +99,18 @@
 // claim asks whoever answers for the key for the right to run it. Exactly one
 // of the results is set: the ticket, a kept answer, or the reason why it may
 // not run.
-func (s *Server) claim(ctx context.Context, now *index, claim once.Claim) (*ticket, []byte, *problem) {
+func (s *Server) claim(ctx context.Context, idx *index, claim once.Claim) (*grant, []byte, *problem) {
 	if claim.Key.Owner() == "" {
-		return s.claimAtPlatform(ctx, claim)
+		return s.claimInStore(ctx, claim)
 	}
 	verdict := s.keys.Claim(s.now(), claim)
 	switch verdict.State {
 	case once.NotOwner:
-		return s.claimElsewhere(ctx, now.authorities(claim.Key.Owner()), claim)
+		return s.claimRemotely(ctx, idx.ownerAddresses(claim.Key.Owner()), claim)
 	case once.Moved:
-		return s.claimElsewhere(ctx, []string{verdict.To}, claim)
+		return s.claimRemotely(ctx, []string{verdict.To}, claim)
 	default:
-		return judge(&ticket{claim: claim}, verdict)
+		return claimResult(&grant{claim: claim}, verdict)
 	}
 }
 
@@ -118,8 +118,8 @@
 // other. A reply that is lost is asked for again with the same nonce, which is
 // granted again. Where nobody answers for the key, nobody knows whether it
 // ran before: unknown, at once.
-func (s *Server) claimElsewhere(ctx context.Context, addresses []string, claim once.Claim) (*ticket, []byte, *problem) {
-	ask := &wire.ClaimRequest{
+func (s *Server) claimRemotely(ctx context.Context, addresses []string, claim once.Claim) (*grant, []byte, *problem) {
+	req := &wire.ClaimRequest{
 		From:     s.cfg.Self,
 		Key:      claim.Key.String(),
 		BodyHash: claim.Hash[:],
@@ -132,91 +132,91 @@
 		}
 		address := addresses[0]
 		addresses = addresses[1:]
-		reply, err := s.askOwner(ctx, address, ask)
+		reply, err := s.sendClaim(ctx, address, req)
 		switch state := once.State(reply.GetState()); {
 		case err != nil:
 			lost = append(lost, address)
 		case state == once.Moved:
 			addresses = []string{reply.GetMovedTo()}
 		case state != once.NotOwner:
-			return judge(&ticket{claim: claim, address: address}, once.Verdict{State: state, Answer: reply.GetAnswer()})
+			return claimResult(&grant{claim: claim, address: address}, once.Verdict{State: state, Answer: reply.GetAnswer()})
 		}
 	}
-	s.withdraw(ctx, claim, lost)
-	return nil, nil, ownerGone()
+	s.withdrawClaim(ctx, claim, lost)
+	return nil, nil, ownerUnavailable()
 }
 
 // judge turns the owner's verdict into what happens to the request.
-func judge(won *ticket, verdict once.Verdict) (*ticket, []byte, *problem) {
+func claimResult(granted *grant, verdict once.Verdict) (*grant, []byte, *problem) {
 	switch verdict.State {
 	case once.Granted:
-		return won, nil, nil
+		return granted, nil, nil
 	case once.Answered:
 		if len(verdict.Answer) > 0 {
 			return nil, verdict.Answer, nil
 		}
-		return nil, nil, unknown(failure.New(failure.Ambiguous, "the request with this key ran, and its answer is no longer kept",
+		return nil, nil, unknownOutcome(failure.New(failure.Ambiguous, "the request with this key ran, and its answer is no longer kept",
 			"look for its effect; don't send it with a new key"))
 	case once.Running:
-		return nil, nil, unknown(failure.New(failure.Ambiguous, "the request with this key is running",
-			"send the same key again in a moment for its answer").WithRetryAfter(runningRetry))
+		return nil, nil, unknownOutcome(failure.New(failure.Ambiguous, "the request with this key is running",
+			"send the same key again in a moment for its answer").WithRetryAfter(runningRetryAfter))
 	case once.Mismatch:
 		return nil, nil, notRun(http.StatusConflict, failure.New(failure.Conflict, "this key names another request",
 			"make a new key for each request"))
 	case once.Full:
 		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Exhausted, "the entry that the key names can remember no more keys",
-			"ask GET /v1/entries for another and make a new key").WithRetryAfter(fullRetry))
+			"ask GET /v1/entries for another and make a new key").WithRetryAfter(fullRetryAfter))
 	case once.Held:
 		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "another sending of this key was not run just now",
 			"send the key again").WithRetryAfter(once.Hold))
 	case once.Ahead:
 		return nil, nil, invalid("the once key was made in the future", "set the clock that makes the keys")
 	case once.NotOwner:
-		return nil, nil, ownerGone()
+		return nil, nil, ownerUnavailable()
 	default:
-		return nil, nil, unknown(failure.New(failure.Ambiguous, "the request with this key may have run before",
+		return nil, nil, unknownOutcome(failure.New(failure.Ambiguous, "the request with this key may have run before",
 			"look for its effect before you send it with a new key"))
 	}
 }
 
-func ownerGone() *problem {
-	return unknown(failure.New(failure.Ambiguous, "the entry that the key names cannot be asked whether it ran before",
+func ownerUnavailable() *problem {
+	return unknownOutcome(failure.New(failure.Ambiguous, "the entry that the key names cannot be asked whether it ran before",
 		"if this key was never sent before, make a new one with the owner from GET /v1/entries; else look for the request's effect"))
 }
 
 // settle reports to the ticket's owner how the run ended. Where the report is
 // lost the key stays granted, and a later sending of it gets unknown.
-func (s *Server) settle(ctx context.Context, won *ticket, outcome once.Outcome, answer []byte) {
-	if won.platform {
+func (s *Server) settle(ctx context.Context, granted *grant, outcome once.Outcome, answer []byte) {
+	if granted.inStore {
 		if outcome == once.RunNotRun {
-			s.platform.release(ctx, won)
+			s.keyStore.release(ctx, granted)
 		}
 		return
 	}
-	if won.address == "" {
-		if _, owned := s.keys.Settle(s.now(), won.claim, outcome, answer); owned {
+	if granted.address == "" {
+		if _, owned := s.keys.Settle(s.now(), granted.claim, outcome, answer); owned {
 			return
 		}
 	}
-	s.settleElsewhere(ctx, won, outcome, answer)
+	s.settleRemotely(ctx, granted, outcome, answer)
 }
 
 // settleElsewhere notifies the process that granted the key, or its successor.
-func (s *Server) settleElsewhere(ctx context.Context, won *ticket, outcome once.Outcome, answer []byte) {
-	ask := settleRequest(s.cfg.Self, won.claim, outcome, answer)
-	addresses := s.index().authorities(won.claim.Key.Owner())
-	if won.address != "" {
-		addresses = append([]string{won.address}, addresses...)
+func (s *Server) settleRemotely(ctx context.Context, granted *grant, outcome once.Outcome, answer []byte) {
+	req := newSettleRequest(s.cfg.Self, granted.claim, outcome, answer)
+	addresses := s.index().ownerAddresses(granted.claim.Key.Owner())
+	if granted.address != "" {
+		addresses = append([]string{granted.address}, addresses...)
 	}
 	for _, address := range addresses[:min(len(addresses), maxHops)] {
-		if s.notifyOwner(ctx, address, ask) == nil {
+		if s.sendSettle(ctx, address, req) == nil {
 			return
 		}
 	}
 	counters.Add("settlesLost", 1)
 }
 
-func settleRequest(self *wire.Node, claim once.Claim, outcome once.Outcome, answer []byte) *wire.SettleRequest {
+func newSettleRequest(self *wire.Node, claim once.Claim, outcome once.Outcome, answer []byte) *wire.SettleRequest {
 	return &wire.SettleRequest{
 		From:    self,
 		Key:     claim.Key.String(),
@@ -227,10 +227,10 @@
 }
 
 // askOwner sends a claim, twice where the first reply is lost.
-func (s *Server) askOwner(ctx context.Context, address string, ask *wire.ClaimRequest) (reply *wire.ClaimReply, err error) {
-	for range claimTries {
+func (s *Server) sendClaim(ctx context.Context, address string, req *wire.ClaimRequest) (reply *wire.ClaimReply, err error) {
+	for range claimAttempts {
 		within, cancel := context.WithTimeout(ctx, claimTimeout)
-		reply, err = s.owners.claim(within, address, ask)
+		reply, err = s.ownerClient.claim(within, address, req)
 		cancel()
 		if err == nil {
 			return reply, nil
@@ -239,10 +239,10 @@
 	return nil, err
 }
 
-func (s *Server) notifyOwner(ctx context.Context, address string, ask *wire.SettleRequest) (err error) {
-	for range settleTries {
+func (s *Server) sendSettle(ctx context.Context, address string, req *wire.SettleRequest) (err error) {
+	for range settleAttempts {
 		within, cancel := context.WithTimeout(ctx, settleTimeout)
-		err = s.owners.settle(within, address, ask)
+		err = s.ownerClient.settle(within, address, req)
 		cancel()
 		if err == nil {
 			return nil
@@ -253,17 +253,17 @@
 
 // withdraw settles a claim without a reply as not run, in the background: the
 // claim may still arrive, and would otherwise be granted to nobody.
-func (s *Server) withdraw(ctx context.Context, claim once.Claim, addresses []string) {
+func (s *Server) withdrawClaim(ctx context.Context, claim once.Claim, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
 	ctx = context.WithoutCancel(ctx)
-	ask := settleRequest(s.cfg.Self, claim, once.RunNotRun, nil)
-	s.door.enter()
+	req := newSettleRequest(s.cfg.Self, claim, once.RunNotRun, nil)
+	s.tracker.add()
 	go func() {
-		defer s.door.leave()
+		defer s.tracker.done()
 		for _, address := range addresses {
-			_ = s.notifyOwner(ctx, address, ask)
+			_ = s.sendSettle(ctx, address, req)
 		}
 	}()
 }
--- a/entry/internal/callers/claims_test.go
+++ b/entry/internal/callers/claims_test.go
@@ -29,7 +29,7 @@
 
 // Symptom: two prices on one lamp. The caller's library sends the same key
 // through two entries at once, over and over.
-func TestOneKeyThroughTwoEntriesAtOnce(t *testing.T) {
+func TestConcurrentClaimsRunKeyOnce(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
 	entries := []*testEntry{deployment.addEntry("e1"), deployment.addEntry("e2")}
@@ -39,7 +39,7 @@
 		if round%3 == 0 {
 			key = uuid.Must(uuid.NewV7()).String() // claimed at the platform
 		}
-		before := len(agent.seen())
+		before := len(agent.recordedAttempts())
 		var senders sync.WaitGroup
 		for i := range 6 {
 			senders.Go(func() {
@@ -50,7 +50,7 @@
 			})
 		}
 		senders.Wait()
-		if got := len(agent.seen()) - before; got != 1 {
+		if got := len(agent.recordedAttempts()) - before; got != 1 {
 			t.Fatalf("round %d: got %d runs of one key, want 1", round, got)
 		}
 	}
@@ -72,7 +72,7 @@
 	if again.raw != sent.raw {
 		t.Errorf("got %s, want %s", again.raw, sent.raw)
 	}
-	if got := len(agent.seen()); got != 1 {
+	if got := len(agent.recordedAttempts()); got != 1 {
 		t.Errorf("got %d runs, want 1", got)
 	}
 	change["prompt"] = "another envelope"
@@ -81,7 +81,7 @@
 
 // Symptom: "notRun" for a request that ran. The owner of its key restarted and
 // remembers nothing; the caller sends the key again.
-func TestKeyOfAnOwnerThatIsGone(t *testing.T) {
+func TestKeyOfUnknownOwner(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
@@ -89,14 +89,14 @@
 	gone := uuid.Must(uuid.NewV7()).String() + "." + uuid.Must(uuid.NewV7()).String()
 	got := entry.request(t, map[string]any{"repeatable": false, "key": gone})
 	expect(t, got, http.StatusBadGateway, dispatch.Unknown)
-	if got := len(agent.seen()); got != 0 {
+	if got := len(agent.recordedAttempts()); got != 0 {
 		t.Errorf("got %d runs, want 0", got)
 	}
 }
 
 // Symptom: the same notice runs again an hour later. The owner forgot the key
 // to stay within its memory; its age shows that it may have run.
-func TestKeyOfAnHourAgo(t *testing.T) {
+func TestKeyPastTheHorizon(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
@@ -129,7 +129,7 @@
 	expect(t, got, http.StatusServiceUnavailable, dispatch.Unknown)
 	deployment.store.Swap = swap
 	expect(t, entry.request(t, change), http.StatusBadGateway, dispatch.Unknown)
-	if got := len(agent.seen()); got != 1 {
+	if got := len(agent.recordedAttempts()); got != 1 {
 		t.Errorf("got %d runs, want 1", got)
 	}
 }
@@ -159,7 +159,7 @@
 // look at its key: the customer is over its limit when the key is sent again.
 func TestKeyThatRanIsNotRefusedAsNotRun(t *testing.T) {
 	deployment := newTestDeployment(t)
-	deployment.limits = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
+	deployment.editCustomer = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
 	deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
 	deployment.publish()
@@ -172,7 +172,7 @@
 // Symptom: after a rolling restart every key of the last hour is unknown. The
 // entry that owns a key shuts down; the key is sent again, and a new key that
 // names it comes from a caller who has not learned of the shutdown.
-func TestKeysOutliveAGracefulShutdown(t *testing.T) {
+func TestKeysSurviveGracefulShutdown(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
 	entries := []*testEntry{deployment.addEntry("e1"), deployment.addEntry("e2"), deployment.addEntry("e3")}
@@ -189,7 +189,7 @@
 		fresh := map[string]any{"repeatable": false, "key": newOnceKey(owner)}
 		expect(t, entry.request(t, fresh), http.StatusOK, dispatch.Answered)
 	}
-	if got, want := len(agent.seen()), 3; got != want {
+	if got, want := len(agent.recordedAttempts()), 3; got != want {
 		t.Errorf("got %d runs, want %d", got, want)
 	}
 }
--- a/entry/internal/callers/customer.go
+++ b/entry/internal/callers/customer.go
@@ -38,7 +38,7 @@
 
 // take returns the state of the customer, kept over documents, with its new
 // specification.
-func (c *customers) take(spec *wire.Customer) *customer {
+func (c *customers) upsert(spec *wire.Customer) *customer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byName == nil {
@@ -90,7 +90,7 @@
 	defer c.mu.Unlock()
 	c.offered.Add(now, 1)
 	c.offeredTokens.Add(now, float64(tokens))
-	c.share(now, self, reports)
+	c.updateShares(now, self, reports)
 	ok, wait = c.requests.Take(now, c.spec.GetRequestsPerSecond()*c.requestShare, 1)
 	if !ok {
 		return false, wait
@@ -105,7 +105,7 @@
 }
 
 // share brings the shares up to date with the demand on all entries.
-func (c *customer) share(now time.Time, self string, reports []*wire.EntryReport) {
+func (c *customer) updateShares(now time.Time, self string, reports []*wire.EntryReport) {
 	if !c.sharedAt.IsZero() && now.Sub(c.sharedAt) < shareInterval {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // retry takes one retry from the budget.
-func (c *customer) retry() bool {
+func (c *customer) withdrawRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.budget.Withdraw()
@@ -134,7 +134,7 @@
 // standing returns the customer's weight under overload and its priority. The
 // weight grows with the priority, so that who waits in person goes before bulk
 // work and bulk work still moves.
-func (c *customer) standing() (weight float64, priority uint32) {
+func (c *customer) weightAndPriority() (weight float64, priority uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	weight = c.spec.GetWeight()
--- a/entry/internal/callers/deployment.go
+++ b/entry/internal/callers/deployment.go
@@ -21,7 +21,7 @@
 	classes   map[string]*wire.EndpointClass
 }
 
-func newDeployment(document *wire.Document, known *customers) *deployment {
+func newDeployment(document *wire.Document, states *customers) *deployment {
 	built := &deployment{
 		document:  document,
 		customers: make(map[keyHash]*customer),
@@ -39,37 +39,37 @@
 		built.classes[class.GetName()] = class
 	}
 	for _, spec := range document.GetCustomers() {
-		built.addCustomer(known.take(spec), spec)
+		built.addCustomer(states.upsert(spec), spec)
 	}
 	return built
 }
 
-func (h *deployment) addCustomer(state *customer, spec *wire.Customer) {
+func (d *deployment) addCustomer(state *customer, spec *wire.Customer) {
 	for _, text := range spec.GetKeyHashes() {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != sha256.Size {
 			continue // the document's checks refuse such a hash
 		}
-		h.customers[keyHash(raw)] = state
+		d.customers[keyHash(raw)] = state
 	}
 }
 
 // deadline returns the time that a request gets.
-func (h *deployment) deadline(askedMillis int64) time.Duration {
-	limits := h.document.GetDeadlines()
-	longest := min(maxDeadline, orElse(limits.GetMaxRequest().AsDuration(), maxDeadline))
-	asked := time.Duration(askedMillis) * time.Millisecond
-	if asked <= 0 {
-		asked = orElse(limits.GetDefaultRequest().AsDuration(), defaultDeadline)
+func (d *deployment) deadline(askedMillis int64) time.Duration {
+	limits := d.document.GetDeadlines()
+	longest := min(maxDeadline, orDefault(limits.GetMaxRequest().AsDuration(), maxDeadline))
+	requested := time.Duration(askedMillis) * time.Millisecond
+	if requested <= 0 {
+		requested = orDefault(limits.GetDefaultRequest().AsDuration(), defaultDeadline)
 	}
-	return min(asked, longest)
+	return min(requested, longest)
 }
 
-func orElse(value, other time.Duration) time.Duration {
+func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
 	}
-	return other
+	return fallback
 }
 
 func allows(customers []string, name string) bool { return slices.Contains(customers, name) }
--- a/entry/internal/callers/entries.go
+++ b/entry/internal/callers/entries.go
@@ -17,12 +17,12 @@
 }
 
 func (s *Server) serveEntries(w http.ResponseWriter, r *http.Request) {
-	now := s.index()
-	if _, refused := now.identify(r); refused != nil {
-		refused.write(w, "")
+	idx := s.index()
+	if _, prob := idx.authenticate(r); prob != nil {
+		prob.write(w, "")
 		return
 	}
-	choice := s.direct(now, r.RemoteAddr)
+	choice := s.chooseEntry(idx, r.RemoteAddr)
 	body := entriesBody{
 		Use:          choice.Use.Address,
 		Spares:       addresses(choice.Spares),
@@ -35,9 +35,9 @@
 
 // direct chooses an entry for the caller. Where no other is known to be well,
 // this one is all there is.
-func (s *Server) direct(now *index, caller string) directory.Choice {
-	self := s.self()
-	choice, found := directory.Choose(self, caller, s.usable(now))
+func (s *Server) chooseEntry(idx *index, caller string) directory.Choice {
+	self := s.selfEntry()
+	choice, found := directory.Choose(self, caller, s.usableEntries(idx))
 	if !found {
 		return directory.Choice{Use: self}
 	}
@@ -46,24 +46,24 @@
 
 // usable returns the entries for callers; this one only while it takes new
 // requests, whatever the reports still say.
-func (s *Server) usable(now *index) []directory.Entry {
-	open := s.door.isOpen()
+func (s *Server) usableEntries(idx *index) []directory.Entry {
+	accepting := s.tracker.accepting()
 	var entries []directory.Entry
 	listed := false
-	for _, entry := range now.entries {
+	for _, entry := range idx.entries {
 		own := entry.Incarnation == s.cfg.Self.GetIncarnation()
 		listed = listed || own
-		if !own || open {
+		if !own || accepting {
 			entries = append(entries, entry)
 		}
 	}
-	if !listed && open {
-		entries = append(entries, s.self())
+	if !listed && accepting {
+		entries = append(entries, s.selfEntry())
 	}
 	return entries
 }
 
-func (s *Server) self() directory.Entry {
+func (s *Server) selfEntry() directory.Entry {
 	return directory.Entry{
 		ID:            s.cfg.Self.GetId(),
 		Incarnation:   s.cfg.Self.GetIncarnation(),
@@ -75,14 +75,14 @@
 }
 
 // spares returns other entries' addresses, for a caller who is refused here.
-func (s *Server) spares(now *index, caller string) []string {
+func (s *Server) spares(idx *index, caller string) []string {
 	var others []directory.Entry
-	for _, entry := range now.entries {
+	for _, entry := range idx.entries {
 		if entry.Incarnation != s.cfg.Self.GetIncarnation() {
 			others = append(others, entry)
 		}
 	}
-	choice, found := directory.Choose(s.self(), caller, others)
+	choice, found := directory.Choose(s.selfEntry(), caller, others)
 	if !found {
 		return nil
 	}
--- a/entry/internal/callers/entries_test.go
+++ b/entry/internal/callers/entries_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-func TestWhichEntryDoIUse(t *testing.T) {
+func TestEntriesSkipsDrainingEntry(t *testing.T) {
 	deployment := newTestDeployment(t)
 	first, second := deployment.addEntry("e1"), deployment.addEntry("e2")
 	deployment.publish()
-	first.srv.door.close()
-	ask, err := http.NewRequest(http.MethodGet, first.http.URL+"/v1/entries", nil)
+	first.srv.tracker.drain()
+	req, err := http.NewRequest(http.MethodGet, first.http.URL+"/v1/entries", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask.Header.Set("Authorization", "Bearer "+testKey)
-	got, err := http.DefaultClient.Do(ask)
+	req.Header.Set("Authorization", "Bearer "+testKey)
+	got, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/internal/callers/handover.go
+++ b/entry/internal/callers/handover.go
@@ -18,9 +18,9 @@
 
 // authorities returns the control addresses of the processes that may answer
 // for an owner's keys: the owner, then its likely successors.
-func (x *index) authorities(owner string) []string {
+func (x *index) ownerAddresses(owner string) []string {
 	var list []string
-	if node := x.owners[owner]; node != nil {
+	if node := x.byIncarnation[owner]; node != nil {
 		list = append(list, node.GetControlAddress())
 	}
 	for _, node := range successors(owner, x.live) {
@@ -36,43 +36,43 @@
 func successors(owner string, nodes []*wire.Node) []*wire.Node {
 	ordered := slices.Clone(nodes)
 	slices.SortFunc(ordered, func(a, b *wire.Node) int {
-		return cmp.Compare(succession(owner, b), succession(owner, a))
+		return cmp.Compare(rendezvousHash(owner, b), rendezvousHash(owner, a))
 	})
 	return ordered
 }
 
-func succession(owner string, node *wire.Node) uint64 {
+func rendezvousHash(owner string, node *wire.Node) uint64 {
 	return xxhash.Sum64String(owner + "\x00" + node.GetIncarnation())
 }
 
 // handOver passes the memory of the once keys on, each owner's to its first
 // successor that takes new requests. Without it every key of the last hour
 // would be answered as unknown after a restart.
-func (s *Server) handOver(ctx context.Context) {
+func (s *Server) handOverKeys(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	now := s.index()
+	idx := s.index()
 	for _, owner := range s.keys.Owners() {
-		heir := s.heir(now, owner)
-		if heir == nil {
+		successor := s.successorFor(idx, owner)
+		if successor == nil {
 			continue // the last entry: there is nobody to pass them to
 		}
-		parts := s.keys.HandOver(s.now(), owner, heir.GetControlAddress())
-		err := s.sendParts(ctx, heir, parts)
-		s.cfg.Log.Info("once keys passed on", "owner", owner, "to", heir.GetId(), "parts", len(parts), "error", err)
+		parts := s.keys.HandOver(s.now(), owner, successor.GetControlAddress())
+		err := s.sendParts(ctx, successor, parts)
+		s.cfg.Log.Info("once keys passed on", "owner", owner, "to", successor.GetId(), "parts", len(parts), "error", err)
 	}
 }
 
-func (s *Server) heir(now *index, owner string) *wire.Node {
-	for _, node := range successors(owner, now.live) {
-		if node.GetIncarnation() != s.cfg.Self.GetIncarnation() && now.takesCallers(node) {
+func (s *Server) successorFor(idx *index, owner string) *wire.Node {
+	for _, node := range successors(owner, idx.live) {
+		if node.GetIncarnation() != s.cfg.Self.GetIncarnation() && idx.acceptsCallers(node) {
 			return node
 		}
 	}
 	return nil
 }
 
-func (x *index) takesCallers(node *wire.Node) bool {
+func (x *index) acceptsCallers(node *wire.Node) bool {
 	for _, entry := range x.entries {
 		if entry.Incarnation == node.GetIncarnation() {
 			return true
@@ -81,13 +81,13 @@
 	return false
 }
 
-func (s *Server) sendParts(ctx context.Context, heir *wire.Node, parts []once.Part) error {
+func (s *Server) sendParts(ctx context.Context, successor *wire.Node, parts []once.Part) error {
 	for _, part := range parts {
-		err := s.notifyOwner(ctx, heir.GetControlAddress(), &wire.SettleRequest{
+		err := s.sendSettle(ctx, successor.GetControlAddress(), &wire.SettleRequest{
 			From: s.cfg.Self,
 			Handover: &wire.Handover{
 				Owner:       part.Owner,
-				To:          heir.GetIncarnation(),
+				To:          successor.GetIncarnation(),
 				Part:        uint32(part.Number),
 				Parts:       uint32(part.Count),
 				FloorMillis: part.Floor.UnixMilli() + 1, // rounded up: never lower than the floor
@@ -102,11 +102,11 @@
 }
 
 // inherit takes a part of another entry's keys.
-func (s *Server) inherit(part *wire.Handover) error {
+func (s *Server) acceptHandover(part *wire.Handover) error {
 	if part.GetTo() != s.cfg.Self.GetIncarnation() {
 		return failure.New(failure.Stale, "the handover is meant for another process", "send it to the one it names")
 	}
-	if !s.door.isOpen() {
+	if !s.tracker.accepting() {
 		return failure.New(failure.Leaving, "this entry is shutting down too", "its keys are answered as unknown")
 	}
 	err := s.keys.Inherit(s.now(), once.Part{
--- a/entry/internal/callers/harness_test.go
+++ b/entry/internal/callers/harness_test.go
@@ -56,14 +56,14 @@
 	return a.run(att, stream)
 }
 
-func (a *fakeAgent) Cancel(_ context.Context, ask *wire.CancelRequest) (*wire.CancelReply, error) {
+func (a *fakeAgent) Cancel(_ context.Context, req *wire.CancelRequest) (*wire.CancelReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cancels = append(a.cancels, ask)
+	a.cancels = append(a.cancels, req)
 	return &wire.CancelReply{State: a.cancelState}, nil
 }
 
-func (a *fakeAgent) seen() []*wire.Attempt {
+func (a *fakeAgent) recordedAttempts() []*wire.Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]*wire.Attempt(nil), a.attempts...)
@@ -113,7 +113,7 @@
 }
 
 // cut begins, sends the words and breaks the stream off.
-func cut(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
+func breakOff(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
 		_ = out.send(&wire.Frame{Kind: "begin", Version: att.GetVersion()})
@@ -126,13 +126,13 @@
 
 // testDeployment is a deployment of fake agents and real Servers, on loopback.
 type testDeployment struct {
-	t       testing.TB
-	agents  []*fakeAgent
-	entries []*testEntry
-	store   *kv.Store
-	clock   clockwork.Clock
-	model   *wire.Model
-	limits  func(*wire.Customer)
+	t            testing.TB
+	agents       []*fakeAgent
+	entries      []*testEntry
+	store        *kv.Store
+	clock        clockwork.Clock
+	model        *wire.Model
+	editCustomer func(*wire.Customer)
 }
 
 type testEntry struct {
@@ -150,26 +150,26 @@
 	}
 }
 
-func (h *testDeployment) addAgent(id string, run func(*wire.Attempt, wire.DRPCHost_RunStream) error) *fakeAgent {
+func (d *testDeployment) addAgent(id string, run func(*wire.Attempt, wire.DRPCHost_RunStream) error) *fakeAgent {
 	agent := &fakeAgent{run: run, cancelState: "neverBegun"}
-	address := h.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterHost(mux, agent) })
+	address := d.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterHost(mux, agent) })
 	agent.node = &wire.Node{
 		Id: id, Incarnation: uuid.Must(uuid.NewV7()).String(), Role: "agent",
 		Region: "gt", FailureDomain: "zona-uno", ControlAddress: address,
 	}
-	h.agents = append(h.agents, agent)
+	d.agents = append(d.agents, agent)
 	return agent
 }
 
-func (h *testDeployment) serve(register func(*drpcmux.Mux) error) string {
-	h.t.Helper()
+func (d *testDeployment) serve(register func(*drpcmux.Mux) error) string {
+	d.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		h.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	mux := drpcmux.New()
 	if err := register(mux); err != nil {
-		h.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -177,59 +177,59 @@
 		defer close(done)
 		_ = peer.Serve(ctx, lis, nil, mux, slog.New(slog.DiscardHandler))
 	}()
-	h.t.Cleanup(func() { cancel(); <-done })
+	d.t.Cleanup(func() { cancel(); <-done })
 	return lis.Addr().String()
 }
 
 // controlOf serves only the claims of an entry.
-type controlOf struct {
+type controlServer struct {
 	wire.DRPCControlUnimplementedServer
 	srv *Server
 }
 
-func (c *controlOf) Claim(ctx context.Context, ask *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	return c.srv.Claim(ctx, ask)
+func (c *controlServer) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
+	return c.srv.Claim(ctx, req)
 }
 
-func (c *controlOf) Settle(ctx context.Context, ask *wire.SettleRequest) (*wire.SettleReply, error) {
-	return c.srv.Settle(ctx, ask)
+func (c *controlServer) Settle(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
+	return c.srv.Settle(ctx, req)
 }
 
-func (h *testDeployment) addEntry(id string) *testEntry {
+func (d *testDeployment) addEntry(id string) *testEntry {
 	entry := &testEntry{view: view.NewHolder()}
 	router := chi.NewRouter()
 	entry.http = httptest.NewServer(router)
-	h.t.Cleanup(entry.http.Close)
+	d.t.Cleanup(entry.http.Close)
 	entry.node = &wire.Node{
 		Id: id, Incarnation: uuid.Must(uuid.NewV7()).String(), Role: "entry",
 		Region: "gt", FailureDomain: "zona-uno",
 		CallersAddress: strings.TrimPrefix(entry.http.URL, "http://"),
 	}
-	control := &controlOf{}
-	entry.node.ControlAddress = h.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterControl(mux, control) })
+	control := &controlServer{}
+	entry.node.ControlAddress = d.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterControl(mux, control) })
 	pool := peer.NewPool(nil)
-	h.t.Cleanup(func() { _ = pool.Close() })
+	d.t.Cleanup(func() { _ = pool.Close() })
 	entry.srv = New(Config{
-		Self: entry.node, View: entry.view, Pool: pool, Store: h.store, Clock: h.clock,
+		Self: entry.node, View: entry.view, Pool: pool, Store: d.store, Clock: d.clock,
 		Log: slog.New(slog.DiscardHandler), Seed: 1, PanicOnBug: true,
 	})
 	control.srv = entry.srv
 	entry.srv.Routes(router)
-	h.entries = append(h.entries, entry)
+	d.entries = append(d.entries, entry)
 	return entry
 }
 
-func (h *testDeployment) document() *wire.Document {
+func (d *testDeployment) document() *wire.Document {
 	sum := func(key string) string {
 		hash := sha256.Sum256([]byte(key))
 		return hex.EncodeToString(hash[:])
 	}
 	quetzal := &wire.Customer{Name: testCustomer, KeyHashes: []string{sum(testKey)}}
-	if h.limits != nil {
-		h.limits(quetzal)
+	if d.editCustomer != nil {
+		d.editCustomer(quetzal)
 	}
 	return &wire.Document{
-		Models:    []*wire.Model{h.model},
+		Models:    []*wire.Model{d.model},
 		Customers: []*wire.Customer{quetzal, {Name: "lindner", KeyHashes: []string{sum(otherKey)}}},
 		Endpoints: []*wire.EndpointClass{{Name: "bridge", Kind: "bridge"}},
 		Services:  []*wire.Service{{Name: "ledger", Endpoint: "bridge", Customers: []string{testCustomer}}},
@@ -238,17 +238,17 @@
 }
 
 // publish shows the deployment to every entry.
-func (h *testDeployment) publish() {
-	document := h.document()
+func (d *testDeployment) publish() {
+	document := d.document()
 	var hosts []view.Host
-	for _, agent := range h.agents {
-		hosts = append(hosts, view.NewHost(agent.report(), h.clock.Now(), false, false))
+	for _, agent := range d.agents {
+		hosts = append(hosts, view.NewHost(agent.report(), d.clock.Now(), false, false))
 	}
 	var entries []view.Peer
-	for _, entry := range h.entries {
-		entries = append(entries, view.NewPeer(&wire.EntryReport{Node: entry.node}, h.clock.Now(), false, false))
+	for _, entry := range d.entries {
+		entries = append(entries, view.NewPeer(&wire.EntryReport{Node: entry.node}, d.clock.Now(), false, false))
 	}
-	for _, entry := range h.entries {
+	for _, entry := range d.entries {
 		entry.view.Store(&view.Snapshot{Revision: 1, PlanRevision: 1, Document: document, Hosts: hosts, Entries: entries})
 	}
 }
@@ -262,7 +262,7 @@
 }
 
 // body is a request on the model; change adjusts its fields.
-func body(change map[string]any) map[string]any {
+func requestFields(change map[string]any) map[string]any {
 	fields := map[string]any{"model": "parcel", "prompt": "Envelope 7", "maxTokens": 8, "repeatable": true}
 	for name, value := range change {
 		fields[name] = value
@@ -276,15 +276,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask, err := http.NewRequest(http.MethodPost, e.http.URL+path, bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPost, e.http.URL+path, bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask.Header.Set("Authorization", "Bearer "+testKey)
+	req.Header.Set("Authorization", "Bearer "+testKey)
 	for i := 0; i+1 < len(header); i += 2 {
-		ask.Header.Set(header[i], header[i+1])
+		req.Header.Set(header[i], header[i+1])
 	}
-	got, err := http.DefaultClient.Do(ask)
+	got, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -301,7 +301,7 @@
 
 func (e *testEntry) request(t testing.TB, change map[string]any, header ...string) reply {
 	t.Helper()
-	return e.post(t, "/v1/requests", body(change), header...)
+	return e.post(t, "/v1/requests", requestFields(change), header...)
 }
 
 // newOnceKey makes a key that the entry owns.
--- a/entry/internal/callers/headers_test.go
+++ b/entry/internal/callers/headers_test.go
@@ -43,13 +43,13 @@
 	handler := entry.http.Config.Handler
 	f.Fuzz(func(t *testing.T, header string, body []byte) {
 		for _, path := range []string{"/v1/requests", "/v1/services/ledger", "/v1/entries"} {
-			ask := readRequest(path, header, body)
-			if ask == nil {
+			req := readRequest(path, header, body)
+			if req == nil {
 				return // net/http refuses it
 			}
 			got := httptest.NewRecorder()
-			handler.ServeHTTP(got, ask)
-			checkReply(t, path, ask, got)
+			handler.ServeHTTP(got, req)
+			checkReply(t, path, req, got)
 		}
 	})
 }
@@ -67,17 +67,17 @@
 	}
 	raw.WriteString(header + "\r\n")
 	raw.Write(body)
-	ask, err := http.ReadRequest(bufio.NewReader(raw))
+	req, err := http.ReadRequest(bufio.NewReader(raw))
 	if err != nil {
 		return nil
 	}
-	ask.RemoteAddr = "127.0.0.1:1"
-	return ask
+	req.RemoteAddr = "127.0.0.1:1"
+	return req
 }
 
-func checkReply(t *testing.T, path string, ask *http.Request, got *httptest.ResponseRecorder) {
+func checkReply(t *testing.T, path string, req *http.Request, got *httptest.ResponseRecorder) {
 	t.Helper()
-	key := ask.Header.Get("Authorization")
+	key := req.Header.Get("Authorization")
 	if got.Code == http.StatusOK {
 		if key != "Bearer "+testKey && (key != "Bearer "+otherKey || path != "/v1/entries") {
 			t.Errorf("%s: got an answer for %q, want it refused", path, key)
--- a/entry/internal/callers/index.go
+++ b/entry/internal/callers/index.go
@@ -24,14 +24,14 @@
 // index is one snapshot of the view, arranged for the request path. It is
 // immutable.
 type index struct {
-	snapshot   *view.Snapshot
-	deployment *deployment
-	builtAt    time.Time
-	versions   map[string][]string   // that may serve, by model
-	live       []*wire.Node          // entries that are not lost, draining ones included
-	owners     map[string]*wire.Node // all entries by incarnation
-	entries    []directory.Entry     // that callers may be sent to
-	reports    []*wire.EntryReport   // of the entries that are not lost
+	snapshot        *view.Snapshot
+	deployment      *deployment
+	builtAt         time.Time
+	allowedVersions map[string][]string   // that may serve, by model
+	live            []*wire.Node          // entries that are not lost, draining ones included
+	byIncarnation   map[string]*wire.Node // all entries by incarnation
+	entries         []directory.Entry     // that callers may be sent to
+	reports         []*wire.EntryReport   // of the entries that are not lost
 }
 
 // index returns the arranged view, and brings it and the lanes up to date.
@@ -42,16 +42,16 @@
 		return current
 	}
 	if current == nil {
-		s.rebuild.Lock()
-	} else if !s.rebuild.TryLock() {
+		s.rebuildMu.Lock()
+	} else if !s.rebuildMu.TryLock() {
 		return current // somebody else is at it
 	}
-	defer s.rebuild.Unlock()
+	defer s.rebuildMu.Unlock()
 	current = s.current.Load()
 	if current != nil && current.snapshot == snapshot {
 		return current
 	}
-	next := s.build(current, snapshot)
+	next := s.buildIndex(current, snapshot)
 	s.current.Store(next)
 	s.updateLanes(next)
 	return next
@@ -61,16 +61,16 @@
 	if current.snapshot == snapshot {
 		return false
 	}
-	sameOrders := current.snapshot.Document == snapshot.Document && current.snapshot.Plan == snapshot.Plan
-	return !sameOrders || s.cfg.Clock.Since(current.builtAt) >= indexInterval
+	sameInputs := current.snapshot.Document == snapshot.Document && current.snapshot.Plan == snapshot.Plan
+	return !sameInputs || s.cfg.Clock.Since(current.builtAt) >= indexInterval
 }
 
-func (s *Server) build(previous *index, snapshot *view.Snapshot) *index {
+func (s *Server) buildIndex(previous *index, snapshot *view.Snapshot) *index {
 	next := &index{
-		snapshot: snapshot,
-		builtAt:  s.cfg.Clock.Now(),
-		versions: make(map[string][]string),
-		owners:   make(map[string]*wire.Node),
+		snapshot:        snapshot,
+		builtAt:         s.cfg.Clock.Now(),
+		allowedVersions: make(map[string][]string),
+		byIncarnation:   make(map[string]*wire.Node),
 	}
 	if previous != nil && previous.snapshot.Document == snapshot.Document {
 		next.deployment = previous.deployment
@@ -79,7 +79,7 @@
 	}
 	next.addEntries(snapshot.Entries)
 	for name, model := range next.deployment.models {
-		next.versions[name] = s.allowed(model, snapshot)
+		next.allowedVersions[name] = s.allowedVersions(model, snapshot)
 	}
 	return next
 }
@@ -88,7 +88,7 @@
 	for _, peer := range peers {
 		report := peer.Report()
 		node := report.GetNode()
-		x.owners[node.GetIncarnation()] = node
+		x.byIncarnation[node.GetIncarnation()] = node
 		if peer.Lost() {
 			continue
 		}
@@ -109,42 +109,42 @@
 }
 
 // allowed returns the versions that may serve the model now.
-func (s *Server) allowed(model *wire.Model, snapshot *view.Snapshot) []string {
+func (s *Server) allowedVersions(model *wire.Model, snapshot *view.Snapshot) []string {
 	shift := s.shifts[model.GetName()]
 	if shift == nil {
 		shift = route.NewShift()
 		s.shifts[model.GetName()] = shift
 	}
-	serving := make(map[string]string) // version by host
-	gone := make(map[string]bool)      // hosts that are not there to wait for
+	serving := make(map[string]string)   // version by host
+	unavailable := make(map[string]bool) // hosts that are not there to wait for
 	for _, host := range snapshot.Hosts {
 		id := host.Report().GetNode().GetId()
 		if host.Lost() || host.Leaving() {
-			gone[id] = true
+			unavailable[id] = true
 		}
 		if state := servingState(host, model.GetName()); state != nil {
 			serving[id] = state.GetVersion()
 		}
 	}
 	planned := 0
-	turned := 0
+	ready := 0
 	for _, assignment := range snapshot.Plan.GetAssignments() {
 		if assignment.GetModel() != model.GetName() || assignment.GetVersion() != model.GetVersion() {
 			continue
 		}
-		if gone[assignment.GetHost()] {
+		if unavailable[assignment.GetHost()] {
 			continue
 		}
 		planned++
 		if serving[assignment.GetHost()] == model.GetVersion() {
-			turned++
+			ready++
 		}
 	}
 	return shift.Allowed(route.Roll{
 		Target:    model.GetVersion(),
 		WhenWhole: model.GetShift() == "whenWhole",
 		Serving:   serving,
-		Whole:     planned > 0 && turned == planned,
+		Whole:     planned > 0 && ready == planned,
 	})
 }
 
@@ -197,13 +197,13 @@
 		}
 		hosts = append(hosts, serving)
 	}
-	keepIntendedAdapters(hosts, model)
+	dropReplacedAdapters(hosts, model)
 	return hosts
 }
 
 // keepIntendedAdapters takes those adapters away that the document replaced on
 // the same base version, once a host serves the replacement.
-func keepIntendedAdapters(hosts []route.Host, model *wire.Model) {
+func dropReplacedAdapters(hosts []route.Host, model *wire.Model) {
 	for _, intended := range model.GetAdapters() {
 		want := route.Adapter{Name: intended.GetName(), Version: intended.GetVersion()}
 		if !anyServes(hosts, want) {
@@ -211,7 +211,7 @@
 		}
 		for i := range hosts {
 			if hosts[i].Version == model.GetVersion() {
-				hosts[i].Adapters = withoutOthers(hosts[i].Adapters, want)
+				hosts[i].Adapters = withoutOtherVersions(hosts[i].Adapters, want)
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 	return false
 }
 
-func withoutOthers(adapters []route.Adapter, want route.Adapter) []route.Adapter {
+func withoutOtherVersions(adapters []route.Adapter, want route.Adapter) []route.Adapter {
 	var kept []route.Adapter
 	for _, adapter := range adapters {
 		if adapter.Name != want.Name || adapter == want {
--- a/entry/internal/callers/platform.go
+++ b/entry/internal/callers/keystore.go
@@ -18,18 +18,18 @@
 // Constants of keys without an owner.
 const (
 	onceKeyPrefix   = "once/"
-	platformTimeout = 2 * time.Second
-	platformTries   = 3
-	platformRetry   = 2 * time.Second
+	storeTimeout    = 2 * time.Second
+	storeAttempts   = 3
+	storeRetryAfter = 2 * time.Second
 	// Keys are bound to a lease, so that the service forgets them by itself.
 	// It outlives the moment when the last entry refuses the youngest key
 	// bound to it: the horizon, twice the clocks' difference and leaseTurn.
-	leaseTurn = 5 * time.Minute
-	leaseTTL  = once.Horizon + 2*once.MaxAhead + leaseTurn + 10*time.Minute
+	leaseRotation = 5 * time.Minute
+	leaseTTL      = once.Horizon + 2*once.MaxAhead + leaseRotation + 10*time.Minute
 )
 
 // platform claims keys without an owner by compare-and-swap.
-type platform struct {
+type keyStore struct {
 	store *kv.Store // nil: there is none
 	clock clockwork.Clock
 
@@ -38,8 +38,8 @@
 	grantedAt time.Time
 }
 
-func newPlatform(store *kv.Store, clock clockwork.Clock) *platform {
-	return &platform{store: store, clock: clock}
+func newKeyStore(store *kv.Store, clock clockwork.Clock) *keyStore {
+	return &keyStore{store: store, clock: clock}
 }
 
 // claimValue is what the service keeps of a key.
@@ -50,32 +50,32 @@
 
 // claimAtPlatform claims a key in the platform's service. As long as the
 // service cannot be asked, nobody knows whether the key ran before.
-func (s *Server) claimAtPlatform(ctx context.Context, claim once.Claim) (*ticket, []byte, *problem) {
+func (s *Server) claimInStore(ctx context.Context, claim once.Claim) (*grant, []byte, *problem) {
 	now, made := s.now(), claim.Key.Made()
 	if made.Before(now.Add(-once.Horizon)) {
-		return judge(nil, once.Verdict{State: once.Unknown})
+		return claimResult(nil, once.Verdict{State: once.Unknown})
 	}
 	if made.After(now.Add(once.MaxAhead)) {
-		return judge(nil, once.Verdict{State: once.Ahead})
+		return claimResult(nil, once.Verdict{State: once.Ahead})
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, s.cfg.Clock, platformTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, s.cfg.Clock, storeTimeout)
 	defer cancel()
-	state, revision := s.platform.claim(ctx, claim)
+	state, revision := s.keyStore.claim(ctx, claim)
 	if state == once.NotOwner {
-		return nil, nil, serviceDown()
+		return nil, nil, storeUnavailable()
 	}
-	return judge(&ticket{claim: claim, platform: true, revision: revision}, once.Verdict{State: state})
+	return claimResult(&grant{claim: claim, inStore: true, revision: revision}, once.Verdict{State: state})
 }
 
 // claim swaps the key in where it does not exist. A swap that may or may not
 // have taken effect is tried again with the same value: then either it
 // succeeds or the nonce that is found shows whose swap it was. NotOwner means
 // that the service doesn't know.
-func (p *platform) claim(ctx context.Context, claim once.Claim) (once.State, uint64) {
-	if p.store == nil {
+func (k *keyStore) claim(ctx context.Context, claim once.Claim) (once.State, uint64) {
+	if k.store == nil {
 		return once.NotOwner, 0
 	}
-	lease, err := p.currentLease(ctx)
+	lease, err := k.currentLease(ctx)
 	if err != nil {
 		return once.NotOwner, 0
 	}
@@ -85,15 +85,15 @@
 	if err != nil {
 		return once.NotOwner, 0
 	}
-	for range platformTries {
-		revision, err := p.store.Swap(ctx, key, raw, 0, lease)
+	for range storeAttempts {
+		revision, err := k.store.Swap(ctx, key, raw, 0, lease)
 		switch {
 		case err == nil:
 			return once.Granted, revision
 		case failure.KindOf(err) == failure.Conflict:
-			return p.compare(ctx, key, value)
+			return k.resolveConflict(ctx, key, value)
 		case failure.KindOf(err) == failure.NotFound:
-			p.forgetLease(lease)
+			k.discardLease(lease)
 			return once.NotOwner, 0
 		case failure.KindOf(err) != failure.Ambiguous:
 			return once.NotOwner, 0
@@ -103,8 +103,8 @@
 }
 
 // compare reads who holds the key.
-func (p *platform) compare(ctx context.Context, key string, own claimValue) (once.State, uint64) {
-	entry, found, err := p.store.Get(ctx, key)
+func (k *keyStore) resolveConflict(ctx context.Context, key string, own claimValue) (once.State, uint64) {
+	entry, found, err := k.store.Get(ctx, key)
 	if err != nil || !found {
 		return once.NotOwner, 0
 	}
@@ -124,41 +124,41 @@
 
 // release deletes the key of a run that was proved not to have happened, so
 // that it can be sent again.
-func (p *platform) release(ctx context.Context, won *ticket) {
-	ctx, cancel := clockwork.WithTimeout(context.WithoutCancel(ctx), p.clock, settleTimeout)
+func (k *keyStore) release(ctx context.Context, granted *grant) {
+	ctx, cancel := clockwork.WithTimeout(context.WithoutCancel(ctx), k.clock, settleTimeout)
 	defer cancel()
-	if err := p.store.Delete(ctx, onceKeyPrefix+won.claim.Key.String(), won.revision); err != nil {
+	if err := k.store.Delete(ctx, onceKeyPrefix+granted.claim.Key.String(), granted.revision); err != nil {
 		counters.Add("settlesLost", 1)
 	}
 }
 
 // currentLease returns a lease that is young enough for a new key.
-func (p *platform) currentLease(ctx context.Context) (string, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.lease != "" && p.clock.Since(p.grantedAt) < leaseTurn {
-		return p.lease, nil
+func (k *keyStore) currentLease(ctx context.Context) (string, error) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.lease != "" && k.clock.Since(k.grantedAt) < leaseRotation {
+		return k.lease, nil
 	}
-	asked := p.clock.Now()
-	lease, err := p.store.Grant(ctx, leaseTTL)
+	requestedAt := k.clock.Now()
+	lease, err := k.store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return "", err
 	}
-	p.lease, p.grantedAt = lease, asked
+	k.lease, k.grantedAt = lease, requestedAt
 	return lease, nil
 }
 
-func (p *platform) forgetLease(lease string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.lease == lease {
-		p.lease = ""
+func (k *keyStore) discardLease(lease string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.lease == lease {
+		k.lease = ""
 	}
 }
 
-func serviceDown() *problem {
-	refused := unknown(failure.New(failure.Unavailable, "the service that keeps keys without an owner cannot be asked whether this one ran before",
-		"send the same key again later; if it was never sent before, make one with the owner from GET /v1/entries").WithRetryAfter(platformRetry))
-	refused.status = http.StatusServiceUnavailable
-	return refused
+func storeUnavailable() *problem {
+	prob := unknownOutcome(failure.New(failure.Unavailable, "the service that keeps keys without an owner cannot be asked whether this one ran before",
+		"send the same key again later; if it was never sent before, make one with the owner from GET /v1/entries").WithRetryAfter(storeRetryAfter))
+	prob.status = http.StatusServiceUnavailable
+	return prob
 }
--- a/entry/internal/callers/standing.go
+++ b/entry/internal/callers/large.go
@@ -10,33 +10,33 @@
 
 // standingInterval is how often the large customers are separated from the others. A
 // burst takes all slots in a few hundred milliseconds.
-const standingInterval = 100 * time.Millisecond
+const largeCustomersInterval = 100 * time.Millisecond
 
 // standings separates the large customers from the others, by the demand on all
 // entries.
-type standings struct {
-	mu    sync.Mutex
-	at    time.Time // of the last comparison
-	large map[string]bool
+type largeCustomers struct {
+	mu         sync.Mutex
+	computedAt time.Time // of the last comparison
+	names      map[string]bool
 }
 
 // isLarge reports whether the customer asks for much more than its share of
 // the deployment. One entry's own requests would not show it: each customer's callers
 // gather on a few entries.
-func (s *Server) isLarge(now *index, name string) bool {
-	s.standings.mu.Lock()
-	defer s.standings.mu.Unlock()
-	if s.cfg.Clock.Since(s.standings.at) >= standingInterval {
-		s.standings.at = s.cfg.Clock.Now()
-		s.standings.large = limit.Large(s.uses(now))
+func (s *Server) isLarge(idx *index, name string) bool {
+	s.largeCustomers.mu.Lock()
+	defer s.largeCustomers.mu.Unlock()
+	if s.cfg.Clock.Since(s.largeCustomers.computedAt) >= largeCustomersInterval {
+		s.largeCustomers.computedAt = s.cfg.Clock.Now()
+		s.largeCustomers.names = limit.Large(s.customerUse(idx))
 	}
-	return s.standings.large[name]
+	return s.largeCustomers.names[name]
 }
 
-func (s *Server) uses(now *index) map[string]limit.Use {
+func (s *Server) customerUse(idx *index) map[string]limit.Use {
 	uses := make(map[string]limit.Use)
-	for _, each := range now.deployment.customers {
-		weight, _ := each.standing()
+	for _, each := range idx.deployment.customers {
+		weight, _ := each.weightAndPriority()
 		uses[each.name] = limit.Use{Weight: weight}
 	}
 	add := func(demands []*wire.Demand) {
@@ -49,7 +49,7 @@
 			uses[demand.GetCustomer()] = use
 		}
 	}
-	for _, report := range now.reports {
+	for _, report := range idx.reports {
 		if report.GetNode().GetIncarnation() != s.cfg.Self.GetIncarnation() {
 			add(report.GetDemand())
 		}
--- a/entry/internal/callers/problem.go
+++ b/entry/internal/callers/problem.go
@@ -74,7 +74,7 @@
 }
 
 // unknown makes a problem of a request that may have run.
-func unknown(err *failure.Error) *problem {
+func unknownOutcome(err *failure.Error) *problem {
 	return &problem{status: http.StatusBadGateway, outcome: dispatch.Unknown, err: err}
 }
 
@@ -83,9 +83,9 @@
 }
 
 // problemOf returns the answer to the caller of a request that was given up.
-func problemOf(result dispatch.Result) *problem {
+func problemFromResult(result dispatch.Result) *problem {
 	if result.Outcome == dispatch.Unknown {
-		return unknown(result.Err)
+		return unknownOutcome(result.Err)
 	}
 	if errors.Is(result.Err, dispatch.ErrLate) {
 		return notRun(http.StatusGatewayTimeout, result.Err)
--- a/entry/internal/callers/requests_test.go
+++ b/entry/internal/callers/requests_test.go
@@ -56,7 +56,7 @@
 	run := func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		if first {
 			first = false
-			return cut(words[:2]...)(att, stream)
+			return breakOff(words[:2]...)(att, stream)
 		}
 		return answer(words...)(att, stream)
 	}
@@ -78,8 +78,8 @@
 	if got := strings.Count(got.raw, "event: end"); got != 1 {
 		t.Errorf("got %d end events, want 1", got)
 	}
-	seen := append(deployment.agents[0].seen(), deployment.agents[1].seen()...)
-	if got := len(seen); got != 2 {
+	recordedAttempts := append(deployment.agents[0].recordedAttempts(), deployment.agents[1].recordedAttempts()...)
+	if got := len(recordedAttempts); got != 2 {
 		t.Fatalf("got %d attempts, want 2", got)
 	}
 }
@@ -89,13 +89,13 @@
 func TestBrokenRunIsNotRepeated(t *testing.T) {
 	deployment := newTestDeployment(t)
 	for _, id := range []string{"h1", "h2"} {
-		deployment.addAgent(id, cut("a")).cancelState = "ended"
+		deployment.addAgent(id, breakOff("a")).cancelState = "ended"
 	}
 	entry := deployment.addEntry("e1")
 	deployment.publish()
 	got := entry.request(t, map[string]any{"repeatable": false})
 	expect(t, got, http.StatusBadGateway, dispatch.Unknown)
-	if got := len(deployment.agents[0].seen()) + len(deployment.agents[1].seen()); got != 1 {
+	if got := len(deployment.agents[0].recordedAttempts()) + len(deployment.agents[1].recordedAttempts()); got != 1 {
 		t.Errorf("got %d attempts, want 1", got)
 	}
 	if got.failed.Error.Remedy == "" {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestRefusedIsTriedElsewhereAndNotRun(t *testing.T) {
+func TestKeyRefusedByEveryHostCanBeResent(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", refuse("busy"))
 	deployment.addAgent("h2", refuse("busy"))
@@ -124,7 +124,7 @@
 	expect(t, got, http.StatusOK, dispatch.Answered)
 }
 
-func TestHostThatCannotBeReachedIsProvedNotRun(t *testing.T) {
+func TestUnreachableHostIsNotRun(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok")).node.ControlAddress = "127.0.0.1:1"
 	entry := deployment.addEntry("e1")
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestWhoMayNot(t *testing.T) {
+func TestRefusedRequests(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
@@ -182,7 +182,7 @@
 			expect(t, got, test.status, dispatch.NotRun)
 		})
 	}
-	if got := len(deployment.agents[0].seen()); got != 0 {
+	if got := len(deployment.agents[0].recordedAttempts()); got != 0 {
 		t.Errorf("got %d attempts, want 0", got)
 	}
 }
@@ -210,9 +210,9 @@
 	}
 }
 
-func TestLimitOfACustomer(t *testing.T) {
+func TestCustomerRateLimit(t *testing.T) {
 	deployment := newTestDeployment(t)
-	deployment.limits = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
+	deployment.editCustomer = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
 	deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
 	deployment.publish()
@@ -226,26 +226,26 @@
 
 // Symptom: a shutdown loses a request. One is in progress when the drain
 // begins, another arrives after.
-func TestDrainFinishesWhatRuns(t *testing.T) {
+func TestDrainFinishesRequestsInProgress(t *testing.T) {
 	deployment := newTestDeployment(t)
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	begun, proceed := make(chan struct{}), make(chan struct{})
 	deployment.addAgent("h1", func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		close(begun)
-		<-goOn
+		<-proceed
 		return answer("ok")(att, stream)
 	})
 	entry := deployment.addEntry("e1")
 	spare := deployment.addEntry("e2")
 	deployment.publish()
-	inside := make(chan reply)
-	go func() { inside <- entry.request(t, nil) }()
+	running := make(chan reply)
+	go func() { running <- entry.request(t, nil) }()
 	<-begun
 	drained := make(chan struct{})
 	go func() {
 		entry.srv.Drain(context.Background())
 		close(drained)
 	}()
-	for entry.srv.door.isOpen() {
+	for entry.srv.tracker.accepting() {
 		time.Sleep(time.Millisecond)
 	}
 	late := entry.request(t, nil)
@@ -253,8 +253,8 @@
 	if want := []string{spare.node.GetCallersAddress()}; !slices.Equal(late.failed.Error.Spares, want) {
 		t.Errorf("got spares %q, want %q", late.failed.Error.Spares, want)
 	}
-	close(goOn)
-	expect(t, <-inside, http.StatusOK, dispatch.Answered)
+	close(proceed)
+	expect(t, <-running, http.StatusOK, dispatch.Answered)
 	<-drained
 }
 
@@ -263,9 +263,9 @@
 // whatever is asked for then must not bring the lane up to date.
 func TestNewViewWhileRequestsWait(t *testing.T) {
 	deployment := newTestDeployment(t)
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	agent := deployment.addAgent("h1", func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
-		<-goOn
+		<-proceed
 		return answer("ok")(att, stream)
 	})
 	entry := deployment.addEntry("e1")
@@ -278,7 +278,7 @@
 	for range callers {
 		go func() { replies <- entry.request(t, map[string]any{"deadlineMillis": 10_000}) }()
 	}
-	for len(agent.seen()) == 0 || entry.srv.InFlight() < callers {
+	for len(agent.recordedAttempts()) == 0 || entry.srv.InFlight() < callers {
 		if len(replies) > 0 {
 			t.Fatalf("got an answer before its time: %s", (<-replies).raw)
 		}
@@ -289,7 +289,7 @@
 		report.Slots, report.Sequence = 1, report.GetSequence()+1
 		publishHosts(deployment, entry, report)
 		time.Sleep(2 * indexInterval)
-		goOn <- struct{}{}
+		proceed <- struct{}{}
 	}
 	for range callers {
 		expect(t, <-replies, http.StatusOK, dispatch.Answered)
--- a/entry/internal/callers/server.go
+++ b/entry/internal/callers/server.go
@@ -51,20 +51,20 @@
 
 // Server serves callers and answers the other entries' claims.
 type Server struct {
-	cfg        Config
-	started    time.Time // keys' ages are measured from here; see now
-	hosts      dispatch.Hosts
-	owners     owners
-	platform   *platform
-	dispatcher *dispatch.Dispatcher
-	keys       *once.Authority
-	door       *door
-	customers  customers
-	standings  standings
-	current    atomic.Pointer[index]
-	rebuild    sync.Mutex              // held while a new index is made
-	shifts     map[string]*route.Shift // by model; guarded by rebuild
-	lanes      map[string]bool         // lanes that have hosts; guarded by rebuild
+	cfg            Config
+	started        time.Time // keys' ages are measured from here; see now
+	hosts          dispatch.Hosts
+	ownerClient    ownerClient
+	keyStore       *keyStore
+	dispatcher     *dispatch.Dispatcher
+	keys           *once.Authority
+	tracker        *requestTracker
+	customers      customers
+	largeCustomers largeCustomers
+	current        atomic.Pointer[index]
+	rebuildMu      sync.Mutex              // held while a new index is made
+	shifts         map[string]*route.Shift // by model; guarded by rebuild
+	lanes          map[string]bool         // lanes that have hosts; guarded by rebuild
 }
 
 // New returns a Server that serves nothing until its routes are mounted.
@@ -79,18 +79,18 @@
 		policy = route.Affinity
 	}
 	srv := &Server{
-		cfg:     cfg,
-		started: cfg.Clock.Now(),
-		hosts:   dispatch.NewHosts(cfg.Pool),
-		owners:  newOwners(cfg.Pool),
+		cfg:         cfg,
+		started:     cfg.Clock.Now(),
+		hosts:       dispatch.NewHosts(cfg.Pool),
+		ownerClient: newOwnerClient(cfg.Pool),
 		keys: once.NewAuthority(cfg.Self.GetIncarnation(), once.Options{
 			MaxKeys: once.DefaultMaxKeys, MaxAnswerBytes: once.DefaultMaxAnswerBytes,
 		}),
-		door:   newDoor(),
-		shifts: make(map[string]*route.Shift),
-		lanes:  make(map[string]bool),
+		tracker: newRequestTracker(),
+		shifts:  make(map[string]*route.Shift),
+		lanes:   make(map[string]bool),
 	}
-	srv.platform = newPlatform(cfg.Store, cfg.Clock)
+	srv.keyStore = newKeyStore(cfg.Store, cfg.Clock)
 	srv.dispatcher = dispatch.New(dispatch.Config{
 		Self:       cfg.Self,
 		Clock:      cfg.Clock,
@@ -113,7 +113,7 @@
 }
 
 // InFlight returns the number of requests in progress.
-func (s *Server) InFlight() int { return s.door.inside() }
+func (s *Server) InFlight() int { return s.tracker.inFlight() }
 
 // Demand returns each customer's use of this entry over the last second, what
 // was refused included: the shares of the limits follow what is wanted.
@@ -123,14 +123,14 @@
 // returns when those in progress have ended or ctx has. Last it passes the
 // memory of its once keys on.
 func (s *Server) Drain(ctx context.Context) {
-	idle := s.door.close()
+	idle := s.tracker.drain()
 	select {
 	case <-idle:
 		s.cfg.Log.Info("callers drained")
 	case <-ctx.Done():
 		s.cfg.Log.Warn("callers not drained in time", "inFlight", s.InFlight())
 	}
-	s.handOver(context.WithoutCancel(ctx))
+	s.handOverKeys(context.WithoutCancel(ctx))
 }
 
 // now is the time by which keys' ages are judged: it runs evenly from the
--- a/entry/internal/callers/stream.go
+++ b/entry/internal/callers/stream.go
@@ -70,12 +70,12 @@
 }
 
 // fail sends the problem: as an answer of its own while nothing is out.
-func (s *stream) fail(refused *problem) {
+func (s *stream) fail(prob *problem) {
 	if !s.begun {
-		refused.write(s.w, s.requestID)
+		prob.write(s.w, s.requestID)
 		return
 	}
-	_ = s.event("error", refused.body(s.requestID))
+	_ = s.event("error", prob.body(s.requestID))
 	_ = s.control.Flush()
 }
 
