--- a/entry/internal/callers/account.go
+++ b/entry/internal/callers/account.go
@@ -39,7 +39,7 @@
 		slog.String("outcome", string(result.Outcome)),
 		slog.Duration("took", c.srv.cfg.Clock.Since(c.arrived)),
 	)
-	if c.keyed {
+	if c.hasKey {
 		attrs = append(attrs, slog.String("key", c.key.String()))
 	}
 	if c.customer != nil {
--- a/entry/internal/callers/body_test.go
+++ b/entry/internal/callers/body_test.go
@@ -31,7 +31,7 @@
 
 // Symptom: a caller gets the answer to somebody else's request. Two requests
 // whose fields join to the same bytes share a hash, and with it a kept answer.
-func TestContentHashKeepsFieldsApart(t *testing.T) {
+func TestContentHashSeparatesFields(t *testing.T) {
 	one := contentHash("quetzal", []byte("ab"), []byte("c"))
 	for _, other := range [][]byte{
 		contentHash("quetzal", []byte("a"), []byte("bc")),
--- a/entry/internal/callers/call.go
+++ b/entry/internal/callers/call.go
@@ -25,7 +25,7 @@
 	req      *dispatch.Request
 	hash     once.Hash
 	key      once.Key
-	keyed    bool    // the request bears a key, given or made
+	hasKey   bool    // the request bears a key, given or made
 	grant    *grant  // the right to run it; nil where none is needed
 	out      *stream // nil for an answer in one piece
 }
@@ -54,7 +54,7 @@
 		c.refuse(prob)
 		return
 	}
-	if c.keyed && c.claim() {
+	if c.hasKey && c.claim() {
 		return
 	}
 	if prob = c.admit(accepting, authorize); prob != nil {
@@ -137,7 +137,7 @@
 // visibleID is what the caller gets to know the request by: the key that the
 // entry made for it, else the arrival's own id.
 func (c *call) visibleID() string {
-	if c.keyed {
+	if c.hasKey {
 		return c.key.String()
 	}
 	return c.id
@@ -151,7 +151,7 @@
 
 // run dispatches the request and answers.
 func (c *call) run() {
-	if !c.req.Repeatable && !c.keyed {
+	if !c.req.Repeatable && !c.hasKey {
 		c.generateKey()
 	}
 	c.setWriteDeadline()
@@ -178,7 +178,7 @@
 	if c.srv.keys.Claim(c.srv.now(), claim).State != once.Granted {
 		return
 	}
-	c.key, c.keyed = key, true
+	c.key, c.hasKey = key, true
 	c.grant = &grant{claim: claim}
 }
 
--- a/entry/internal/callers/claims.go
+++ b/entry/internal/callers/claims.go
@@ -125,7 +125,7 @@
 		BodyHash: claim.Hash[:],
 		Nonce:    claim.Nonce.String(),
 	}
-	var lost []string // addresses where the claim may still arrive
+	var unanswered []string // addresses where the claim may still arrive
 	for range maxHops {
 		if len(addresses) == 0 {
 			break
@@ -135,14 +135,14 @@
 		reply, err := s.sendClaim(ctx, address, req)
 		switch state := once.State(reply.GetState()); {
 		case err != nil:
-			lost = append(lost, address)
+			unanswered = append(unanswered, address)
 		case state == once.Moved:
 			addresses = []string{reply.GetMovedTo()}
 		case state != once.NotOwner:
 			return claimResult(&grant{claim: claim, address: address}, once.Verdict{State: state, Answer: reply.GetAnswer()})
 		}
 	}
-	s.withdrawClaim(ctx, claim, lost)
+	s.withdrawClaim(ctx, claim, unanswered)
 	return nil, nil, ownerUnavailable()
 }
 
@@ -229,8 +229,8 @@
 // askOwner sends a claim, twice where the first reply is lost.
 func (s *Server) sendClaim(ctx context.Context, address string, req *wire.ClaimRequest) (reply *wire.ClaimReply, err error) {
 	for range claimAttempts {
-		within, cancel := context.WithTimeout(ctx, claimTimeout)
-		reply, err = s.ownerClient.claim(within, address, req)
+		attemptCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+		reply, err = s.ownerClient.claim(attemptCtx, address, req)
 		cancel()
 		if err == nil {
 			return reply, nil
@@ -241,8 +241,8 @@
 
 func (s *Server) sendSettle(ctx context.Context, address string, req *wire.SettleRequest) (err error) {
 	for range settleAttempts {
-		within, cancel := context.WithTimeout(ctx, settleTimeout)
-		err = s.ownerClient.settle(within, address, req)
+		attemptCtx, cancel := context.WithTimeout(ctx, settleTimeout)
+		err = s.ownerClient.settle(attemptCtx, address, req)
 		cancel()
 		if err == nil {
 			return nil
--- a/entry/internal/callers/claims_test.go
+++ b/entry/internal/callers/claims_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestResentKeyGetsTheKeptAnswer(t *testing.T) {
+func TestResentKeyGetsTheStoredAnswer(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("a", "notice"))
 	first, second := deployment.addEntry("e1"), deployment.addEntry("e2")
--- a/entry/internal/callers/requests.go
+++ b/entry/internal/callers/requests.go
@@ -77,7 +77,7 @@
 		return nil
 	}
 	key, given, prob := parseKey(c.r, text)
-	c.key, c.keyed = key, given
+	c.key, c.hasKey = key, given
 	return prob
 }
 
