--- a/entry/internal/callers/account.go
+++ b/entry/internal/callers/account.go
@@ -7,10 +7,11 @@
 	"comfreyrelay.example/entry/internal/dispatch"
 )
 
-// counters counts callers' outcomes, by name, for /debug/vars.
+// counters holds the counters of callers' requests that /debug/vars publishes.
 var counters = expvar.NewMap("callers")
 
-// account books a request that was dispatched.
+// account updates the counters, refunds the customer's unused tokens and logs a
+// request that was dispatched.
 func (c *call) account(result dispatch.Result) {
 	counters.Add(string(result.Outcome), 1)
 	counters.Add("attempts", int64(result.Attempts))
@@ -26,7 +27,7 @@
 	c.logRequest(result, reason)
 }
 
-// logEnd writes the request's one line.
+// logRequest writes the log line of a request that has ended.
 func (c *call) logRequest(result dispatch.Result, reason string) {
 	level := slog.LevelInfo
 	if !c.srv.cfg.Log.Enabled(c.r.Context(), level) {
--- a/entry/internal/callers/answer.go
+++ b/entry/internal/callers/answer.go
@@ -8,8 +8,8 @@
 	"comfreyrelay.example/entry/internal/dispatch"
 )
 
-// answerBody is a whole answer in one piece. Its JSON is also what is kept for
-// a once key that is sent again.
+// answerBody is the body of an answer that is not streamed. Its JSON is also
+// stored for a once key, to be replayed if the key is sent again.
 type answerBody struct {
 	Outcome   dispatch.Outcome `json:"outcome"`
 	RequestID string           `json:"requestId"`
@@ -18,14 +18,15 @@
 	Body      []byte           `json:"body,omitempty"`
 }
 
-// writeAnswer answers in one piece.
+// writeAnswer sends an encoded answerBody.
 func writeAnswer(w http.ResponseWriter, raw []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusOK)
 	_, _ = w.Write(raw)
 }
 
-// replay answers with what an earlier sending of the key got.
+// replay sends the stored answer of an earlier request with the same key, as a
+// stream if the caller asks for one.
 func replay(w http.ResponseWriter, r *http.Request, raw []byte) {
 	if !wantsStream(r) {
 		writeAnswer(w, raw)
@@ -43,6 +44,7 @@
 	out.end(stored.Version, dispatch.DigestOf(stored.Tokens), len(stored.Tokens))
 }
 
+// wantsStream reports whether the caller accepts server-sent events.
 func wantsStream(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept"), "text/event-stream")
 }
--- a/entry/internal/callers/auth.go
+++ b/entry/internal/callers/auth.go
@@ -10,8 +10,9 @@
 
 const bearerPrefix = "Bearer "
 
-// identify returns the customer behind a call. The key is looked up by its
-// hash: the time it takes reveals nothing of the keys that exist.
+// authenticate returns the customer that the request's bearer key belongs to. The
+// key is looked up by its hash, so that the time of the lookup reveals nothing
+// about existing keys.
 func (x *index) authenticate(r *http.Request) (*customer, *problem) {
 	header := r.Header.Get("Authorization")
 	key, found := strings.CutPrefix(header, bearerPrefix)
--- a/entry/internal/callers/bench_test.go
+++ b/entry/internal/callers/bench_test.go
@@ -6,8 +6,8 @@
 )
 
 // BenchmarkRequest measures a request through the entry to a fake agent that
-// answers at once, caller and agent included, all over loopback in one
-// process.
+// answers at once. Caller, entry and agent run in one process and communicate
+// over loopback, so their cost is included.
 func BenchmarkRequest(b *testing.B) {
 	for _, tokens := range []int{1, 32} {
 		words := make([]string, tokens)
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkOnceRequest is BenchmarkRequest with a once key of this entry and
-// of another.
+// BenchmarkOnceRequest measures a request with a once key that is owned by the
+// entry itself (hops=0) or by another entry (hops=1).
 func BenchmarkOnceRequest(b *testing.B) {
 	for _, owner := range []int{0, 1} {
 		b.Run(fmt.Sprintf("hops=%d", owner), func(b *testing.B) {
--- a/entry/internal/callers/body.go
+++ b/entry/internal/callers/body.go
@@ -13,10 +13,10 @@
 	"comfreyrelay.example/relay/once"
 )
 
-// idempotencyHeader may carry the once key in place of the body.
+// idempotencyHeader is the header that can carry the once key instead of the body.
 const idempotencyHeader = "Idempotency-Key"
 
-// requestBody is what a caller sends to run a model.
+// requestBody is the body of a request to a model.
 type requestBody struct {
 	Model          string `json:"model"`
 	Adapter        string `json:"adapter"`
@@ -27,7 +27,7 @@
 	Key            string `json:"key"`
 }
 
-// serviceBody is what a caller sends to a plain service.
+// serviceBody is the body of a call to a plain service.
 type serviceBody struct {
 	Body           []byte `json:"body"`
 	Repeatable     bool   `json:"repeatable"`
@@ -35,7 +35,7 @@
 	Key            string `json:"key"`
 }
 
-// decodeRequest reads and checks the body of a request on a model.
+// decodeRequest decodes and validates the body of a request to a model.
 func decodeRequest(raw []byte) (requestBody, *problem) {
 	var body requestBody
 	if prob := decode(raw, &body); prob != nil {
@@ -49,28 +49,29 @@
 	case body.MaxTokens < 1 || body.MaxTokens > maxTokensBound:
 		return body, invalid("maxTokens is out of range", "send a number from 1 to 32768")
 	case body.DeadlineMillis < 0:
-		return body, invalid("deadlineMillis is negative", "send the milliseconds from now, or 0 for the usual")
+		return body, invalid("deadlineMillis is negative", "send the milliseconds from now, or 0 for the default")
 	}
 	return body, nil
 }
 
-// decodeService reads and checks the body of a call to a plain service.
+// decodeService decodes and validates the body of a call to a plain service.
 func decodeService(raw []byte) (serviceBody, *problem) {
 	var body serviceBody
 	if prob := decode(raw, &body); prob != nil {
 		return body, prob
 	}
 	if body.DeadlineMillis < 0 {
-		return body, invalid("deadlineMillis is negative", "send the milliseconds from now, or 0 for the usual")
+		return body, invalid("deadlineMillis is negative", "send the milliseconds from now, or 0 for the default")
 	}
 	return body, nil
 }
 
+// decode decodes one JSON object and rejects unknown fields and trailing data.
 func decode(raw []byte, into any) *problem {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return invalid("the body is not the JSON of this call: "+err.Error(), "see the protocol's description for its fields")
+		return invalid("the body is not valid JSON for this request: "+err.Error(), "see the description of the protocol for the fields")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return invalid("the body holds more than one JSON value", "send one object")
@@ -78,16 +79,17 @@
 	return nil
 }
 
+// readBody reads the whole request body, up to maxBodyBytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		return nil, invalid("the body cannot be read: "+err.Error(), "send at most 1 MiB, whole")
+		return nil, invalid("the body cannot be read: "+err.Error(), "send the complete body, at most 1 MiB")
 	}
 	return raw, nil
 }
 
-// parseKey returns the once key of a request: from its body, else from the
-// header; given is false where it has none.
+// parseKey returns the once key of a request, from the body if it is there,
+// otherwise from the header. given is false if the request has no key.
 func parseKey(r *http.Request, inBody string) (key once.Key, given bool, prob *problem) {
 	text := inBody
 	if text == "" {
@@ -104,9 +106,9 @@
 	return key, true, nil
 }
 
-// contentHash identifies what a request asks for and for whom; its time limit
-// is no part of it. Every field is preceded by its length: without it, two
-// requests whose fields join to the same bytes would hash alike.
+// contentHash returns the hash of the customer and the content of a request. The
+// deadline is not included. Each field is preceded by its length; otherwise two
+// requests whose concatenated fields are the same bytes would have the same hash.
 func contentHash(customer string, fields ...[]byte) []byte {
 	sum := blake3.New()
 	var length [8]byte
--- a/entry/internal/callers/body_test.go
+++ b/entry/internal/callers/body_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzBodies checks that no body makes the decoders panic, and that whatever
-// they let through is within the bounds.
+// FuzzBodies checks that no body makes the decoders panic, and that the bodies
+// they accept are within the limits.
 func FuzzBodies(f *testing.F) {
 	for _, seed := range []string{
 		``, `{}`, `null`, `[]`, `{"model":"parcel","maxTokens":1}`, `{"model":"parcel","maxTokens":1}{}`,
@@ -20,7 +20,7 @@
 		request, prob := decodeRequest(raw)
 		if prob == nil {
 			if request.Model == "" || request.MaxTokens < 1 || request.MaxTokens > maxTokensBound || request.DeadlineMillis < 0 {
-				t.Errorf("got %+v let through, want it refused", request)
+				t.Errorf("got %+v accepted, want it refused", request)
 			}
 		}
 		if _, prob = decodeService(raw); prob != nil && prob.err.Remedy() == "" {
@@ -29,8 +29,9 @@
 	})
 }
 
-// Symptom: a caller gets the answer to somebody else's request. Two requests
-// whose fields join to the same bytes share a hash, and with it a kept answer.
+// Guards against a caller getting the answer to another request: if two requests
+// whose concatenated fields are the same bytes had the same hash, they would
+// share a stored answer.
 func TestContentHashSeparatesFields(t *testing.T) {
 	one := contentHash("quetzal", []byte("ab"), []byte("c"))
 	for _, other := range [][]byte{
--- a/entry/internal/callers/call.go
+++ b/entry/internal/callers/call.go
@@ -13,35 +13,36 @@
 	"comfreyrelay.example/relay/once"
 )
 
-// call is one request of a caller on its way through the filters.
+// call holds the state of one HTTP request while it is processed.
 type call struct {
 	srv      *Server
 	index    *index
 	w        http.ResponseWriter
 	r        *http.Request
 	arrived  time.Time
-	id       string    // new for this arrival; agents know the request by it
-	customer *customer // after authenticate
+	id       string    // unique per HTTP request; sent to the agents as the request ID
+	customer *customer // set by authenticate
 	req      *dispatch.Request
 	hash     once.Hash
 	key      once.Key
-	hasKey   bool    // the request bears a key, given or made
-	grant    *grant  // the right to run it; nil where none is needed
-	out      *stream // nil for an answer in one piece
+	hasKey   bool    // key is set, either by the caller or by generateKey
+	grant    *grant  // the right to run the key; nil for a request without one
+	out      *stream // nil if the answer is not streamed
 }
 
-// readFunc reads a request's body into call.req and judges nothing that may
-// change over time.
+// readFunc reads and validates a request's body into call.req. It must not check
+// anything that can change over time; see serve.
 type readFunc func(c *call) *problem
 
-// permitFunc judges the request by the document in force.
+// authorizeFunc checks the request against the document in force.
 type authorizeFunc func(c *call) *problem
 
-// serve takes a request through the filters.
+// serve processes a request from authentication to the answer.
 //
-// A request that bears a key is claimed before anything may refuse it: the
-// same key may have run before, and "notRun" is only said of a key whose owner
-// granted it to this arrival.
+// A request with a once key claims the key before the checks of admit. The result
+// of these checks changes over time, and an earlier request with the same key may
+// have run; so they may answer "notRun" only after the key's owner has granted it
+// to this request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, read readFunc, authorize authorizeFunc) {
 	accepting := s.tracker.add()
 	defer s.tracker.done()
@@ -65,6 +66,7 @@
 	c.run()
 }
 
+// authenticate sets the customer of the request.
 func (c *call) authenticate() *problem {
 	if c.index.deployment.document == nil {
 		return notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "no configuration is in force here yet",
@@ -77,7 +79,8 @@
 
 const noDocumentRetryAfter = time.Second
 
-// admit applies what may refuse the request now.
+// admit runs the checks whose result can change over time: whether the entry
+// accepts requests, the authorization and the limits.
 func (c *call) admit(accepting bool, authorize authorizeFunc) *problem {
 	if !accepting {
 		return c.shutdownProblem()
@@ -88,6 +91,8 @@
 	return c.checkRateLimit()
 }
 
+// shutdownProblem refuses a request that arrives during a drain, and names
+// other entries to send it to.
 func (c *call) shutdownProblem() *problem {
 	prob := notRun(http.StatusServiceUnavailable, failure.New(failure.Leaving, "this entry is shutting down",
 		"send the request to a spare, with a new once key if it has one").WithRetryAfter(time.Millisecond))
@@ -95,6 +100,7 @@
 	return prob
 }
 
+// checkRateLimit takes the request and its tokens from the customer's limits.
 func (c *call) checkRateLimit() *problem {
 	now := c.srv.cfg.Clock.Now()
 	ok, wait := c.customer.admit(now, c.srv.cfg.Self.GetId(), c.index.reports, c.req.MaxTokens)
@@ -105,8 +111,8 @@
 		"send fewer requests, or ask an operator for a higher limit").WithRetryAfter(max(wait, time.Millisecond)))
 }
 
-// claim gets the right to run the key; over is true where the caller has its
-// answer instead.
+// claim acquires the right to run the request's key. If it can't, it answers
+// the caller with the stored answer or a problem and returns true.
 func (c *call) claim() (handled bool) {
 	claim := once.Claim{Key: c.key, Hash: c.hash, Nonce: uuid.New()}
 	granted, stored, prob := c.srv.claim(context.WithoutCancel(c.r.Context()), c.index, claim)
@@ -124,8 +130,9 @@
 	return false
 }
 
-// giveBack frees the key of a request that was refused, before the caller
-// learns of it, and asks the caller to wait for the end of the key's hold.
+// releaseKey settles the key of a request that did not run, before the caller is
+// told so. It raises the problem's Retry-After to at least once.Hold, because the
+// key can't be claimed again before that.
 func (c *call) releaseKey(prob *problem) {
 	if c.grant == nil {
 		return
@@ -134,8 +141,8 @@
 	prob.err = prob.err.WithRetryAfter(max(prob.err.RetryAfter(), once.Hold))
 }
 
-// visibleID is what the caller gets to know the request by: the key that the
-// entry made for it, else the arrival's own id.
+// visibleID returns the request ID that is reported to the caller: the once key
+// if there is one, otherwise the call's own ID.
 func (c *call) visibleID() string {
 	if c.hasKey {
 		return c.key.String()
@@ -143,13 +150,14 @@
 	return c.id
 }
 
+// refuse counts, logs and sends a problem for a request that was not dispatched.
 func (c *call) refuse(prob *problem) {
 	counters.Add(string(prob.outcome), 1)
 	c.logRequest(dispatch.Result{Outcome: prob.outcome}, prob.err.Message())
 	prob.write(c.w, c.visibleID())
 }
 
-// run dispatches the request and answers.
+// run dispatches the request and sends the answer.
 func (c *call) run() {
 	if !c.req.Repeatable && !c.hasKey {
 		c.generateKey()
@@ -169,9 +177,9 @@
 	c.answer(result)
 }
 
-// makeKey gives the request a key of this entry, so that the caller can ask
-// for its outcome. A key made now cannot be refused by age; where there is no
-// room for it, the request runs without.
+// generateKey assigns a once key owned by this entry to the request, so that the
+// caller can ask for its outcome later. A new key can't be refused for its age;
+// if the key table is full, the request runs without a key.
 func (c *call) generateKey() {
 	key := once.NewKey(c.srv.cfg.Self.GetIncarnation(), uuid.MustParse(c.id))
 	claim := once.Claim{Key: key, Hash: c.hash, Nonce: uuid.New()}
@@ -182,7 +190,8 @@
 	c.grant = &grant{claim: claim}
 }
 
-// limitWrites bounds how long a caller who does not read can hold the request.
+// setWriteDeadline bounds how long a caller that doesn't read the answer can
+// keep the request open.
 func (c *call) setWriteDeadline() {
 	control := http.NewResponseController(c.w)
 	_ = control.SetWriteDeadline(c.req.Deadline.Add(writeGrace))
@@ -190,9 +199,9 @@
 
 const writeGrace = time.Second
 
-// answer reports how it ended to the caller and to the key's owner. A key that
-// did not run is given back before the caller learns of it; one that ran is
-// settled afterwards, to save the caller the wait.
+// answer reports the result to the caller and to the key's owner. If the request
+// did not run, the key is released before the caller is told. If it ran, the key
+// is settled without making the caller wait for another process.
 func (c *call) answer(result dispatch.Result) {
 	defer func() { _ = http.NewResponseController(c.w).SetWriteDeadline(time.Time{}) }()
 	if result.Outcome != dispatch.Answered {
@@ -203,7 +212,7 @@
 		Outcome: dispatch.Answered, RequestID: c.visibleID(), Version: result.Version, Tokens: result.Tokens, Body: result.Body,
 	})
 	if err != nil {
-		c.srv.cfg.Log.Error("answer not encoded", "request", c.id, "error", err)
+		c.srv.cfg.Log.Error("cannot encode the answer", "request", c.id, "error", err)
 	}
 	c.settleLater(once.RunAnswered, raw)
 	if c.out != nil {
@@ -213,6 +222,8 @@
 	writeAnswer(c.w, raw)
 }
 
+// fail reports a result that is not an answer to the caller and to the key's
+// owner.
 func (c *call) fail(result dispatch.Result) {
 	prob := problemFromResult(result)
 	if result.Outcome == dispatch.NotRun {
@@ -227,8 +238,8 @@
 	prob.write(c.w, c.visibleID())
 }
 
-// settleLater settles a key in the background where that takes a call; a drain
-// waits for it.
+// settleLater settles the call's key, in the background if another process
+// granted it. A drain waits for that.
 func (c *call) settleLater(outcome once.Outcome, answer []byte) {
 	if c.grant == nil {
 		return
--- a/entry/internal/callers/claims.go
+++ b/entry/internal/callers/claims.go
@@ -13,19 +13,19 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Constants of claims at other entries.
+// Constants for claiming and settling keys at other entries.
 const (
-	claimTimeout      = 500 * time.Millisecond // one call
+	claimTimeout      = 500 * time.Millisecond // per attempt
 	claimAttempts     = 2
 	settleTimeout     = 500 * time.Millisecond
 	settleAttempts    = 2
-	maxHops           = 5 // processes asked for one key
+	maxHops           = 5 // processes to contact about one key
 	runningRetryAfter = 250 * time.Millisecond
 	fullRetryAfter    = 2 * time.Second
 )
 
-// owners is how this entry reaches the others that own keys. Its fields are
-// the seams.
+// ownerClient sends claims and settlements to the entries that own keys. Its
+// fields are functions, so that tests can replace them.
 type ownerClient struct {
 	claim  func(ctx context.Context, address string, req *wire.ClaimRequest) (*wire.ClaimReply, error)
 	settle func(ctx context.Context, address string, req *wire.SettleRequest) error
@@ -43,15 +43,15 @@
 	}
 }
 
-// ticket is the right to run one key once.
+// grant is the right to run one key once.
 type grant struct {
 	claim    once.Claim
-	address  string // of the process that granted it; empty: this one or the platform
-	inStore  bool   // the platform's service granted it
-	revision uint64 // of the key there
+	address  string // of the process that granted it; empty for this process and for the store
+	inStore  bool   // granted by the platform's store
+	revision uint64 // of the key in the store
 }
 
-// Claim answers another entry that asks to run a key owned by this one.
+// Claim handles another entry's claim of a key that this entry is responsible for.
 func (s *Server) Claim(_ context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	claim, err := parseClaim(req.GetKey(), req.GetNonce(), req.GetBodyHash())
 	if err != nil {
@@ -62,8 +62,8 @@
 	return &wire.ClaimReply{State: string(verdict.State), Answer: verdict.Answer, MovedTo: verdict.To}, nil
 }
 
-// Settle takes another entry's report of how a claimed key ended, or the keys of
-// one that shuts down.
+// Settle handles another entry's report of how the run of a claimed key ended,
+// or a part of the handover from an entry that shuts down.
 func (s *Server) Settle(_ context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
 	if req.GetHandover() != nil {
 		return &wire.SettleReply{}, s.acceptHandover(req.GetHandover())
@@ -74,7 +74,7 @@
 	}
 	counted, owned := s.keys.Settle(s.now(), claim, once.Outcome(req.GetOutcome()), req.GetAnswer())
 	if !owned {
-		return nil, failure.New(failure.NotFound, "this entry does not answer for the key", "ask its successor")
+		return nil, failure.New(failure.NotFound, "this entry is not responsible for the key", "ask its successor")
 	}
 	if !counted {
 		counters.Add("settlesIgnored", 1)
@@ -82,6 +82,7 @@
 	return &wire.SettleReply{}, nil
 }
 
+// parseClaim converts the fields of a wire message to a claim.
 func parseClaim(keyText, nonceText string, hash []byte) (once.Claim, error) {
 	key, err := once.Parse(keyText)
 	if err != nil {
@@ -89,16 +90,16 @@
 	}
 	nonce, err := uuid.Parse(nonceText)
 	if err != nil {
-		return once.Claim{}, failure.New(failure.Invalid, "the claim's nonce is no UUID", "this is an error of the program: report it")
+		return once.Claim{}, failure.New(failure.Invalid, "the claim's nonce is not a UUID", "this is a bug in the program: report it")
 	}
 	claim := once.Claim{Key: key, Nonce: nonce}
 	copy(claim.Hash[:], hash)
 	return claim, nil
 }
 
-// claim asks whoever answers for the key for the right to run it. Exactly one
-// of the results is set: the ticket, a kept answer, or the reason why it may
-// not run.
+// claim asks the process that is responsible for the key for the right to run
+// it. Exactly one of the results is set: the grant, the stored answer of an
+// earlier run, or the problem to report.
 func (s *Server) claim(ctx context.Context, idx *index, claim once.Claim) (*grant, []byte, *problem) {
 	if claim.Key.Owner() == "" {
 		return s.claimInStore(ctx, claim)
@@ -114,10 +115,11 @@
 	}
 }
 
-// claimElsewhere asks the processes that may answer for the key, one after the
-// other. A reply that is lost is asked for again with the same nonce, which is
-// granted again. Where nobody answers for the key, nobody knows whether it
-// ran before: unknown, at once.
+// claimRemotely tries the processes that may be responsible for the key one
+// after the other. If a reply is lost, the claim is repeated with the same nonce,
+// for which the owner grants the key again. If no process is responsible for the
+// key, it can't be known whether the key ran before, and the outcome is unknown
+// at once.
 func (s *Server) claimRemotely(ctx context.Context, addresses []string, claim once.Claim) (*grant, []byte, *problem) {
 	req := &wire.ClaimRequest{
 		From:     s.cfg.Self,
@@ -125,7 +127,7 @@
 		BodyHash: claim.Hash[:],
 		Nonce:    claim.Nonce.String(),
 	}
-	var unanswered []string // addresses where the claim may still arrive
+	var unanswered []string // addresses that sent no reply, where the claim may still arrive
 	for range maxHops {
 		if len(addresses) == 0 {
 			break
@@ -146,7 +148,7 @@
 	return nil, nil, ownerUnavailable()
 }
 
-// judge turns the owner's verdict into what happens to the request.
+// claimResult converts the owner's verdict to the results of claim.
 func claimResult(granted *grant, verdict once.Verdict) (*grant, []byte, *problem) {
 	switch verdict.State {
 	case once.Granted:
@@ -164,13 +166,13 @@
 		return nil, nil, notRun(http.StatusConflict, failure.New(failure.Conflict, "this key names another request",
 			"make a new key for each request"))
 	case once.Full:
-		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Exhausted, "the entry that the key names can remember no more keys",
-			"ask GET /v1/entries for another and make a new key").WithRetryAfter(fullRetryAfter))
+		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Exhausted, "the entry that owns the key has no room for more keys",
+			"get another entry from GET /v1/entries and make a new key").WithRetryAfter(fullRetryAfter))
 	case once.Held:
-		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "another sending of this key was not run just now",
+		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "an earlier request with this key was refused just now without running",
 			"send the key again").WithRetryAfter(once.Hold))
 	case once.Ahead:
-		return nil, nil, invalid("the once key was made in the future", "set the clock that makes the keys")
+		return nil, nil, invalid("the time in the once key is in the future", "set the clock of the machine that makes the keys")
 	case once.NotOwner:
 		return nil, nil, ownerUnavailable()
 	default:
@@ -179,13 +181,16 @@
 	}
 }
 
+// ownerUnavailable reports that no process responsible for the key could be
+// reached.
 func ownerUnavailable() *problem {
-	return unknownOutcome(failure.New(failure.Ambiguous, "the entry that the key names cannot be asked whether it ran before",
-		"if this key was never sent before, make a new one with the owner from GET /v1/entries; else look for the request's effect"))
+	return unknownOutcome(failure.New(failure.Ambiguous, "the entry that owns the key cannot be asked whether the request ran before",
+		"if this key was never sent before, make a new one with the owner from GET /v1/entries; otherwise look for the request's effect"))
 }
 
-// settle reports to the ticket's owner how the run ended. Where the report is
-// lost the key stays granted, and a later sending of it gets unknown.
+// settle reports the outcome of a run to the process that granted the key. If
+// the report is lost, the key stays granted and a later request with it gets
+// unknown.
 func (s *Server) settle(ctx context.Context, granted *grant, outcome once.Outcome, answer []byte) {
 	if granted.inStore {
 		if outcome == once.RunNotRun {
@@ -201,7 +206,8 @@
 	s.settleRemotely(ctx, granted, outcome, answer)
 }
 
-// settleElsewhere notifies the process that granted the key, or its successor.
+// settleRemotely reports the outcome to the process that granted the key, or to
+// its successor.
 func (s *Server) settleRemotely(ctx context.Context, granted *grant, outcome once.Outcome, answer []byte) {
 	req := newSettleRequest(s.cfg.Self, granted.claim, outcome, answer)
 	addresses := s.index().ownerAddresses(granted.claim.Key.Owner())
@@ -226,7 +232,8 @@
 	}
 }
 
-// askOwner sends a claim, twice where the first reply is lost.
+// sendClaim sends a claim and retries it on an error; it makes at most
+// claimAttempts attempts.
 func (s *Server) sendClaim(ctx context.Context, address string, req *wire.ClaimRequest) (reply *wire.ClaimReply, err error) {
 	for range claimAttempts {
 		attemptCtx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -239,6 +246,8 @@
 	return nil, err
 }
 
+// sendSettle sends a settlement or a part of a handover and retries it on an
+// error; it makes at most settleAttempts attempts.
 func (s *Server) sendSettle(ctx context.Context, address string, req *wire.SettleRequest) (err error) {
 	for range settleAttempts {
 		attemptCtx, cancel := context.WithTimeout(ctx, settleTimeout)
@@ -251,8 +260,9 @@
 	return err
 }
 
-// withdraw settles a claim without a reply as not run, in the background: the
-// claim may still arrive, and would otherwise be granted to nobody.
+// withdrawClaim settles a claim that got no reply as not run, in the background.
+// Otherwise, if the claim still arrived, the key would stay granted to a request
+// that has already been refused.
 func (s *Server) withdrawClaim(ctx context.Context, claim once.Claim, addresses []string) {
 	if len(addresses) == 0 {
 		return
--- a/entry/internal/callers/claims_test.go
+++ b/entry/internal/callers/claims_test.go
@@ -15,7 +15,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// publishHosts shows only these hosts to the entry.
+// publishHosts stores a new document and only the hosts of the reports in the
+// entry's view.
 func publishHosts(deployment *testDeployment, entry *testEntry, reports ...*wire.HostReport) {
 	snapshot, _ := entry.view.Load()
 	next := *snapshot
@@ -27,8 +28,8 @@
 	entry.view.Store(&next)
 }
 
-// Symptom: two prices on one lamp. The caller's library sends the same key
-// through two entries at once, over and over.
+// Guards against running one once key twice when a caller sends it through two
+// entries at the same time, many times.
 func TestConcurrentClaimsRunKeyOnce(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
@@ -37,7 +38,7 @@
 	for round := range 20 {
 		key := newOnceKey(entries[round%2])
 		if round%3 == 0 {
-			key = uuid.Must(uuid.NewV7()).String() // claimed at the platform
+			key = uuid.Must(uuid.NewV7()).String() // no owner: claimed in the platform's store
 		}
 		before := len(agent.recordedAttempts())
 		var senders sync.WaitGroup
@@ -56,6 +57,8 @@
 	}
 }
 
+// A key that is sent again gets the stored answer through any entry and does not
+// run again; with another prompt it is refused as a conflict.
 func TestResentKeyGetsTheStoredAnswer(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("a", "notice"))
@@ -65,7 +68,7 @@
 	sent := second.request(t, change)
 	expect(t, sent, http.StatusOK, dispatch.Answered)
 	for first.srv.InFlight()+second.srv.InFlight() > 0 {
-		time.Sleep(time.Millisecond) // the settlement is under way
+		time.Sleep(time.Millisecond) // wait for the settlement in the background
 	}
 	again := first.request(t, change)
 	expect(t, again, http.StatusOK, dispatch.Answered)
@@ -79,8 +82,8 @@
 	expect(t, first.request(t, change), http.StatusConflict, dispatch.NotRun)
 }
 
-// Symptom: "notRun" for a request that ran. The owner of its key restarted and
-// remembers nothing; the caller sends the key again.
+// Guards against answering "notRun" for a request that ran: the owner of its key
+// has restarted and lost its records when the caller sends the key again.
 func TestKeyOfUnknownOwner(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
@@ -94,8 +97,8 @@
 	}
 }
 
-// Symptom: the same notice runs again an hour later. The owner forgot the key
-// to stay within its memory; its age shows that it may have run.
+// Guards against running a key again after an hour, when its owner has dropped the
+// record to bound its memory. The key's age shows that it may have run before.
 func TestKeyPastTheHorizon(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok"))
@@ -112,8 +115,8 @@
 	}
 }
 
-// Symptom: "notRun" for a request that ran. Its key has no owner, the
-// platform's service is down, and nobody knows whether it ran before.
+// Guards against answering "notRun" for a request that ran: its key has no owner,
+// and while the platform's store is down it can't be known whether it ran before.
 func TestKeyWithoutOwnerWhileTheServiceIsDown(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
@@ -123,7 +126,7 @@
 	expect(t, entry.request(t, change), http.StatusOK, dispatch.Answered)
 	swap := deployment.store.Swap
 	deployment.store.Swap = func(context.Context, string, []byte, uint64, string) (uint64, error) {
-		return 0, failure.New(failure.Unavailable, "the service is down", "wait")
+		return 0, failure.New(failure.Unavailable, "the store is down", "wait")
 	}
 	got := entry.request(t, change)
 	expect(t, got, http.StatusServiceUnavailable, dispatch.Unknown)
@@ -134,8 +137,8 @@
 	}
 }
 
-// Symptom: a request that nobody ran is answered unknown. The swap that claims
-// its key takes effect, but the reply is lost.
+// Guards against answering unknown for a request that never ran: the swap that
+// claims its key takes effect, but the reply is lost.
 func TestSwapWhoseReplyIsLost(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok"))
@@ -155,8 +158,9 @@
 	expect(t, got, http.StatusOK, dispatch.Answered)
 }
 
-// Symptom: "notRun" for a request that ran, because a refusal came before the
-// look at its key: the customer is over its limit when the key is sent again.
+// Guards against answering "notRun" for a request that ran. The customer is over
+// its limit when the key is sent again, so checking the limit before the key
+// would refuse it.
 func TestKeyThatRanIsNotRefusedAsNotRun(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.editCustomer = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
@@ -169,9 +173,9 @@
 	expect(t, entry.request(t, change), http.StatusOK, dispatch.Answered)
 }
 
-// Symptom: after a rolling restart every key of the last hour is unknown. The
-// entry that owns a key shuts down; the key is sent again, and a new key that
-// names it comes from a caller who has not learned of the shutdown.
+// Guards against every key of the last hour being answered unknown after a rolling
+// restart. The entry that owns a key shuts down. The key is sent again, and a
+// caller that doesn't know of the shutdown sends a new key with the same owner.
 func TestKeysSurviveGracefulShutdown(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
@@ -181,7 +185,7 @@
 	ran := map[string]any{"repeatable": false, "key": newOnceKey(owner)}
 	expect(t, entries[1].request(t, ran), http.StatusOK, dispatch.Answered)
 	for owner.srv.InFlight()+entries[1].srv.InFlight() > 0 {
-		time.Sleep(time.Millisecond) // the settlement is under way
+		time.Sleep(time.Millisecond) // wait for the settlement in the background
 	}
 	owner.srv.Drain(context.Background())
 	for _, entry := range entries[1:] {
--- a/entry/internal/callers/customer.go
+++ b/entry/internal/callers/customer.go
@@ -11,33 +11,35 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// shareInterval is how often a customer's share of the limits is computed.
+// shareInterval is the shortest time between two computations of this entry's
+// share of a customer's limits.
 const shareInterval = 500 * time.Millisecond
 
-// customer is one customer's state on this entry, under its own lock.
+// customer holds the state of one customer on this entry, guarded by its own lock.
 type customer struct {
 	name string
 
 	mu            sync.Mutex
-	spec          *wire.Customer // of the document in force
+	spec          *wire.Customer // from the document in force
 	requests      limit.Bucket
 	tokens        limit.Bucket
-	offered       limit.Rate // requests, refused ones included
+	offered       limit.Rate // requests, including refused ones
 	offeredTokens limit.Rate
 	budget        *retry.Budget
-	requestShare  float64 // of the whole deployment's limit
+	requestShare  float64 // this entry's share of the deployment-wide limit
 	tokenShare    float64
-	sharedAt      time.Time // when the shares were computed
+	sharedAt      time.Time // when the shares were last computed; zero forces a recomputation
 }
 
-// customers holds the state of all customers by name.
+// customers holds the state of all customers by name. The state of a customer survives a
+// change of the document.
 type customers struct {
 	mu     sync.Mutex
 	byName map[string]*customer
 }
 
-// take returns the state of the customer, kept over documents, with its new
-// specification.
+// upsert returns the state of the customer with its specification replaced, and
+// creates the state if there is none.
 func (c *customers) upsert(spec *wire.Customer) *customer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +58,8 @@
 	return found
 }
 
-// demand reports the customers that sent something lately, by name.
+// demand returns the demand of the customers that sent requests recently, sorted
+// by name.
 func (c *customers) demand(now time.Time) []*wire.Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,9 +73,10 @@
 	return all
 }
 
-// minDemand is the rate below which a customer is not worth reporting.
+// minDemand is the request rate below which a customer's demand is not reported.
 const minDemand = 0.01
 
+// demand returns the customer's request and token rates on this entry.
 func (c *customer) demand(now time.Time) *wire.Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,8 +87,9 @@
 	}
 }
 
-// admit takes one request with so many tokens from the customer's share of the
-// limits; otherwise wait says when to come back.
+// admit takes one request and its tokens from this entry's share of the
+// customer's limits. If a limit is exhausted, wait is the time after which to
+// retry.
 func (c *customer) admit(now time.Time, self string, reports []*wire.EntryReport, tokens int) (ok bool, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +109,8 @@
 	return true, 0
 }
 
-// share brings the shares up to date with the demand on all entries.
+// updateShares recomputes this entry's shares of the limits from the customer's
+// demand on all entries.
 func (c *customer) updateShares(now time.Time, self string, reports []*wire.EntryReport) {
 	if !c.sharedAt.IsZero() && now.Sub(c.sharedAt) < shareInterval {
 		return
@@ -117,23 +123,24 @@
 	c.tokenShare = limit.Share(self, tokens)
 }
 
-// refund gives back tokens that were not generated.
+// refund returns tokens that were admitted but not generated.
 func (c *customer) refund(tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokens.Refund(float64(tokens))
 }
 
-// retry takes one retry from the budget.
+// withdrawRetry takes one retry from the customer's retry budget and reports
+// whether there was one.
 func (c *customer) withdrawRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.budget.Withdraw()
 }
 
-// standing returns the customer's weight under overload and its priority. The
-// weight grows with the priority, so that who waits in person goes before bulk
-// work and bulk work still moves.
+// weightAndPriority returns the customer's weight under overload and its
+// priority. The weight increases with the priority, so that interactive requests
+// get more than bulk work without starving it.
 func (c *customer) weightAndPriority() (weight float64, priority uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/internal/callers/deployment.go
+++ b/entry/internal/callers/deployment.go
@@ -12,7 +12,8 @@
 // keyHash is the SHA-256 of a bearer key.
 type keyHash [sha256.Size]byte
 
-// deployment is what the request path needs of one document.
+// deployment holds the parts of one document that are needed to handle requests,
+// indexed for lookups.
 type deployment struct {
 	document  *wire.Document // nil while none is in force
 	customers map[keyHash]*customer
@@ -21,6 +22,8 @@
 	classes   map[string]*wire.EndpointClass
 }
 
+// newDeployment indexes the document. The customers' state is taken from states,
+// which outlives documents.
 func newDeployment(document *wire.Document, states *customers) *deployment {
 	built := &deployment{
 		document:  document,
@@ -44,17 +47,19 @@
 	return built
 }
 
+// addCustomer adds the customer under each of its key hashes.
 func (d *deployment) addCustomer(state *customer, spec *wire.Customer) {
 	for _, text := range spec.GetKeyHashes() {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != sha256.Size {
-			continue // the document's checks refuse such a hash
+			continue // can't happen: document validation rejects it
 		}
 		d.customers[keyHash(raw)] = state
 	}
 }
 
-// deadline returns the time that a request gets.
+// deadline returns how long a request may take: the time that the caller asked
+// for or the default, limited by the document's maximum and by maxDeadline.
 func (d *deployment) deadline(askedMillis int64) time.Duration {
 	limits := d.document.GetDeadlines()
 	longest := min(maxDeadline, orDefault(limits.GetMaxRequest().AsDuration(), maxDeadline))
@@ -65,6 +70,7 @@
 	return min(requested, longest)
 }
 
+// orDefault returns value if it is positive, otherwise fallback.
 func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
@@ -72,4 +78,5 @@
 	return fallback
 }
 
+// allows reports whether the customer is on the list of customers.
 func allows(customers []string, name string) bool { return slices.Contains(customers, name) }
--- a/entry/internal/callers/entries.go
+++ b/entry/internal/callers/entries.go
@@ -7,15 +7,16 @@
 	"comfreyrelay.example/relay/directory"
 )
 
-// entriesBody answers which entry to use.
+// entriesBody is the answer of GET /v1/entries.
 type entriesBody struct {
 	Use          string   `json:"use"`
 	Spares       []string `json:"spares"`
 	TTLSeconds   int      `json:"ttlSeconds"`
-	Owner        string   `json:"owner"` // incarnation to name in once keys
+	Owner        string   `json:"owner"` // incarnation to use as the owner in once keys
 	OwnerAddress string   `json:"ownerAddress"`
 }
 
+// serveEntries tells a caller which entry to use.
 func (s *Server) serveEntries(w http.ResponseWriter, r *http.Request) {
 	idx := s.index()
 	if _, prob := idx.authenticate(r); prob != nil {
@@ -33,8 +34,8 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// direct chooses an entry for the caller. Where no other is known to be well,
-// this one is all there is.
+// chooseEntry chooses an entry for the caller. If no entry is usable, it returns
+// this one, even while it drains.
 func (s *Server) chooseEntry(idx *index, caller string) directory.Choice {
 	self := s.selfEntry()
 	choice, found := directory.Choose(self, caller, s.usableEntries(idx))
@@ -44,8 +45,9 @@
 	return choice
 }
 
-// usable returns the entries for callers; this one only while it takes new
-// requests, whatever the reports still say.
+// usableEntries returns the entries that callers may be directed to. This entry
+// is included exactly while it accepts requests, whatever the reports say,
+// because they may be older.
 func (s *Server) usableEntries(idx *index) []directory.Entry {
 	accepting := s.tracker.accepting()
 	var entries []directory.Entry
@@ -63,6 +65,7 @@
 	return entries
 }
 
+// selfEntry describes this entry for the choice of an entry.
 func (s *Server) selfEntry() directory.Entry {
 	return directory.Entry{
 		ID:            s.cfg.Self.GetId(),
@@ -74,7 +77,8 @@
 	}
 }
 
-// spares returns other entries' addresses, for a caller who is refused here.
+// spares returns the addresses of other entries for a caller that is refused
+// here, the preferred one first.
 func (s *Server) spares(idx *index, caller string) []string {
 	var others []directory.Entry
 	for _, entry := range idx.entries {
--- a/entry/internal/callers/entries_test.go
+++ b/entry/internal/callers/entries_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// GET /v1/entries on a draining entry directs the caller to the other entry.
 func TestEntriesSkipsDrainingEntry(t *testing.T) {
 	deployment := newTestDeployment(t)
 	first, second := deployment.addEntry("e1"), deployment.addEntry("e2")
--- a/entry/internal/callers/harness_test.go
+++ b/entry/internal/callers/harness_test.go
@@ -36,12 +36,12 @@
 	testVersion  = "v1"
 )
 
-// fakeAgent is an agent whose answers a test scripts.
+// fakeAgent is an agent that records attempts and answers them with run.
 type fakeAgent struct {
 	wire.DRPCHostUnimplementedServer
 	node *wire.Node
 	run  func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error
-	// cancelState answers Cancel.
+	// cancelState is the state that Cancel replies.
 	cancelState string
 
 	mu       sync.Mutex
@@ -63,12 +63,14 @@
 	return &wire.CancelReply{State: a.cancelState}, nil
 }
 
+// recordedAttempts returns the attempts that the agent has received.
 func (a *fakeAgent) recordedAttempts() []*wire.Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]*wire.Attempt(nil), a.attempts...)
 }
 
+// report returns the host's report: it serves testVersion of the model with 8 slots.
 func (a *fakeAgent) report() *wire.HostReport {
 	return &wire.HostReport{
 		Node:     a.node,
@@ -78,7 +80,7 @@
 	}
 }
 
-// frames sends frames of one attempt.
+// frames sends the frames of one attempt, numbered in sequence.
 type frames struct {
 	att    *wire.Attempt
 	stream wire.DRPCHost_RunStream
@@ -91,7 +93,8 @@
 	return f.stream.Send(frame)
 }
 
-// answer sends a whole answer of the words.
+// answer returns a run function that sends a complete answer with the words as
+// tokens, except those that the attempt resumes after.
 func answer(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
@@ -104,7 +107,7 @@
 	}
 }
 
-// refuse refuses every attempt.
+// refuse returns a run function that refuses the attempt.
 func refuse(reason string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
@@ -112,7 +115,8 @@
 	}
 }
 
-// cut begins, sends the words and breaks the stream off.
+// breakOff returns a run function that sends the words and then fails without an
+// end frame.
 func breakOff(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
@@ -124,7 +128,7 @@
 	}
 }
 
-// testDeployment is a deployment of fake agents and real Servers, on loopback.
+// testDeployment is a deployment of fake agents and real Servers on loopback.
 type testDeployment struct {
 	t            testing.TB
 	agents       []*fakeAgent
@@ -150,6 +154,7 @@
 	}
 }
 
+// addAgent adds a host whose agent handles attempts with run.
 func (d *testDeployment) addAgent(id string, run func(*wire.Attempt, wire.DRPCHost_RunStream) error) *fakeAgent {
 	agent := &fakeAgent{run: run, cancelState: "neverBegun"}
 	address := d.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterHost(mux, agent) })
@@ -161,6 +166,7 @@
 	return agent
 }
 
+// serve starts a DRPC server on loopback and returns its address.
 func (d *testDeployment) serve(register func(*drpcmux.Mux) error) string {
 	d.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -181,7 +187,7 @@
 	return lis.Addr().String()
 }
 
-// controlOf serves only the claims of an entry.
+// controlServer serves only the once-key methods of an entry's control API.
 type controlServer struct {
 	wire.DRPCControlUnimplementedServer
 	srv *Server
@@ -195,6 +201,7 @@
 	return c.srv.Settle(ctx, req)
 }
 
+// addEntry adds an entry that serves callers and other entries.
 func (d *testDeployment) addEntry(id string) *testEntry {
 	entry := &testEntry{view: view.NewHolder()}
 	router := chi.NewRouter()
@@ -219,6 +226,8 @@
 	return entry
 }
 
+// document returns a document with one model, one service and two customers, of
+// which only testCustomer may use them.
 func (d *testDeployment) document() *wire.Document {
 	sum := func(key string) string {
 		hash := sha256.Sum256([]byte(key))
@@ -237,7 +246,7 @@
 	}
 }
 
-// publish shows the deployment to every entry.
+// publish stores all hosts and entries in the view of every entry.
 func (d *testDeployment) publish() {
 	document := d.document()
 	var hosts []view.Host
@@ -253,7 +262,7 @@
 	}
 }
 
-// reply is what a caller got.
+// reply is the response to a caller, decoded both as an answer and as an error.
 type reply struct {
 	status int
 	raw    string
@@ -261,7 +270,8 @@
 	failed errorBody
 }
 
-// body is a request on the model; change adjusts its fields.
+// requestFields returns the body of a request to the model; change overrides its
+// fields.
 func requestFields(change map[string]any) map[string]any {
 	fields := map[string]any{"model": "parcel", "prompt": "Envelope 7", "maxTokens": 8, "repeatable": true}
 	for name, value := range change {
@@ -270,6 +280,7 @@
 	return fields
 }
 
+// post sends a request with testKey; header holds pairs of name and value.
 func (e *testEntry) post(t testing.TB, path string, fields map[string]any, header ...string) reply {
 	t.Helper()
 	raw, err := json.Marshal(fields)
@@ -299,16 +310,18 @@
 	return result
 }
 
+// request sends a request to the model; see requestFields and post.
 func (e *testEntry) request(t testing.TB, change map[string]any, header ...string) reply {
 	t.Helper()
 	return e.post(t, "/v1/requests", requestFields(change), header...)
 }
 
-// newOnceKey makes a key that the entry owns.
+// newOnceKey makes a once key that the entry owns.
 func newOnceKey(owner *testEntry) string {
 	return owner.node.GetIncarnation() + "." + uuid.Must(uuid.NewV7()).String()
 }
 
+// expect fails the test unless the reply has the status and the outcome.
 func expect(t testing.TB, got reply, status int, outcome dispatch.Outcome) {
 	t.Helper()
 	if got.status != status || got.answer.Outcome != outcome {
--- a/entry/internal/callers/headers_test.go
+++ b/entry/internal/callers/headers_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// FuzzHeaders sends requests with any headers: nothing panics, nobody is answered
-// without a customer's key, and each refusal bears an outcome and a
-// remedy.
+// FuzzHeaders sends requests with arbitrary headers. It checks that nothing panics,
+// that no request without a customer's key is answered, and that each refusal has
+// an outcome and a remedy.
 func FuzzHeaders(f *testing.F) {
 	good := `{"model":"parcel","prompt":"Envelope 7","maxTokens":2,"repeatable":true}`
 	once := `{"model":"parcel","prompt":"Envelope 7","maxTokens":2,"repeatable":false}`
@@ -45,7 +45,7 @@
 		for _, path := range []string{"/v1/requests", "/v1/services/ledger", "/v1/entries"} {
 			req := readRequest(path, header, body)
 			if req == nil {
-				return // net/http refuses it
+				return // net/http rejects it
 			}
 			got := httptest.NewRecorder()
 			handler.ServeHTTP(got, req)
@@ -54,7 +54,8 @@
 	})
 }
 
-// readRequest reads what a caller would send; nil where it is no HTTP.
+// readRequest parses the HTTP request that a caller would send; it returns nil if
+// it is not valid HTTP.
 func readRequest(path, header string, body []byte) *http.Request {
 	method := http.MethodPost
 	if path == "/v1/entries" {
@@ -75,6 +76,8 @@
 	return req
 }
 
+// checkReply checks that only authenticated requests are answered, and that a
+// refusal is complete.
 func checkReply(t *testing.T, path string, req *http.Request, got *httptest.ResponseRecorder) {
 	t.Helper()
 	key := req.Header.Get("Authorization")
--- a/entry/internal/callers/index.go
+++ b/entry/internal/callers/index.go
@@ -9,32 +9,35 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// indexInterval is how often at most an index is made for new reports alone.
+// indexInterval is the shortest time between two rebuilds of the index when only
+// reports changed. A new document or plan causes a rebuild at once.
 const indexInterval = 10 * time.Millisecond
 
-// Prefixes of the lanes' names.
+// Prefixes of lane names. A lane is the dispatcher's queue and set of hosts for
+// one model or service.
 const (
 	modelLane   = "model/"
 	serviceLane = "service/"
 )
 
-// stateServing is the VersionState of a host that answers.
+// stateServing is the state of a version that a host serves.
 const stateServing = "serving"
 
-// index is one snapshot of the view, arranged for the request path. It is
-// immutable.
+// index holds one snapshot of the view, prepared for fast lookups while requests
+// are handled. It is immutable.
 type index struct {
 	snapshot        *view.Snapshot
 	deployment      *deployment
 	builtAt         time.Time
-	allowedVersions map[string][]string   // that may serve, by model
-	live            []*wire.Node          // entries that are not lost, draining ones included
+	allowedVersions map[string][]string   // versions that may serve, by model
+	live            []*wire.Node          // entries that are not lost, including draining ones
 	byIncarnation   map[string]*wire.Node // all entries by incarnation
-	entries         []directory.Entry     // that callers may be sent to
-	reports         []*wire.EntryReport   // of the entries that are not lost
+	entries         []directory.Entry     // entries that callers may be directed to
+	reports         []*wire.EntryReport   // reports of the entries that are not lost
 }
 
-// index returns the arranged view, and brings it and the lanes up to date.
+// index returns the current index. If the index is outdated, it first rebuilds it
+// and updates the dispatcher's lanes, unless another goroutine is doing so.
 func (s *Server) index() *index {
 	snapshot, _ := s.cfg.View.Load()
 	current := s.current.Load()
@@ -44,7 +47,7 @@
 	if current == nil {
 		s.rebuildMu.Lock()
 	} else if !s.rebuildMu.TryLock() {
-		return current // somebody else is at it
+		return current // another goroutine is rebuilding it
 	}
 	defer s.rebuildMu.Unlock()
 	current = s.current.Load()
@@ -57,6 +60,7 @@
 	return next
 }
 
+// outdated reports whether the index must be rebuilt for the snapshot.
 func (s *Server) outdated(current *index, snapshot *view.Snapshot) bool {
 	if current.snapshot == snapshot {
 		return false
@@ -65,6 +69,8 @@
 	return !sameInputs || s.cfg.Clock.Since(current.builtAt) >= indexInterval
 }
 
+// buildIndex makes the index of a snapshot. It reuses what was derived from the
+// document if that has not changed. The caller holds rebuildMu.
 func (s *Server) buildIndex(previous *index, snapshot *view.Snapshot) *index {
 	next := &index{
 		snapshot:        snapshot,
@@ -84,6 +90,7 @@
 	return next
 }
 
+// addEntries fills the fields that describe the entries.
 func (x *index) addEntries(peers []view.Peer) {
 	for _, peer := range peers {
 		report := peer.Report()
@@ -108,15 +115,16 @@
 	}
 }
 
-// allowed returns the versions that may serve the model now.
+// allowedVersions returns the versions that may serve the model now. The caller
+// holds rebuildMu.
 func (s *Server) allowedVersions(model *wire.Model, snapshot *view.Snapshot) []string {
 	shift := s.shifts[model.GetName()]
 	if shift == nil {
 		shift = route.NewShift()
 		s.shifts[model.GetName()] = shift
 	}
-	serving := make(map[string]string)   // version by host
-	unavailable := make(map[string]bool) // hosts that are not there to wait for
+	serving := make(map[string]string)   // version served, by host
+	unavailable := make(map[string]bool) // lost or leaving hosts, which a rollout doesn't wait for
 	for _, host := range snapshot.Hosts {
 		id := host.Report().GetNode().GetId()
 		if host.Lost() || host.Leaving() {
@@ -148,8 +156,9 @@
 	})
 }
 
-// servingState returns the state of the model's version on a host that may get
-// work; nil where it serves none.
+// servingState returns the state of the version of the model that the host
+// serves. It returns nil if the host serves none, or may not get requests because
+// it is lost or leaving.
 func servingState(host view.Host, model string) *wire.VersionState {
 	if host.Leaving() || host.Lost() || host.Report().GetLeaving() {
 		return nil
@@ -162,8 +171,9 @@
 	return nil
 }
 
-// updateLanes gives every lane its hosts. A lane whose model or service left
-// the document gets none.
+// updateLanes sets the hosts of every lane in the dispatcher. A lane whose model
+// or service was removed from the document gets no hosts. The caller holds
+// rebuildMu.
 func (s *Server) updateLanes(next *index) {
 	lanes := make(map[string]bool)
 	entries := len(next.entries)
@@ -183,6 +193,8 @@
 	s.lanes = lanes
 }
 
+// modelHosts returns the hosts that serve the model, with their versions and
+// adapters.
 func modelHosts(snapshot *view.Snapshot, model *wire.Model) []route.Host {
 	var hosts []route.Host
 	for _, host := range snapshot.Hosts {
@@ -201,8 +213,9 @@
 	return hosts
 }
 
-// keepIntendedAdapters takes those adapters away that the document replaced on
-// the same base version, once a host serves the replacement.
+// dropReplacedAdapters removes the adapter versions that the document has
+// replaced, on hosts that serve the document's version of the model. An adapter is
+// dropped only once some host serves its replacement.
 func dropReplacedAdapters(hosts []route.Host, model *wire.Model) {
 	for _, intended := range model.GetAdapters() {
 		want := route.Adapter{Name: intended.GetName(), Version: intended.GetVersion()}
@@ -217,6 +230,7 @@
 	}
 }
 
+// anyServes reports whether any of the hosts serves the adapter.
 func anyServes(hosts []route.Host, want route.Adapter) bool {
 	for _, host := range hosts {
 		for _, adapter := range host.Adapters {
@@ -228,6 +242,8 @@
 	return false
 }
 
+// withoutOtherVersions returns the adapters without those that have the name of
+// want but another version.
 func withoutOtherVersions(adapters []route.Adapter, want route.Adapter) []route.Adapter {
 	var kept []route.Adapter
 	for _, adapter := range adapters {
@@ -238,6 +254,7 @@
 	return kept
 }
 
+// serviceHosts returns the hosts that serve the plain service.
 func serviceHosts(snapshot *view.Snapshot, name string) []route.Host {
 	var hosts []route.Host
 	for _, host := range snapshot.Hosts {
@@ -249,6 +266,7 @@
 	return hosts
 }
 
+// routeHost converts a host of the view to the form that routing uses.
 func routeHost(host view.Host) route.Host {
 	report := host.Report()
 	node := report.GetNode()
--- a/entry/internal/callers/keystore.go
+++ b/entry/internal/callers/keystore.go
@@ -15,22 +15,24 @@
 	"comfreyrelay.example/relay/once"
 )
 
-// Constants of keys without an owner.
+// Constants for once keys without an owner.
 const (
 	onceKeyPrefix   = "once/"
 	storeTimeout    = 2 * time.Second
 	storeAttempts   = 3
 	storeRetryAfter = 2 * time.Second
-	// Keys are bound to a lease, so that the service forgets them by itself.
-	// It outlives the moment when the last entry refuses the youngest key
-	// bound to it: the horizon, twice the clocks' difference and leaseTurn.
+	// Keys are bound to a lease, so that the store deletes them when it expires.
+	// The lease must last until every entry refuses the youngest key bound to it
+	// because of its age: once.Horizon, twice the allowed clock difference and
+	// leaseRotation.
 	leaseRotation = 5 * time.Minute
 	leaseTTL      = once.Horizon + 2*once.MaxAhead + leaseRotation + 10*time.Minute
 )
 
-// platform claims keys without an owner by compare-and-swap.
+// keyStore claims once keys without an owner in the platform's key-value store, by
+// compare-and-swap.
 type keyStore struct {
-	store *kv.Store // nil: there is none
+	store *kv.Store // nil if the platform has none
 	clock clockwork.Clock
 
 	mu        sync.Mutex
@@ -42,14 +44,14 @@
 	return &keyStore{store: store, clock: clock}
 }
 
-// claimValue is what the service keeps of a key.
+// claimValue is the value stored for a claimed key.
 type claimValue struct {
 	Nonce string `json:"nonce"`
 	Hash  string `json:"hash"`
 }
 
-// claimAtPlatform claims a key in the platform's service. As long as the
-// service cannot be asked, nobody knows whether the key ran before.
+// claimInStore claims a key in the platform's store. While the store is
+// unavailable, it can't be known whether the key ran before.
 func (s *Server) claimInStore(ctx context.Context, claim once.Claim) (*grant, []byte, *problem) {
 	now, made := s.now(), claim.Key.Made()
 	if made.Before(now.Add(-once.Horizon)) {
@@ -67,10 +69,10 @@
 	return claimResult(&grant{claim: claim, inStore: true, revision: revision}, once.Verdict{State: state})
 }
 
-// claim swaps the key in where it does not exist. A swap that may or may not
-// have taken effect is tried again with the same value: then either it
-// succeeds or the nonce that is found shows whose swap it was. NotOwner means
-// that the service doesn't know.
+// claim creates the key if it does not exist. A swap that may or may not have
+// taken effect is retried with the same value: then either it succeeds or the
+// nonce in the store shows which request created the key. NotOwner means that
+// the store gave no result.
 func (k *keyStore) claim(ctx context.Context, claim once.Claim) (once.State, uint64) {
 	if k.store == nil {
 		return once.NotOwner, 0
@@ -102,7 +104,7 @@
 	return once.NotOwner, 0
 }
 
-// compare reads who holds the key.
+// resolveConflict reads the existing value of a key and compares it with own.
 func (k *keyStore) resolveConflict(ctx context.Context, key string, own claimValue) (once.State, uint64) {
 	entry, found, err := k.store.Get(ctx, key)
 	if err != nil || !found {
@@ -122,8 +124,8 @@
 	}
 }
 
-// release deletes the key of a run that was proved not to have happened, so
-// that it can be sent again.
+// release deletes the key of a request that certainly did not run, so that the
+// key can be sent again.
 func (k *keyStore) release(ctx context.Context, granted *grant) {
 	ctx, cancel := clockwork.WithTimeout(context.WithoutCancel(ctx), k.clock, settleTimeout)
 	defer cancel()
@@ -132,7 +134,8 @@
 	}
 }
 
-// currentLease returns a lease that is young enough for a new key.
+// currentLease returns the lease for new keys, and requests a new one when it is
+// older than leaseRotation.
 func (k *keyStore) currentLease(ctx context.Context) (string, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -148,6 +151,7 @@
 	return lease, nil
 }
 
+// discardLease makes the next claim request a new lease.
 func (k *keyStore) discardLease(lease string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -156,8 +160,9 @@
 	}
 }
 
+// storeUnavailable reports that the platform's store gave no result.
 func storeUnavailable() *problem {
-	prob := unknownOutcome(failure.New(failure.Unavailable, "the service that keeps keys without an owner cannot be asked whether this one ran before",
+	prob := unknownOutcome(failure.New(failure.Unavailable, "the store for keys without an owner cannot be asked whether this one ran before",
 		"send the same key again later; if it was never sent before, make one with the owner from GET /v1/entries").WithRetryAfter(storeRetryAfter))
 	prob.status = http.StatusServiceUnavailable
 	return prob
--- a/entry/internal/callers/large.go
+++ b/entry/internal/callers/large.go
@@ -8,21 +8,22 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// standingInterval is how often the large customers are separated from the others. A
-// burst takes all slots in a few hundred milliseconds.
+// largeCustomersInterval is the shortest time between two computations of the
+// large customers. It must be short, because a burst takes all slots within a few
+// hundred milliseconds.
 const largeCustomersInterval = 100 * time.Millisecond
 
-// standings separates the large customers from the others, by the demand on all
-// entries.
+// largeCustomers caches the names of the customers whose demand on all entries is
+// much larger than their share.
 type largeCustomers struct {
 	mu         sync.Mutex
-	computedAt time.Time // of the last comparison
+	computedAt time.Time
 	names      map[string]bool
 }
 
-// isLarge reports whether the customer asks for much more than its share of
-// the deployment. One entry's own requests would not show it: each customer's callers
-// gather on a few entries.
+// isLarge reports whether the customer asks for much more than its share of the
+// deployment. It uses the demand on all entries, because the callers of one
+// customer are concentrated on a few entries.
 func (s *Server) isLarge(idx *index, name string) bool {
 	s.largeCustomers.mu.Lock()
 	defer s.largeCustomers.mu.Unlock()
@@ -33,6 +34,7 @@
 	return s.largeCustomers.names[name]
 }
 
+// customerUse returns the weight of each customer and its demand on all entries.
 func (s *Server) customerUse(idx *index) map[string]limit.Use {
 	uses := make(map[string]limit.Use)
 	for _, each := range idx.deployment.customers {
@@ -43,7 +45,7 @@
 		for _, demand := range demands {
 			use, known := uses[demand.GetCustomer()]
 			if !known {
-				continue // it left the document
+				continue // removed from the document
 			}
 			use.Demand += demand.GetRequestsPerSecond()
 			uses[demand.GetCustomer()] = use
--- a/entry/internal/callers/problem.go
+++ b/entry/internal/callers/problem.go
@@ -11,12 +11,12 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// problem is an answer to a caller that is not the one asked for.
+// problem is an error response to a caller.
 type problem struct {
 	status  int
 	outcome dispatch.Outcome
 	err     *failure.Error
-	spares  []string // addresses of other entries
+	spares  []string // addresses of other entries to use instead
 }
 
 // errorBody is the JSON form of a problem.
@@ -34,6 +34,7 @@
 	Spares           []string     `json:"spares,omitempty"`
 }
 
+// body returns the JSON form of the problem.
 func (p *problem) body(requestID string) errorBody {
 	return errorBody{
 		Outcome:   p.outcome,
@@ -48,7 +49,7 @@
 	}
 }
 
-// write answers with the problem.
+// write sends the problem as the HTTP response.
 func (p *problem) write(w http.ResponseWriter, requestID string) {
 	if wait := p.err.RetryAfter(); wait > 0 {
 		seconds := int64((wait + time.Second - 1) / time.Second)
@@ -57,6 +58,7 @@
 	writeJSON(w, p.status, p.body(requestID))
 }
 
+// writeJSON sends body as the JSON response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -68,21 +70,23 @@
 	_, _ = w.Write(raw)
 }
 
-// notRun makes a problem of a request that was refused before any run.
+// notRun returns the problem of a request that did not run.
 func notRun(status int, err *failure.Error) *problem {
 	return &problem{status: status, outcome: dispatch.NotRun, err: err}
 }
 
-// unknown makes a problem of a request that may have run.
+// unknownOutcome returns the problem of a request that may have run.
 func unknownOutcome(err *failure.Error) *problem {
 	return &problem{status: http.StatusBadGateway, outcome: dispatch.Unknown, err: err}
 }
 
+// invalid returns the problem of a request that is malformed.
 func invalid(message, remedy string) *problem {
 	return notRun(http.StatusBadRequest, failure.New(failure.Invalid, message, remedy))
 }
 
-// problemOf returns the answer to the caller of a request that was given up.
+// problemFromResult returns the problem to report for a request that was
+// dispatched but not answered.
 func problemFromResult(result dispatch.Result) *problem {
 	if result.Outcome == dispatch.Unknown {
 		return unknownOutcome(result.Err)
--- a/entry/internal/callers/requests.go
+++ b/entry/internal/callers/requests.go
@@ -10,14 +10,17 @@
 	"comfreyrelay.example/relay/failure"
 )
 
+// serveRequest handles POST /v1/requests.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	s.serve(w, r, readModelRequest, authorizeModel)
 }
 
+// serveService handles POST /v1/services/{name}.
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	s.serve(w, r, readServiceCall, authorizeService)
 }
 
+// readModelRequest is the readFunc of requests to models.
 func readModelRequest(c *call) *problem {
 	raw, prob := readBody(c.w, c.r)
 	if prob != nil {
@@ -44,6 +47,7 @@
 	return c.readKey(body.Key)
 }
 
+// readServiceCall is the readFunc of calls to plain services.
 func readServiceCall(c *call) *problem {
 	raw, prob := readBody(c.w, c.r)
 	if prob != nil {
@@ -66,12 +70,14 @@
 	return c.readKey(body.Key)
 }
 
-// callsRepeatable reports whether the service's endpoint may be called again:
-// what the caller says alone is not enough.
+// callsRepeatable reports whether calls to the service's endpoint may be repeated.
+// A call is repeatable only if both the endpoint's class and the caller allow it.
 func (d *deployment) callsRepeatable(service string) bool {
 	return d.classes[d.services[service].GetEndpoint()].GetCallsRepeatable()
 }
 
+// readKey sets the once key of a request that is not repeatable. Repeatable
+// requests need none.
 func (c *call) readKey(text string) *problem {
 	if c.req.Repeatable {
 		return nil
@@ -81,6 +87,8 @@
 	return prob
 }
 
+// authorizeModel checks that the model and the adapter exist and that the customer
+// may use the model.
 func authorizeModel(c *call) *problem {
 	model := c.index.deployment.models[c.req.Model]
 	switch {
@@ -99,6 +107,7 @@
 	return notFound("adapter " + c.req.Adapter)
 }
 
+// authorizeService checks that the service exists and that the customer may use it.
 func authorizeService(c *call) *problem {
 	service := c.index.deployment.services[c.req.Service]
 	switch {
--- a/entry/internal/callers/requests_test.go
+++ b/entry/internal/callers/requests_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Symptom: a caller sees an answer that stops in the middle. The host dies
-// after two tokens of a stream; another host of the same version goes on.
+// Guards against an answer that stops in the middle: a host fails after two tokens
+// of a stream, and another host of the same version must continue it.
 func TestStreamResumesOnAnotherHost(t *testing.T) {
 	deployment := newTestDeployment(t)
 	words := []string{"a", "torn", "letter", "from", "Xela"}
@@ -84,8 +84,8 @@
 	}
 }
 
-// Symptom: a family gets two notices. The host takes a request that may not be
-// repeated and breaks off; the entry tries it again elsewhere.
+// Guards against running a request twice that may not be repeated: the host breaks
+// off the attempt after it began, and the entry must not retry it on another host.
 func TestBrokenRunIsNotRepeated(t *testing.T) {
 	deployment := newTestDeployment(t)
 	for _, id := range []string{"h1", "h2"} {
@@ -103,6 +103,8 @@
 	}
 }
 
+// A once key that every host refused may be sent again and then runs, but not
+// before its hold has ended.
 func TestKeyRefusedByEveryHostCanBeResent(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", refuse("busy"))
@@ -133,8 +135,9 @@
 	expect(t, got, got.status, dispatch.NotRun)
 }
 
-// Symptom: a stray frame of another request reaches a caller. A host sends
-// late frames of an earlier attempt between those of the current one.
+// Guards against frames of another attempt or request reaching a caller: a host
+// sends such frames late, and one with a repeated sequence number, between those
+// of the current attempt.
 func TestFramesOfOtherAttemptsAreDropped(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
@@ -192,7 +195,7 @@
 	agent := deployment.addAgent("s1", func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
 		if att.GetRepeatable() {
-			t.Error("got a repeatable call, want the bridge's word to win over the caller's")
+			t.Error("got a repeatable call, want the endpoint class to override the caller")
 		}
 		_ = out.send(&wire.Frame{Kind: "begin"})
 		_ = out.send(&wire.Frame{Kind: "body", Body: []byte("paid")})
@@ -224,8 +227,8 @@
 	}
 }
 
-// Symptom: a shutdown loses a request. One is in progress when the drain
-// begins, another arrives after.
+// Guards against losing a request in a shutdown: one request is in progress when
+// the drain begins, and another arrives later.
 func TestDrainFinishesRequestsInProgress(t *testing.T) {
 	deployment := newTestDeployment(t)
 	begun, proceed := make(chan struct{}), make(chan struct{})
@@ -258,9 +261,9 @@
 	<-drained
 }
 
-// Symptom: an entry hangs. A request waits for room, a new view arrives, and
-// the room that another request leaves is given away while the lane is locked:
-// whatever is asked for then must not bring the lane up to date.
+// Guards against a deadlock. Requests wait for a slot and a new view arrives. When
+// a slot becomes free, it is assigned while the lane is locked; functions that are
+// called then, such as Request.Versions, must not update the lane.
 func TestNewViewWhileRequestsWait(t *testing.T) {
 	deployment := newTestDeployment(t)
 	proceed := make(chan struct{})
@@ -280,7 +283,7 @@
 	}
 	for len(agent.recordedAttempts()) == 0 || entry.srv.InFlight() < callers {
 		if len(replies) > 0 {
-			t.Fatalf("got an answer before its time: %s", (<-replies).raw)
+			t.Fatalf("got an answer before the agent proceeded: %s", (<-replies).raw)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/entry/internal/callers/server.go
+++ b/entry/internal/callers/server.go
@@ -1,7 +1,8 @@
-// Package callers serves the callers' HTTP API of an entry: which entry to
-// use, requests on models and calls of plain services. Its filters run in
-// order: identify, claim, limit, dispatch (which admits, chooses and relays),
-// account.
+// Package callers serves an entry's HTTP API for callers: choosing an entry,
+// requests to models and calls to plain services. Each request passes these
+// stages in order: authenticate the customer, claim the once key, check the
+// limits, dispatch (which queues the request, chooses a host and relays the
+// answer), and record metrics and the log line.
 package callers
 
 import (
@@ -23,36 +24,37 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Bounds of what callers may send.
+// Limits on what callers may send, and defaults.
 const (
-	// MaxHeaderBytes is for the http.Server that serves the routes.
+	// MaxHeaderBytes is the limit to set on the http.Server that serves the routes.
 	MaxHeaderBytes  = 16 << 10
 	maxBodyBytes    = 1 << 20
 	maxNameBytes    = 256
 	maxTokensBound  = 32768
-	maxDeadline     = 10 * time.Minute // whatever the document says
-	defaultDeadline = 30 * time.Second // where the document says nothing
+	maxDeadline     = 10 * time.Minute // upper bound, also for the document's maximum
+	defaultDeadline = 30 * time.Second // used when the document sets no default
 	defaultTTL      = 30 * time.Second
 )
 
-// Config is what a Server needs from the program around it.
+// Config holds the settings and dependencies of a Server.
 type Config struct {
 	Self         *wire.Node      // this entry, with its incarnation
-	View         *view.Holder    // what the entry knows of the deployment
+	View         *view.Holder    // the entry's current view of the deployment
 	Pool         *peer.Pool      // connections to agents and other entries
-	Store        *kv.Store       // the platform's service, for keys without an owner
+	Store        *kv.Store       // the platform's key-value store, for once keys without an owner
 	Clock        clockwork.Clock // the only source of time
 	Log          *slog.Logger
 	RoutePolicy  string        // a policy of package route; empty means affinity
 	DirectoryTTL time.Duration // how long callers may keep the answer of /v1/entries
-	Seed         uint64        // of the routing choices: the same seed repeats them
-	PanicOnBug   bool          // stop where an invariant broke, in tests
+	Seed         uint64        // for random routing choices; the same seed repeats them
+	PanicOnBug   bool          // panic when an invariant is violated; for tests
 }
 
-// Server serves callers and answers the other entries' claims.
+// Server handles callers' requests, and the once-key claims and settlements
+// that other entries send.
 type Server struct {
 	cfg            Config
-	started        time.Time // keys' ages are measured from here; see now
+	started        time.Time // base of the monotonic time returned by now
 	hosts          dispatch.Hosts
 	ownerClient    ownerClient
 	keyStore       *keyStore
@@ -62,13 +64,14 @@
 	customers      customers
 	largeCustomers largeCustomers
 	current        atomic.Pointer[index]
-	rebuildMu      sync.Mutex              // held while a new index is made
-	shifts         map[string]*route.Shift // by model; guarded by rebuild
-	lanes          map[string]bool         // lanes that have hosts; guarded by rebuild
+	rebuildMu      sync.Mutex              // held while a new index is built
+	shifts         map[string]*route.Shift // by model; guarded by rebuildMu
+	lanes          map[string]bool         // names of the lanes in the latest index; guarded by rebuildMu
 }
 
-// New returns a Server that serves nothing until its routes are mounted.
-// Settings are checked before: an unknown policy counts as the default.
+// New returns a Server; mount its API with Routes. Settings are validated
+// earlier, so an unknown routing policy is only logged and replaced by the
+// default.
 func New(cfg Config) *Server {
 	if cfg.DirectoryTTL <= 0 {
 		cfg.DirectoryTTL = defaultTTL
@@ -105,7 +108,7 @@
 	return srv
 }
 
-// Routes adds the callers' API to r.
+// Routes mounts the callers' API on r.
 func (s *Server) Routes(r chi.Router) {
 	r.Get("/v1/entries", s.serveEntries)
 	r.Post("/v1/requests", s.serveRequest)
@@ -115,30 +118,33 @@
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int { return s.tracker.inFlight() }
 
-// Demand returns each customer's use of this entry over the last second, what
-// was refused included: the shares of the limits follow what is wanted.
+// Demand returns the request and token rates of each customer on this entry,
+// averaged over about the last second. Refused requests count, because each
+// entry's share of a limit depends on what customers ask for.
 func (s *Server) Demand() []*wire.Demand { return s.customers.demand(s.cfg.Clock.Now()) }
 
-// Drain stops taking new requests, which get notRun with the spares, and
-// returns when those in progress have ended or ctx has. Last it passes the
-// memory of its once keys on.
+// Drain stops accepting requests: new ones are refused as notRun, with the
+// addresses of other entries. It waits until the requests in progress have ended
+// or ctx is done, and then hands the once keys over to other entries.
 func (s *Server) Drain(ctx context.Context) {
 	idle := s.tracker.drain()
 	select {
 	case <-idle:
-		s.cfg.Log.Info("callers drained")
+		s.cfg.Log.Info("drained, no requests in progress")
 	case <-ctx.Done():
-		s.cfg.Log.Warn("callers not drained in time", "inFlight", s.InFlight())
+		s.cfg.Log.Warn("drain timed out with requests in progress", "inFlight", s.InFlight())
 	}
 	s.handOverKeys(context.WithoutCancel(ctx))
 }
 
-// now is the time by which keys' ages are judged: it runs evenly from the
-// process's start, however the machine's clock is set meanwhile.
+// now returns the time against which the age of once keys is checked. It
+// advances monotonically from the start of the process, so that changes to the
+// machine's wall clock don't affect it.
 func (s *Server) now() time.Time {
 	return s.started.Round(0).Add(s.cfg.Clock.Since(s.started))
 }
 
+// known returns the document and plan revisions of the current index.
 func (s *Server) known() *wire.Known {
 	snapshot := s.index().snapshot
 	return &wire.Known{Revision: snapshot.Revision, PlanRevision: snapshot.PlanRevision}
--- a/entry/internal/callers/stream.go
+++ b/entry/internal/callers/stream.go
@@ -7,13 +7,14 @@
 	"net/http"
 )
 
-// stream answers with server-sent events. One goroutine uses it.
+// stream sends an answer as server-sent events. It is not safe for concurrent
+// use.
 type stream struct {
 	w         http.ResponseWriter
 	control   *http.ResponseController
 	requestID string
-	begun     bool         // the status and the begin event are out
-	buffer    bytes.Buffer // of one event
+	begun     bool         // the status and the begin event have been written
+	buffer    bytes.Buffer // holds one event
 }
 
 func newStream(w http.ResponseWriter, requestID string) *stream {
@@ -35,8 +36,8 @@
 	Count   int    `json:"count"`
 }
 
-// tokens sends tokens, and the begin event before the first. It blocks while
-// the caller does not read, until the write deadline.
+// tokens sends tokens, preceded by the begin event if they are the first. It
+// blocks while the caller doesn't read, until the write deadline.
 func (s *stream) tokens(version string, tokens []string) error {
 	if err := s.begin(version); err != nil {
 		return err
@@ -47,8 +48,9 @@
 	return s.control.Flush()
 }
 
-// begin waits for the first token: until then nothing is out, and the request
-// may still start over on another version.
+// begin sends the status and the begin event if they have not been sent. It is
+// called only with the first tokens or at the end: before that, the request can
+// still be restarted on another version.
 func (s *stream) begin(version string) error {
 	if s.begun {
 		return nil
@@ -60,7 +62,7 @@
 	return s.event("begin", beginEvent{RequestID: s.requestID, Version: version})
 }
 
-// end sends the only event that makes the stream an answer.
+// end sends the end event. Only a stream that has it is a complete answer.
 func (s *stream) end(version string, digest []byte, count int) {
 	if s.begin(version) != nil {
 		return
@@ -69,7 +71,8 @@
 	_ = s.control.Flush()
 }
 
-// fail sends the problem: as an answer of its own while nothing is out.
+// fail sends the problem, as an error event if the stream has begun, otherwise as
+// a plain HTTP response.
 func (s *stream) fail(prob *problem) {
 	if !s.begun {
 		prob.write(s.w, s.requestID)
@@ -79,12 +82,13 @@
 	_ = s.control.Flush()
 }
 
+// event writes one event with data encoded as JSON.
 func (s *stream) event(name string, data any) error {
 	s.buffer.Reset()
 	s.buffer.WriteString("event: ")
 	s.buffer.WriteString(name)
 	s.buffer.WriteString("\ndata: ")
-	// Encode ends the line; JSON holds no other line break.
+	// Encode adds a newline; the encoded JSON contains no other.
 	if err := json.NewEncoder(&s.buffer).Encode(data); err != nil {
 		return err
 	}
--- a/entry/internal/callers/tracker.go
+++ b/entry/internal/callers/tracker.go
@@ -2,18 +2,20 @@
 
 import "sync"
 
-// door counts the requests in progress and closes for a drain.
+// requestTracker counts the requests in progress and signals when a drain is
+// complete.
 type requestTracker struct {
 	mu       sync.Mutex
-	active   int // requests inside, and work left behind by them
+	active   int // requests in progress and their background work
 	draining bool
-	idle     chan struct{} // closed when the door is and count is 0
+	idle     chan struct{} // closed once draining is set and active is 0
 }
 
 func newRequestTracker() *requestTracker { return &requestTracker{idle: make(chan struct{})} }
 
-// enter counts a request; open is false after close, and the request is then
-// to be refused, but counted all the same: its refusal is not cut off either.
+// add counts a request. accepting is false during a drain, and the caller must
+// then refuse the request. It is counted nevertheless, so that the drain waits
+// until the refusal is sent.
 func (t *requestTracker) add() (accepting bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -21,6 +23,7 @@
 	return !t.draining
 }
 
+// done ends the count of one request; call it once for each add.
 func (t *requestTracker) done() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -28,7 +31,8 @@
 	t.closeIfIdle()
 }
 
-// close refuses new requests; the channel closes when the last has left.
+// drain stops accepting requests. The returned channel is closed when no request
+// is in progress.
 func (t *requestTracker) drain() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,6 +41,7 @@
 	return t.idle
 }
 
+// closeIfIdle closes idle once the drain is complete. The caller holds mu.
 func (t *requestTracker) closeIfIdle() {
 	if !t.draining || t.active > 0 {
 		return
@@ -48,12 +53,14 @@
 	}
 }
 
+// inFlight returns the number of requests in progress.
 func (t *requestTracker) inFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.active
 }
 
+// accepting reports whether new requests are accepted.
 func (t *requestTracker) accepting() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
