--- a/entry/internal/callers/account.go
+++ b/entry/internal/callers/account.go
@@ -7,10 +7,11 @@
 	"comfreyrelay.example/entry/internal/dispatch"
 )
 
-// counters counts callers' outcomes, by name, for /debug/vars.
+// counters holds the counters of callers' requests that /debug/vars publishes.
 var counters = expvar.NewMap("callers")
 
-// account books a request that was dispatched.
+// account updates the counters, refunds the customer's unused tokens and logs a
+// request that was dispatched.
 func (c *call) account(result dispatch.Result) {
 	counters.Add(string(result.Outcome), 1)
 	counters.Add("attempts", int64(result.Attempts))
@@ -18,16 +19,16 @@
 	if result.Affinity {
 		counters.Add("affinity", 1)
 	}
-	c.who.refund(c.req.MaxTokens - len(result.Tokens))
+	c.customer.refund(c.req.MaxTokens - len(result.Tokens))
 	reason := ""
 	if result.Err != nil {
 		reason = result.Err.Message()
 	}
-	c.logEnd(result, reason)
+	c.logRequest(result, reason)
 }
 
-// logEnd writes the request's one line.
-func (c *call) logEnd(result dispatch.Result, reason string) {
+// logRequest writes the log line of a request that has ended.
+func (c *call) logRequest(result dispatch.Result, reason string) {
 	level := slog.LevelInfo
 	if !c.srv.cfg.Log.Enabled(c.r.Context(), level) {
 		return
@@ -35,15 +36,15 @@
 	attrs := make([]slog.Attr, 0, 16)
 	attrs = append(attrs,
 		slog.String("request", c.id),
-		slog.Uint64("revision", uint64(c.now.snapshot.Revision)),
+		slog.Uint64("revision", uint64(c.index.snapshot.Revision)),
 		slog.String("outcome", string(result.Outcome)),
 		slog.Duration("took", c.srv.cfg.Clock.Since(c.arrived)),
 	)
-	if c.keyed {
+	if c.hasKey {
 		attrs = append(attrs, slog.String("key", c.key.String()))
 	}
-	if c.who != nil {
-		attrs = append(attrs, slog.String("customer", c.who.name))
+	if c.customer != nil {
+		attrs = append(attrs, slog.String("customer", c.customer.name))
 	}
 	if c.req != nil {
 		attrs = append(attrs, slog.String("lane", c.req.Lane))
--- a/entry/internal/callers/call.go
+++ b/entry/internal/callers/call.go
@@ -13,91 +13,97 @@
 	"comfreyrelay.example/relay/once"
 )
 
-// call is one request of a caller on its way through the filters.
+// call holds the state of one HTTP request while it is processed.
 type call struct {
-	srv     *Server
-	now     *index
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	id      string    // new for this arrival; agents know the request by it
-	who     *customer // after identify
-	req     *dispatch.Request
-	hash    once.Hash
-	key     once.Key
-	keyed   bool    // the request bears a key, given or made
-	ticket  *ticket // the right to run it; nil where none is needed
-	out     *stream // nil for an answer in one piece
-}
-
-// readFunc reads a request's body into call.req and judges nothing that may
-// change over time.
+	srv      *Server
+	index    *index
+	w        http.ResponseWriter
+	r        *http.Request
+	arrived  time.Time
+	id       string    // unique per HTTP request; sent to the agents as the request ID
+	customer *customer // set by authenticate
+	req      *dispatch.Request
+	hash     once.Hash
+	key      once.Key
+	hasKey   bool    // key is set, either by the caller or by generateKey
+	grant    *grant  // the right to run the key; nil for a request without one
+	out      *stream // nil if the answer is not streamed
+}
+
+// readFunc reads and validates a request's body into call.req. It must not check
+// anything that can change over time; see serve.
 type readFunc func(c *call) *problem
 
-// permitFunc judges the request by the document in force.
-type permitFunc func(c *call) *problem
+// authorizeFunc checks the request against the document in force.
+type authorizeFunc func(c *call) *problem
 
-// serve takes a request through the filters.
+// serve processes a request from authentication to the answer.
 //
-// A request that bears a key is claimed before anything may refuse it: the
-// same key may have run before, and "notRun" is only said of a key whose owner
-// granted it to this arrival.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, read readFunc, permit permitFunc) {
-	open := s.door.enter()
-	defer s.door.leave()
-	c := &call{srv: s, now: s.index(), w: w, r: r, arrived: s.cfg.Clock.Now(), id: uuid.Must(uuid.NewV7()).String()}
-	refused := c.identify()
-	if refused == nil {
-		refused = read(c)
-	}
-	if refused != nil {
-		c.refuse(refused)
+// A request with a once key claims the key before the checks of admit. The result
+// of these checks changes over time, and an earlier request with the same key may
+// have run; so they may answer "notRun" only after the key's owner has granted it
+// to this request.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, read readFunc, authorize authorizeFunc) {
+	accepting := s.tracker.add()
+	defer s.tracker.done()
+	c := &call{srv: s, index: s.index(), w: w, r: r, arrived: s.cfg.Clock.Now(), id: uuid.Must(uuid.NewV7()).String()}
+	prob := c.authenticate()
+	if prob == nil {
+		prob = read(c)
+	}
+	if prob != nil {
+		c.refuse(prob)
 		return
 	}
-	if c.keyed && c.claim() {
+	if c.hasKey && c.claim() {
 		return
 	}
-	if refused = c.admit(open, permit); refused != nil {
-		c.giveBack(refused)
-		c.refuse(refused)
+	if prob = c.admit(accepting, authorize); prob != nil {
+		c.releaseKey(prob)
+		c.refuse(prob)
 		return
 	}
 	c.run()
 }
 
-func (c *call) identify() *problem {
-	if c.now.deployment.document == nil {
+// authenticate sets the customer of the request.
+func (c *call) authenticate() *problem {
+	if c.index.deployment.document == nil {
 		return notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "no configuration is in force here yet",
-			"try again in a moment").WithRetryAfter(noDocumentRetry))
+			"try again in a moment").WithRetryAfter(noDocumentRetryAfter))
 	}
-	who, refused := c.now.identify(c.r)
-	c.who = who
-	return refused
+	customer, prob := c.index.authenticate(c.r)
+	c.customer = customer
+	return prob
 }
 
-const noDocumentRetry = time.Second
+const noDocumentRetryAfter = time.Second
 
-// admit applies what may refuse the request now.
-func (c *call) admit(open bool, permit permitFunc) *problem {
-	if !open {
-		return c.leaving()
+// admit runs the checks whose result can change over time: whether the entry
+// accepts requests, the authorization and the limits.
+func (c *call) admit(accepting bool, authorize authorizeFunc) *problem {
+	if !accepting {
+		return c.shutdownProblem()
 	}
-	if refused := permit(c); refused != nil {
-		return refused
+	if prob := authorize(c); prob != nil {
+		return prob
 	}
-	return c.limit()
+	return c.checkRateLimit()
 }
 
-func (c *call) leaving() *problem {
-	refused := notRun(http.StatusServiceUnavailable, failure.New(failure.Leaving, "this entry is shutting down",
+// shutdownProblem refuses a request that arrives during a drain, and names
+// other entries to send it to.
+func (c *call) shutdownProblem() *problem {
+	prob := notRun(http.StatusServiceUnavailable, failure.New(failure.Leaving, "this entry is shutting down",
 		"send the request to a spare, with a new once key if it has one").WithRetryAfter(time.Millisecond))
-	refused.spares = c.srv.spares(c.now, c.r.RemoteAddr)
-	return refused
+	prob.spares = c.srv.spares(c.index, c.r.RemoteAddr)
+	return prob
 }
 
-func (c *call) limit() *problem {
+// checkRateLimit takes the request and its tokens from the customer's limits.
+func (c *call) checkRateLimit() *problem {
 	now := c.srv.cfg.Clock.Now()
-	ok, wait := c.who.admit(now, c.srv.cfg.Self.GetId(), c.now.reports, c.req.MaxTokens)
+	ok, wait := c.customer.admit(now, c.srv.cfg.Self.GetId(), c.index.reports, c.req.MaxTokens)
 	if ok {
 		return nil
 	}
@@ -105,94 +111,97 @@
 		"send fewer requests, or ask an operator for a higher limit").WithRetryAfter(max(wait, time.Millisecond)))
 }
 
-// claim gets the right to run the key; over is true where the caller has its
-// answer instead.
-func (c *call) claim() (over bool) {
+// claim acquires the right to run the request's key. If it can't, it answers
+// the caller with the stored answer or a problem and returns true.
+func (c *call) claim() (handled bool) {
 	claim := once.Claim{Key: c.key, Hash: c.hash, Nonce: uuid.New()}
-	won, kept, refused := c.srv.claim(context.WithoutCancel(c.r.Context()), c.now, claim)
+	granted, stored, prob := c.srv.claim(context.WithoutCancel(c.r.Context()), c.index, claim)
 	switch {
-	case refused != nil:
-		c.refuse(refused)
+	case prob != nil:
+		c.refuse(prob)
 		return true
-	case won == nil:
+	case granted == nil:
 		counters.Add("replayed", 1)
-		c.logEnd(dispatch.Result{Outcome: dispatch.Answered}, "replayed")
-		replay(c.w, c.r, kept)
+		c.logRequest(dispatch.Result{Outcome: dispatch.Answered}, "replayed")
+		replay(c.w, c.r, stored)
 		return true
 	}
-	c.ticket = won
+	c.grant = granted
 	return false
 }
 
-// giveBack frees the key of a request that was refused, before the caller
-// learns of it, and asks the caller to wait for the end of the key's hold.
-func (c *call) giveBack(refused *problem) {
-	if c.ticket == nil {
+// releaseKey settles the key of a request that did not run, before the caller is
+// told so. It raises the problem's Retry-After to at least once.Hold, because the
+// key can't be claimed again before that.
+func (c *call) releaseKey(prob *problem) {
+	if c.grant == nil {
 		return
 	}
-	c.srv.settle(context.WithoutCancel(c.r.Context()), c.ticket, once.RunNotRun, nil)
-	refused.err = refused.err.WithRetryAfter(max(refused.err.RetryAfter(), once.Hold))
+	c.srv.settle(context.WithoutCancel(c.r.Context()), c.grant, once.RunNotRun, nil)
+	prob.err = prob.err.WithRetryAfter(max(prob.err.RetryAfter(), once.Hold))
 }
 
-// visibleID is what the caller gets to know the request by: the key that the
-// entry made for it, else the arrival's own id.
+// visibleID returns the request ID that is reported to the caller: the once key
+// if there is one, otherwise the call's own ID.
 func (c *call) visibleID() string {
-	if c.keyed {
+	if c.hasKey {
 		return c.key.String()
 	}
 	return c.id
 }
 
-func (c *call) refuse(refused *problem) {
-	counters.Add(string(refused.outcome), 1)
-	c.logEnd(dispatch.Result{Outcome: refused.outcome}, refused.err.Message())
-	refused.write(c.w, c.visibleID())
+// refuse counts, logs and sends a problem for a request that was not dispatched.
+func (c *call) refuse(prob *problem) {
+	counters.Add(string(prob.outcome), 1)
+	c.logRequest(dispatch.Result{Outcome: prob.outcome}, prob.err.Message())
+	prob.write(c.w, c.visibleID())
 }
 
-// run dispatches the request and answers.
+// run dispatches the request and sends the answer.
 func (c *call) run() {
-	if !c.req.Repeatable && !c.keyed {
-		c.makeKey()
+	if !c.req.Repeatable && !c.hasKey {
+		c.generateKey()
 	}
-	c.limitWrites()
+	c.setWriteDeadline()
 	sink := dispatch.Sink{}
 	if wantsStream(c.r) && c.req.Service == "" {
 		c.out = newStream(c.w, c.visibleID())
 		sink.Tokens = c.out.tokens
 	}
-	weight, priority := c.who.standing()
-	c.req.ID, c.req.Customer, c.req.Weight, c.req.Priority = c.id, c.who.name, weight, priority
-	c.req.Retry = c.who.retry
-	c.req.Large = c.srv.isLarge(c.now, c.who.name)
+	weight, priority := c.customer.weightAndPriority()
+	c.req.ID, c.req.Customer, c.req.Weight, c.req.Priority = c.id, c.customer.name, weight, priority
+	c.req.Retry = c.customer.withdrawRetry
+	c.req.Large = c.srv.isLarge(c.index, c.customer.name)
 	result := c.srv.dispatcher.Do(c.r.Context(), c.req, sink)
 	c.account(result)
 	c.answer(result)
 }
 
-// makeKey gives the request a key of this entry, so that the caller can ask
-// for its outcome. A key made now cannot be refused by age; where there is no
-// room for it, the request runs without.
-func (c *call) makeKey() {
+// generateKey assigns a once key owned by this entry to the request, so that the
+// caller can ask for its outcome later. A new key can't be refused for its age;
+// if the key table is full, the request runs without a key.
+func (c *call) generateKey() {
 	key := once.NewKey(c.srv.cfg.Self.GetIncarnation(), uuid.MustParse(c.id))
 	claim := once.Claim{Key: key, Hash: c.hash, Nonce: uuid.New()}
 	if c.srv.keys.Claim(c.srv.now(), claim).State != once.Granted {
 		return
 	}
-	c.key, c.keyed = key, true
-	c.ticket = &ticket{claim: claim}
+	c.key, c.hasKey = key, true
+	c.grant = &grant{claim: claim}
 }
 
-// limitWrites bounds how long a caller who does not read can hold the request.
-func (c *call) limitWrites() {
+// setWriteDeadline bounds how long a caller that doesn't read the answer can
+// keep the request open.
+func (c *call) setWriteDeadline() {
 	control := http.NewResponseController(c.w)
 	_ = control.SetWriteDeadline(c.req.Deadline.Add(writeGrace))
 }
 
 const writeGrace = time.Second
 
-// answer reports how it ended to the caller and to the key's owner. A key that
-// did not run is given back before the caller learns of it; one that ran is
-// settled afterwards, to save the caller the wait.
+// answer reports the result to the caller and to the key's owner. If the request
+// did not run, the key is released before the caller is told. If it ran, the key
+// is settled without making the caller wait for another process.
 func (c *call) answer(result dispatch.Result) {
 	defer func() { _ = http.NewResponseController(c.w).SetWriteDeadline(time.Time{}) }()
 	if result.Outcome != dispatch.Answered {
@@ -203,7 +212,7 @@
 		Outcome: dispatch.Answered, RequestID: c.visibleID(), Version: result.Version, Tokens: result.Tokens, Body: result.Body,
 	})
 	if err != nil {
-		c.srv.cfg.Log.Error("answer not encoded", "request", c.id, "error", err)
+		c.srv.cfg.Log.Error("cannot encode the answer", "request", c.id, "error", err)
 	}
 	c.settleLater(once.RunAnswered, raw)
 	if c.out != nil {
@@ -213,34 +222,36 @@
 	writeAnswer(c.w, raw)
 }
 
+// fail reports a result that is not an answer to the caller and to the key's
+// owner.
 func (c *call) fail(result dispatch.Result) {
-	refused := problemOf(result)
+	prob := problemFromResult(result)
 	if result.Outcome == dispatch.NotRun {
-		c.giveBack(refused)
+		c.releaseKey(prob)
 	} else {
 		c.settleLater(once.RunUnknown, nil)
 	}
 	if c.out != nil {
-		c.out.fail(refused)
+		c.out.fail(prob)
 		return
 	}
-	refused.write(c.w, c.visibleID())
+	prob.write(c.w, c.visibleID())
 }
 
-// settleLater settles a key in the background where that takes a call; a drain
-// waits for it.
+// settleLater settles the call's key, in the background if another process
+// granted it. A drain waits for that.
 func (c *call) settleLater(outcome once.Outcome, answer []byte) {
-	if c.ticket == nil {
+	if c.grant == nil {
 		return
 	}
 	ctx := context.WithoutCancel(c.r.Context())
-	if c.ticket.address == "" {
-		c.srv.settle(ctx, c.ticket, outcome, answer)
+	if c.grant.address == "" {
+		c.srv.settle(ctx, c.grant, outcome, answer)
 		return
 	}
-	c.srv.door.enter()
+	c.srv.tracker.add()
 	go func() {
-		defer c.srv.door.leave()
-		c.srv.settle(ctx, c.ticket, outcome, answer)
+		defer c.srv.tracker.done()
+		c.srv.settle(ctx, c.grant, outcome, answer)
 	}()
 }
--- a/entry/internal/callers/claims_test.go
+++ b/entry/internal/callers/claims_test.go
@@ -15,7 +15,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// publishHosts shows only these hosts to the entry.
+// publishHosts stores a new document and only the hosts of the reports in the
+// entry's view.
 func publishHosts(deployment *testDeployment, entry *testEntry, reports ...*wire.HostReport) {
 	snapshot, _ := entry.view.Load()
 	next := *snapshot
@@ -27,9 +28,9 @@
 	entry.view.Store(&next)
 }
 
-// Symptom: two prices on one lamp. The caller's library sends the same key
-// through two entries at once, over and over.
-func TestOneKeyThroughTwoEntriesAtOnce(t *testing.T) {
+// Guards against running one once key twice when a caller sends it through two
+// entries at the same time, many times.
+func TestConcurrentClaimsRunKeyOnce(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
 	entries := []*testEntry{deployment.addEntry("e1"), deployment.addEntry("e2")}
@@ -37,9 +38,9 @@
 	for round := range 20 {
 		key := newOnceKey(entries[round%2])
 		if round%3 == 0 {
-			key = uuid.Must(uuid.NewV7()).String() // claimed at the platform
+			key = uuid.Must(uuid.NewV7()).String() // no owner: claimed in the platform's store
 		}
-		before := len(agent.seen())
+		before := len(agent.recordedAttempts())
 		var senders sync.WaitGroup
 		for i := range 6 {
 			senders.Go(func() {
@@ -50,13 +51,15 @@
 			})
 		}
 		senders.Wait()
-		if got := len(agent.seen()) - before; got != 1 {
+		if got := len(agent.recordedAttempts()) - before; got != 1 {
 			t.Fatalf("round %d: got %d runs of one key, want 1", round, got)
 		}
 	}
 }
 
-func TestResentKeyGetsTheKeptAnswer(t *testing.T) {
+// A key that is sent again gets the stored answer through any entry and does not
+// run again; with another prompt it is refused as a conflict.
+func TestResentKeyGetsTheStoredAnswer(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("a", "notice"))
 	first, second := deployment.addEntry("e1"), deployment.addEntry("e2")
@@ -65,23 +68,23 @@
 	sent := second.request(t, change)
 	expect(t, sent, http.StatusOK, dispatch.Answered)
 	for first.srv.InFlight()+second.srv.InFlight() > 0 {
-		time.Sleep(time.Millisecond) // the settlement is under way
+		time.Sleep(time.Millisecond) // wait for the settlement in the background
 	}
 	again := first.request(t, change)
 	expect(t, again, http.StatusOK, dispatch.Answered)
 	if again.raw != sent.raw {
 		t.Errorf("got %s, want %s", again.raw, sent.raw)
 	}
-	if got := len(agent.seen()); got != 1 {
+	if got := len(agent.recordedAttempts()); got != 1 {
 		t.Errorf("got %d runs, want 1", got)
 	}
 	change["prompt"] = "another envelope"
 	expect(t, first.request(t, change), http.StatusConflict, dispatch.NotRun)
 }
 
-// Symptom: "notRun" for a request that ran. The owner of its key restarted and
-// remembers nothing; the caller sends the key again.
-func TestKeyOfAnOwnerThatIsGone(t *testing.T) {
+// Guards against answering "notRun" for a request that ran: the owner of its key
+// has restarted and lost its records when the caller sends the key again.
+func TestKeyOfUnknownOwner(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
@@ -89,14 +92,14 @@
 	gone := uuid.Must(uuid.NewV7()).String() + "." + uuid.Must(uuid.NewV7()).String()
 	got := entry.request(t, map[string]any{"repeatable": false, "key": gone})
 	expect(t, got, http.StatusBadGateway, dispatch.Unknown)
-	if got := len(agent.seen()); got != 0 {
+	if got := len(agent.recordedAttempts()); got != 0 {
 		t.Errorf("got %d runs, want 0", got)
 	}
 }
 
-// Symptom: the same notice runs again an hour later. The owner forgot the key
-// to stay within its memory; its age shows that it may have run.
-func TestKeyOfAnHourAgo(t *testing.T) {
+// Guards against running a key again after an hour, when its owner has dropped the
+// record to bound its memory. The key's age shows that it may have run before.
+func TestKeyPastTheHorizon(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
@@ -112,8 +115,8 @@
 	}
 }
 
-// Symptom: "notRun" for a request that ran. Its key has no owner, the
-// platform's service is down, and nobody knows whether it ran before.
+// Guards against answering "notRun" for a request that ran: its key has no owner,
+// and while the platform's store is down it can't be known whether it ran before.
 func TestKeyWithoutOwnerWhileTheServiceIsDown(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
@@ -123,19 +126,19 @@
 	expect(t, entry.request(t, change), http.StatusOK, dispatch.Answered)
 	swap := deployment.store.Swap
 	deployment.store.Swap = func(context.Context, string, []byte, uint64, string) (uint64, error) {
-		return 0, failure.New(failure.Unavailable, "the service is down", "wait")
+		return 0, failure.New(failure.Unavailable, "the store is down", "wait")
 	}
 	got := entry.request(t, change)
 	expect(t, got, http.StatusServiceUnavailable, dispatch.Unknown)
 	deployment.store.Swap = swap
 	expect(t, entry.request(t, change), http.StatusBadGateway, dispatch.Unknown)
-	if got := len(agent.seen()); got != 1 {
+	if got := len(agent.recordedAttempts()); got != 1 {
 		t.Errorf("got %d runs, want 1", got)
 	}
 }
 
-// Symptom: a request that nobody ran is answered unknown. The swap that claims
-// its key takes effect, but the reply is lost.
+// Guards against answering unknown for a request that never ran: the swap that
+// claims its key takes effect, but the reply is lost.
 func TestSwapWhoseReplyIsLost(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.addAgent("h1", answer("ok"))
@@ -155,11 +158,12 @@
 	expect(t, got, http.StatusOK, dispatch.Answered)
 }
 
-// Symptom: "notRun" for a request that ran, because a refusal came before the
-// look at its key: the customer is over its limit when the key is sent again.
+// Guards against answering "notRun" for a request that ran. The customer is over
+// its limit when the key is sent again, so checking the limit before the key
+// would refuse it.
 func TestKeyThatRanIsNotRefusedAsNotRun(t *testing.T) {
 	deployment := newTestDeployment(t)
-	deployment.limits = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
+	deployment.editCustomer = func(spec *wire.Customer) { spec.RequestsPerSecond = 1 }
 	deployment.addAgent("h1", answer("ok"))
 	entry := deployment.addEntry("e1")
 	deployment.publish()
@@ -169,10 +173,10 @@
 	expect(t, entry.request(t, change), http.StatusOK, dispatch.Answered)
 }
 
-// Symptom: after a rolling restart every key of the last hour is unknown. The
-// entry that owns a key shuts down; the key is sent again, and a new key that
-// names it comes from a caller who has not learned of the shutdown.
-func TestKeysOutliveAGracefulShutdown(t *testing.T) {
+// Guards against every key of the last hour being answered unknown after a rolling
+// restart. The entry that owns a key shuts down. The key is sent again, and a
+// caller that doesn't know of the shutdown sends a new key with the same owner.
+func TestKeysSurviveGracefulShutdown(t *testing.T) {
 	deployment := newTestDeployment(t)
 	agent := deployment.addAgent("h1", answer("ok"))
 	entries := []*testEntry{deployment.addEntry("e1"), deployment.addEntry("e2"), deployment.addEntry("e3")}
@@ -181,7 +185,7 @@
 	ran := map[string]any{"repeatable": false, "key": newOnceKey(owner)}
 	expect(t, entries[1].request(t, ran), http.StatusOK, dispatch.Answered)
 	for owner.srv.InFlight()+entries[1].srv.InFlight() > 0 {
-		time.Sleep(time.Millisecond) // the settlement is under way
+		time.Sleep(time.Millisecond) // wait for the settlement in the background
 	}
 	owner.srv.Drain(context.Background())
 	for _, entry := range entries[1:] {
@@ -189,7 +193,7 @@
 		fresh := map[string]any{"repeatable": false, "key": newOnceKey(owner)}
 		expect(t, entry.request(t, fresh), http.StatusOK, dispatch.Answered)
 	}
-	if got, want := len(agent.seen()), 3; got != want {
+	if got, want := len(agent.recordedAttempts()), 3; got != want {
 		t.Errorf("got %d runs, want %d", got, want)
 	}
 }
--- a/entry/internal/callers/deployment.go
+++ b/entry/internal/callers/deployment.go
@@ -12,7 +12,8 @@
 // keyHash is the SHA-256 of a bearer key.
 type keyHash [sha256.Size]byte
 
-// deployment is what the request path needs of one document.
+// deployment holds the parts of one document that are needed to handle requests,
+// indexed for lookups.
 type deployment struct {
 	document  *wire.Document // nil while none is in force
 	customers map[keyHash]*customer
@@ -21,7 +22,9 @@
 	classes   map[string]*wire.EndpointClass
 }
 
-func newDeployment(document *wire.Document, known *customers) *deployment {
+// newDeployment indexes the document. The customers' state is taken from states,
+// which outlives documents.
+func newDeployment(document *wire.Document, states *customers) *deployment {
 	built := &deployment{
 		document:  document,
 		customers: make(map[keyHash]*customer),
@@ -39,37 +42,41 @@
 		built.classes[class.GetName()] = class
 	}
 	for _, spec := range document.GetCustomers() {
-		built.addCustomer(known.take(spec), spec)
+		built.addCustomer(states.upsert(spec), spec)
 	}
 	return built
 }
 
-func (h *deployment) addCustomer(state *customer, spec *wire.Customer) {
+// addCustomer adds the customer under each of its key hashes.
+func (d *deployment) addCustomer(state *customer, spec *wire.Customer) {
 	for _, text := range spec.GetKeyHashes() {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != sha256.Size {
-			continue // the document's checks refuse such a hash
+			continue // can't happen: document validation rejects it
 		}
-		h.customers[keyHash(raw)] = state
+		d.customers[keyHash(raw)] = state
 	}
 }
 
-// deadline returns the time that a request gets.
-func (h *deployment) deadline(askedMillis int64) time.Duration {
-	limits := h.document.GetDeadlines()
-	longest := min(maxDeadline, orElse(limits.GetMaxRequest().AsDuration(), maxDeadline))
-	asked := time.Duration(askedMillis) * time.Millisecond
-	if asked <= 0 {
-		asked = orElse(limits.GetDefaultRequest().AsDuration(), defaultDeadline)
+// deadline returns how long a request may take: the time that the caller asked
+// for or the default, limited by the document's maximum and by maxDeadline.
+func (d *deployment) deadline(askedMillis int64) time.Duration {
+	limits := d.document.GetDeadlines()
+	longest := min(maxDeadline, orDefault(limits.GetMaxRequest().AsDuration(), maxDeadline))
+	requested := time.Duration(askedMillis) * time.Millisecond
+	if requested <= 0 {
+		requested = orDefault(limits.GetDefaultRequest().AsDuration(), defaultDeadline)
 	}
-	return min(asked, longest)
+	return min(requested, longest)
 }
 
-func orElse(value, other time.Duration) time.Duration {
+// orDefault returns value if it is positive, otherwise fallback.
+func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
 	}
-	return other
+	return fallback
 }
 
+// allows reports whether the customer is on the list of customers.
 func allows(customers []string, name string) bool { return slices.Contains(customers, name) }
--- a/entry/internal/callers/harness_test.go
+++ b/entry/internal/callers/harness_test.go
@@ -36,12 +36,12 @@
 	testVersion  = "v1"
 )
 
-// fakeAgent is an agent whose answers a test scripts.
+// fakeAgent is an agent that records attempts and answers them with run.
 type fakeAgent struct {
 	wire.DRPCHostUnimplementedServer
 	node *wire.Node
 	run  func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error
-	// cancelState answers Cancel.
+	// cancelState is the state that Cancel replies.
 	cancelState string
 
 	mu       sync.Mutex
@@ -56,19 +56,21 @@
 	return a.run(att, stream)
 }
 
-func (a *fakeAgent) Cancel(_ context.Context, ask *wire.CancelRequest) (*wire.CancelReply, error) {
+func (a *fakeAgent) Cancel(_ context.Context, req *wire.CancelRequest) (*wire.CancelReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cancels = append(a.cancels, ask)
+	a.cancels = append(a.cancels, req)
 	return &wire.CancelReply{State: a.cancelState}, nil
 }
 
-func (a *fakeAgent) seen() []*wire.Attempt {
+// recordedAttempts returns the attempts that the agent has received.
+func (a *fakeAgent) recordedAttempts() []*wire.Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]*wire.Attempt(nil), a.attempts...)
 }
 
+// report returns the host's report: it serves testVersion of the model with 8 slots.
 func (a *fakeAgent) report() *wire.HostReport {
 	return &wire.HostReport{
 		Node:     a.node,
@@ -78,7 +80,7 @@
 	}
 }
 
-// frames sends frames of one attempt.
+// frames sends the frames of one attempt, numbered in sequence.
 type frames struct {
 	att    *wire.Attempt
 	stream wire.DRPCHost_RunStream
@@ -91,7 +93,8 @@
 	return f.stream.Send(frame)
 }
 
-// answer sends a whole answer of the words.
+// answer returns a run function that sends a complete answer with the words as
+// tokens, except those that the attempt resumes after.
 func answer(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
@@ -104,7 +107,7 @@
 	}
 }
 
-// refuse refuses every attempt.
+// refuse returns a run function that refuses the attempt.
 func refuse(reason string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
@@ -112,8 +115,9 @@
 	}
 }
 
-// cut begins, sends the words and breaks the stream off.
-func cut(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
+// breakOff returns a run function that sends the words and then fails without an
+// end frame.
+func breakOff(words ...string) func(*wire.Attempt, wire.DRPCHost_RunStream) error {
 	return func(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		out := &frames{att: att, stream: stream}
 		_ = out.send(&wire.Frame{Kind: "begin", Version: att.GetVersion()})
@@ -124,15 +128,15 @@
 	}
 }
 
-// testDeployment is a deployment of fake agents and real Servers, on loopback.
+// testDeployment is a deployment of fake agents and real Servers on loopback.
 type testDeployment struct {
-	t       testing.TB
-	agents  []*fakeAgent
-	entries []*testEntry
-	store   *kv.Store
-	clock   clockwork.Clock
-	model   *wire.Model
-	limits  func(*wire.Customer)
+	t            testing.TB
+	agents       []*fakeAgent
+	entries      []*testEntry
+	store        *kv.Store
+	clock        clockwork.Clock
+	model        *wire.Model
+	editCustomer func(*wire.Customer)
 }
 
 type testEntry struct {
@@ -150,26 +154,28 @@
 	}
 }
 
-func (h *testDeployment) addAgent(id string, run func(*wire.Attempt, wire.DRPCHost_RunStream) error) *fakeAgent {
+// addAgent adds a host whose agent handles attempts with run.
+func (d *testDeployment) addAgent(id string, run func(*wire.Attempt, wire.DRPCHost_RunStream) error) *fakeAgent {
 	agent := &fakeAgent{run: run, cancelState: "neverBegun"}
-	address := h.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterHost(mux, agent) })
+	address := d.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterHost(mux, agent) })
 	agent.node = &wire.Node{
 		Id: id, Incarnation: uuid.Must(uuid.NewV7()).String(), Role: "agent",
 		Region: "gt", FailureDomain: "zona-uno", ControlAddress: address,
 	}
-	h.agents = append(h.agents, agent)
+	d.agents = append(d.agents, agent)
 	return agent
 }
 
-func (h *testDeployment) serve(register func(*drpcmux.Mux) error) string {
-	h.t.Helper()
+// serve starts a DRPC server on loopback and returns its address.
+func (d *testDeployment) serve(register func(*drpcmux.Mux) error) string {
+	d.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		h.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	mux := drpcmux.New()
 	if err := register(mux); err != nil {
-		h.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -177,59 +183,62 @@
 		defer close(done)
 		_ = peer.Serve(ctx, lis, nil, mux, slog.New(slog.DiscardHandler))
 	}()
-	h.t.Cleanup(func() { cancel(); <-done })
+	d.t.Cleanup(func() { cancel(); <-done })
 	return lis.Addr().String()
 }
 
-// controlOf serves only the claims of an entry.
-type controlOf struct {
+// controlServer serves only the once-key methods of an entry's control API.
+type controlServer struct {
 	wire.DRPCControlUnimplementedServer
 	srv *Server
 }
 
-func (c *controlOf) Claim(ctx context.Context, ask *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	return c.srv.Claim(ctx, ask)
+func (c *controlServer) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
+	return c.srv.Claim(ctx, req)
 }
 
-func (c *controlOf) Settle(ctx context.Context, ask *wire.SettleRequest) (*wire.SettleReply, error) {
-	return c.srv.Settle(ctx, ask)
+func (c *controlServer) Settle(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
+	return c.srv.Settle(ctx, req)
 }
 
-func (h *testDeployment) addEntry(id string) *testEntry {
+// addEntry adds an entry that serves callers and other entries.
+func (d *testDeployment) addEntry(id string) *testEntry {
 	entry := &testEntry{view: view.NewHolder()}
 	router := chi.NewRouter()
 	entry.http = httptest.NewServer(router)
-	h.t.Cleanup(entry.http.Close)
+	d.t.Cleanup(entry.http.Close)
 	entry.node = &wire.Node{
 		Id: id, Incarnation: uuid.Must(uuid.NewV7()).String(), Role: "entry",
 		Region: "gt", FailureDomain: "zona-uno",
 		CallersAddress: strings.TrimPrefix(entry.http.URL, "http://"),
 	}
-	control := &controlOf{}
-	entry.node.ControlAddress = h.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterControl(mux, control) })
+	control := &controlServer{}
+	entry.node.ControlAddress = d.serve(func(mux *drpcmux.Mux) error { return wire.DRPCRegisterControl(mux, control) })
 	pool := peer.NewPool(nil)
-	h.t.Cleanup(func() { _ = pool.Close() })
+	d.t.Cleanup(func() { _ = pool.Close() })
 	entry.srv = New(Config{
-		Self: entry.node, View: entry.view, Pool: pool, Store: h.store, Clock: h.clock,
+		Self: entry.node, View: entry.view, Pool: pool, Store: d.store, Clock: d.clock,
 		Log: slog.New(slog.DiscardHandler), Seed: 1, PanicOnBug: true,
 	})
 	control.srv = entry.srv
 	entry.srv.Routes(router)
-	h.entries = append(h.entries, entry)
+	d.entries = append(d.entries, entry)
 	return entry
 }
 
-func (h *testDeployment) document() *wire.Document {
+// document returns a document with one model, one service and two customers, of
+// which only testCustomer may use them.
+func (d *testDeployment) document() *wire.Document {
 	sum := func(key string) string {
 		hash := sha256.Sum256([]byte(key))
 		return hex.EncodeToString(hash[:])
 	}
 	quetzal := &wire.Customer{Name: testCustomer, KeyHashes: []string{sum(testKey)}}
-	if h.limits != nil {
-		h.limits(quetzal)
+	if d.editCustomer != nil {
+		d.editCustomer(quetzal)
 	}
 	return &wire.Document{
-		Models:    []*wire.Model{h.model},
+		Models:    []*wire.Model{d.model},
 		Customers: []*wire.Customer{quetzal, {Name: "lindner", KeyHashes: []string{sum(otherKey)}}},
 		Endpoints: []*wire.EndpointClass{{Name: "bridge", Kind: "bridge"}},
 		Services:  []*wire.Service{{Name: "ledger", Endpoint: "bridge", Customers: []string{testCustomer}}},
@@ -237,23 +246,23 @@
 	}
 }
 
-// publish shows the deployment to every entry.
-func (h *testDeployment) publish() {
-	document := h.document()
+// publish stores all hosts and entries in the view of every entry.
+func (d *testDeployment) publish() {
+	document := d.document()
 	var hosts []view.Host
-	for _, agent := range h.agents {
-		hosts = append(hosts, view.NewHost(agent.report(), h.clock.Now(), false, false))
+	for _, agent := range d.agents {
+		hosts = append(hosts, view.NewHost(agent.report(), d.clock.Now(), false, false))
 	}
 	var entries []view.Peer
-	for _, entry := range h.entries {
-		entries = append(entries, view.NewPeer(&wire.EntryReport{Node: entry.node}, h.clock.Now(), false, false))
+	for _, entry := range d.entries {
+		entries = append(entries, view.NewPeer(&wire.EntryReport{Node: entry.node}, d.clock.Now(), false, false))
 	}
-	for _, entry := range h.entries {
+	for _, entry := range d.entries {
 		entry.view.Store(&view.Snapshot{Revision: 1, PlanRevision: 1, Document: document, Hosts: hosts, Entries: entries})
 	}
 }
 
-// reply is what a caller got.
+// reply is the response to a caller, decoded both as an answer and as an error.
 type reply struct {
 	status int
 	raw    string
@@ -261,8 +270,9 @@
 	failed errorBody
 }
 
-// body is a request on the model; change adjusts its fields.
-func body(change map[string]any) map[string]any {
+// requestFields returns the body of a request to the model; change overrides its
+// fields.
+func requestFields(change map[string]any) map[string]any {
 	fields := map[string]any{"model": "parcel", "prompt": "Envelope 7", "maxTokens": 8, "repeatable": true}
 	for name, value := range change {
 		fields[name] = value
@@ -270,21 +280,22 @@
 	return fields
 }
 
+// post sends a request with testKey; header holds pairs of name and value.
 func (e *testEntry) post(t testing.TB, path string, fields map[string]any, header ...string) reply {
 	t.Helper()
 	raw, err := json.Marshal(fields)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask, err := http.NewRequest(http.MethodPost, e.http.URL+path, bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPost, e.http.URL+path, bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask.Header.Set("Authorization", "Bearer "+testKey)
+	req.Header.Set("Authorization", "Bearer "+testKey)
 	for i := 0; i+1 < len(header); i += 2 {
-		ask.Header.Set(header[i], header[i+1])
+		req.Header.Set(header[i], header[i+1])
 	}
-	got, err := http.DefaultClient.Do(ask)
+	got, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,16 +310,18 @@
 	return result
 }
 
+// request sends a request to the model; see requestFields and post.
 func (e *testEntry) request(t testing.TB, change map[string]any, header ...string) reply {
 	t.Helper()
-	return e.post(t, "/v1/requests", body(change), header...)
+	return e.post(t, "/v1/requests", requestFields(change), header...)
 }
 
-// newOnceKey makes a key that the entry owns.
+// newOnceKey makes a once key that the entry owns.
 func newOnceKey(owner *testEntry) string {
 	return owner.node.GetIncarnation() + "." + uuid.Must(uuid.NewV7()).String()
 }
 
+// expect fails the test unless the reply has the status and the outcome.
 func expect(t testing.TB, got reply, status int, outcome dispatch.Outcome) {
 	t.Helper()
 	if got.status != status || got.answer.Outcome != outcome {
--- a/entry/internal/callers/headers_test.go
+++ b/entry/internal/callers/headers_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// FuzzHeaders sends requests with any headers: nothing panics, nobody is answered
-// without a customer's key, and each refusal bears an outcome and a
-// remedy.
+// FuzzHeaders sends requests with arbitrary headers. It checks that nothing panics,
+// that no request without a customer's key is answered, and that each refusal has
+// an outcome and a remedy.
 func FuzzHeaders(f *testing.F) {
 	good := `{"model":"parcel","prompt":"Envelope 7","maxTokens":2,"repeatable":true}`
 	once := `{"model":"parcel","prompt":"Envelope 7","maxTokens":2,"repeatable":false}`
@@ -43,18 +43,19 @@
 	handler := entry.http.Config.Handler
 	f.Fuzz(func(t *testing.T, header string, body []byte) {
 		for _, path := range []string{"/v1/requests", "/v1/services/ledger", "/v1/entries"} {
-			ask := readRequest(path, header, body)
-			if ask == nil {
-				return // net/http refuses it
+			req := readRequest(path, header, body)
+			if req == nil {
+				return // net/http rejects it
 			}
 			got := httptest.NewRecorder()
-			handler.ServeHTTP(got, ask)
-			checkReply(t, path, ask, got)
+			handler.ServeHTTP(got, req)
+			checkReply(t, path, req, got)
 		}
 	})
 }
 
-// readRequest reads what a caller would send; nil where it is no HTTP.
+// readRequest parses the HTTP request that a caller would send; it returns nil if
+// it is not valid HTTP.
 func readRequest(path, header string, body []byte) *http.Request {
 	method := http.MethodPost
 	if path == "/v1/entries" {
@@ -67,17 +68,19 @@
 	}
 	raw.WriteString(header + "\r\n")
 	raw.Write(body)
-	ask, err := http.ReadRequest(bufio.NewReader(raw))
+	req, err := http.ReadRequest(bufio.NewReader(raw))
 	if err != nil {
 		return nil
 	}
-	ask.RemoteAddr = "127.0.0.1:1"
-	return ask
+	req.RemoteAddr = "127.0.0.1:1"
+	return req
 }
 
-func checkReply(t *testing.T, path string, ask *http.Request, got *httptest.ResponseRecorder) {
+// checkReply checks that only authenticated requests are answered, and that a
+// refusal is complete.
+func checkReply(t *testing.T, path string, req *http.Request, got *httptest.ResponseRecorder) {
 	t.Helper()
-	key := ask.Header.Get("Authorization")
+	key := req.Header.Get("Authorization")
 	if got.Code == http.StatusOK {
 		if key != "Bearer "+testKey && (key != "Bearer "+otherKey || path != "/v1/entries") {
 			t.Errorf("%s: got an answer for %q, want it refused", path, key)
--- a/entry/internal/callers/index.go
+++ b/entry/internal/callers/index.go
@@ -9,32 +9,35 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// indexInterval is how often at most an index is made for new reports alone.
+// indexInterval is the shortest time between two rebuilds of the index when only
+// reports changed. A new document or plan causes a rebuild at once.
 const indexInterval = 10 * time.Millisecond
 
-// Prefixes of the lanes' names.
+// Prefixes of lane names. A lane is the dispatcher's queue and set of hosts for
+// one model or service.
 const (
 	modelLane   = "model/"
 	serviceLane = "service/"
 )
 
-// stateServing is the VersionState of a host that answers.
+// stateServing is the state of a version that a host serves.
 const stateServing = "serving"
 
-// index is one snapshot of the view, arranged for the request path. It is
-// immutable.
+// index holds one snapshot of the view, prepared for fast lookups while requests
+// are handled. It is immutable.
 type index struct {
-	snapshot   *view.Snapshot
-	deployment *deployment
-	builtAt    time.Time
-	versions   map[string][]string   // that may serve, by model
-	live       []*wire.Node          // entries that are not lost, draining ones included
-	owners     map[string]*wire.Node // all entries by incarnation
-	entries    []directory.Entry     // that callers may be sent to
-	reports    []*wire.EntryReport   // of the entries that are not lost
+	snapshot        *view.Snapshot
+	deployment      *deployment
+	builtAt         time.Time
+	allowedVersions map[string][]string   // versions that may serve, by model
+	live            []*wire.Node          // entries that are not lost, including draining ones
+	byIncarnation   map[string]*wire.Node // all entries by incarnation
+	entries         []directory.Entry     // entries that callers may be directed to
+	reports         []*wire.EntryReport   // reports of the entries that are not lost
 }
 
-// index returns the arranged view, and brings it and the lanes up to date.
+// index returns the current index. If the index is outdated, it first rebuilds it
+// and updates the dispatcher's lanes, unless another goroutine is doing so.
 func (s *Server) index() *index {
 	snapshot, _ := s.cfg.View.Load()
 	current := s.current.Load()
@@ -42,35 +45,38 @@
 		return current
 	}
 	if current == nil {
-		s.rebuild.Lock()
-	} else if !s.rebuild.TryLock() {
-		return current // somebody else is at it
+		s.rebuildMu.Lock()
+	} else if !s.rebuildMu.TryLock() {
+		return current // another goroutine is rebuilding it
 	}
-	defer s.rebuild.Unlock()
+	defer s.rebuildMu.Unlock()
 	current = s.current.Load()
 	if current != nil && current.snapshot == snapshot {
 		return current
 	}
-	next := s.build(current, snapshot)
+	next := s.buildIndex(current, snapshot)
 	s.current.Store(next)
 	s.updateLanes(next)
 	return next
 }
 
+// outdated reports whether the index must be rebuilt for the snapshot.
 func (s *Server) outdated(current *index, snapshot *view.Snapshot) bool {
 	if current.snapshot == snapshot {
 		return false
 	}
-	sameOrders := current.snapshot.Document == snapshot.Document && current.snapshot.Plan == snapshot.Plan
-	return !sameOrders || s.cfg.Clock.Since(current.builtAt) >= indexInterval
+	sameInputs := current.snapshot.Document == snapshot.Document && current.snapshot.Plan == snapshot.Plan
+	return !sameInputs || s.cfg.Clock.Since(current.builtAt) >= indexInterval
 }
 
-func (s *Server) build(previous *index, snapshot *view.Snapshot) *index {
+// buildIndex makes the index of a snapshot. It reuses what was derived from the
+// document if that has not changed. The caller holds rebuildMu.
+func (s *Server) buildIndex(previous *index, snapshot *view.Snapshot) *index {
 	next := &index{
-		snapshot: snapshot,
-		builtAt:  s.cfg.Clock.Now(),
-		versions: make(map[string][]string),
-		owners:   make(map[string]*wire.Node),
+		snapshot:        snapshot,
+		builtAt:         s.cfg.Clock.Now(),
+		allowedVersions: make(map[string][]string),
+		byIncarnation:   make(map[string]*wire.Node),
 	}
 	if previous != nil && previous.snapshot.Document == snapshot.Document {
 		next.deployment = previous.deployment
@@ -79,16 +85,17 @@
 	}
 	next.addEntries(snapshot.Entries)
 	for name, model := range next.deployment.models {
-		next.versions[name] = s.allowed(model, snapshot)
+		next.allowedVersions[name] = s.allowedVersions(model, snapshot)
 	}
 	return next
 }
 
+// addEntries fills the fields that describe the entries.
 func (x *index) addEntries(peers []view.Peer) {
 	for _, peer := range peers {
 		report := peer.Report()
 		node := report.GetNode()
-		x.owners[node.GetIncarnation()] = node
+		x.byIncarnation[node.GetIncarnation()] = node
 		if peer.Lost() {
 			continue
 		}
@@ -108,48 +115,50 @@
 	}
 }
 
-// allowed returns the versions that may serve the model now.
-func (s *Server) allowed(model *wire.Model, snapshot *view.Snapshot) []string {
+// allowedVersions returns the versions that may serve the model now. The caller
+// holds rebuildMu.
+func (s *Server) allowedVersions(model *wire.Model, snapshot *view.Snapshot) []string {
 	shift := s.shifts[model.GetName()]
 	if shift == nil {
 		shift = route.NewShift()
 		s.shifts[model.GetName()] = shift
 	}
-	serving := make(map[string]string) // version by host
-	gone := make(map[string]bool)      // hosts that are not there to wait for
+	serving := make(map[string]string)   // version served, by host
+	unavailable := make(map[string]bool) // lost or leaving hosts, which a rollout doesn't wait for
 	for _, host := range snapshot.Hosts {
 		id := host.Report().GetNode().GetId()
 		if host.Lost() || host.Leaving() {
-			gone[id] = true
+			unavailable[id] = true
 		}
 		if state := servingState(host, model.GetName()); state != nil {
 			serving[id] = state.GetVersion()
 		}
 	}
 	planned := 0
-	turned := 0
+	ready := 0
 	for _, assignment := range snapshot.Plan.GetAssignments() {
 		if assignment.GetModel() != model.GetName() || assignment.GetVersion() != model.GetVersion() {
 			continue
 		}
-		if gone[assignment.GetHost()] {
+		if unavailable[assignment.GetHost()] {
 			continue
 		}
 		planned++
 		if serving[assignment.GetHost()] == model.GetVersion() {
-			turned++
+			ready++
 		}
 	}
 	return shift.Allowed(route.Roll{
 		Target:    model.GetVersion(),
 		WhenWhole: model.GetShift() == "whenWhole",
 		Serving:   serving,
-		Whole:     planned > 0 && turned == planned,
+		Whole:     planned > 0 && ready == planned,
 	})
 }
 
-// servingState returns the state of the model's version on a host that may get
-// work; nil where it serves none.
+// servingState returns the state of the version of the model that the host
+// serves. It returns nil if the host serves none, or may not get requests because
+// it is lost or leaving.
 func servingState(host view.Host, model string) *wire.VersionState {
 	if host.Leaving() || host.Lost() || host.Report().GetLeaving() {
 		return nil
@@ -162,8 +171,9 @@
 	return nil
 }
 
-// updateLanes gives every lane its hosts. A lane whose model or service left
-// the document gets none.
+// updateLanes sets the hosts of every lane in the dispatcher. A lane whose model
+// or service was removed from the document gets no hosts. The caller holds
+// rebuildMu.
 func (s *Server) updateLanes(next *index) {
 	lanes := make(map[string]bool)
 	entries := len(next.entries)
@@ -183,6 +193,8 @@
 	s.lanes = lanes
 }
 
+// modelHosts returns the hosts that serve the model, with their versions and
+// adapters.
 func modelHosts(snapshot *view.Snapshot, model *wire.Model) []route.Host {
 	var hosts []route.Host
 	for _, host := range snapshot.Hosts {
@@ -197,13 +209,14 @@
 		}
 		hosts = append(hosts, serving)
 	}
-	keepIntendedAdapters(hosts, model)
+	dropReplacedAdapters(hosts, model)
 	return hosts
 }
 
-// keepIntendedAdapters takes those adapters away that the document replaced on
-// the same base version, once a host serves the replacement.
-func keepIntendedAdapters(hosts []route.Host, model *wire.Model) {
+// dropReplacedAdapters removes the adapter versions that the document has
+// replaced, on hosts that serve the document's version of the model. An adapter is
+// dropped only once some host serves its replacement.
+func dropReplacedAdapters(hosts []route.Host, model *wire.Model) {
 	for _, intended := range model.GetAdapters() {
 		want := route.Adapter{Name: intended.GetName(), Version: intended.GetVersion()}
 		if !anyServes(hosts, want) {
@@ -211,12 +224,13 @@
 		}
 		for i := range hosts {
 			if hosts[i].Version == model.GetVersion() {
-				hosts[i].Adapters = withoutOthers(hosts[i].Adapters, want)
+				hosts[i].Adapters = withoutOtherVersions(hosts[i].Adapters, want)
 			}
 		}
 	}
 }
 
+// anyServes reports whether any of the hosts serves the adapter.
 func anyServes(hosts []route.Host, want route.Adapter) bool {
 	for _, host := range hosts {
 		for _, adapter := range host.Adapters {
@@ -228,7 +242,9 @@
 	return false
 }
 
-func withoutOthers(adapters []route.Adapter, want route.Adapter) []route.Adapter {
+// withoutOtherVersions returns the adapters without those that have the name of
+// want but another version.
+func withoutOtherVersions(adapters []route.Adapter, want route.Adapter) []route.Adapter {
 	var kept []route.Adapter
 	for _, adapter := range adapters {
 		if adapter.Name != want.Name || adapter == want {
@@ -238,6 +254,7 @@
 	return kept
 }
 
+// serviceHosts returns the hosts that serve the plain service.
 func serviceHosts(snapshot *view.Snapshot, name string) []route.Host {
 	var hosts []route.Host
 	for _, host := range snapshot.Hosts {
@@ -249,6 +266,7 @@
 	return hosts
 }
 
+// routeHost converts a host of the view to the form that routing uses.
 func routeHost(host view.Host) route.Host {
 	report := host.Report()
 	node := report.GetNode()
