--- a/entry/internal/gateway/admit.go
+++ b/entry/internal/gateway/admit.go
@@ -11,7 +11,7 @@
 )
 
 // timing sets when the answer is due and what decides whether it can be in time.
-func (x *exchange) timing() {
+func (x *exchange) initAdmission() {
 	x.adm = admission.Request{
 		Engine: x.engine(), Target: x.route.Target, Gap: x.route.Gap, Prompt: x.req.Prompt, Priority: x.route.Priority,
 		Returned: x.gateway.callers.Returned(x.route.Name, x.req.Deadline), Arrived: x.arrived,
@@ -21,100 +21,100 @@
 
 // line holds the requests that wait for a place at one service. Only its head is notified of
 // room, so that a state of an engine wakes one request and not all.
-type line struct {
+type waitQueue struct {
 	clock func() time.Time
 
-	mu    sync.Mutex
-	line  admission.Line
-	turns map[*admission.Request]chan struct{} // closed where it is one's turn to look
+	mu      sync.Mutex
+	order   admission.Line
+	wakeups map[*admission.Request]chan struct{} // closed where it is one's turn to look
 }
 
-func (g *Gateway) line(service string) *line {
+func (g *Gateway) waitQueue(service string) *waitQueue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.lines[service]
-	if l == nil {
-		l = &line{clock: g.cfg.Clock.Now, turns: map[*admission.Request]chan struct{}{}}
-		g.lines[service] = l
+	q := g.waitQueues[service]
+	if q == nil {
+		q = &waitQueue{clock: g.cfg.Clock.Now, wakeups: map[*admission.Request]chan struct{}{}}
+		g.waitQueues[service] = q
 	}
-	return l
+	return q
 }
 
 // enter adds a request that found no place.
-func (l *line) enter(req *admission.Request) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.line.Enter(l.clock(), req)
-	l.turns[req] = make(chan struct{}, 1)
-	if l.line.Len() > 1 && l.line.Head(l.clock()) == req {
-		l.call() // it goes before those who looked in vain
+func (q *waitQueue) add(req *admission.Request) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.order.Enter(q.clock(), req)
+	q.wakeups[req] = make(chan struct{}, 1)
+	if q.order.Len() > 1 && q.order.Head(q.clock()) == req {
+		q.wakeHead() // it goes before those who looked in vain
 	}
 }
 
 // leave takes a request out and lets the next one look.
-func (l *line) leave(req *admission.Request) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.line.Leave(req)
-	delete(l.turns, req)
-	l.call()
+func (q *waitQueue) remove(req *admission.Request) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.order.Leave(req)
+	delete(q.wakeups, req)
+	q.wakeHead()
 }
 
 // call notifies the head that it is its turn; l.mu is held.
-func (l *line) call() {
-	head := l.line.Head(l.clock())
+func (q *waitQueue) wakeHead() {
+	head := q.order.Head(q.clock())
 	if head == nil {
 		return
 	}
 	select {
-	case l.turns[head] <- struct{}{}:
+	case q.wakeups[head] <- struct{}{}:
 	default:
 	}
 }
 
 // first reports whether nobody waits before the request. One that does not wait yet is
 // first only where nobody does.
-func (l *line) first(req *admission.Request) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	head := l.line.Head(l.clock())
+func (q *waitQueue) isNext(req *admission.Request) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	head := q.order.Head(q.clock())
 	return head == nil || head == req
 }
 
 // turn returns what the request waits for: its turn where others go first, and until
 // when the order stands.
-func (l *line) turn(req *admission.Request) (turn <-chan struct{}, first bool, changesAt time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	head := l.line.Head(l.clock())
+func (q *waitQueue) status(req *admission.Request) (wakeup <-chan struct{}, isHead bool, changesAt time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	head := q.order.Head(q.clock())
 	if head != req {
-		l.call()
+		q.wakeHead()
 	}
-	return l.turns[req], head == req, l.line.ChangesAt()
+	return q.wakeups[req], head == req, q.order.ChangesAt()
 }
 
 // ahead returns how many wait before the request.
-func (l *line) ahead(req *admission.Request) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.line.Ahead(l.clock(), req)
+func (q *waitQueue) ahead(req *admission.Request) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.order.Ahead(q.clock(), req)
 }
 
-func (l *line) length() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.line.Len()
+func (q *waitQueue) length() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.order.Len()
 }
 
 // need says which endpoint the request needs.
 func (x *exchange) need() fleet.Need {
 	g := x.gateway
 	need := x.adm.Need(g.cfg.Clock.Now(), x.req.Model, g.cfg.Domain, g.cfg.Entries())
-	need.Exclude = x.tries
+	need.Exclude = x.tried
 	if x.adm.Engine != nil {
-		need.Last = !x.route.Repeatable() || !x.attemptsLeft(x.runs+1)
-		need.Floor = g.floor(x.req.Model)
-		need.SoonFloor = g.cfg.State.Floor(x.req.Model, g.cfg.Bounds().Version-soonMargin)
+		need.Last = !x.route.Repeatable() || !x.attemptsLeft(x.attemptsUsed+1)
+		need.Floor = g.minVersion(x.req.Model)
+		need.SoonFloor = g.cfg.State.Floor(x.req.Model, g.cfg.Bounds().Version-nextMinVersionMargin)
 		need.Ends = g.cfg.State.Ends(x.req.Model, need.SoonFloor, g.cfg.Bounds().Version)
 		want, _ := g.cfg.State.WantedOf(x.req.Model)
 		need.Wanted = want.Version
@@ -124,15 +124,15 @@
 
 // floorMargin is the part of a version's time after which only endpoints that
 // have it are chosen: the rest is for requests on their way and for clocks.
-const floorMargin = 1200 * time.Millisecond
+const minVersionMargin = 1200 * time.Millisecond
 
 // soonMargin is the part of a version's time after which engines that have an
 // older one get only what they begin at once.
-const soonMargin = 2500 * time.Millisecond
+const nextMinVersionMargin = 2500 * time.Millisecond
 
 // floor returns the lowest version of a model that may still serve.
-func (g *Gateway) floor(model string) uint64 {
-	return g.cfg.State.Floor(model, g.cfg.Bounds().Version-floorMargin)
+func (g *Gateway) minVersion(model string) uint64 {
+	return g.cfg.State.Floor(model, g.cfg.Bounds().Version-minVersionMargin)
 }
 
 func (x *exchange) engine() *catalog.Engine {
@@ -145,28 +145,28 @@
 
 // place waits for an endpoint with room. Where none comes in time the refusal
 // says when to come back.
-func (x *exchange) place(ctx context.Context) (*fleet.Grant, *refusal) {
+func (x *exchange) acquireEndpoint(ctx context.Context) (*fleet.Grant, *refusal) {
 	if grant := x.reserved; grant != nil && grant.Good() {
 		x.reserved = nil
 		return grant, nil
 	}
-	x.release()
+	x.releaseReserved()
 	g := x.gateway
 	group := g.cfg.State.Fleet().Group(x.service)
-	queue := g.line(x.service)
+	queue := g.waitQueue(x.service)
 	until := x.adm.HoldUntil(g.cfg.Clock.Now())
 	waiting := false
 	defer func() {
 		if waiting {
-			queue.leave(&x.adm)
-			x.heldFor = g.cfg.Clock.Since(x.arrived)
+			queue.remove(&x.adm)
+			x.queuedFor = g.cfg.Clock.Since(x.arrived)
 		}
 	}()
 	verdict := fleet.Full
 	for {
 		changed := group.Changed()
 		need := x.need()
-		if queue.first(&x.adm) {
+		if queue.isNext(&x.adm) {
 			var grant *fleet.Grant
 			if grant, verdict = group.Pick(need); verdict == fleet.Granted {
 				return grant, nil
@@ -174,22 +174,22 @@
 		}
 		if !waiting {
 			waiting = true
-			queue.enter(&x.adm)
+			queue.add(&x.adm)
 		}
-		if refused := x.unservable(group, need, queue, until); refused != nil {
+		if refused := x.refuseBlocked(group, need, queue, until); refused != nil {
 			return nil, refused
 		}
 		draining := g.draining.Load() && !x.adm.Sent
 		if !g.cfg.Clock.Now().Before(until) || ctx.Err() != nil || draining {
-			return nil, x.noPlace(ctx, verdict, queue.length())
+			return nil, x.refuseNoRoom(ctx, verdict, queue.length())
 		}
-		x.wait(ctx, queue, changed, until)
+		x.waitForRoom(ctx, queue, changed, until)
 	}
 }
 
 // unservable refuses a request that its endpoints won't admit in time: their rate limits don't, or
 // they asked this entry for rest; nil: they may.
-func (x *exchange) unservable(group *fleet.Group, need fleet.Need, queue *line, until time.Time) *refusal {
+func (x *exchange) refuseBlocked(group *fleet.Group, need fleet.Need, queue *waitQueue, until time.Time) *refusal {
 	backlog, ok := group.Backlog(need, queue.ahead(&x.adm))
 	admitted := !x.gateway.cfg.Clock.Now().Add(backlog.Wait).After(until) && !backlog.Elsewhere && !backlog.Tried
 	if !ok || admitted {
@@ -199,18 +199,18 @@
 	if backlog.Rest {
 		reason = "endpoints ask for rest"
 	}
-	refused := x.notServed(reason, backlog.Wait)
+	refused := x.refuseUnserved(reason, backlog.Wait)
 	// A rest binds this entry alone.
-	refused.hangUp = backlog.Elsewhere || backlog.Rest
+	refused.closeConn = backlog.Elsewhere || backlog.Rest
 	return refused
 }
 
 // wait waits until the request should look for a place again: for its turn, and once it
 // is first for room.
-func (x *exchange) wait(ctx context.Context, queue *line, changed <-chan struct{}, until time.Time) {
+func (x *exchange) waitForRoom(ctx context.Context, queue *waitQueue, changed <-chan struct{}, until time.Time) {
 	clock := x.gateway.cfg.Clock
-	turn, first, changesAt := queue.turn(&x.adm)
-	if first {
+	wakeup, isHead, changesAt := queue.status(&x.adm)
+	if isHead {
 		until = earliest(until, changesAt, x.gateway.cfg.State.Fleet().Group(x.service).AdmitsAt())
 	} else {
 		changed = nil
@@ -219,7 +219,7 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-turn:
+	case <-wakeup:
 	case <-changed:
 	case <-timer.Chan():
 	}
@@ -236,13 +236,13 @@
 }
 
 // noPlace says why nobody took the request and when to come back.
-func (x *exchange) noPlace(ctx context.Context, verdict fleet.Verdict, waiting int) *refusal {
+func (x *exchange) refuseNoRoom(ctx context.Context, verdict fleet.Verdict, waiting int) *refusal {
 	if ctx.Err() != nil {
-		return x.overdue(ctx)
+		return x.refuseCanceled(ctx)
 	}
 	reason := "no endpoint serves this"
 	if verdict == fleet.Full {
 		reason = "all endpoints are full"
 	}
-	return x.notServed(reason, x.adm.ReturnAfter(verdict, waiting, x.gateway.cfg.Entries()))
+	return x.refuseUnserved(reason, x.adm.ReturnAfter(verdict, waiting, x.gateway.cfg.Entries()))
 }
--- a/entry/internal/gateway/inquest_test.go
+++ b/entry/internal/gateway/crashcheck_test.go
@@ -9,19 +9,19 @@
 )
 
 // output takes the gateway's log.
-type output struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (o *output) Write(text []byte) (int, error) {
+func (o *logBuffer) Write(text []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(text)
 }
 
 // line waits for a line that has all words and returns it.
-func (o *output) line(t *testing.T, words ...string) string {
+func (o *logBuffer) awaitLine(t *testing.T, words ...string) string {
 	t.Helper()
 	for range 2000 {
 		o.mu.Lock()
@@ -49,10 +49,10 @@
 
 // A connection that breaks does not say whether the endpoint ended; whether it still listens
 // does, and the log distinguishes the cases.
-func TestLogDistinguishesAnEndFromABrokenConnection(t *testing.T) {
+func TestLogDistinguishesEndedEndpointFromBrokenConnection(t *testing.T) {
 	ended, lives := newEndpoint(t, "i-ended", nil), newEndpoint(t, "i-lives", nil)
 	ended.mu.Lock()
-	ended.accepted = func() { _ = ended.listener.Close() }
+	ended.onAccept = func() { _ = ended.listener.Close() }
 	ended.mu.Unlock()
 	for _, one := range []struct {
 		end  *endpoint
@@ -60,22 +60,22 @@
 	}{{ended, "ended=true"}, {lives, "ended=false"}} {
 		h := newDeployment(t, one.end)
 		h.send(t, "/once/a", "key-1", "body").check(t, 502, "", true)
-		h.log.line(t, `msg="endpoint looked at"`, "endpoint="+one.end.id, one.want, "requests=[id-1]", "events=[0]")
+		h.log.awaitLine(t, `msg="endpoint looked at"`, "endpoint="+one.end.id, one.want, "requests=[id-1]", "events=[0]")
 	}
 }
 
 // Guards against requests that are held since endpoints which had said that they leave ended under
 // them: such an endpoint ends by itself.
-func TestEndOfAnEndpointThatLeftCountsAgainstNoRequest(t *testing.T) {
+func TestEndOfLeavingEndpointCountsAgainstNoRequest(t *testing.T) {
 	leaves := newEndpoint(t, "i-1", func(id string) []byte {
 		return []byte(strings.Replace(string(events(1, 2, true)(id)), "\r\n", "\r\nServer-Leaving: 1\r\n", 1))
 	})
 	leaves.mu.Lock()
-	leaves.accepted = func() { _ = leaves.listener.Close() }
+	leaves.onAccept = func() { _ = leaves.listener.Close() }
 	leaves.mu.Unlock()
 	h := newDeployment(t, leaves)
 	h.send(t, "/stream/a", "key-1", "body")
-	h.log.line(t, `msg="endpoint looked at"`, "endpoint=i-1", "ended=true", "left=true")
+	h.log.awaitLine(t, `msg="endpoint looked at"`, "endpoint=i-1", "ended=true", "left=true")
 	if _, ends := h.state.Ledger().Size(); ends != 0 {
 		t.Errorf("got %d ends that count, want none", ends)
 	}
@@ -91,7 +91,7 @@
 	h.send(t, "/safe/a?n=1", "key-1", "body")
 	prints := map[string]int{}
 	for _, id := range []string{"id-1", "id-2", "id-3", "id-4"} {
-		line := h.log.line(t, "msg=answered", "request="+id+" ")
+		line := h.log.awaitLine(t, "msg=answered", "request="+id+" ")
 		_, after, _ := strings.Cut(line, "print=")
 		prints[after]++
 	}
--- a/entry/internal/gateway/deployment_test.go
+++ b/entry/internal/gateway/deployment_test.go
@@ -36,9 +36,9 @@
 	listener net.Listener
 	mu       sync.Mutex
 	answers  []func(id string) []byte
-	seen     []*http.Request
+	received []*http.Request
 	// accepted is called with mu held for each connection; may be nil.
-	accepted func()
+	onAccept func()
 	resume   chan struct{} // closed where a paused answer goes on
 }
 
@@ -65,8 +65,8 @@
 func (e *endpoint) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	e.mu.Lock()
-	if e.accepted != nil {
-		e.accepted()
+	if e.onAccept != nil {
+		e.onAccept()
 	}
 	e.mu.Unlock()
 	reader := bufio.NewReader(conn)
@@ -106,19 +106,19 @@
 )
 
 func (e *endpoint) next(req *http.Request) []byte {
-	answer := e.take(req)
+	answer := e.nextAnswer(req)
 	if answer == nil {
 		return nil
 	}
 	return answer(req.Header.Get("X-Attempt-Id"))
 }
 
-func (e *endpoint) take(req *http.Request) func(id string) []byte {
+func (e *endpoint) nextAnswer(req *http.Request) func(id string) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen = append(e.seen, req)
+	e.received = append(e.received, req)
 	if len(e.answers) == 0 {
-		return whole("ok")
+		return complete("ok")
 	}
 	answer := e.answers[0]
 	e.answers = e.answers[1:]
@@ -128,14 +128,14 @@
 func (e *endpoint) requests() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]*http.Request(nil), e.seen...)
+	return append([]*http.Request(nil), e.received...)
 }
 
 func head(status int, id string, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\n%s", status, id, more)
 }
 
-func whole(body string) func(id string) []byte {
+func complete(body string) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(200, id, fmt.Sprintf("X-Server-Stamp: s-%s\r\nContent-Length: %d\r\n\r\n%s", body, len(body), body)))
 	}
@@ -153,18 +153,18 @@
 
 // events streams events first to last; torn leaves the last one's end away and
 // breaks off.
-func events(first, last int, torn bool) func(id string) []byte {
+func events(first, last int, truncated bool) func(id string) []byte {
 	return func(id string) []byte {
 		var out strings.Builder
 		out.WriteString(head(200, id, "X-Server-Stamp: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		for i := first; i <= last; i++ {
 			event := fmt.Sprintf("id: %d\ndata: token-%d\n\n", i, i)
-			if torn && i == last {
+			if truncated && i == last {
 				event = event[:len(event)-4]
 			}
 			fmt.Fprintf(&out, "%x\r\n%s\r\n", len(event), event)
 		}
-		if torn {
+		if truncated {
 			return []byte(out.String() + cutOff)
 		}
 		return []byte(out.String() + "0\r\n\r\n")
@@ -172,7 +172,7 @@
 }
 
 // pausing streams events first to last and pauses after one of them.
-func pausing(first, last, after int) func(id string) []byte {
+func pausingEvents(first, last, after int) func(id string) []byte {
 	return func(id string) []byte {
 		next := []byte(fmt.Sprintf("id: %d\n", after+1))
 		whole := events(first, last, false)(id)
@@ -183,20 +183,20 @@
 
 // deployment is a gateway before endpoints.
 type deployment struct {
-	clock *clockwork.FakeClock
-	now   time.Duration // of the freshness clock
+	clock        *clockwork.FakeClock
+	freshnessNow time.Duration // of the freshness clock
 	// asked is called when somebody asks for the age of what is known, before it is returned;
 	// may be nil.
-	asked   func()
-	state   *site.State
-	gateway *gateway.Gateway
-	log     *output
-	server  *httptest.Server
-	ids     int
+	onAgeRead func()
+	state     *site.State
+	gateway   *gateway.Gateway
+	log       *logBuffer
+	server    *httptest.Server
+	lastID    int
 	// freeze stops the clock: it moves on no more while requests wait for it.
-	freeze    context.CancelFunc
-	published chan site.Report // reports to other entries
-	slack     float64          // repeats beside their ratio
+	stopClock  context.CancelFunc
+	published  chan site.Report // reports to other entries
+	retrySlack float64          // repeats beside their ratio
 }
 
 var testRoutes = []catalog.Route{
@@ -209,12 +209,12 @@
 
 func newDeployment(t *testing.T, endpoints ...*endpoint) *deployment {
 	t.Helper()
-	h := &deployment{clock: clockwork.NewFakeClock(), log: &output{}, published: make(chan site.Report, 16), slack: 100}
+	h := &deployment{clock: clockwork.NewFakeClock(), log: &logBuffer{}, published: make(chan site.Report, 16), retrySlack: 100}
 	fresh := freshness.NewTracker(func() time.Duration {
-		if h.asked != nil {
-			h.asked()
+		if h.onAgeRead != nil {
+			h.onAgeRead()
 		}
-		return h.now
+		return h.freshnessNow
 	})
 	h.state = site.NewState(h.clock.Now, fleet.New(h.clock.Now), fresh)
 	spec := catalog.Spec{Version: 1, Services: []catalog.Service{{Name: "app"}}, Limits: catalog.Limits{BodyBytes: 100},
@@ -236,7 +236,7 @@
 		State: h.state, Pool: upstream.NewPool(time.Now), Wire: platform.Wire(), Clock: h.clock,
 		Log: slog.New(slog.NewTextHandler(h.log, nil)),
 		Bounds: func() gateway.Bounds {
-			return gateway.Bounds{Revoke: 4 * time.Second, Apply: 2 * time.Second, Version: 8 * time.Second, Ratio: 0.2, Slack: h.slack, Window: 10 * time.Second}
+			return gateway.Bounds{Revoke: 4 * time.Second, Apply: 2 * time.Second, Version: 8 * time.Second, Ratio: 0.2, Slack: h.retrySlack, Window: 10 * time.Second}
 		},
 		Entries: func() int { return 1 },
 		Publish: func(report site.Report) { h.published <- report },
@@ -244,15 +244,15 @@
 	h.server = httptest.NewServer(h.gateway)
 	t.Cleanup(h.server.Close)
 	ctx, freeze := context.WithCancel(t.Context())
-	h.freeze = freeze
-	go h.tick(ctx)
+	h.stopClock = freeze
+	go h.runClock(ctx)
 	return h
 }
 
 // tick moves the clock on while a request waits for it, five times as fast as the
 // clock on the wall: nothing is decided by how long the network takes. The end of ctx is looked at
 // where requests wait already, too: BlockUntilContext doesn't.
-func (h *deployment) tick(ctx context.Context) {
+func (h *deployment) runClock(ctx context.Context) {
 	for h.clock.BlockUntilContext(ctx, 1) == nil && ctx.Err() == nil {
 		h.clock.Advance(5 * time.Millisecond)
 		time.Sleep(time.Millisecond)
@@ -261,22 +261,22 @@
 
 // answer is what a caller got.
 type answer struct {
-	status int
-	body   string
-	header http.Header
-	whole  bool // the answer came to its end
-	close  bool // the connection is not to be used again
+	status   int
+	body     string
+	header   http.Header
+	complete bool // the answer came to its end
+	close    bool // the connection is not to be used again
 }
 
 func (h *deployment) send(t *testing.T, path, key, body string) answer {
 	t.Helper()
-	h.ids++
+	h.lastID++
 	req, err := http.NewRequest(http.MethodPost, h.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Host = "h"
-	req.Header.Set("X-Attempt-Id", fmt.Sprint("id-", h.ids))
+	req.Header.Set("X-Attempt-Id", fmt.Sprint("id-", h.lastID))
 	req.Header.Set("X-Deadline-Ms", "5000")
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
@@ -289,29 +289,29 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, body: string(text), header: resp.Header, whole: err == nil, close: resp.Close}
+	return answer{status: resp.StatusCode, body: string(text), header: resp.Header, complete: err == nil, close: resp.Close}
 }
 
 // begun waits until a caller was sent so many events of an answer.
-func (h *deployment) begun(t *testing.T, events int) {
+func (h *deployment) awaitEvents(t *testing.T, events int) {
 	t.Helper()
 	for range 2000 {
-		if h.gateway.Figures()["events"] >= int64(events) {
+		if h.gateway.Counters()["events"] >= int64(events) {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("got %d events, want %d", h.gateway.Figures()["events"], events)
+	t.Fatalf("got %d events, want %d", h.gateway.Counters()["events"], events)
 }
 
-func (a answer) check(t *testing.T, status int, body string, isWhole bool) {
+func (a answer) check(t *testing.T, status int, body string, isComplete bool) {
 	t.Helper()
-	if a.status != status || !strings.HasPrefix(a.body, body) || a.whole != isWhole {
-		t.Errorf("got %d %q whole %v, want %d %q whole %v", a.status, a.body, a.whole, status, body, isWhole)
+	if a.status != status || !strings.HasPrefix(a.body, body) || a.complete != isComplete {
+		t.Errorf("got %d %q whole %v, want %d %q whole %v", a.status, a.body, a.complete, status, body, isComplete)
 	}
 }
 
-func sum(endpoints ...*endpoint) int {
+func requestCount(endpoints ...*endpoint) int {
 	total := 0
 	for _, end := range endpoints {
 		total += len(end.requests())
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -28,15 +28,15 @@
 
 const (
 	// soonReturn is the time to return where only a passing state of this entry is in the way.
-	soonReturn = 200 * time.Millisecond
+	shortRetryAfter = 200 * time.Millisecond
 	// behindMargin is left of the bound for a change for a request's way to its endpoint. What
 	// is known may lack a change that must be in force once it is older than the rest of the
 	// bound, and is then no reason to refuse a request for good.
-	behindMargin = 150 * time.Millisecond
+	configAgeMargin = 150 * time.Millisecond
 	// maxBodyBytes bounds a body where operators state none.
-	maxBodyBytes = 4 << 20
+	defaultMaxBodyBytes = 4 << 20
 	// maxHeldBodies bounds the bodies of all requests in progress, bytes.
-	maxHeldBodies = 48 << 20
+	maxBufferedBodyBytes = 48 << 20
 )
 
 // Bounds are the promises that the gateway keeps.
@@ -72,18 +72,18 @@
 
 // Gateway is the callers' handler. It is safe for concurrent use.
 type Gateway struct {
-	cfg      Config
-	leaving  atomic.Bool // callers are asked to use no connection again
-	draining atomic.Bool // new requests are sent elsewhere
-	inFlight atomic.Int64
-	bodies   atomic.Int64 // bytes held
-	figures  figures
-	callers  admission.Callers
+	cfg        Config
+	closeConns atomic.Bool // callers are asked to use no connection again
+	draining   atomic.Bool // new requests are sent elsewhere
+	inFlight   atomic.Int64
+	bodyBytes  atomic.Int64 // bytes held
+	counters   counters
+	callers    admission.Callers
 
-	mu       sync.Mutex
-	budgets  map[string]*retry.Window // by service
-	lines    map[string]*line         // by service
-	inquests inquests
+	mu           sync.Mutex
+	retryBudgets map[string]*retry.Window // by service
+	waitQueues   map[string]*waitQueue    // by service
+	crashChecks  crashChecker
 	// inProgress holds the requests that were routed and have not ended, with what cancels each.
 	inProgress map[*exchange]context.CancelCauseFunc
 }
@@ -95,15 +95,15 @@
 	}
 	g := &Gateway{
 		inProgress: map[*exchange]context.CancelCauseFunc{},
-		cfg:        cfg, budgets: map[string]*retry.Window{}, lines: map[string]*line{},
-		inquests: inquests{
-			pool: cfg.Pool, clock: cfg.Clock, log: cfg.Log, ends: cfg.State.Ledger(), publish: cfg.Publish,
-			open: map[fleet.Incarnation]*inquest{},
+		cfg:        cfg, retryBudgets: map[string]*retry.Window{}, waitQueues: map[string]*waitQueue{},
+		crashChecks: crashChecker{
+			pool: cfg.Pool, clock: cfg.Clock, log: cfg.Log, ledger: cfg.State.Ledger(), publish: cfg.Publish,
+			running: map[fleet.Incarnation]*crashCheck{},
 		},
 	}
-	cfg.State.Ledger().Notify(g.giveUpHeld)
-	cfg.State.Ledger().NotifyForgotten(func(print quarantine.Fingerprint) {
-		cfg.Log.Warn("a held request is forgotten, too many endpoints ended under others", "print", print)
+	cfg.State.Ledger().Notify(g.cancelQuarantined)
+	cfg.State.Ledger().NotifyForgotten(func(fingerprint quarantine.Fingerprint) {
+		cfg.Log.Warn("a held request is forgotten, too many endpoints ended under others", "print", fingerprint)
 	})
 	return g
 }
@@ -111,7 +111,7 @@
 // Leave makes each answer that begins from now on the last one of its connection. Connections
 // whose answer began before stay open: closing one without notice would lose the caller's next
 // request, which may be on its way.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+func (g *Gateway) Leave() { g.closeConns.Store(true) }
 
 // Drain makes the gateway refuse what comes from now on.
 func (g *Gateway) Drain() { g.draining.Store(true) }
@@ -119,13 +119,13 @@
 // InFlight returns the requests in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-func (g *Gateway) budget(service string) *retry.Window {
+func (g *Gateway) retryBudget(service string) *retry.Window {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	window := g.budgets[service]
+	window := g.retryBudgets[service]
 	if window == nil {
 		window = retry.NewWindow(g.cfg.Bounds().Window)
-		g.budgets[service] = window
+		g.retryBudgets[service] = window
 	}
 	return window
 }
@@ -141,10 +141,10 @@
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	overdue := g.cfg.Clock.AfterFunc(x.adm.End.Sub(g.cfg.Clock.Now()), func() { cancel(context.DeadlineExceeded) })
-	defer overdue.Stop()
-	g.begin(x, cancel)
-	defer g.end(x)
+	deadlineTimer := g.cfg.Clock.AfterFunc(x.adm.End.Sub(g.cfg.Clock.Now()), func() { cancel(context.DeadlineExceeded) })
+	defer deadlineTimer.Stop()
+	g.track(x, cancel)
+	defer g.untrack(x)
 	x.run(ctx)
 }
 
@@ -158,15 +158,15 @@
 	}
 	x.req = req
 	if g.draining.Load() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "draining", wait: time.Millisecond, hangUp: true}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "draining", retryAfter: time.Millisecond, closeConn: true}
 	}
 	// The age is taken before the configuration. The other way round, a newer configuration that
 	// arrives in between would lend its age to the older one that routes this request.
 	age, known := g.cfg.State.Fresh().Age()
-	x.age, x.proven = age, known
+	x.configAge, x.ageKnown = age, known
 	x.catalog = g.cfg.State.Catalog()
 	if x.catalog == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", wait: soonReturn, hangUp: true}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: shortRetryAfter, closeConn: true}
 	}
 	if refused := g.route(x); refused != nil {
 		return refused
@@ -174,7 +174,7 @@
 	if refused := g.readBody(x, r); refused != nil {
 		return refused
 	}
-	x.print = quarantine.Of(x.customerName(), req.Method, req.Host, req.Target, req.Body)
+	x.fingerprint = quarantine.Of(x.customerName(), req.Method, req.Host, req.Target, req.Body)
 	return nil
 }
 
@@ -184,28 +184,28 @@
 // Rule LIMIT of spec/freshness.pml.
 func (g *Gateway) route(x *exchange) *refusal {
 	bounds := g.cfg.Bounds()
-	age, known := x.age, x.proven
-	behind := !known || age > bounds.Apply-behindMargin
+	age, known := x.configAge, x.ageKnown
+	behind := !known || age > bounds.Apply-configAgeMargin
 	route, ok := x.catalog.Match(x.req.Host, x.req.Path)
 	if !ok {
 		if behind {
-			return &refusal{status: http.StatusServiceUnavailable, reason: "no route, knowledge is old", wait: soonReturn}
+			return &refusal{status: http.StatusServiceUnavailable, reason: "no route, knowledge is old", retryAfter: shortRetryAfter}
 		}
 		return &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
 	x.route = route
 	x.service = route.Service(x.req.ID)
-	x.timing()
+	x.initAdmission()
 	if !x.catalog.Keyed(route) {
 		return nil
 	}
 	if !known || age > bounds.Revoke {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "keys are not proven", wait: soonReturn, hangUp: true}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "keys are not proven", retryAfter: shortRetryAfter, closeConn: true}
 	}
 	customer, ok := x.catalog.Customer(x.req.Key)
 	if !ok {
 		if behind {
-			return &refusal{status: http.StatusServiceUnavailable, reason: "unknown key, knowledge is old", wait: soonReturn}
+			return &refusal{status: http.StatusServiceUnavailable, reason: "unknown key, knowledge is old", retryAfter: shortRetryAfter}
 		}
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
@@ -222,29 +222,29 @@
 	}
 	limit := int64(x.catalog.Limits().BodyBytes)
 	if limit <= 0 {
-		limit = maxBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
-		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too large", hangUp: true}
+		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too large", closeConn: true}
 	}
-	room := r.ContentLength
-	if room < 0 {
-		room = limit
+	reserved := r.ContentLength
+	if reserved < 0 {
+		reserved = limit
 	}
-	if g.bodies.Add(room) > maxHeldBodies {
-		g.bodies.Add(-room)
-		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies in memory", wait: soonReturn, hangUp: true}
+	if g.bodyBytes.Add(reserved) > maxBufferedBodyBytes {
+		g.bodyBytes.Add(-reserved)
+		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies in memory", retryAfter: shortRetryAfter, closeConn: true}
 	}
-	x.bytes = room
+	x.bodyBytes = reserved
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Now().Add(x.adm.End.Sub(g.cfg.Clock.Now())))
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, r.Body, limit))
 	if err != nil {
-		g.bodies.Add(-room)
+		g.bodyBytes.Add(-reserved)
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too large", hangUp: true}
+			return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too large", closeConn: true}
 		}
-		return &refusal{status: http.StatusRequestTimeout, reason: "the body did not come whole", hangUp: true}
+		return &refusal{status: http.StatusRequestTimeout, reason: "the body did not come whole", closeConn: true}
 	}
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	x.req.Body = body
@@ -253,39 +253,39 @@
 
 // exchange is one request and its answer.
 type exchange struct {
-	gateway  *Gateway
-	w        http.ResponseWriter
-	req      *call.Request
-	catalog  *catalog.Catalog
-	route    *catalog.Route
-	customer *catalog.Customer // nil on public routes
-	service  string
-	arrived  time.Time
-	adm      admission.Request // what decides when and where it goes
-	age      time.Duration     // of the knowledge that decided
-	proven   bool              // there was a proof of it
-	bytes    int64             // of body counted
-	print    quarantine.Fingerprint
+	gateway     *Gateway
+	w           http.ResponseWriter
+	req         *call.Request
+	catalog     *catalog.Catalog
+	route       *catalog.Route
+	customer    *catalog.Customer // nil on public routes
+	service     string
+	arrived     time.Time
+	adm         admission.Request // what decides when and where it goes
+	configAge   time.Duration     // of the knowledge that decided
+	ageKnown    bool              // there was a proof of it
+	bodyBytes   int64             // of body counted
+	fingerprint quarantine.Fingerprint
 
-	tries        []fleet.Incarnation // endpoints that had the request
-	sends        int                 // that reached an endpoint
-	sentAt       time.Time           // when the newest one went out
-	runs         int                 // sends that may have run and did not serve
-	mayRun       bool                // an endpoint may have run it
-	mightHaveRun bool                // the same before the newest attempt
-	heldFor      time.Duration
-	header       http.Header // of the answer that the caller gets; nil: none was begun
-	events       int
-	answering    atomic.Bool   // the first event came
-	firstEvent   time.Duration // from the arrival
-	eventAt      time.Time     // of the newest event
-	longest      time.Duration // pause between two events
-	lastID       string        // of the last event that the caller has
-	final        bool          // the answer was begun and can't go on at another endpoint
-	status       int           // of the answer that the caller got whole; 0: none yet
-	silence      silence       // of the newest attempt
-	head         call.Answer   // of the newest attempt; zero: none came
-	reserved     *fleet.Grant  // place of the next attempt; nil: none yet
+	tried            []fleet.Incarnation // endpoints that had the request
+	sends            int                 // that reached an endpoint
+	sentAt           time.Time           // when the newest one went out
+	attemptsUsed     int                 // sends that may have run and did not serve
+	mayHaveRun       bool                // an endpoint may have run it
+	mayHaveRunBefore bool                // the same before the newest attempt
+	queuedFor        time.Duration
+	answerHeader     http.Header // of the answer that the caller gets; nil: none was begun
+	events           int
+	answering        atomic.Bool   // the first event came
+	firstEventAfter  time.Duration // from the arrival
+	lastEventAt      time.Time     // of the newest event
+	longestPause     time.Duration // pause between two events
+	lastEventID      string        // of the last event that the caller has
+	notResumable     bool          // the answer was begun and can't go on at another endpoint
+	status           int           // of the answer that the caller got whole; 0: none yet
+	responseWait     responseWait  // of the newest attempt
+	answerHead       call.Answer   // of the newest attempt; zero: none came
+	reserved         *fleet.Grant  // place of the next attempt; nil: none yet
 }
 
 func (x *exchange) customerName() string {
--- a/entry/internal/gateway/gateway_test.go
+++ b/entry/internal/gateway/gateway_test.go
@@ -22,7 +22,7 @@
 )
 
 func TestAnswerOfAnEndpointIsRelayed(t *testing.T) {
-	end := newEndpoint(t, "i-1", whole("hello"))
+	end := newEndpoint(t, "i-1", complete("hello"))
 	h := newDeployment(t, end)
 	got := h.send(t, "/once/a?b=c", "key-1", "body")
 	got.check(t, 200, "hello", true)
@@ -38,13 +38,13 @@
 // Symptom: two notices go out. Sequence: an endpoint runs a request that may run
 // once and its connection breaks. Cause: the request is sent again, by this
 // program or by the library under it.
-func TestWhatRunsOnceIsSentOnce(t *testing.T) {
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", nil, nil), newEndpoint(t, "i-2", nil, nil)
 	h := newDeployment(t, one, two)
 	for _, path := range []string{"/once/a", "/two/a"} {
 		h.send(t, path, "key-1", "").check(t, 502, "", true)
 	}
-	if got, want := sum(one, two), 2; got != want {
+	if got, want := requestCount(one, two), 2; got != want {
 		t.Errorf("got %d sendings of two requests, want %d", got, want)
 	}
 }
@@ -52,21 +52,21 @@
 // Symptom: as above, on a kept connection. Sequence: an endpoint closes a kept
 // connection just as the next request goes out. Cause: libraries send again on a
 // connection that turns out to be closed.
-func TestKeptConnectionThatBreaksIsNoReasonToSendAgain(t *testing.T) {
-	end := newEndpoint(t, "i-1", whole("first"), nil, whole("never"))
+func TestNonRepeatableRequestIsNotResentOnBrokenKeepAlive(t *testing.T) {
+	end := newEndpoint(t, "i-1", complete("first"), nil, complete("never"))
 	h := newDeployment(t, end)
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "first", true)
 	h.send(t, "/once/a", "key-1", "").check(t, 502, "", true)
-	if got, want := sum(end), 2; got != want {
+	if got, want := requestCount(end), 2; got != want {
 		t.Errorf("got %d sendings, want %d", got, want)
 	}
 }
 
-func TestRefusalThatProvesNotRunGoesElsewhere(t *testing.T) {
+func TestRequestProvenNotRunIsSentToAnotherEndpoint(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", notRun), newEndpoint(t, "i-2", notRun)
 	h := newDeployment(t, one, two)
 	h.send(t, "/two/a", "key-1", "").check(t, 503, "", true)
-	if got, want := sum(one, two), 2; got != want {
+	if got, want := requestCount(one, two), 2; got != want {
 		t.Errorf("got %d sendings, want %d", got, want)
 	}
 	h.clock.Advance(time.Second)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestRefusedCallerHearsWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	one, two, three := newEndpoint(t, "i-1", notRun), newEndpoint(t, "i-2", notRun), newEndpoint(t, "i-3", notRun)
 	h := newDeployment(t, one, two, three)
 	got := h.send(t, "/once/a", "key-1", "")
@@ -89,7 +89,7 @@
 // sound (LOST of the platform's rules). Sequence: a request that may be repeated
 // fails at two endpoints, each with a whole answer. Cause: the second failure was
 // written to the caller and then taken for an answer that broke off.
-func TestSecondFailureIsAnswered(t *testing.T) {
+func TestSecondFailureIsRelayed(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", failing(500)), newEndpoint(t, "i-2", failing(500))
 	h := newDeployment(t, one, two)
 	got := h.send(t, "/safe/a", "key-1", "")
@@ -99,11 +99,11 @@
 	}
 }
 
-func TestWhatMayBeRepeatedIsAskedElsewhere(t *testing.T) {
+func TestRepeatableRequestIsRetriedAtAnotherEndpoint(t *testing.T) {
 	for name, first := range map[string]func(id string) []byte{
 		"broken":    nil,
 		"failing":   failing(500),
-		"truncated": func(id string) []byte { return append(whole("hello")(id)[:60], cutOff...) },
+		"truncated": func(id string) []byte { return append(complete("hello")(id)[:60], cutOff...) },
 		"unsigned":  func(id string) []byte { return []byte(head(200, id, "Content-Length: 2\r\n\r\nhi")) },
 		"noise":     func(string) []byte { return []byte("\x01\x02\x03 noise\r\n\r\n" + cutOff) },
 	} {
@@ -125,12 +125,12 @@
 // Symptom: a caller gets another caller's answer. Sequence: an endpoint sends an
 // answer twice; the second lies in the connection when the next request goes out.
 // Cause: what is read next is taken for the answer to what was sent last.
-func TestAnswerToAnotherRequestReachesNobody(t *testing.T) {
-	extra := func(id string) []byte { return append(whole("first")(id), whole("extra")(id)...) }
+func TestAnswerToAnotherRequestIsDropped(t *testing.T) {
+	extra := func(id string) []byte { return append(complete("first")(id), complete("extra")(id)...) }
 	h := newDeployment(t, newEndpoint(t, "i-1", extra))
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "first", true)
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "ok", true)
-	late := func(id string) []byte { return append(whole("late")("id-0"), whole("mine")(id)...) }
+	late := func(id string) []byte { return append(complete("late")("id-0"), complete("mine")(id)...) }
 	h = newDeployment(t, newEndpoint(t, "i-1", late))
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "mine", true)
 }
@@ -138,14 +138,14 @@
 // Symptom: a stream lacks a piece, has one twice or ends early and looks whole.
 // Sequence: an endpoint breaks off in the middle of an event. Cause: bytes are
 // passed on as they come, or the stream begins anew.
-func TestStreamGoesOnElsewhereAfterTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAtAnotherEndpointAfterLastCompleteEvent(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", events(1, 3, true)), newEndpoint(t, "i-2", events(1, 3, true))
 	h := newDeployment(t, one, two)
 	resumed := events(3, 5, false)
 	for _, end := range []*endpoint{one, two} {
 		end.mu.Lock()
 		end.answers = []func(string) []byte{func(id string) []byte {
-			if sum(one, two) == 1 {
+			if requestCount(one, two) == 1 {
 				return events(1, 3, true)(id)
 			}
 			return resumed(id)
@@ -165,10 +165,10 @@
 	}
 }
 
-func TestStreamThatNobodyTakesOverDoesNotLookWhole(t *testing.T) {
+func TestStreamThatCannotResumeIsCutOff(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", events(1, 3, true)))
 	got := h.send(t, "/stream/a", "key-1", "")
-	if got.whole {
+	if got.complete {
 		t.Errorf("got a whole answer %q, want one that broke off", got.body)
 	}
 	if strings.Contains(got.body, "id: 3") {
@@ -187,14 +187,14 @@
 // Symptom: a key that was taken away opens a route (CONFIG of the platform's
 // rules), or a good one is refused for good. Sequence: an entry is cut off from
 // the store for seconds. Cause: what it knew last was taken for what is in force.
-func TestOldKnowledgeOpensAndRefusesNothingForGood(t *testing.T) {
+func TestStaleConfigurationGivesNoFinalDecision(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	h := newDeployment(t, end)
-	h.now = 3500 * time.Millisecond
+	h.freshnessNow = 3500 * time.Millisecond
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "ok", true)
 	h.send(t, "/once/a", "other", "").check(t, 503, "", true)
 	h.send(t, "/none/a", "key-1", "").check(t, 503, "", true)
-	h.now = 4100 * time.Millisecond
+	h.freshnessNow = 4100 * time.Millisecond
 	h.send(t, "/once/a", "key-1", "").check(t, 503, "", true)
 	h.send(t, "/open/a", "", "").check(t, 200, "ok", true)
 }
@@ -212,14 +212,14 @@
 		route.Shares = []catalog.Share{{Service: "app", Weight: 1}}
 		newer.Routes = append(newer.Routes, route)
 	}
-	h.now = time.Minute
-	h.asked = func() {
-		h.asked = nil
+	h.freshnessNow = time.Minute
+	h.onAgeRead = func() {
+		h.onAgeRead = nil
 		h.state.Apply([]site.Record{{Kind: site.CatalogRecord, Catalog: catalog.New(newer)}}, 2)
-		h.state.Fresh().Prove(h.now)
+		h.state.Fresh().Prove(h.freshnessNow)
 	}
 	h.send(t, "/once/a", "key-1", "").check(t, 401, "", true)
-	if got, want := sum(end), 0; got != want {
+	if got, want := requestCount(end), 0; got != want {
 		t.Errorf("got %d requests run with a key that was taken away, want %d", got, want)
 	}
 }
@@ -241,12 +241,12 @@
 	if got, want := resp.StatusCode, 400; got != want {
 		t.Errorf("got %d without an id, want %d", got, want)
 	}
-	if got := sum(end); got != 0 {
+	if got := requestCount(end); got != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", got)
 	}
 }
 
-func TestDrainingEntryProvesThatNothingRan(t *testing.T) {
+func TestDrainingEntryRefusesAsNotRun(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	h := newDeployment(t, end)
 	h.gateway.Drain()
@@ -255,12 +255,12 @@
 	if !got.close {
 		t.Errorf("got a connection that stays open, want it closed")
 	}
-	if got := sum(end); got != 0 {
+	if got := requestCount(end); got != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", got)
 	}
 }
 
-func TestEntryWithoutAConfigurationSaysSo(t *testing.T) {
+func TestEntryWithoutConfigurationRefuses(t *testing.T) {
 	h := newDeployment(t)
 	empty := site.NewState(h.clock.Now, fleet.New(h.clock.Now), freshness.NewTracker(func() time.Duration { return 0 }))
 	server := httptest.NewServer(gateway.New(gateway.Config{
@@ -274,7 +274,7 @@
 
 // Symptom: an endpoint goes on working for a caller who left. Sequence: a caller
 // closes its connection while its request runs. Cause: the endpoint is not notified.
-func TestCallerWhoLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectClosesEndpointConnection(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -320,11 +320,11 @@
 
 // A refusal that proves not run is believed also where the caller's time is over
 // right after it.
-func TestRefusalIsStillProofWhenTheTimeIsOver(t *testing.T) {
+func TestNotRunRefusalCountsAfterDeadline(t *testing.T) {
 	one := newEndpoint(t, "i-1", notRun)
 	h := newDeployment(t, one)
 	h.send(t, "/two/a", "key-1", "").check(t, 503, "", true)
-	if got, want := sum(one), 1; got != want {
+	if got, want := requestCount(one), 1; got != want {
 		t.Errorf("got %d sendings, want %d", got, want)
 	}
 }
@@ -334,7 +334,7 @@
 // asked to stop, the stream ends, its caller sends the next request on the same
 // connection. Cause: the server closed that connection after the stream though
 // nothing in the stream's head had said so.
-func TestStoppingEntryKeepsConnectionsThatItDidNotGiveNotice(t *testing.T) {
+func TestStoppingEntryKeepsConnectionsWithoutCloseHeader(t *testing.T) {
 	left := make(chan struct{})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -356,7 +356,7 @@
 		<-left
 		fmt.Fprint(conn, text[half:])
 		if _, err := http.ReadRequest(reader); err == nil {
-			_, _ = conn.Write(whole("ok")("id-2"))
+			_, _ = conn.Write(complete("ok")("id-2"))
 		}
 	}()
 	h := newDeployment(t, &endpoint{id: "i-1", address: lis.Addr().String()})
--- a/entry/internal/gateway/births_test.go
+++ b/entry/internal/gateway/incarnation_test.go
@@ -10,7 +10,7 @@
 )
 
 // silent answers nothing until the test ends.
-func silent(t *testing.T, arrived chan<- struct{}) func(id string) []byte {
+func unanswered(t *testing.T, arrived chan<- struct{}) func(id string) []byte {
 	return func(string) []byte {
 		arrived <- struct{}{}
 		<-t.Context().Done()
@@ -19,7 +19,7 @@
 }
 
 // born registers an endpoint again, in the incarnation given.
-func (h *deployment) born(end *endpoint, incarnation int64, revision uint64) {
+func (h *deployment) register(end *endpoint, incarnation int64, revision uint64) {
 	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: end.id, Revision: revision, Endpoint: fleet.Registration{
 		ID: end.id, Born: incarnation, Service: "app", Address: end.address, Slots: 4,
 	}}}, revision)
@@ -29,15 +29,15 @@
 // an endpoint reads a request that may run once, loses power behind a cut, so that
 // its connection stays open here, and starts again under its id. Cause: silence
 // was waited out though the endpoint had reported that it started again.
-func TestRequestOfAFormerIncarnationIsGivenUpAtOnce(t *testing.T) {
+func TestRequestToFormerIncarnationIsAbandoned(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	end := newEndpoint(t, "i-1", silent(t, arrived))
+	end := newEndpoint(t, "i-1", unanswered(t, arrived))
 	h := newDeployment(t)
-	h.born(end, 1000, 2)
+	h.register(end, 1000, 2)
 	began := h.clock.Now()
 	go func() {
 		<-arrived
-		h.born(end, 2000, 3)
+		h.register(end, 2000, 3)
 	}()
 	h.send(t, "/once/a", "key-1", "").check(t, 502, "", true)
 	if took, bound := h.clock.Since(began), 4*time.Second; took >= bound {
@@ -54,11 +54,11 @@
 	end := newEndpoint(t, "i-1")
 	conns := 0
 	end.mu.Lock()
-	end.accepted = func() { conns++ }
+	end.onAccept = func() { conns++ }
 	end.mu.Unlock()
 	h := newDeployment(t)
 	for incarnation := range 3 {
-		h.born(end, int64(1000*(incarnation+1)), uint64(2+incarnation))
+		h.register(end, int64(1000*(incarnation+1)), uint64(2+incarnation))
 		for range 2 {
 			h.send(t, "/once/a", "key-1", "").check(t, 200, "ok", true)
 		}
@@ -72,14 +72,14 @@
 
 // A request that may be repeated goes to the next incarnation of the endpoint that lost
 // it: that one never had it.
-func TestNextIncarnationMayHaveWhatTheFormerOneLost(t *testing.T) {
+func TestNextIncarnationGetsRequestLostByFormerOne(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	end := newEndpoint(t, "i-1", silent(t, arrived))
+	end := newEndpoint(t, "i-1", unanswered(t, arrived))
 	h := newDeployment(t)
-	h.born(end, 1000, 2)
+	h.register(end, 1000, 2)
 	go func() {
 		<-arrived
-		h.born(end, 2000, 3)
+		h.register(end, 2000, 3)
 	}()
 	h.send(t, "/safe/a", "key-1", "").check(t, 200, "ok", true)
 	if got, want := fmt.Sprint(len(end.requests())), "2"; got != want {
--- a/entry/internal/gateway/leaving_test.go
+++ b/entry/internal/gateway/leaving_test.go
@@ -23,7 +23,7 @@
 
 // sendStopped sends a request to a gateway whose clock is stopped, where one that waits would wait
 // for ever.
-func (h *deployment) sendStopped(t *testing.T, path string) answer {
+func (h *deployment) sendWithStoppedClock(t *testing.T, path string) answer {
 	t.Helper()
 	answered := make(chan answer, 1)
 	go func() { answered <- h.send(t, path, "key-1", "") }()
@@ -37,34 +37,34 @@
 	select {
 	case got := <-answered:
 		return got
-	case <-time.After(stuck):
+	case <-time.After(answerTimeout):
 		t.Error("got no answer, want one without a wait")
 	}
-	go h.tick(t.Context())
+	go h.runClock(t.Context())
 	return <-answered
 }
 
 // stuck is the time after which a request counts as waiting for a clock that is stopped.
-const stuck = 10 * time.Second
+const answerTimeout = 10 * time.Second
 
 // Guards against further requests to an endpoint that said in an answer that it leaves.
-func TestEndpointThatSaidItLeavesGetsNothingNew(t *testing.T) {
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	gone, stays := newEndpoint(t, "i-1", leaving, leaving), newEndpoint(t, "i-2")
 	h := newDeployment(t, gone, stays)
-	for sum(gone) == 0 {
+	for requestCount(gone) == 0 {
 		h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	}
 	for range 20 {
 		h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	}
-	if got, want := sum(gone), 1; got != want {
+	if got, want := requestCount(gone), 1; got != want {
 		t.Errorf("got %d requests at the endpoint that leaves, want %d", got, want)
 	}
 }
 
 // Guards against an endpoint that counts as staying again once its registration, which lapsed while
 // the store was away, is back.
-func TestEndpointThatSaidItLeavesStaysOutWhenItsRegistrationReturns(t *testing.T) {
+func TestLeavingEndpointStaysExcludedWhenRegisteredAgain(t *testing.T) {
 	gone := newEndpoint(t, "i-1", leaving, leaving)
 	h := newDeployment(t, gone)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
@@ -74,24 +74,24 @@
 		ID: "i-1", Service: "app", Address: gone.address, Slots: 4,
 	}}}, 3)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusServiceUnavailable, "no endpoint", true)
-	if got, want := sum(gone), 1; got != want {
+	if got, want := requestCount(gone), 1; got != want {
 		t.Errorf("got %d requests at the endpoint that leaves, want %d", got, want)
 	}
 }
 
 // Guards against requests to an endpoint that refused one and asked for rest, before the rest ends.
-func TestEndpointGetsTheRestItAskedFor(t *testing.T) {
+func TestRestingEndpointGetsNoRequests(t *testing.T) {
 	tired, other := newEndpoint(t, "i-1", resting("3"), resting("1")), newEndpoint(t, "i-2")
 	h := newDeployment(t, tired, other)
-	for sum(tired) == 0 {
+	for requestCount(tired) == 0 {
 		h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	}
-	h.freeze()
+	h.stopClock()
 	h.clock.Advance(2900 * time.Millisecond)
 	for range 20 {
-		h.sendStopped(t, "/safe/a").check(t, http.StatusOK, "ok", true)
+		h.sendWithStoppedClock(t, "/safe/a").check(t, http.StatusOK, "ok", true)
 	}
-	if got, want := sum(tired), 1; got != want {
+	if got, want := requestCount(tired), 1; got != want {
 		t.Errorf("got %d requests at the endpoint within its rest, want %d", got, want)
 	}
 }
@@ -100,24 +100,24 @@
 // wait, and against a time to return that is too early.
 func TestRequestIsRefusedAtOnceWhereAllEndpointsRest(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", resting("3")))
-	h.freeze()
+	h.stopClock()
 	for _, when := range []string{"refused by the endpoint", "within its rest"} {
-		got := h.sendStopped(t, "/once/a")
+		got := h.sendWithStoppedClock(t, "/once/a")
 		got.check(t, http.StatusServiceUnavailable, "endpoints ask for rest", true)
 		if got, want := got.header.Get("Retry-After"), "3.000"; got != want {
 			t.Errorf("%s: got Retry-After %q, want the %s s until the rest ends", when, got, want)
 		}
 	}
 	h.clock.Advance(3 * time.Second)
-	h.sendStopped(t, "/once/a").check(t, http.StatusOK, "ok", true)
+	h.sendWithStoppedClock(t, "/once/a").check(t, http.StatusOK, "ok", true)
 }
 
 // Guards against a request that waits longer than the rest of its endpoint lasts: nothing but time
 // ends a rest.
-func TestRequestWaitsForTheEndOfARest(t *testing.T) {
+func TestRequestIsSentWhenRestEnds(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", resting("0.4")))
-	h.freeze()
-	h.sendStopped(t, "/once/a").check(t, http.StatusServiceUnavailable, "endpoints ask for rest", true)
+	h.stopClock()
+	h.sendWithStoppedClock(t, "/once/a").check(t, http.StatusServiceUnavailable, "endpoints ask for rest", true)
 	if t.Failed() {
 		return
 	}
--- a/entry/internal/gateway/limit_test.go
+++ b/entry/internal/gateway/limit_test.go
@@ -22,7 +22,7 @@
 func TestRequestBeyondRateLimitIsRefusedAtOnce(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", limiting("0.25")))
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
-	h.freeze()
+	h.stopClock()
 	got := h.send(t, "/safe/a", "key-1", "")
 	got.check(t, http.StatusServiceUnavailable, "endpoints limit their requests", true)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -37,7 +37,7 @@
 	end := newEndpoint(t, "i-1", limiting("2"), limiting("2"))
 	h := newDeployment(t, end)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
-	h.freeze()
+	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/safe/a", "key-1", "") }()
 	// The deadline and the wait for credit.
@@ -58,7 +58,7 @@
 	}
 	h.state.Fleet().SetEntries("self", others)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
-	h.freeze()
+	h.stopClock()
 	got := h.send(t, "/safe/a", "key-1", "")
 	got.check(t, http.StatusServiceUnavailable, "endpoints limit their requests", true)
 	if !got.close || got.header.Get("Retry-After") != "1.000" {
@@ -74,7 +74,7 @@
 	end := newEndpoint(t, "i-1", func(id string) []byte {
 		close(reached)
 		<-release
-		return whole("old")(id)
+		return complete("old")(id)
 	}, limiting("0.25"))
 	h := newDeployment(t, end)
 	old := make(chan answer)
@@ -83,7 +83,7 @@
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	close(release)
 	(<-old).check(t, http.StatusOK, "old", true)
-	h.freeze()
+	h.stopClock()
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusServiceUnavailable, "endpoints limit their requests", true)
 }
 
--- a/entry/internal/gateway/figures.go
+++ b/entry/internal/gateway/metrics.go
@@ -10,36 +10,36 @@
 )
 
 // figures counts what the gateway did, for metrics.
-type figures struct {
-	served   atomic.Int64
-	refused  atomic.Int64
-	failed   atomic.Int64
-	attempts atomic.Int64
-	resumed  atomic.Int64
-	held     atomic.Int64 // refused since endpoints ended under them
-	broken   atomic.Int64 // answers that were broken off
-	events   atomic.Int64 // of streams, sent to callers
+type counters struct {
+	served      atomic.Int64
+	refused     atomic.Int64
+	failed      atomic.Int64
+	attempts    atomic.Int64
+	resumed     atomic.Int64
+	quarantined atomic.Int64 // refused since endpoints ended under them
+	brokenOff   atomic.Int64 // answers that were broken off
+	events      atomic.Int64 // of streams, sent to callers
 }
 
-// Figures returns the counts by name.
-func (g *Gateway) Figures() map[string]int64 {
+// Counters returns the counts by name.
+func (g *Gateway) Counters() map[string]int64 {
 	uses, dials := g.cfg.Pool.Counts()
 	ledger := g.cfg.State.Ledger()
 	suspects, ends := ledger.Size()
 	return map[string]int64{
-		"served":           g.figures.served.Load(),
-		"refused":          g.figures.refused.Load(),
-		"failed":           g.figures.failed.Load(),
-		"attempts":         g.figures.attempts.Load(),
-		"resumed":          g.figures.resumed.Load(),
-		"held":             g.figures.held.Load(),
-		"brokenOff":        g.figures.broken.Load(),
-		"events":           g.figures.events.Load(),
+		"served":           g.counters.served.Load(),
+		"refused":          g.counters.refused.Load(),
+		"failed":           g.counters.failed.Load(),
+		"attempts":         g.counters.attempts.Load(),
+		"resumed":          g.counters.resumed.Load(),
+		"held":             g.counters.quarantined.Load(),
+		"brokenOff":        g.counters.brokenOff.Load(),
+		"events":           g.counters.events.Load(),
 		"suspects":         int64(suspects),
 		"ends":             int64(ends),
 		"heldForgotten":    int64(ledger.Forgotten()),
 		"inFlight":         g.inFlight.Load(),
-		"bodyBytes":        g.bodies.Load(),
+		"bodyBytes":        g.bodyBytes.Load(),
 		"limitedEndpoints": int64(g.cfg.State.Fleet().LimitedEndpoints()),
 		"notices":          int64(g.cfg.State.Fleet().Notices()),
 		"connectionUses":   int64(uses),
@@ -51,17 +51,17 @@
 // another gateway of the same test process.
 func (g *Gateway) Publish() {
 	if expvar.Get("gateway") == nil {
-		expvar.Publish("gateway", expvar.Func(func() any { return g.Figures() }))
+		expvar.Publish("gateway", expvar.Func(func() any { return g.Counters() }))
 	}
 }
 
 // logAttempt writes what became of one sending.
 func (x *exchange) logAttempt(grant *fleet.Grant, outcome fleet.Outcome) {
-	x.gateway.figures.attempts.Add(1)
+	x.gateway.counters.attempts.Add(1)
 	if x.sends > 1 && x.events > 0 {
-		x.gateway.figures.resumed.Add(1)
+		x.gateway.counters.resumed.Add(1)
 	}
-	if outcome == fleet.Served && !x.head.Leaving {
+	if outcome == fleet.Served && !x.answerHead.Leaving {
 		x.gateway.cfg.Log.Debug("attempt", x.attemptFields(grant, outcome)...)
 		return
 	}
@@ -73,9 +73,9 @@
 		"request", x.req.ID, "send", x.sends, "endpoint", grant.ID(), "address", grant.Address(),
 		"outcome", outcome.String(), "occupied", grant.Occupied(), "unread", grant.Unread(), "home", grant.Home(),
 		"stateAgeMillis", grant.StateAge().Milliseconds(), "delayMillis", grant.Delay().Milliseconds(),
-		"version", grant.Version(), "events", x.events, "print", x.print,
-		"leaving", x.head.Leaving, "restMillis", x.head.Rest.Milliseconds(),
-		"gaveUp", x.silence.reason, "silentMillis", x.silence.waited.Milliseconds(), "oversleptMillis", x.silence.overslept.Milliseconds(),
+		"version", grant.Version(), "events", x.events, "print", x.fingerprint,
+		"leaving", x.answerHead.Leaving, "restMillis", x.answerHead.Rest.Milliseconds(),
+		"gaveUp", x.responseWait.stopReason, "silentMillis", x.responseWait.idle.Milliseconds(), "oversleptMillis", x.responseWait.wakeupDelay.Milliseconds(),
 	}
 }
 
@@ -85,27 +85,27 @@
 	level := slog.LevelInfo
 	switch {
 	case status < firstClientError:
-		g.figures.served.Add(1)
+		g.counters.served.Add(1)
 	case status == 503:
-		g.figures.refused.Add(1)
+		g.counters.refused.Add(1)
 	default:
-		g.figures.failed.Add(1)
+		g.counters.failed.Add(1)
 	}
-	brokenOff := x.header != nil && x.status == 0
+	brokenOff := x.answerHeader != nil && x.status == 0
 	if brokenOff {
-		g.figures.broken.Add(1)
+		g.counters.brokenOff.Add(1)
 	}
 	fields := []any{
 		"outcome", reason, "status", status, "tookMillis", g.cfg.Clock.Since(x.arrived).Milliseconds(),
-		"heldMillis", x.heldFor.Milliseconds(), "ageMillis", x.ageMillis(),
+		"heldMillis", x.queuedFor.Milliseconds(), "ageMillis", x.configAgeMillis(),
 	}
 	if x.req != nil {
 		fields = append(fields, "request", x.req.ID, "deadlineMillis", x.req.Deadline.Milliseconds())
 	}
 	if x.route != nil {
 		fields = append(fields, "route", x.route.Name, "service", x.service, "sends", x.sends,
-			"events", x.events, "firstMillis", x.firstEvent.Milliseconds(), "pauseMillis", x.longest.Milliseconds(), "returned", x.adm.Returned,
-			"brokenOff", brokenOff, "endpoint", x.lastEndpoint(), "targetMillis", x.route.Target.Milliseconds(), "gapMillis", x.route.Gap.Milliseconds(), "print", x.print)
+			"events", x.events, "firstMillis", x.firstEventAfter.Milliseconds(), "pauseMillis", x.longestPause.Milliseconds(), "returned", x.adm.Returned,
+			"brokenOff", brokenOff, "endpoint", x.lastEndpoint(), "targetMillis", x.route.Target.Milliseconds(), "gapMillis", x.route.Gap.Milliseconds(), "print", x.fingerprint)
 	}
 	if x.catalog != nil {
 		fields = append(fields, "catalog", x.catalog.Version())
@@ -114,19 +114,19 @@
 }
 
 // ageMillis returns the age of the knowledge that decided; -1 where nothing was known.
-func (x *exchange) ageMillis() int64 {
-	if !x.proven {
+func (x *exchange) configAgeMillis() int64 {
+	if !x.ageKnown {
 		return -1
 	}
-	return x.age.Milliseconds()
+	return x.configAge.Milliseconds()
 }
 
 // lastEndpoint returns the id of the endpoint that was tried last; empty where none was.
 func (x *exchange) lastEndpoint() string {
-	if len(x.tries) == 0 {
+	if len(x.tried) == 0 {
 		return ""
 	}
-	return x.tries[len(x.tries)-1].ID
+	return x.tried[len(x.tried)-1].ID
 }
 
 const firstClientError = 400
--- a/entry/internal/gateway/held_test.go
+++ b/entry/internal/gateway/quarantine_test.go
@@ -14,30 +14,30 @@
 )
 
 // printOf is the fingerprint of what deployment.send sends.
-func printOf(path, body string) quarantine.Fingerprint {
+func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.Of("mine", http.MethodPost, "h", path, []byte(body))
 }
 
 // ended lets an entry learn that so many endpoints ended under a request.
-func (h *deployment) ended(print quarantine.Fingerprint, count int) {
+func (h *deployment) reportEnds(fingerprint quarantine.Fingerprint, count int) {
 	for i := range count {
 		h.state.Ledger().Observe(quarantine.Report{
-			End: quarantine.End{Endpoint: fmt.Sprintf("gone-%d", i)}, Suspects: []quarantine.Fingerprint{print},
+			End: quarantine.End{Endpoint: fmt.Sprintf("gone-%d", i)}, Suspects: []quarantine.Fingerprint{fingerprint},
 		})
 	}
 }
 
-func TestHeldRequestIsRefusedAtOnce(t *testing.T) {
+func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	h := newDeployment(t, end)
-	h.ended(printOf("/safe/a", "deadly"), 3)
+	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 3)
 	got := h.send(t, "/safe/a", "key-1", "deadly")
 	got.check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if least, most := (quarantine.HoldTime - time.Minute).Seconds(), quarantine.HoldTime.Seconds(); err != nil || wait < least || wait > most {
 		t.Errorf("got Retry-After %q, want the time until it is sent again, at most %v s", got.header.Get("Retry-After"), most)
 	}
-	if got := sum(end); got != 0 {
+	if got := requestCount(end); got != 0 {
 		t.Errorf("got %d sends of a held request, want none", got)
 	}
 	for _, other := range []struct{ path, body string }{{"/safe/a", "other"}, {"/safe/b", "deadly"}, {"/safe/a?n=1", "deadly"}} {
@@ -48,39 +48,39 @@
 // Symptom: a request goes to one endpoint more though all know by then what it does. Sequence:
 // it waits for a place while the third end is learned. Cause: only its arrival was checked. It
 // is answered as soon as that is learned: the clock stands still here.
-func TestHeldRequestThatWaitsIsAnsweredAtOnce(t *testing.T) {
+func TestQueuedRequestIsRefusedWhenQuarantined(t *testing.T) {
 	h := newDeployment(t)
-	h.freeze()
+	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/safe/a", "key-1", "deadly") }()
 	// The deadline and the wait for a place.
 	if err := h.clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
-	h.ended(printOf("/safe/a", "deadly"), 3)
+	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 3)
 	got := <-answered
 	got.check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 }
 
 // One that stands in an endpoint's queue when the third end is learned is given up, before it
 // ends that endpoint too; one that is being answered goes on.
-func TestHeldRequestInProgressIsGivenUp(t *testing.T) {
+func TestRequestInProgressIsCanceledWhenQuarantined(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
 	h := newDeployment(t, newEndpoint(t, "i-1", func(id string) []byte {
 		close(reached)
 		<-release
-		return whole("late")(id)
+		return complete("late")(id)
 	}))
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/safe/a", "key-1", "deadly") }()
 	<-reached
-	h.ended(printOf("/safe/a", "deadly"), 3)
+	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 3)
 	got := <-answered
 	close(release)
 	got.check(t, http.StatusBadGateway, "endpoints ended under this request", true)
 }
 
-func TestHeldStreamThatIsAnsweredGoesOn(t *testing.T) {
+func TestStreamWithEventsContinuesWhenQuarantined(t *testing.T) {
 	rest := make(chan struct{})
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
@@ -108,7 +108,7 @@
 	if _, err := io.ReadFull(resp.Body, first); err != nil {
 		t.Fatal(err)
 	}
-	h.ended(printOf("/stream/a", "long"), 3)
+	h.reportEnds(fingerprintOf("/stream/a", "long"), 3)
 	close(rest)
 	text, err := io.ReadAll(resp.Body)
 	if got, want := string(text), "id: 2\ndata: two\n\n"; got != want || err != nil {
@@ -118,17 +118,17 @@
 
 // Where two ends are known the third is the last: the request waits until it is found out
 // whether the endpoint ended, and then goes to no other.
-func TestThirdEndIsTheLast(t *testing.T) {
+func TestThirdEndQuarantinesRequest(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", nil), newEndpoint(t, "i-2", nil)
 	for _, end := range []*endpoint{one, two} {
 		end.mu.Lock()
-		end.accepted = func() { _ = end.listener.Close() }
+		end.onAccept = func() { _ = end.listener.Close() }
 		end.mu.Unlock()
 	}
 	h := newDeployment(t, one, two)
-	h.ended(printOf("/safe/a", "deadly"), 2)
+	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 2)
 	h.send(t, "/safe/a", "key-1", "deadly").check(t, http.StatusBadGateway, "endpoints ended under this request", true)
-	if got, want := sum(one, two), 1; got != want {
+	if got, want := requestCount(one, two), 1; got != want {
 		t.Errorf("got %d sends, want %d", got, want)
 	}
 }
@@ -136,70 +136,70 @@
 func TestEndIsPublishedToOtherEntries(t *testing.T) {
 	end := newEndpoint(t, "i-1", nil)
 	end.mu.Lock()
-	end.accepted = func() { _ = end.listener.Close() }
+	end.onAccept = func() { _ = end.listener.Close() }
 	end.mu.Unlock()
 	h := newDeployment(t, end)
 	h.send(t, "/once/a", "key-1", "deadly").check(t, http.StatusBadGateway, "", true)
 	got := <-h.published
-	if got.End.Endpoint != "i-1" || len(got.Suspects) != 1 || got.Suspects[0] != printOf("/once/a", "deadly") || len(got.Running) != 0 {
+	if got.End.Endpoint != "i-1" || len(got.Suspects) != 1 || got.Suspects[0] != fingerprintOf("/once/a", "deadly") || len(got.Running) != 0 {
 		t.Errorf("got %+v, want the end of i-1 under this request", got)
 	}
 }
 
 // An endpoint that ended by itself blames those that were answered in part less: what ends an
 // endpoint that begins to run it does so before.
-func TestWhatWasAnsweredInPartIsBlamedLess(t *testing.T) {
+func TestPartlyAnsweredRequestIsReportedAsRunning(t *testing.T) {
 	end := newEndpoint(t, "i-1", events(1, 5, true))
 	end.mu.Lock()
-	end.accepted = func() { _ = end.listener.Close() }
+	end.onAccept = func() { _ = end.listener.Close() }
 	end.mu.Unlock()
 	h := newDeployment(t, end)
 	h.send(t, "/stream/a", "key-1", "long")
 	got := <-h.published
-	if len(got.Suspects) != 0 || len(got.Running) != 1 || got.Running[0] != printOf("/stream/a", "long") {
+	if len(got.Suspects) != 0 || len(got.Running) != 1 || got.Running[0] != fingerprintOf("/stream/a", "long") {
 		t.Errorf("got %+v, want the request among those that were running", got)
 	}
 }
 
 // An answer that refuses acquits nobody: an endpoint that reads no request to its end answers
 // the deadly one too.
-func TestRefusalByAnEndpointAcquitsNobody(t *testing.T) {
+func TestErrorAnswerDoesNotClearRequest(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", failing(http.StatusBadRequest)))
-	print := printOf("/safe/a", "deadly")
-	h.ended(print, 2)
+	fingerprint := fingerprintOf("/safe/a", "deadly")
+	h.reportEnds(fingerprint, 2)
 	h.send(t, "/safe/a", "key-1", "deadly").check(t, http.StatusBadRequest, "fail", true)
-	h.ended(print, 3)
+	h.reportEnds(fingerprint, 3)
 	h.send(t, "/safe/a", "key-1", "deadly").check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 }
 
 // Symptom: a request that only ran beside a deadly one, or where endpoints ended otherwise, is
 // refused later. Sequence: two ends, then it is served; then one more end. Cause: ends were
 // added up though a good answer shows that it ends nothing.
-func TestServedRequestIsAcquitted(t *testing.T) {
+func TestServedRequestIsCleared(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1"))
-	print := printOf("/safe/a", "beside")
-	h.ended(print, 2)
+	fingerprint := fingerprintOf("/safe/a", "beside")
+	h.reportEnds(fingerprint, 2)
 	h.send(t, "/safe/a", "key-1", "beside").check(t, http.StatusOK, "ok", true)
 	got := <-h.published
-	if len(got.Served) != 1 || got.Served[0] != print {
+	if len(got.Served) != 1 || got.Served[0] != fingerprint {
 		t.Errorf("got %+v published, want that it was served", got)
 	}
 	// The two ends are reported again, by entries that saw them too, and a third one is.
-	h.ended(print, 3)
+	h.reportEnds(fingerprint, 3)
 	h.send(t, "/safe/a", "key-1", "beside").check(t, http.StatusOK, "ok", true)
 }
 
 // Symptom: after some thousand refusals an entry refuses every request with a body, "too many
 // bodies in memory". Cause: the bytes of a held request's body were counted and not given back.
-func TestHeldRequestLeavesNothingInMemory(t *testing.T) {
+func TestQuarantinedRequestReleasesBodyBytes(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1"))
-	h.ended(printOf("/safe/a", "deadly"), 3)
+	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 3)
 	h.send(t, "/safe/a", "key-1", "deadly").check(t, http.StatusServiceUnavailable, "", true)
 	h.send(t, "/safe/a", "key-1", "other").check(t, http.StatusOK, "", true)
-	if got := h.gateway.Figures()["bodyBytes"]; got != 0 {
+	if got := h.gateway.Counters()["bodyBytes"]; got != 0 {
 		t.Errorf("got %d bytes of bodies after all were answered, want 0", got)
 	}
-	if got, want := h.gateway.Figures()["held"], int64(1); got != want {
+	if got, want := h.gateway.Counters()["held"], int64(1); got != want {
 		t.Errorf("got %d held, want %d", got, want)
 	}
 }
--- a/entry/internal/gateway/silence_test.go
+++ b/entry/internal/gateway/stall_test.go
@@ -10,37 +10,37 @@
 
 // Guards against a stream that is broken off because its endpoint, which is sound, was silent
 // for a moment while no other endpoint had room.
-func TestStreamOfASilentEndpointIsNotBrokenOffWhereNoOtherHasRoom(t *testing.T) {
-	end := newEndpoint(t, "i-1", pausing(1, 5, 2))
+func TestStreamOfSilentEndpointIsKeptWithoutRoomElsewhere(t *testing.T) {
+	end := newEndpoint(t, "i-1", pausingEvents(1, 5, 2))
 	h := newDeployment(t, end)
-	h.freeze()
+	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
-	h.begun(t, 2)
+	h.awaitEvents(t, 2)
 	h.state.Fleet().Observe("app", end.address, fleet.EngineState{})
-	h.log.line(t, "endpoint=i-1", "silent")
+	h.log.awaitLine(t, "endpoint=i-1", "silent")
 	close(end.resume)
-	h.pass(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
-	if got := sum(end); got != 1 {
+	h.advanceUntilAnswered(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
+	if got := requestCount(end); got != 1 {
 		t.Errorf("got %d sends, want 1", got)
 	}
 }
 
 // Guards against a stream that stays at a silent endpoint though another one has room, and
 // against a log that doesn't say why it moved.
-func TestStreamOfASilentEndpointMovesOnceAnotherHasRoom(t *testing.T) {
-	dead, alive := newEndpoint(t, "i-dead", pausing(1, 5, 2)), newEndpoint(t, "i-alive", events(3, 5, false))
+func TestStreamOfSilentEndpointMovesWhenAnotherHasRoom(t *testing.T) {
+	dead, alive := newEndpoint(t, "i-dead", pausingEvents(1, 5, 2)), newEndpoint(t, "i-alive", events(3, 5, false))
 	h := newDeployment(t, dead)
-	h.freeze()
+	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
-	h.begun(t, 2)
+	h.awaitEvents(t, 2)
 	h.state.Fleet().Observe("app", dead.address, fleet.EngineState{})
-	h.log.line(t, `msg="silent endpoint kept"`, "endpoint=i-dead")
-	h.born(alive, 0, 2)
+	h.log.awaitLine(t, `msg="silent endpoint kept"`, "endpoint=i-dead")
+	h.register(alive, 0, 2)
 	got := <-answered
 	got.check(t, 200, "id: 1\n", true)
-	h.log.line(t, "msg=attempt", "endpoint=i-dead", "outcome=silent", `gaveUp="endpoint reported dead"`)
+	h.log.awaitLine(t, "msg=attempt", "endpoint=i-dead", "outcome=silent", `gaveUp="endpoint reported dead"`)
 	if requests := alive.requests(); len(requests) != 1 || requests[0].Header.Get("Last-Event-Id") != "2" {
 		t.Errorf("got %v, want the stream resumed after its second event", requests)
 	}
@@ -48,50 +48,50 @@
 
 // Guards against a silent endpoint that is given up where repeats are used up: its answer may
 // still come, and nobody else may give one.
-func TestStreamOfASilentEndpointIsNotBrokenOffWhereRepeatsAreUsedUp(t *testing.T) {
-	silent, other := newEndpoint(t, "i-1", pausing(1, 5, 2)), newEndpoint(t, "i-2")
+func TestStreamOfSilentEndpointIsKeptWithoutRetryBudget(t *testing.T) {
+	silent, other := newEndpoint(t, "i-1", pausingEvents(1, 5, 2)), newEndpoint(t, "i-2")
 	h := newDeployment(t, silent)
-	h.slack = 0
-	h.freeze()
+	h.retrySlack = 0
+	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
-	h.begun(t, 2)
-	h.born(other, 0, 2)
+	h.awaitEvents(t, 2)
+	h.register(other, 0, 2)
 	h.state.Fleet().Observe("app", silent.address, fleet.EngineState{})
-	h.log.line(t, `msg="silent endpoint kept"`, "endpoint=i-1")
+	h.log.awaitLine(t, `msg="silent endpoint kept"`, "endpoint=i-1")
 	close(silent.resume)
-	h.pass(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
-	if got := sum(other); got != 0 {
+	h.advanceUntilAnswered(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
+	if got := requestCount(other); got != 0 {
 		t.Errorf("got %d sends elsewhere, want none", got)
 	}
 }
 
 // Guards against callers that give up a stream at a host that stands still, which don't come back:
 // one without an event gets an answer before, one with a part of it a closed connection.
-func TestCallerOfASilentHostIsReleasedBeforeItGivesUp(t *testing.T) {
+func TestCallerOfSilentHostIsAnsweredBeforeItsTimeout(t *testing.T) {
 	for name, test := range map[string]struct {
 		script func(id string) []byte
 		events int
 		status int
 	}{
 		"no event":   {func(string) []byte { return []byte(pause) }, 0, 502},
-		"two events": {pausing(1, 5, 2), 2, 200},
+		"two events": {pausingEvents(1, 5, 2), 2, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			end := newEndpoint(t, "i-1", test.script)
 			defer close(end.resume)
 			h := newDeployment(t, end)
-			h.freeze()
+			h.stopClock()
 			answered := make(chan answer)
 			go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
-			h.begun(t, test.events)
+			h.awaitEvents(t, test.events)
 			for len(end.requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			h.clock.Advance(3700 * time.Millisecond) // callers bear 4 s here
 			got := <-answered
-			if got.status != test.status || got.whole != (test.events == 0) {
-				t.Errorf("got %d whole %v, want %d whole %v", got.status, got.whole, test.status, test.events == 0)
+			if got.status != test.status || got.complete != (test.events == 0) {
+				t.Errorf("got %d whole %v, want %d whole %v", got.status, got.complete, test.status, test.events == 0)
 			}
 		})
 	}
@@ -99,43 +99,43 @@
 
 // Guards against a stream that ends shortly before its caller would give it up, though its answer may
 // still come: the agent on the endpoint's host reports it alive, or it has given a part.
-func TestStreamOfASilentEndpointWhoseHostReportsIsKept(t *testing.T) {
+func TestStreamOfSilentEndpointIsKeptWhileHostReports(t *testing.T) {
 	for name, test := range map[string]struct {
 		script func(id string) []byte
 		events int
 		alive  bool
 	}{
 		"no event, alive":           {func(id string) []byte { return append([]byte(pause), events(1, 5, false)(id)...) }, 0, true},
-		"two events, alive":         {pausing(1, 5, 2), 2, true},
-		"two events, reported dead": {pausing(1, 5, 2), 2, false},
+		"two events, alive":         {pausingEvents(1, 5, 2), 2, true},
+		"two events, reported dead": {pausingEvents(1, 5, 2), 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			end := newEndpoint(t, "i-1", test.script)
 			h := newDeployment(t, end)
-			h.freeze()
+			h.stopClock()
 			answered := make(chan answer)
 			go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
-			h.begun(t, test.events)
+			h.awaitEvents(t, test.events)
 			for len(end.requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			h.clock.Advance(3700 * time.Millisecond) // callers bear 4 s here
 			h.state.Fleet().Observe("app", end.address, fleet.EngineState{Alive: test.alive})
-			h.log.line(t, "endpoint=i-1", "silent")
+			h.log.awaitLine(t, "endpoint=i-1", "silent")
 			close(end.resume)
-			h.pass(answered, 200*time.Millisecond).check(t, 200, "id: 1\n", true)
+			h.advanceUntilAnswered(answered, 200*time.Millisecond).check(t, 200, "id: 1\n", true)
 		})
 	}
 }
 
 // cutStream sends a stream whose only endpoint breaks off after two events, and returns once it
 // waits for another one.
-func (h *deployment) cutStream(t *testing.T) <-chan answer {
+func (h *deployment) interruptStream(t *testing.T) <-chan answer {
 	t.Helper()
-	h.freeze()
+	h.stopClock()
 	answered := make(chan answer, 1)
 	go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
-	h.log.line(t, "outcome=broken", "events=2")
+	h.log.awaitLine(t, "outcome=broken", "events=2")
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	// The deadline and the wait.
@@ -147,42 +147,42 @@
 
 // Guards against a stream that is broken off because no other endpoint had room for a second,
 // though its caller waits for two.
-func TestStreamThatWasCutWaitsForRoomAsLongAsItsCallerDoes(t *testing.T) {
+func TestInterruptedStreamWaitsForRoom(t *testing.T) {
 	for name, drain := range map[string]bool{"serving": false, "draining": true} {
 		t.Run(name, func(t *testing.T) {
 			h := newDeployment(t, newEndpoint(t, "i-1", events(1, 3, true)))
-			answered := h.cutStream(t)
+			answered := h.interruptStream(t)
 			if drain {
 				h.gateway.Drain()
 			}
 			h.clock.Advance(1800 * time.Millisecond)
 			select {
 			case got := <-answered:
-				t.Fatalf("got %d %q whole %v, want the stream to wait", got.status, got.body, got.whole)
+				t.Fatalf("got %d %q whole %v, want the stream to wait", got.status, got.body, got.complete)
 			case <-time.After(200 * time.Millisecond):
 			}
-			h.born(newEndpoint(t, "i-2", events(3, 5, false)), 0, 2)
-			h.pass(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
+			h.register(newEndpoint(t, "i-2", events(3, 5, false)), 0, 2)
+			h.advanceUntilAnswered(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
 		})
 	}
 }
 
 // Guards against a stream that is broken off because repeats were used up at the moment when its
 // endpoint broke off: more requests allow more repeats.
-func TestStreamThatWasCutWaitsForTheBudget(t *testing.T) {
+func TestInterruptedStreamWaitsForRetryBudget(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", events(1, 3, true)))
-	h.slack = 0
-	answered := h.cutStream(t)
-	other := newEndpoint(t, "i-2", whole("a"), whole("b"), whole("c"), whole("d"), whole("e"), whole("f"), whole("g"), events(3, 5, false))
-	h.born(other, 0, 2)
+	h.retrySlack = 0
+	answered := h.interruptStream(t)
+	other := newEndpoint(t, "i-2", complete("a"), complete("b"), complete("c"), complete("d"), complete("e"), complete("f"), complete("g"), events(3, 5, false))
+	h.register(other, 0, 2)
 	for range 7 {
 		h.send(t, "/once/a", "key-1", "").check(t, 200, "", true)
 	}
-	h.pass(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
+	h.advanceUntilAnswered(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
 }
 
 // pass lets the time of a frozen clock go by in steps until a request is answered.
-func (h *deployment) pass(answered <-chan answer, span time.Duration) answer {
+func (h *deployment) advanceUntilAnswered(answered <-chan answer, span time.Duration) answer {
 	const step = 100 * time.Millisecond
 	for passed := time.Duration(0); passed < span; passed += step {
 		select {
--- a/entry/internal/gateway/stream.go
+++ b/entry/internal/gateway/stream.go
@@ -17,40 +17,40 @@
 const maxEventBytes = 64 << 10
 
 // errTorn says that a stream ended within an event.
-var errTorn = errors.New("the stream ended within an event")
+var errTruncatedEvent = errors.New("the stream ended within an event")
 
 // relayStream passes whole events on as they come. Where the endpoint stops, the
 // stream may go on at another one after the last whole event.
 func (x *exchange) relayStream(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
-	events := &eventReader{reader: bufio.NewReaderSize(resp.Body, readAhead)}
+	events := &eventReader{reader: bufio.NewReaderSize(resp.Body, eventBufferBytes)}
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			giveUp(conn, err)
-			return x.brokenBy(ctx, silentOr(err, fleet.Broken))
+			closeAfterError(conn, err)
+			return x.abandonedOr(ctx, silentOutcome(err, fleet.Broken))
 		}
-		if x.events == 0 && x.header == nil {
-			x.writeHead(resp)
+		if x.events == 0 && x.answerHeader == nil {
+			x.writeHeader(resp)
 		}
-		x.noteEvent()
+		x.recordEventTime()
 		grant.Began()
 		x.events++
 		x.adm.Begun = true
 		if event.id != "" {
-			x.lastID = event.id
+			x.lastEventID = event.id
 		}
-		if err := x.pass(event.bytes); err != nil {
+		if err := x.writeEvent(event.bytes); err != nil {
 			conn.Cancel()
 			conn.Close()
 			return fleet.Abandoned
 		}
-		x.gateway.figures.events.Add(1)
+		x.gateway.counters.events.Add(1)
 	}
-	if x.header == nil {
-		x.writeHead(resp)
+	if x.answerHeader == nil {
+		x.writeHeader(resp)
 	}
 	x.gateway.cfg.Pool.Put(conn, resp, answer.Idle, grant.IdleRoom())
 	x.status = resp.StatusCode
@@ -58,22 +58,22 @@
 }
 
 // noteEvent takes the times that say whether the answer is in time.
-func (x *exchange) noteEvent() {
+func (x *exchange) recordEventTime() {
 	now := x.gateway.cfg.Clock.Now()
 	if x.events == 0 {
 		x.answering.Store(true)
-		x.firstEvent = now.Sub(x.arrived)
+		x.firstEventAfter = now.Sub(x.arrived)
 	} else {
-		x.longest = max(x.longest, now.Sub(x.eventAt))
+		x.longestPause = max(x.longestPause, now.Sub(x.lastEventAt))
 	}
-	x.eventAt = now
+	x.lastEventAt = now
 }
 
 // readAhead holds a usual event.
-const readAhead = 1 << 10
+const eventBufferBytes = 1 << 10
 
 // pass writes an event to the caller at once.
-func (x *exchange) pass(event []byte) error {
+func (x *exchange) writeEvent(event []byte) error {
 	if _, err := x.w.Write(event); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(r.buffer) > 0 {
-			return event{}, errTorn
+			return event{}, errTruncatedEvent
 		}
 		if err != nil {
 			return event{}, err
