--- a/entry/internal/gateway/admit.go
+++ b/entry/internal/gateway/admit.go
@@ -10,7 +10,8 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// timing sets when the answer is due and what decides whether it can be in time.
+// initAdmission fills in the request's admission parameters: its target times, deadline and
+// priority.
 func (x *exchange) initAdmission() {
 	x.adm = admission.Request{
 		Engine: x.engine(), Target: x.route.Target, Gap: x.route.Gap, Prompt: x.req.Prompt, Priority: x.route.Priority,
@@ -19,16 +20,17 @@
 	x.adm.SetSpan(x.route.Timeout, x.req.Deadline)
 }
 
-// line holds the requests that wait for a place at one service. Only its head is notified of
-// room, so that a state of an engine wakes one request and not all.
+// waitQueue orders the requests that wait for a free slot at one service. Only its head waits for
+// capacity changes, so that an engine's state report wakes one request and not all of them.
 type waitQueue struct {
 	clock func() time.Time
 
 	mu      sync.Mutex
 	order   admission.Line
-	wakeups map[*admission.Request]chan struct{} // closed where it is one's turn to look
+	wakeups map[*admission.Request]chan struct{} // receives when the request should try again
 }
 
+// waitQueue returns the queue of a service and creates it on first use.
 func (g *Gateway) waitQueue(service string) *waitQueue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -40,18 +42,18 @@
 	return q
 }
 
-// enter adds a request that found no place.
+// add enqueues a request that found no free slot.
 func (q *waitQueue) add(req *admission.Request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.order.Enter(q.clock(), req)
 	q.wakeups[req] = make(chan struct{}, 1)
 	if q.order.Len() > 1 && q.order.Head(q.clock()) == req {
-		q.wakeHead() // it goes before those who looked in vain
+		q.wakeHead() // it precedes requests that already tried without success
 	}
 }
 
-// leave takes a request out and lets the next one look.
+// remove dequeues a request and wakes the new head.
 func (q *waitQueue) remove(req *admission.Request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,7 +62,7 @@
 	q.wakeHead()
 }
 
-// call notifies the head that it is its turn; l.mu is held.
+// wakeHead tells the head of the queue to try for a slot. The caller holds q.mu.
 func (q *waitQueue) wakeHead() {
 	head := q.order.Head(q.clock())
 	if head == nil {
@@ -72,8 +74,8 @@
 	}
 }
 
-// first reports whether nobody waits before the request. One that does not wait yet is
-// first only where nobody does.
+// isNext reports whether no other request precedes this one. A request that is not queued yet is
+// next only if the queue is empty.
 func (q *waitQueue) isNext(req *admission.Request) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -81,8 +83,8 @@
 	return head == nil || head == req
 }
 
-// turn returns what the request waits for: its turn where others go first, and until
-// when the order stands.
+// status returns the channel that wakes the request, whether it is the head, and when the order
+// of the queue may change next.
 func (q *waitQueue) status(req *admission.Request) (wakeup <-chan struct{}, isHead bool, changesAt time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -93,7 +95,7 @@
 	return q.wakeups[req], head == req, q.order.ChangesAt()
 }
 
-// ahead returns how many wait before the request.
+// ahead returns the number of requests that precede this one.
 func (q *waitQueue) ahead(req *admission.Request) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -106,7 +108,7 @@
 	return q.order.Len()
 }
 
-// need says which endpoint the request needs.
+// need returns the criteria by which an endpoint is chosen for the next attempt.
 func (x *exchange) need() fleet.Need {
 	g := x.gateway
 	need := x.adm.Need(g.cfg.Clock.Now(), x.req.Model, g.cfg.Domain, g.cfg.Entries())
@@ -122,19 +124,20 @@
 	return need
 }
 
-// floorMargin is the part of a version's time after which only endpoints that
-// have it are chosen: the rest is for requests on their way and for clocks.
+// minVersionMargin is how long before the deadline of a version rollout only endpoints that have
+// loaded the version are chosen. It covers requests in transit and clock differences.
 const minVersionMargin = 1200 * time.Millisecond
 
-// soonMargin is the part of a version's time after which engines that have an
-// older one get only what they begin at once.
+// nextMinVersionMargin is how long before the deadline of a version rollout engines with an older
+// version only get requests that they can start at once.
 const nextMinVersionMargin = 2500 * time.Millisecond
 
-// floor returns the lowest version of a model that may still serve.
+// minVersion returns the lowest version of a model that may still serve requests, 0 for any.
 func (g *Gateway) minVersion(model string) uint64 {
 	return g.cfg.State.Floor(model, g.cfg.Bounds().Version-minVersionMargin)
 }
 
+// engine returns the engine settings of the request's service, nil if it runs no engine.
 func (x *exchange) engine() *catalog.Engine {
 	svc, ok := x.catalog.Service(x.service)
 	if !ok {
@@ -143,8 +146,8 @@
 	return svc.Engine
 }
 
-// place waits for an endpoint with room. Where none comes in time the refusal
-// says when to come back.
+// acquireEndpoint waits until an endpoint has a free slot and takes it. If none is free in time,
+// the refusal says when the caller should retry.
 func (x *exchange) acquireEndpoint(ctx context.Context) (*fleet.Grant, *refusal) {
 	if grant := x.reserved; grant != nil && grant.Good() {
 		x.reserved = nil
@@ -187,8 +190,8 @@
 	}
 }
 
-// unservable refuses a request that its endpoints won't admit in time: their rate limits don't, or
-// they asked this entry for rest; nil: they may.
+// refuseBlocked refuses a request that no endpoint will accept in time, because of their rate
+// limits or because they asked this entry to pause. It returns nil if one may accept it.
 func (x *exchange) refuseBlocked(group *fleet.Group, need fleet.Need, queue *waitQueue, until time.Time) *refusal {
 	backlog, ok := group.Backlog(need, queue.ahead(&x.adm))
 	admitted := !x.gateway.cfg.Clock.Now().Add(backlog.Wait).After(until) && !backlog.Elsewhere && !backlog.Tried
@@ -200,13 +203,13 @@
 		reason = "endpoints ask for rest"
 	}
 	refused := x.refuseUnserved(reason, backlog.Wait)
-	// A rest binds this entry alone.
+	// The pause applies to this entry only, so another entry may serve the caller.
 	refused.closeConn = backlog.Elsewhere || backlog.Rest
 	return refused
 }
 
-// wait waits until the request should look for a place again: for its turn, and once it
-// is first for room.
+// waitForRoom waits until the request should try for a slot again: until it is woken as the new
+// head of the queue, or, if it is the head, until capacity may have changed.
 func (x *exchange) waitForRoom(ctx context.Context, queue *waitQueue, changed <-chan struct{}, until time.Time) {
 	clock := x.gateway.cfg.Clock
 	wakeup, isHead, changesAt := queue.status(&x.adm)
@@ -225,7 +228,7 @@
 	}
 }
 
-// earliest returns the earliest of some times, of which zero ones don't count.
+// earliest returns the earliest of the times. It ignores zero values among others.
 func earliest(first time.Time, others ...time.Time) time.Time {
 	for _, other := range others {
 		if !other.IsZero() && other.Before(first) {
@@ -235,7 +238,7 @@
 	return first
 }
 
-// noPlace says why nobody took the request and when to come back.
+// refuseNoRoom refuses a request that got no slot, with the reason and the time to retry.
 func (x *exchange) refuseNoRoom(ctx context.Context, verdict fleet.Verdict, waiting int) *refusal {
 	if ctx.Err() != nil {
 		return x.refuseCanceled(ctx)
--- a/entry/internal/gateway/admit_test.go
+++ b/entry/internal/gateway/admit_test.go
@@ -9,7 +9,7 @@
 	"comfreyrelay.example/relay/admission"
 )
 
-// gave reports whether the turn was given.
+// notified reports whether a request was woken.
 func notified(wakeup <-chan struct{}) bool {
 	select {
 	case <-wakeup:
@@ -19,10 +19,9 @@
 	}
 }
 
-// Symptom: an entry whose engines are full spends its processor on those who wait.
-// Sequence: 28 engines report their state 30 times a second each; each state wakes each
-// of 40 who wait, and each of these sorts the line. Cause: all waited for room, though
-// only the first may take it.
+// Guards against high CPU load of an entry whose engines are full. With 28 engines that each
+// report their state 30 times a second and 40 queued requests, each report woke all requests, and
+// each of them sorted the queue, though only the first one may take a free slot.
 func TestOnlyQueueHeadIsWoken(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	queue := &waitQueue{clock: clock.Now, wakeups: map[*admission.Request]chan struct{}{}}
@@ -33,25 +32,25 @@
 		waiting = append(waiting, req)
 	}
 	if _, isHead, _ := queue.status(waiting[0]); !isHead {
-		t.Errorf("got the first one behind others, want it to hear of room")
+		t.Errorf("got the first request behind others, want it at the head")
 	}
 	wakeup, isHead, _ := queue.status(waiting[1])
 	if isHead || notified(wakeup) {
-		t.Errorf("got the second one looking for room, want it to wait for its turn")
+		t.Errorf("got the second request at the head or woken, want it to wait")
 	}
-	// One that leaves from the middle changes nothing; once the head does, the next
-	// one is notified.
+	// A request that leaves from the middle of the queue changes nothing. When the head leaves,
+	// the next request is woken.
 	queue.remove(waiting[0])
 	if !notified(wakeup) {
-		t.Errorf("got no turn for the second one after the first left, want it")
+		t.Errorf("got no wakeup of the second request after the first left, want one")
 	}
 	urgent := &admission.Request{Begun: true}
 	queue.add(urgent)
 	wakeup, isHead, _ = queue.status(urgent)
 	if !isHead || !notified(wakeup) {
-		t.Errorf("got one that goes before all others waiting, want it to look at once")
+		t.Errorf("got the most urgent request behind others or not woken, want it woken as the head")
 	}
 	if queue.isNext(waiting[1]) {
-		t.Errorf("got the one before it first still, want it behind")
+		t.Errorf("got the former head still next, want it behind the urgent request")
 	}
 }
--- a/entry/internal/gateway/crashcheck.go
+++ b/entry/internal/gateway/crashcheck.go
@@ -15,32 +15,35 @@
 )
 
 const (
-	// inquestWait is how long requests that broke at one endpoint are collected before it
-	// is looked at: an end cuts all of them off within a few milliseconds.
+	// crashCheckDelay is how long interrupted requests of one endpoint are collected before the
+	// endpoint is checked. The end of an endpoint interrupts all of them within a few
+	// milliseconds.
 	crashCheckDelay = 30 * time.Millisecond
-	// lookTimeout bounds the look at an endpoint beside the time of a connection.
+	// listenTimeout limits the check whether an endpoint listens. The connection attempt has a
+	// shorter timeout of its own.
 	listenTimeout = time.Second
-	// maxInquests bounds the endpoints that are looked at at once. Where all hosts of a
-	// domain lose power an entry loses those it sends to, a few tens.
+	// maxCrashChecks limits the endpoints that are checked at once. When all hosts of a failure
+	// domain lose power, an entry loses the endpoints it sends to, a few tens.
 	maxCrashChecks = 256
-	// runningEvents is the events after which a request was run for some passes of its engine,
-	// which went on: what ends an engine that begins to run it does so in the first ones.
+	// minRunningEvents is the number of events after which a request counts as running rather
+	// than suspect: a request that crashes an engine does so in the first passes that run it.
 	minRunningEvents = 3
-	// maxSuspects bounds the requests that are remembered of one end, above the slots and
-	// the queue of an endpoint.
+	// maxRequestsPerCheck limits the requests recorded for one end. It is more than the slots and
+	// the queue of an endpoint hold.
 	maxRequestsPerCheck = 64
 )
 
-// suspect is a request in progress at an endpoint when its connection broke.
+// interruptedRequest is a request whose connection to the endpoint broke or went silent.
 type interruptedRequest struct {
 	fingerprint quarantine.Fingerprint
 	id          string
-	elapsed     time.Duration // since it was sent there
+	elapsed     time.Duration // since it was sent
 	events      int
 }
 
-// inquire starts to find out whether the endpoint ended under the request. A request that one
-// more end would hold waits for the result, so that it ends no other endpoint meanwhile.
+// awaitCrashCheck starts a check whether the endpoint ended while it ran the request. A request
+// that one more end would quarantine waits for the result, so that it does not crash another
+// endpoint in the meantime.
 func (x *exchange) awaitCrashCheck(ctx context.Context, grant *fleet.Grant, outcome fleet.Outcome) {
 	if outcome != fleet.Broken && outcome != fleet.Silent {
 		return
@@ -56,9 +59,8 @@
 	}
 }
 
-// inquests find out whether endpoints ended under the requests that broke there: a broken
-// connection alone is the network's as often as the endpoint's. They are safe for
-// concurrent use.
+// crashChecker finds out whether endpoints ended while they ran requests. A broken connection does
+// not tell: the network is the cause as often as the endpoint. It is safe for concurrent use.
 type crashChecker struct {
 	pool    *upstream.Pool
 	clock   clockwork.Clock
@@ -70,23 +72,23 @@
 	running map[fleet.Incarnation]*crashCheck
 }
 
-// inquest is on one endpoint; its inquests' lock guards it.
+// crashCheck is the check of one endpoint. The lock of its crashChecker guards it.
 type crashCheck struct {
-	grant    *fleet.Grant // of the first that broke
+	grant    *fleet.Grant // of the first interrupted request
 	requests []interruptedRequest
-	omitted  int // suspects beyond the bound
+	omitted  int // requests beyond maxRequestsPerCheck
 	done     chan struct{}
 }
 
-// add takes in a request that broke at an endpoint and returns a channel that is closed once
-// it is known whether that ended; nil: nobody looks.
+// add adds an interrupted request to the check of its endpoint and starts the check if none is
+// running. The returned channel is closed when the check is done; it is nil if too many checks run.
 func (c *crashChecker) add(grant *fleet.Grant, req interruptedRequest) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	check := c.running[grant.Incarnation()]
 	if check == nil {
 		if len(c.running) >= maxCrashChecks {
-			c.log.Warn("an endpoint is not looked at, too many broke", "endpoint", grant.ID(), "request", req.id)
+			c.log.Warn("endpoint not checked: too many endpoints are being checked", "endpoint", grant.ID(), "request", req.id)
 			return nil
 		}
 		check = &crashCheck{grant: grant, done: make(chan struct{})}
@@ -101,20 +103,21 @@
 	return check.done
 }
 
-// look looks at the endpoint once those that broke with it are collected.
+// run collects interrupted requests for crashCheckDelay, checks whether the endpoint ended and
+// reports an end to this entry's ledger and to the other entries.
 func (c *crashChecker) run(check *crashCheck) {
 	defer close(check.done)
 	<-c.clock.After(crashCheckDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
 	listens, err := c.pool.Listens(ctx, upstream.Target{Address: check.grant.Address(), Born: check.grant.Incarnation().Born})
-	// The port of one that fell silent refuses nobody, and a kept connection to it looks open;
-	// its host's agent knows.
+	// The port of a silent endpoint does not refuse connections, and a kept connection to it looks
+	// open. Only the agent on its host knows whether it still runs.
 	ended := err == nil && !listens || check.grant.Over() || !check.grant.Alive()
 	c.mu.Lock()
 	delete(c.running, check.grant.Incarnation())
 	c.mu.Unlock()
-	// One that leaves ends by itself.
+	// A leaving endpoint exits on its own, so its end counts against no request.
 	leaving := check.grant.Leaving()
 	c.log.Info("endpoint looked at", append(check.fields(ended, err), "left", leaving)...)
 	if !ended || leaving {
@@ -125,7 +128,7 @@
 	c.publish(site.Report{Report: report})
 }
 
-// report is the report to other entries of an endpoint that ended.
+// report returns the quarantine report for an endpoint that ended.
 func (c *crashCheck) report() quarantine.Report {
 	in := c.grant.Incarnation()
 	result := quarantine.Report{End: quarantine.End{Endpoint: in.ID, Born: in.Born}}
@@ -139,6 +142,7 @@
 	return result
 }
 
+// fields returns the log fields of the check.
 func (c *crashCheck) fields(ended bool, err error) []any {
 	ids, prints := make([]string, 0, len(c.requests)), make([]string, 0, len(c.requests))
 	ran, events := make([]int64, 0, len(c.requests)), make([]int, 0, len(c.requests))
--- a/entry/internal/gateway/crashcheck_test.go
+++ b/entry/internal/gateway/crashcheck_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// output takes the gateway's log.
+// logBuffer collects the gateway's log.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -20,7 +20,7 @@
 	return o.text.Write(text)
 }
 
-// line waits for a line that has all words and returns it.
+// awaitLine waits for a line that contains all words and returns it.
 func (o *logBuffer) awaitLine(t *testing.T, words ...string) string {
 	t.Helper()
 	for range 2000 {
@@ -47,8 +47,8 @@
 	return true
 }
 
-// A connection that breaks does not say whether the endpoint ended; whether it still listens
-// does, and the log distinguishes the cases.
+// A broken connection does not show whether the endpoint ended. The entry checks whether the
+// endpoint still listens and logs the result.
 func TestLogDistinguishesEndedEndpointFromBrokenConnection(t *testing.T) {
 	ended, lives := newEndpoint(t, "i-ended", nil), newEndpoint(t, "i-lives", nil)
 	ended.mu.Lock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against requests that are held since endpoints which had said that they leave ended under
-// them: such an endpoint ends by itself.
+// Guards against quarantining requests because leaving endpoints ended while they ran them: a
+// leaving endpoint exits on its own.
 func TestEndOfLeavingEndpointCountsAgainstNoRequest(t *testing.T) {
 	leaves := newEndpoint(t, "i-1", func(id string) []byte {
 		return []byte(strings.Replace(string(events(1, 2, true)(id)), "\r\n", "\r\nServer-Leaving: 1\r\n", 1))
@@ -81,7 +81,8 @@
 	}
 }
 
-// Two tries of one request have ids of their own; the log shows that they are the same.
+// A caller's two tries of a request have different IDs; the fingerprint in the log shows that they
+// are the same request.
 func TestLogShowsThatARequestCameAgain(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	h := newDeployment(t, end)
--- a/entry/internal/gateway/deployment_test.go
+++ b/entry/internal/gateway/deployment_test.go
@@ -27,19 +27,19 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// endpoint answers each request that it reads with the next of its answers, byte
-// for byte; a nil answer closes the connection. Further requests get a whole 200.
+// endpoint answers each request with the next of its answers, byte for byte. A nil answer closes
+// the connection. Once the answers are used up, requests get a complete 200.
 type endpoint struct {
 	id      string
 	address string
-	// listener is closed where the endpoint ends.
+	// listener is closed to simulate the end of the endpoint.
 	listener net.Listener
 	mu       sync.Mutex
 	answers  []func(id string) []byte
 	received []*http.Request
-	// accepted is called with mu held for each connection; may be nil.
+	// onAccept, if not nil, is called for each connection with mu held.
 	onAccept func()
-	resume   chan struct{} // closed where a paused answer goes on
+	resume   chan struct{} // closed to continue a paused answer
 }
 
 func newEndpoint(t *testing.T, id string, answers ...func(id string) []byte) *endpoint {
@@ -99,9 +99,9 @@
 }
 
 const (
-	// cutOff ends an answer after which the connection closes.
+	// cutOff at the end of an answer closes the connection.
 	cutOff = "\x00"
-	// pause stands in an answer where the endpoint waits for resume to be closed.
+	// pause in an answer makes the endpoint wait until resume is closed.
 	pause = "<pause>"
 )
 
@@ -131,28 +131,32 @@
 	return append([]*http.Request(nil), e.received...)
 }
 
+// head returns the status line and the headers of an answer.
 func head(status int, id string, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\n%s", status, id, more)
 }
 
+// complete answers 200 with the given body.
 func complete(body string) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(200, id, fmt.Sprintf("X-Server-Stamp: s-%s\r\nContent-Length: %d\r\n\r\n%s", body, len(body), body)))
 	}
 }
 
+// failing answers with the given status, signed by the endpoint.
 func failing(status int) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(status, id, "X-Server-Stamp: f\r\nContent-Length: 4\r\n\r\nfail"))
 	}
 }
 
+// notRun refuses a request and proves that it did not run.
 func notRun(id string) []byte {
 	return []byte(head(503, id, "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"))
 }
 
-// events streams events first to last; torn leaves the last one's end away and
-// breaks off.
+// events streams the events first to last. If truncated, it cuts off the end of the last event and
+// closes the connection.
 func events(first, last int, truncated bool) func(id string) []byte {
 	return func(id string) []byte {
 		var out strings.Builder
@@ -171,7 +175,7 @@
 	}
 }
 
-// pausing streams events first to last and pauses after one of them.
+// pausingEvents streams the events first to last and pauses after one of them.
 func pausingEvents(first, last, after int) func(id string) []byte {
 	return func(id string) []byte {
 		next := []byte(fmt.Sprintf("id: %d\n", after+1))
@@ -181,22 +185,22 @@
 	}
 }
 
-// deployment is a gateway before endpoints.
+// deployment is a gateway with endpoints behind it.
 type deployment struct {
 	clock        *clockwork.FakeClock
-	freshnessNow time.Duration // of the freshness clock
-	// asked is called when somebody asks for the age of what is known, before it is returned;
-	// may be nil.
+	freshnessNow time.Duration // time of the freshness clock
+	// onAgeRead, if not nil, is called when the age of the configuration is read, before it is
+	// returned.
 	onAgeRead func()
 	state     *site.State
 	gateway   *gateway.Gateway
 	log       *logBuffer
 	server    *httptest.Server
 	lastID    int
-	// freeze stops the clock: it moves on no more while requests wait for it.
+	// stopClock stops the automatic advance of the clock.
 	stopClock  context.CancelFunc
 	published  chan site.Report // reports to other entries
-	retrySlack float64          // repeats beside their ratio
+	retrySlack float64          // gateway.Bounds.Slack
 }
 
 var testRoutes = []catalog.Route{
@@ -249,9 +253,9 @@
 	return h
 }
 
-// tick moves the clock on while a request waits for it, five times as fast as the
-// clock on the wall: nothing is decided by how long the network takes. The end of ctx is looked at
-// where requests wait already, too: BlockUntilContext doesn't.
+// runClock advances the clock while a request waits for it, five times as fast as the wall clock,
+// so that network delays decide nothing. It checks ctx itself, because BlockUntilContext does not
+// when requests already wait.
 func (h *deployment) runClock(ctx context.Context) {
 	for h.clock.BlockUntilContext(ctx, 1) == nil && ctx.Err() == nil {
 		h.clock.Advance(5 * time.Millisecond)
@@ -259,13 +263,13 @@
 	}
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status   int
 	body     string
 	header   http.Header
-	complete bool // the answer came to its end
-	close    bool // the connection is not to be used again
+	complete bool // the body was received to its end
+	close    bool // the connection must not be reused
 }
 
 func (h *deployment) send(t *testing.T, path, key, body string) answer {
@@ -292,7 +296,7 @@
 	return answer{status: resp.StatusCode, body: string(text), header: resp.Header, complete: err == nil, close: resp.Close}
 }
 
-// begun waits until a caller was sent so many events of an answer.
+// awaitEvents waits until callers were sent the given number of events.
 func (h *deployment) awaitEvents(t *testing.T, events int) {
 	t.Helper()
 	for range 2000 {
@@ -307,10 +311,11 @@
 func (a answer) check(t *testing.T, status int, body string, isComplete bool) {
 	t.Helper()
 	if a.status != status || !strings.HasPrefix(a.body, body) || a.complete != isComplete {
-		t.Errorf("got %d %q whole %v, want %d %q whole %v", a.status, a.body, a.complete, status, body, isComplete)
+		t.Errorf("got %d %q complete %v, want %d %q complete %v", a.status, a.body, a.complete, status, body, isComplete)
 	}
 }
 
+// requestCount returns the number of requests that the endpoints received.
 func requestCount(endpoints ...*endpoint) int {
 	total := 0
 	for _, end := range endpoints {
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway answers callers: it routes a request, waits for a place at an
-// endpoint, sends the request there and relays the answer.
+// Package gateway is the HTTP proxy between callers and endpoints: it routes a request, waits for
+// a free slot at an endpoint, sends the request there and relays the answer.
 //
-// Filters of one request: read, match, identify, admit, send, relay.
+// A request passes these stages: read, match the route, identify the customer, admit, send, relay.
 package gateway
 
 import (
@@ -27,34 +27,34 @@
 )
 
 const (
-	// soonReturn is the time to return where only a passing state of this entry is in the way.
+	// shortRetryAfter is the time to retry after when the cause is a transient state of this entry.
 	shortRetryAfter = 200 * time.Millisecond
-	// behindMargin is left of the bound for a change for a request's way to its endpoint. What
-	// is known may lack a change that must be in force once it is older than the rest of the
-	// bound, and is then no reason to refuse a request for good.
+	// configAgeMargin is the part of Bounds.Apply reserved for sending a request to its endpoint.
+	// A configuration older than the rest may lack a change that must already be in force, so it
+	// does not justify a final refusal.
 	configAgeMargin = 150 * time.Millisecond
-	// maxBodyBytes bounds a body where operators state none.
+	// defaultMaxBodyBytes limits a request body if the configuration sets no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// maxHeldBodies bounds the bodies of all requests in progress, bytes.
+	// maxBufferedBodyBytes limits the total size of the bodies of all requests in progress.
 	maxBufferedBodyBytes = 48 << 20
 )
 
-// Bounds are the promises that the gateway keeps.
+// Bounds are the time limits and retry limits that the gateway enforces.
 type Bounds struct {
-	// Revoke is how old the proof of the newest keys may be.
+	// Revoke is the maximum age of the configuration by which a key is accepted, so that a
+	// revoked key stops working within this time.
 	Revoke time.Duration
-	// Apply is how old the proof of the newest routes may be for a refusal
-	// for good.
+	// Apply is the maximum age of the configuration by which a request is refused for good.
 	Apply time.Duration
-	// Version is how long after its declaration a version may be passed over.
+	// Version is how long after its declaration a model version must be in use everywhere.
 	Version time.Duration
-	// Ratio and Slack bound the repeats of all entries together.
+	// Ratio and Slack limit the retries of all entries together: Ratio per request, plus Slack.
 	Ratio, Slack float64
-	// Window is the time over which repeats are counted.
+	// Window is the time over which retries are counted.
 	Window time.Duration
 }
 
-// Config holds what a Gateway needs.
+// Config holds the dependencies and settings of a Gateway.
 type Config struct {
 	State  *site.State
 	Pool   *upstream.Pool
@@ -62,21 +62,21 @@
 	Clock  clockwork.Clock
 	Log    *slog.Logger
 	Domain string // failure domain of this entry
-	// Bounds returns the bounds in force.
+	// Bounds returns the current bounds.
 	Bounds func() Bounds
-	// Publish reports to the other entries what this one saw; nil: nobody.
+	// Publish sends an observation of this entry to the other entries; nil discards it.
 	Publish func(site.Report)
 	// Entries returns how many entries share the endpoints, at least 1.
 	Entries func() int
 }
 
-// Gateway is the callers' handler. It is safe for concurrent use.
+// Gateway is the HTTP handler for callers. It is safe for concurrent use.
 type Gateway struct {
 	cfg        Config
-	closeConns atomic.Bool // callers are asked to use no connection again
-	draining   atomic.Bool // new requests are sent elsewhere
+	closeConns atomic.Bool // answers close their connection
+	draining   atomic.Bool // new requests are refused
 	inFlight   atomic.Int64
-	bodyBytes  atomic.Int64 // bytes held
+	bodyBytes  atomic.Int64 // request bodies in memory
 	counters   counters
 	callers    admission.Callers
 
@@ -84,11 +84,11 @@
 	retryBudgets map[string]*retry.Window // by service
 	waitQueues   map[string]*waitQueue    // by service
 	crashChecks  crashChecker
-	// inProgress holds the requests that were routed and have not ended, with what cancels each.
+	// inProgress maps each routed, unfinished request to its cancel function.
 	inProgress map[*exchange]context.CancelCauseFunc
 }
 
-// New returns a Gateway.
+// New returns a Gateway that subscribes to the quarantine ledger of cfg.State.
 func New(cfg Config) *Gateway {
 	if cfg.Publish == nil {
 		cfg.Publish = func(site.Report) {}
@@ -103,22 +103,23 @@
 	}
 	cfg.State.Ledger().Notify(g.cancelQuarantined)
 	cfg.State.Ledger().NotifyForgotten(func(fingerprint quarantine.Fingerprint) {
-		cfg.Log.Warn("a held request is forgotten, too many endpoints ended under others", "print", fingerprint)
+		cfg.Log.Warn("quarantined request forgotten: too many endpoint ends recorded for other requests", "print", fingerprint)
 	})
 	return g
 }
 
-// Leave makes each answer that begins from now on the last one of its connection. Connections
-// whose answer began before stay open: closing one without notice would lose the caller's next
-// request, which may be on its way.
+// Leave makes each answer that begins from now on close its connection. A connection whose answer
+// began before stays open: the caller was not told that it closes, and its next request, which may
+// be in transit, would be lost.
 func (g *Gateway) Leave() { g.closeConns.Store(true) }
 
-// Drain makes the gateway refuse what comes from now on.
+// Drain makes the gateway refuse new requests.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// InFlight returns the requests in progress.
+// InFlight returns the number of requests in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
+// retryBudget returns the retry budget of a service and creates it on first use.
 func (g *Gateway) retryBudget(service string) *retry.Window {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,7 +131,7 @@
 	return window
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP proxies one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -150,7 +151,7 @@
 
 // prepare reads a request and finds its route and customer.
 //
-// Rule ORDER of spec/freshness.pml.
+// It implements rule ORDER of spec/freshness.pml.
 func (g *Gateway) prepare(x *exchange, r *http.Request) *refusal {
 	req, err := g.cfg.Wire.Read(r)
 	if err != nil {
@@ -160,8 +161,8 @@
 	if g.draining.Load() {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "draining", retryAfter: time.Millisecond, closeConn: true}
 	}
-	// The age is taken before the configuration. The other way round, a newer configuration that
-	// arrives in between would lend its age to the older one that routes this request.
+	// The age must be read before the configuration. In the opposite order, an update that arrives
+	// in between would make the older configuration, which routes this request, look up to date.
 	age, known := g.cfg.State.Fresh().Age()
 	x.configAge, x.ageKnown = age, known
 	x.catalog = g.cfg.State.Catalog()
@@ -178,10 +179,11 @@
 	return nil
 }
 
-// route finds the request's route and customer. Only a configuration that is surely in force may
-// refuse a request for good: an entry that may be behind asks the caller to come back.
+// route finds the request's route and customer. A request is refused for good only by a
+// configuration that is known to be current. If it may be out of date, the caller is asked to
+// retry.
 //
-// Rule LIMIT of spec/freshness.pml.
+// It implements rule LIMIT of spec/freshness.pml.
 func (g *Gateway) route(x *exchange) *refusal {
 	bounds := g.cfg.Bounds()
 	age, known := x.configAge, x.ageKnown
@@ -189,7 +191,7 @@
 	route, ok := x.catalog.Match(x.req.Host, x.req.Path)
 	if !ok {
 		if behind {
-			return &refusal{status: http.StatusServiceUnavailable, reason: "no route, knowledge is old", retryAfter: shortRetryAfter}
+			return &refusal{status: http.StatusServiceUnavailable, reason: "no route, configuration may be out of date", retryAfter: shortRetryAfter}
 		}
 		return &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
@@ -205,7 +207,7 @@
 	customer, ok := x.catalog.Customer(x.req.Key)
 	if !ok {
 		if behind {
-			return &refusal{status: http.StatusServiceUnavailable, reason: "unknown key, knowledge is old", retryAfter: shortRetryAfter}
+			return &refusal{status: http.StatusServiceUnavailable, reason: "unknown key, configuration may be out of date", retryAfter: shortRetryAfter}
 		}
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
@@ -214,8 +216,8 @@
 	return nil
 }
 
-// readBody reads the whole body, so that a slow caller takes no endpoint's
-// place and a request can go to a second one.
+// readBody buffers the request body, so that a slow caller occupies no endpoint slot and the
+// request can be sent to a second endpoint.
 func (g *Gateway) readBody(x *exchange, r *http.Request) *refusal {
 	if r.ContentLength == 0 {
 		return nil
@@ -233,7 +235,7 @@
 	}
 	if g.bodyBytes.Add(reserved) > maxBufferedBodyBytes {
 		g.bodyBytes.Add(-reserved)
-		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies in memory", retryAfter: shortRetryAfter, closeConn: true}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "too many request bodies in memory", retryAfter: shortRetryAfter, closeConn: true}
 	}
 	x.bodyBytes = reserved
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Now().Add(x.adm.End.Sub(g.cfg.Clock.Now())))
@@ -244,14 +246,14 @@
 		if errors.As(err, &tooLarge) {
 			return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too large", closeConn: true}
 		}
-		return &refusal{status: http.StatusRequestTimeout, reason: "the body did not come whole", closeConn: true}
+		return &refusal{status: http.StatusRequestTimeout, reason: "the body was not received completely", closeConn: true}
 	}
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	x.req.Body = body
 	return nil
 }
 
-// exchange is one request and its answer.
+// exchange is the state of one request and its answer.
 type exchange struct {
 	gateway     *Gateway
 	w           http.ResponseWriter
@@ -261,33 +263,34 @@
 	customer    *catalog.Customer // nil on public routes
 	service     string
 	arrived     time.Time
-	adm         admission.Request // what decides when and where it goes
-	configAge   time.Duration     // of the knowledge that decided
-	ageKnown    bool              // there was a proof of it
-	bodyBytes   int64             // of body counted
+	adm         admission.Request // decides when and where it is sent
+	configAge   time.Duration     // age of the configuration when it was read
+	ageKnown    bool              // whether configAge is known
+	bodyBytes   int64             // size that was added to Gateway.bodyBytes
 	fingerprint quarantine.Fingerprint
 
-	tried            []fleet.Incarnation // endpoints that had the request
-	sends            int                 // that reached an endpoint
-	sentAt           time.Time           // when the newest one went out
-	attemptsUsed     int                 // sends that may have run and did not serve
-	mayHaveRun       bool                // an endpoint may have run it
-	mayHaveRunBefore bool                // the same before the newest attempt
+	tried            []fleet.Incarnation // endpoints that were chosen so far
+	sends            int                 // attempts that got a connection
+	sentAt           time.Time           // start of the latest send
+	attemptsUsed     int                 // failed attempts that may have run; compared with the route's limit
+	mayHaveRun       bool                // an endpoint may have run the request
+	mayHaveRunBefore bool                // mayHaveRun before the latest attempt
 	queuedFor        time.Duration
-	answerHeader     http.Header // of the answer that the caller gets; nil: none was begun
+	answerHeader     http.Header // header of the answer that the caller gets; nil until it begins
 	events           int
-	answering        atomic.Bool   // the first event came
-	firstEventAfter  time.Duration // from the arrival
-	lastEventAt      time.Time     // of the newest event
-	longestPause     time.Duration // pause between two events
-	lastEventID      string        // of the last event that the caller has
-	notResumable     bool          // the answer was begun and can't go on at another endpoint
-	status           int           // of the answer that the caller got whole; 0: none yet
-	responseWait     responseWait  // of the newest attempt
-	answerHead       call.Answer   // of the newest attempt; zero: none came
-	reserved         *fleet.Grant  // place of the next attempt; nil: none yet
+	answering        atomic.Bool   // set with the first event
+	firstEventAfter  time.Duration // time from arrival to the first event
+	lastEventAt      time.Time
+	longestPause     time.Duration // between two events
+	lastEventID      string        // ID of the last event sent to the caller
+	notResumable     bool          // the answer has begun and cannot continue at another endpoint
+	status           int           // status of the completed answer; 0 before that
+	responseWait     responseWait  // of the latest attempt
+	answerHead       call.Answer   // of the latest attempt; zero if no answer arrived
+	reserved         *fleet.Grant  // slot for the next attempt, nil if none is reserved
 }
 
+// customerName returns the customer's name, empty on public routes.
 func (x *exchange) customerName() string {
 	if x.customer == nil {
 		return ""
--- a/entry/internal/gateway/gateway_test.go
+++ b/entry/internal/gateway/gateway_test.go
@@ -35,9 +35,8 @@
 	}
 }
 
-// Symptom: two notices go out. Sequence: an endpoint runs a request that may run
-// once and its connection breaks. Cause: the request is sent again, by this
-// program or by the library under it.
+// Guards against running a request twice that must not be repeated: the connection breaks while the
+// endpoint runs it, and the entry or its HTTP library sends it again.
 func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", nil, nil), newEndpoint(t, "i-2", nil, nil)
 	h := newDeployment(t, one, two)
@@ -45,20 +44,19 @@
 		h.send(t, path, "key-1", "").check(t, 502, "", true)
 	}
 	if got, want := requestCount(one, two), 2; got != want {
-		t.Errorf("got %d sendings of two requests, want %d", got, want)
+		t.Errorf("got %d sends of two requests, want %d", got, want)
 	}
 }
 
-// Symptom: as above, on a kept connection. Sequence: an endpoint closes a kept
-// connection just as the next request goes out. Cause: libraries send again on a
-// connection that turns out to be closed.
+// Guards against the same fault on a kept connection: the endpoint closes it just as the next
+// request is sent, and HTTP libraries resend on a connection that turns out to be closed.
 func TestNonRepeatableRequestIsNotResentOnBrokenKeepAlive(t *testing.T) {
 	end := newEndpoint(t, "i-1", complete("first"), nil, complete("never"))
 	h := newDeployment(t, end)
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "first", true)
 	h.send(t, "/once/a", "key-1", "").check(t, 502, "", true)
 	if got, want := requestCount(end), 2; got != want {
-		t.Errorf("got %d sendings, want %d", got, want)
+		t.Errorf("got %d sends, want %d", got, want)
 	}
 }
 
@@ -67,7 +65,7 @@
 	h := newDeployment(t, one, two)
 	h.send(t, "/two/a", "key-1", "").check(t, 503, "", true)
 	if got, want := requestCount(one, two), 2; got != want {
-		t.Errorf("got %d sendings, want %d", got, want)
+		t.Errorf("got %d sends, want %d", got, want)
 	}
 	h.clock.Advance(time.Second)
 	if got := h.send(t, "/two/a", "key-1", ""); got.status != 200 {
@@ -81,14 +79,13 @@
 	got := h.send(t, "/once/a", "key-1", "")
 	got.check(t, 503, "", true)
 	if got.header.Get("Retry-After") == "" {
-		t.Errorf("got no time to come back, want one")
+		t.Errorf("got no Retry-After, want one")
 	}
 }
 
-// Symptom: connections of callers close without an answer though endpoints are
-// sound (LOST of the platform's rules). Sequence: a request that may be repeated
-// fails at two endpoints, each with a whole answer. Cause: the second failure was
-// written to the caller and then taken for an answer that broke off.
+// Guards against closing callers' connections without an answer though the endpoints are healthy
+// (rule LOST of the platform): a repeatable request fails at two endpoints, each with a complete
+// answer. The second failure was written to the caller and then treated as a truncated answer.
 func TestSecondFailureIsRelayed(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", failing(500)), newEndpoint(t, "i-2", failing(500))
 	h := newDeployment(t, one, two)
@@ -110,8 +107,7 @@
 		t.Run(name, func(t *testing.T) {
 			one, two := newEndpoint(t, "i-1", first), newEndpoint(t, "i-2", first)
 			h := newDeployment(t, one, two)
-			// One of the two is asked first and spoils its answer; the other's
-			// first is spoilt too, so both are made sound for the second send.
+			// Only endpoint one keeps its bad answer, so that a retry at the other succeeds.
 			one.mu.Lock()
 			two.mu.Lock()
 			two.answers = nil
@@ -122,9 +118,9 @@
 	}
 }
 
-// Symptom: a caller gets another caller's answer. Sequence: an endpoint sends an
-// answer twice; the second lies in the connection when the next request goes out.
-// Cause: what is read next is taken for the answer to what was sent last.
+// Guards against giving a caller another caller's answer: an endpoint sends an answer twice, and the
+// second copy is still in the connection when the next request is sent. The next data read was
+// taken for the answer to the latest request.
 func TestAnswerToAnotherRequestIsDropped(t *testing.T) {
 	extra := func(id string) []byte { return append(complete("first")(id), complete("extra")(id)...) }
 	h := newDeployment(t, newEndpoint(t, "i-1", extra))
@@ -135,9 +131,9 @@
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "mine", true)
 }
 
-// Symptom: a stream lacks a piece, has one twice or ends early and looks whole.
-// Sequence: an endpoint breaks off in the middle of an event. Cause: bytes are
-// passed on as they come, or the stream begins anew.
+// Guards against a stream that lacks an event, repeats one, or ends early and looks complete: an
+// endpoint fails in the middle of an event, and the entry relays bytes as they arrive or restarts
+// the stream from the beginning.
 func TestStreamResumesAtAnotherEndpointAfterLastCompleteEvent(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", events(1, 3, true)), newEndpoint(t, "i-2", events(1, 3, true))
 	h := newDeployment(t, one, two)
@@ -169,10 +165,10 @@
 	h := newDeployment(t, newEndpoint(t, "i-1", events(1, 3, true)))
 	got := h.send(t, "/stream/a", "key-1", "")
 	if got.complete {
-		t.Errorf("got a whole answer %q, want one that broke off", got.body)
+		t.Errorf("got a complete answer %q, want one that was cut off", got.body)
 	}
 	if strings.Contains(got.body, "id: 3") {
-		t.Errorf("got %q, want no part of the torn event", got.body)
+		t.Errorf("got %q, want no part of the truncated event", got.body)
 	}
 }
 
@@ -184,9 +180,8 @@
 	h.send(t, "/open/a", "", "").check(t, 200, "ok", true)
 }
 
-// Symptom: a key that was taken away opens a route (CONFIG of the platform's
-// rules), or a good one is refused for good. Sequence: an entry is cut off from
-// the store for seconds. Cause: what it knew last was taken for what is in force.
+// Guards against accepting a revoked key (rule CONFIG of the platform) or refusing a valid one for
+// good: an entry loses the store for some seconds and treats its last configuration as current.
 func TestStaleConfigurationGivesNoFinalDecision(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	h := newDeployment(t, end)
@@ -199,10 +194,9 @@
 	h.send(t, "/open/a", "", "").check(t, 200, "ok", true)
 }
 
-// Symptom: a request with a key that was taken away runs, or a new route is refused with 404, by
-// an entry that was cut off. Sequence: the request comes; the entry learns what came meanwhile,
-// and proves it; the request is judged. Cause: the configuration was looked up before and its
-// age after, so an old one counted as proven just now.
+// Guards against an entry that reconnects to the store and runs a request with a revoked key, or
+// refuses a new route with 404. An update arrives and is confirmed while the request is being
+// routed: if the configuration is read before its age, the old one counts as just confirmed.
 func TestConfigurationIsNoNewerThanItsAge(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	h := newDeployment(t, end)
@@ -220,7 +214,7 @@
 	}
 	h.send(t, "/once/a", "key-1", "").check(t, 401, "", true)
 	if got, want := requestCount(end), 0; got != want {
-		t.Errorf("got %d requests run with a key that was taken away, want %d", got, want)
+		t.Errorf("got %d requests run with a revoked key, want %d", got, want)
 	}
 }
 
@@ -239,7 +233,7 @@
 	}
 	_ = resp.Body.Close()
 	if got, want := resp.StatusCode, 400; got != want {
-		t.Errorf("got %d without an id, want %d", got, want)
+		t.Errorf("got %d without an ID, want %d", got, want)
 	}
 	if got := requestCount(end); got != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", got)
@@ -272,8 +266,8 @@
 	h.send(t, "/once/a", "key-1", "").check(t, 503, "no configuration", true)
 }
 
-// Symptom: an endpoint goes on working for a caller who left. Sequence: a caller
-// closes its connection while its request runs. Cause: the endpoint is not notified.
+// Guards against an endpoint that continues to work for a caller who closed its connection, because
+// the entry does not tell the endpoint.
 func TestCallerDisconnectClosesEndpointConnection(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -290,7 +284,7 @@
 		if _, err := http.ReadRequest(reader); err == nil {
 			close(got)
 		}
-		_, _ = reader.ReadByte() // ends when the entry closes
+		_, _ = reader.ReadByte() // returns when the entry closes the connection
 		close(ended)
 	}()
 	h := newDeployment(t, &endpoint{id: "i-1", address: lis.Addr().String()})
@@ -304,11 +298,10 @@
 	<-ended
 }
 
-// Symptom: a caller learns that its request did not run though it did (REFUSED of
-// the platform's rules), and sends it again: two notices go out. Sequence: an
-// endpoint takes a request and never answers; the caller's time is over. Cause:
-// that the request may have run was noted only once an attempt had come to an
-// end of its own.
+// Guards against telling a caller that its request did not run though it did (rule REFUSED of the
+// platform), so that it is sent again and runs twice: an endpoint takes a request and never
+// answers, and the deadline passes. The entry recorded that the request may have run only when an
+// attempt ended before the deadline.
 func TestRequestWithoutAnAnswerMayHaveRun(t *testing.T) {
 	ended := make(chan struct{})
 	silent := func(string) []byte { <-ended; return nil }
@@ -318,22 +311,21 @@
 	got.check(t, 504, "", true)
 }
 
-// A refusal that proves not run is believed also where the caller's time is over
-// right after it.
+// An answer that proves that the request did not run counts even if the deadline passes right
+// afterwards.
 func TestNotRunRefusalCountsAfterDeadline(t *testing.T) {
 	one := newEndpoint(t, "i-1", notRun)
 	h := newDeployment(t, one)
 	h.send(t, "/two/a", "key-1", "").check(t, 503, "", true)
 	if got, want := requestCount(one), 1; got != want {
-		t.Errorf("got %d sendings, want %d", got, want)
+		t.Errorf("got %d sends, want %d", got, want)
 	}
 }
 
-// Symptom: a whole request gets neither an answer nor a refusal while an entry
-// stops (LOST of the platform's rules). Sequence: a stream begins, the entry is
-// asked to stop, the stream ends, its caller sends the next request on the same
-// connection. Cause: the server closed that connection after the stream though
-// nothing in the stream's head had said so.
+// Guards against a request that gets neither an answer nor a refusal while an entry stops (rule
+// LOST of the platform): a stream begins, the entry is asked to stop, the stream ends, and the
+// caller sends the next request on the same connection. The server closed that connection after
+// the stream though the stream's header had not announced it.
 func TestStoppingEntryKeepsConnectionsWithoutCloseHeader(t *testing.T) {
 	left := make(chan struct{})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -372,19 +364,19 @@
 	ask("/stream/a", "id-1")
 	stream, err := http.ReadResponse(reader, nil)
 	if err != nil || stream.Close {
-		t.Fatalf("got %v, want a stream without notice", err)
+		t.Fatalf("got %v, want a stream without Connection: close", err)
 	}
 	h.gateway.Leave()
 	close(left)
 	if text, err := io.ReadAll(stream.Body); err != nil || !strings.Contains(string(text), "token-2") {
-		t.Fatalf("got %q, %v, want the whole stream", text, err)
+		t.Fatalf("got %q, %v, want the complete stream", text, err)
 	}
 	ask("/safe/a", "id-2")
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("got %v, want an answer on the connection that was not given notice", err)
+		t.Fatalf("got %v, want an answer on the connection that was not announced to close", err)
 	}
 	if resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("got %d, notice %v, want 200 with notice", resp.StatusCode, resp.Close)
+		t.Errorf("got %d, close %v, want 200 with Connection: close", resp.StatusCode, resp.Close)
 	}
 }
--- a/entry/internal/gateway/incarnation_test.go
+++ b/entry/internal/gateway/incarnation_test.go
@@ -9,7 +9,7 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// silent answers nothing until the test ends.
+// unanswered signals that a request arrived and sends no answer until the test ends.
 func unanswered(t *testing.T, arrived chan<- struct{}) func(id string) []byte {
 	return func(string) []byte {
 		arrived <- struct{}{}
@@ -18,17 +18,17 @@
 	}
 }
 
-// born registers an endpoint again, in the incarnation given.
+// register registers an endpoint in the given incarnation.
 func (h *deployment) register(end *endpoint, incarnation int64, revision uint64) {
 	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: end.id, Revision: revision, Endpoint: fleet.Registration{
 		ID: end.id, Born: incarnation, Service: "app", Address: end.address, Slots: 4,
 	}}}, revision)
 }
 
-// Symptom: a caller waits to its deadline for an answer that can't come. Sequence:
-// an endpoint reads a request that may run once, loses power behind a cut, so that
-// its connection stays open here, and starts again under its id. Cause: silence
-// was waited out though the endpoint had reported that it started again.
+// Guards against a caller that waits until its deadline for an answer that cannot come: an endpoint
+// reads a request that must not be repeated, loses power during a network partition, so that the
+// connection here stays open, and restarts under its ID. The entry kept waiting though the endpoint
+// had reported its restart.
 func TestRequestToFormerIncarnationIsAbandoned(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	end := newEndpoint(t, "i-1", unanswered(t, arrived))
@@ -46,10 +46,9 @@
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "ok", true)
 }
 
-// Symptom: the first request to an endpoint that started again is lost. Sequence:
-// it closes none of the connections kept to its former incarnation, which stands behind a
-// cut. Cause: connections were kept by address. The former incarnation answers here, so
-// that what is sent to it is seen.
+// Guards against losing the first request to a restarted endpoint. The connections to its former
+// incarnation stay open behind a network partition and were reused because the pool kept them by
+// address. The former incarnation still answers in this test, so that such requests are detected.
 func TestConnectionsOfAFormerIncarnationAreNotUsed(t *testing.T) {
 	end := newEndpoint(t, "i-1")
 	conns := 0
@@ -70,8 +69,8 @@
 	}
 }
 
-// A request that may be repeated goes to the next incarnation of the endpoint that lost
-// it: that one never had it.
+// A repeatable request is sent to the next incarnation of the endpoint that lost it, since that
+// incarnation never received it.
 func TestNextIncarnationGetsRequestLostByFormerOne(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	end := newEndpoint(t, "i-1", unanswered(t, arrived))
@@ -83,6 +82,6 @@
 	}()
 	h.send(t, "/safe/a", "key-1", "").check(t, 200, "ok", true)
 	if got, want := fmt.Sprint(len(end.requests())), "2"; got != want {
-		t.Errorf("got %s sendings, want %s", got, want)
+		t.Errorf("got %s sends, want %s", got, want)
 	}
 }
--- a/entry/internal/gateway/leaving_test.go
+++ b/entry/internal/gateway/leaving_test.go
@@ -9,20 +9,20 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// leaving answers that the endpoint leaves.
+// leaving answers and announces that the endpoint is leaving.
 func leaving(id string) []byte {
 	return []byte(head(200, id, "X-Server-Stamp: s\r\nServer-Leaving: 1\r\nContent-Length: 2\r\n\r\nok"))
 }
 
-// resting refuses a request and asks for so many seconds of rest.
+// resting refuses a request and asks for a pause of the given seconds.
 func resting(seconds string) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(503, id, "X-Not-Executed: 1\r\nRetry-After: "+seconds+"\r\nContent-Length: 0\r\n\r\n"))
 	}
 }
 
-// sendStopped sends a request to a gateway whose clock is stopped, where one that waits would wait
-// for ever.
+// sendWithStoppedClock sends a request to a gateway whose clock is stopped. The request fails the
+// test if it waits, since it would wait forever.
 func (h *deployment) sendWithStoppedClock(t *testing.T, path string) answer {
 	t.Helper()
 	answered := make(chan answer, 1)
@@ -30,8 +30,8 @@
 	return h.await(t, answered)
 }
 
-// await returns the answer to a request. One that waits is brought to its deadline, so that the
-// server can end.
+// await returns the answer to a request. If none arrives, it fails the test and runs the clock to
+// the request's deadline, so that the server can shut down.
 func (h *deployment) await(t *testing.T, answered <-chan answer) answer {
 	t.Helper()
 	select {
@@ -44,10 +44,10 @@
 	return <-answered
 }
 
-// stuck is the time after which a request counts as waiting for a clock that is stopped.
+// answerTimeout is the time after which a request counts as waiting for the stopped clock.
 const answerTimeout = 10 * time.Second
 
-// Guards against further requests to an endpoint that said in an answer that it leaves.
+// Guards against further requests to an endpoint that announced in an answer that it is leaving.
 func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	gone, stays := newEndpoint(t, "i-1", leaving, leaving), newEndpoint(t, "i-2")
 	h := newDeployment(t, gone, stays)
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against an endpoint that counts as staying again once its registration, which lapsed while
-// the store was away, is back.
+// Guards against new requests to a leaving endpoint whose registration lapsed during an outage of
+// the store and was then restored.
 func TestLeavingEndpointStaysExcludedWhenRegisteredAgain(t *testing.T) {
 	gone := newEndpoint(t, "i-1", leaving, leaving)
 	h := newDeployment(t, gone)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against requests to an endpoint that refused one and asked for rest, before the rest ends.
+// Guards against requests to an endpoint during the pause that it asked for when it refused one.
 func TestRestingEndpointGetsNoRequests(t *testing.T) {
 	tired, other := newEndpoint(t, "i-1", resting("3"), resting("1")), newEndpoint(t, "i-2")
 	h := newDeployment(t, tired, other)
@@ -92,28 +92,28 @@
 		h.sendWithStoppedClock(t, "/safe/a").check(t, http.StatusOK, "ok", true)
 	}
 	if got, want := requestCount(tired), 1; got != want {
-		t.Errorf("got %d requests at the endpoint within its rest, want %d", got, want)
+		t.Errorf("got %d requests at the endpoint during its pause, want %d", got, want)
 	}
 }
 
-// Guards against a request that waits in vain while all its endpoints rest for longer than it may
-// wait, and against a time to return that is too early.
+// Guards against a request that waits although all its endpoints pause for longer than it may wait,
+// and against a Retry-After that is too short.
 func TestRequestIsRefusedAtOnceWhereAllEndpointsRest(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", resting("3")))
 	h.stopClock()
-	for _, when := range []string{"refused by the endpoint", "within its rest"} {
+	for _, when := range []string{"refused by the endpoint", "during its pause"} {
 		got := h.sendWithStoppedClock(t, "/once/a")
 		got.check(t, http.StatusServiceUnavailable, "endpoints ask for rest", true)
 		if got, want := got.header.Get("Retry-After"), "3.000"; got != want {
-			t.Errorf("%s: got Retry-After %q, want the %s s until the rest ends", when, got, want)
+			t.Errorf("%s: got Retry-After %q, want the %s s until the pause ends", when, got, want)
 		}
 	}
 	h.clock.Advance(3 * time.Second)
 	h.sendWithStoppedClock(t, "/once/a").check(t, http.StatusOK, "ok", true)
 }
 
-// Guards against a request that waits longer than the rest of its endpoint lasts: nothing but time
-// ends a rest.
+// Guards against a request that waits longer than the pause of its endpoint lasts. The pause ends
+// with time only, so no event wakes the request.
 func TestRequestIsSentWhenRestEnds(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", resting("0.4")))
 	h.stopClock()
@@ -123,7 +123,7 @@
 	}
 	answered := make(chan answer, 1)
 	go func() { answered <- h.send(t, "/once/a", "key-1", "") }()
-	// The deadline and the wait for the rest's end.
+	// The timers for the deadline and for the end of the pause.
 	if err := h.clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
--- a/entry/internal/gateway/limit_test.go
+++ b/entry/internal/gateway/limit_test.go
@@ -10,15 +10,15 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// limiting answers with the rate limit given.
+// limiting answers with the given rate limit.
 func limiting(perSecond string) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(200, id, "X-Server-Stamp: s\r\nServer-Limit: "+perSecond+"\r\nContent-Length: 2\r\n\r\nok"))
 	}
 }
 
-// Guards against requests that wait in vain for an endpoint whose rate limit can't admit them
-// in time, and against a time to return that is too early.
+// Guards against requests that wait for an endpoint whose rate limit cannot admit them in time, and
+// against a Retry-After that is too short.
 func TestRequestBeyondRateLimitIsRefusedAtOnce(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", limiting("0.25")))
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
@@ -31,8 +31,8 @@
 	}
 }
 
-// Guards against a request that waits longer than the rate limit of its endpoint demands:
-// nothing but time brings the next credit.
+// Guards against a request that waits longer than the rate limit of its endpoint requires. The
+// next credit comes with time only, so no event wakes the request.
 func TestRequestWaitsForCreditOfRateLimit(t *testing.T) {
 	end := newEndpoint(t, "i-1", limiting("2"), limiting("2"))
 	h := newDeployment(t, end)
@@ -40,7 +40,7 @@
 	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/safe/a", "key-1", "") }()
-	// The deadline and the wait for credit.
+	// The timers for the deadline and for the next credit.
 	if err := h.clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	got.check(t, http.StatusOK, "ok", true)
 }
 
-// Guards against an entry without a part of a rate limit that keeps its callers.
+// Guards against an entry that has no share of a rate limit and keeps its callers' connections.
 func TestEntryWithoutPartOfRateLimitSendsCallersElsewhere(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", limiting("1")))
 	var others []string
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against a limit that is lifted by an answer to a request which was sent before the
-// limit was named.
+// Guards against a limit that is lifted by the answer to a request that was sent before the
+// endpoint first stated the limit.
 func TestOldAnswerDoesNotLiftRateLimit(t *testing.T) {
 	release := make(chan struct{})
 	reached := make(chan struct{})
@@ -87,8 +87,8 @@
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusServiceUnavailable, "endpoints limit their requests", true)
 }
 
-// Guards against entries that go by a rate limit which the endpoint has changed: only who sends
-// there sees that.
+// Guards against entries that apply an outdated rate limit: only an entry that sends requests to
+// the endpoint sees the change.
 func TestChangedRateLimitIsPublishedToOtherEntries(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", limiting("100"), limiting("100"), limiting("50"), limiting("50")))
 	for range 4 {
@@ -99,6 +99,6 @@
 		t.Errorf("got %+v published, want %+v", got, want)
 	}
 	if got := len(h.published); got != 0 {
-		t.Errorf("got %d reports more, want none: the limit changed once", got)
+		t.Errorf("got %d more reports, want none: the limit changed once", got)
 	}
 }
--- a/entry/internal/gateway/metrics.go
+++ b/entry/internal/gateway/metrics.go
@@ -9,19 +9,19 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// figures counts what the gateway did, for metrics.
+// counters holds the gateway's metrics.
 type counters struct {
 	served      atomic.Int64
 	refused     atomic.Int64
 	failed      atomic.Int64
 	attempts    atomic.Int64
 	resumed     atomic.Int64
-	quarantined atomic.Int64 // refused since endpoints ended under them
-	brokenOff   atomic.Int64 // answers that were broken off
-	events      atomic.Int64 // of streams, sent to callers
+	quarantined atomic.Int64 // refused because endpoints ended while running them
+	brokenOff   atomic.Int64 // answers cut off after their header was sent
+	events      atomic.Int64 // stream events sent to callers
 }
 
-// Counters returns the counts by name.
+// Counters returns the metrics by name.
 func (g *Gateway) Counters() map[string]int64 {
 	uses, dials := g.cfg.Pool.Counts()
 	ledger := g.cfg.State.Ledger()
@@ -47,15 +47,15 @@
 	}
 }
 
-// Publish shows the counts under /debug/vars. A name that is taken belongs to
-// another gateway of the same test process.
+// Publish exports the counters under /debug/vars. The name is already taken only when a test
+// process runs several gateways.
 func (g *Gateway) Publish() {
 	if expvar.Get("gateway") == nil {
 		expvar.Publish("gateway", expvar.Func(func() any { return g.Counters() }))
 	}
 }
 
-// logAttempt writes what became of one sending.
+// logAttempt counts one attempt and logs its outcome.
 func (x *exchange) logAttempt(grant *fleet.Grant, outcome fleet.Outcome) {
 	x.gateway.counters.attempts.Add(1)
 	if x.sends > 1 && x.events > 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// logEnd writes the decision that ended a request and its inputs.
+// logEnd counts a finished request and logs the outcome and the values that led to it.
 func (x *exchange) logEnd(reason string, status int) {
 	g := x.gateway
 	level := slog.LevelInfo
@@ -113,7 +113,7 @@
 	g.cfg.Log.Log(context.Background(), level, "answered", fields...)
 }
 
-// ageMillis returns the age of the knowledge that decided; -1 where nothing was known.
+// configAgeMillis returns the age of the configuration that routed the request, -1 if unknown.
 func (x *exchange) configAgeMillis() int64 {
 	if !x.ageKnown {
 		return -1
@@ -121,7 +121,7 @@
 	return x.configAge.Milliseconds()
 }
 
-// lastEndpoint returns the id of the endpoint that was tried last; empty where none was.
+// lastEndpoint returns the ID of the endpoint that was tried last, empty if none was.
 func (x *exchange) lastEndpoint() string {
 	if len(x.tried) == 0 {
 		return ""
@@ -129,4 +129,5 @@
 	return x.tried[len(x.tried)-1].ID
 }
 
+// firstClientError is the lowest status that does not count as served.
 const firstClientError = 400
--- a/entry/internal/gateway/quarantine.go
+++ b/entry/internal/gateway/quarantine.go
@@ -10,25 +10,26 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// errHeld ends a request in progress that is held from now on.
-var errQuarantined = errors.New("the request is held")
+// errQuarantined is the cancellation cause of a request that is quarantined while in progress.
+var errQuarantined = errors.New("the request is quarantined")
 
-// begin notes a request in progress, which cancel gives up.
+// track registers a request in progress with its cancel function.
 func (g *Gateway) track(x *exchange, cancel context.CancelCauseFunc) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inProgress[x] = cancel
 }
 
+// untrack removes a finished request.
 func (g *Gateway) untrack(x *exchange) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.inProgress, x)
 }
 
-// giveUpHeld gives up the requests in progress that are held now: one that waits for a place or in
-// an endpoint's queue would end that endpoint too, and all requests there. One that is being
-// answered goes on, since it is probably harmless.
+// cancelQuarantined cancels the requests in progress that are now quarantined. One that waits for
+// a slot or in an endpoint's queue would crash that endpoint too, with all requests there. One
+// that is already being answered continues, since it is probably harmless.
 func (g *Gateway) cancelQuarantined() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,8 +43,8 @@
 	}
 }
 
-// held refuses a request under which endpoints ended again and again, wherever it came before:
-// each further one that runs it ends too.
+// checkQuarantine refuses a request that was in progress at several endpoints when they ended, as
+// seen by any entry: it would probably crash the next endpoint too. It also renews the quarantine.
 func (x *exchange) checkQuarantine() *refusal {
 	g := x.gateway
 	ledger := g.cfg.State.Ledger()
@@ -59,9 +60,9 @@
 	return x.refuseUnserved("endpoints ended under this request", until.Sub(g.cfg.Clock.Now()))
 }
 
-// acquit notes that a request was run to a good end: it ends no endpoint by itself, and was
-// only in progress where some did. Others learn of it where one more end would have held it. An
-// answer that refuses or fails shows nothing: the request may not have been run.
+// reportServed records that a request was served, which shows that it does not crash endpoints and
+// was only in progress where some crashed. The other entries are told if one more end would have
+// quarantined it. An answer with an error status proves nothing: the request may not have run.
 func (x *exchange) reportServed(outcome fleet.Outcome) {
 	g := x.gateway
 	good := outcome == fleet.Served && x.status < http.StatusMultipleChoices
--- a/entry/internal/gateway/quarantine_test.go
+++ b/entry/internal/gateway/quarantine_test.go
@@ -13,12 +13,12 @@
 	"comfreyrelay.example/relay/quarantine"
 )
 
-// printOf is the fingerprint of what deployment.send sends.
+// fingerprintOf returns the fingerprint of a request that deployment.send sends.
 func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.Of("mine", http.MethodPost, "h", path, []byte(body))
 }
 
-// ended lets an entry learn that so many endpoints ended under a request.
+// reportEnds reports to the entry that count endpoints ended while they ran a request.
 func (h *deployment) reportEnds(fingerprint quarantine.Fingerprint, count int) {
 	for i := range count {
 		h.state.Ledger().Observe(quarantine.Report{
@@ -35,25 +35,25 @@
 	got.check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if least, most := (quarantine.HoldTime - time.Minute).Seconds(), quarantine.HoldTime.Seconds(); err != nil || wait < least || wait > most {
-		t.Errorf("got Retry-After %q, want the time until it is sent again, at most %v s", got.header.Get("Retry-After"), most)
+		t.Errorf("got Retry-After %q, want the remaining quarantine time, at most %v s", got.header.Get("Retry-After"), most)
 	}
 	if got := requestCount(end); got != 0 {
-		t.Errorf("got %d sends of a held request, want none", got)
+		t.Errorf("got %d sends of a quarantined request, want none", got)
 	}
 	for _, other := range []struct{ path, body string }{{"/safe/a", "other"}, {"/safe/b", "deadly"}, {"/safe/a?n=1", "deadly"}} {
 		h.send(t, other.path, "key-1", other.body).check(t, http.StatusOK, "ok", true)
 	}
 }
 
-// Symptom: a request goes to one endpoint more though all know by then what it does. Sequence:
-// it waits for a place while the third end is learned. Cause: only its arrival was checked. It
-// is answered as soon as that is learned: the clock stands still here.
+// Guards against a request that is sent to one more endpoint after it was quarantined: it waited
+// for a slot when the third end was reported, and was checked on arrival only. It must be answered
+// at once, so the clock is stopped here.
 func TestQueuedRequestIsRefusedWhenQuarantined(t *testing.T) {
 	h := newDeployment(t)
 	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/safe/a", "key-1", "deadly") }()
-	// The deadline and the wait for a place.
+	// The timers for the deadline and for a free slot.
 	if err := h.clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 	got.check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 }
 
-// One that stands in an endpoint's queue when the third end is learned is given up, before it
-// ends that endpoint too; one that is being answered goes on.
+// Guards against a request that crashes one more endpoint because it is in that endpoint's queue
+// when the third end is reported.
 func TestRequestInProgressIsCanceledWhenQuarantined(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
 	h := newDeployment(t, newEndpoint(t, "i-1", func(id string) []byte {
@@ -80,6 +80,7 @@
 	got.check(t, http.StatusBadGateway, "endpoints ended under this request", true)
 }
 
+// A request that is already being answered is probably harmless and continues.
 func TestStreamWithEventsContinuesWhenQuarantined(t *testing.T) {
 	rest := make(chan struct{})
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,8 +117,8 @@
 	}
 }
 
-// Where two ends are known the third is the last: the request waits until it is found out
-// whether the endpoint ended, and then goes to no other.
+// A request with two known ends waits until the check of the endpoint is done. If the endpoint
+// ended, the request is quarantined and not sent to another one.
 func TestThirdEndQuarantinesRequest(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", nil), newEndpoint(t, "i-2", nil)
 	for _, end := range []*endpoint{one, two} {
@@ -142,12 +143,12 @@
 	h.send(t, "/once/a", "key-1", "deadly").check(t, http.StatusBadGateway, "", true)
 	got := <-h.published
 	if got.End.Endpoint != "i-1" || len(got.Suspects) != 1 || got.Suspects[0] != fingerprintOf("/once/a", "deadly") || len(got.Running) != 0 {
-		t.Errorf("got %+v, want the end of i-1 under this request", got)
+		t.Errorf("got %+v, want the end of i-1 with this request as suspect", got)
 	}
 }
 
-// An endpoint that ended by itself blames those that were answered in part less: what ends an
-// endpoint that begins to run it does so before.
+// A partly answered request is reported as running, not as suspect: a request that crashes an
+// endpoint does so before its first events.
 func TestPartlyAnsweredRequestIsReportedAsRunning(t *testing.T) {
 	end := newEndpoint(t, "i-1", events(1, 5, true))
 	end.mu.Lock()
@@ -161,8 +162,8 @@
 	}
 }
 
-// An answer that refuses acquits nobody: an endpoint that reads no request to its end answers
-// the deadly one too.
+// An error answer does not clear a request of suspicion: an endpoint that does not read the whole
+// request answers a crashing one in the same way.
 func TestErrorAnswerDoesNotClearRequest(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", failing(http.StatusBadRequest)))
 	fingerprint := fingerprintOf("/safe/a", "deadly")
@@ -172,9 +173,9 @@
 	h.send(t, "/safe/a", "key-1", "deadly").check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 }
 
-// Symptom: a request that only ran beside a deadly one, or where endpoints ended otherwise, is
-// refused later. Sequence: two ends, then it is served; then one more end. Cause: ends were
-// added up though a good answer shows that it ends nothing.
+// Guards against refusing a harmless request that was in progress when endpoints ended because of
+// another request or for another reason: two ends, then it is served, then a third end. The ends
+// were added up though a successful answer shows that the request crashes nothing.
 func TestServedRequestIsCleared(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1"))
 	fingerprint := fingerprintOf("/safe/a", "beside")
@@ -184,13 +185,14 @@
 	if len(got.Served) != 1 || got.Served[0] != fingerprint {
 		t.Errorf("got %+v published, want that it was served", got)
 	}
-	// The two ends are reported again, by entries that saw them too, and a third one is.
+	// Other entries that saw the two ends report them again, together with a third one.
 	h.reportEnds(fingerprint, 3)
 	h.send(t, "/safe/a", "key-1", "beside").check(t, http.StatusOK, "ok", true)
 }
 
-// Symptom: after some thousand refusals an entry refuses every request with a body, "too many
-// bodies in memory". Cause: the bytes of a held request's body were counted and not given back.
+// Guards against an entry that, after some thousand refusals, refuses every request with a body as
+// "too many request bodies in memory": the body of a quarantined request was counted and never
+// subtracted.
 func TestQuarantinedRequestReleasesBodyBytes(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1"))
 	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 3)
@@ -200,6 +202,6 @@
 		t.Errorf("got %d bytes of bodies after all were answered, want 0", got)
 	}
 	if got, want := h.gateway.Counters()["held"], int64(1); got != want {
-		t.Errorf("got %d held, want %d", got, want)
+		t.Errorf("got %d quarantined requests, want %d", got, want)
 	}
 }
--- a/entry/internal/gateway/refuse.go
+++ b/entry/internal/gateway/refuse.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// refusal is a final answer of the system's own.
+// refusal is a final answer that the entry gives by itself.
 type refusal struct {
 	status     int
-	reason     string        // for logs and people
-	retryAfter time.Duration // when to come back; 0: not said
-	closeConn  bool          // the caller should use another entry
+	reason     string        // for the log and as the body of the answer
+	retryAfter time.Duration // time after which to retry; 0 if none is given
+	closeConn  bool          // close the connection, so that the caller uses another entry
 }
 
-// promises reports whether the status means that the request did not run.
+// provesNotRun reports whether the status tells the caller that the request did not run.
 func (r refusal) provesNotRun() bool {
 	switch r.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
@@ -24,8 +24,8 @@
 	return false
 }
 
-// notServed refuses a request that no endpoint served: with proof that it did
-// not run where that is so.
+// refuseUnserved refuses a request that no endpoint served. Only if it certainly did not run does
+// it get a status that says so.
 func (x *exchange) refuseUnserved(reason string, wait time.Duration) *refusal {
 	if x.mayHaveRun {
 		return &refusal{status: http.StatusBadGateway, reason: reason}
@@ -33,7 +33,8 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: wait}
 }
 
-// overdue ends a request whose time is over or whose caller left.
+// refuseCanceled refuses a request whose context ended: its deadline passed, its caller
+// disconnected or it was quarantined.
 func (x *exchange) refuseCanceled(ctx context.Context) *refusal {
 	if errors.Is(context.Cause(ctx), errQuarantined) {
 		if refused := x.checkQuarantine(); refused != nil {
@@ -42,7 +43,7 @@
 	}
 	reason := "the time is over"
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		reason = "the caller left"
+		reason = "the caller disconnected"
 	}
 	if x.mayHaveRun {
 		return &refusal{status: http.StatusGatewayTimeout, reason: reason}
@@ -50,11 +51,10 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: shortRetryAfter}
 }
 
-// abort ends the caller's connection, so that an answer that broke off does not
-// look complete.
+// abort closes the caller's connection, so that a truncated answer does not look complete.
 func (g *Gateway) abort() { panic(http.ErrAbortHandler) }
 
-// refuse writes a refusal, or breaks off an answer that was begun.
+// refuse sends a refusal to the caller, or cuts the answer off if it has begun.
 func (x *exchange) refuse(ref refusal) {
 	x.logEnd(ref.reason, ref.status)
 	if x.answerHeader != nil {
--- a/entry/internal/gateway/relay.go
+++ b/entry/internal/gateway/relay.go
@@ -13,17 +13,16 @@
 )
 
 const (
-	// maxWhole bounds an answer that is read whole before the caller gets it,
-	// bytes.
+	// maxBufferedAnswerBytes limits an answer that is buffered completely before it is sent to the
+	// caller.
 	maxBufferedAnswerBytes = 256 << 10
-	// maxSkipped bounds an answer that is read over.
+	// maxDiscardBytes limits an answer that is read and discarded to keep its connection.
 	maxDiscardBytes = 64 << 10
-	// firstServerError is the least status by which an endpoint says that it
-	// failed.
+	// firstServerError is the lowest status that reports a failure of the endpoint.
 	firstServerError = 500
 )
 
-// skip reads over an answer.
+// discardAnswer reads an answer to its end and drops it. It fails if the answer is too long.
 func discardAnswer(resp *http.Response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes))
 	if err == nil && n == maxDiscardBytes {
@@ -32,7 +31,7 @@
 	return err
 }
 
-// take relays an endpoint's answer or says why it is not relayed.
+// relayAnswer relays an endpoint's answer to the caller, or returns why it is not relayed.
 func (x *exchange) relayAnswer(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
 	if answer.NotRun {
 		x.mayHaveRun = x.mayHaveRunBefore
@@ -57,8 +56,9 @@
 	return x.relayBuffered(ctx, grant, conn, resp, answer)
 }
 
-// relayWhole reads the answer to its end and gives it to the caller: one that
-// breaks off never looks complete, and may be asked for again.
+// relayBuffered reads the whole answer before it sends any of it. A truncated answer thus never
+// reaches the caller, and the request may be retried. Answers that exceed the buffer are relayed by
+// relayUnbuffered.
 func (x *exchange) relayBuffered(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswerBytes))
 	if err != nil {
@@ -71,7 +71,7 @@
 		return fleet.Failed
 	}
 	if x.answerHeader != nil {
-		// A stream that was begun can't end with another answer.
+		// A stream that has begun cannot be replaced by another answer.
 		conn.Close()
 		return fleet.Broken
 	}
@@ -87,12 +87,12 @@
 	return fleet.Served
 }
 
-// mayRepeat reports whether another attempt of the request is possible.
+// mayRetry reports whether the route allows another attempt after this one.
 func (x *exchange) mayRetry() bool {
 	return x.route.Repeatable() && x.attemptsUsed+1 < x.route.MaxAttempts
 }
 
-// answer writes a whole answer.
+// writeAnswer sends header and body to the caller.
 func (x *exchange) writeAnswer(resp *http.Response, body []byte) {
 	x.writeHeader(resp)
 	if x.req.Method != http.MethodHead {
@@ -100,12 +100,12 @@
 	}
 }
 
-// writeHead copies the endpoint's status and headers.
+// writeHeader sends the endpoint's status and headers to the caller.
 func (x *exchange) writeHeader(resp *http.Response) {
 	header := x.w.Header()
 	x.gateway.cfg.Wire.Relay(header, resp.Header)
 	if len(header["Content-Type"]) == 0 {
-		header["Content-Type"] = nil // the library would guess one
+		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	if x.gateway.closeConns.Load() {
 		header.Set("Connection", "close")
@@ -114,8 +114,8 @@
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-// relayRest relays a long answer as it comes. Once it began it can't be taken
-// back: where it breaks off, the caller's connection does too.
+// relayUnbuffered relays an answer that exceeds the buffer while it is received. It cannot be
+// retracted: if it is cut off, so is the caller's connection.
 func (x *exchange) relayUnbuffered(ctx context.Context, conn *upstream.Conn, resp *http.Response, prefix []byte) fleet.Outcome {
 	x.writeAnswer(resp, prefix)
 	defer conn.Close()
--- a/entry/internal/gateway/run.go
+++ b/entry/internal/gateway/run.go
@@ -12,8 +12,7 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// run brings the request to endpoints until one answered it or none may have it
-// any more.
+// run sends the request to one endpoint after another until one answers it or it must be refused.
 func (x *exchange) run(ctx context.Context) {
 	g := x.gateway
 	defer g.bodyBytes.Add(-x.bodyBytes)
@@ -45,8 +44,8 @@
 	}
 }
 
-// next decides whether another endpoint may have the request after one did not
-// serve it; nil lets it.
+// decideRetry decides whether the request may be sent to another endpoint after an attempt that
+// did not serve it. It returns nil if so.
 func (x *exchange) decideRetry(ctx context.Context, outcome fleet.Outcome) *refusal {
 	if ctx.Err() != nil {
 		return x.refuseCanceled(ctx)
@@ -56,7 +55,7 @@
 	}
 	switch outcome {
 	case fleet.Unreachable, fleet.Withheld:
-		// Nothing was sent: this is still the same sending.
+		// Nothing was sent, so this does not count as an attempt.
 		if len(x.tried) >= maxUnreachable {
 			return x.refuseUnserved("no endpoint can be reached", shortRetryAfter)
 		}
@@ -66,7 +65,7 @@
 		x.attemptsUsed++
 	}
 	if x.notResumable || x.mayHaveRun && !x.route.Repeatable() || outcome == fleet.Silent && x.responseWait.stopReason == reasonCallerTimeout {
-		return x.refuseUnserved("an endpoint "+outcome.String(), 0)
+		return x.refuseUnserved("no retry is possible after one "+outcome.String(), 0)
 	}
 	if x.reserved != nil {
 		return nil
@@ -80,8 +79,8 @@
 	return nil
 }
 
-// awaitRepeat waits for the budget for repeats as long as an answer in progress may wait, and
-// reports whether the budget admitted it.
+// awaitRetry waits until the retry budget admits a stream that has begun, for as long as such a
+// stream may wait, and reports whether it did. Requests without an event do not wait.
 func (x *exchange) awaitRetry(ctx context.Context) bool {
 	clock := x.gateway.cfg.Clock
 	if !x.adm.Begun {
@@ -102,35 +101,37 @@
 	return false
 }
 
-// attemptsLeft reports whether another endpoint may have the request after so many runs.
+// attemptsLeft reports whether the request may be sent again after the given number of attempts.
 func (x *exchange) attemptsLeft(used int) bool {
 	return used < x.route.MaxAttempts && x.sends < x.route.MaxAttempts+maxRefusedSends
 }
 
-// repeat takes one send from the budget for repeats and reports whether there was one.
+// takeRetry takes one retry from the service's budget and reports whether one was left.
 func (x *exchange) takeRetry() bool {
 	g := x.gateway
 	bounds := g.cfg.Bounds()
-	// Entries that started meanwhile are not known yet: the share is that of
-	// a few more.
+	// Entries that started recently may not be known yet, so the share allows for a few more.
 	share := bounds.Slack / float64(g.cfg.Entries()+assumedNewEntries)
 	return g.retryBudget(x.service).Repeat(g.cfg.Clock.Now(), bounds.Ratio*budgetFactor, share*budgetFactor)
 }
 
 const (
-	// refusedSends is how many endpoints beyond the route's attempts may refuse a request. A
-	// refusal that proves that the request was not run is no attempt, but each send is taken
-	// from the budget that all entries share.
+	// maxRefusedSends is how many sends beyond the route's attempts are allowed. An answer that
+	// proves that the request did not run does not count as an attempt, but each send uses the
+	// retry budget, which all entries share.
 	maxRefusedSends = 2
-	// maxUnreachable bounds the endpoints that a request finds dead.
+	// maxUnreachable is the number of chosen endpoints from which on an unreachable one ends the
+	// request.
 	maxUnreachable = 4
-	// spareEntries is how many entries may have joined that are not known.
+	// assumedNewEntries is how many entries may have started that are not known yet.
 	assumedNewEntries = 3
-	// budgetPart leaves room for what is counted differently at the endpoints.
+	// budgetFactor reserves part of the retry budget for differences between the retries counted
+	// here and those seen at the endpoints.
 	budgetFactor = 0.85
-	// repeatLook is how often the budget for repeats is asked again.
+	// retryPollInterval is how often a waiting stream checks the retry budget.
 	retryPollInterval = 50 * time.Millisecond
-	// maxStray bounds the answers to earlier requests that are read over.
+	// maxStrayAnswers limits the answers read from a connection to find the one that belongs to
+	// the request.
 	maxStrayAnswers = 2
 )
 
@@ -149,12 +150,12 @@
 		return fleet.Unreachable
 	}
 	if ctx.Err() != nil {
-		// The caller left while the connection was made.
+		// The caller disconnected while the connection was established.
 		conn.Close()
 		return fleet.Abandoned
 	}
 	if !grant.Good() {
-		// The endpoint said so while the connection was made.
+		// The endpoint stopped accepting requests while the connection was established.
 		conn.Close()
 		return fleet.Withheld
 	}
@@ -163,9 +164,8 @@
 	x.sends++
 	x.sentAt = g.cfg.Clock.Now()
 	x.adm.Sent = true
-	// From here on the endpoint may run the request, unless it proves that it
-	// did not: whatever ends this attempt, no caller gets "not run" without
-	// that proof.
+	// From here on the endpoint may run the request. However this attempt ends, the caller must
+	// not be told "not run" unless the endpoint proves it.
 	x.mayHaveRun, x.mayHaveRunBefore = true, x.mayHaveRun
 	remaining := x.adm.End.Sub(g.cfg.Clock.Now())
 	out := g.cfg.Wire.Encode(x.req, call.Sending{
@@ -190,8 +190,8 @@
 	return x.relayAnswer(ctx, grant, conn, resp, answer)
 }
 
-// applyLimit takes over the rate limit that the answer names. One from another endpoint at
-// the address says nothing about the endpoint that was meant.
+// applyRateLimit applies the rate limit stated in the answer and publishes changes to the other
+// entries. It ignores an answer from a different endpoint that now has the address.
 func (x *exchange) applyRateLimit(grant *fleet.Grant, answer call.Answer) {
 	if answer.Elsewhere {
 		return
@@ -210,7 +210,8 @@
 		"service", x.service, "limited", answer.Limited, "perSecond", answer.Limit)
 }
 
-// applyNotice takes over what the answer says of new requests to its endpoint.
+// applyAvailability applies what the answer says about new requests: that the endpoint wants none
+// for a while, or that it is leaving.
 func (x *exchange) applyAvailability(grant *fleet.Grant, answer call.Answer) {
 	if answer.Elsewhere {
 		return
@@ -224,8 +225,9 @@
 	}
 }
 
-// expected returns the version that the endpoint must have: once only a newer
-// one may serve, an engine that went back would begin on an old one.
+// expectedVersion returns the model version that the endpoint must have loaded, 0 for any. Once a
+// minimum version applies, an engine that was rolled back since it was chosen must not run the
+// request.
 func (x *exchange) expectedVersion(grant *fleet.Grant) uint64 {
 	if x.engine() == nil || x.gateway.minVersion(x.req.Model) == 0 {
 		return 0
@@ -233,8 +235,7 @@
 	return grant.Version()
 }
 
-// brokenBy returns how an attempt ended that did not come to its end: by the
-// caller or the time where they ended it.
+// abandonedOr returns fleet.Abandoned if the request's context ended, and outcome otherwise.
 func (x *exchange) abandonedOr(ctx context.Context, outcome fleet.Outcome) fleet.Outcome {
 	if ctx.Err() != nil {
 		return fleet.Abandoned
@@ -242,8 +243,9 @@
 	return outcome
 }
 
-// giveUp closes a connection whose answer did not come whole. What was sent to an
-// endpoint that stayed silent must not reach it once the request is at another.
+// closeAfterError closes a connection whose answer was incomplete. If the endpoint was silent, the
+// connection is reset, because data still queued for it must not reach it once the request is at
+// another endpoint.
 func closeAfterError(conn *upstream.Conn, err error) {
 	if upstream.GivenUp(err) {
 		conn.Cancel()
@@ -251,6 +253,8 @@
 	conn.Close()
 }
 
+// silentOutcome returns fleet.Silent if the read ended because it waited too long, and otherwise
+// if not.
 func silentOutcome(err error, otherwise fleet.Outcome) fleet.Outcome {
 	if upstream.GivenUp(err) {
 		return fleet.Silent
@@ -258,8 +262,8 @@
 	return otherwise
 }
 
-// receive reads the head of the answer. Answers that belong to an earlier
-// request on the connection are read over.
+// receive reads the head of the answer. It discards answers that belong to an earlier request on
+// the connection.
 func (x *exchange) receive(conn *upstream.Conn, out *http.Request) (*http.Response, call.Answer, error) {
 	for range maxStrayAnswers {
 		resp, err := conn.Receive(out)
@@ -275,5 +279,5 @@
 			return nil, call.Answer{}, err
 		}
 	}
-	return nil, call.Answer{}, errors.New("the connection brings answers to other requests")
+	return nil, call.Answer{}, errors.New("the connection returned only answers to other requests")
 }
--- a/entry/internal/gateway/stall.go
+++ b/entry/internal/gateway/stall.go
@@ -9,38 +9,40 @@
 )
 
 const (
-	// stallTargets is how many targets a stream's first event may take before
-	// another endpoint is tried.
+	// firstEventTargets is how long an engine's stream may take to its first event before another
+	// endpoint is tried, in multiples of the route's target.
 	firstEventTargets = 3
-	// streamStall is the longest pause of a stream in progress: longer than
-	// any that is in time, shorter than callers bear.
+	// minStreamStall is the shortest pause of a stream in progress that counts as a stall: longer
+	// than any pause within the target, shorter than callers tolerate.
 	minStreamStall = 1100 * time.Millisecond
-	// repeatTargets is how many targets a request that may be repeated waits
-	// for its answer before another endpoint is tried.
+	// answerTargets is how long a repeatable request waits for its answer before another endpoint
+	// is tried, in multiples of the route's target.
 	answerTargets = 3
-	// Callers give up a stream that shows nothing for the longest of callerPause, so many
-	// targets and so many of the pauses that are in time.
+	// A caller abandons a stream without progress after the longest of minCallerTimeout,
+	// callerTimeoutTargets times the route's target and callerTimeoutGaps times its gap.
 	minCallerTimeout     = 2 * time.Second
 	callerTimeoutTargets = 4
 	callerTimeoutGaps    = 8
-	// callerMargin is left of that time for a caller to learn that its stream can't go on
-	// here: more than the time between two looks.
+	// callerTimeoutMargin is how long before that timeout the caller is told that its stream
+	// cannot continue here. It exceeds the interval between two checks.
 	callerTimeoutMargin = 400 * time.Millisecond
 )
 
-// callerGivesUp is the reason to end an attempt at a silent endpoint without a place at another.
+// reasonCallerTimeout is the reason to end an attempt at a silent endpoint though no other endpoint
+// has a slot: the caller is about to time out.
 const reasonCallerTimeout = "caller about to give up"
 
-// silence is how an attempt waited for bytes.
+// responseWait describes how an attempt waited for data from its endpoint.
 type responseWait struct {
-	stopReason  string        // why it waited no longer; empty: it did
-	idle        time.Duration // since the last bytes
-	wakeupDelay time.Duration // by which this process itself was late
-	keptLogged  bool          // it would have ended, had another endpoint had room
+	stopReason  string        // why it stopped waiting; empty while it waits
+	idle        time.Duration // since the last data
+	wakeupDelay time.Duration // how late this process itself was woken
+	keptLogged  bool          // it was logged that the attempt stays for lack of room elsewhere
 }
 
-// patience returns what decides whether the attempt goes on waiting for bytes. What may not be
-// repeated waits to its end, or until its endpoint has started again and can't answer any more.
+// waitPolicy returns the function that decides whether the attempt keeps waiting for data. A
+// request that must not be repeated waits until its deadline, or until its endpoint has restarted
+// and cannot answer any more.
 func (x *exchange) waitPolicy(ctx context.Context, grant *fleet.Grant) func(time.Duration) bool {
 	return func(waited time.Duration) bool {
 		x.responseWait.idle = waited
@@ -49,9 +51,9 @@
 	}
 }
 
-// impatience returns why the attempt waits no longer for bytes; empty: it does. A silent
-// endpoint may be sound, and only slow or reported dead by mistake, so that the attempt
-// ends only once another endpoint has room for the request.
+// stopReason returns why the attempt should stop waiting for data, or an empty string if it should
+// not. A silent endpoint may be healthy and just slow or reported dead by mistake, so the attempt
+// normally ends only once another endpoint has room for the request.
 func (x *exchange) stopReason(ctx context.Context, grant *fleet.Grant, waited time.Duration) string {
 	switch {
 	case ctx.Err() != nil:
@@ -86,10 +88,10 @@
 	return ""
 }
 
-// callerAboutToLeave reports whether the caller of a stream at an endpoint that is probably dead
-// will soon give it up. A caller that leaves by itself doesn't come back, and its endpoint goes
-// on with the request once its host does; one that gets an answer, or whose connection ends, may go
-// on through another entry.
+// callerNearTimeout reports whether the caller of a stream at a probably dead endpoint will soon
+// time out. A caller that times out does not retry, and the endpoint resumes the request once its
+// host runs again. A caller that gets an answer, or whose connection is closed, may continue the
+// stream through another entry.
 func (x *exchange) callerNearTimeout(grant *fleet.Grant) bool {
 	if x.route.Kind != catalog.Stream || x.mayStillAnswer(grant) {
 		return false
@@ -102,12 +104,14 @@
 	return x.gateway.cfg.Clock.Since(lastProgress) >= timeout-callerTimeoutMargin
 }
 
-// maySurvive reports whether a silent endpoint may still go on. Where its host reports, an answer
-// that was begun is ended by nothing that it says: it may be wrong about the endpoint.
+// mayStillAnswer reports whether a silent endpoint may still continue. While the agent on its host
+// reports, an answer that has begun is kept even if the agent says that the endpoint is dead, since
+// the agent may be wrong.
 func (x *exchange) mayStillAnswer(grant *fleet.Grant) bool {
 	return grant.Followed() && (x.events > 0 || grant.Alive())
 }
 
+// stallTimeout returns how long the attempt waits for data before another endpoint is tried.
 func (x *exchange) stallTimeout() time.Duration {
 	switch {
 	case x.events > 0:
@@ -118,8 +122,8 @@
 	return answerTargets * x.route.Target
 }
 
-// reserve takes a place at another endpoint for the next attempt and reports whether there was
-// one. It goes before requests that wait only where the caller has part of the answer.
+// reserveEndpoint takes a slot at another endpoint for the next attempt and reports whether it got
+// one. It bypasses queued requests only if the caller already has part of the answer.
 func (x *exchange) reserveEndpoint() bool {
 	g := x.gateway
 	if !x.adm.Begun && !g.waitQueue(x.service).isNext(&x.adm) {
@@ -137,7 +141,7 @@
 	return true
 }
 
-// release gives a place back that was reserved and is not used.
+// releaseReserved returns an unused reserved slot.
 func (x *exchange) releaseReserved() {
 	if x.reserved != nil {
 		x.reserved.Done(fleet.Abandoned)
--- a/entry/internal/gateway/stall_test.go
+++ b/entry/internal/gateway/stall_test.go
@@ -8,8 +8,8 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// Guards against a stream that is broken off because its endpoint, which is sound, was silent
-// for a moment while no other endpoint had room.
+// Guards against cutting off a stream because its healthy endpoint was silent for a moment while no
+// other endpoint had room.
 func TestStreamOfSilentEndpointIsKeptWithoutRoomElsewhere(t *testing.T) {
 	end := newEndpoint(t, "i-1", pausingEvents(1, 5, 2))
 	h := newDeployment(t, end)
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against a stream that stays at a silent endpoint though another one has room, and
-// against a log that doesn't say why it moved.
+// Guards against a stream that stays at a silent endpoint though another one has room, and against
+// a log that does not tell why it moved.
 func TestStreamOfSilentEndpointMovesWhenAnotherHasRoom(t *testing.T) {
 	dead, alive := newEndpoint(t, "i-dead", pausingEvents(1, 5, 2)), newEndpoint(t, "i-alive", events(3, 5, false))
 	h := newDeployment(t, dead)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against a silent endpoint that is given up where repeats are used up: its answer may
-// still come, and nobody else may give one.
+// Guards against abandoning a silent endpoint when the retry budget is used up: its answer may
+// still arrive, and no other endpoint may be asked.
 func TestStreamOfSilentEndpointIsKeptWithoutRetryBudget(t *testing.T) {
 	silent, other := newEndpoint(t, "i-1", pausingEvents(1, 5, 2)), newEndpoint(t, "i-2")
 	h := newDeployment(t, silent)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against callers that give up a stream at a host that stands still, which don't come back:
-// one without an event gets an answer before, one with a part of it a closed connection.
+// Guards against callers that time out on a stream from a suspended host and do not retry. Before
+// that, a caller without an event gets an error answer, and one with events a closed connection.
 func TestCallerOfSilentHostIsAnsweredBeforeItsTimeout(t *testing.T) {
 	for name, test := range map[string]struct {
 		script func(id string) []byte
@@ -88,17 +88,17 @@
 			for len(end.requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			h.clock.Advance(3700 * time.Millisecond) // callers bear 4 s here
+			h.clock.Advance(3700 * time.Millisecond) // callers time out after 4 s here
 			got := <-answered
 			if got.status != test.status || got.complete != (test.events == 0) {
-				t.Errorf("got %d whole %v, want %d whole %v", got.status, got.complete, test.status, test.events == 0)
+				t.Errorf("got %d complete %v, want %d complete %v", got.status, got.complete, test.status, test.events == 0)
 			}
 		})
 	}
 }
 
-// Guards against a stream that ends shortly before its caller would give it up, though its answer may
-// still come: the agent on the endpoint's host reports it alive, or it has given a part.
+// Guards against ending a stream shortly before its caller's timeout though the answer may still
+// arrive: the agent on the endpoint's host reports it alive, or the answer has begun.
 func TestStreamOfSilentEndpointIsKeptWhileHostReports(t *testing.T) {
 	for name, test := range map[string]struct {
 		script func(id string) []byte
@@ -119,7 +119,7 @@
 			for len(end.requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			h.clock.Advance(3700 * time.Millisecond) // callers bear 4 s here
+			h.clock.Advance(3700 * time.Millisecond) // callers time out after 4 s here
 			h.state.Fleet().Observe("app", end.address, fleet.EngineState{Alive: test.alive})
 			h.log.awaitLine(t, "endpoint=i-1", "silent")
 			close(end.resume)
@@ -128,8 +128,8 @@
 	}
 }
 
-// cutStream sends a stream whose only endpoint breaks off after two events, and returns once it
-// waits for another one.
+// interruptStream requests a stream whose only endpoint fails after two events, and returns once
+// the request waits for another endpoint.
 func (h *deployment) interruptStream(t *testing.T) <-chan answer {
 	t.Helper()
 	h.stopClock()
@@ -138,15 +138,15 @@
 	h.log.awaitLine(t, "outcome=broken", "events=2")
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	// The deadline and the wait.
+	// The timers for the deadline and for another endpoint.
 	if err := h.clock.BlockUntilContext(ctx, 2); err != nil {
 		t.Fatalf("got no wait for another endpoint: %v", err)
 	}
 	return answered
 }
 
-// Guards against a stream that is broken off because no other endpoint had room for a second,
-// though its caller waits for two.
+// Guards against cutting off a stream because no other endpoint had room for a second, though its
+// caller waits for two.
 func TestInterruptedStreamWaitsForRoom(t *testing.T) {
 	for name, drain := range map[string]bool{"serving": false, "draining": true} {
 		t.Run(name, func(t *testing.T) {
@@ -158,7 +158,7 @@
 			h.clock.Advance(1800 * time.Millisecond)
 			select {
 			case got := <-answered:
-				t.Fatalf("got %d %q whole %v, want the stream to wait", got.status, got.body, got.complete)
+				t.Fatalf("got %d %q complete %v, want the stream to wait", got.status, got.body, got.complete)
 			case <-time.After(200 * time.Millisecond):
 			}
 			h.register(newEndpoint(t, "i-2", events(3, 5, false)), 0, 2)
@@ -167,8 +167,8 @@
 	}
 }
 
-// Guards against a stream that is broken off because repeats were used up at the moment when its
-// endpoint broke off: more requests allow more repeats.
+// Guards against cutting off a stream because the retry budget was used up when its endpoint
+// failed: further requests add to the budget.
 func TestInterruptedStreamWaitsForRetryBudget(t *testing.T) {
 	h := newDeployment(t, newEndpoint(t, "i-1", events(1, 3, true)))
 	h.retrySlack = 0
@@ -181,7 +181,7 @@
 	h.advanceUntilAnswered(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
 }
 
-// pass lets the time of a frozen clock go by in steps until a request is answered.
+// advanceUntilAnswered advances the stopped clock in steps, up to span, until a request is answered.
 func (h *deployment) advanceUntilAnswered(answered <-chan answer, span time.Duration) answer {
 	const step = 100 * time.Millisecond
 	for passed := time.Duration(0); passed < span; passed += step {
--- a/entry/internal/gateway/stream.go
+++ b/entry/internal/gateway/stream.go
@@ -13,14 +13,14 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 64 << 10
 
-// errTorn says that a stream ended within an event.
+// errTruncatedEvent reports that a stream ended within an event.
 var errTruncatedEvent = errors.New("the stream ended within an event")
 
-// relayStream passes whole events on as they come. Where the endpoint stops, the
-// stream may go on at another one after the last whole event.
+// relayStream relays complete events as they arrive. If the endpoint fails, the stream may resume
+// at another endpoint after the last complete event.
 func (x *exchange) relayStream(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
 	events := &eventReader{reader: bufio.NewReaderSize(resp.Body, eventBufferBytes)}
 	for {
@@ -57,7 +57,7 @@
 	return fleet.Served
 }
 
-// noteEvent takes the times that say whether the answer is in time.
+// recordEventTime updates the delay of the first event and the longest pause between events.
 func (x *exchange) recordEventTime() {
 	now := x.gateway.cfg.Clock.Now()
 	if x.events == 0 {
@@ -69,10 +69,10 @@
 	x.lastEventAt = now
 }
 
-// readAhead holds a usual event.
+// eventBufferBytes is the read buffer of a stream, large enough for a typical event.
 const eventBufferBytes = 1 << 10
 
-// pass writes an event to the caller at once.
+// writeEvent sends an event to the caller without buffering.
 func (x *exchange) writeEvent(event []byte) error {
 	if _, err := x.w.Write(event); err != nil {
 		return err
@@ -80,20 +80,20 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// event is one event of a stream as it came, its closing blank line included.
+// event is one server-sent event as received, with the blank line that ends it.
 type event struct {
 	bytes []byte
 	id    string
 }
 
-// eventReader cuts a stream into events.
+// eventReader splits a stream into events.
 type eventReader struct {
 	reader *bufio.Reader
 	buffer []byte
 }
 
-// next returns the next whole event; its bytes are valid until the next call.
-// io.EOF says that the stream ended between two events.
+// next returns the next complete event, whose bytes are valid until the next call. It returns
+// io.EOF if the stream ended between two events.
 func (r *eventReader) next() (event, error) {
 	r.buffer = r.buffer[:0]
 	found := event{}
