--- a/entry/internal/gateway/admit.go
+++ b/entry/internal/gateway/admit.go
@@ -157,7 +157,7 @@
 	g := x.gateway
 	group := g.cfg.State.Fleet().Group(x.service)
 	queue := g.waitQueue(x.service)
-	until := x.adm.HoldUntil(g.cfg.Clock.Now())
+	holdUntil := x.adm.HoldUntil(g.cfg.Clock.Now())
 	waiting := false
 	defer func() {
 		if waiting {
@@ -179,23 +179,23 @@
 			waiting = true
 			queue.add(&x.adm)
 		}
-		if refused := x.refuseBlocked(group, need, queue, until); refused != nil {
+		if refused := x.refuseBlocked(group, need, queue, holdUntil); refused != nil {
 			return nil, refused
 		}
 		draining := g.draining.Load() && !x.adm.Sent
-		if !g.cfg.Clock.Now().Before(until) || ctx.Err() != nil || draining {
+		if !g.cfg.Clock.Now().Before(holdUntil) || ctx.Err() != nil || draining {
 			return nil, x.refuseNoRoom(ctx, verdict, queue.length())
 		}
-		x.waitForRoom(ctx, queue, changed, until)
+		x.waitForRoom(ctx, queue, changed, holdUntil)
 	}
 }
 
 // refuseBlocked refuses a request that no endpoint will accept in time, because of their rate
 // limits or because they asked this entry to pause. It returns nil if one may accept it.
-func (x *exchange) refuseBlocked(group *fleet.Group, need fleet.Need, queue *waitQueue, until time.Time) *refusal {
+func (x *exchange) refuseBlocked(group *fleet.Group, need fleet.Need, queue *waitQueue, holdUntil time.Time) *refusal {
 	backlog, ok := group.Backlog(need, queue.ahead(&x.adm))
-	admitted := !x.gateway.cfg.Clock.Now().Add(backlog.Wait).After(until) && !backlog.Elsewhere && !backlog.Tried
-	if !ok || admitted {
+	admissible := !x.gateway.cfg.Clock.Now().Add(backlog.Wait).After(holdUntil) && !backlog.Elsewhere && !backlog.Tried
+	if !ok || admissible {
 		return nil
 	}
 	reason := "endpoints limit their requests"
--- a/entry/internal/gateway/crashcheck_test.go
+++ b/entry/internal/gateway/crashcheck_test.go
@@ -50,17 +50,17 @@
 // A broken connection does not show whether the endpoint ended. The entry checks whether the
 // endpoint still listens and logs the result.
 func TestLogDistinguishesEndedEndpointFromBrokenConnection(t *testing.T) {
-	ended, lives := newEndpoint(t, "i-ended", nil), newEndpoint(t, "i-lives", nil)
+	ended, running := newEndpoint(t, "i-ended", nil), newEndpoint(t, "i-lives", nil)
 	ended.mu.Lock()
 	ended.onAccept = func() { _ = ended.listener.Close() }
 	ended.mu.Unlock()
-	for _, one := range []struct {
-		end  *endpoint
+	for _, test := range []struct {
+		ep   *endpoint
 		want string
-	}{{ended, "ended=true"}, {lives, "ended=false"}} {
-		h := newDeployment(t, one.end)
+	}{{ended, "ended=true"}, {running, "ended=false"}} {
+		h := newDeployment(t, test.ep)
 		h.send(t, "/once/a", "key-1", "body").check(t, 502, "", true)
-		h.log.awaitLine(t, `msg="endpoint looked at"`, "endpoint="+one.end.id, one.want, "requests=[id-1]", "events=[0]")
+		h.log.awaitLine(t, `msg="endpoint looked at"`, "endpoint="+test.ep.id, test.want, "requests=[id-1]", "events=[0]")
 	}
 }
 
@@ -84,8 +84,8 @@
 // A caller's two tries of a request have different IDs; the fingerprint in the log shows that they
 // are the same request.
 func TestLogShowsThatARequestCameAgain(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	h.send(t, "/safe/a", "key-1", "body")
 	h.send(t, "/safe/a", "key-1", "body")
 	h.send(t, "/safe/a", "key-1", "other")
--- a/entry/internal/gateway/deployment_test.go
+++ b/entry/internal/gateway/deployment_test.go
@@ -49,17 +49,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = lis.Close() })
-	end := &endpoint{id: id, address: lis.Addr().String(), answers: answers, listener: lis, resume: make(chan struct{})}
+	ep := &endpoint{id: id, address: lis.Addr().String(), answers: answers, listener: lis, resume: make(chan struct{})}
 	go func() {
 		for {
 			conn, err := lis.Accept()
 			if err != nil {
 				return
 			}
-			go end.serve(conn)
+			go ep.serve(conn)
 		}
 	}()
-	return end
+	return ep
 }
 
 func (e *endpoint) serve(conn net.Conn) {
@@ -229,9 +229,9 @@
 		spec.Routes = append(spec.Routes, route)
 	}
 	records := []site.Record{{Kind: site.CatalogRecord, Catalog: catalog.New(spec)}}
-	for _, end := range endpoints {
-		records = append(records, site.Record{Kind: site.EndpointRecord, ID: end.id, Endpoint: fleet.Registration{
-			ID: end.id, Service: "app", Address: end.address, Slots: 4,
+	for _, ep := range endpoints {
+		records = append(records, site.Record{Kind: site.EndpointRecord, ID: ep.id, Endpoint: fleet.Registration{
+			ID: ep.id, Service: "app", Address: ep.address, Slots: 4,
 		}})
 	}
 	h.state.Apply(records, 1)
@@ -318,8 +318,8 @@
 // requestCount returns the number of requests that the endpoints received.
 func requestCount(endpoints ...*endpoint) int {
 	total := 0
-	for _, end := range endpoints {
-		total += len(end.requests())
+	for _, ep := range endpoints {
+		total += len(ep.requests())
 	}
 	return total
 }
--- a/entry/internal/gateway/gateway_test.go
+++ b/entry/internal/gateway/gateway_test.go
@@ -22,14 +22,14 @@
 )
 
 func TestAnswerOfAnEndpointIsRelayed(t *testing.T) {
-	end := newEndpoint(t, "i-1", complete("hello"))
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1", complete("hello"))
+	h := newDeployment(t, ep)
 	got := h.send(t, "/once/a?b=c", "key-1", "body")
 	got.check(t, 200, "hello", true)
 	if got, want := got.header.Get("X-Server-Stamp"), "s-hello"; got != want {
 		t.Errorf("got signature %q, want %q", got, want)
 	}
-	req := end.requests()[0]
+	req := ep.requests()[0]
 	if req.RequestURI != "/once/a?b=c" || req.Header.Get("X-Tenant") != "mine" || req.Header.Get("X-Expect-Instance") != "i-1" {
 		t.Errorf("got %s with %v, want it as sent with customer and endpoint", req.RequestURI, req.Header)
 	}
@@ -51,11 +51,11 @@
 // Guards against the same fault on a kept connection: the endpoint closes it just as the next
 // request is sent, and HTTP libraries resend on a connection that turns out to be closed.
 func TestNonRepeatableRequestIsNotResentOnBrokenKeepAlive(t *testing.T) {
-	end := newEndpoint(t, "i-1", complete("first"), nil, complete("never"))
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1", complete("first"), nil, complete("never"))
+	h := newDeployment(t, ep)
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "first", true)
 	h.send(t, "/once/a", "key-1", "").check(t, 502, "", true)
-	if got, want := requestCount(end), 2; got != want {
+	if got, want := requestCount(ep), 2; got != want {
 		t.Errorf("got %d sends, want %d", got, want)
 	}
 }
@@ -138,15 +138,15 @@
 	one, two := newEndpoint(t, "i-1", events(1, 3, true)), newEndpoint(t, "i-2", events(1, 3, true))
 	h := newDeployment(t, one, two)
 	resumed := events(3, 5, false)
-	for _, end := range []*endpoint{one, two} {
-		end.mu.Lock()
-		end.answers = []func(string) []byte{func(id string) []byte {
+	for _, ep := range []*endpoint{one, two} {
+		ep.mu.Lock()
+		ep.answers = []func(string) []byte{func(id string) []byte {
 			if requestCount(one, two) == 1 {
 				return events(1, 3, true)(id)
 			}
 			return resumed(id)
 		}}
-		end.mu.Unlock()
+		ep.mu.Unlock()
 	}
 	got := h.send(t, "/stream/a", "key-1", "")
 	want := ""
@@ -183,8 +183,8 @@
 // Guards against accepting a revoked key (rule CONFIG of the platform) or refusing a valid one for
 // good: an entry loses the store for some seconds and treats its last configuration as current.
 func TestStaleConfigurationGivesNoFinalDecision(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	h.freshnessNow = 3500 * time.Millisecond
 	h.send(t, "/once/a", "key-1", "").check(t, 200, "ok", true)
 	h.send(t, "/once/a", "other", "").check(t, 503, "", true)
@@ -198,8 +198,8 @@
 // refuses a new route with 404. An update arrives and is confirmed while the request is being
 // routed: if the configuration is read before its age, the old one counts as just confirmed.
 func TestConfigurationIsNoNewerThanItsAge(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	newer := catalog.Spec{Version: 2, Services: []catalog.Service{{Name: "app"}}, Limits: catalog.Limits{BodyBytes: 100},
 		Customers: []catalog.Customer{{Name: "mine", Keys: []string{"key-2"}}}}
 	for _, route := range testRoutes {
@@ -213,14 +213,14 @@
 		h.state.Fresh().Prove(h.freshnessNow)
 	}
 	h.send(t, "/once/a", "key-1", "").check(t, 401, "", true)
-	if got, want := requestCount(end), 0; got != want {
+	if got, want := requestCount(ep), 0; got != want {
 		t.Errorf("got %d requests run with a revoked key, want %d", got, want)
 	}
 }
 
 func TestBadInputReachesNoEndpoint(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	h.send(t, "/once/a", "key-1", strings.Repeat("x", 101)).check(t, 413, "", true)
 	req, err := http.NewRequest(http.MethodGet, h.server.URL+"/once/a", nil)
 	if err != nil {
@@ -235,21 +235,21 @@
 	if got, want := resp.StatusCode, 400; got != want {
 		t.Errorf("got %d without an ID, want %d", got, want)
 	}
-	if got := requestCount(end); got != 0 {
+	if got := requestCount(ep); got != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", got)
 	}
 }
 
 func TestDrainingEntryRefusesAsNotRun(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	h.gateway.Drain()
 	got := h.send(t, "/once/a", "key-1", "")
 	got.check(t, 503, "", true)
 	if !got.close {
 		t.Errorf("got a connection that stays open, want it closed")
 	}
-	if got := requestCount(end); got != 0 {
+	if got := requestCount(ep); got != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", got)
 	}
 }
--- a/entry/internal/gateway/incarnation_test.go
+++ b/entry/internal/gateway/incarnation_test.go
@@ -19,9 +19,9 @@
 }
 
 // register registers an endpoint in the given incarnation.
-func (h *deployment) register(end *endpoint, incarnation int64, revision uint64) {
-	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: end.id, Revision: revision, Endpoint: fleet.Registration{
-		ID: end.id, Born: incarnation, Service: "app", Address: end.address, Slots: 4,
+func (h *deployment) register(ep *endpoint, incarnation int64, revision uint64) {
+	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: ep.id, Revision: revision, Endpoint: fleet.Registration{
+		ID: ep.id, Born: incarnation, Service: "app", Address: ep.address, Slots: 4,
 	}}}, revision)
 }
 
@@ -31,13 +31,13 @@
 // had reported its restart.
 func TestRequestToFormerIncarnationIsAbandoned(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	end := newEndpoint(t, "i-1", unanswered(t, arrived))
+	ep := newEndpoint(t, "i-1", unanswered(t, arrived))
 	h := newDeployment(t)
-	h.register(end, 1000, 2)
+	h.register(ep, 1000, 2)
 	began := h.clock.Now()
 	go func() {
 		<-arrived
-		h.register(end, 2000, 3)
+		h.register(ep, 2000, 3)
 	}()
 	h.send(t, "/once/a", "key-1", "").check(t, 502, "", true)
 	if took, bound := h.clock.Since(began), 4*time.Second; took >= bound {
@@ -50,20 +50,20 @@
 // incarnation stay open behind a network partition and were reused because the pool kept them by
 // address. The former incarnation still answers in this test, so that such requests are detected.
 func TestConnectionsOfAFormerIncarnationAreNotUsed(t *testing.T) {
-	end := newEndpoint(t, "i-1")
+	ep := newEndpoint(t, "i-1")
 	conns := 0
-	end.mu.Lock()
-	end.onAccept = func() { conns++ }
-	end.mu.Unlock()
+	ep.mu.Lock()
+	ep.onAccept = func() { conns++ }
+	ep.mu.Unlock()
 	h := newDeployment(t)
 	for incarnation := range 3 {
-		h.register(end, int64(1000*(incarnation+1)), uint64(2+incarnation))
+		h.register(ep, int64(1000*(incarnation+1)), uint64(2+incarnation))
 		for range 2 {
 			h.send(t, "/once/a", "key-1", "").check(t, 200, "ok", true)
 		}
 	}
-	end.mu.Lock()
-	defer end.mu.Unlock()
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
 	if got, want := conns, 3; got != want {
 		t.Errorf("got %d connections, want %d, one for each incarnation", got, want)
 	}
@@ -73,15 +73,15 @@
 // incarnation never received it.
 func TestNextIncarnationGetsRequestLostByFormerOne(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	end := newEndpoint(t, "i-1", unanswered(t, arrived))
+	ep := newEndpoint(t, "i-1", unanswered(t, arrived))
 	h := newDeployment(t)
-	h.register(end, 1000, 2)
+	h.register(ep, 1000, 2)
 	go func() {
 		<-arrived
-		h.register(end, 2000, 3)
+		h.register(ep, 2000, 3)
 	}()
 	h.send(t, "/safe/a", "key-1", "").check(t, 200, "ok", true)
-	if got, want := fmt.Sprint(len(end.requests())), "2"; got != want {
+	if got, want := fmt.Sprint(len(ep.requests())), "2"; got != want {
 		t.Errorf("got %s sends, want %s", got, want)
 	}
 }
--- a/entry/internal/gateway/leaving_test.go
+++ b/entry/internal/gateway/leaving_test.go
@@ -49,15 +49,15 @@
 
 // Guards against further requests to an endpoint that announced in an answer that it is leaving.
 func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
-	gone, stays := newEndpoint(t, "i-1", leaving, leaving), newEndpoint(t, "i-2")
-	h := newDeployment(t, gone, stays)
-	for requestCount(gone) == 0 {
+	leaves, stays := newEndpoint(t, "i-1", leaving, leaving), newEndpoint(t, "i-2")
+	h := newDeployment(t, leaves, stays)
+	for requestCount(leaves) == 0 {
 		h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	}
 	for range 20 {
 		h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	}
-	if got, want := requestCount(gone), 1; got != want {
+	if got, want := requestCount(leaves), 1; got != want {
 		t.Errorf("got %d requests at the endpoint that leaves, want %d", got, want)
 	}
 }
@@ -65,25 +65,25 @@
 // Guards against new requests to a leaving endpoint whose registration lapsed during an outage of
 // the store and was then restored.
 func TestLeavingEndpointStaysExcludedWhenRegisteredAgain(t *testing.T) {
-	gone := newEndpoint(t, "i-1", leaving, leaving)
-	h := newDeployment(t, gone)
+	leaves := newEndpoint(t, "i-1", leaving, leaving)
+	h := newDeployment(t, leaves)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: "i-1", Gone: true}}, 2)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusServiceUnavailable, "no endpoint", true)
 	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: "i-1", Endpoint: fleet.Registration{
-		ID: "i-1", Service: "app", Address: gone.address, Slots: 4,
+		ID: "i-1", Service: "app", Address: leaves.address, Slots: 4,
 	}}}, 3)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusServiceUnavailable, "no endpoint", true)
-	if got, want := requestCount(gone), 1; got != want {
+	if got, want := requestCount(leaves), 1; got != want {
 		t.Errorf("got %d requests at the endpoint that leaves, want %d", got, want)
 	}
 }
 
 // Guards against requests to an endpoint during the pause that it asked for when it refused one.
 func TestRestingEndpointGetsNoRequests(t *testing.T) {
-	tired, other := newEndpoint(t, "i-1", resting("3"), resting("1")), newEndpoint(t, "i-2")
-	h := newDeployment(t, tired, other)
-	for requestCount(tired) == 0 {
+	paused, other := newEndpoint(t, "i-1", resting("3"), resting("1")), newEndpoint(t, "i-2")
+	h := newDeployment(t, paused, other)
+	for requestCount(paused) == 0 {
 		h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	}
 	h.stopClock()
@@ -91,7 +91,7 @@
 	for range 20 {
 		h.sendWithStoppedClock(t, "/safe/a").check(t, http.StatusOK, "ok", true)
 	}
-	if got, want := requestCount(tired), 1; got != want {
+	if got, want := requestCount(paused), 1; got != want {
 		t.Errorf("got %d requests at the endpoint during its pause, want %d", got, want)
 	}
 }
--- a/entry/internal/gateway/limit_test.go
+++ b/entry/internal/gateway/limit_test.go
@@ -34,8 +34,8 @@
 // Guards against a request that waits longer than the rate limit of its endpoint requires. The
 // next credit comes with time only, so no event wakes the request.
 func TestRequestWaitsForCreditOfRateLimit(t *testing.T) {
-	end := newEndpoint(t, "i-1", limiting("2"), limiting("2"))
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1", limiting("2"), limiting("2"))
+	h := newDeployment(t, ep)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
 	h.stopClock()
 	answered := make(chan answer)
@@ -71,12 +71,12 @@
 func TestOldAnswerDoesNotLiftRateLimit(t *testing.T) {
 	release := make(chan struct{})
 	reached := make(chan struct{})
-	end := newEndpoint(t, "i-1", func(id string) []byte {
+	ep := newEndpoint(t, "i-1", func(id string) []byte {
 		close(reached)
 		<-release
 		return complete("old")(id)
 	}, limiting("0.25"))
-	h := newDeployment(t, end)
+	h := newDeployment(t, ep)
 	old := make(chan answer)
 	go func() { old <- h.send(t, "/safe/old", "key-1", "") }()
 	<-reached
--- a/entry/internal/gateway/quarantine.go
+++ b/entry/internal/gateway/quarantine.go
@@ -65,8 +65,8 @@
 // quarantined it. An answer with an error status proves nothing: the request may not have run.
 func (x *exchange) reportServed(outcome fleet.Outcome) {
 	g := x.gateway
-	good := outcome == fleet.Served && x.status < http.StatusMultipleChoices
-	if !good || !g.cfg.State.Ledger().Served(x.fingerprint) {
+	succeeded := outcome == fleet.Served && x.status < http.StatusMultipleChoices
+	if !succeeded || !g.cfg.State.Ledger().Served(x.fingerprint) {
 		return
 	}
 	g.cfg.Publish(site.Report{Report: quarantine.Report{Served: []quarantine.Fingerprint{x.fingerprint}}})
--- a/entry/internal/gateway/quarantine_test.go
+++ b/entry/internal/gateway/quarantine_test.go
@@ -28,16 +28,16 @@
 }
 
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 3)
 	got := h.send(t, "/safe/a", "key-1", "deadly")
 	got.check(t, http.StatusServiceUnavailable, "endpoints ended under this request", true)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	if least, most := (quarantine.HoldTime - time.Minute).Seconds(), quarantine.HoldTime.Seconds(); err != nil || wait < least || wait > most {
-		t.Errorf("got Retry-After %q, want the remaining quarantine time, at most %v s", got.header.Get("Retry-After"), most)
+	if shortest, longest := (quarantine.HoldTime - time.Minute).Seconds(), quarantine.HoldTime.Seconds(); err != nil || wait < shortest || wait > longest {
+		t.Errorf("got Retry-After %q, want the remaining quarantine time, at most %v s", got.header.Get("Retry-After"), longest)
 	}
-	if got := requestCount(end); got != 0 {
+	if got := requestCount(ep); got != 0 {
 		t.Errorf("got %d sends of a quarantined request, want none", got)
 	}
 	for _, other := range []struct{ path, body string }{{"/safe/a", "other"}, {"/safe/b", "deadly"}, {"/safe/a?n=1", "deadly"}} {
@@ -121,10 +121,10 @@
 // ended, the request is quarantined and not sent to another one.
 func TestThirdEndQuarantinesRequest(t *testing.T) {
 	one, two := newEndpoint(t, "i-1", nil), newEndpoint(t, "i-2", nil)
-	for _, end := range []*endpoint{one, two} {
-		end.mu.Lock()
-		end.onAccept = func() { _ = end.listener.Close() }
-		end.mu.Unlock()
+	for _, ep := range []*endpoint{one, two} {
+		ep.mu.Lock()
+		ep.onAccept = func() { _ = ep.listener.Close() }
+		ep.mu.Unlock()
 	}
 	h := newDeployment(t, one, two)
 	h.reportEnds(fingerprintOf("/safe/a", "deadly"), 2)
@@ -135,11 +135,11 @@
 }
 
 func TestEndIsPublishedToOtherEntries(t *testing.T) {
-	end := newEndpoint(t, "i-1", nil)
-	end.mu.Lock()
-	end.onAccept = func() { _ = end.listener.Close() }
-	end.mu.Unlock()
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1", nil)
+	ep.mu.Lock()
+	ep.onAccept = func() { _ = ep.listener.Close() }
+	ep.mu.Unlock()
+	h := newDeployment(t, ep)
 	h.send(t, "/once/a", "key-1", "deadly").check(t, http.StatusBadGateway, "", true)
 	got := <-h.published
 	if got.End.Endpoint != "i-1" || len(got.Suspects) != 1 || got.Suspects[0] != fingerprintOf("/once/a", "deadly") || len(got.Running) != 0 {
@@ -150,11 +150,11 @@
 // A partly answered request is reported as running, not as suspect: a request that crashes an
 // endpoint does so before its first events.
 func TestPartlyAnsweredRequestIsReportedAsRunning(t *testing.T) {
-	end := newEndpoint(t, "i-1", events(1, 5, true))
-	end.mu.Lock()
-	end.onAccept = func() { _ = end.listener.Close() }
-	end.mu.Unlock()
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1", events(1, 5, true))
+	ep.mu.Lock()
+	ep.onAccept = func() { _ = ep.listener.Close() }
+	ep.mu.Unlock()
+	h := newDeployment(t, ep)
 	h.send(t, "/stream/a", "key-1", "long")
 	got := <-h.published
 	if len(got.Suspects) != 0 || len(got.Running) != 1 || got.Running[0] != fingerprintOf("/stream/a", "long") {
--- a/entry/internal/gateway/stall_test.go
+++ b/entry/internal/gateway/stall_test.go
@@ -11,17 +11,17 @@
 // Guards against cutting off a stream because its healthy endpoint was silent for a moment while no
 // other endpoint had room.
 func TestStreamOfSilentEndpointIsKeptWithoutRoomElsewhere(t *testing.T) {
-	end := newEndpoint(t, "i-1", pausingEvents(1, 5, 2))
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1", pausingEvents(1, 5, 2))
+	h := newDeployment(t, ep)
 	h.stopClock()
 	answered := make(chan answer)
 	go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
 	h.awaitEvents(t, 2)
-	h.state.Fleet().Observe("app", end.address, fleet.EngineState{})
+	h.state.Fleet().Observe("app", ep.address, fleet.EngineState{})
 	h.log.awaitLine(t, "endpoint=i-1", "silent")
-	close(end.resume)
+	close(ep.resume)
 	h.advanceUntilAnswered(answered, 2*time.Second).check(t, 200, "id: 1\n", true)
-	if got := requestCount(end); got != 1 {
+	if got := requestCount(ep); got != 1 {
 		t.Errorf("got %d sends, want 1", got)
 	}
 }
@@ -78,14 +78,14 @@
 		"two events": {pausingEvents(1, 5, 2), 2, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			end := newEndpoint(t, "i-1", test.script)
-			defer close(end.resume)
-			h := newDeployment(t, end)
+			ep := newEndpoint(t, "i-1", test.script)
+			defer close(ep.resume)
+			h := newDeployment(t, ep)
 			h.stopClock()
 			answered := make(chan answer)
 			go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
 			h.awaitEvents(t, test.events)
-			for len(end.requests()) == 0 {
+			for len(ep.requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			h.clock.Advance(3700 * time.Millisecond) // callers time out after 4 s here
@@ -110,19 +110,19 @@
 		"two events, reported dead": {pausingEvents(1, 5, 2), 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			end := newEndpoint(t, "i-1", test.script)
-			h := newDeployment(t, end)
+			ep := newEndpoint(t, "i-1", test.script)
+			h := newDeployment(t, ep)
 			h.stopClock()
 			answered := make(chan answer)
 			go func() { answered <- h.send(t, "/stream/a", "key-1", "") }()
 			h.awaitEvents(t, test.events)
-			for len(end.requests()) == 0 {
+			for len(ep.requests()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			h.clock.Advance(3700 * time.Millisecond) // callers time out after 4 s here
-			h.state.Fleet().Observe("app", end.address, fleet.EngineState{Alive: test.alive})
+			h.state.Fleet().Observe("app", ep.address, fleet.EngineState{Alive: test.alive})
 			h.log.awaitLine(t, "endpoint=i-1", "silent")
-			close(end.resume)
+			close(ep.resume)
 			h.advanceUntilAnswered(answered, 200*time.Millisecond).check(t, 200, "id: 1\n", true)
 		})
 	}
