--- a/entry/internal/gateway/crashcheck.go
+++ b/entry/internal/gateway/crashcheck.go
@@ -88,7 +88,7 @@
 	check := c.running[grant.Incarnation()]
 	if check == nil {
 		if len(c.running) >= maxCrashChecks {
-			c.log.Warn("endpoint not checked: too many endpoints are being checked", "endpoint", grant.ID(), "request", req.id)
+			c.log.Warn("endpoint not checked, too many endpoints are being checked at once", "endpoint", grant.ID(), "request", req.id)
 			return nil
 		}
 		check = &crashCheck{grant: grant, done: make(chan struct{})}
--- a/entry/internal/gateway/deployment_test.go
+++ b/entry/internal/gateway/deployment_test.go
@@ -200,7 +200,7 @@
 	// stopClock stops the automatic advance of the clock.
 	stopClock  context.CancelFunc
 	published  chan site.Report // reports to other entries
-	retrySlack float64          // gateway.Bounds.Slack
+	retrySlack float64          // retries allowed beyond their ratio
 }
 
 var testRoutes = []catalog.Route{
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -29,9 +29,9 @@
 const (
 	// shortRetryAfter is the time to retry after when the cause is a transient state of this entry.
 	shortRetryAfter = 200 * time.Millisecond
-	// configAgeMargin is the part of Bounds.Apply reserved for sending a request to its endpoint.
-	// A configuration older than the rest may lack a change that must already be in force, so it
-	// does not justify a final refusal.
+	// configAgeMargin is the part of the maximum configuration age that is reserved for sending a
+	// request to its endpoint. A configuration older than the rest may lack a change that must
+	// already be in force, so it does not justify a final refusal.
 	configAgeMargin = 150 * time.Millisecond
 	// defaultMaxBodyBytes limits a request body if the configuration sets no limit.
 	defaultMaxBodyBytes = 4 << 20
@@ -103,7 +103,7 @@
 	}
 	cfg.State.Ledger().Notify(g.cancelQuarantined)
 	cfg.State.Ledger().NotifyForgotten(func(fingerprint quarantine.Fingerprint) {
-		cfg.Log.Warn("quarantined request forgotten: too many endpoint ends recorded for other requests", "print", fingerprint)
+		cfg.Log.Warn("quarantined request forgotten, too many endpoint ends recorded for other requests", "print", fingerprint)
 	})
 	return g
 }
