--- a/entry/internal/gateway/inquest_test.go
+++ b/entry/internal/gateway/crashcheck_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// output takes the gateway's log.
-type output struct {
+// logBuffer collects the gateway's log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (o *output) Write(text []byte) (int, error) {
+func (o *logBuffer) Write(text []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(text)
 }
 
-// line waits for a line that has all words and returns it.
-func (o *output) line(t *testing.T, words ...string) string {
+// awaitLine waits for a line that contains all words and returns it.
+func (o *logBuffer) awaitLine(t *testing.T, words ...string) string {
 	t.Helper()
 	for range 2000 {
 		o.mu.Lock()
@@ -47,51 +47,52 @@
 	return true
 }
 
-// A connection that breaks does not say whether the endpoint ended; whether it still listens
-// does, and the log distinguishes the cases.
-func TestLogDistinguishesAnEndFromABrokenConnection(t *testing.T) {
-	ended, lives := newEndpoint(t, "i-ended", nil), newEndpoint(t, "i-lives", nil)
+// A broken connection does not show whether the endpoint ended. The entry checks whether the
+// endpoint still listens and logs the result.
+func TestLogDistinguishesEndedEndpointFromBrokenConnection(t *testing.T) {
+	ended, running := newEndpoint(t, "i-ended", nil), newEndpoint(t, "i-lives", nil)
 	ended.mu.Lock()
-	ended.accepted = func() { _ = ended.listener.Close() }
+	ended.onAccept = func() { _ = ended.listener.Close() }
 	ended.mu.Unlock()
-	for _, one := range []struct {
-		end  *endpoint
+	for _, test := range []struct {
+		ep   *endpoint
 		want string
-	}{{ended, "ended=true"}, {lives, "ended=false"}} {
-		h := newDeployment(t, one.end)
+	}{{ended, "ended=true"}, {running, "ended=false"}} {
+		h := newDeployment(t, test.ep)
 		h.send(t, "/once/a", "key-1", "body").check(t, 502, "", true)
-		h.log.line(t, `msg="endpoint looked at"`, "endpoint="+one.end.id, one.want, "requests=[id-1]", "events=[0]")
+		h.log.awaitLine(t, `msg="endpoint looked at"`, "endpoint="+test.ep.id, test.want, "requests=[id-1]", "events=[0]")
 	}
 }
 
-// Guards against requests that are held since endpoints which had said that they leave ended under
-// them: such an endpoint ends by itself.
-func TestEndOfAnEndpointThatLeftCountsAgainstNoRequest(t *testing.T) {
+// Guards against quarantining requests because leaving endpoints ended while they ran them: a
+// leaving endpoint exits on its own.
+func TestEndOfLeavingEndpointCountsAgainstNoRequest(t *testing.T) {
 	leaves := newEndpoint(t, "i-1", func(id string) []byte {
 		return []byte(strings.Replace(string(events(1, 2, true)(id)), "\r\n", "\r\nServer-Leaving: 1\r\n", 1))
 	})
 	leaves.mu.Lock()
-	leaves.accepted = func() { _ = leaves.listener.Close() }
+	leaves.onAccept = func() { _ = leaves.listener.Close() }
 	leaves.mu.Unlock()
 	h := newDeployment(t, leaves)
 	h.send(t, "/stream/a", "key-1", "body")
-	h.log.line(t, `msg="endpoint looked at"`, "endpoint=i-1", "ended=true", "left=true")
+	h.log.awaitLine(t, `msg="endpoint looked at"`, "endpoint=i-1", "ended=true", "left=true")
 	if _, ends := h.state.Ledger().Size(); ends != 0 {
 		t.Errorf("got %d ends that count, want none", ends)
 	}
 }
 
-// Two tries of one request have ids of their own; the log shows that they are the same.
+// A caller's two tries of a request have different IDs; the fingerprint in the log shows that they
+// are the same request.
 func TestLogShowsThatARequestCameAgain(t *testing.T) {
-	end := newEndpoint(t, "i-1")
-	h := newDeployment(t, end)
+	ep := newEndpoint(t, "i-1")
+	h := newDeployment(t, ep)
 	h.send(t, "/safe/a", "key-1", "body")
 	h.send(t, "/safe/a", "key-1", "body")
 	h.send(t, "/safe/a", "key-1", "other")
 	h.send(t, "/safe/a?n=1", "key-1", "body")
 	prints := map[string]int{}
 	for _, id := range []string{"id-1", "id-2", "id-3", "id-4"} {
-		line := h.log.line(t, "msg=answered", "request="+id+" ")
+		line := h.log.awaitLine(t, "msg=answered", "request="+id+" ")
 		_, after, _ := strings.Cut(line, "print=")
 		prints[after]++
 	}
--- a/entry/internal/gateway/deployment_test.go
+++ b/entry/internal/gateway/deployment_test.go
@@ -27,19 +27,19 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// endpoint answers each request that it reads with the next of its answers, byte
-// for byte; a nil answer closes the connection. Further requests get a whole 200.
+// endpoint answers each request with the next of its answers, byte for byte. A nil answer closes
+// the connection. Once the answers are used up, requests get a complete 200.
 type endpoint struct {
 	id      string
 	address string
-	// listener is closed where the endpoint ends.
+	// listener is closed to simulate the end of the endpoint.
 	listener net.Listener
 	mu       sync.Mutex
 	answers  []func(id string) []byte
-	seen     []*http.Request
-	// accepted is called with mu held for each connection; may be nil.
-	accepted func()
-	resume   chan struct{} // closed where a paused answer goes on
+	received []*http.Request
+	// onAccept, if not nil, is called for each connection with mu held.
+	onAccept func()
+	resume   chan struct{} // closed to continue a paused answer
 }
 
 func newEndpoint(t *testing.T, id string, answers ...func(id string) []byte) *endpoint {
@@ -49,24 +49,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = lis.Close() })
-	end := &endpoint{id: id, address: lis.Addr().String(), answers: answers, listener: lis, resume: make(chan struct{})}
+	ep := &endpoint{id: id, address: lis.Addr().String(), answers: answers, listener: lis, resume: make(chan struct{})}
 	go func() {
 		for {
 			conn, err := lis.Accept()
 			if err != nil {
 				return
 			}
-			go end.serve(conn)
+			go ep.serve(conn)
 		}
 	}()
-	return end
+	return ep
 }
 
 func (e *endpoint) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	e.mu.Lock()
-	if e.accepted != nil {
-		e.accepted()
+	if e.onAccept != nil {
+		e.onAccept()
 	}
 	e.mu.Unlock()
 	reader := bufio.NewReader(conn)
@@ -99,26 +99,26 @@
 }
 
 const (
-	// cutOff ends an answer after which the connection closes.
+	// cutOff at the end of an answer closes the connection.
 	cutOff = "\x00"
-	// pause stands in an answer where the endpoint waits for resume to be closed.
+	// pause in an answer makes the endpoint wait until resume is closed.
 	pause = "<pause>"
 )
 
 func (e *endpoint) next(req *http.Request) []byte {
-	answer := e.take(req)
+	answer := e.nextAnswer(req)
 	if answer == nil {
 		return nil
 	}
 	return answer(req.Header.Get("X-Attempt-Id"))
 }
 
-func (e *endpoint) take(req *http.Request) func(id string) []byte {
+func (e *endpoint) nextAnswer(req *http.Request) func(id string) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen = append(e.seen, req)
+	e.received = append(e.received, req)
 	if len(e.answers) == 0 {
-		return whole("ok")
+		return complete("ok")
 	}
 	answer := e.answers[0]
 	e.answers = e.answers[1:]
@@ -128,51 +128,55 @@
 func (e *endpoint) requests() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]*http.Request(nil), e.seen...)
+	return append([]*http.Request(nil), e.received...)
 }
 
+// head returns the status line and the headers of an answer.
 func head(status int, id string, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\n%s", status, id, more)
 }
 
-func whole(body string) func(id string) []byte {
+// complete answers 200 with the given body.
+func complete(body string) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(200, id, fmt.Sprintf("X-Server-Stamp: s-%s\r\nContent-Length: %d\r\n\r\n%s", body, len(body), body)))
 	}
 }
 
+// failing answers with the given status, signed by the endpoint.
 func failing(status int) func(id string) []byte {
 	return func(id string) []byte {
 		return []byte(head(status, id, "X-Server-Stamp: f\r\nContent-Length: 4\r\n\r\nfail"))
 	}
 }
 
+// notRun refuses a request and proves that it did not run.
 func notRun(id string) []byte {
 	return []byte(head(503, id, "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"))
 }
 
-// events streams events first to last; torn leaves the last one's end away and
-// breaks off.
-func events(first, last int, torn bool) func(id string) []byte {
+// events streams the events first to last. If truncated, it cuts off the end of the last event and
+// closes the connection.
+func events(first, last int, truncated bool) func(id string) []byte {
 	return func(id string) []byte {
 		var out strings.Builder
 		out.WriteString(head(200, id, "X-Server-Stamp: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		for i := first; i <= last; i++ {
 			event := fmt.Sprintf("id: %d\ndata: token-%d\n\n", i, i)
-			if torn && i == last {
+			if truncated && i == last {
 				event = event[:len(event)-4]
 			}
 			fmt.Fprintf(&out, "%x\r\n%s\r\n", len(event), event)
 		}
-		if torn {
+		if truncated {
 			return []byte(out.String() + cutOff)
 		}
 		return []byte(out.String() + "0\r\n\r\n")
 	}
 }
 
-// pausing streams events first to last and pauses after one of them.
-func pausing(first, last, after int) func(id string) []byte {
+// pausingEvents streams the events first to last and pauses after one of them.
+func pausingEvents(first, last, after int) func(id string) []byte {
 	return func(id string) []byte {
 		next := []byte(fmt.Sprintf("id: %d\n", after+1))
 		whole := events(first, last, false)(id)
@@ -181,22 +185,22 @@
 	}
 }
 
-// deployment is a gateway before endpoints.
+// deployment is a gateway with endpoints behind it.
 type deployment struct {
-	clock *clockwork.FakeClock
-	now   time.Duration // of the freshness clock
-	// asked is called when somebody asks for the age of what is known, before it is returned;
-	// may be nil.
-	asked   func()
-	state   *site.State
-	gateway *gateway.Gateway
-	log     *output
-	server  *httptest.Server
-	ids     int
-	// freeze stops the clock: it moves on no more while requests wait for it.
-	freeze    context.CancelFunc
-	published chan site.Report // reports to other entries
-	slack     float64          // repeats beside their ratio
+	clock        *clockwork.FakeClock
+	freshnessNow time.Duration // time of the freshness clock
+	// onAgeRead, if not nil, is called when the age of the configuration is read, before it is
+	// returned.
+	onAgeRead func()
+	state     *site.State
+	gateway   *gateway.Gateway
+	log       *logBuffer
+	server    *httptest.Server
+	lastID    int
+	// stopClock stops the automatic advance of the clock.
+	stopClock  context.CancelFunc
+	published  chan site.Report // reports to other entries
+	retrySlack float64          // retries allowed beyond their ratio
 }
 
 var testRoutes = []catalog.Route{
@@ -209,12 +213,12 @@
 
 func newDeployment(t *testing.T, endpoints ...*endpoint) *deployment {
 	t.Helper()
-	h := &deployment{clock: clockwork.NewFakeClock(), log: &output{}, published: make(chan site.Report, 16), slack: 100}
+	h := &deployment{clock: clockwork.NewFakeClock(), log: &logBuffer{}, published: make(chan site.Report, 16), retrySlack: 100}
 	fresh := freshness.NewTracker(func() time.Duration {
-		if h.asked != nil {
-			h.asked()
+		if h.onAgeRead != nil {
+			h.onAgeRead()
 		}
-		return h.now
+		return h.freshnessNow
 	})
 	h.state = site.NewState(h.clock.Now, fleet.New(h.clock.Now), fresh)
 	spec := catalog.Spec{Version: 1, Services: []catalog.Service{{Name: "app"}}, Limits: catalog.Limits{BodyBytes: 100},
@@ -225,9 +229,9 @@
 		spec.Routes = append(spec.Routes, route)
 	}
 	records := []site.Record{{Kind: site.CatalogRecord, Catalog: catalog.New(spec)}}
-	for _, end := range endpoints {
-		records = append(records, site.Record{Kind: site.EndpointRecord, ID: end.id, Endpoint: fleet.Registration{
-			ID: end.id, Service: "app", Address: end.address, Slots: 4,
+	for _, ep := range endpoints {
+		records = append(records, site.Record{Kind: site.EndpointRecord, ID: ep.id, Endpoint: fleet.Registration{
+			ID: ep.id, Service: "app", Address: ep.address, Slots: 4,
 		}})
 	}
 	h.state.Apply(records, 1)
@@ -236,7 +240,7 @@
 		State: h.state, Pool: upstream.NewPool(time.Now), Wire: platform.Wire(), Clock: h.clock,
 		Log: slog.New(slog.NewTextHandler(h.log, nil)),
 		Bounds: func() gateway.Bounds {
-			return gateway.Bounds{Revoke: 4 * time.Second, Apply: 2 * time.Second, Version: 8 * time.Second, Ratio: 0.2, Slack: h.slack, Window: 10 * time.Second}
+			return gateway.Bounds{Revoke: 4 * time.Second, Apply: 2 * time.Second, Version: 8 * time.Second, Ratio: 0.2, Slack: h.retrySlack, Window: 10 * time.Second}
 		},
 		Entries: func() int { return 1 },
 		Publish: func(report site.Report) { h.published <- report },
@@ -244,39 +248,39 @@
 	h.server = httptest.NewServer(h.gateway)
 	t.Cleanup(h.server.Close)
 	ctx, freeze := context.WithCancel(t.Context())
-	h.freeze = freeze
-	go h.tick(ctx)
+	h.stopClock = freeze
+	go h.runClock(ctx)
 	return h
 }
 
-// tick moves the clock on while a request waits for it, five times as fast as the
-// clock on the wall: nothing is decided by how long the network takes. The end of ctx is looked at
-// where requests wait already, too: BlockUntilContext doesn't.
-func (h *deployment) tick(ctx context.Context) {
+// runClock advances the clock while a request waits for it, five times as fast as the wall clock,
+// so that network delays decide nothing. It checks ctx itself, because BlockUntilContext does not
+// when requests already wait.
+func (h *deployment) runClock(ctx context.Context) {
 	for h.clock.BlockUntilContext(ctx, 1) == nil && ctx.Err() == nil {
 		h.clock.Advance(5 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
-	status int
-	body   string
-	header http.Header
-	whole  bool // the answer came to its end
-	close  bool // the connection is not to be used again
+	status   int
+	body     string
+	header   http.Header
+	complete bool // the body was received to its end
+	close    bool // the connection must not be reused
 }
 
 func (h *deployment) send(t *testing.T, path, key, body string) answer {
 	t.Helper()
-	h.ids++
+	h.lastID++
 	req, err := http.NewRequest(http.MethodPost, h.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Host = "h"
-	req.Header.Set("X-Attempt-Id", fmt.Sprint("id-", h.ids))
+	req.Header.Set("X-Attempt-Id", fmt.Sprint("id-", h.lastID))
 	req.Header.Set("X-Deadline-Ms", "5000")
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
@@ -289,32 +293,33 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, body: string(text), header: resp.Header, whole: err == nil, close: resp.Close}
+	return answer{status: resp.StatusCode, body: string(text), header: resp.Header, complete: err == nil, close: resp.Close}
 }
 
-// begun waits until a caller was sent so many events of an answer.
-func (h *deployment) begun(t *testing.T, events int) {
+// awaitEvents waits until callers were sent the given number of events.
+func (h *deployment) awaitEvents(t *testing.T, events int) {
 	t.Helper()
 	for range 2000 {
-		if h.gateway.Figures()["events"] >= int64(events) {
+		if h.gateway.Counters()["events"] >= int64(events) {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("got %d events, want %d", h.gateway.Figures()["events"], events)
+	t.Fatalf("got %d events, want %d", h.gateway.Counters()["events"], events)
 }
 
-func (a answer) check(t *testing.T, status int, body string, isWhole bool) {
+func (a answer) check(t *testing.T, status int, body string, isComplete bool) {
 	t.Helper()
-	if a.status != status || !strings.HasPrefix(a.body, body) || a.whole != isWhole {
-		t.Errorf("got %d %q whole %v, want %d %q whole %v", a.status, a.body, a.whole, status, body, isWhole)
+	if a.status != status || !strings.HasPrefix(a.body, body) || a.complete != isComplete {
+		t.Errorf("got %d %q complete %v, want %d %q complete %v", a.status, a.body, a.complete, status, body, isComplete)
 	}
 }
 
-func sum(endpoints ...*endpoint) int {
+// requestCount returns the number of requests that the endpoints received.
+func requestCount(endpoints ...*endpoint) int {
 	total := 0
-	for _, end := range endpoints {
-		total += len(end.requests())
+	for _, ep := range endpoints {
+		total += len(ep.requests())
 	}
 	return total
 }
--- /dev/null
+++ b/entry/internal/gateway/metrics.go
@@ -0,0 +1,133 @@
+package gateway
+
+import (
+	"context"
+	"expvar"
+	"log/slog"
+	"sync/atomic"
+
+	"comfreyrelay.example/relay/fleet"
+)
+
+// counters holds the gateway's metrics.
+type counters struct {
+	served      atomic.Int64
+	refused     atomic.Int64
+	failed      atomic.Int64
+	attempts    atomic.Int64
+	resumed     atomic.Int64
+	quarantined atomic.Int64 // refused because endpoints ended while running them
+	brokenOff   atomic.Int64 // answers cut off after their header was sent
+	events      atomic.Int64 // stream events sent to callers
+}
+
+// Counters returns the metrics by name.
+func (g *Gateway) Counters() map[string]int64 {
+	uses, dials := g.cfg.Pool.Counts()
+	ledger := g.cfg.State.Ledger()
+	suspects, ends := ledger.Size()
+	return map[string]int64{
+		"served":           g.counters.served.Load(),
+		"refused":          g.counters.refused.Load(),
+		"failed":           g.counters.failed.Load(),
+		"attempts":         g.counters.attempts.Load(),
+		"resumed":          g.counters.resumed.Load(),
+		"held":             g.counters.quarantined.Load(),
+		"brokenOff":        g.counters.brokenOff.Load(),
+		"events":           g.counters.events.Load(),
+		"suspects":         int64(suspects),
+		"ends":             int64(ends),
+		"heldForgotten":    int64(ledger.Forgotten()),
+		"inFlight":         g.inFlight.Load(),
+		"bodyBytes":        g.bodyBytes.Load(),
+		"limitedEndpoints": int64(g.cfg.State.Fleet().LimitedEndpoints()),
+		"notices":          int64(g.cfg.State.Fleet().Notices()),
+		"connectionUses":   int64(uses),
+		"connectionDials":  int64(dials),
+	}
+}
+
+// Publish exports the counters under /debug/vars. The name is already taken only when a test
+// process runs several gateways.
+func (g *Gateway) Publish() {
+	if expvar.Get("gateway") == nil {
+		expvar.Publish("gateway", expvar.Func(func() any { return g.Counters() }))
+	}
+}
+
+// logAttempt counts one attempt and logs its outcome.
+func (x *exchange) logAttempt(grant *fleet.Grant, outcome fleet.Outcome) {
+	x.gateway.counters.attempts.Add(1)
+	if x.sends > 1 && x.events > 0 {
+		x.gateway.counters.resumed.Add(1)
+	}
+	if outcome == fleet.Served && !x.answerHead.Leaving {
+		x.gateway.cfg.Log.Debug("attempt", x.attemptFields(grant, outcome)...)
+		return
+	}
+	x.gateway.cfg.Log.Info("attempt", x.attemptFields(grant, outcome)...)
+}
+
+func (x *exchange) attemptFields(grant *fleet.Grant, outcome fleet.Outcome) []any {
+	return []any{
+		"request", x.req.ID, "send", x.sends, "endpoint", grant.ID(), "address", grant.Address(),
+		"outcome", outcome.String(), "occupied", grant.Occupied(), "unread", grant.Unread(), "home", grant.Home(),
+		"stateAgeMillis", grant.StateAge().Milliseconds(), "delayMillis", grant.Delay().Milliseconds(),
+		"version", grant.Version(), "events", x.events, "print", x.fingerprint,
+		"leaving", x.answerHead.Leaving, "restMillis", x.answerHead.Rest.Milliseconds(),
+		"gaveUp", x.responseWait.stopReason, "silentMillis", x.responseWait.idle.Milliseconds(), "oversleptMillis", x.responseWait.wakeupDelay.Milliseconds(),
+	}
+}
+
+// logEnd counts a finished request and logs the outcome and the values that led to it.
+func (x *exchange) logEnd(reason string, status int) {
+	g := x.gateway
+	level := slog.LevelInfo
+	switch {
+	case status < firstClientError:
+		g.counters.served.Add(1)
+	case status == 503:
+		g.counters.refused.Add(1)
+	default:
+		g.counters.failed.Add(1)
+	}
+	brokenOff := x.answerHeader != nil && x.status == 0
+	if brokenOff {
+		g.counters.brokenOff.Add(1)
+	}
+	fields := []any{
+		"outcome", reason, "status", status, "tookMillis", g.cfg.Clock.Since(x.arrived).Milliseconds(),
+		"heldMillis", x.queuedFor.Milliseconds(), "ageMillis", x.configAgeMillis(),
+	}
+	if x.req != nil {
+		fields = append(fields, "request", x.req.ID, "deadlineMillis", x.req.Deadline.Milliseconds())
+	}
+	if x.route != nil {
+		fields = append(fields, "route", x.route.Name, "service", x.service, "sends", x.sends,
+			"events", x.events, "firstMillis", x.firstEventAfter.Milliseconds(), "pauseMillis", x.longestPause.Milliseconds(), "returned", x.adm.Returned,
+			"brokenOff", brokenOff, "endpoint", x.lastEndpoint(), "targetMillis", x.route.Target.Milliseconds(), "gapMillis", x.route.Gap.Milliseconds(), "print", x.fingerprint)
+	}
+	if x.catalog != nil {
+		fields = append(fields, "catalog", x.catalog.Version())
+	}
+	g.cfg.Log.Log(context.Background(), level, "answered", fields...)
+}
+
+// configAgeMillis returns the age of the configuration that routed the request, -1 if unknown.
+func (x *exchange) configAgeMillis() int64 {
+	if !x.ageKnown {
+		return -1
+	}
+	return x.configAge.Milliseconds()
+}
+
+// lastEndpoint returns the ID of the endpoint that was tried last, empty if none was.
+func (x *exchange) lastEndpoint() string {
+	if len(x.tried) == 0 {
+		return ""
+	}
+	return x.tried[len(x.tried)-1].ID
+}
+
+// firstClientError is the lowest status that does not count as served.
+const firstClientError = 400
--- a/entry/internal/gateway/relay.go
+++ b/entry/internal/gateway/relay.go
@@ -13,34 +13,33 @@
 )
 
 const (
-	// maxWhole bounds an answer that is read whole before the caller gets it,
-	// bytes.
-	maxWhole = 256 << 10
-	// maxSkipped bounds an answer that is read over.
-	maxSkipped = 64 << 10
-	// firstServerError is the least status by which an endpoint says that it
-	// failed.
+	// maxBufferedAnswerBytes limits an answer that is buffered completely before it is sent to the
+	// caller.
+	maxBufferedAnswerBytes = 256 << 10
+	// maxDiscardBytes limits an answer that is read and discarded to keep its connection.
+	maxDiscardBytes = 64 << 10
+	// firstServerError is the lowest status that reports a failure of the endpoint.
 	firstServerError = 500
 )
 
-// skip reads over an answer.
-func skip(resp *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkipped))
-	if err == nil && n == maxSkipped {
+// discardAnswer reads an answer to its end and drops it. It fails if the answer is too long.
+func discardAnswer(resp *http.Response) error {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes))
+	if err == nil && n == maxDiscardBytes {
 		return errors.New("the answer to another request is too long")
 	}
 	return err
 }
 
-// take relays an endpoint's answer or says why it is not relayed.
-func (x *exchange) take(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
+// relayAnswer relays an endpoint's answer to the caller, or returns why it is not relayed.
+func (x *exchange) relayAnswer(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
 	if answer.NotRun {
-		x.mayRun = x.mightHaveRun
+		x.mayHaveRun = x.mayHaveRunBefore
 		outcome := fleet.Refused
 		if answer.Elsewhere {
 			outcome = fleet.Moved
 		}
-		if skip(resp) != nil {
+		if discardAnswer(resp) != nil {
 			conn.Close()
 			return outcome
 		}
@@ -54,32 +53,33 @@
 	if resp.StatusCode == http.StatusOK && x.route.Kind == catalog.Stream {
 		return x.relayStream(ctx, grant, conn, resp, answer)
 	}
-	return x.relayWhole(ctx, grant, conn, resp, answer)
+	return x.relayBuffered(ctx, grant, conn, resp, answer)
 }
 
-// relayWhole reads the answer to its end and gives it to the caller: one that
-// breaks off never looks complete, and may be asked for again.
-func (x *exchange) relayWhole(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWhole))
+// relayBuffered reads the whole answer before it sends any of it. A truncated answer thus never
+// reaches the caller, and the request may be retried. Answers that exceed the buffer are relayed by
+// relayUnbuffered.
+func (x *exchange) relayBuffered(ctx context.Context, grant *fleet.Grant, conn *upstream.Conn, resp *http.Response, answer call.Answer) fleet.Outcome {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswerBytes))
 	if err != nil {
-		giveUp(conn, err)
-		return x.brokenBy(ctx, silentOr(err, fleet.Broken))
+		closeAfterError(conn, err)
+		return x.abandonedOr(ctx, silentOutcome(err, fleet.Broken))
 	}
 	failed := resp.StatusCode >= firstServerError
-	if failed && x.mayRepeat() {
+	if failed && x.mayRetry() {
 		x.gateway.cfg.Pool.Put(conn, resp, answer.Idle, grant.IdleRoom())
 		return fleet.Failed
 	}
-	if x.header != nil {
-		// A stream that was begun can't end with another answer.
+	if x.answerHeader != nil {
+		// A stream that has begun cannot be replaced by another answer.
 		conn.Close()
 		return fleet.Broken
 	}
-	if len(body) == maxWhole {
-		return x.relayRest(ctx, conn, resp, body)
+	if len(body) == maxBufferedAnswerBytes {
+		return x.relayUnbuffered(ctx, conn, resp, body)
 	}
 	x.gateway.cfg.Pool.Put(conn, resp, answer.Idle, grant.IdleRoom())
-	x.answer(resp, body)
+	x.writeAnswer(resp, body)
 	x.status = resp.StatusCode
 	if failed {
 		return fleet.Failed
@@ -87,41 +87,41 @@
 	return fleet.Served
 }
 
-// mayRepeat reports whether another attempt of the request is possible.
-func (x *exchange) mayRepeat() bool {
-	return x.route.Repeatable() && x.runs+1 < x.route.MaxAttempts
+// mayRetry reports whether the route allows another attempt after this one.
+func (x *exchange) mayRetry() bool {
+	return x.route.Repeatable() && x.attemptsUsed+1 < x.route.MaxAttempts
 }
 
-// answer writes a whole answer.
-func (x *exchange) answer(resp *http.Response, body []byte) {
-	x.writeHead(resp)
+// writeAnswer sends header and body to the caller.
+func (x *exchange) writeAnswer(resp *http.Response, body []byte) {
+	x.writeHeader(resp)
 	if x.req.Method != http.MethodHead {
 		_, _ = x.w.Write(body)
 	}
 }
 
-// writeHead copies the endpoint's status and headers.
-func (x *exchange) writeHead(resp *http.Response) {
+// writeHeader sends the endpoint's status and headers to the caller.
+func (x *exchange) writeHeader(resp *http.Response) {
 	header := x.w.Header()
 	x.gateway.cfg.Wire.Relay(header, resp.Header)
 	if len(header["Content-Type"]) == 0 {
-		header["Content-Type"] = nil // the library would guess one
+		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	if x.gateway.leaving.Load() {
+	if x.gateway.closeConns.Load() {
 		header.Set("Connection", "close")
 	}
-	x.header = resp.Header
+	x.answerHeader = resp.Header
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-// relayRest relays a long answer as it comes. Once it began it can't be taken
-// back: where it breaks off, the caller's connection does too.
-func (x *exchange) relayRest(ctx context.Context, conn *upstream.Conn, resp *http.Response, begun []byte) fleet.Outcome {
-	x.answer(resp, begun)
+// relayUnbuffered relays an answer that exceeds the buffer while it is received. It cannot be
+// retracted: if it is cut off, so is the caller's connection.
+func (x *exchange) relayUnbuffered(ctx context.Context, conn *upstream.Conn, resp *http.Response, prefix []byte) fleet.Outcome {
+	x.writeAnswer(resp, prefix)
 	defer conn.Close()
 	if _, err := io.Copy(x.w, resp.Body); err != nil {
-		x.final = true
-		return x.brokenBy(ctx, fleet.Broken)
+		x.notResumable = true
+		return x.abandonedOr(ctx, fleet.Broken)
 	}
 	x.status = resp.StatusCode
 	return fleet.Served
