--- a/relay/once/authority.go
+++ b/relay/once/authority.go
@@ -34,16 +34,16 @@
 
 	mu         sync.RWMutex
 	stores     map[string]*store    // by owner
-	until      map[string]time.Time // when an inherited store has nothing left to report
-	passed     map[string]string    // successor's address, by owner; never shrinks
+	expiry     map[string]time.Time // when an inherited store has nothing left to report
+	successors map[string]string    // successor's address, by owner; never shrinks
 	assemblies map[string]*assembly
 }
 
 // assembly collects the parts of one handover.
 type assembly struct {
-	parts [][]byte
-	floor time.Time
-	left  int // parts that have not come
+	parts   [][]byte
+	floor   time.Time
+	missing int // parts that have not come
 }
 
 // NewAuthority answers for the keys of the incarnation.
@@ -51,8 +51,8 @@
 	return &Authority{
 		options:    options,
 		stores:     map[string]*store{incarnation: newStore(options)},
-		until:      make(map[string]time.Time),
-		passed:     make(map[string]string),
+		expiry:     make(map[string]time.Time),
+		successors: make(map[string]string),
 		assemblies: make(map[string]*assembly),
 	}
 }
@@ -60,35 +60,35 @@
 // Claim decides about one claim; see Table.Claim.
 //
 // Rule OWNER of spec/once.pml.
-func (a *Authority) Claim(now time.Time, ask Claim) Verdict {
-	held, to := a.find(ask.Key.owner)
-	if held != nil {
-		if verdict, ok := held.claim(now, ask); ok {
+func (a *Authority) Claim(now time.Time, claim Claim) Verdict {
+	st, successor := a.find(claim.Key.owner)
+	if st != nil {
+		if verdict, ok := st.claim(now, claim); ok {
 			return verdict
 		}
-		_, to = a.find(ask.Key.owner) // it was passed on just now
+		_, successor = a.find(claim.Key.owner) // it was passed on just now
 	}
-	if to != "" {
-		return Verdict{State: Moved, To: to}
+	if successor != "" {
+		return Verdict{State: Moved, To: successor}
 	}
 	return Verdict{State: NotOwner}
 }
 
 // Settle records how a run ended; see Table.Settle. owned is false where this
 // process does not answer for the key.
-func (a *Authority) Settle(now time.Time, ask Claim, outcome Outcome, answer []byte) (counted, owned bool) {
-	held, _ := a.find(ask.Key.owner)
-	if held == nil {
+func (a *Authority) Settle(now time.Time, claim Claim, outcome Outcome, answer []byte) (counted, owned bool) {
+	st, _ := a.find(claim.Key.owner)
+	if st == nil {
 		return false, false
 	}
-	return held.settle(now, ask, outcome, answer), true
+	return st.settle(now, claim, outcome, answer), true
 }
 
-func (a *Authority) find(owner string) (held *store, passedTo string) {
+func (a *Authority) find(owner string) (st *store, successor string) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	if to, gone := a.passed[owner]; gone {
-		return nil, to
+	if successor, handedOver := a.successors[owner]; handedOver {
+		return nil, successor
 	}
 	return a.stores[owner], ""
 }
@@ -109,8 +109,8 @@
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	total := 0
-	for _, held := range a.stores {
-		total += held.keys()
+	for _, st := range a.stores {
+		total += st.keys()
 	}
 	return total
 }
@@ -120,21 +120,21 @@
 // a successor whose reply is lost may already have granted keys.
 func (a *Authority) HandOver(now time.Time, owner, successor string) []Part {
 	a.mu.Lock()
-	held := a.stores[owner]
+	st := a.stores[owner]
 	delete(a.stores, owner)
-	delete(a.until, owner)
-	if held != nil {
-		a.passed[owner] = successor
+	delete(a.expiry, owner)
+	if st != nil {
+		a.successors[owner] = successor
 	}
 	a.mu.Unlock()
-	if held == nil {
+	if st == nil {
 		return nil
 	}
-	floor, records := held.freeze(now)
-	return split(owner, floor, records)
+	floor, records := st.freeze(now)
+	return splitRecords(owner, floor, records)
 }
 
-func split(owner string, floor time.Time, records []byte) []Part {
+func splitRecords(owner string, floor time.Time, records []byte) []Part {
 	const size = recordsPerPart * recordBytes
 	count := max(1, (len(records)+size-1)/size)
 	parts := make([]Part, count)
@@ -151,43 +151,43 @@
 func (a *Authority) Inherit(now time.Time, part Part) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if _, gone := a.passed[part.Owner]; gone {
+	if _, handedOver := a.successors[part.Owner]; handedOver {
 		return failure.New(failure.Stale, "the keys were passed on already", "nothing is to be done")
 	}
 	if a.stores[part.Owner] != nil {
 		return nil
 	}
-	a.forgetOld(now)
-	collecting, err := a.collect(part)
-	if err != nil || collecting.left > 0 {
+	a.dropExpired(now)
+	pending, err := a.addPart(part)
+	if err != nil || pending.missing > 0 {
 		return err
 	}
 	delete(a.assemblies, part.Owner)
-	return a.install(now, part.Owner, collecting)
+	return a.install(now, part.Owner, pending)
 }
 
 // collect adds a part to its assembly.
-func (a *Authority) collect(part Part) (*assembly, error) {
+func (a *Authority) addPart(part Part) (*assembly, error) {
 	if part.Count < 1 || part.Number < 0 || part.Number >= part.Count || part.Count > a.options.MaxKeys/recordsPerPart+shardCount {
 		return nil, failure.New(failure.Invalid, "a handover's part has an impossible number", "run the same release on all entries")
 	}
-	collecting := a.assemblies[part.Owner]
-	if collecting == nil {
+	pending := a.assemblies[part.Owner]
+	if pending == nil {
 		if len(a.assemblies) >= maxAssemblies || len(a.stores) >= maxInherited {
 			return nil, failure.New(failure.Exhausted, "too many handovers at once", "their keys are answered as unknown")
 		}
-		collecting = &assembly{parts: make([][]byte, part.Count), left: part.Count}
-		a.assemblies[part.Owner] = collecting
+		pending = &assembly{parts: make([][]byte, part.Count), missing: part.Count}
+		a.assemblies[part.Owner] = pending
 	}
-	if part.Count != len(collecting.parts) {
+	if part.Count != len(pending.parts) {
 		return nil, failure.New(failure.Conflict, "two handovers of one owner differ", "this is an error of the program: report it")
 	}
-	if collecting.parts[part.Number] == nil {
-		collecting.parts[part.Number] = append([]byte{}, part.Records...)
-		collecting.floor = part.Floor
-		collecting.left--
+	if pending.parts[part.Number] == nil {
+		pending.parts[part.Number] = append([]byte{}, part.Records...)
+		pending.floor = part.Floor
+		pending.missing--
 	}
-	return collecting, nil
+	return pending, nil
 }
 
 func (a *Authority) install(now time.Time, owner string, collected *assembly) error {
@@ -195,31 +195,31 @@
 	for _, part := range collected.parts {
 		total += len(part) / recordBytes
 	}
-	for _, held := range a.stores {
-		total += held.keys()
+	for _, st := range a.stores {
+		total += st.keys()
 	}
 	if total > 2*a.options.MaxKeys {
 		return failure.New(failure.Exhausted, "no room for the keys of another owner", "their keys are answered as unknown")
 	}
-	made := newStore(a.options)
+	st := newStore(a.options)
 	for _, part := range collected.parts {
-		if err := made.restore(collected.floor, part); err != nil {
+		if err := st.restore(collected.floor, part); err != nil {
 			return err
 		}
 	}
-	a.stores[owner] = made
-	a.until[owner] = now.Add(Horizon + MaxAhead + generationSpan)
+	a.stores[owner] = st
+	a.expiry[owner] = now.Add(Horizon + MaxAhead + generationSpan)
 	return nil
 }
 
 // forgetOld drops the owners whose keys are all refused by age. Nobody makes
 // keys for a process that is gone.
-func (a *Authority) forgetOld(now time.Time) {
-	for owner, until := range a.until {
+func (a *Authority) dropExpired(now time.Time) {
+	for owner, until := range a.expiry {
 		if now.After(until) {
 			delete(a.stores, owner)
-			delete(a.until, owner)
-			a.passed[owner] = ""
+			delete(a.expiry, owner)
+			a.successors[owner] = ""
 		}
 	}
 }
--- a/relay/once/authority_test.go
+++ b/relay/once/authority_test.go
@@ -18,17 +18,17 @@
 		sim := newSim()
 		t.Repeat(map[string]func(*rapid.T){
 			"make key": func(t *rapid.T) { sim.makeKey(t) },
-			"ask":      func(t *rapid.T) { sim.ask(t) },
+			"ask":      func(t *rapid.T) { sim.submitClaim(t) },
 			"deliver":  func(t *rapid.T) { sim.deliver(t) },
-			"end":      func(t *rapid.T) { sim.end(t) },
+			"end":      func(t *rapid.T) { sim.finishRun(t) },
 			"wait": func(t *rapid.T) {
 				sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 1200).Draw(t, "seconds")) * time.Second)
 			},
 			"crash":     func(t *rapid.T) { sim.crash(t) },
 			"hand over": func(t *rapid.T) { sim.handOver(t) },
 			"": func(t *rapid.T) {
-				if sim.fault != "" {
-					t.Fatal(sim.fault)
+				if sim.violation != "" {
+					t.Fatal(sim.violation)
 				}
 			},
 		})
@@ -36,27 +36,27 @@
 }
 
 type sim struct {
-	now       time.Time
-	processes []*Authority
-	names     []string
-	keys      []Key
-	nonces    int
-	messages  []func() // claims, settlements and handover parts under way
-	holders   map[Key]uuid.UUID
-	begun     map[uuid.UUID]bool // nonces that ran
-	ran       map[Key]bool       // a run was not proved not to have happened
-	fault     string
+	now        time.Time
+	processes  []*Authority
+	names      []string
+	keys       []Key
+	nonces     int
+	messages   []func() // claims, settlements and handover parts under way
+	holders    map[Key]uuid.UUID
+	started    map[uuid.UUID]bool // nonces that ran
+	mayHaveRun map[Key]bool       // a run was not proved not to have happened
+	violation  string
 }
 
 func newSim() *sim {
-	s := &sim{now: testStart, holders: make(map[Key]uuid.UUID), begun: make(map[uuid.UUID]bool), ran: make(map[Key]bool)}
+	s := &sim{now: testStart, holders: make(map[Key]uuid.UUID), started: make(map[uuid.UUID]bool), mayHaveRun: make(map[Key]bool)}
 	for range 3 {
-		s.start()
+		s.startProcess()
 	}
 	return s
 }
 
-func (s *sim) start() {
+func (s *sim) startProcess() {
 	name := fmt.Sprintf("owner-%d", len(s.names))
 	s.names = append(s.names, name)
 	s.processes = append(s.processes, NewAuthority(name, Options{MaxKeys: 64, MaxAnswerBytes: 64}))
@@ -72,36 +72,36 @@
 }
 
 // ask sends a claim to a process, right or wrong, and maybe twice.
-func (s *sim) ask(t *rapid.T) {
+func (s *sim) submitClaim(t *rapid.T) {
 	if len(s.keys) == 0 {
 		return
 	}
 	s.nonces++
-	ask := Claim{Key: rapid.SampledFrom(s.keys).Draw(t, "key"), Nonce: uuid.UUID{byte(s.nonces >> 8), byte(s.nonces)}}
+	claim := Claim{Key: rapid.SampledFrom(s.keys).Draw(t, "key"), Nonce: uuid.UUID{byte(s.nonces >> 8), byte(s.nonces)}}
 	to := s.process(t)
-	claim := func() {
-		if to.Claim(s.now, ask).State == Granted {
-			s.granted(ask)
+	send := func() {
+		if to.Claim(s.now, claim).State == Granted {
+			s.onGrant(claim)
 		}
 	}
-	s.messages = append(s.messages, claim)
+	s.messages = append(s.messages, send)
 	if rapid.Bool().Draw(t, "doubled") {
-		s.messages = append(s.messages, claim)
+		s.messages = append(s.messages, send)
 	}
 }
 
 // granted begins a run, unless the same nonce was granted before: its claimant
 // runs it already, or has ended.
-func (s *sim) granted(ask Claim) {
-	if s.begun[ask.Nonce] {
+func (s *sim) onGrant(claim Claim) {
+	if s.started[claim.Nonce] {
 		return
 	}
-	s.begun[ask.Nonce] = true
-	if _, held := s.holders[ask.Key]; held || s.ran[ask.Key] {
-		s.fault = "two grants of one key"
+	s.started[claim.Nonce] = true
+	if _, held := s.holders[claim.Key]; held || s.mayHaveRun[claim.Key] {
+		s.violation = "two grants of one key"
 	}
-	s.holders[ask.Key] = ask.Nonce
-	s.ran[ask.Key] = true
+	s.holders[claim.Key] = claim.Nonce
+	s.mayHaveRun[claim.Key] = true
 }
 
 // deliver takes any message; those before it are late.
@@ -119,7 +119,7 @@
 
 // end ends a run: only notRun frees the key, and only a claimant that surely
 // runs it no more says so.
-func (s *sim) end(t *rapid.T) {
+func (s *sim) finishRun(t *rapid.T) {
 	for _, key := range s.keys {
 		nonce, held := s.holders[key]
 		if !held {
@@ -127,11 +127,11 @@
 		}
 		outcome := rapid.SampledFrom([]Outcome{RunNotRun, RunAnswered, RunUnknown}).Draw(t, "outcome")
 		if outcome == RunNotRun {
-			delete(s.ran, key)
+			delete(s.mayHaveRun, key)
 		}
 		delete(s.holders, key)
-		ask, to := Claim{Key: key, Nonce: nonce}, s.process(t)
-		settle := func() { to.Settle(s.now, ask, outcome, []byte("a")) }
+		claim, to := Claim{Key: key, Nonce: nonce}, s.process(t)
+		settle := func() { to.Settle(s.now, claim, outcome, []byte("a")) }
 		s.messages = append(s.messages, settle, settle)
 		return
 	}
@@ -158,7 +158,7 @@
 
 // Symptom: two processes answer for one key. A part of a handover is doubled,
 // and the copy arrives after the successor passed the keys on in its turn.
-func TestLateCopyOfAHandoverIsNotTaken(t *testing.T) {
+func TestDuplicateHandoverPartIsRefused(t *testing.T) {
 	options := Options{MaxKeys: 64, MaxAnswerBytes: 1}
 	first, second, third := NewAuthority("a", options), NewAuthority("b", options), NewAuthority("c", options)
 	copied := first.HandOver(testStart, "a", "b:1")[0]
@@ -180,7 +180,7 @@
 // Symptom: a key granted by an owner in its last moment is granted again by
 // its successor. The claim found the owner's store before the handover and
 // reaches it after its records are out.
-func TestClaimThatMeetsAHandover(t *testing.T) {
+func TestClaimDuringHandover(t *testing.T) {
 	held := newStore(Options{MaxKeys: 64, MaxAnswerBytes: 1})
 	early, late := NewKey("a", idAt(testStart, 1)), NewKey("a", idAt(testStart, 2))
 	held.claim(testStart, Claim{Key: early})
@@ -200,7 +200,7 @@
 
 // Symptom: an entry that shuts down holds more keys than fit one message, and
 // its successor grants those that have not come. The last part is late.
-func TestInheritanceNeedsEveryPart(t *testing.T) {
+func TestInheritNeedsEveryPart(t *testing.T) {
 	options := Options{MaxKeys: 100_000, MaxAnswerBytes: 1}
 	from, to := NewAuthority("a", options), NewAuthority("b", options)
 	var keys []Key
--- a/relay/once/bench_test.go
+++ b/relay/once/bench_test.go
@@ -37,8 +37,8 @@
 	n := uint32(0)
 	for b.Loop() {
 		n++
-		ask := Claim{Key: NewKey("o", idAt(testStart, n)), Nonce: uuid.UUID{1}}
-		authority.Claim(testStart, ask)
-		authority.Settle(testStart, ask, RunAnswered, nil)
+		claim := Claim{Key: NewKey("o", idAt(testStart, n)), Nonce: uuid.UUID{1}}
+		authority.Claim(testStart, claim)
+		authority.Settle(testStart, claim, RunAnswered, nil)
 	}
 }
--- a/relay/once/store.go
+++ b/relay/once/store.go
@@ -27,33 +27,33 @@
 }
 
 func newStore(options Options) *store {
-	made := &store{}
-	each := Options{
+	st := &store{}
+	perShard := Options{
 		MaxKeys:        max(1, options.MaxKeys/shardCount),
 		MaxAnswerBytes: options.MaxAnswerBytes / shardCount,
 	}
-	for i := range made.shards {
-		made.shards[i].table = NewTable(each)
+	for i := range st.shards {
+		st.shards[i].table = NewTable(perShard)
 	}
-	return made
+	return st
 }
 
 // claim returns false where the store is frozen.
-func (s *store) claim(now time.Time, ask Claim) (Verdict, bool) {
-	shard := s.shardOf(ask.Key)
+func (s *store) claim(now time.Time, claim Claim) (Verdict, bool) {
+	shard := s.shardOf(claim.Key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	if shard.frozen {
 		return Verdict{}, false
 	}
-	return shard.table.Claim(now, ask), true
+	return shard.table.Claim(now, claim), true
 }
 
-func (s *store) settle(now time.Time, ask Claim, outcome Outcome, answer []byte) bool {
-	shard := s.shardOf(ask.Key)
+func (s *store) settle(now time.Time, claim Claim, outcome Outcome, answer []byte) bool {
+	shard := s.shardOf(claim.Key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	return !shard.frozen && shard.table.Settle(now, ask, outcome, answer)
+	return !shard.frozen && shard.table.Settle(now, claim, outcome, answer)
 }
 
 func (s *store) keys() int {
--- a/relay/once/table.go
+++ b/relay/once/table.go
@@ -92,21 +92,21 @@
 // for concurrent use. Invariants: a key in phaseGranted is held by exactly one
 // nonce; a key leaves the table only when claims for it are refused by age.
 type Table struct {
-	options     Options
-	floor       time.Time // keys made before it are refused; never falls
-	generations map[int64]map[uuid.UUID]record
-	keys        int // sum over generations
-	answers     answers
-	held        holds // keys settled as not run just now
+	options       Options
+	floor         time.Time // keys made before it are refused; never falls
+	generations   map[int64]map[uuid.UUID]record
+	keys          int // sum over generations
+	answers       answerCache
+	reclaimDelays reclaimDelays // keys settled as not run just now
 }
 
 // NewTable returns an empty Table.
 func NewTable(options Options) *Table {
 	return &Table{
-		options:     options,
-		generations: make(map[int64]map[uuid.UUID]record),
-		answers:     newAnswers(options.MaxAnswerBytes),
-		held:        newHolds(),
+		options:       options,
+		generations:   make(map[int64]map[uuid.UUID]record),
+		answers:       newAnswerCache(options.MaxAnswerBytes),
+		reclaimDelays: newReclaimDelays(),
 	}
 }
 
@@ -122,53 +122,53 @@
 //     would run or settle it.
 //
 // Rule ONEGRANT of spec/once.pml.
-func (t *Table) Claim(now time.Time, ask Claim) Verdict {
+func (t *Table) Claim(now time.Time, claim Claim) Verdict {
 	t.advance(now)
-	made := ask.Key.Made()
-	if made.Before(t.floor) {
+	created := claim.Key.Made()
+	if created.Before(t.floor) {
 		return Verdict{State: Unknown}
 	}
-	rec, known := t.generations[generationOf(made)][ask.Key.id]
-	if !known && t.held.has(now, ask.Key.id) {
+	rec, known := t.generations[generationOf(created)][claim.Key.id]
+	if !known && t.reclaimDelays.has(now, claim.Key.id) {
 		return Verdict{State: Held}
 	}
 	if !known {
-		return t.grantNew(now, made, ask)
+		return t.grantNew(now, created, claim)
 	}
-	if rec.hash != ask.Hash {
+	if rec.hash != claim.Hash {
 		return Verdict{State: Mismatch}
 	}
-	return t.claimKnown(made, ask, rec)
+	return t.claimKnown(created, claim, rec)
 }
 
-func (t *Table) grantNew(now, made time.Time, ask Claim) Verdict {
-	if made.After(now.Add(MaxAhead)) {
+func (t *Table) grantNew(now, created time.Time, claim Claim) Verdict {
+	if created.After(now.Add(MaxAhead)) {
 		return Verdict{State: Ahead}
 	}
 	if t.keys >= t.options.MaxKeys {
 		return Verdict{State: Full}
 	}
-	t.put(made, ask.Key.id, record{hash: ask.Hash, nonce: ask.Nonce, phase: phaseGranted})
+	t.put(created, claim.Key.id, record{hash: claim.Hash, nonce: claim.Nonce, phase: phaseGranted})
 	return Verdict{State: Granted}
 }
 
-func (t *Table) claimKnown(made time.Time, ask Claim, rec record) Verdict {
+func (t *Table) claimKnown(created time.Time, claim Claim, rec record) Verdict {
 	switch rec.phase {
 	case phaseFree:
-		if rec.nonce == ask.Nonce {
+		if rec.nonce == claim.Nonce {
 			return Verdict{State: Unknown}
 		}
-		rec.nonce = ask.Nonce
+		rec.nonce = claim.Nonce
 		rec.phase = phaseGranted
-		t.put(made, ask.Key.id, rec)
+		t.put(created, claim.Key.id, rec)
 		return Verdict{State: Granted}
 	case phaseGranted:
-		if rec.nonce == ask.Nonce {
+		if rec.nonce == claim.Nonce {
 			return Verdict{State: Granted}
 		}
 		return Verdict{State: Running}
 	case phaseAnswered:
-		return Verdict{State: Answered, Answer: t.answers.get(ask.Key.id)}
+		return Verdict{State: Answered, Answer: t.answers.get(claim.Key.id)}
 	default:
 		return Verdict{State: Unknown}
 	}
@@ -181,44 +181,44 @@
 // A claimant that gave up waiting for its claim's reply settles notRun. Where
 // that overtakes the claim, the settled nonce is remembered here, or the late
 // claim would be granted to somebody who no longer listens.
-func (t *Table) Settle(now time.Time, ask Claim, outcome Outcome, answer []byte) bool {
+func (t *Table) Settle(now time.Time, claim Claim, outcome Outcome, answer []byte) bool {
 	t.advance(now)
-	made := ask.Key.Made()
-	if made.Before(t.floor) || made.After(now.Add(MaxAhead)) {
+	created := claim.Key.Made()
+	if created.Before(t.floor) || created.After(now.Add(MaxAhead)) {
 		return false
 	}
-	rec, known := t.generations[generationOf(made)][ask.Key.id]
+	rec, known := t.generations[generationOf(created)][claim.Key.id]
 	if !known {
 		if outcome == RunNotRun && t.keys < t.options.MaxKeys {
-			t.put(made, ask.Key.id, record{hash: ask.Hash, nonce: ask.Nonce, phase: phaseFree})
+			t.put(created, claim.Key.id, record{hash: claim.Hash, nonce: claim.Nonce, phase: phaseFree})
 		}
 		return false
 	}
-	if rec.phase != phaseGranted || rec.nonce != ask.Nonce {
+	if rec.phase != phaseGranted || rec.nonce != claim.Nonce {
 		return false
 	}
 	switch outcome {
 	case RunNotRun:
-		delete(t.generations[generationOf(made)], ask.Key.id)
+		delete(t.generations[generationOf(created)], claim.Key.id)
 		t.keys--
-		t.held.add(now, ask.Key.id)
+		t.reclaimDelays.add(now, claim.Key.id)
 		return true
 	case RunAnswered:
 		rec.phase = phaseAnswered
-		t.answers.put(ask.Key.id, answer)
+		t.answers.put(claim.Key.id, answer)
 	default:
 		rec.phase = phaseUnknown
 	}
-	t.put(made, ask.Key.id, rec)
+	t.put(created, claim.Key.id, rec)
 	return true
 }
 
-func (t *Table) put(made time.Time, id uuid.UUID, rec record) {
-	at := generationOf(made)
-	generation := t.generations[at]
+func (t *Table) put(created time.Time, id uuid.UUID, rec record) {
+	index := generationOf(created)
+	generation := t.generations[index]
 	if generation == nil {
 		generation = make(map[uuid.UUID]record)
-		t.generations[at] = generation
+		t.generations[index] = generation
 	}
 	if _, known := generation[id]; !known {
 		t.keys++
@@ -237,14 +237,14 @@
 	}
 	t.floor = floor
 	oldest := generationOf(floor)
-	for at, generation := range t.generations {
-		if at < oldest {
+	for index, generation := range t.generations {
+		if index < oldest {
 			t.keys -= len(generation)
-			delete(t.generations, at)
+			delete(t.generations, index)
 		}
 	}
 }
 
-func generationOf(made time.Time) int64 {
-	return made.UnixMilli() / generationSpan.Milliseconds()
+func generationOf(created time.Time) int64 {
+	return created.UnixMilli() / generationSpan.Milliseconds()
 }
--- a/relay/once/table_test.go
+++ b/relay/once/table_test.go
@@ -37,21 +37,21 @@
 			d.ScanArgs(t, "nonce", &nonce)
 			d.MaybeScanArgs(t, "body", &body)
 			now := testStart.Add(time.Duration(at) * time.Minute)
-			ask := Claim{
+			claim := Claim{
 				Key:   NewKey("o", idAt(testStart.Add(time.Duration(made)*time.Minute), uint32(key))),
 				Nonce: uuid.UUID{byte(nonce)},
 			}
-			copy(ask.Hash[:], body)
+			copy(claim.Hash[:], body)
 			switch d.Cmd {
 			case "claim":
-				verdict := table.Claim(now, ask)
+				verdict := table.Claim(now, claim)
 				return fmt.Sprintf("%s %q keys=%d\n", verdict.State, verdict.Answer, table.Keys())
 			case "settle":
 				var outcome string
 				answer := ""
 				d.ScanArgs(t, "outcome", &outcome)
 				d.MaybeScanArgs(t, "answer", &answer)
-				counted := table.Settle(now, ask, Outcome(outcome), []byte(answer))
+				counted := table.Settle(now, claim, Outcome(outcome), []byte(answer))
 				return fmt.Sprintf("counted=%t keys=%d\n", counted, table.Keys())
 			default:
 				return "unknown command\n"
