--- a/relay/once/answers.go
+++ b/relay/once/answers.go
@@ -2,12 +2,12 @@
 
 import "github.com/google/uuid"
 
-// answers keeps the latest answers for replay within a bound of bytes.
+// answerCache keeps the most recent answers for replay, up to maxBytes in total.
 type answerCache struct {
 	maxBytes int
 	bytes    int // sum of the lengths in byID; at most maxBytes
 	byID     map[uuid.UUID][]byte
-	order    []uuid.UUID // oldest first; holds exactly the keys of byID
+	order    []uuid.UUID // oldest first; contains exactly the keys of byID
 }
 
 func newAnswerCache(maxBytes int) answerCache {
@@ -16,7 +16,7 @@
 
 func (a *answerCache) get(id uuid.UUID) []byte { return a.byID[id] }
 
-// put keeps the answer unless it is empty or would take most of the room.
+// put caches the answer unless it is empty or larger than a quarter of the cache.
 func (a *answerCache) put(id uuid.UUID, answer []byte) {
 	if len(answer) == 0 || len(answer) > a.maxBytes/4 {
 		return
--- a/relay/once/authority_test.go
+++ b/relay/once/authority_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestNeverTwoRuns drives owners, claimants and a network that loses, delays
-// and doubles messages. Owners crash and hand over; the clock runs past the
-// horizon. A key may be run by one claimant at a time, and never again after
-// a run that was not proved not to have happened.
+// TestNeverTwoRuns simulates owners, claimants and a network that loses, delays
+// and duplicates messages. Owners crash and hand over their keys, and the clock
+// runs past Horizon. A key may be run by one claimant at a time, and never again
+// unless its last run was proved not to have happened.
 func TestNeverTwoRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSim()
@@ -41,10 +41,10 @@
 	names      []string
 	keys       []Key
 	nonces     int
-	messages   []func() // claims, settlements and handover parts under way
+	messages   []func() // claims, settlements and handover parts in transit
 	holders    map[Key]uuid.UUID
-	started    map[uuid.UUID]bool // nonces that ran
-	mayHaveRun map[Key]bool       // a run was not proved not to have happened
+	started    map[uuid.UUID]bool // nonces whose run was started
+	mayHaveRun map[Key]bool       // keys that ran, unless proved not to have run
 	violation  string
 }
 
@@ -71,7 +71,7 @@
 	s.keys = append(s.keys, NewKey(owner, idAt(s.now, uint32(len(s.keys)))))
 }
 
-// ask sends a claim to a process, right or wrong, and maybe twice.
+// submitClaim sends a claim to any process, the owner or not, once or twice.
 func (s *sim) submitClaim(t *rapid.T) {
 	if len(s.keys) == 0 {
 		return
@@ -90,8 +90,8 @@
 	}
 }
 
-// granted begins a run, unless the same nonce was granted before: its claimant
-// runs it already, or has ended.
+// onGrant starts a run, unless the nonce was granted before: its claimant is
+// running the request already, or has finished.
 func (s *sim) onGrant(claim Claim) {
 	if s.started[claim.Nonce] {
 		return
@@ -104,7 +104,7 @@
 	s.mayHaveRun[claim.Key] = true
 }
 
-// deliver takes any message; those before it are late.
+// deliver delivers or loses a random message, so messages arrive in any order.
 func (s *sim) deliver(t *rapid.T) {
 	if len(s.messages) == 0 {
 		return
@@ -117,8 +117,8 @@
 	}
 }
 
-// end ends a run: only notRun frees the key, and only a claimant that surely
-// runs it no more says so.
+// finishRun ends a run and settles it twice. Only notRun releases the key, and a
+// claimant sends it only when the request is certain not to have run.
 func (s *sim) finishRun(t *rapid.T) {
 	for _, key := range s.keys {
 		nonce, held := s.holders[key]
@@ -156,8 +156,8 @@
 	}
 }
 
-// Symptom: two processes answer for one key. A part of a handover is doubled,
-// and the copy arrives after the successor passed the keys on in its turn.
+// Guards against two processes deciding claims for one key: a handover part is
+// duplicated, and the copy arrives after the successor has handed the keys on.
 func TestDuplicateHandoverPartIsRefused(t *testing.T) {
 	options := Options{MaxKeys: 64, MaxAnswerBytes: 1}
 	first, second, third := NewAuthority("a", options), NewAuthority("b", options), NewAuthority("c", options)
@@ -170,16 +170,16 @@
 	}
 	key := NewKey("a", idAt(testStart, 1))
 	if err := second.Inherit(testStart, copied); err == nil {
-		t.Error("got the late copy taken, want it refused")
+		t.Error("got the late copy accepted, want it refused")
 	}
 	if got := second.Claim(testStart, Claim{Key: key}).State; got != Moved {
-		t.Errorf("got %s from who passed the keys on, want %s", got, Moved)
+		t.Errorf("got %s from the process that handed the keys on, want %s", got, Moved)
 	}
 }
 
-// Symptom: a key granted by an owner in its last moment is granted again by
-// its successor. The claim found the owner's store before the handover and
-// reaches it after its records are out.
+// Guards against a key being granted by an owner and again by its successor: the
+// claim looks up the owner's store before the handover and reaches the store
+// after its records were exported.
 func TestClaimDuringHandover(t *testing.T) {
 	held := newStore(Options{MaxKeys: 64, MaxAnswerBytes: 1})
 	early, late := NewKey("a", idAt(testStart, 1)), NewKey("a", idAt(testStart, 2))
@@ -190,16 +190,16 @@
 	}
 	for _, key := range []Key{early, late} {
 		if _, ok := held.claim(testStart, Claim{Key: key}); ok {
-			t.Error("got a verdict of a store that was passed on, want none")
+			t.Error("got a verdict from a store that was handed over, want none")
 		}
 		if held.settle(testStart, Claim{Key: key}, RunNotRun, nil) {
-			t.Error("got a settlement counted by a store that was passed on, want it ignored")
+			t.Error("got a settlement accepted by a store that was handed over, want it ignored")
 		}
 	}
 }
 
-// Symptom: an entry that shuts down holds more keys than fit one message, and
-// its successor grants those that have not come. The last part is late.
+// Guards against a successor granting keys whose records have not arrived: the
+// owner has more keys than fit in one message, and the last part is late.
 func TestInheritNeedsEveryPart(t *testing.T) {
 	options := Options{MaxKeys: 100_000, MaxAnswerBytes: 1}
 	from, to := NewAuthority("a", options), NewAuthority("b", options)
@@ -227,6 +227,6 @@
 		}
 	}
 	if got := from.Claim(testStart, Claim{Key: keys[0], Nonce: uuid.UUID{2}}); got.State != Moved || got.To != "b:1" {
-		t.Errorf("got %v, want a word where the keys moved", got)
+		t.Errorf("got %v, want Moved with the successor's address", got)
 	}
 }
--- a/relay/once/bench_test.go
+++ b/relay/once/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/uuid"
 )
 
-// BenchmarkBytesPerKey reports the memory that a remembered key takes, with an
-// hour of keys at an even rate.
+// BenchmarkBytesPerKey reports the memory used per remembered key, with keys
+// created at an even rate over one hour.
 func BenchmarkBytesPerKey(b *testing.B) {
 	const keys = 360_000 // 100 a second
 	for b.Loop() {
--- a/relay/once/key.go
+++ b/relay/once/key.go
@@ -1,7 +1,8 @@
-// Package once decides whether a request that may not be repeated gets a run.
+// Package once ensures that a request with an idempotency key runs at most once.
 //
-// The authority over a key is one process only: the entry whose incarnation
-// the key names. It remembers every key it granted, for as long as it would
+// An entry claims the key before it runs the request. Claims for a key are
+// decided by one process only, its owner: the entry whose incarnation the key
+// names. The owner remembers every key that it granted for as long as it would
 // still accept the key, so a key that it does not remember was never granted.
 package once
 
@@ -16,18 +17,18 @@
 // uuidLen is the length of a UUID's canonical text.
 const uuidLen = 36
 
-// Key names one request that may run at most once.
+// Key identifies one request that may run at most once.
 type Key struct {
-	owner string    // incarnation of the entry that grants it; empty: the platform's service
-	id    uuid.UUID // UUIDv7, made by the caller
+	owner string    // incarnation of the entry that decides claims; empty: the platform's service does
+	id    uuid.UUID // UUIDv7, created by the caller
 }
 
-// NewKey makes a Key. An empty owner stands for the platform's service.
+// NewKey returns a Key. An empty owner means the platform's service.
 func NewKey(owner string, id uuid.UUID) Key { return Key{owner: owner, id: id} }
 
-// Parse reads "<owner>.<UUIDv7>" or a plain "<UUIDv7>". Only the canonical
-// text is accepted: two spellings of one key would be two keys to a store that
-// compares bytes. Errors have kind Invalid.
+// Parse parses "<owner>.<UUIDv7>" or "<UUIDv7>". Only the canonical form is
+// accepted: a store that compares bytes would treat two spellings of one key as
+// two keys. Errors have kind Invalid.
 func Parse(text string) (Key, error) {
 	var key Key
 	switch len(text) {
@@ -61,20 +62,20 @@
 		"send <owner>.<UUIDv7> with the owner from GET /v1/entries, both in lower case")
 }
 
-// Owner returns the incarnation of the entry that grants the key; empty where
-// the platform's service does.
+// Owner returns the incarnation of the entry that decides claims for the key; it
+// is empty if the platform's service does.
 func (k Key) Owner() string { return k.owner }
 
 // ID returns the caller's part of the key.
 func (k Key) ID() uuid.UUID { return k.id }
 
-// Made returns when the caller made the key, by the caller's clock.
+// Made returns when the caller created the key, by the caller's clock.
 func (k Key) Made() time.Time {
 	seconds, nanos := k.id.Time().UnixTime()
 	return time.Unix(seconds, nanos)
 }
 
-// String returns the key's canonical text.
+// String returns the key's canonical form.
 func (k Key) String() string {
 	if k.owner == "" {
 		return k.id.String()
--- a/relay/once/key_test.go
+++ b/relay/once/key_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// FuzzParse checks that no text is read as a key but a key's own text: two
-// spellings of one key would be two keys to whoever compares bytes.
+// FuzzParse checks that Parse accepts a key only in its canonical form: a store
+// that compares bytes would treat two spellings of one key as two keys.
 func FuzzParse(f *testing.F) {
 	id := idAt(time.UnixMilli(1), 1).String()
 	for _, seed := range []string{"", id, id + "." + id, "urn:uuid:" + id, "{" + id + "}", id + ".", "." + id, "A" + id[1:]} {
--- a/relay/once/reclaim.go
+++ b/relay/once/reclaim.go
@@ -6,15 +6,16 @@
 	"github.com/google/uuid"
 )
 
-// maxHolds bounds the keys held at once in one table. Beyond it the oldest is
-// let go early, which costs consistency between two sendings at once, never a
-// second run.
+// maxReclaimDelays limits the keys that a Table delays at once. Beyond it the
+// oldest becomes claimable early: two copies of a request sent at the same time
+// may then get different answers, but the request never runs twice.
 const maxReclaimDelays = 4096
 
-// holds remembers keys for the time of Hold.
+// reclaimDelays remembers released keys until they may be claimed again, for the
+// duration Hold.
 type reclaimDelays struct {
 	until map[uuid.UUID]time.Time
-	order []uuid.UUID // oldest first; holds exactly the keys of until
+	order []uuid.UUID // oldest first; contains exactly the keys of until
 }
 
 func newReclaimDelays() reclaimDelays { return reclaimDelays{until: make(map[uuid.UUID]time.Time)} }
--- a/relay/once/record.go
+++ b/relay/once/record.go
@@ -8,11 +8,11 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// recordBytes is the length of one record outside the process: id, hash and
-// nonce of 16 bytes each, and the phase.
+// recordBytes is the length of one encoded record: id, hash and nonce of 16
+// bytes each, and one byte for the phase.
 const recordBytes = 3*16 + 1
 
-// appendRecords appends all records to raw.
+// appendRecords appends the encoded records of all keys to raw.
 func (t *Table) appendRecords(raw []byte) []byte {
 	for _, generation := range t.generations {
 		for id, rec := range generation {
@@ -25,11 +25,11 @@
 	return raw
 }
 
-// restore puts records back into an empty store. They keep their bound: what
-// the last owner had room for is not refused here.
+// restore decodes records into an empty store. It does not apply MaxKeys: the
+// previous owner had room for these keys, so none of them is refused here.
 func (s *store) restore(floor time.Time, raw []byte) error {
 	if len(raw)%recordBytes != 0 {
-		return failure.New(failure.Corrupt, "a handover holds half a record", "this is an error of the program: report it")
+		return failure.New(failure.Corrupt, "the length of a handover's records is not a multiple of the record size", "this is a bug: report it")
 	}
 	for i := range s.shards {
 		s.shards[i].table.floor = floor
@@ -41,7 +41,7 @@
 		copy(rec.nonce[:], raw[32:48])
 		rec.phase = phase(raw[48])
 		if rec.phase > phaseUnknown {
-			return failure.New(failure.Corrupt, "a handover holds an unknown phase", "run the same release on all entries")
+			return failure.New(failure.Corrupt, "a handover contains a record with an unknown phase", "run the same release on all entries")
 		}
 		key := Key{id: id}
 		s.shardOf(key).table.put(key.Made(), id, rec)
--- a/relay/once/store.go
+++ b/relay/once/store.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// shardCount splits the keys so that claims rarely wait for one another. It is
-// a power of two.
+// shardCount is the number of shards of a store, a power of two. Sharding keeps
+// lock contention between claims low.
 const shardCount = 16
 
-// Defaults of a Store; docs/design/requests.md gives the memory.
+// Default Options of an Authority; docs/design/requests.md states the memory
+// that they take.
 const (
 	DefaultMaxKeys        = 400_000
 	DefaultMaxAnswerBytes = 16 << 20
 )
 
-// store is the memory of one owner: Tables in shards, each under its own lock.
+// store holds the keys of one owner in sharded Tables, each with its own lock.
 type store struct {
 	shards [shardCount]storeShard
 }
@@ -23,7 +24,7 @@
 type storeShard struct {
 	mu     sync.Mutex
 	table  *Table
-	frozen bool // handed over: nothing is granted or settled here any more
+	frozen bool // handed over: claims and settlements are no longer accepted
 }
 
 func newStore(options Options) *store {
@@ -38,7 +39,7 @@
 	return st
 }
 
-// claim returns false where the store is frozen.
+// claim decides a claim. It returns false if the key's shard is frozen.
 func (s *store) claim(now time.Time, claim Claim) (Verdict, bool) {
 	shard := s.shardOf(claim.Key)
 	shard.mu.Lock()
@@ -67,13 +68,14 @@
 	return total
 }
 
-// shardOf uses the key's last byte, which is random in a UUIDv7.
+// shardOf selects the key's shard by its last byte, which is random in a UUIDv7.
 func (s *store) shardOf(key Key) *storeShard {
 	return &s.shards[key.id[len(key.id)-1]%shardCount]
 }
 
-// freeze ends the store and returns all that it remembers. A claim that comes
-// before the freeze of its shard is in the records; a later one gets nothing.
+// freeze stops the store permanently and returns its floor and all records. A
+// claim decided before its shard froze is in the records; a later one is not
+// decided here.
 func (s *store) freeze(now time.Time) (floor time.Time, records []byte) {
 	for i := range s.shards {
 		shard := &s.shards[i]
--- a/relay/once/table.go
+++ b/relay/once/table.go
@@ -6,98 +6,100 @@
 	"github.com/google/uuid"
 )
 
-// Bounds on the age of keys.
+// Time limits of keys.
 const (
-	// Horizon is how long after its making a key may get a run.
+	// Horizon is the maximum age at which a key may still be granted.
 	Horizon = time.Hour
-	// MaxAhead is how far a caller's clock may run ahead of the owner's.
+	// MaxAhead is how far a caller's clock may be ahead of the owner's.
 	MaxAhead = 5 * time.Minute
-	// Hold is how long a key stays refused after its run was proved not to have
-	// happened. A caller that sent the key twice at once gets the same answer twice;
-	// without it the later sending would run after the earlier one's "notRun".
+	// Hold is how long a key cannot be claimed again after its run was proved not to
+	// have happened, so that a caller that sent the key twice at the same time gets
+	// the same answer to both. Without the delay the second request would run after
+	// the first was answered "notRun".
 	Hold = 500 * time.Millisecond
-	// generationSpan is the time whose keys are forgotten together.
+	// generationSpan is the creation time span of keys that are removed together.
 	generationSpan = time.Minute
 )
 
-// State answers a claim. Its values are the wire's.
+// State is the result of a claim. The values are sent on the wire.
 type State string
 
-// The answers to a claim.
+// The results of a claim.
 const (
-	Granted  State = "granted"  // the claimant, and nobody else, may run it
+	Granted  State = "granted"  // only this claimant may run the request
 	Running  State = "running"  // another claimant holds the grant
-	Answered State = "answered" // it ran to its end
-	Unknown  State = "unknown"  // it may have run, or the key is too old to know
-	Mismatch State = "mismatch" // the key named another request before
-	NotOwner State = "notOwner" // this process cannot grant the key
-	Full     State = "full"     // never granted, and there is no room to remember it
-	Held     State = "held"     // never run, and may be claimed again after Hold
-	Ahead    State = "ahead"    // never granted: made in the future by the owner's clock
-	Moved    State = "moved"    // another process took the owner's keys over
+	Answered State = "answered" // the request ran and was answered completely
+	Unknown  State = "unknown"  // the request may have run, or the key is too old to tell
+	Mismatch State = "mismatch" // the key was used before for a different request
+	NotOwner State = "notOwner" // this process does not decide claims for the key
+	Full     State = "full"     // never granted, and the limit of remembered keys is reached
+	Held     State = "held"     // not run, and can be claimed again after Hold
+	Ahead    State = "ahead"    // never granted: created in the future by the owner's clock
+	Moved    State = "moved"    // the owner's keys were handed over to another process
 )
 
-// Outcome says how a granted run ended. Its values are the wire's.
+// Outcome is how a granted run ended. The values are sent on the wire.
 type Outcome string
 
 // The outcomes of a run.
 const (
-	RunAnswered Outcome = "answered" // the whole answer arrived
-	RunNotRun   Outcome = "notRun"   // proved: no back end ever saw it
+	RunAnswered Outcome = "answered" // the complete answer was received
+	RunNotRun   Outcome = "notRun"   // it is proved that no endpoint received the request
 	RunUnknown  Outcome = "unknown"  // anything else
 )
 
 // Hash identifies a request's content: the first 16 bytes of a BLAKE3 hash.
 type Hash [16]byte
 
-// Claim asks for the right to run a key.
+// Claim asks for the right to run the request of a key.
 type Claim struct {
 	Key   Key
-	Hash  Hash      // of customer and body: one key may not name two requests
-	Nonce uuid.UUID // new for each arrival of the request at an entry
+	Hash  Hash      // of customer and body, to detect a key that is reused for another request
+	Nonce uuid.UUID // identifies the claimant; new for each arrival of the request at an entry
 }
 
 // Verdict answers a Claim.
 type Verdict struct {
 	State  State
-	Answer []byte // with Answered, where it is still kept
-	To     string // with Moved: address of the successor
+	Answer []byte // for Answered: the answer, if it is still cached
+	To     string // for Moved: address of the successor
 }
 
-// phase is how far a remembered key is.
+// phase is the progress of a remembered key.
 type phase uint8
 
 const (
-	phaseFree    phase = iota // its nonce was settled before it was granted
-	phaseGranted              // somebody may be running it
+	phaseFree    phase = iota // may be granted, but not to the recorded nonce, which was settled early
+	phaseGranted              // a claimant holds the grant and may be running the request
 	phaseAnswered
 	phaseUnknown
 )
 
-// record is what the owner remembers of one key. It holds no pointers, so that
-// the collector does not scan the maps.
+// record is the state of one remembered key. It holds no pointers, so that the
+// garbage collector does not scan the maps.
 type record struct {
 	hash  Hash
-	nonce uuid.UUID // of the last grant
+	nonce uuid.UUID // of the last grant, or the one settled early in phaseFree
 	phase phase
 }
 
-// Options bounds a Table.
+// Options limits the memory of a Table.
 type Options struct {
-	MaxKeys        int // keys remembered at once; a further one is Full
-	MaxAnswerBytes int // answers kept for replay; the oldest go first
+	MaxKeys        int // keys remembered at once; claims for further keys get Full
+	MaxAnswerBytes int // total size of the answers cached for replay; the oldest are dropped first
 }
 
-// Table is the memory of one owner for one shard of its keys. It is not safe
-// for concurrent use. Invariants: a key in phaseGranted is held by exactly one
-// nonce; a key leaves the table only when claims for it are refused by age.
+// Table holds the keys of one shard of an owner. It is not safe for concurrent
+// use. Invariants: a key in phaseGranted is held by exactly one nonce; a granted
+// key is removed only once it is proved not to have run or claims for it are
+// refused by age.
 type Table struct {
 	options       Options
-	floor         time.Time // keys made before it are refused; never falls
-	generations   map[int64]map[uuid.UUID]record
-	keys          int // sum over generations
+	floor         time.Time                      // keys created before it are refused; never decreases
+	generations   map[int64]map[uuid.UUID]record // by creation time in units of generationSpan
+	keys          int                            // sum over generations
 	answers       answerCache
-	reclaimDelays reclaimDelays // keys settled as not run just now
+	reclaimDelays reclaimDelays // keys recently settled as not run
 }
 
 // NewTable returns an empty Table.
@@ -113,15 +115,18 @@
 // Keys returns the number of keys remembered.
 func (t *Table) Keys() int { return t.keys }
 
-// Claim decides about one claim. The rules:
-//   - a key made before the floor is Unknown: it may have been granted and
-//     forgotten;
-//   - a key not remembered was never granted (see Table), so it is granted;
-//   - the holder's nonce is granted again: its reply may have been lost;
-//   - a nonce that was settled before its claim came is not granted: nobody
-//     would run or settle it.
+// Claim decides a claim by these rules:
+//   - a key created before the floor is Unknown: it may have been granted and
+//     then removed;
+//   - a key that was released less than Hold ago is Held;
+//   - any other key that is not remembered was never granted, or is proved not to
+//     have run (see Table), so it is granted;
+//   - the holder's nonce is granted again, because the first reply may have been
+//     lost;
+//   - a nonce that was settled before its claim arrived is not granted: its
+//     claimant has given up and would neither run nor settle it.
 //
-// Rule ONEGRANT of spec/once.pml.
+// Implements rule ONEGRANT of spec/once.pml.
 func (t *Table) Claim(now time.Time, claim Claim) Verdict {
 	t.advance(now)
 	created := claim.Key.Made()
@@ -141,6 +146,8 @@
 	return t.claimKnown(created, claim, rec)
 }
 
+// grantNew grants a key that is not remembered, if there is room and it was not
+// created too far in the future.
 func (t *Table) grantNew(now, created time.Time, claim Claim) Verdict {
 	if created.After(now.Add(MaxAhead)) {
 		return Verdict{State: Ahead}
@@ -152,6 +159,7 @@
 	return Verdict{State: Granted}
 }
 
+// claimKnown decides a claim for a remembered key by the key's phase.
 func (t *Table) claimKnown(created time.Time, claim Claim, rec record) Verdict {
 	switch rec.phase {
 	case phaseFree:
@@ -174,13 +182,13 @@
 	}
 }
 
-// Settle records how the run of a grant ended and reports whether it counted:
-// only the holder's report counts, and only once. After notRun and the Hold the
-// key is as if it had never been claimed.
+// Settle records the outcome of a granted run and reports whether it was
+// accepted: only the holder's settlement is, and only once. After notRun and the
+// Hold, the key is as if it had never been claimed.
 //
-// A claimant that gave up waiting for its claim's reply settles notRun. Where
-// that overtakes the claim, the settled nonce is remembered here, or the late
-// claim would be granted to somebody who no longer listens.
+// A claimant that stops waiting for the reply to its claim settles notRun. If the
+// settlement arrives before the claim, its nonce is remembered; otherwise the
+// late claim would be granted to a claimant that no longer waits.
 func (t *Table) Settle(now time.Time, claim Claim, outcome Outcome, answer []byte) bool {
 	t.advance(now)
 	created := claim.Key.Made()
@@ -226,10 +234,10 @@
 	generation[id] = rec
 }
 
-// advance raises the floor and forgets whole generations below it. A clock
-// that steps back would otherwise lower the floor, and keys already forgotten
-// would be granted a second time. Keys bear wall-clock times, so the floor is
-// one too: Round strips the monotonic reading, which would hide a step.
+// advance raises the floor and removes the generations below it. The floor never
+// decreases: if a clock step back lowered it, removed keys would be granted a
+// second time. Keys carry wall-clock times, so the floor is one too; Round strips
+// the monotonic reading, which would hide a clock step.
 func (t *Table) advance(now time.Time) {
 	floor := now.Add(-Horizon).Round(0)
 	if !floor.After(t.floor) {
--- a/relay/once/table_test.go
+++ b/relay/once/table_test.go
@@ -11,7 +11,7 @@
 
 var testStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// idAt makes a UUIDv7 of a time; n distinguishes those of one millisecond.
+// idAt returns a UUIDv7 for the time; n distinguishes IDs of the same millisecond.
 func idAt(made time.Time, n uint32) uuid.UUID {
 	var id uuid.UUID
 	millis := uint64(made.UnixMilli())
@@ -23,8 +23,8 @@
 	return id
 }
 
-// TestTable runs the scripts of testdata/table. Times are minutes from the
-// start; a key's number is also its part of the UUID.
+// TestTable runs the scripts in testdata/table. Times are minutes since
+// testStart; a key's number is the n of its idAt.
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata/table", func(t *testing.T, path string) {
 		table := NewTable(Options{MaxKeys: 3, MaxAnswerBytes: 40})
