--- a/relay/quarantine/fingerprint.go
+++ b/relay/quarantine/fingerprint.go
@@ -21,15 +21,15 @@
 // Of returns the fingerprint of a request: who asks (empty where nobody is named), the
 // method, the host, the path with its query, and the body.
 func Of(customer, method, host, target string, body []byte) Fingerprint {
-	sum := sha256.New()
+	hash := sha256.New()
 	var length [8]byte
 	for _, part := range []string{customer, method, host, target} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = sum.Write(length[:])
-		_, _ = io.WriteString(sum, part)
+		_, _ = hash.Write(length[:])
+		_, _ = io.WriteString(hash, part)
 	}
-	_, _ = sum.Write(body)
-	return Fingerprint(sum.Sum(nil)[:fingerprintBytes])
+	_, _ = hash.Write(body)
+	return Fingerprint(hash.Sum(nil)[:fingerprintBytes])
 }
 
 // String returns the fingerprint in hexadecimal.
--- a/relay/quarantine/ledger_test.go
+++ b/relay/quarantine/ledger_test.go
@@ -13,12 +13,12 @@
 )
 
 // printsOf makes fingerprints of names.
-func printsOf(names []string) []Fingerprint {
-	var prints []Fingerprint
+func fingerprintsOf(names []string) []Fingerprint {
+	var fps []Fingerprint
 	for _, name := range names {
-		prints = append(prints, Of("customer", "POST", "host", "/"+name, nil))
+		fps = append(fps, Of("customer", "POST", "host", "/"+name, nil))
 	}
-	return prints
+	return fps
 }
 
 // TestLedger runs testdata/ledger.
@@ -42,18 +42,18 @@
 			td.ScanArgs(t, "of", &id)
 			notified := false
 			led.Notify(func() { notified = true })
-			led.Observe(Report{End: End{Endpoint: id}, Suspects: printsOf(names("suspects")), Running: printsOf(names("running"))})
+			led.Observe(Report{End: End{Endpoint: id}, Suspects: fingerprintsOf(names("suspects")), Running: fingerprintsOf(names("running"))})
 			if notified {
 				return "notified"
 			}
 		case "served":
-			led.Served(printsOf(names("what"))[0])
+			led.Served(fingerprintsOf(names("what"))[0])
 		case "wait":
 			var seconds int
 			td.ScanArgs(t, "seconds", &seconds)
 			now = now.Add(time.Duration(seconds) * time.Second)
 		case "renew":
-			reports := led.Renew(printsOf(names("what"))[0])
+			reports := led.Renew(fingerprintsOf(names("what"))[0])
 			for _, report := range reports {
 				led.Observe(report)
 			}
@@ -61,7 +61,7 @@
 		case "held":
 			var held []string
 			for _, name := range names("of") {
-				if until, ok := led.Held(printsOf([]string{name})[0]); ok {
+				if until, ok := led.Held(fingerprintsOf([]string{name})[0]); ok {
 					held = append(held, fmt.Sprintf("%s for %v", name, until.Sub(now)))
 				}
 			}
@@ -81,12 +81,12 @@
 		var reports []Report
 		for i := range rapid.IntRange(1, 8).Draw(t, "ends") {
 			report := Report{End: End{Endpoint: fmt.Sprintf("i-%d", i)}}
-			for _, print := range printsOf(names) {
+			for _, fp := range fingerprintsOf(names) {
 				switch rapid.IntRange(0, 2).Draw(t, "part") {
 				case 1:
-					report.Suspects = append(report.Suspects, print)
+					report.Suspects = append(report.Suspects, fp)
 				case 2:
-					report.Running = append(report.Running, print)
+					report.Running = append(report.Running, fp)
 				}
 			}
 			reports = append(reports, report)
@@ -97,8 +97,8 @@
 				led.Observe(report)
 			}
 			var found []bool
-			for _, print := range printsOf(names) {
-				_, ok := led.Held(print)
+			for _, fp := range fingerprintsOf(names) {
+				_, ok := led.Held(fp)
 				found = append(found, ok)
 			}
 			return fmt.Sprint(found)
@@ -115,24 +115,24 @@
 func TestLedgerIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
-	for i := range 3 * maxPairs {
-		led.Observe(Report{End: End{Endpoint: fmt.Sprintf("i-%d", i/12)}, Suspects: printsOf([]string{fmt.Sprint(i)})})
+	for i := range 3 * maxObservations {
+		led.Observe(Report{End: End{Endpoint: fmt.Sprintf("i-%d", i/12)}, Suspects: fingerprintsOf([]string{fmt.Sprint(i)})})
 	}
-	if requests, ends := led.Size(); requests > maxPairs || ends > maxPairs || len(led.queue) > maxQueue {
-		t.Errorf("got %d requests, %d ends and %d in order, want %d at most", requests, ends, len(led.queue), maxPairs)
+	if requests, ends := led.Size(); requests > maxObservations || ends > maxObservations || len(led.queue) > maxQueueLength {
+		t.Errorf("got %d requests, %d ends and %d in order, want %d at most", requests, ends, len(led.queue), maxObservations)
 	}
 	now = now.Add(HoldTime)
-	led.Observe(Report{End: End{Endpoint: "last"}, Suspects: printsOf([]string{"last"})})
-	if requests, ends := led.Size(); requests != 1 || ends != 1 || led.pairs != 1 {
-		t.Errorf("got %d requests, %d ends and %d pairs, want the last alone", requests, ends, led.pairs)
+	led.Observe(Report{End: End{Endpoint: "last"}, Suspects: fingerprintsOf([]string{"last"})})
+	if requests, ends := led.Size(); requests != 1 || ends != 1 || led.observationCount != 1 {
+		t.Errorf("got %d requests, %d ends and %d pairs, want the last alone", requests, ends, led.observationCount)
 	}
 }
 
-func TestReportIsReadAsItWasWritten(t *testing.T) {
-	prints := printsOf([]string{"a", "b", "c"})
+func TestReportJSONRoundTrip(t *testing.T) {
+	fps := fingerprintsOf([]string{"a", "b", "c"})
 	want := []Report{
-		{End: End{Endpoint: "i-1", Born: 7}, Suspects: prints[:1], Running: prints[1:]},
-		{Served: prints},
+		{End: End{Endpoint: "i-1", Born: 7}, Suspects: fps[:1], Running: fps[1:]},
+		{Served: fps},
 	}
 	text, err := json.Marshal(want)
 	if err != nil {
@@ -155,14 +155,14 @@
 // Parts that differ by their lengths make no request look like another.
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	seen := map[Fingerprint]string{}
-	for _, one := range [][5]string{
+	for _, parts := range [][5]string{
 		{"c", "POST", "h", "/a", "b"}, {"cP", "OST", "h", "/a", "b"}, {"c", "POST", "h/", "a", "b"}, {"c", "POST", "h", "/ab", ""},
 		{"c", "POST", "h", "/a?b", ""}, {"", "POST", "h", "/a", "b"}, {"c", "GET", "h", "/a", "b"},
 	} {
-		print := Of(one[0], one[1], one[2], one[3], []byte(one[4]))
-		if other, ok := seen[print]; ok {
-			t.Errorf("got one fingerprint for %v and %s", one, other)
+		fp := Of(parts[0], parts[1], parts[2], parts[3], []byte(parts[4]))
+		if other, ok := seen[fp]; ok {
+			t.Errorf("got one fingerprint for %v and %s", parts, other)
 		}
-		seen[print] = fmt.Sprint(one)
+		seen[fp] = fmt.Sprint(parts)
 	}
 }
--- a/relay/quarantine/record.go
+++ b/relay/quarantine/record.go
@@ -7,74 +7,74 @@
 )
 
 // record is what is known of one request under which an endpoint ended.
-type record struct {
-	print Fingerprint
-	pairs []*pair // in the order in which they were learned; those that count are the last ones
+type requestRecord struct {
+	fingerprint  Fingerprint
+	observations []*observation // in the order in which they were learned; those that count are the last ones
 	// weight is that of the pairs that count, kept as they change: requests are asked for far
 	// more often than endpoints end.
-	weight int
-	good   moment // when a good answer was last reported; 0: none was
+	score      int
+	lastServed timestamp // when a good answer was last reported; 0: none was
 	// reported is when one was last reported to all, which entries that start later read too.
-	reported moment
+	servedReported timestamp
 	// newest is when any pair was last reported.
-	newest moment
+	lastReported timestamp
 	// place is where it stands in the ledger's list of its rank.
-	place *list.Element
-	rank  int
+	rankElement *list.Element
+	rank        int
 }
 
 // ending is what is known of one end of an endpoint: the requests under it, a few dozen at most,
 // since an endpoint has no more in progress.
-type ending struct {
-	end   End
-	pairs []*pair
+type endRecord struct {
+	id           End
+	observations []*observation
 }
 
 // pair is one end under one request.
-type pair struct {
-	rec      *record
-	ending   *ending
-	weight   int8
-	counts   bool // it was not learned before the last good answer, nor shortly after it
-	learned  moment
-	reported moment // when it was learned, or reported again
+type observation struct {
+	rec           *requestRecord
+	end           *endRecord
+	score         int8
+	counts        bool // it was not learned before the last good answer, nor shortly after it
+	firstReported timestamp
+	lastReported  timestamp // when it was learned, or reported again
 }
 
 // moment is a time since the ledger's start: a third of the room of a time.Time. The start itself
 // is none, since nothing happened before.
-type moment time.Duration
+type timestamp time.Duration
 
 // before reports whether so much time has not passed between two moments.
-func (m moment) before(other moment, passed time.Duration) bool {
-	return time.Duration(other-m) < passed
+func (t timestamp) isRecent(now timestamp, limit time.Duration) bool {
+	return time.Duration(now-t) < limit
 }
 
 // servedBefore reports whether a good answer came before the moment at which an end was learned, or
 // so shortly after that the end does not count.
-func (m moment) servedBefore(learned moment) bool { return m > 0 && m.before(learned, goodTime) }
+func (t timestamp) discounts(at timestamp) bool { return t > 0 && t.isRecent(at, servedGrace) }
 
 // queued is a pair in the order of report.
-type queued struct {
-	pair *pair
-	at   moment
+type queueEntry struct {
+	obs *observation
+	at  timestamp
 }
 
 // acquit notes a good answer: no end that is known counts any more.
-func (r *record) acquit(now moment) {
-	r.good, r.weight = now, 0
-	for _, one := range slices.Backward(r.pairs) {
-		if !one.counts {
+func (r *requestRecord) markServed(now timestamp) {
+	r.lastServed, r.score = now, 0
+	for _, obs := range slices.Backward(r.observations) {
+		if !obs.counts {
 			return
 		}
-		one.counts = false
+		obs.counts = false
 	}
 }
 
 // of returns the pair of a request at this end; nil: it was not in progress there.
-func (e *ending) of(rec *record) *pair {
-	for _, one := range e.pairs {
-		if one.rec == rec {
-			return one
+func (e *endRecord) find(rec *requestRecord) *observation {
+	for _, obs := range e.observations {
+		if obs.rec == rec {
+			return obs
 		}
 	}
 	return nil
@@ -82,13 +82,13 @@
 
 // suspectedSince reports whether one further end would hold the request if it was last served at
 // a time.
-func (r *record) suspectedSince(good moment) bool {
-	sum := 0
-	for _, one := range slices.Backward(r.pairs) {
-		if good.servedBefore(one.learned) {
+func (r *requestRecord) suspectedIfLastServed(lastServed timestamp) bool {
+	score := 0
+	for _, obs := range slices.Backward(r.observations) {
+		if lastServed.discounts(obs.firstReported) {
 			return false
 		}
-		if sum += int(one.weight); sum >= suspectedWeight {
+		if score += int(obs.score); score >= suspectedScore {
 			return true
 		}
 	}
--- a/relay/quarantine/report.go
+++ b/relay/quarantine/report.go
@@ -24,7 +24,7 @@
 // UnmarshalText reads a fingerprint from hexadecimal.
 func (p *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(p)) {
-		return errLength
+		return errFingerprintLength
 	}
 	_, err := hex.Decode(p[:], text)
 	return err
