--- a/relay/quarantine/eviction.go
+++ b/relay/quarantine/eviction.go
@@ -3,29 +3,31 @@
 import "slices"
 
 const (
-	// maxPairs bounds what is remembered, in requests at ends: a region of 900 engines with a
-	// dozen requests each that ends at once, twice.
+	// maxObservations limits the observations that are remembered. It has room for a region of
+	// 900 endpoints with a dozen requests each that ends at once, twice.
 	maxObservations = 1 << 15
-	// maxQueue bounds the queue, with former places of pairs that were reported again.
+	// maxQueueLength limits the queue, including outdated entries of observations that were
+	// reported again.
 	maxQueueLength = maxObservations + maxObservations/2
-	// sparePairs of them are kept free of requests that are held, or nothing could be learned of
-	// further ones.
+	// reservedObservations is the part of maxObservations that requests of heldRank cannot use;
+	// otherwise nothing could be recorded of further requests.
 	reservedObservations = maxObservations / 16
-	// rankPairs is how many pairs of each rank are kept though others of a higher rank come: what
-	// ended two engines would otherwise keep out what ended its first.
+	// minObservationsPerRank is how many observations each rank keeps even if higher ranks need
+	// room; otherwise requests with two ends would keep out those with their first.
 	minObservationsPerRank = reservedObservations / (heldRank + 2)
-	// pairsKept is how many ends of one request are remembered while there is no room: more only
-	// explain what else was in progress there.
+	// keptObservationsPerRequest is the number of observations above which a request moves to
+	// rank 0, whose observations are evicted first. Further ends of a request only explain the
+	// ends of others.
 	keptObservationsPerRequest = 4 * maxScoredEnds
-	// examined is how many requests are looked at for one that is not held before one that is
-	// held is forgotten.
+	// evictionScanLimit is how many requests of a rank are checked for one that is not held
+	// before a held one is evicted.
 	evictionScanLimit = 8
 )
 
-// heldRank is the rank of requests that may be held.
+// heldRank is the rank of requests whose score allows them to be held.
 const heldRank = heldScore
 
-// sort puts a request in its rank; l.mu is held.
+// updateRank moves a request to the rank of its score. l.mu must be locked.
 func (l *Ledger) updateRank(rec *requestRecord) {
 	rank := min(rec.score, heldRank)
 	if len(rec.observations) > keptObservationsPerRequest {
@@ -41,11 +43,12 @@
 	l.observationsByRank[rank] += len(rec.observations)
 }
 
-// drop forgets one pair; l.mu is held.
+// removeObservation removes an observation, and the records of its request and its end if it was
+// their last one. l.mu must be locked.
 func (l *Ledger) removeObservation(obs *observation) {
 	rec, endRec := obs.rec, obs.end
 	if rec.observations[0] == obs {
-		// Ends are mostly forgotten in the order in which they were learned.
+		// Observations are mostly removed in the order in which they were first reported.
 		rec.observations[0] = nil
 		rec.observations = rec.observations[1:]
 	} else {
@@ -68,11 +71,13 @@
 	l.observationCount--
 }
 
+// removeFrom deletes an observation from a slice in place.
 func removeFrom(observations []*observation, obs *observation) []*observation {
 	return slices.DeleteFunc(observations, func(other *observation) bool { return other == obs })
 }
 
-// forgetOld drops what was reported too long ago; l.mu is held.
+// dropExpired removes the observations that were last reported HoldTime ago or earlier, and compacts
+// the queue if it is too long. l.mu must be locked.
 func (l *Ledger) dropExpired(now timestamp) {
 	for len(l.queue) > 0 && !l.queue[0].at.isRecent(now, HoldTime) {
 		oldest := l.queue[0]
@@ -86,11 +91,11 @@
 	}
 }
 
-// newest reports whether the pair is remembered and was not reported again since.
+// isLatest reports whether the observation still exists and was not reported again since.
 func (e queueEntry) isLatest() bool { return e.obs.rec != nil && e.obs.lastReported == e.at }
 
-// makeRoom drops pairs that are beyond the bounds and returns the held requests that were
-// forgotten; l.mu is held.
+// evict removes observations until the limits are met, and returns the held requests that were
+// evicted. l.mu must be locked.
 func (l *Ledger) evict() (forgotten []Fingerprint) {
 	for l.observationsByRank[heldRank] > maxObservations-reservedObservations {
 		rec := l.evictionCandidate(heldRank)
@@ -98,7 +103,7 @@
 			l.forgotten++
 			forgotten = append(forgotten, rec.fingerprint)
 		}
-		// What is left of one that is forgotten would stand in the way of new ones.
+		// Remaining observations of an evicted request would only take room from new requests.
 		for len(rec.observations) > 0 {
 			l.removeObservation(rec.observations[0])
 		}
@@ -113,8 +118,9 @@
 	return forgotten
 }
 
-// leastOf returns the request of a rank that is forgotten first: the one reported longest ago, but
-// for one that is held if another is near; l.mu is held.
+// evictionCandidate returns the request of a rank to evict next: the one that was reported longest
+// ago among the first evictionScanLimit that are not held, or the very first if all of those are
+// held. l.mu must be locked.
 func (l *Ledger) evictionCandidate(rank int) *requestRecord {
 	oldest := l.ranks[rank].Front()
 	elem := oldest
--- a/relay/quarantine/fingerprint.go
+++ b/relay/quarantine/fingerprint.go
@@ -1,5 +1,10 @@
-// Package quarantine decides which requests are sent to no endpoint any more because the
-// endpoints that run them end.
+// Package quarantine detects requests that make the endpoints running them terminate, and
+// tells which requests to hold.
+//
+// An end is the termination of one incarnation of an endpoint, for whatever reason. Each entry
+// reports the requests that were in progress at an ended endpoint to all other entries. A
+// request that was in progress at enough ends, unless another request explains them, is held:
+// it is refused and not sent to any further endpoint.
 package quarantine
 
 import (
@@ -9,17 +14,17 @@
 	"io"
 )
 
-// fingerprintBytes is the length of a Fingerprint: at a thousand million requests two
-// that differ have the same one with a chance under 1 in 10^20.
+// fingerprintBytes is the length of a Fingerprint. Among 10^9 different requests, the
+// probability that any two have the same fingerprint is below 1 in 10^20.
 const fingerprintBytes = 16
 
-// Fingerprint names what a caller asks for. A request that comes again has the same one,
-// whichever entry it comes to and whatever id it bears. It can't be made to collide with
-// another customer's by choosing a body.
+// Fingerprint identifies the content of a request. A repeated request has the same
+// fingerprint at every entry and with any request ID. A customer cannot choose a body that
+// makes it collide with another customer's request.
 type Fingerprint [fingerprintBytes]byte
 
-// Of returns the fingerprint of a request: who asks (empty where nobody is named), the
-// method, the host, the path with its query, and the body.
+// Of returns the fingerprint of a request. The customer is empty if the request names none;
+// target is the path with its query.
 func Of(customer, method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
--- a/relay/quarantine/ledger.go
+++ b/relay/quarantine/ledger.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	// endsAllowed is the ends of endpoints after which a request that was begun shortly before
-	// each is held. Requests that broke together are often sent elsewhere together, so that two
-	// ends may have a harmless request in common.
+	// endsToHold is the number of ends after which a request that was started shortly before
+	// each of them is held. Requests that failed together are often retried at the same
+	// endpoint, so two ends may have a harmless request in common.
 	endsToHold = 3
-	// suspectWeight and runningWeight are what an end weighs under a request that was begun
-	// shortly before, and under one that had been answered in part; one is held from
-	// heldWeight on.
+	// suspectScore is what an end adds to the score of a request that was started shortly
+	// before, runningScore what it adds for one that had been partly answered. A request can be
+	// held from heldScore on.
 	suspectScore = 2
 	runningScore = 1
 	heldScore    = endsToHold * suspectScore
-	// suspectedWeight is what is one end short of that.
+	// suspectedScore is the score from which one more end reaches heldScore.
 	suspectedScore = heldScore - suspectScore
-	// goodTime is for how long after a good answer ends do not count against a request: one that
-	// comes often is in progress wherever anything ends. It is longer than reports of earlier
-	// ends take to arrive.
+	// servedGrace is the time after a successful answer during which ends do not count against
+	// a request: a frequent request is in progress at any endpoint that ends. It is longer than
+	// reports of earlier ends take to arrive.
 	servedGrace = 10 * time.Second
-	// HoldTime is how long an end is remembered, and so for how long a request is held after the
-	// last one: the longest lease of the platform's store.
+	// HoldTime is how long an end is remembered after it was last reported, and so how long a
+	// request stays held. It is the longest lease of the platform's store.
 	HoldTime = 10 * time.Minute
-	// lookedEnds is how many of a request's newest ends decide whether it is held, which bounds
-	// the work of each arrival.
+	// maxScoredEnds is how many of a request's latest ends decide whether it is held. It limits
+	// the work for each arriving request.
 	maxScoredEnds = 4 * endsToHold
 )
 
-var errFingerprintLength = failure.New(failure.Invalid, "the fingerprint has the wrong length", "write 32 hexadecimal digits")
+var errFingerprintLength = failure.New(failure.Invalid, "the fingerprint has the wrong length", "send 32 hexadecimal digits")
 
-// Ledger knows under which requests endpoints ended, by what this entry saw and others reported.
-// It counts distinct ends, so that what is reported twice, late or in any order counts once, and
-// nobody has to agree with anybody. It is safe for concurrent use.
+// Ledger records which requests were in progress when endpoints ended, as seen by this entry and
+// reported by others. It counts distinct ends, so a report that arrives twice, late or in another
+// order does not change the result, and entries need no consensus. It is safe for concurrent use.
 type Ledger struct {
 	clock func() time.Time
-	start time.Time // a little before the first moment
+	start time.Time // zero of timestamps: 1 ns before creation, so that the first timestamp is not 0
 
 	mu       sync.RWMutex
 	requests map[Fingerprint]*requestRecord
 	ends     map[End]*endRecord
-	// queue is in the order of report; a pair that was reported again stands several times.
+	// queue orders observations by report time, for expiry. An observation that was reported again is
+	// queued several times.
 	queue            []queueEntry
 	observationCount int
-	// ranks has the requests by what is forgotten first where there is no room: by what weighs
-	// on them, so that one end is forgotten before two, and those that are held last. Each list
-	// is in the order of report.
+	// ranks groups the requests by score for eviction: requests with one end are evicted before
+	// those with two, and held ones last. Each list is ordered by report time, oldest first.
 	ranks [heldRank + 1]list.List
-	// pairsOf is the pairs of the requests of each rank.
+	// observationsByRank counts the observations of the requests of each rank.
 	observationsByRank [heldRank + 1]int
-	forgotten          int // held ones that were forgotten for want of room
-	// maybeHeld is called after a report by which one more request may be held, notifyForgotten
-	// with each held one that is forgotten for want of room.
+	forgotten          int // number of held requests that were evicted
+	// onMaybeHeld is called after a report that may have caused a further request to be held,
+	// onForgotten with each held request that was evicted.
 	onMaybeHeld func()
 	onForgotten func(Fingerprint)
 }
 
-// NewLedger returns a Ledger that knows of no end.
+// NewLedger returns an empty Ledger.
 func NewLedger(clock func() time.Time) *Ledger {
 	return &Ledger{
 		clock: clock, start: clock().Add(-1), requests: map[Fingerprint]*requestRecord{}, ends: map[End]*endRecord{},
@@ -70,10 +70,11 @@
 	}
 }
 
-// now returns the present moment.
+// now returns the current timestamp.
 func (l *Ledger) now() timestamp { return timestamp(l.clock().Sub(l.start)) }
 
-// Observe takes over a report of this entry or of another one.
+// Observe applies a report of this entry or of another one, and calls the functions set by Notify
+// and NotifyForgotten where they apply.
 func (l *Ledger) Observe(report Report) {
 	maybeHeld, forgotten := l.apply(report)
 	for _, fp := range forgotten {
@@ -84,8 +85,8 @@
 	}
 }
 
-// take does what Observe does, and returns whether another request may be held now, and the held ones for which
-// there was no room.
+// apply updates the records by a report. It returns whether a further request may be held now, and
+// the held requests that were evicted.
 func (l *Ledger) apply(report Report) (maybeHeld bool, forgotten []Fingerprint) {
 	now := l.now()
 	l.mu.Lock()
@@ -107,8 +108,8 @@
 	return maybeHeld, l.evict()
 }
 
-// note takes in what an end weighs on a request, and reports whether it may be held now; l.mu
-// is held.
+// addObservation records that a request was in progress at an end, and reports whether the request
+// may be held now. l.mu must be locked.
 func (l *Ledger) addObservation(now timestamp, fp Fingerprint, end End, score int8) bool {
 	rec := l.requests[fp]
 	if rec == nil {
@@ -142,8 +143,7 @@
 	return rec.score >= heldScore
 }
 
-// Held reports whether a request is sent to no endpoint, and until when if it does not come
-// again before.
+// Held reports whether a request is held, and until when if nothing further is reported of it.
 func (l *Ledger) Held(fp Fingerprint) (until time.Time, held bool) {
 	l.expire(l.now())
 	l.mu.RLock()
@@ -155,7 +155,7 @@
 	return l.start.Add(time.Duration(rec.lastReported)).Add(HoldTime), true
 }
 
-// expire drops what was reported too long ago.
+// expire removes the observations that were last reported HoldTime ago or earlier.
 func (l *Ledger) expire(now timestamp) {
 	l.mu.RLock()
 	expired := len(l.queue) > 0 && !l.queue[0].at.isRecent(now, HoldTime)
@@ -168,7 +168,7 @@
 	l.dropExpired(now)
 }
 
-// holds reports whether a request is held; l.mu is held for reading.
+// isHeld reports whether a request is held. l.mu must be locked, for reading at least.
 func (l *Ledger) isHeld(rec *requestRecord) bool {
 	if rec.score < heldScore {
 		return false
@@ -177,11 +177,12 @@
 	return score >= heldScore
 }
 
-// unexplained returns what weighs on a request of its newest ends that did not also happen under
-// another one on which more weighs: where they did it only ran beside that one. One that is to
-// blame is explained by no other for long, since it comes alone sooner or later. It looks no
-// further than is needed to hold the request, and returns at how many requests it looked. l.mu is
-// held for reading.
+// unexplainedScore returns the score of a request from its latest ends, without those at which
+// another request with a higher score was in progress: that request explains the end, and this one
+// may only have run beside it. A request that does cause ends is not explained by another one for
+// long, since sooner or later an endpoint ends under it alone. The scan stops once the score is
+// enough to hold the request; examined is the number of observations that it covered. l.mu must be
+// locked, for reading at least.
 func (l *Ledger) unexplainedScore(rec *requestRecord) (score, examined int) {
 	ends := 0
 	for _, obs := range slices.Backward(rec.observations) {
@@ -197,8 +198,9 @@
 	return score, examined
 }
 
-// Renew returns what to report again so that a held request that still comes stays held,
-// also at entries that start later; nothing while the last report is new enough.
+// Renew returns the reports to repeat so that a held request that is still being sent stays held,
+// also at entries that start later. It returns none if the last report is less than half of
+// HoldTime old.
 func (l *Ledger) Renew(fp Fingerprint) []Report {
 	now := l.now()
 	l.mu.RLock()
@@ -218,7 +220,7 @@
 	return reports
 }
 
-// Suspected reports whether so much weighs on a request that one more end holds it.
+// Suspected reports whether one more end may cause the request to be held.
 func (l *Ledger) Suspected(fp Fingerprint) bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -226,9 +228,9 @@
 	return rec != nil && rec.score >= suspectedScore
 }
 
-// Served notes that an endpoint ran a request to a good end, and reports whether the other
-// entries have to learn of it: one further end would hold the request at an entry that knows
-// only what was reported to all.
+// Served records that an endpoint answered a request successfully. It reports whether the other
+// entries must be told: an entry that knows only what was reported to all might hold the request
+// after one more end.
 func (l *Ledger) Served(fp Fingerprint) (report bool) {
 	l.mu.RLock()
 	known := l.requests[fp] != nil
@@ -252,22 +254,22 @@
 	return true
 }
 
-// Notify lets the function be called whenever another request may be held, without a lock. It
-// is called before anything is observed.
+// Notify sets the function that is called, with no lock held, whenever a further request may be
+// held. Notify must be called before the first Observe.
 func (l *Ledger) Notify(maybeHeld func()) { l.onMaybeHeld = maybeHeld }
 
-// NotifyForgotten lets the function be called with each held request that is forgotten because
-// there is no room, without a lock. It is called before anything is observed.
+// NotifyForgotten sets the function that is called, with no lock held, with each held request that
+// is evicted because there is no room. NotifyForgotten must be called before the first Observe.
 func (l *Ledger) NotifyForgotten(notify func(Fingerprint)) { l.onForgotten = notify }
 
-// Forgotten returns how many held requests were forgotten because there was no room.
+// Forgotten returns the number of held requests that were evicted because there was no room.
 func (l *Ledger) Forgotten() int {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.forgotten
 }
 
-// Size returns the requests and the ends that are remembered.
+// Size returns the number of requests and of ends that are remembered.
 func (l *Ledger) Size() (requests, ends int) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/relay/quarantine/ledger_test.go
+++ b/relay/quarantine/ledger_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// printsOf makes fingerprints of names.
+// fingerprintsOf returns the fingerprints of requests with these names.
 func fingerprintsOf(names []string) []Fingerprint {
 	var fps []Fingerprint
 	for _, name := range names {
@@ -21,7 +21,7 @@
 	return fps
 }
 
-// TestLedger runs testdata/ledger.
+// TestLedger runs the script testdata/ledger.
 func TestLedger(t *testing.T) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
@@ -74,7 +74,7 @@
 	})
 }
 
-// What is reported in any order, twice, or late comes to the same.
+// Reports that arrive in another order, twice or late must give the same result.
 func TestOrderOfReportsChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}
@@ -111,7 +111,7 @@
 	})
 }
 
-// Whoever ends endpoints under requests that differ each time fills no memory.
+// Requests that end endpoints and differ each time must not exhaust memory.
 func TestLedgerIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
@@ -119,12 +119,12 @@
 		led.Observe(Report{End: End{Endpoint: fmt.Sprintf("i-%d", i/12)}, Suspects: fingerprintsOf([]string{fmt.Sprint(i)})})
 	}
 	if requests, ends := led.Size(); requests > maxObservations || ends > maxObservations || len(led.queue) > maxQueueLength {
-		t.Errorf("got %d requests, %d ends and %d in order, want %d at most", requests, ends, len(led.queue), maxObservations)
+		t.Errorf("got %d requests, %d ends and %d queue entries, want %d at most", requests, ends, len(led.queue), maxObservations)
 	}
 	now = now.Add(HoldTime)
 	led.Observe(Report{End: End{Endpoint: "last"}, Suspects: fingerprintsOf([]string{"last"})})
 	if requests, ends := led.Size(); requests != 1 || ends != 1 || led.observationCount != 1 {
-		t.Errorf("got %d requests, %d ends and %d pairs, want the last alone", requests, ends, led.observationCount)
+		t.Errorf("got %d requests, %d ends and %d observations, want only the last", requests, ends, led.observationCount)
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// Parts that differ by their lengths make no request look like another.
+// Requests whose parts only concatenate to the same text must have different fingerprints.
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	seen := map[Fingerprint]string{}
 	for _, parts := range [][5]string{
--- a/relay/quarantine/limits_test.go
+++ b/relay/quarantine/limits_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// deadlyAndOthers lets so many requests end three engines each, one after the other, with
-// eleven other requests beside each end that are in progress at no other one.
+// observeDeadlyRequests reports three ends for each of the given number of deadly requests. At each
+// end eleven other requests are in progress, which are at no other end.
 func observeDeadlyRequests(led *Ledger, deadly int) {
 	const ends, others = 3, 11
 	for i := range deadly {
@@ -21,7 +21,7 @@
 	}
 }
 
-// heldOf counts the held ones of the deadly requests with a number in [from, to).
+// countHeld counts the held ones among the deadly requests with numbers in [from, to).
 func countHeld(led *Ledger, from, to int) int {
 	held := 0
 	for i := from; i < to; i++ {
@@ -32,10 +32,10 @@
 	return held
 }
 
-// Symptom: a request that had ended three engines was sent again, and ended more. Sequence:
-// 10,000 different requests end three engines each, others are in progress there and break
-// too. Cause: at the bound what was reported longest ago was forgotten, a held request as well as
-// one that broke once: 910 of the 10,000 were held at the end.
+// Guards against a request that ended three endpoints being sent again: 10,000 different requests
+// end three endpoints each, with other requests in progress there. When the ledger was full it used
+// to evict whatever was reported longest ago, held requests as well as requests with a single end,
+// and only 910 of the 10,000 were still held at the end.
 func TestHeldRequestsAreForgottenLast(t *testing.T) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
@@ -45,12 +45,12 @@
 		t.Errorf("got %d held, want all %d", got, want)
 	}
 	if requests, ends := led.Size(); requests > maxObservations || ends > maxObservations || led.observationCount > maxObservations {
-		t.Errorf("got %d requests, %d ends and %d pairs, want %d at most", requests, ends, led.observationCount, maxObservations)
+		t.Errorf("got %d requests, %d ends and %d observations, want %d at most", requests, ends, led.observationCount, maxObservations)
 	}
 }
 
-// Where even those that are held are too many, those reported longest ago go, each with a log line, and
-// there is room to learn of new ones.
+// If there are too many held requests, those reported longest ago are evicted, each is passed to the
+// NotifyForgotten function, and room remains for new requests.
 func TestForgottenHeldRequestsAreReported(t *testing.T) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
@@ -62,15 +62,14 @@
 		t.Errorf("got %d of the newest held, want %d", got, want)
 	}
 	if got, want := len(forgotten), deadly-countHeld(led, 0, deadly); got != want {
-		t.Errorf("got a word of %d that were forgotten, want of %d", got, want)
+		t.Errorf("got notified of %d forgotten requests, want %d", got, want)
 	}
 	if got, want := led.Forgotten(), len(forgotten); got != want {
 		t.Errorf("got %d counted, want %d", got, want)
 	}
 }
 
-// Requests that each ended two engines fill what is not held: one that ends three is held all the
-// same.
+// A request that ends three endpoints is held even if requests with two ends each fill the ledger.
 func TestFirstEndIsRememberedWhenFull(t *testing.T) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
@@ -86,8 +85,9 @@
 	}
 }
 
-// floodedLedger knows of so many ends under one request, each of which also ended another one:
-// one that nothing explains, or one that a heavier request explains at each.
+// floodedLedger returns a ledger with the given number of ends of one frequent request, each with
+// other requests in progress. If explained is set, a request with a higher score is in progress at
+// each end too; otherwise nothing explains the ends.
 func floodedLedger(ends int, explained bool) (*Ledger, Fingerprint) {
 	now := time.Unix(1000, 0)
 	led := NewLedger(func() time.Time { return now })
@@ -105,20 +105,20 @@
 	return led, frequent
 }
 
-// Symptom: entries answered nobody for seconds. Sequence: a request that comes often is in
-// progress wherever an endpoint ends, thousands do in ten minutes, and it comes on. Cause: each
-// arrival and each send summed the weight of each request at each of its ends anew, 164 ms with
-// the lock held at 5,000 ends.
+// Guards against entries that answer nobody for seconds: a frequent request is in progress wherever
+// an endpoint ends, thousands of endpoints end in ten minutes, and the request keeps arriving. Each
+// arrival and each send used to recompute the score of every request at every end of this one, which
+// held the lock for 164 ms at 5,000 ends.
 func TestScoringCostIsBounded(t *testing.T) {
 	for _, explained := range []bool{false, true} {
 		for _, ends := range []int{100, 5000} {
 			led, frequent := floodedLedger(ends, explained)
 			score, examined := led.unexplainedScore(led.requests[frequent])
 			if limit := maxScoredEnds * 6; examined > limit {
-				t.Errorf("got %d requests looked at with %d ends (explained: %v), want %d at most", examined, ends, explained, limit)
+				t.Errorf("got %d observations examined with %d ends (explained: %v), want %d at most", examined, ends, explained, limit)
 			}
 			if held := score >= heldScore; held == explained {
-				t.Errorf("got held: %v with %d ends, want it only where nothing explains them", held, ends)
+				t.Errorf("got held: %v with %d ends, want it only if nothing explains them", held, ends)
 			}
 		}
 	}
--- a/relay/quarantine/record.go
+++ b/relay/quarantine/record.go
@@ -6,60 +6,61 @@
 	"time"
 )
 
-// record is what is known of one request under which an endpoint ended.
+// requestRecord is the state of one request that was in progress at an end.
 type requestRecord struct {
 	fingerprint  Fingerprint
-	observations []*observation // in the order in which they were learned; those that count are the last ones
-	// weight is that of the pairs that count, kept as they change: requests are asked for far
-	// more often than endpoints end.
+	observations []*observation // by first report, oldest first; those that count come last
+	// score is the sum over the observations that count. It is updated as they change, because
+	// requests are looked up far more often than endpoints end.
 	score      int
-	lastServed timestamp // when a good answer was last reported; 0: none was
-	// reported is when one was last reported to all, which entries that start later read too.
+	lastServed timestamp // when a successful answer was last recorded; 0: never
+	// servedReported is when a successful answer was last reported to all entries. Entries that
+	// start later read that report too.
 	servedReported timestamp
-	// newest is when any pair was last reported.
+	// lastReported is when any observation was last reported.
 	lastReported timestamp
-	// place is where it stands in the ledger's list of its rank.
+	// rankElement is the record's element in the ledger's list of its rank.
 	rankElement *list.Element
 	rank        int
 }
 
-// ending is what is known of one end of an endpoint: the requests under it, a few dozen at most,
-// since an endpoint has no more in progress.
+// endRecord is the state of one end: the requests that were in progress there. They are a few dozen
+// at most, since an endpoint runs no more at once.
 type endRecord struct {
 	id           End
 	observations []*observation
 }
 
-// pair is one end under one request.
+// observation records that a request was in progress at an end.
 type observation struct {
 	rec           *requestRecord
 	end           *endRecord
 	score         int8
-	counts        bool // it was not learned before the last good answer, nor shortly after it
+	counts        bool // first reported later than servedGrace after the last successful answer
 	firstReported timestamp
-	lastReported  timestamp // when it was learned, or reported again
+	lastReported  timestamp
 }
 
-// moment is a time since the ledger's start: a third of the room of a time.Time. The start itself
-// is none, since nothing happened before.
+// timestamp is a time relative to Ledger.start, in a third of the size of a time.Time. Its zero
+// value means never.
 type timestamp time.Duration
 
-// before reports whether so much time has not passed between two moments.
+// isRecent reports whether less than limit has passed from t until now.
 func (t timestamp) isRecent(now timestamp, limit time.Duration) bool {
 	return time.Duration(now-t) < limit
 }
 
-// servedBefore reports whether a good answer came before the moment at which an end was learned, or
-// so shortly after that the end does not count.
+// discounts reports whether a successful answer at t makes an observation not count that was first
+// reported at the given time: it was reported before the answer, or less than servedGrace after it.
 func (t timestamp) discounts(at timestamp) bool { return t > 0 && t.isRecent(at, servedGrace) }
 
-// queued is a pair in the order of report.
+// queueEntry is a report of an observation, in the queue for expiry.
 type queueEntry struct {
 	obs *observation
 	at  timestamp
 }
 
-// acquit notes a good answer: no end that is known counts any more.
+// markServed records a successful answer: none of the observations so far counts any more.
 func (r *requestRecord) markServed(now timestamp) {
 	r.lastServed, r.score = now, 0
 	for _, obs := range slices.Backward(r.observations) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// of returns the pair of a request at this end; nil: it was not in progress there.
+// find returns the observation of a request at this end, or nil.
 func (e *endRecord) find(rec *requestRecord) *observation {
 	for _, obs := range e.observations {
 		if obs.rec == rec {
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// suspectedSince reports whether one further end would hold the request if it was last served at
-// a time.
+// suspectedIfLastServed reports whether one more end might cause the request to be held if its last
+// successful answer had been at the given time.
 func (r *requestRecord) suspectedIfLastServed(lastServed timestamp) bool {
 	score := 0
 	for _, obs := range slices.Backward(r.observations) {
--- a/relay/quarantine/report.go
+++ b/relay/quarantine/report.go
@@ -2,26 +2,26 @@
 
 import "encoding/hex"
 
-// End names one incarnation of an endpoint that ended.
+// End identifies the incarnation of an endpoint that ended.
 type End struct {
 	Endpoint string `json:"endpoint"`
-	Born     int64  `json:"born,omitempty"` // Unix milliseconds by its own host's clock; 0: unknown
+	Born     int64  `json:"born,omitempty"` // start time in Unix milliseconds by its host's clock; 0: unknown
 }
 
-// Report is what one entry saw and reports to the others: requests in progress at an endpoint when
-// it ended, or requests that were served after such ends.
+// Report is sent by one entry to all others. It lists the requests that were in progress at an
+// endpoint when it ended, or requests that were served after such ends.
 type Report struct {
 	End End `json:"end,omitzero"`
-	// Suspects were in progress there, begun shortly before or perhaps not yet.
+	// Suspects were started shortly before the end, or perhaps not started yet.
 	Suspects []Fingerprint `json:"suspects,omitempty"`
-	// Running were in progress too and had been answered in part: the endpoint ran them and
-	// went on, so that they are to blame less likely.
+	// Running had been partly answered: the endpoint kept running while it processed them, so
+	// they are less likely to be the cause.
 	Running []Fingerprint `json:"running,omitempty"`
-	// Served is requests that an endpoint ran to a good end after such ends.
+	// Served were answered successfully by an endpoint after they had been in progress at ends.
 	Served []Fingerprint `json:"served,omitempty"`
 }
 
-// UnmarshalText reads a fingerprint from hexadecimal.
+// UnmarshalText parses a fingerprint in hexadecimal.
 func (p *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(p)) {
 		return errFingerprintLength
--- a/relay/quarantine/simulation_test.go
+++ b/relay/quarantine/simulation_test.go
@@ -9,30 +9,32 @@
 	"time"
 )
 
-// What the simulated fleet does, seconds of virtual time where a length is meant.
+// Parameters of the simulated fleet, in virtual time.
 const (
 	simLength = 60 * time.Second
-	// contact is the platform's time after which an entry that was cut off is bound again.
+	// reconnectTimeout is the platform's time limit after which an entry that was disconnected
+	// must hold the deadly request again.
 	reconnectTimeout = 3 * time.Second
-	// stored is from an end until the store has the report: the look and the call.
+	// storeDelay is the time from an end until the store has the report: the check whether the
+	// endpoint ended, and the call to the store.
 	storeDelay = 60 * time.Millisecond
-	// learnedMost is the longest until an entry that can be reached learns of it: the gap
-	// between two watches, the gap between two replies to a follower, and the ways.
+	// maxPropagationDelay is the longest time until a connected entry receives the report: the
+	// gap between two watches, the gap between two replies to a follower, and the network.
 	maxPropagationDelay = 600 * time.Millisecond
-	// runTime is how long an innocent request is in progress, begun is when a deadly one has
-	// waited at its endpoint and ends it.
+	// harmlessRunTime is how long a harmless request runs; deadlyRunTime is how long a deadly
+	// one is at an endpoint, waiting included, before the endpoint ends.
 	harmlessRunTime = 1500 * time.Millisecond
 	deadlyRunTime   = 250 * time.Millisecond
-	// answered is when an innocent one has been answered in part.
+	// partialAnswerTime is the time after which a harmless request has been partly answered.
 	partialAnswerTime = 600 * time.Millisecond
-	// perRoute is the attempts that a route allows to one try.
+	// maxAttempts is the number of attempts that a route allows for one call.
 	maxAttempts = 2
 )
 
-// event is something that happens at a time.
+// event is a scheduled call.
 type event struct {
 	at  time.Duration
-	seq int // order of events at one time
+	seq int // order among events at the same time
 	do  func()
 }
 
@@ -50,7 +52,8 @@
 	return last
 }
 
-// simFleet is entries before endpoints that share a store, in virtual time.
+// simFleet simulates entries that share a store and send requests to endpoints, in virtual time.
+// The deadly request ends every endpoint that runs it.
 type simFleet struct {
 	random *rand.Rand
 	now    time.Duration
@@ -61,39 +64,39 @@
 	endpoints        []*simEndpoint
 	store            []Report
 	storeWrites      int
-	endpointsStarted int // endpoints, for their ids
+	endpointsStarted int // for endpoint IDs
 
 	deadly           Fingerprint
-	deadlyEnds       int           // under the deadly request
-	thirdEndAt       time.Duration // 0: not yet
-	lateSends        int           // by entries in touch, later than contact after the third end
+	deadlyEnds       int           // caused by the deadly request
+	thirdEndAt       time.Duration // when the deadly request caused its third end; 0: not yet
+	lateSends        int           // deadly ones by connected entries, later than reconnectTimeout after thirdEndAt
 	deadlySends      int
 	harmlessRequests int
-	harmlessRefused  int // innocent ones that were held
-	otherEnds        int // endpoints that ended for a reason of their own
-	maxWritesPerEnd  int // of one end
+	harmlessRefused  int // harmless requests refused because they were held
+	otherEnds        int // ends not caused by the deadly request
+	maxWritesPerEnd  int // reports written to the store about one end
 }
 
 type simEntry struct {
 	ledger            *Ledger
 	stopped           bool
 	disconnectedUntil time.Duration
-	connectedSince    time.Duration // since when it could be in touch
+	connectedSince    time.Duration // when it was last reconnected; 0: connected from the start
 }
 
-// simEndpoint is one incarnation.
+// simEndpoint is one incarnation of an endpoint.
 type simEndpoint struct {
 	id      string
 	down    bool
 	running []*simRequest
 }
 
-// simRequest is one try of a request.
+// simRequest is one call of a request by its caller.
 type simRequest struct {
 	fingerprint   Fingerprint
 	entry         *simEntry
 	attempts      int
-	callerRetries int // of its caller
+	callerRetries int // how often the caller will call again
 	sentAt        time.Duration
 }
 
@@ -123,6 +126,7 @@
 	return &simEndpoint{id: fmt.Sprintf("i-%d", f.endpointsStarted)}
 }
 
+// schedule runs do after the given time.
 func (f *simFleet) schedule(wait time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.queue, event{f.now + wait, f.seq, do})
@@ -143,7 +147,7 @@
 	}
 }
 
-// anyEntry returns a live entry.
+// randomLiveEntry returns a random entry that has not stopped.
 func (f *simFleet) randomLiveEntry() *simEntry {
 	for {
 		if entry := f.entries[f.random.IntN(len(f.entries))]; !entry.stopped {
@@ -152,12 +156,13 @@
 	}
 }
 
-// ask begins a try of a request and lets it come again where it fails.
+// submit calls a random entry with a request; if it fails, the caller calls again up to
+// callerRetries times.
 func (f *simFleet) submit(fp Fingerprint, callerRetries int) {
 	f.send(&simRequest{fingerprint: fp, entry: f.randomLiveEntry(), callerRetries: callerRetries})
 }
 
-// send sends a try to an endpoint once there is a place.
+// send sends a request to a random endpoint after a random wait for capacity.
 func (f *simFleet) send(req *simRequest) {
 	f.schedule(f.randomUpTo(300*time.Millisecond), func() {
 		if req.entry.stopped {
@@ -203,7 +208,7 @@
 	}
 }
 
-// end ends an endpoint; those in progress break off and go on elsewhere.
+// endEndpoint ends an endpoint, reports the end and retries the requests in progress there.
 func (f *simFleet) endEndpoint(endpoint *simEndpoint, deadly bool) {
 	if endpoint.down {
 		return
@@ -252,7 +257,7 @@
 	}
 }
 
-// goOn sends what broke to another endpoint, or lets its caller come again.
+// retry sends a failed request to another endpoint, or lets its caller call again.
 func (f *simFleet) retry(req *simRequest) {
 	if req.attempts < maxAttempts {
 		f.send(req)
@@ -261,7 +266,7 @@
 	}
 }
 
-// publish writes a report to the store and from there to all entries that can be reached.
+// publish writes a report to the store, which delivers it to all entries.
 func (f *simFleet) publish(from *simEntry, report Report) {
 	f.schedule(max(storeDelay/2, from.disconnectedUntil-f.now), func() {
 		if from.stopped {
@@ -279,6 +284,7 @@
 	})
 }
 
+// deliver passes a report to an entry's ledger once the entry is connected.
 func (f *simFleet) deliver(entry *simEntry, report Report) {
 	f.schedule(f.randomUpTo(maxPropagationDelay)+max(0, entry.disconnectedUntil-f.now), func() {
 		if entry.disconnectedUntil > f.now {
@@ -289,7 +295,7 @@
 	})
 }
 
-// every calls do again and again at random times.
+// every calls do repeatedly at random intervals.
 func (f *simFleet) every(mean time.Duration, do func()) {
 	f.schedule(f.randomUpTo(2*mean), func() {
 		do()
@@ -297,14 +303,14 @@
 	})
 }
 
-// Symptom: as in TestRequestThatEndsEndpointsIsStopped of the entry, at any size. In virtual
-// time a deadly request comes again at any entry, seldom or by tens a second, among others in
-// progress at each endpoint; some endpoints end for reasons of their own, entries are cut off
-// for seconds, killed, and new ones come.
+// Guards against the failure of the entry's TestRequestThatEndsEndpointsIsStopped at any fleet
+// size: a deadly request keeps ending endpoints. It is sent to random entries, seldom or tens of
+// times a second, while other requests are in progress at each endpoint; some endpoints end for
+// other reasons, and entries are disconnected for seconds, killed and replaced.
 func TestDeadlyRequestIsHeldEverywhere(t *testing.T) {
 	for _, size := range []struct {
 		entries, endpoints, load int
-		every                    time.Duration // mean pause between two tries of the deadly one
+		every                    time.Duration // mean interval between two calls of the deadly request
 		seeds                    uint64
 	}{
 		{9, 14, 80, 600 * time.Millisecond, 20},
@@ -327,13 +333,13 @@
 	}
 }
 
-// trouble brings about everything but the deadly request.
+// scheduleLoadAndFaults schedules the harmless requests, other ends, and faults of entries.
 func (f *simFleet) scheduleLoadAndFaults(load int) {
 	f.every(time.Second/time.Duration(load), func() {
 		f.harmlessRequests++
 		f.submit(Of("c", "POST", "h", fmt.Sprintf("/%d", f.harmlessRequests), nil), 1)
 	})
-	// One request comes again and again and is in progress at most ends.
+	// One harmless request is so frequent that it is in progress at most ends.
 	f.every(50*time.Millisecond, func() {
 		f.harmlessRequests++
 		f.submit(Of("c", "GET", "h", "/status", nil), 1)
@@ -353,14 +359,14 @@
 func (f *simFleet) check(t *testing.T) {
 	t.Helper()
 	if f.deadlyEnds < endsToHold {
-		t.Fatalf("got %d ends under the deadly request, want it to show what it does", f.deadlyEnds)
+		t.Fatalf("got %d ends under the deadly request, want enough to hold it", f.deadlyEnds)
 	}
 	if f.lateSends > 3 {
-		t.Errorf("got %d sends by entries in touch later than %v after the third end, want 3 at most", f.lateSends, reconnectTimeout)
+		t.Errorf("got %d sends by connected entries later than %v after the third end, want 3 at most", f.lateSends, reconnectTimeout)
 	}
 	if f.harmlessRefused > f.harmlessRequests/1000 {
-		t.Errorf("got %d of %d others refused, want 1 in 1000 at most", f.harmlessRefused, f.harmlessRequests)
+		t.Errorf("got %d of %d harmless requests refused, want 1 in 1000 at most", f.harmlessRefused, f.harmlessRequests)
 	}
-	t.Logf("%d sends, %d ends, %d late; %d others, %d refused; %d ends otherwise, %d writes, %d at most for one end",
+	t.Logf("deadly: %d sends, %d ends, %d late sends; harmless: %d requests, %d refused; %d other ends, %d writes, %d at most for one end",
 		f.deadlySends, f.deadlyEnds, f.lateSends, f.harmlessRequests, f.harmlessRefused, f.otherEnds, f.storeWrites, f.maxWritesPerEnd)
 }
