--- a/entry/internal/upstream/conn.go
+++ b/entry/internal/upstream/conn.go
@@ -20,46 +20,46 @@
 
 const (
 	// readBuffer holds the head of an answer and a few events.
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10
 	// writeBuffer lets a usual request go out in one packet.
-	writeBuffer = 2 << 10
+	writeBufferSize = 2 << 10
 	// patienceSlice is how often a read that waits looks whether it should go
 	// on.
-	patienceSlice = 250 * time.Millisecond
+	pollInterval = 250 * time.Millisecond
 )
 
 // errImpatient says that the reader of an answer gave it up.
-var errImpatient = errors.New("the answer was given up")
+var errReadAbandoned = errors.New("the answer was given up")
 
 // Conn is a connection to one endpoint. One goroutine at a time uses it.
 type Conn struct {
-	raw    net.Conn
-	to     Target
-	reader *bufio.Reader
-	writer *bufio.Writer
-	idleAt time.Time     // when it was put back
-	keep   time.Duration // how long the endpoint keeps it while idle
+	netConn     net.Conn
+	target      Target
+	reader      *bufio.Reader
+	writer      *bufio.Writer
+	idleSince   time.Time     // when it was put back
+	idleTimeout time.Duration // how long the endpoint keeps it while idle
 
 	cancelled atomic.Bool
 	// patient is asked from time to time while a read waits; false ends it.
-	patient func(waited time.Duration) bool
-	late    time.Duration // by which the latest of these times was missed
+	keepWaiting func(waited time.Duration) bool
+	wakeDelay   time.Duration // by which the latest of these times was missed
 }
 
-func newConn(raw net.Conn, to Target) *Conn {
-	c := &Conn{raw: raw, to: to}
-	c.reader = bufio.NewReaderSize(patientReader{c}, readBuffer)
-	c.writer = bufio.NewWriterSize(raw, writeBuffer)
+func newConn(netConn net.Conn, target Target) *Conn {
+	c := &Conn{netConn: netConn, target: target}
+	c.reader = bufio.NewReaderSize(pollingReader{c}, readBufferSize)
+	c.writer = bufio.NewWriterSize(netConn, writeBufferSize)
 	return c
 }
 
 // SetPatience sets what decides whether a read goes on waiting; nil waits for
 // ever.
-func (c *Conn) SetPatience(patient func(waited time.Duration) bool) { c.patient, c.late = patient, 0 }
+func (c *Conn) SetPatience(f func(waited time.Duration) bool) { c.keepWaiting, c.wakeDelay = f, 0 }
 
 // Send writes a request; deadline bounds the write.
 func (c *Conn) Send(req *http.Request, deadline time.Time) error {
-	if err := c.raw.SetWriteDeadline(deadline); err != nil {
+	if err := c.netConn.SetWriteDeadline(deadline); err != nil {
 		return err
 	}
 	if err := req.Write(c.writer); err != nil {
@@ -79,48 +79,48 @@
 // its caller left. Any goroutine may call it.
 func (c *Conn) Cancel() {
 	c.cancelled.Store(true)
-	if tcp, ok := c.raw.(*net.TCPConn); ok {
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	_ = c.raw.SetDeadline(time.Unix(1, 0))
+	_ = c.netConn.SetDeadline(time.Unix(1, 0))
 }
 
 // Late returns by how much a read that waited was woken too late at most: this process
 // itself stood still for so long.
-func (c *Conn) Late() time.Duration { return c.late }
+func (c *Conn) Late() time.Duration { return c.wakeDelay }
 
 // Close ends the connection.
-func (c *Conn) Close() { _ = c.raw.Close() }
+func (c *Conn) Close() { _ = c.netConn.Close() }
 
 // patientReader reads with a deadline that is put off as long as the
 // connection's patience lasts. A reader above it sees no time-out and so does
 // not break off where it could have gone on.
-type patientReader struct{ conn *Conn }
+type pollingReader struct{ conn *Conn }
 
-func (r patientReader) Read(into []byte) (int, error) {
+func (r pollingReader) Read(buf []byte) (int, error) {
 	c := r.conn
 	// Whole looks are counted: a process that stood still itself sees at the next look what
 	// came meanwhile.
 	waited := time.Duration(0)
 	for {
 		if c.cancelled.Load() {
-			return 0, errImpatient
+			return 0, errReadAbandoned
 		}
-		look := time.Now().Add(patienceSlice)
-		if c.patient != nil {
-			_ = c.raw.SetReadDeadline(look)
+		deadline := time.Now().Add(pollInterval)
+		if c.keepWaiting != nil {
+			_ = c.netConn.SetReadDeadline(deadline)
 			if c.cancelled.Load() {
-				return 0, errImpatient
+				return 0, errReadAbandoned
 			}
 		}
-		n, err := c.raw.Read(into)
+		n, err := c.netConn.Read(buf)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		c.late = max(c.late, time.Since(look))
-		waited += patienceSlice
-		if c.cancelled.Load() || c.patient == nil || !c.patient(waited) {
-			return 0, errImpatient
+		c.wakeDelay = max(c.wakeDelay, time.Since(deadline))
+		waited += pollInterval
+		if c.cancelled.Load() || c.keepWaiting == nil || !c.keepWaiting(waited) {
+			return 0, errReadAbandoned
 		}
 	}
 }
@@ -128,22 +128,22 @@
 // quiet reports whether an idle connection is still open and has brought
 // nothing: bytes that nobody asked for belong to no request, and the next
 // answer could not be distinguished from them.
-func (c *Conn) quiet() bool {
+func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sys, ok := c.raw.(syscall.Conn)
+	sysConn, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	rawConn, err := sys.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := false
 	err = rawConn.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, err := syscall.Read(int(fd), one[:])
+		var buf [1]byte
+		n, err := syscall.Read(int(fd), buf[:])
 		open = n < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK))
 		return true
 	})
@@ -151,11 +151,11 @@
 }
 
 // drained reports whether an answer was read to its end and nothing follows.
-func drained(body io.Reader, reader *bufio.Reader) bool {
-	var one [1]byte
-	n, err := body.Read(one[:])
+func fullyRead(body io.Reader, reader *bufio.Reader) bool {
+	var buf [1]byte
+	n, err := body.Read(buf[:])
 	return n == 0 && errors.Is(err, io.EOF) && reader.Buffered() == 0
 }
 
 // GivenUp reports whether a read ended because its patience did.
-func GivenUp(err error) bool { return errors.Is(err, errImpatient) }
+func GivenUp(err error) bool { return errors.Is(err, errReadAbandoned) }
--- a/entry/internal/upstream/conn_test.go
+++ b/entry/internal/upstream/conn_test.go
@@ -18,7 +18,7 @@
 // and the kernel goes on delivering what it holds before the close. Cause: an
 // orderly close promises just that. The endpoint here reads nothing until the
 // request was given up, so that most of it stands in our kernel.
-func TestWhatWasGivenUpIsNotDeliveredLater(t *testing.T) {
+func TestCancelledRequestIsNotDelivered(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/entry/internal/upstream/pool.go
+++ b/entry/internal/upstream/pool.go
@@ -20,8 +20,8 @@
 	userTimeout = 3 * time.Second
 	// defaultKeep is how long an idle connection is used where the endpoint
 	// does not say; keepMargin is what is left of the time that it says.
-	defaultKeep = 4 * time.Second
-	keepMargin  = 700 * time.Millisecond
+	defaultIdleTimeout = 4 * time.Second
+	idleTimeoutMargin  = 700 * time.Millisecond
 	// maxIdle bounds the idle connections kept to one endpoint.
 	maxIdle = 12
 )
@@ -38,11 +38,11 @@
 	now  func() time.Time
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
-	mu    sync.Mutex
-	idle  map[Target][]*Conn // newest last
-	swept time.Time
-	dials uint64
-	uses  uint64
+	mu        sync.Mutex
+	idle      map[Target][]*Conn // newest last
+	lastSweep time.Time
+	dials     uint64
+	uses      uint64
 }
 
 // NewPool returns an empty pool.
@@ -56,32 +56,32 @@
 
 // Dial opens a connection that ends when its peer goes silent.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: control}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.DialContext(ctx, network, address)
 }
 
 // control makes a connection end whose peer went silent: without it one behind
 // a cut hangs for ever.
-func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+func setUserTimeout(_, _ string, rawConn syscall.RawConn) error {
+	var sockErr error
+	err := rawConn.Control(func(fd uintptr) {
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // Get returns an idle connection to the target or a new one. Nothing was sent
 // where it fails.
-func (p *Pool) Get(ctx context.Context, to Target) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, target Target) (*Conn, error) {
 	for {
-		conn := p.take(to)
+		conn := p.takeIdle(target)
 		if conn == nil {
 			break
 		}
-		if conn.quiet() {
+		if conn.reusable() {
 			return conn, nil
 		}
 		conn.Close()
@@ -89,51 +89,51 @@
 	p.mu.Lock()
 	p.dials++
 	p.mu.Unlock()
-	raw, err := p.dial(ctx, to.Address)
+	netConn, err := p.dial(ctx, target.Address)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(raw, to), nil
+	return newConn(netConn, target), nil
 }
 
-func (p *Pool) take(to Target) *Conn {
+func (p *Pool) takeIdle(target Target) *Conn {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.uses++
 	p.sweep(now)
-	list := p.idle[to]
-	for len(list) > 0 {
-		conn := list[len(list)-1]
-		list = list[:len(list)-1]
-		if now.Sub(conn.idleAt) < conn.keep {
-			p.idle[to] = list
+	conns := p.idle[target]
+	for len(conns) > 0 {
+		conn := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		if now.Sub(conn.idleSince) < conn.idleTimeout {
+			p.idle[target] = conns
 			return conn
 		}
 		conn.Close()
 	}
-	delete(p.idle, to)
+	delete(p.idle, target)
 	return nil
 }
 
 // sweep closes what has been idle for too long, at most once a second.
 func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < time.Second {
+	if now.Sub(p.lastSweep) < time.Second {
 		return
 	}
-	p.swept = now
-	for to, list := range p.idle {
-		kept := list[:0]
-		for _, conn := range list {
-			if now.Sub(conn.idleAt) < conn.keep {
+	p.lastSweep = now
+	for target, conns := range p.idle {
+		kept := conns[:0]
+		for _, conn := range conns {
+			if now.Sub(conn.idleSince) < conn.idleTimeout {
 				kept = append(kept, conn)
 			} else {
 				conn.Close()
 			}
 		}
-		p.idle[to] = kept
+		p.idle[target] = kept
 		if len(kept) == 0 {
-			delete(p.idle, to)
+			delete(p.idle, target)
 		}
 	}
 }
@@ -141,45 +141,45 @@
 // Put takes back a connection whose answer was read; it is kept only if the
 // answer ended cleanly, both sides go on and there is room for so many idle ones. keep is
 // the time that the endpoint sent, 0 where it did not.
-func (p *Pool) Put(conn *Conn, resp *http.Response, keep time.Duration, room int) {
+func (p *Pool) Put(conn *Conn, resp *http.Response, idleTimeout time.Duration, limit int) {
 	conn.SetPatience(nil)
 	if resp.Close || conn.cancelled.Load() || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 ||
-		!drained(resp.Body, conn.reader) {
+		!fullyRead(resp.Body, conn.reader) {
 		conn.Close()
 		return
 	}
-	if keep > 0 {
-		p.keepIdle(conn, keep-keepMargin, room)
+	if idleTimeout > 0 {
+		p.putIdle(conn, idleTimeout-idleTimeoutMargin, limit)
 	} else {
-		p.keepIdle(conn, defaultKeep, room)
+		p.putIdle(conn, defaultIdleTimeout, limit)
 	}
 }
 
 // keepIdle keeps a connection on which nothing is in progress for so long.
-func (p *Pool) keepIdle(conn *Conn, keep time.Duration, room int) {
-	_ = conn.raw.SetReadDeadline(time.Time{})
-	conn.keep, conn.idleAt = keep, p.now()
+func (p *Pool) putIdle(conn *Conn, idleTimeout time.Duration, limit int) {
+	_ = conn.netConn.SetReadDeadline(time.Time{})
+	conn.idleTimeout, conn.idleSince = idleTimeout, p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn.keep <= 0 || len(p.idle[conn.to]) >= min(maxIdle, room) {
+	if conn.idleTimeout <= 0 || len(p.idle[conn.target]) >= min(maxIdle, limit) {
 		conn.Close()
 		return
 	}
-	p.idle[conn.to] = append(p.idle[conn.to], conn)
+	p.idle[conn.target] = append(p.idle[conn.target], conn)
 }
 
 // Listens reports whether anything listens at the target. A connection that was kept and
 // is still open, or a new one, shows it and is kept for the next request; a port that
 // refuses shows that nothing does. Any other end shows neither: err is not nil then.
-func (p *Pool) Listens(ctx context.Context, to Target) (bool, error) {
-	conn, err := p.Get(ctx, to)
+func (p *Pool) Listens(ctx context.Context, target Target) (bool, error) {
+	conn, err := p.Get(ctx, target)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	p.keepIdle(conn, defaultKeep, maxIdle)
+	p.putIdle(conn, defaultIdleTimeout, maxIdle)
 	return true, nil
 }
 
