--- a/entry/internal/upstream/conn.go
+++ b/entry/internal/upstream/conn.go
@@ -1,8 +1,8 @@
-// Package upstream carries requests to endpoints: each request goes out once,
-// on a connection that this package owns.
+// Package upstream sends requests to endpoints. Each request is sent once, on a
+// connection from this package's pool.
 //
-// The library's own transport is no use here: it sends some requests again by
-// itself when a kept connection turns out to be closed, and what must run once
+// It does not use http.Transport, which resends some requests by itself when a
+// kept connection turns out to be closed: a request that must run at most once
 // would run twice.
 package upstream
 
@@ -19,31 +19,32 @@
 )
 
 const (
-	// readBuffer holds the head of an answer and a few events.
+	// readBufferSize has room for the header of a response and a few events.
 	readBufferSize = 4 << 10
-	// writeBuffer lets a usual request go out in one packet.
+	// writeBufferSize lets a usual request be sent in one packet.
 	writeBufferSize = 2 << 10
-	// patienceSlice is how often a read that waits looks whether it should go
-	// on.
+	// pollInterval is how often a waiting read checks whether to continue.
 	pollInterval = 250 * time.Millisecond
 )
 
-// errImpatient says that the reader of an answer gave it up.
-var errReadAbandoned = errors.New("the answer was given up")
+// errReadAbandoned is returned by reads that were cancelled, or that the function
+// set by SetPatience stopped.
+var errReadAbandoned = errors.New("gave up reading the response")
 
-// Conn is a connection to one endpoint. One goroutine at a time uses it.
+// Conn is a connection to one endpoint. Except for Cancel, its methods may not be
+// called concurrently.
 type Conn struct {
 	netConn     net.Conn
 	target      Target
 	reader      *bufio.Reader
 	writer      *bufio.Writer
-	idleSince   time.Time     // when it was put back
-	idleTimeout time.Duration // how long the endpoint keeps it while idle
+	idleSince   time.Time     // when it was put into the pool
+	idleTimeout time.Duration // how long it may be reused while idle
 
 	cancelled atomic.Bool
-	// patient is asked from time to time while a read waits; false ends it.
+	// keepWaiting is called every pollInterval while a read waits; false ends the read.
 	keepWaiting func(waited time.Duration) bool
-	wakeDelay   time.Duration // by which the latest of these times was missed
+	wakeDelay   time.Duration // largest delay of a read's wake-up after its poll deadline
 }
 
 func newConn(netConn net.Conn, target Target) *Conn {
@@ -53,11 +54,11 @@
 	return c
 }
 
-// SetPatience sets what decides whether a read goes on waiting; nil waits for
-// ever.
+// SetPatience sets the function that decides whether a read keeps waiting. With
+// nil, reads wait without a limit.
 func (c *Conn) SetPatience(f func(waited time.Duration) bool) { c.keepWaiting, c.wakeDelay = f, 0 }
 
-// Send writes a request; deadline bounds the write.
+// Send writes a request. The write fails at the deadline.
 func (c *Conn) Send(req *http.Request, deadline time.Time) error {
 	if err := c.netConn.SetWriteDeadline(deadline); err != nil {
 		return err
@@ -68,15 +69,15 @@
 	return c.writer.Flush()
 }
 
-// Receive reads the head of an answer to the request.
+// Receive reads the response to the request up to its body.
 func (c *Conn) Receive(req *http.Request) (*http.Response, error) {
 	return http.ReadResponse(c.reader, req)
 }
 
-// Cancel gives up what was sent: reads and writes in progress and later ones fail,
-// and the close that follows is a reset. After an orderly close the kernel would still deliver
-// what it has queued, so that a request behind a narrow link would reach its endpoint long after
-// its caller left. Any goroutine may call it.
+// Cancel abandons the request: reads and writes in progress and later ones fail, and
+// Close resets the connection. After an orderly close the kernel would still deliver
+// the data in its send queue, so that over a slow link a request would reach its
+// endpoint long after its caller left. Cancel may be called from any goroutine.
 func (c *Conn) Cancel() {
 	c.cancelled.Store(true)
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
@@ -85,22 +86,22 @@
 	_ = c.netConn.SetDeadline(time.Unix(1, 0))
 }
 
-// Late returns by how much a read that waited was woken too late at most: this process
-// itself stood still for so long.
+// Late returns the largest delay with which a waiting read was woken after its poll
+// deadline. A large value means that this process itself was stalled for that long.
 func (c *Conn) Late() time.Duration { return c.wakeDelay }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() { _ = c.netConn.Close() }
 
-// patientReader reads with a deadline that is put off as long as the
-// connection's patience lasts. A reader above it sees no time-out and so does
-// not break off where it could have gone on.
+// pollingReader reads with a deadline that is extended as long as keepWaiting
+// allows. A reader on top of it sees no time-outs, so it does not fail while the
+// read may continue.
 type pollingReader struct{ conn *Conn }
 
 func (r pollingReader) Read(buf []byte) (int, error) {
 	c := r.conn
-	// Whole looks are counted: a process that stood still itself sees at the next look what
-	// came meanwhile.
+	// The wait is counted in poll intervals instead of elapsed time: after this process was
+	// stalled, the next read still gets the data that arrived meanwhile.
 	waited := time.Duration(0)
 	for {
 		if c.cancelled.Load() {
@@ -125,9 +126,9 @@
 	}
 }
 
-// quiet reports whether an idle connection is still open and has brought
-// nothing: bytes that nobody asked for belong to no request, and the next
-// answer could not be distinguished from them.
+// reusable reports whether an idle connection is still open and has received no
+// data. Unexpected bytes belong to no request and could not be told apart from
+// the next response.
 func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -150,12 +151,14 @@
 	return err == nil && open
 }
 
-// drained reports whether an answer was read to its end and nothing follows.
+// fullyRead reports whether a response body was read to its end and no data
+// follows it.
 func fullyRead(body io.Reader, reader *bufio.Reader) bool {
 	var buf [1]byte
 	n, err := body.Read(buf[:])
 	return n == 0 && errors.Is(err, io.EOF) && reader.Buffered() == 0
 }
 
-// GivenUp reports whether a read ended because its patience did.
+// GivenUp reports whether a read failed because it was cancelled, or because the
+// function set by SetPatience stopped it.
 func GivenUp(err error) bool { return errors.Is(err, errReadAbandoned) }
--- a/entry/internal/upstream/conn_test.go
+++ b/entry/internal/upstream/conn_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// Symptom: requests reach endpoints up to a second after their callers left (GONE
-// of the platform's rules). Sequence: the link to an endpoint's host is squeezed
-// and what was sent stands in a queue; the caller leaves, the connection is closed,
-// and the kernel goes on delivering what it holds before the close. Cause: an
-// orderly close promises just that. The endpoint here reads nothing until the
-// request was given up, so that most of it stands in our kernel.
+// Guards against requests that reach endpoints up to a second after their callers
+// left (rule GONE of the platform). The link to an endpoint's host is slow, so the
+// sent data is queued; the caller leaves and the connection is closed, but an
+// orderly close makes the kernel deliver the queue first. The endpoint in this test
+// reads nothing until the request was cancelled, so most of it is still in the
+// sender's kernel.
 func TestCancelledRequestIsNotDelivered(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 	release := time.AfterFunc(50*time.Millisecond, conn.Cancel)
 	defer release.Stop()
 	if err := conn.Send(req, time.Now().Add(time.Minute)); err == nil {
-		t.Fatal("got a request sent that nobody read")
+		t.Fatal("got no error from Send, want one: the peer read nothing")
 	}
 	conn.Close()
 	got, err := io.Copy(io.Discard, peer)
--- a/entry/internal/upstream/pool.go
+++ b/entry/internal/upstream/pool.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// dialTimeout bounds a new connection: many round trips, and little enough
-	// to try another endpoint in time.
+	// dialTimeout limits the time to connect. It allows for many round trips and
+	// leaves time to try another endpoint.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout ends a connection whose peer acknowledges nothing.
+	// userTimeout is the time after which a connection fails if its peer does not
+	// acknowledge sent data.
 	userTimeout = 3 * time.Second
-	// defaultKeep is how long an idle connection is used where the endpoint
-	// does not say; keepMargin is what is left of the time that it says.
+	// defaultIdleTimeout is how long an idle connection may be reused if the
+	// endpoint sent no time-out; idleTimeoutMargin is subtracted from one that it
+	// sent.
 	defaultIdleTimeout = 4 * time.Second
 	idleTimeoutMargin  = 700 * time.Millisecond
-	// maxIdle bounds the idle connections kept to one endpoint.
+	// maxIdle limits the idle connections to one target.
 	maxIdle = 12
 )
 
-// Target is one incarnation of what listens at an address. A connection to a former incarnation
-// may look open behind a cut, and what is sent on it is lost.
+// Target is one incarnation of the endpoint at an address. Incarnations are kept apart because,
+// after a network partition, a connection to a former one may still look open, and requests sent
+// on it would be lost.
 type Target struct {
 	Address string // "IP:PORT"
-	Born    int64  // of the incarnation; 0: unknown
+	Born    int64  // start time that identifies the incarnation; 0: unknown
 }
 
-// Pool keeps connections to endpoints by target. It is safe for concurrent use.
+// Pool keeps idle connections to endpoints by target. It is safe for concurrent use.
 type Pool struct {
 	now  func() time.Time
 	dial func(ctx context.Context, address string) (net.Conn, error)
@@ -54,14 +57,14 @@
 	}
 }
 
-// Dial opens a connection that ends when its peer goes silent.
+// Dial opens a connection that fails if its peer stops acknowledging data.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// control makes a connection end whose peer went silent: without it one behind
-// a cut hangs for ever.
+// setUserTimeout sets TCP_USER_TIMEOUT. Without it a connection hangs forever when
+// the network to its peer is cut.
 func setUserTimeout(_, _ string, rawConn syscall.RawConn) error {
 	var sockErr error
 	err := rawConn.Control(func(fd uintptr) {
@@ -73,8 +76,8 @@
 	return sockErr
 }
 
-// Get returns an idle connection to the target or a new one. Nothing was sent
-// where it fails.
+// Get returns an idle connection to the target or opens a new one. If it fails,
+// no request data was sent.
 func (p *Pool) Get(ctx context.Context, target Target) (*Conn, error) {
 	for {
 		conn := p.takeIdle(target)
@@ -96,6 +99,8 @@
 	return newConn(netConn, target), nil
 }
 
+// takeIdle removes the newest idle connection to the target from the pool. It
+// returns nil if there is none within its idle time-out.
 func (p *Pool) takeIdle(target Target) *Conn {
 	now := p.now()
 	p.mu.Lock()
@@ -116,7 +121,8 @@
 	return nil
 }
 
-// sweep closes what has been idle for too long, at most once a second.
+// sweep closes connections that were idle for too long. It runs at most once a
+// second; p.mu must be locked.
 func (p *Pool) sweep(now time.Time) {
 	if now.Sub(p.lastSweep) < time.Second {
 		return
@@ -138,9 +144,10 @@
 	}
 }
 
-// Put takes back a connection whose answer was read; it is kept only if the
-// answer ended cleanly, both sides go on and there is room for so many idle ones. keep is
-// the time that the endpoint sent, 0 where it did not.
+// Put returns a connection to the pool after its response was read. The connection
+// is kept only if the response ended cleanly, neither side is closing, and fewer
+// than limit connections to the target are idle. idleTimeout is the time that the
+// endpoint sent, or 0 if it sent none.
 func (p *Pool) Put(conn *Conn, resp *http.Response, idleTimeout time.Duration, limit int) {
 	conn.SetPatience(nil)
 	if resp.Close || conn.cancelled.Load() || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 ||
@@ -155,7 +162,8 @@
 	}
 }
 
-// keepIdle keeps a connection on which nothing is in progress for so long.
+// putIdle adds a connection without a request in progress to the pool, or closes
+// it if there is no room.
 func (p *Pool) putIdle(conn *Conn, idleTimeout time.Duration, limit int) {
 	_ = conn.netConn.SetReadDeadline(time.Time{})
 	conn.idleTimeout, conn.idleSince = idleTimeout, p.now()
@@ -168,9 +176,10 @@
 	p.idle[conn.target] = append(p.idle[conn.target], conn)
 }
 
-// Listens reports whether anything listens at the target. A connection that was kept and
-// is still open, or a new one, shows it and is kept for the next request; a port that
-// refuses shows that nothing does. Any other end shows neither: err is not nil then.
+// Listens reports whether a process listens at the target. An idle connection that is
+// still open, or a successful new one, shows that it does, and is kept for the next
+// request; a refused connection shows that it does not. Any other failure shows neither
+// and is returned as an error.
 func (p *Pool) Listens(ctx context.Context, target Target) (bool, error) {
 	conn, err := p.Get(ctx, target)
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -183,7 +192,8 @@
 	return true, nil
 }
 
-// Counts returns how many connections were asked for and how many were new.
+// Counts returns how many connections were requested and how many of them were
+// dialled.
 func (p *Pool) Counts() (uses, dials uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
