--- a/relay/once/authority_test.go
+++ b/relay/once/authority_test.go
@@ -11,7 +11,7 @@
 
 // TestNeverTwoRuns simulates owners, claimants and a network that loses, delays
 // and duplicates messages. Owners crash and hand over their keys, and the clock
-// runs past Horizon. A key may be run by one claimant at a time, and never again
+// runs past the keys' maximum age. A key may be run by one claimant at a time, and never again
 // unless its last run was proved not to have happened.
 func TestNeverTwoRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/relay/once/reclaim.go
+++ b/relay/once/reclaim.go
@@ -11,8 +11,7 @@
 // may then get different answers, but the request never runs twice.
 const maxReclaimDelays = 4096
 
-// reclaimDelays remembers released keys until they may be claimed again, for the
-// duration Hold.
+// reclaimDelays remembers released keys until they may be claimed again.
 type reclaimDelays struct {
 	until map[uuid.UUID]time.Time
 	order []uuid.UUID // oldest first; contains exactly the keys of until
--- a/relay/once/table.go
+++ b/relay/once/table.go
@@ -12,10 +12,10 @@
 	Horizon = time.Hour
 	// MaxAhead is how far a caller's clock may be ahead of the owner's.
 	MaxAhead = 5 * time.Minute
-	// Hold is how long a key cannot be claimed again after its run was proved not to
-	// have happened, so that a caller that sent the key twice at the same time gets
-	// the same answer to both. Without the delay the second request would run after
-	// the first was answered "notRun".
+	// Hold is the reclaim delay: how long a key cannot be claimed again after its run
+	// was proved not to have happened. A caller that sent the key twice at the same
+	// time thus gets the same answer twice. Without the delay the second request would
+	// run after the first was answered "notRun".
 	Hold = 500 * time.Millisecond
 	// generationSpan is the creation time span of keys that are removed together.
 	generationSpan = time.Minute
@@ -33,7 +33,7 @@
 	Mismatch State = "mismatch" // the key was used before for a different request
 	NotOwner State = "notOwner" // this process does not decide claims for the key
 	Full     State = "full"     // never granted, and the limit of remembered keys is reached
-	Held     State = "held"     // not run, and can be claimed again after Hold
+	Held     State = "held"     // not run, and can be claimed again after the reclaim delay
 	Ahead    State = "ahead"    // never granted: created in the future by the owner's clock
 	Moved    State = "moved"    // the owner's keys were handed over to another process
 )
@@ -118,7 +118,7 @@
 // Claim decides a claim by these rules:
 //   - a key created before the floor is Unknown: it may have been granted and
 //     then removed;
-//   - a key that was released less than Hold ago is Held;
+//   - a released key is Held until the reclaim delay has passed;
 //   - any other key that is not remembered was never granted, or is proved not to
 //     have run (see Table), so it is granted;
 //   - the holder's nonce is granted again, because the first reply may have been
@@ -184,7 +184,7 @@
 
 // Settle records the outcome of a granted run and reports whether it was
 // accepted: only the holder's settlement is, and only once. After notRun and the
-// Hold, the key is as if it had never been claimed.
+// reclaim delay, the key is as if it had never been claimed.
 //
 // A claimant that stops waiting for the reply to its claim settles notRun. If the
 // settlement arrives before the claim, its nonce is remembered; otherwise the
