--- a/entry/internal/upstream/conn.go
+++ b/entry/internal/upstream/conn.go
@@ -27,8 +27,8 @@
 	pollInterval = 250 * time.Millisecond
 )
 
-// errReadAbandoned is returned by reads that were cancelled, or that the function
-// set by SetPatience stopped.
+// errReadAbandoned is returned by reads that were cancelled or that keepWaiting
+// stopped.
 var errReadAbandoned = errors.New("gave up reading the response")
 
 // Conn is a connection to one endpoint. Except for Cancel, its methods may not be
@@ -159,6 +159,6 @@
 	return n == 0 && errors.Is(err, io.EOF) && reader.Buffered() == 0
 }
 
-// GivenUp reports whether a read failed because it was cancelled, or because the
-// function set by SetPatience stopped it.
+// GivenUp reports whether a read failed because it was cancelled or because the
+// connection's keepWaiting function stopped it.
 func GivenUp(err error) bool { return errors.Is(err, errReadAbandoned) }
--- a/relay/quarantine/ledger.go
+++ b/relay/quarantine/ledger.go
@@ -73,8 +73,8 @@
 // now returns the current timestamp.
 func (l *Ledger) now() timestamp { return timestamp(l.clock().Sub(l.start)) }
 
-// Observe applies a report of this entry or of another one, and calls the functions set by Notify
-// and NotifyForgotten where they apply.
+// Observe applies a report of this entry or of another one, and calls the notification functions
+// where they apply.
 func (l *Ledger) Observe(report Report) {
 	maybeHeld, forgotten := l.apply(report)
 	for _, fp := range forgotten {
