--- a/relay/once/table_test.go
+++ b/relay/once/table_test.go
@@ -11,7 +11,7 @@
 
 var testStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// idAt makes a UUIDv7 of a time; n distinguishes those of one millisecond.
+// idAt returns a UUIDv7 for the time; n distinguishes IDs of the same millisecond.
 func idAt(made time.Time, n uint32) uuid.UUID {
 	var id uuid.UUID
 	millis := uint64(made.UnixMilli())
@@ -23,8 +23,8 @@
 	return id
 }
 
-// TestTable runs the scripts of testdata/table. Times are minutes from the
-// start; a key's number is also its part of the UUID.
+// TestTable runs the scripts in testdata/table. Times are minutes since
+// testStart; a key's number is the n of its idAt.
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata/table", func(t *testing.T, path string) {
 		table := NewTable(Options{MaxKeys: 3, MaxAnswerBytes: 40})
@@ -37,21 +37,21 @@
 			d.ScanArgs(t, "nonce", &nonce)
 			d.MaybeScanArgs(t, "body", &body)
 			now := testStart.Add(time.Duration(at) * time.Minute)
-			ask := Claim{
+			claim := Claim{
 				Key:   NewKey("o", idAt(testStart.Add(time.Duration(made)*time.Minute), uint32(key))),
 				Nonce: uuid.UUID{byte(nonce)},
 			}
-			copy(ask.Hash[:], body)
+			copy(claim.Hash[:], body)
 			switch d.Cmd {
 			case "claim":
-				verdict := table.Claim(now, ask)
+				verdict := table.Claim(now, claim)
 				return fmt.Sprintf("%s %q keys=%d\n", verdict.State, verdict.Answer, table.Keys())
 			case "settle":
 				var outcome string
 				answer := ""
 				d.ScanArgs(t, "outcome", &outcome)
 				d.MaybeScanArgs(t, "answer", &answer)
-				counted := table.Settle(now, ask, Outcome(outcome), []byte(answer))
+				counted := table.Settle(now, claim, Outcome(outcome), []byte(answer))
 				return fmt.Sprintf("counted=%t keys=%d\n", counted, table.Keys())
 			default:
 				return "unknown command\n"
