--- a/entry/internal/dispatch/dispatcher.go
+++ b/entry/internal/dispatch/dispatcher.go
@@ -79,37 +79,37 @@
 	cfg Config
 
 	mu    sync.RWMutex
-	lanes map[string]*lane
+	pools map[string]*hostPool
 }
 
 // New returns a Dispatcher without lanes.
 func New(cfg Config) *Dispatcher {
-	return &Dispatcher{cfg: cfg, lanes: make(map[string]*lane)}
+	return &Dispatcher{cfg: cfg, pools: make(map[string]*hostPool)}
 }
 
 // Update gives a lane the hosts that serve its model or service now, sorted by
 // id, and the number of entries that share them.
 func (d *Dispatcher) Update(name string, hosts []route.Host, entries int) {
-	d.lane(name).update(hosts, entries)
+	d.pool(name).update(hosts, entries)
 }
 
-func (d *Dispatcher) lane(name string) *lane {
+func (d *Dispatcher) pool(name string) *hostPool {
 	d.mu.RLock()
-	found := d.lanes[name]
+	found := d.pools[name]
 	d.mu.RUnlock()
 	if found != nil {
 		return found
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if found = d.lanes[name]; found == nil {
-		found = newLane(d.cfg.Clock, route.Options{
+	if found = d.pools[name]; found == nil {
+		found = newHostPool(d.cfg.Clock, route.Options{
 			Policy:        d.cfg.Policy,
 			Region:        d.cfg.Self.GetRegion(),
 			FailureDomain: d.cfg.Self.GetFailureDomain(),
 			Seed:          d.cfg.Seed ^ xxhash.Sum64String(name),
 		}, d.cfg.Refresh)
-		d.lanes[name] = found
+		d.pools[name] = found
 	}
 	return found
 }
@@ -117,9 +117,9 @@
 // Do runs the request to its end: an answer, or the moment it is given up.
 // The end of ctx means that the caller is gone.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
-	run := &run{
+	run := &requestRun{
 		dispatcher: d,
-		lane:       d.lane(req.Lane),
+		pool:       d.pool(req.Lane),
 		req:        req,
 		sink:       sink,
 		progress:   NewProgress(req.ID, req.Repeatable),
@@ -132,103 +132,103 @@
 	}
 	ctx, cancel := clockwork.WithDeadline(ctx, d.cfg.Clock, run.cutoff())
 	defer cancel()
-	defer run.release()
+	defer run.releaseReserved()
 	err := run.loop(ctx)
 	return run.result(err)
 }
 
 // cutoff is when attempts are given up: a little before the deadline, so that
 // a cancel can still prove what happened and the caller learns of it in time.
-func (r *run) cutoff() time.Time {
+func (r *requestRun) cutoff() time.Time {
 	left := r.req.Deadline.Sub(r.started)
-	return r.req.Deadline.Add(-min(cancelTimeout, left/cutoffShare))
+	return r.req.Deadline.Add(-min(cancelTimeout, left/cancelTimeDivisor))
 }
 
-func (r *run) loop(ctx context.Context) *failure.Error {
+func (r *requestRun) loop(ctx context.Context) *failure.Error {
 	for {
-		choice, err := r.place(ctx)
+		choice, err := r.acquireHost(ctx)
 		if err != nil {
 			return err
 		}
 		end := r.attempt(ctx, choice)
-		if end.whole {
+		if end.complete {
 			return nil
 		}
 		if !end.refused { // a host that refused asks for a pause by itself
-			r.exclude = append(r.exclude, choice.Host.ID)
+			r.failedHosts = append(r.failedHosts, choice.Host.ID)
 		}
-		if err := r.mayGoOn(ctx, end); err != nil {
+		if err := r.checkRetry(ctx, end); err != nil {
 			return err
 		}
-		if !r.pause(ctx, end) {
-			return errGivenUp(end.reason)
+		if !r.waitForRetry(ctx, end) {
+			return errNoAnswer(end.reason)
 		}
 	}
 }
 
-// release gives a place back that was reserved and is not used.
-func (r *run) release() {
+// releaseReserved gives a place back that was reserved and is not used.
+func (r *requestRun) releaseReserved() {
 	if r.reserved != nil {
-		r.lane.finish(*r.reserved, route.Result{End: route.EndCancelled})
+		r.pool.finish(*r.reserved, route.Result{End: route.EndCancelled})
 		r.reserved = nil
 	}
 }
 
-// place waits for a host; a resumed answer stays with its version.
-func (r *run) place(ctx context.Context) (route.Choice, *failure.Error) {
+// acquireHost waits for a host; a resumed answer stays with its version.
+func (r *requestRun) acquireHost(ctx context.Context) (route.Choice, *failure.Error) {
 	if next := r.reserved; next != nil {
 		r.reserved = nil
 		return *next, nil
 	}
-	before := r.dispatcher.cfg.Clock.Now()
-	choice, err := r.lane.acquire(ctx, r.req, r.ask)
-	r.queued += r.dispatcher.cfg.Clock.Since(before)
+	started := r.dispatcher.cfg.Clock.Now()
+	choice, err := r.pool.acquire(ctx, r.req, r.criteria)
+	r.queueTime += r.dispatcher.cfg.Clock.Since(started)
 	return choice, err
 }
 
-func (r *run) ask() route.Ask {
-	ask := route.Ask{
+func (r *requestRun) criteria() route.Ask {
+	criteria := route.Ask{
 		Prefix:   r.prefix(),
 		Tokens:   r.req.MaxTokens,
 		Versions: r.req.Versions(),
 		Adapter:  r.req.Adapter,
-		Exclude:  r.exclude,
+		Exclude:  r.failedHosts,
 	}
 	if version, adapter, pinned := r.progress.Pinned(); pinned {
-		ask.Versions = []string{version}
-		ask.AdapterVersion = adapter
+		criteria.Versions = []string{version}
+		criteria.AdapterVersion = adapter
 	}
-	return ask
+	return criteria
 }
 
-func (r *run) prefix() uint64 {
-	if r.hashed == 0 {
-		r.hashed = route.PrefixOf(r.req.Prompt)
+func (r *requestRun) prefix() uint64 {
+	if r.prefixHash == 0 {
+		r.prefixHash = route.PrefixOf(r.req.Prompt)
 	}
-	return r.hashed
+	return r.prefixHash
 }
 
-// mayGoOn applies the rules for another attempt. Only what may have cost a
+// checkRetry applies the rules for another attempt. Only what may have cost a
 // back end work is charged to the retry budget: a refusal does not multiply
 // the load.
-func (r *run) mayGoOn(ctx context.Context, end attemptEnd) *failure.Error {
+func (r *requestRun) checkRetry(ctx context.Context, end attemptEnd) *failure.Error {
 	switch {
 	case !r.progress.MayRetry():
-		return errUnproved(end.reason)
-	case end.cancelled || ended(ctx):
-		return errGivenUp(end.reason)
-	case r.progress.Number() >= retry.MaxAttempts:
-		return errGivenUp(end.reason)
+		return errUnknownOutcome(end.reason)
+	case end.cancelled || isDone(ctx):
+		return errNoAnswer(end.reason)
+	case r.progress.AttemptNumber() >= retry.MaxAttempts:
+		return errNoAnswer(end.reason)
 	case !end.refused && r.reserved == nil && !r.req.Retry():
-		return errBudget(end.reason)
+		return errRetryBudget(end.reason)
 	}
 	return nil
 }
 
-// pause waits before the next attempt; false: the time is over. After a
+// waitForRetry waits before the next attempt; false: the time is over. After a
 // refusal another host is tried at once, for the first time.
-func (r *run) pause(ctx context.Context, end attemptEnd) bool {
-	next := int(r.progress.Number()) + 1
+func (r *requestRun) waitForRetry(ctx context.Context, end attemptEnd) bool {
+	next := int(r.progress.AttemptNumber()) + 1
 	if r.reserved != nil || end.refused && next == 2 {
 		return true
 	}
@@ -242,7 +242,7 @@
 	}
 }
 
-func (r *run) result(err *failure.Error) Result {
+func (r *requestRun) result(err *failure.Error) Result {
 	outcome := r.progress.Outcome()
 	check := r.dispatcher.cfg.Invariants.Check
 	check((err == nil) == (outcome == Answered), "answeredMeansWhole", "request", r.req.ID)
@@ -250,11 +250,11 @@
 	result := Result{
 		Outcome:    outcome,
 		Err:        err,
-		Attempts:   int(r.progress.Number()),
-		Host:       r.host,
+		Attempts:   int(r.progress.AttemptNumber()),
+		Host:       r.lastHost,
 		Version:    r.progress.Version(),
 		FirstToken: r.firstToken,
-		Queued:     r.queued,
+		Queued:     r.queueTime,
 		Affinity:   r.affinity,
 	}
 	if outcome == Answered {
@@ -265,17 +265,17 @@
 	return result
 }
 
-func errUnproved(reason string) *failure.Error {
+func errUnknownOutcome(reason string) *failure.Error {
 	return failure.New(failure.Ambiguous, "the host did not answer to the end: "+reason,
 		"it may have run: look for its effect before you send it with a new key")
 }
 
-func errGivenUp(reason string) *failure.Error {
+func errNoAnswer(reason string) *failure.Error {
 	return failure.New(failure.Unavailable, "no host answered: "+reason,
 		"try again").WithRetryAfter(minRetry)
 }
 
-func errBudget(reason string) *failure.Error {
+func errRetryBudget(reason string) *failure.Error {
 	return failure.New(failure.Exhausted, "no host answered, and the customer's retries are used up: "+reason,
 		"try again later").WithRetryAfter(noHostRetry)
 }
--- a/entry/internal/dispatch/hosts.go
+++ b/entry/internal/dispatch/hosts.go
@@ -18,9 +18,9 @@
 // Hosts is how attempts reach agents. Its fields are the seams.
 type Hosts struct {
 	// Run hands the attempt to the agent at the address. With an error,
-	// handedOut is false only if the attempt's message surely never left this
+	// sent is false only if the attempt's message surely never left this
 	// process.
-	Run func(ctx context.Context, address string, attempt *wire.Attempt) (stream Stream, handedOut bool, err error)
+	Run func(ctx context.Context, address string, attempt *wire.Attempt) (stream Stream, sent bool, err error)
 	// Cancel leaves a tombstone at the agent.
 	Cancel func(ctx context.Context, address string, ask *wire.CancelRequest) (*wire.CancelReply, error)
 }
--- a/entry/internal/dispatch/invariants.go
+++ b/entry/internal/dispatch/invariants.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// failures counts broken invariants, by rule.
-var failures = expvar.NewMap("invariantFailures")
+// invariantFailures counts broken invariants, by rule.
+var invariantFailures = expvar.NewMap("invariantFailures")
 
 // Invariants records rules that broke inside the process. None ever should.
 type Invariants struct {
@@ -19,7 +19,7 @@
 	if ok {
 		return true
 	}
-	failures.Add(rule, 1)
+	invariantFailures.Add(rule, 1)
 	i.Log.Error("invariant broke", append([]any{"rule", rule}, attrs...)...)
 	if i.Panic {
 		panic("invariant broke: " + rule)
--- a/entry/internal/dispatch/outcome.go
+++ b/entry/internal/dispatch/outcome.go
@@ -19,33 +19,33 @@
 // The proofs. An attempt starts as NotHandedOut and loses that at the moment
 // its message may have left this process.
 const (
-	// NotHandedOut: the attempt's message was never given to a connection.
-	NotHandedOut Proof = iota
+	// NotSent: the attempt's message was never given to a connection.
+	NotSent Proof = iota
 	// Refused: the agent it was meant for answered "refused" as its first
 	// frame, which it does only for what the back end never saw, and remembers.
 	Refused
 	// NeverBegun: the agent it was meant for answered a cancel with
 	// "neverBegun"; its tombstone keeps a late delivery from beginning.
 	NeverBegun
-	// NoProof: it was handed out, and nothing proves that it did not run.
-	NoProof
-	// Whole: its answer arrived whole.
-	Whole
+	// Unproven: it was handed out, and nothing proves that it did not run.
+	Unproven
+	// Complete: its answer arrived whole.
+	Complete
 )
 
 // provesNotRun reports whether the attempt surely never ran and never will.
 func (p Proof) provesNotRun() bool {
-	return p == NotHandedOut || p == Refused || p == NeverBegun
+	return p == NotSent || p == Refused || p == NeverBegun
 }
 
 // outcomeOf applies the rule for what a caller may receive:
 //   - answered, if one attempt's answer arrived whole;
 //   - notRun, only if each attempt is proved not to have run;
 //   - unknown otherwise.
-func outcomeOf(attempts []Proof) Outcome {
+func outcomeOf(proofs []Proof) Outcome {
 	outcome := NotRun
-	for _, proof := range attempts {
-		if proof == Whole {
+	for _, proof := range proofs {
+		if proof == Complete {
 			return Answered
 		}
 		if !proof.provesNotRun() {
--- a/entry/internal/dispatch/progress_test.go
+++ b/entry/internal/dispatch/progress_test.go
@@ -27,15 +27,15 @@
 				if !ok {
 					return "forbidden\n"
 				}
-				return fmt.Sprintf("attempt %d from %q\n", progress.Number(), resume)
+				return fmt.Sprintf("attempt %d from %q\n", progress.AttemptNumber(), resume)
 			case "handed-out":
-				progress.HandedOut()
+				progress.MarkSent()
 			case "never-begun":
-				progress.Cancelled()
+				progress.MarkNeverBegun()
 			case "to-caller":
-				progress.Handed()
+				progress.MarkDelivered()
 			case "frame":
-				step := progress.Take(scriptFrame(t, d, progress))
+				step := progress.HandleFrame(scriptFrame(t, d, progress))
 				return fmt.Sprintf("%s %q %s; outcome %s, retry %t\n",
 					stepNames[step.Kind], step.Tokens, step.Reason, progress.Outcome(), progress.MayRetry())
 			default:
@@ -47,13 +47,13 @@
 }
 
 var stepNames = map[StepKind]string{
-	StepDrop: "drop", StepBegin: "begin", StepRelay: "relay", StepWhole: "whole", StepRefused: "refused", StepBroken: "broken",
+	StepIgnore: "drop", StepBegin: "begin", StepData: "relay", StepComplete: "whole", StepRefused: "refused", StepBroken: "broken",
 }
 
 // scriptFrame reads "frame <kind> seq=n [attempt=n] [version=v] [text=ab]".
 // An end's digest is right unless "torn" is given.
 func scriptFrame(t *testing.T, d *datadriven.TestData, progress *Progress) *wire.Frame {
-	frame := &wire.Frame{RequestId: "r", Attempt: progress.Number(), Kind: d.CmdArgs[0].Key, Version: "v1", Reason: "why"}
+	frame := &wire.Frame{RequestId: "r", Attempt: progress.AttemptNumber(), Kind: d.CmdArgs[0].Key, Version: "v1", Reason: "why"}
 	var sequence, attempt int
 	var tokens string
 	d.ScanArgs(t, "seq", &sequence)
@@ -82,9 +82,9 @@
 		streaming := rapid.Bool().Draw(t, "streaming")
 		progress := NewProgress("r", repeatable)
 		var late []*wire.Frame // of all attempts
-		var caller []string    // tokens that went out
+		var delivered []string // tokens that went out
 		begun := 0             // attempts that a back end may have begun
-		for progress.MayRetry() && progress.Number() < 4 && progress.Outcome() != Answered {
+		for progress.MayRetry() && progress.AttemptNumber() < 4 && progress.Outcome() != Answered {
 			version := rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")
 			if pinned, _, yes := progress.Pinned(); yes {
 				version = pinned
@@ -93,27 +93,27 @@
 			if !ok {
 				t.Fatal("got an attempt forbidden, want it allowed")
 			}
-			sent := attemptFrames(t, progress.Number(), version, resume)
-			progress.HandedOut()
+			sent := attemptFrames(t, progress.AttemptNumber(), version, resume)
+			progress.MarkSent()
 			begun++
 			refused := false
-			for _, frame := range deliveries(t, sent, late) {
-				step := progress.Take(frame)
+			for _, frame := range faultyDelivery(t, sent, late) {
+				step := progress.HandleFrame(frame)
 				refused = refused || step.Kind == StepRefused
-				if step.Kind == StepRelay && streaming {
-					caller = append(caller, step.Tokens...)
-					progress.Handed()
+				if step.Kind == StepData && streaming {
+					delivered = append(delivered, step.Tokens...)
+					progress.MarkDelivered()
 				}
 			}
 			progress.Close()
 			if progress.Outcome() == Answered && !streaming {
-				caller = progress.Tokens()
+				delivered = progress.Tokens()
 			}
 			late = append(late, sent...)
 			if refused {
 				begun--
 			}
-			checkCaller(t, progress, caller, version)
+			checkDelivered(t, progress, delivered, version)
 			if !repeatable && begun > 1 {
 				t.Fatalf("got %d attempts that may have run, want at most 1", begun)
 			}
@@ -124,20 +124,20 @@
 	})
 }
 
-func checkCaller(t *rapid.T, progress *Progress, caller []string, version string) {
-	truth := truthOf(version)
-	corrupt := slices.Contains(caller, corruptToken)
-	if !corrupt && (len(caller) > len(truth) || !slices.Equal(caller, truth[:len(caller)])) {
-		t.Fatalf("got tokens %q, want the beginning of %q", caller, truth)
+func checkDelivered(t *rapid.T, progress *Progress, delivered []string, version string) {
+	want := expectedTokens(version)
+	corrupt := slices.Contains(delivered, corruptToken)
+	if !corrupt && (len(delivered) > len(want) || !slices.Equal(delivered, want[:len(delivered)])) {
+		t.Fatalf("got tokens %q, want the beginning of %q", delivered, want)
 	}
-	if progress.Outcome() == Answered && !slices.Equal(caller, truth) {
-		t.Fatalf("got a whole answer %q, want %q", caller, truth)
+	if progress.Outcome() == Answered && !slices.Equal(delivered, want) {
+		t.Fatalf("got a whole answer %q, want %q", delivered, want)
 	}
 }
 
 const corruptToken = "corrupt"
 
-func truthOf(version string) []string {
+func expectedTokens(version string) []string {
 	return []string{version + "a", version + "b", version + "c"}
 }
 
@@ -150,14 +150,14 @@
 	}
 	sent := []*wire.Frame{{Kind: frameBegin, Version: version}}
 	corrupt := rapid.IntRange(0, 9).Draw(t, "corrupt") == 0
-	for _, token := range truthOf(version)[len(resume):] {
+	for _, token := range expectedTokens(version)[len(resume):] {
 		if corrupt {
 			token = corruptToken
 		}
 		sent = append(sent, &wire.Frame{Kind: frameTokens, Tokens: []string{token}})
 	}
 	// The agent's digest covers the part that it goes on from.
-	whole := append(slices.Clone(resume), truthOf(version)[len(resume):]...)
+	whole := append(slices.Clone(resume), expectedTokens(version)[len(resume):]...)
 	sent = append(sent, &wire.Frame{Kind: frameEnd, Version: version, Digest: DigestOf(whole)})
 	for i, frame := range sent {
 		frame.RequestId, frame.Attempt, frame.Sequence = "r", attempt, uint32(i)
@@ -168,9 +168,9 @@
 	return sent[:rapid.IntRange(0, len(sent)).Draw(t, "cut")]
 }
 
-// deliveries puts late frames between the sent ones, doubles some and may lose
+// faultyDelivery puts late frames between the sent ones, doubles some and may lose
 // one.
-func deliveries(t *rapid.T, sent, late []*wire.Frame) []*wire.Frame {
+func faultyDelivery(t *rapid.T, sent, late []*wire.Frame) []*wire.Frame {
 	lost := rapid.IntRange(0, 20).Draw(t, "lost")
 	if slices.ContainsFunc(sent, func(frame *wire.Frame) bool { return slices.Contains(frame.GetTokens(), corruptToken) }) {
 		lost = len(sent)
--- a/entry/internal/dispatch/receive.go
+++ b/entry/internal/dispatch/receiver.go
@@ -10,20 +10,20 @@
 
 // receiver reads a host's frames, one each time it is asked.
 type receiver struct {
-	asked chan struct{}
-	got   chan received // buffered by one: a frame that nobody awaits any more is dropped
+	requests chan struct{}
+	results  chan received // buffered by one: a frame that nobody awaits any more is dropped
 }
 
 func newReceiver(stream Stream) *receiver {
-	r := &receiver{asked: make(chan struct{}), got: make(chan received, 1)}
+	r := &receiver{requests: make(chan struct{}), results: make(chan received, 1)}
 	go func() {
-		for range r.asked {
+		for range r.requests {
 			frame, err := stream.Recv()
-			r.got <- received{frame, err}
+			r.results <- received{frame, err}
 		}
 	}()
 	return r
 }
 
-func (r *receiver) ask()  { r.asked <- struct{}{} }
-func (r *receiver) stop() { close(r.asked) }
+func (r *receiver) request() { r.requests <- struct{}{} }
+func (r *receiver) stop()    { close(r.requests) }
--- a/entry/internal/dispatch/run.go
+++ b/entry/internal/dispatch/run.go
@@ -14,66 +14,66 @@
 
 // Constants of an attempt.
 const (
-	cancelTimeout = 300 * time.Millisecond
-	cutoffShare   = 10 // of the time left is kept for a cancel, at most
+	cancelTimeout     = 300 * time.Millisecond
+	cancelTimeDivisor = 10 // of the time left is kept for a cancel, at most
 	// A host's speed is looked at after so many tokens, or so much time.
-	speedEvery = 8
-	speedTime  = 150 * time.Millisecond
+	speedSampleTokens   = 8
+	speedSampleInterval = 150 * time.Millisecond
 )
 
-// run is one request on its way.
-type run struct {
-	dispatcher *Dispatcher
-	lane       *lane
-	req        *Request
-	sink       Sink
-	progress   *Progress
-	started    time.Time
-	exclude    []string // hosts that failed the request
-	hashed     uint64   // prefix hash; 0 until computed
-	host       string   // of the last attempt
-	affinity   bool
-	queued     time.Duration
-	firstToken time.Duration
-	gone       bool // the caller is gone; the answer is collected all the same
-	moved      bool // it left a slow host once already
+// requestRun is one request on its way.
+type requestRun struct {
+	dispatcher   *Dispatcher
+	pool         *hostPool
+	req          *Request
+	sink         Sink
+	progress     *Progress
+	started      time.Time
+	failedHosts  []string // hosts that failed the request
+	prefixHash   uint64   // prefix hash; 0 until computed
+	lastHost     string   // of the last attempt
+	affinity     bool
+	queueTime    time.Duration
+	firstToken   time.Duration
+	callerGone   bool // the caller is gone; the answer is collected all the same
+	leftSlowHost bool // it left a slow host once already
 	// reserved is the place of the next attempt, whose retry is paid for; nil: none.
 	reserved *route.Choice
 }
 
 // attemptEnd is how one attempt ended.
 type attemptEnd struct {
-	whole      bool
+	complete   bool
 	refused    bool // proved not run, by the agent
 	cancelled  bool // by the caller or the deadline: not the host's fault
 	reason     string
-	left       bool // by us, for a quicker host
+	moved      bool // by us, for a quicker host
 	retryAfter time.Duration
 }
 
 // attempt runs the request once on the chosen host.
-func (r *run) attempt(ctx context.Context, choice route.Choice) attemptEnd {
+func (r *requestRun) attempt(ctx context.Context, choice route.Choice) attemptEnd {
 	cfg := &r.dispatcher.cfg
 	adapter := choice.AdapterVersion(r.req.Adapter)
 	resume, ok := r.progress.Start(choice.Host.Version, adapter)
 	if !cfg.Invariants.Check(ok, "attemptAllowed", "request", r.req.ID, "version", choice.Host.Version) {
-		r.lane.finish(choice, route.Result{End: route.EndCancelled})
+		r.pool.finish(choice, route.Result{End: route.EndCancelled})
 		return attemptEnd{reason: "internal error"}
 	}
-	r.host, r.affinity = choice.Host.ID, choice.Affinity()
-	timing := &timing{clock: cfg.Clock, started: cfg.Clock.Now()}
-	end := r.exchange(ctx, choice, r.message(ctx, choice, resume), timing)
+	r.lastHost, r.affinity = choice.Host.ID, choice.Affinity()
+	timing := &attemptTiming{clock: cfg.Clock, started: cfg.Clock.Now()}
+	end := r.exchange(ctx, choice, r.attemptMessage(ctx, choice, resume), timing)
 	r.progress.Close()
-	if !end.whole && !end.refused {
-		r.settle(ctx, choice)
+	if !end.complete && !end.refused {
+		r.resolveUnproven(ctx, choice)
 	}
-	r.lane.finish(choice, timing.result(end))
-	cfg.Log.Debug("attempt ended", "request", r.req.ID, "attempt", r.progress.Number(), "host", r.host,
-		"whole", end.whole, "refused", end.refused, "reason", end.reason)
+	r.pool.finish(choice, timing.result(end))
+	cfg.Log.Debug("attempt ended", "request", r.req.ID, "attempt", r.progress.AttemptNumber(), "host", r.lastHost,
+		"whole", end.complete, "refused", end.refused, "reason", end.reason)
 	return end
 }
 
-func (r *run) message(ctx context.Context, choice route.Choice, resume []string) *wire.Attempt {
+func (r *requestRun) attemptMessage(ctx context.Context, choice route.Choice, resume []string) *wire.Attempt {
 	left := time.Duration(0)
 	if deadline, ok := ctx.Deadline(); ok {
 		left = max(0, deadline.Sub(r.dispatcher.cfg.Clock.Now()))
@@ -82,7 +82,7 @@
 		From:           r.dispatcher.cfg.Self,
 		Known:          r.dispatcher.cfg.Known(),
 		RequestId:      r.req.ID,
-		Attempt:        r.progress.Number(),
+		Attempt:        r.progress.AttemptNumber(),
 		Incarnation:    choice.Host.Incarnation,
 		Customer:       r.req.Customer,
 		Model:          r.req.Model,
@@ -100,93 +100,93 @@
 }
 
 // exchange hands the attempt out and takes its frames until it is over.
-func (r *run) exchange(ctx context.Context, choice route.Choice, message *wire.Attempt, timing *timing) attemptEnd {
+func (r *requestRun) exchange(ctx context.Context, choice route.Choice, message *wire.Attempt, timing *attemptTiming) attemptEnd {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	first := r.firstPatience()
-	stream, handedOut, err := r.open(ctx, cancel, choice, message, first)
-	if handedOut {
-		r.progress.HandedOut()
+	firstLimit := r.firstFrameLimit()
+	stream, sent, err := r.send(ctx, cancel, choice, message, firstLimit)
+	if sent {
+		r.progress.MarkSent()
 	}
 	if err != nil {
-		return attemptEnd{reason: "the host cannot be reached", cancelled: ended(ctx) && !errors.Is(err, errSilent)}
+		return attemptEnd{reason: "the host cannot be reached", cancelled: isDone(ctx) && !errors.Is(err, errSendTimeout)}
 	}
 	defer func() { _ = stream.Close() }()
 	frames := newReceiver(stream)
 	defer frames.stop()
-	quiet := newSilence(r.dispatcher.cfg.Clock, first)
-	defer quiet.stop()
+	silence := newSilenceTimer(r.dispatcher.cfg.Clock, firstLimit)
+	defer silence.stop()
 	for {
-		got, waited := r.await(choice, frames, quiet)
-		if !waited {
+		got, ok := r.nextFrame(choice, frames, silence)
+		if !ok {
 			return attemptEnd{reason: "the host was silent for too long"}
 		}
 		if got.err != nil {
-			return attemptEnd{reason: streamReason(got.err), cancelled: ended(ctx)}
+			return attemptEnd{reason: streamErrorReason(got.err), cancelled: isDone(ctx)}
 		}
-		step := r.progress.Take(got.frame)
-		r.note(choice, got.frame, step)
-		if end, over := r.follow(choice, got.frame, step, timing, quiet); over {
+		step := r.progress.HandleFrame(got.frame)
+		r.recordLoad(choice, got.frame, step)
+		if end, over := r.handleStep(choice, got.frame, step, timing, silence); over {
 			return end
 		}
 	}
 }
 
-// await waits for the host's next frame; false: the attempt ends before it came.
-func (r *run) await(choice route.Choice, frames *receiver, quiet *silence) (received, bool) {
-	frames.ask()
-	quiet.restart()
+// nextFrame waits for the host's next frame; false: the attempt ends before it came.
+func (r *requestRun) nextFrame(choice route.Choice, frames *receiver, silence *silenceTimer) (received, bool) {
+	frames.request()
+	silence.reset()
 	for {
 		select {
-		case got := <-frames.got:
+		case got := <-frames.results:
 			return got, true
-		case <-quiet.looks():
-			if quiet.look() && r.leaveSilent(choice) {
+		case <-silence.ticks():
+			if silence.tick() && r.abandonSilentHost(choice) {
 				return received{}, false
 			}
 		}
 	}
 }
 
-// errSilent says that a host did not take an attempt in time.
-var errSilent = errors.New("the host did not take the attempt in time")
+// errSendTimeout says that a host did not take an attempt in time.
+var errSendTimeout = errors.New("the host did not take the attempt in time")
 
-// open hands the attempt out, within the time that is waited for a silent host.
-func (r *run) open(ctx context.Context, cancel context.CancelFunc, choice route.Choice, message *wire.Attempt, limit time.Duration) (Stream, bool, error) {
+// send hands the attempt out, within the time that is waited for a silent host.
+func (r *requestRun) send(ctx context.Context, cancel context.CancelFunc, choice route.Choice, message *wire.Attempt, limit time.Duration) (Stream, bool, error) {
 	timer := r.dispatcher.cfg.Clock.AfterFunc(limit, cancel)
-	stream, handedOut, err := r.dispatcher.cfg.Hosts.Run(ctx, choice.Host.Address, message)
+	stream, sent, err := r.dispatcher.cfg.Hosts.Run(ctx, choice.Host.Address, message)
 	if !timer.Stop() { // it ended ctx, and the stream with it
 		if err == nil {
 			_ = stream.Close()
 		}
-		err = errSilent
+		err = errSendTimeout
 	}
-	return stream, handedOut, err
+	return stream, sent, err
 }
 
-func streamReason(err error) string {
+func streamErrorReason(err error) string {
 	if errors.Is(err, io.EOF) {
 		return "the host ended the answer early"
 	}
 	return "the connection to the host broke"
 }
 
-// note takes the host's report of its load. Frames of tokens carry none.
-func (r *run) note(choice route.Choice, frame *wire.Frame, step Step) {
+// recordLoad takes the host's report of its load. Frames of tokens carry none.
+func (r *requestRun) recordLoad(choice route.Choice, frame *wire.Frame, step Step) {
 	switch step.Kind {
-	case StepBegin, StepWhole:
-		r.lane.observeLoad(choice, frame.GetRunning(), frame.GetQueued())
-	case StepDrop, StepRelay, StepRefused, StepBroken:
+	case StepBegin, StepComplete:
+		r.pool.observeLoad(choice, frame.GetRunning(), frame.GetQueued())
+	case StepIgnore, StepData, StepRefused, StepBroken:
 	}
 }
 
-// follow does what a step asks for.
-func (r *run) follow(choice route.Choice, frame *wire.Frame, step Step, timing *timing, quiet *silence) (attemptEnd, bool) {
+// handleStep does what a step asks for.
+func (r *requestRun) handleStep(choice route.Choice, frame *wire.Frame, step Step, timing *attemptTiming, silence *silenceTimer) (attemptEnd, bool) {
 	switch step.Kind {
-	case StepRelay:
-		return r.relay(choice, step, timing, quiet)
-	case StepWhole:
-		return attemptEnd{whole: true}, true
+	case StepData:
+		return r.forward(choice, step, timing, silence)
+	case StepComplete:
+		return attemptEnd{complete: true}, true
 	case StepRefused:
 		wait := time.Duration(frame.GetRetryAfterMillis()) * time.Millisecond
 		return attemptEnd{refused: true, reason: "refused: " + step.Reason, retryAfter: wait}, true
@@ -200,144 +200,144 @@
 // relay passes tokens on. While the caller takes them, no frame is read: the
 // transport's flow control slows the host down, and a slow caller costs only
 // the buffers of one connection.
-func (r *run) relay(choice route.Choice, step Step, timing *timing, quiet *silence) (attemptEnd, bool) {
-	timing.tokens(len(step.Tokens))
+func (r *requestRun) forward(choice route.Choice, step Step, timing *attemptTiming, silence *silenceTimer) (attemptEnd, bool) {
+	timing.addTokens(len(step.Tokens))
 	if timing.count == len(step.Tokens) && timing.count > 0 {
-		_, quiet.limit = r.patience()
+		_, silence.limit = r.silenceLimits()
 	}
 	if r.firstToken == 0 {
 		r.firstToken = r.dispatcher.cfg.Clock.Since(r.started)
 	}
-	if err := r.hand(step.Tokens); err == nil {
-		return r.leaveIfSlow(choice, timing)
+	if err := r.deliver(step.Tokens); err == nil {
+		return r.moveIfSlow(choice, timing)
 	}
-	r.gone = true
+	r.callerGone = true
 	if !r.req.Repeatable {
 		return attemptEnd{}, false
 	}
 	return attemptEnd{cancelled: true, reason: "the caller is gone"}, true
 }
 
-// hand passes tokens to the caller that wants them as they come.
-func (r *run) hand(tokens []string) error {
-	if r.sink.Tokens == nil || r.gone || len(tokens) == 0 {
+// deliver passes tokens to the caller that wants them as they come.
+func (r *requestRun) deliver(tokens []string) error {
+	if r.sink.Tokens == nil || r.callerGone || len(tokens) == 0 {
 		return nil
 	}
-	r.progress.Handed()
+	r.progress.MarkDelivered()
 	return r.sink.Tokens(r.progress.Version(), tokens)
 }
 
-// leaveIfSlow gives up a host that is left out as slow, once and for what may
+// moveIfSlow gives up a host that is left out as slow, once and for what may
 // be resumed: at a tenth of the speed most answers in progress there would miss
 // their deadline. Without room elsewhere the answer stays where it is.
-func (r *run) leaveIfSlow(choice route.Choice, timing *timing) (attemptEnd, bool) {
-	if !timing.due() {
+func (r *requestRun) moveIfSlow(choice route.Choice, timing *attemptTiming) (attemptEnd, bool) {
+	if !timing.sampleDue() {
 		return attemptEnd{}, false
 	}
-	slow := r.lane.speed(choice, timing.gap())
-	if !slow || r.moved || !r.req.Repeatable || !r.reserve(choice) {
+	slow := r.pool.recordSpeed(choice, timing.sampleGap())
+	if !slow || r.leftSlowHost || !r.req.Repeatable || !r.reserve(choice) {
 		return attemptEnd{}, false
 	}
-	r.moved = true
-	return attemptEnd{left: true, reason: "the host is slow"}, true
+	r.leftSlowHost = true
+	return attemptEnd{moved: true, reason: "the host is slow"}, true
 }
 
-// settle asks the agent what became of an attempt that ended without proof.
+// resolveUnproven asks the agent what became of an attempt that ended without proof.
 // The cancel comes before any other attempt: it leaves a tombstone, so that a
 // delivery that is still under way is not run after the decision.
-func (r *run) settle(ctx context.Context, choice route.Choice) {
-	if !r.progress.Unproved() {
+func (r *requestRun) resolveUnproven(ctx context.Context, choice route.Choice) {
+	if !r.progress.IsUnproven() {
 		return // never handed out: nothing to cancel
 	}
 	ctx = context.WithoutCancel(ctx)
-	ask := &wire.CancelRequest{
+	request := &wire.CancelRequest{
 		From:        r.dispatcher.cfg.Self,
 		RequestId:   r.req.ID,
-		Attempt:     r.progress.Number(),
+		Attempt:     r.progress.AttemptNumber(),
 		Incarnation: choice.Host.Incarnation,
 	}
 	if r.req.Repeatable {
-		go r.cancel(ctx, choice.Host.Address, ask)
+		go r.cancelAttempt(ctx, choice.Host.Address, request)
 		return
 	}
-	if r.cancel(ctx, choice.Host.Address, ask) {
-		r.progress.Cancelled()
+	if r.cancelAttempt(ctx, choice.Host.Address, request) {
+		r.progress.MarkNeverBegun()
 	}
 }
 
-// cancel reports whether the attempt was never begun and never will be.
-func (r *run) cancel(ctx context.Context, address string, ask *wire.CancelRequest) bool {
+// cancelAttempt reports whether the attempt was never begun and never will be.
+func (r *requestRun) cancelAttempt(ctx context.Context, address string, request *wire.CancelRequest) bool {
 	ctx, stop := clockwork.WithTimeout(ctx, r.dispatcher.cfg.Clock, cancelTimeout)
 	defer stop()
-	reply, err := r.dispatcher.cfg.Hosts.Cancel(ctx, address, ask)
+	reply, err := r.dispatcher.cfg.Hosts.Cancel(ctx, address, request)
 	return err == nil && reply.GetState() == "neverBegun"
 }
 
-// timing measures one attempt.
-type timing struct {
-	clock   clockwork.Clock
-	started time.Time // handed out
-	first   time.Time // first token; zero before
-	last    time.Time // newest token
-	count   int       // tokens so far
-	judged  int       // count at the last look at the speed
-	since   time.Time // of the last look
+// attemptTiming measures one attempt.
+type attemptTiming struct {
+	clock        clockwork.Clock
+	started      time.Time // handed out
+	firstToken   time.Time // first token; zero before
+	lastToken    time.Time // newest token
+	count        int       // tokens so far
+	sampledCount int       // count at the last look at the speed
+	sampledAt    time.Time // of the last look
 }
 
-func (t *timing) tokens(count int) {
+func (t *attemptTiming) addTokens(count int) {
 	if count == 0 {
 		return
 	}
-	t.last = t.clock.Now()
-	if t.first.IsZero() {
-		t.first, t.since = t.last, t.last
-		t.judged = count
+	t.lastToken = t.clock.Now()
+	if t.firstToken.IsZero() {
+		t.firstToken, t.sampledAt = t.lastToken, t.lastToken
+		t.sampledCount = count
 	}
 	t.count += count
 }
 
-// due reports whether enough tokens, or enough time, came since the last look.
-func (t *timing) due() bool {
-	tokens := t.count - t.judged
-	return tokens >= speedEvery || tokens > 0 && t.last.Sub(t.since) >= speedTime
+// sampleDue reports whether enough tokens, or enough time, came since the last look.
+func (t *attemptTiming) sampleDue() bool {
+	tokens := t.count - t.sampledCount
+	return tokens >= speedSampleTokens || tokens > 0 && t.lastToken.Sub(t.sampledAt) >= speedSampleInterval
 }
 
-// gap returns the mean time between tokens since the last look, and looks.
-func (t *timing) gap() time.Duration {
-	tokens := t.count - t.judged
+// sampleGap returns the mean time between tokens since the last look, and looks.
+func (t *attemptTiming) sampleGap() time.Duration {
+	tokens := t.count - t.sampledCount
 	if tokens <= 0 {
 		return 0
 	}
-	gap := t.last.Sub(t.since) / time.Duration(tokens)
-	t.judged, t.since = t.count, t.last
+	gap := t.lastToken.Sub(t.sampledAt) / time.Duration(tokens)
+	t.sampledCount, t.sampledAt = t.count, t.lastToken
 	return gap
 }
 
-func (t *timing) result(end attemptEnd) route.Result {
-	result := route.Result{End: endOf(end), RetryAfter: end.retryAfter, Took: t.clock.Since(t.started)}
-	if !t.first.IsZero() {
-		result.FirstToken = t.first.Sub(t.started)
-		result.TokenGap = t.gap()
+func (t *attemptTiming) result(end attemptEnd) route.Result {
+	result := route.Result{End: routeEnd(end), RetryAfter: end.retryAfter, Took: t.clock.Since(t.started)}
+	if !t.firstToken.IsZero() {
+		result.FirstToken = t.firstToken.Sub(t.started)
+		result.TokenGap = t.sampleGap()
 	}
 	return result
 }
 
-func endOf(end attemptEnd) route.End {
+func routeEnd(end attemptEnd) route.End {
 	switch {
-	case end.whole:
+	case end.complete:
 		return route.EndAnswered
 	case end.refused:
 		return route.EndRefused
-	case end.cancelled, end.left:
+	case end.cancelled, end.moved:
 		return route.EndCancelled
 	default:
 		return route.EndFailed
 	}
 }
 
-// ended reports whether ctx is over. A clockwork context's Err waits for that
+// isDone reports whether ctx is over. A clockwork context's Err waits for that
 // on a fake clock, so it is not asked.
-func ended(ctx context.Context) bool {
+func isDone(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return true
--- a/entry/internal/dispatch/run_test.go
+++ b/entry/internal/dispatch/run_test.go
@@ -17,13 +17,13 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// scripted is what a fake host does with an attempt, frame by frame.
-type scripted struct {
-	wait  time.Duration // on the fake clock, before the frame
-	looks int           // that pass before the frame, each of patienceLook
-	frame *wire.Frame
-	stall bool // no frame comes, however long the wait
-	err   error
+// scriptedStep is what a fake host does with an attempt, frame by frame.
+type scriptedStep struct {
+	delay         time.Duration // on the fake clock, before the frame
+	silenceChecks int           // that pass before the frame, each of patienceLook
+	frame         *wire.Frame
+	stall         bool // no frame comes, however long the wait
+	err           error
 }
 
 // fakeHosts are hosts on a fake clock that only their answers move.
@@ -31,7 +31,7 @@
 	clock *clockwork.FakeClock
 	// script answers an attempt on the host with the address; reachable is
 	// false where the connection is refused.
-	script      func(address string, att *wire.Attempt) (steps []scripted, reachable bool)
+	script      func(address string, att *wire.Attempt) (steps []scriptedStep, reachable bool)
 	cancelState string
 
 	mu       sync.Mutex
@@ -58,15 +58,15 @@
 		}
 		step := steps[0]
 		steps = steps[1:]
-		h.clock.Advance(step.wait)
-		for range step.looks {
-			h.clock.Advance(patienceLook)
+		h.clock.Advance(step.delay)
+		for range step.silenceChecks {
+			h.clock.Advance(silenceCheckInterval)
 			time.Sleep(time.Millisecond)
 		}
 		if step.stall {
 			<-ctx.Done()
 		}
-		if step.err != nil || ended(ctx) {
+		if step.err != nil || isDone(ctx) {
 			return nil, errors.Join(step.err, io.ErrUnexpectedEOF)
 		}
 		step.frame.RequestId, step.frame.Attempt, step.frame.Sequence = att.GetRequestId(), att.GetAttempt(), sequence
@@ -83,23 +83,23 @@
 	return &wire.CancelReply{State: h.cancelState}, nil
 }
 
-const testWords = 24
+const testTokenCount = 24
 
-func words() []string {
-	list := make([]string, testWords)
-	for i := range list {
-		list[i] = fmt.Sprintf("word%d", i)
+func testTokens() []string {
+	tokens := make([]string, testTokenCount)
+	for i := range tokens {
+		tokens[i] = fmt.Sprintf("word%d", i)
 	}
-	return list
+	return tokens
 }
 
-// answerAt answers whole, with a time between tokens.
-func answerAt(att *wire.Attempt, gap time.Duration) []scripted {
-	steps := []scripted{{frame: &wire.Frame{Kind: frameBegin, Version: att.GetVersion()}}}
-	for _, word := range words()[len(att.GetResumeTokens()):] {
-		steps = append(steps, scripted{wait: gap, frame: &wire.Frame{Kind: frameTokens, Tokens: []string{word}}})
+// answerWithGap answers whole, with a time between tokens.
+func answerWithGap(att *wire.Attempt, gap time.Duration) []scriptedStep {
+	steps := []scriptedStep{{frame: &wire.Frame{Kind: frameBegin, Version: att.GetVersion()}}}
+	for _, token := range testTokens()[len(att.GetResumeTokens()):] {
+		steps = append(steps, scriptedStep{delay: gap, frame: &wire.Frame{Kind: frameTokens, Tokens: []string{token}}})
 	}
-	return append(steps, scripted{frame: &wire.Frame{Kind: frameEnd, Version: att.GetVersion(), Digest: DigestOf(words())}})
+	return append(steps, scriptedStep{frame: &wire.Frame{Kind: frameEnd, Version: att.GetVersion(), Digest: DigestOf(testTokens())}})
 }
 
 func newTestDispatcher(hosts *fakeHosts, count int) *Dispatcher {
@@ -125,7 +125,7 @@
 func testRequest(hosts *fakeHosts, number int, repeatable bool) *Request {
 	return &Request{
 		ID: fmt.Sprintf("r%d", number), Customer: "quetzal", Weight: 1, Lane: "lane", Model: "parcel",
-		Prompt: fmt.Sprintf("Envelope %d", number), MaxTokens: testWords, Repeatable: repeatable,
+		Prompt: fmt.Sprintf("Envelope %d", number), MaxTokens: testTokenCount, Repeatable: repeatable,
 		Deadline: hosts.clock.Now().Add(30 * time.Second),
 		Versions: func() []string { return []string{"v1"} },
 		Retry:    func() bool { return true },
@@ -134,13 +134,13 @@
 
 // Symptom: answers in progress on a host that turned slow miss their deadline.
 // It sends ten times slower than the others and reports itself well.
-func TestAnswerLeavesASlowHost(t *testing.T) {
+func TestMoveFromSlowHost(t *testing.T) {
 	slow := ""
-	hosts := &fakeHosts{script: func(address string, att *wire.Attempt) ([]scripted, bool) {
+	hosts := &fakeHosts{script: func(address string, att *wire.Attempt) ([]scriptedStep, bool) {
 		if address == slow {
-			return answerAt(att, 200*time.Millisecond), true
+			return answerWithGap(att, 200*time.Millisecond), true
 		}
-		return answerAt(att, 20*time.Millisecond), true
+		return answerWithGap(att, 20*time.Millisecond), true
 	}}
 	dispatcher := newTestDispatcher(hosts, 4)
 	for number := range 40 {
@@ -154,7 +154,7 @@
 		return nil
 	}}
 	result := dispatcher.Do(context.Background(), testRequest(hosts, 0, true), sink)
-	if result.Outcome != Answered || !slices.Equal(tokens, words()) {
+	if result.Outcome != Answered || !slices.Equal(tokens, testTokens()) {
 		t.Fatalf("got %s %q, want the whole answer", result.Outcome, tokens)
 	}
 	if got := hosts.attempts[before:]; len(got) != 2 || got[0] != slow || got[1] == slow {
@@ -164,7 +164,7 @@
 
 // Symptom: a caller waits for its whole deadline on a host whose network is
 // gone: nothing comes, no connection breaks.
-func TestSilentHostIsGivenUp(t *testing.T) {
+func TestSilentHostAbandoned(t *testing.T) {
 	for _, test := range []struct {
 		repeatable  bool
 		cancelState string
@@ -178,15 +178,15 @@
 		t.Run(fmt.Sprintf("repeatable=%t/%s", test.repeatable, test.cancelState), func(t *testing.T) {
 			silent := ""
 			hosts := &fakeHosts{cancelState: test.cancelState}
-			hosts.script = func(address string, att *wire.Attempt) ([]scripted, bool) {
+			hosts.script = func(address string, att *wire.Attempt) ([]scriptedStep, bool) {
 				if silent == "" || address == silent {
 					silent = address
-					return []scripted{{wait: maxPatience, stall: true}}, true
+					return []scriptedStep{{delay: maxSilence, stall: true}}, true
 				}
-				return answerAt(att, 20*time.Millisecond), true
+				return answerWithGap(att, 20*time.Millisecond), true
 			}
 			dispatcher := newTestDispatcher(hosts, 3)
-			advanceWhileWaiting(t, hosts.clock)
+			advanceClock(t, hosts.clock)
 			result := dispatcher.Do(context.Background(), testRequest(hosts, 1, test.repeatable), Sink{})
 			if result.Outcome != test.want || result.Attempts != test.attempts {
 				t.Errorf("got %s after %d attempts, want %s after %d", result.Outcome, result.Attempts, test.want, test.attempts)
@@ -195,17 +195,17 @@
 	}
 }
 
-// silentAt answers as answerAt does, but shows nothing for twice the longest patience after some
+// answerWithSilence answers as answerAt does, but shows nothing for twice the longest patience after some
 // tokens.
-func silentAt(att *wire.Attempt, begun int) []scripted {
-	steps := answerAt(att, 20*time.Millisecond)
-	steps[begun].looks = int(2 * maxPatience / patienceLook)
+func answerWithSilence(att *wire.Attempt, silentStep int) []scriptedStep {
+	steps := answerWithGap(att, 20*time.Millisecond)
+	steps[silentStep].silenceChecks = int(2 * maxSilence / silenceCheckInterval)
 	return steps
 }
 
 // Guards against an answer in progress that is lost: its host is silent for a while, and is given
 // up though no other one has room.
-func TestAnswerStaysAtASilentHostWhereNoOtherHasRoom(t *testing.T) {
+func TestStayOnSilentHostWithoutAlternative(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		hosts      int
@@ -217,11 +217,11 @@
 		{"may not be repeated", 3, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			hosts := &fakeHosts{cancelState: "running", script: func(_ string, att *wire.Attempt) ([]scripted, bool) {
-				return silentAt(att, 5), true
+			hosts := &fakeHosts{cancelState: "running", script: func(_ string, att *wire.Attempt) ([]scriptedStep, bool) {
+				return answerWithSilence(att, 5), true
 			}}
 			dispatcher := newTestDispatcher(hosts, test.hosts)
-			advanceWhileWaiting(t, hosts.clock)
+			advanceClock(t, hosts.clock)
 			req := testRequest(hosts, 1, test.repeatable)
 			req.Retry = func() bool { return test.budget }
 			result := dispatcher.Do(context.Background(), req, Sink{})
@@ -234,38 +234,38 @@
 
 // Guards against an answer in progress that waits for a silent host to its deadline though another
 // one has room, and against a place there that stays taken.
-func TestAnswerLeavesASilentHostForOneWithRoom(t *testing.T) {
+func TestMoveFromSilentHost(t *testing.T) {
 	silent := ""
 	hosts := &fakeHosts{cancelState: "running"}
-	hosts.script = func(address string, att *wire.Attempt) ([]scripted, bool) {
+	hosts.script = func(address string, att *wire.Attempt) ([]scriptedStep, bool) {
 		if silent == "" {
 			silent = address
-			steps := answerAt(att, 20*time.Millisecond)
-			steps[5].looks, steps[5].stall = int(2*maxPatience/patienceLook), true
+			steps := answerWithGap(att, 20*time.Millisecond)
+			steps[5].silenceChecks, steps[5].stall = int(2*maxSilence/silenceCheckInterval), true
 			return steps, true
 		}
-		return answerAt(att, 20*time.Millisecond), true
+		return answerWithGap(att, 20*time.Millisecond), true
 	}
 	dispatcher := newTestDispatcher(hosts, 3)
-	advanceWhileWaiting(t, hosts.clock)
+	advanceClock(t, hosts.clock)
 	result := dispatcher.Do(context.Background(), testRequest(hosts, 1, true), Sink{})
 	if result.Outcome != Answered || result.Attempts != 2 || result.Host == silent {
 		t.Errorf("got %s after %d attempts at %s, want %s after 2 elsewhere than at %s: %v",
 			result.Outcome, result.Attempts, result.Host, Answered, silent, result.Err)
 	}
-	if got := dispatcher.lane("lane").busy(); got != 0 {
+	if got := dispatcher.pool("lane").inFlightCount(); got != 0 {
 		t.Errorf("got %d places taken after the answer, want none", got)
 	}
 }
 
 // Guards against an answer that leaves a slow host and is lost, since no other one has room.
-func TestAnswerStaysAtASlowHostWhereNoOtherHasRoom(t *testing.T) {
+func TestStayOnSlowHostWithoutAlternative(t *testing.T) {
 	slow := ""
-	hosts := &fakeHosts{script: func(address string, att *wire.Attempt) ([]scripted, bool) {
+	hosts := &fakeHosts{script: func(address string, att *wire.Attempt) ([]scriptedStep, bool) {
 		if address == slow {
-			return answerAt(att, 200*time.Millisecond), true
+			return answerWithGap(att, 200*time.Millisecond), true
 		}
-		return answerAt(att, 20*time.Millisecond), true
+		return answerWithGap(att, 20*time.Millisecond), true
 	}}
 	dispatcher := newTestDispatcher(hosts, 4)
 	for number := range 40 {
@@ -273,17 +273,17 @@
 	}
 	slow = hosts.attempts[0]
 	before := len(hosts.attempts)
-	queue := dispatcher.lane("lane")
+	pool := dispatcher.pool("lane")
 	fill := func() {
-		queue.mu.Lock()
-		defer queue.mu.Unlock()
-		others := func() route.Ask { return route.Ask{Versions: []string{"v1"}, Exclude: []string{slow}} }
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		otherHosts := func() route.Ask { return route.Ask{Versions: []string{"v1"}, Exclude: []string{slow}} }
 		for reason := route.Chosen; reason == route.Chosen; {
-			_, reason = queue.pick(hosts.clock.Now(), testRequest(hosts, 1, true), others)
+			_, reason = pool.pick(hosts.clock.Now(), testRequest(hosts, 1, true), otherHosts)
 		}
 	}
 	sink := Sink{Tokens: func(string, []string) error { fill(); return nil }}
-	advanceWhileWaiting(t, hosts.clock)
+	advanceClock(t, hosts.clock)
 	result := dispatcher.Do(context.Background(), testRequest(hosts, 0, true), sink)
 	if result.Outcome != Answered {
 		t.Errorf("got %s, want %s: %v", result.Outcome, Answered, result.Err)
@@ -293,8 +293,8 @@
 	}
 }
 
-// advanceWhileWaiting lets the waits between attempts pass.
-func advanceWhileWaiting(t *testing.T, clock *clockwork.FakeClock) {
+// advanceClock lets the waits between attempts pass.
+func advanceClock(t *testing.T, clock *clockwork.FakeClock) {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -310,10 +310,10 @@
 }
 
 // Symptom: an engine works for a caller who hung up.
-func TestCallerWhoIsGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
-		hosts := &fakeHosts{script: func(_ string, att *wire.Attempt) ([]scripted, bool) {
-			return answerAt(att, 20*time.Millisecond), true
+		hosts := &fakeHosts{script: func(_ string, att *wire.Attempt) ([]scriptedStep, bool) {
+			return answerWithGap(att, 20*time.Millisecond), true
 		}}
 		dispatcher := newTestDispatcher(hosts, 3)
 		sink := Sink{Tokens: func(string, []string) error { return errors.New("gone") }}
@@ -331,11 +331,11 @@
 // Symptom: a request that nobody ran is called unknown, or one that may have
 // run is called notRun. The proofs of several attempts add up.
 func TestOutcomeOfSeveralAttempts(t *testing.T) {
-	refused := []scripted{{frame: &wire.Frame{Kind: frameRefused, Reason: "busy"}}}
-	broken := []scripted{{err: io.ErrUnexpectedEOF}}
+	refused := []scriptedStep{{frame: &wire.Frame{Kind: frameRefused, Reason: "busy"}}}
+	broken := []scriptedStep{{err: io.ErrUnexpectedEOF}}
 	cases := []struct {
 		name        string
-		first       []scripted
+		first       []scriptedStep
 		reachable   bool
 		cancelState string
 		repeatable  bool
@@ -351,11 +351,11 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			hosts := &fakeHosts{cancelState: test.cancelState}
-			hosts.script = func(string, *wire.Attempt) ([]scripted, bool) {
+			hosts.script = func(string, *wire.Attempt) ([]scriptedStep, bool) {
 				return slices.Clone(test.first), test.reachable
 			}
 			dispatcher := newTestDispatcher(hosts, 2)
-			advanceWhileWaiting(t, hosts.clock)
+			advanceClock(t, hosts.clock)
 			result := dispatcher.Do(context.Background(), testRequest(hosts, 1, test.repeatable), Sink{})
 			if result.Outcome != test.want {
 				t.Errorf("got %s, want %s", result.Outcome, test.want)
@@ -369,24 +369,24 @@
 
 // Symptom: a caller is left waiting until its deadline although it is plain
 // that its request cannot be on time.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+func TestLateRequestRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	hosts := &fakeHosts{}
-	hosts.script = func(_ string, att *wire.Attempt) ([]scripted, bool) {
+	hosts.script = func(_ string, att *wire.Attempt) ([]scriptedStep, bool) {
 		if att.GetPrompt() == "hold" {
 			<-release
 		}
-		return answerAt(att, 20*time.Millisecond), true
+		return answerWithGap(att, 20*time.Millisecond), true
 	}
 	dispatcher := newTestDispatcher(hosts, 1)
 	for number := range 5 {
 		dispatcher.Do(context.Background(), testRequest(hosts, number, true), Sink{})
 	}
-	var holders sync.WaitGroup
+	var running sync.WaitGroup
 	held := testRequest(hosts, 9, true)
 	held.Prompt = "hold"
-	holders.Go(func() { dispatcher.Do(context.Background(), held, Sink{}) })
-	for dispatcher.lane("lane").busy() == 0 {
+	running.Go(func() { dispatcher.Do(context.Background(), held, Sink{}) })
+	for dispatcher.pool("lane").inFlightCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	late := testRequest(hosts, 10, true)
@@ -399,12 +399,12 @@
 		t.Error("got no time to retry after, want one")
 	}
 	close(release)
-	holders.Wait()
+	running.Wait()
 }
 
-// busy returns the attempts in progress.
-func (l *lane) busy() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.inFlight
+// inFlightCount returns the attempts in progress.
+func (p *hostPool) inFlightCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.inFlight
 }
