--- a/entry/internal/dispatch/dispatcher.go
+++ b/entry/internal/dispatch/dispatcher.go
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Config is what a Dispatcher needs.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
 	Self       *wire.Node
 	Clock      clockwork.Clock
@@ -24,57 +24,60 @@
 	Hosts      Hosts
 	Policy     route.Policy
 	Seed       uint64
-	Known      func() *wire.Known // revisions in force, for the attempts
-	Refresh    func()             // brings the lanes up to date with the view
+	Known      func() *wire.Known // returns the revisions in force, which each attempt carries
+	Refresh    func()             // updates the host pools from the current view
 	Invariants Invariants
 }
 
-// Request is one request as the filters before made it.
+// Request is a request that has passed authentication, key claims and limits.
 type Request struct {
-	ID         string // new for each arrival at an entry
+	ID         string // unique per arrival at an entry
 	Customer   string
-	Weight     float64 // share under overload; above 0
-	Large      bool    // the customer asks for much more than its share
+	Weight     float64 // relative share under overload; greater than 0
+	Large      bool    // the customer's demand is far above its share
 	Priority   uint32
-	Lane       string // names the hosts that serve it; see Update
+	Lane       string // name of the host pool that serves it; see Dispatcher.Update
 	Model      string
 	Adapter    string
 	Service    string
 	Prompt     string
 	MaxTokens  int
-	Body       []byte // to a plain service
+	Body       []byte // request body for a plain service
 	Repeatable bool
 	Deadline   time.Time
-	// Versions returns those that may serve the request now. It is called with
-	// a lane locked and must not call Update.
+	// Versions returns the model versions that may serve the request now. It is
+	// called with a host pool locked and must not call Dispatcher.Update, which
+	// would deadlock.
 	Versions func() []string
-	// Retry takes one retry from the customer's budget; false: none is left.
+	// Retry charges one retry to the customer's budget. It returns false if the
+	// budget is exhausted.
 	Retry func() bool
 }
 
-// Sink takes the answer's tokens as they come, for callers who want a stream.
-// An error from it means that the caller is gone. The zero Sink takes nothing:
-// the answer is in the Result.
+// Sink receives the tokens of an answer as they arrive, for callers that requested
+// a stream. The zero Sink receives nothing; the answer is then only in the Result.
 type Sink struct {
+	// Tokens returns an error if the caller has disconnected.
 	Tokens func(version string, tokens []string) error
 }
 
-// Result is how a request ended.
+// Result describes how a request ended.
 type Result struct {
 	Outcome    Outcome
 	Version    string
 	Tokens     []string
 	Body       []byte
 	Digest     []byte
-	Err        *failure.Error // nil with Answered
+	Err        *failure.Error // nil if Outcome is Answered
 	Attempts   int
-	Host       string        // of the last attempt; empty if there was none
-	FirstToken time.Duration // from the call of Do; 0 while there was none
-	Queued     time.Duration // waited for room, all attempts together
-	Affinity   bool          // the last host was expected to hold the prefix
+	Host       string        // host of the last attempt; empty if there was none
+	FirstToken time.Duration // time from the call of Do to the first data; 0 if there was none
+	Queued     time.Duration // total time spent waiting for a host, over all attempts
+	Affinity   bool          // the last host was expected to have the prompt's prefix cached
 }
 
-// Dispatcher runs requests. Its state is in lanes, each under its own lock.
+// Dispatcher runs requests. It keeps one host pool per model or service, each with
+// its own lock.
 type Dispatcher struct {
 	cfg Config
 
@@ -82,17 +85,18 @@
 	pools map[string]*hostPool
 }
 
-// New returns a Dispatcher without lanes.
+// New returns a Dispatcher without host pools.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{cfg: cfg, pools: make(map[string]*hostPool)}
 }
 
-// Update gives a lane the hosts that serve its model or service now, sorted by
-// id, and the number of entries that share them.
+// Update replaces the hosts of the named pool with those that serve its model or
+// service now, sorted by id. entries is the number of entries that share them.
 func (d *Dispatcher) Update(name string, hosts []route.Host, entries int) {
 	d.pool(name).update(hosts, entries)
 }
 
+// pool returns the named host pool and creates it if needed.
 func (d *Dispatcher) pool(name string) *hostPool {
 	d.mu.RLock()
 	found := d.pools[name]
@@ -114,8 +118,8 @@
 	return found
 }
 
-// Do runs the request to its end: an answer, or the moment it is given up.
-// The end of ctx means that the caller is gone.
+// Do runs the request until it is answered or abandoned. ctx ends when the caller
+// disconnects.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
 	run := &requestRun{
 		dispatcher: d,
@@ -125,8 +129,9 @@
 		progress:   NewProgress(req.ID, req.Repeatable),
 		started:    d.cfg.Clock.Now(),
 	}
-	// What may not be repeated goes on when its caller goes: the caller sends
-	// the key again and gets the answer, which a cancel would have lost.
+	// A request that may not be repeated continues after its caller disconnects.
+	// The caller can send the key again and receive the answer, which cancelling
+	// would have lost.
 	if !req.Repeatable {
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -137,13 +142,15 @@
 	return run.result(err)
 }
 
-// cutoff is when attempts are given up: a little before the deadline, so that
-// a cancel can still prove what happened and the caller learns of it in time.
+// cutoff returns when attempts are abandoned. It is slightly before the deadline,
+// so that a cancel request can still establish whether the attempt ran and the
+// caller is told in time.
 func (r *requestRun) cutoff() time.Time {
 	left := r.req.Deadline.Sub(r.started)
 	return r.req.Deadline.Add(-min(cancelTimeout, left/cancelTimeDivisor))
 }
 
+// loop makes attempts until one succeeds or no further attempt is allowed.
 func (r *requestRun) loop(ctx context.Context) *failure.Error {
 	for {
 		choice, err := r.acquireHost(ctx)
@@ -154,7 +161,7 @@
 		if end.complete {
 			return nil
 		}
-		if !end.refused { // a host that refused asks for a pause by itself
+		if !end.refused { // a host that refuses states its own retry-after time
 			r.failedHosts = append(r.failedHosts, choice.Host.ID)
 		}
 		if err := r.checkRetry(ctx, end); err != nil {
@@ -166,7 +173,7 @@
 	}
 }
 
-// releaseReserved gives a place back that was reserved and is not used.
+// releaseReserved releases a reserved place that was not used.
 func (r *requestRun) releaseReserved() {
 	if r.reserved != nil {
 		r.pool.finish(*r.reserved, route.Result{End: route.EndCancelled})
@@ -174,7 +181,7 @@
 	}
 }
 
-// acquireHost waits for a host; a resumed answer stays with its version.
+// acquireHost returns the host reserved for the next attempt, or waits for one.
 func (r *requestRun) acquireHost(ctx context.Context) (route.Choice, *failure.Error) {
 	if next := r.reserved; next != nil {
 		r.reserved = nil
@@ -186,6 +193,8 @@
 	return choice, err
 }
 
+// criteria returns what the next attempt requires of a host. An answer that was
+// partly delivered stays on its version.
 func (r *requestRun) criteria() route.Ask {
 	criteria := route.Ask{
 		Prefix:   r.prefix(),
@@ -201,6 +210,7 @@
 	return criteria
 }
 
+// prefix returns the hash of the prompt's prefix and caches it.
 func (r *requestRun) prefix() uint64 {
 	if r.prefixHash == 0 {
 		r.prefixHash = route.PrefixOf(r.req.Prompt)
@@ -208,9 +218,9 @@
 	return r.prefixHash
 }
 
-// checkRetry applies the rules for another attempt. Only what may have cost a
-// back end work is charged to the retry budget: a refusal does not multiply
-// the load.
+// checkRetry returns an error if no further attempt is allowed. Only attempts that
+// may have caused work on a back end are charged to the retry budget: a refusal
+// does not multiply the load.
 func (r *requestRun) checkRetry(ctx context.Context, end attemptEnd) *failure.Error {
 	switch {
 	case !r.progress.MayRetry():
@@ -225,8 +235,9 @@
 	return nil
 }
 
-// waitForRetry waits before the next attempt; false: the time is over. After a
-// refusal another host is tried at once, for the first time.
+// waitForRetry waits for the backoff before the next attempt. It returns false if
+// ctx ended first. It does not wait if a place is already reserved, or if the
+// first attempt was refused.
 func (r *requestRun) waitForRetry(ctx context.Context, end attemptEnd) bool {
 	next := int(r.progress.AttemptNumber()) + 1
 	if r.reserved != nil || end.refused && next == 2 {
@@ -242,6 +253,7 @@
 	}
 }
 
+// result builds the Result and checks that error and outcome are consistent.
 func (r *requestRun) result(err *failure.Error) Result {
 	outcome := r.progress.Outcome()
 	check := r.dispatcher.cfg.Invariants.Check
@@ -266,8 +278,8 @@
 }
 
 func errUnknownOutcome(reason string) *failure.Error {
-	return failure.New(failure.Ambiguous, "the host did not answer to the end: "+reason,
-		"it may have run: look for its effect before you send it with a new key")
+	return failure.New(failure.Ambiguous, "the host did not complete the answer: "+reason,
+		"the request may have run: check for its effects before sending it with a new key")
 }
 
 func errNoAnswer(reason string) *failure.Error {
@@ -276,6 +288,6 @@
 }
 
 func errRetryBudget(reason string) *failure.Error {
-	return failure.New(failure.Exhausted, "no host answered, and the customer's retries are used up: "+reason,
+	return failure.New(failure.Exhausted, "no host answered, and the customer's retry budget is exhausted: "+reason,
 		"try again later").WithRetryAfter(noHostRetry)
 }
--- a/entry/internal/dispatch/hostpool.go
+++ b/entry/internal/dispatch/hostpool.go
@@ -13,47 +13,51 @@
 	"comfreyrelay.example/relay/route"
 )
 
-// Constants of a lane.
+// Limits and estimates of a host pool.
 const (
-	tickInterval = 20 * time.Millisecond // while requests wait
+	tickInterval = 20 * time.Millisecond // how often waiting requests are placed again
 	maxWaiting   = limit.DefaultMaxWaiting
-	noHostRetry  = time.Second
-	minRetry     = 50 * time.Millisecond
-	maxRetry     = 5 * time.Second
-	// defaultServiceTime stands for the time that an answer takes until one did.
+	// noHostRetry is the retry-after time that callers are told if no host serves the
+	// request or the retry budget is exhausted.
+	noHostRetry = time.Second
+	// Other retry-after times are clamped to these bounds.
+	minRetry = 50 * time.Millisecond
+	maxRetry = 5 * time.Second
+	// defaultServiceTime is the assumed duration of an answer until one was measured.
 	defaultServiceTime = 100 * time.Millisecond
-	// estimateMargin makes the estimates pessimistic: what is late is worth nothing,
-	// and the room it took is lost.
+	// estimateMargin makes estimates pessimistic: a late answer is useless, and the
+	// capacity that it used is wasted.
 	estimateMargin = 1.4
-	// maxQueueShare is the part of a request's time that it may spend waiting: a
-	// queue longer than that only makes all answers late.
+	// maxQueueShare is the fraction of the time to its deadline that a request may
+	// spend in the queue. A longer queue would only make all answers late.
 	maxQueueShare = 0.5
 )
 
-// hostPool is the queue for the hosts of one model or one service, with what this
-// entry knows of them, under one lock.
+// hostPool holds the hosts of one model or service, as far as this entry knows them,
+// and the queue of requests that wait for one. One lock guards both.
 type hostPool struct {
 	clock   clockwork.Clock
-	refresh func() // brings the hosts up to date; called without the lock
+	refresh func() // updates the hosts; called without the lock
 
 	mu          sync.Mutex
 	table       *route.Table
-	queue       *limit.Queue // costs are expected seconds on a host
-	inFlight    int          // attempts placed and not finished
-	tickPending bool         // a tick is due
+	queue       *limit.Queue // an item's cost is its expected seconds on a host
+	inFlight    int          // attempts placed and not yet finished
+	tickPending bool         // a call of tick is scheduled
 }
 
-// waiter is a request in the queue.
+// waiter is a queued request.
 type waiter struct {
 	req      *Request
-	criteria func() route.Ask // evaluated at each try: versions move meanwhile
+	criteria func() route.Ask // evaluated at each try, because the allowed versions change
 	item     limit.Item
-	result   chan placement // holds one; written once, by whoever takes it out
+	result   chan placement // capacity 1; written once, by whoever removes the waiter from the queue
 }
 
+// placement is the result of a request for a host.
 type placement struct {
 	choice route.Choice
-	err    *failure.Error // nil with a choice
+	err    *failure.Error // nil if a host was chosen
 }
 
 func newHostPool(clock clockwork.Clock, options route.Options, refresh func()) *hostPool {
@@ -65,6 +69,7 @@
 	}
 }
 
+// update replaces the hosts and places waiting requests on them.
 func (p *hostPool) update(hosts []route.Host, entries int) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -73,8 +78,8 @@
 	p.placeWaiting(now)
 }
 
-// acquire waits for a host with room until ctx ends or the request cannot be
-// on time any more; it returns at once if that is plain from the start.
+// acquire waits for a host with capacity until ctx ends or the request can no longer
+// meet its deadline. It returns at once if the deadline is already out of reach.
 func (p *hostPool) acquire(ctx context.Context, req *Request, criteria func() route.Ask) (route.Choice, *failure.Error) {
 	waiting, immediate := p.placeOrEnqueue(req, criteria)
 	if waiting == nil {
@@ -89,13 +94,14 @@
 	removed := p.queue.Remove(&waiting.item)
 	p.mu.Unlock()
 	if !removed {
-		got := <-waiting.result // it was placed at the same moment
+		got := <-waiting.result // the request left the queue at the same moment
 		return got.choice, got.err
 	}
 	return route.Choice{}, errLate(minRetry)
 }
 
-// placeOrEnqueue places the request or puts it into the queue.
+// placeOrEnqueue places or rejects the request at once, or puts it into the queue and
+// returns its waiter.
 func (p *hostPool) placeOrEnqueue(req *Request, criteria func() route.Ask) (*waiter, placement) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -128,8 +134,8 @@
 	return waiting, placement{}
 }
 
-// reserve takes a place at another host than that of a choice, without waiting, for an answer in
-// progress there; false: none has room.
+// reserve reserves a place, without waiting, for an answer in progress on the current
+// host. It returns false if no other host has capacity.
 func (p *hostPool) reserve(req *Request, criteria func() route.Ask, current route.Choice) (route.Choice, bool) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -138,7 +144,7 @@
 	if reason != route.Chosen {
 		return route.Choice{}, false
 	}
-	if choice.Host.ID == current.Host.ID { // no other host serves it
+	if choice.Host.ID == current.Host.ID { // no other host serves the request
 		p.table.Finish(now, choice, route.Result{End: route.EndCancelled})
 		p.inFlight--
 		return route.Choice{}, false
@@ -146,7 +152,7 @@
 	return choice, true
 }
 
-// pick reserves a host with room. The lock is held.
+// pick reserves a host with capacity. The caller holds the lock.
 func (p *hostPool) pick(now time.Time, req *Request, criteria func() route.Ask) (route.Choice, route.Reason) {
 	want := criteria()
 	want.Large = req.Large
@@ -157,7 +163,7 @@
 	return choice, reason
 }
 
-// serviceTime estimates the time that the request takes on a host.
+// serviceTime estimates how long the request takes on a host.
 func (p *hostPool) serviceTime(now time.Time, req *Request) time.Duration {
 	if service := p.table.Service(now, req.MaxTokens); service > 0 {
 		return service
@@ -165,9 +171,9 @@
 	return defaultServiceTime
 }
 
-// missesDeadline reports whether the request could not be answered by its deadline
-// even if a host took it now. With no attempt in progress there is none that
-// could correct the estimate, and the request is let through.
+// missesDeadline reports whether the request would miss its deadline even if it were
+// placed now. If no attempt is in progress, the request is let through, because
+// otherwise no attempt could ever correct the estimate.
 func (p *hostPool) missesDeadline(now time.Time, req *Request) bool {
 	if p.inFlight == 0 {
 		return false
@@ -176,9 +182,9 @@
 	return service > 0 && now.Add(withMargin(service)).After(req.Deadline)
 }
 
-// waitsTooLong estimates whether the request would wait too long. By Little's law
-// the work ahead leaves at the rate of the attempts in progress over the time
-// each takes; with none in progress there is no estimate.
+// waitsTooLong estimates the wait in the queue and reports whether it is too long.
+// By Little's law, the throughput is the number of attempts in progress divided by
+// the time that each takes. With none in progress there is no estimate.
 func (p *hostPool) waitsTooLong(now time.Time, req *Request) (wait time.Duration, late bool) {
 	if p.inFlight == 0 || p.table.Service(now, req.MaxTokens) == 0 {
 		return 0, false
@@ -190,15 +196,18 @@
 	return wait, late
 }
 
+// withMargin multiplies the estimate by estimateMargin.
 func withMargin(estimate time.Duration) time.Duration {
 	return time.Duration(estimateMargin * float64(estimate))
 }
 
+// drainTime estimates how long the current queue takes to empty.
 func (p *hostPool) drainTime() time.Duration {
 	return time.Duration(p.queue.Cost() / float64(max(1, p.inFlight)) * float64(time.Second))
 }
 
-// placeWaiting places waiting requests while there is room. The lock is held.
+// placeWaiting places waiting requests while hosts have capacity. The caller holds
+// the lock.
 func (p *hostPool) placeWaiting(now time.Time) {
 	for p.queue.Len() > 0 {
 		placed := p.queue.Next(func(item *limit.Item) bool {
@@ -225,9 +234,9 @@
 	}
 }
 
-// scheduleTick makes sure that waiting requests are looked at again although
-// nothing of this entry's own ends: other entries' requests do. The lock is
-// held.
+// scheduleTick schedules another attempt to place the waiting requests. Capacity can
+// become free without an event in this entry, when requests of other entries end.
+// The caller holds the lock.
 func (p *hostPool) scheduleTick() {
 	if p.tickPending || p.queue.Len() == 0 {
 		return
@@ -236,6 +245,7 @@
 	p.clock.AfterFunc(tickInterval, p.tick)
 }
 
+// tick updates the hosts, rejects late requests and places waiting ones.
 func (p *hostPool) tick() {
 	p.refresh()
 	now := p.clock.Now()
@@ -247,15 +257,15 @@
 	p.scheduleTick()
 }
 
-// rejectLate answers those at once that can no longer be on time: holding them
-// until their deadline would only delay the caller's next try.
+// rejectLate rejects the waiting requests that can no longer meet their deadline.
+// Keeping them until the deadline would only delay the caller's next try.
 func (p *hostPool) rejectLate(now time.Time) {
 	for _, item := range p.queue.Expired(now.Add(p.table.Service(now, 0))) {
 		item.Value.(*waiter).result <- placement{err: errLate(p.drainTime())}
 	}
 }
 
-// finish gives a choice back and places others on the room.
+// finish releases a choice and places waiting requests on the freed capacity.
 func (p *hostPool) finish(choice route.Choice, result route.Result) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -265,7 +275,7 @@
 	p.placeWaiting(now)
 }
 
-// observeLoad takes the load that came with a frame.
+// observeLoad records the host load that a frame reported.
 func (p *hostPool) observeLoad(choice route.Choice, running, queued uint32) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -273,9 +283,9 @@
 	p.table.Load(now, choice.Host.ID, int(running), int(queued))
 }
 
-// recordSpeed takes the time between tokens of an answer that is still coming, and
-// reports whether it should go on elsewhere: its host is slow, and there are
-// others.
+// recordSpeed records the time between tokens of an answer in progress. It reports
+// whether the answer should move to another host, because this one is slow and
+// there are others.
 func (p *hostPool) recordSpeed(choice route.Choice, gap time.Duration) (leave bool) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -283,15 +293,15 @@
 	return p.table.Speed(now, choice, gap) && p.table.Hosts() > 1
 }
 
-// patience returns how long a silent host is waited for: before the first
-// token, and between tokens.
+// typicalTimes returns the typical time to the first token and between tokens, or 0
+// while unknown.
 func (p *hostPool) typicalTimes() (first, between time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.FirstToken(), p.table.TokenGap()
 }
 
-// Causes of the errors that a Result bears, for errors.Is.
+// Causes of Result.Err, for use with errors.Is.
 var (
 	ErrNoHost = errors.New("no host")
 	ErrLate   = errors.New("too late")
@@ -308,8 +318,9 @@
 }
 
 func errQueueFull(wait time.Duration) *failure.Error {
-	return failure.New(failure.Exhausted, "too many requests wait",
-		"try again later, and send fewer at once").WithRetryAfter(clampRetry(wait))
+	return failure.New(failure.Exhausted, "too many requests are waiting",
+		"try again later, with fewer concurrent requests").WithRetryAfter(clampRetry(wait))
 }
 
+// clampRetry keeps a retry-after time within minRetry and maxRetry.
 func clampRetry(wait time.Duration) time.Duration { return min(maxRetry, max(minRetry, wait)) }
--- a/entry/internal/dispatch/hosts.go
+++ b/entry/internal/dispatch/hosts.go
@@ -9,23 +9,24 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Stream is the answer of one attempt as it comes.
+// Stream delivers the answer frames of one attempt.
 type Stream struct {
 	Recv  func() (*wire.Frame, error)
 	Close func() error
 }
 
-// Hosts is how attempts reach agents. Its fields are the seams.
+// Hosts calls the agents on hosts. Tests replace the functions with fakes.
 type Hosts struct {
-	// Run hands the attempt to the agent at the address. With an error,
-	// sent is false only if the attempt's message surely never left this
+	// Run sends the attempt to the agent at the address. If it returns an error,
+	// sent is false only if the attempt's message certainly never left this
 	// process.
 	Run func(ctx context.Context, address string, attempt *wire.Attempt) (stream Stream, sent bool, err error)
-	// Cancel leaves a tombstone at the agent.
+	// Cancel cancels an attempt. The agent keeps a tombstone, so that an attempt
+	// delivered later does not start.
 	Cancel func(ctx context.Context, address string, ask *wire.CancelRequest) (*wire.CancelReply, error)
 }
 
-// NewHosts returns Hosts that call agents over the pool.
+// NewHosts returns a Hosts that calls agents over connections of the pool.
 //
 // Rule BOUND of spec/once.pml.
 func NewHosts(pool *peer.Pool) Hosts {
@@ -44,9 +45,9 @@
 	}
 }
 
-// openedConn remembers whether its stream was opened. The generated client
-// opens the stream first and sends the message on it afterwards, so that an
-// error before proves that the message did not leave.
+// openedConn records whether its stream was opened. The generated client opens
+// the stream before it sends the message, so an error while opening proves that
+// the message was not sent.
 type openedConn struct {
 	drpc.Conn
 	opened bool
--- a/entry/internal/dispatch/invariants.go
+++ b/entry/internal/dispatch/invariants.go
@@ -5,16 +5,16 @@
 	"log/slog"
 )
 
-// invariantFailures counts broken invariants, by rule.
+// invariantFailures counts violated invariants by rule.
 var invariantFailures = expvar.NewMap("invariantFailures")
 
-// Invariants records rules that broke inside the process. None ever should.
+// Invariants reports violated internal invariants. Any violation is a bug.
 type Invariants struct {
 	Log   *slog.Logger
-	Panic bool // stop the process, in tests
+	Panic bool // panic on a violation; for tests
 }
 
-// Check records that the rule broke unless ok is true, and returns ok.
+// Check logs and counts a violation of the rule if ok is false. It returns ok.
 func (i Invariants) Check(ok bool, rule string, attrs ...any) bool {
 	if ok {
 		return true
--- a/entry/internal/dispatch/outcome.go
+++ b/entry/internal/dispatch/outcome.go
@@ -1,46 +1,48 @@
-// Package dispatch runs requests on hosts: it waits for room, chooses a host,
-// hands the attempt out, checks what comes back and decides what may be tried
-// again and what the caller receives.
+// Package dispatch runs requests on hosts. It queues a request until a host has
+// capacity, sends an attempt to that host, validates the answer frames, and
+// decides whether to retry and which outcome the caller receives.
 package dispatch
 
-// Outcome is the outcome of a request that its caller receives. Its values are the API's.
+// Outcome is the final state of a request as reported to its caller. The values
+// are part of the API.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	Answered Outcome = "answered" // the whole answer, verified
-	NotRun   Outcome = "notRun"   // proved: no back end ever began it
+	Answered Outcome = "answered" // the complete answer was received and its digest verified
+	NotRun   Outcome = "notRun"   // proven: no back end ever began it
 	Unknown  Outcome = "unknown"  // anything else
 )
 
-// Proof is what is known of whether one attempt ran.
+// Proof says what is known about whether one attempt ran.
 type Proof int
 
-// The proofs. An attempt starts as NotHandedOut and loses that at the moment
+// States of proof. An attempt starts as NotSent and leaves that state as soon as
 // its message may have left this process.
 const (
-	// NotSent: the attempt's message was never given to a connection.
+	// NotSent: the attempt's message was never written to a connection.
 	NotSent Proof = iota
-	// Refused: the agent it was meant for answered "refused" as its first
-	// frame, which it does only for what the back end never saw, and remembers.
+	// Refused: the addressed agent sent "refused" as its first frame. An agent
+	// does so only for an attempt that the back end never saw, and it remembers
+	// the refusal.
 	Refused
-	// NeverBegun: the agent it was meant for answered a cancel with
-	// "neverBegun"; its tombstone keeps a late delivery from beginning.
+	// NeverBegun: the addressed agent answered a cancel request with
+	// "neverBegun". Its tombstone prevents a late delivery from starting.
 	NeverBegun
-	// Unproven: it was handed out, and nothing proves that it did not run.
+	// Unproven: the attempt was sent, and nothing proves that it did not run.
 	Unproven
-	// Complete: its answer arrived whole.
+	// Complete: the complete answer arrived.
 	Complete
 )
 
-// provesNotRun reports whether the attempt surely never ran and never will.
+// provesNotRun reports whether the attempt certainly never ran and never will.
 func (p Proof) provesNotRun() bool {
 	return p == NotSent || p == Refused || p == NeverBegun
 }
 
-// outcomeOf applies the rule for what a caller may receive:
-//   - answered, if one attempt's answer arrived whole;
-//   - notRun, only if each attempt is proved not to have run;
+// outcomeOf returns the outcome that a caller may receive:
+//   - answered, if the complete answer of one attempt arrived;
+//   - notRun, only if every attempt is proven not to have run;
 //   - unknown otherwise.
 func outcomeOf(proofs []Proof) Outcome {
 	outcome := NotRun
--- a/entry/internal/dispatch/priority.go
+++ b/entry/internal/dispatch/priority.go
@@ -1,10 +1,11 @@
 package dispatch
 
-// maxPriority keeps a doubled priority within its type.
+// maxPriority limits a priority so that doubling it does not overflow uint32.
 const maxPriority = 1 << 30
 
-// enginePriority orders requests in an engine's queue: by the customer's
-// priority, and within one priority those of a large customer last.
+// enginePriority returns the priority of a request in an engine's queue. Requests
+// are ordered by the customer's priority; within one priority, those of large
+// customers come last.
 func enginePriority(req *Request) uint32 {
 	priority := min(req.Priority, maxPriority) * 2
 	if req.Large {
--- a/entry/internal/dispatch/progress.go
+++ b/entry/internal/dispatch/progress.go
@@ -8,7 +8,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Kinds of wire.Frame.
+// Values of wire.Frame.Kind.
 const (
 	frameBegin   = "begin"
 	frameTokens  = "tokens"
@@ -18,50 +18,50 @@
 	frameBroken  = "broken"
 )
 
-// reasonVersionChanged is the agents' reason for a broken answer whose engine changed
-// its weights meanwhile.
+// reasonVersionChanged is the reason of a "broken" frame that an agent sends when
+// its engine switched weights during the answer.
 const reasonVersionChanged = "versionChanged"
 
-// maxAnswerBytes bounds the tokens or the body of one answer that are kept.
+// maxAnswerBytes limits the size of the tokens or the body kept for one answer.
 const maxAnswerBytes = 4 << 20
 
-// StepKind says what one frame means for its request.
+// StepKind classifies the effect of a frame on its request.
 type StepKind int
 
-// The kinds of a Step.
+// Kinds of a Step.
 const (
-	StepIgnore   StepKind = iota // late, doubled or of another attempt: ignore
-	StepBegin                    // the back end began
-	StepData                     // new tokens
-	StepComplete                 // the answer is whole
-	StepRefused                  // the attempt is proved not to have run
-	StepBroken                   // the attempt is over and proves nothing
+	StepIgnore   StepKind = iota // late, duplicate or from another attempt: ignored
+	StepBegin                    // the back end began the attempt
+	StepData                     // new tokens or new body bytes
+	StepComplete                 // the answer is complete and verified
+	StepRefused                  // the attempt is proven not to have run
+	StepBroken                   // the attempt ended without proving whether it ran
 )
 
 // Step is the effect of one frame.
 type Step struct {
 	Kind   StepKind
-	Tokens []string // with StepRelay
+	Tokens []string // with StepData
 	Reason string   // with StepRefused and StepBroken
 }
 
-// Progress is the state of one request over its attempts. It is pure: frames
-// go in, steps come out.
+// Progress is the state machine of one request across its attempts. It performs
+// no I/O: it maps each frame to a Step.
 type Progress struct {
 	id           string
 	repeatable   bool
-	proofs       []Proof // one an attempt, in order; the last is the current one
-	version      string  // that the current attempt asked for
-	adapter      string  // version of the adapter that it asked for
-	open         bool    // the current attempt may still send frames
-	begun        bool    // its back end said so
-	nextSequence uint32  // sequence number of its next frame
+	proofs       []Proof // one per attempt, in order; the last is the current attempt
+	version      string  // model version requested by the current attempt
+	adapter      string  // adapter version requested by the current attempt
+	open         bool    // frames of the current attempt are still accepted
+	begun        bool    // the back end of the current attempt sent "begin"
+	nextSequence uint32  // expected sequence number of the next frame
 	tokens       []string
-	size         int // bytes in tokens and body; at most maxAnswerBytes
+	size         int // total bytes of tokens and body; at most maxAnswerBytes
 	body         []byte
-	digest       *blake3.Hasher // of tokens, joined by a newline, or of body
-	delivered    int            // tokens of the answer that went out to the caller
-	tainted      bool           // the tokens so far may be wrong: nothing goes on from them
+	digest       *blake3.Hasher // of the tokens joined by newlines, or of the body
+	delivered    int            // number of tokens already delivered to the caller
+	tainted      bool           // the tokens so far may be wrong, so no attempt resumes from them
 }
 
 // NewProgress returns the state of a request before its first attempt.
@@ -69,36 +69,38 @@
 	return &Progress{id: id, repeatable: repeatable, digest: blake3.New()}
 }
 
-// AttemptNumber returns the current attempt's number, from 1; 0 before the first.
+// AttemptNumber returns the number of the current attempt, counted from 1, or 0
+// before the first attempt.
 func (p *Progress) AttemptNumber() uint32 { return uint32(len(p.proofs)) }
 
-// Begun reports whether the back end of the current attempt said that it began.
+// Begun reports whether the back end of the current attempt sent "begin".
 func (p *Progress) Begun() bool { return p.begun }
 
-// Version returns the version of the current attempt.
+// Version returns the model version requested by the current attempt.
 func (p *Progress) Version() string { return p.version }
 
-// Tokens returns the answer's tokens so far.
+// Tokens returns the tokens received so far.
 func (p *Progress) Tokens() []string { return p.tokens }
 
-// Body returns the answer's body so far.
+// Body returns the body received so far.
 func (p *Progress) Body() []byte { return p.body }
 
-// Digest returns the digest of the tokens or the body so far.
+// Digest returns the digest of the tokens or the body received so far.
 func (p *Progress) Digest() []byte { return p.digest.Sum(nil) }
 
-// Outcome returns the outcome that the caller may receive now.
+// Outcome returns the outcome that the caller would receive now.
 func (p *Progress) Outcome() Outcome { return outcomeOf(p.proofs) }
 
-// Pinned returns the versions that the next attempt must use, where tokens
-// already went out to the caller: one answer never mixes versions.
+// Pinned returns the model and adapter versions that the next attempt must use.
+// pinned is true once tokens were delivered to the caller, because one answer
+// never mixes versions.
 func (p *Progress) Pinned() (version, adapter string, pinned bool) {
 	return p.version, p.adapter, p.delivered > 0
 }
 
-// MayRetry reports whether another attempt is allowed: for what is repeatable,
-// unless wrong tokens went out already; else only if nothing so far may have
-// run.
+// MayRetry reports whether another attempt is allowed. A repeatable request may
+// be retried unless possibly wrong tokens were delivered. Any other request may
+// be retried only if every earlier attempt is proven not to have run.
 //
 // Rule PROVED of spec/once.pml.
 func (p *Progress) MayRetry() bool {
@@ -108,9 +110,9 @@
 	return p.repeatable || p.Outcome() == NotRun
 }
 
-// Start opens the next attempt and returns the tokens that it goes on from.
-// An attempt of another version starts the answer over, which is possible only
-// while nothing of it went out. ok is false where a rule forbids the attempt.
+// Start begins the next attempt and returns the tokens from which it resumes. An
+// attempt with a different version restarts the answer, which is possible only
+// while no token was delivered. ok is false if the attempt is not allowed.
 func (p *Progress) Start(version, adapter string) (resume []string, ok bool) {
 	same := version == p.version && adapter == p.adapter
 	if !p.MayRetry() || (p.delivered > 0 && !same) {
@@ -125,40 +127,43 @@
 	return p.tokens, true
 }
 
+// discardAnswer drops the tokens and the body received so far.
 func (p *Progress) discardAnswer() {
 	p.tokens, p.body, p.size = nil, nil, 0
 	p.tainted = false
 	p.digest.Reset()
 }
 
-// MarkSent notes that the current attempt's message may have left.
+// MarkSent records that the current attempt's message may have left this process.
 func (p *Progress) MarkSent() { p.setProof(Unproven) }
 
-// MarkNeverBegun notes that the agent answered a cancel with "neverBegun".
+// MarkNeverBegun records that the agent answered a cancel request with
+// "neverBegun".
 func (p *Progress) MarkNeverBegun() { p.setProof(NeverBegun) }
 
-// IsUnproven reports whether the current attempt was handed out and nothing is
-// proved of it yet.
+// IsUnproven reports whether the current attempt was sent and it is not yet proven
+// whether it ran.
 func (p *Progress) IsUnproven() bool {
 	return len(p.proofs) > 0 && p.proofs[len(p.proofs)-1] == Unproven
 }
 
-// Close ends the current attempt: no frame of it counts any more.
+// Close ends the current attempt. Its later frames are ignored.
 func (p *Progress) Close() { p.open = false }
 
-// MarkDelivered notes that the tokens so far went out to the caller.
+// MarkDelivered records that the tokens received so far were sent to the caller.
 func (p *Progress) MarkDelivered() { p.delivered = len(p.tokens) }
 
+// setProof records the proof of the current attempt.
 func (p *Progress) setProof(proof Proof) { p.proofs[len(p.proofs)-1] = proof }
 
-// HandleFrame judges one frame.
+// HandleFrame validates one frame, updates the state and returns the effect.
 func (p *Progress) HandleFrame(frame *wire.Frame) Step {
 	current := frame.GetRequestId() == p.id && frame.GetAttempt() == p.AttemptNumber()
 	if !p.open || !current || frame.GetSequence() < p.nextSequence {
 		return Step{Kind: StepIgnore}
 	}
 	if frame.GetSequence() > p.nextSequence {
-		return p.fail("a frame is missing")
+		return p.fail("missing frame")
 	}
 	p.nextSequence++
 	switch frame.GetKind() {
@@ -178,16 +183,16 @@
 		}
 		return p.fail(frame.GetReason())
 	default:
-		return p.fail("a frame of an unknown kind")
+		return p.fail("unknown frame kind")
 	}
 }
 
 func (p *Progress) handleBegin(frame *wire.Frame) Step {
 	switch {
 	case p.begun:
-		return p.fail("a second begin")
+		return p.fail("duplicate begin frame")
 	case frame.GetVersion() != p.version:
-		return p.fail("the engine began with another version")
+		return p.fail("the engine began with a version that was not requested")
 	}
 	p.begun = true
 	return Step{Kind: StepBegin}
@@ -195,7 +200,7 @@
 
 func (p *Progress) handleTokens(frame *wire.Frame) Step {
 	if !p.begun {
-		return p.fail("tokens before begin")
+		return p.fail("tokens frame before begin")
 	}
 	for _, token := range frame.GetTokens() {
 		if len(p.tokens) > 0 {
@@ -213,7 +218,7 @@
 
 func (p *Progress) handleBody(frame *wire.Frame) Step {
 	if !p.begun {
-		return p.fail("a body before begin")
+		return p.fail("body frame before begin")
 	}
 	p.size += len(frame.GetBody())
 	if p.size > maxAnswerBytes {
@@ -224,14 +229,14 @@
 	return Step{Kind: StepData}
 }
 
-// handleEnd accepts the answer as whole only with the version it began with and the
-// digest of everything that was kept, resumed tokens included.
+// handleEnd accepts the answer as complete only if the version is the one it began
+// with and the digest covers everything kept, including the resumed tokens.
 func (p *Progress) handleEnd(frame *wire.Frame) Step {
 	switch {
 	case !p.begun:
-		return p.fail("an end before begin")
+		return p.fail("end frame before begin")
 	case frame.GetVersion() != p.version:
-		return p.failTainted("the engine ended with another version")
+		return p.failTainted("the engine ended with a version that was not requested")
 	case !bytes.Equal(frame.GetDigest(), p.Digest()):
 		return p.failTainted("the answer does not match its digest")
 	}
@@ -240,30 +245,32 @@
 	return Step{Kind: StepComplete}
 }
 
-// handleRefused takes an agent's refusal as proof only as its first frame: after
+// handleRefused accepts a refusal as proof only if it is the first frame: after
 // "begin" the back end has seen the attempt.
 func (p *Progress) handleRefused(frame *wire.Frame) Step {
 	if p.begun || frame.GetSequence() != 0 {
-		return p.fail("a refusal after begin")
+		return p.fail("refused frame after begin")
 	}
 	p.open = false
 	p.setProof(Refused)
 	return Step{Kind: StepRefused, Reason: frame.GetReason()}
 }
 
-// failTainted ends the attempt like broken, and with it the use of the tokens so far:
-// resumed from, wrong tokens would come back under a digest that matches them.
+// failTainted ends the attempt like fail and forbids resuming from the tokens
+// received so far. If an attempt resumed from wrong tokens, its digest would cover
+// them and match.
 func (p *Progress) failTainted(reason string) Step {
 	p.tainted = true
 	return p.fail(reason)
 }
 
+// fail ends the attempt without proof of whether it ran.
 func (p *Progress) fail(reason string) Step {
 	p.open = false
 	return Step{Kind: StepBroken, Reason: reason}
 }
 
-// DigestOf returns the digest of a whole answer's tokens.
+// DigestOf returns the digest of the tokens of a complete answer.
 func DigestOf(tokens []string) []byte {
 	sum := blake3.New()
 	for i, token := range tokens {
--- a/entry/internal/dispatch/progress_test.go
+++ b/entry/internal/dispatch/progress_test.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// TestProgress runs the scripts of testdata/progress on one request.
+// TestProgress runs each script in testdata/progress against a Progress.
 func TestProgress(t *testing.T) {
 	datadriven.Walk(t, "testdata/progress", func(t *testing.T, path string) {
 		var progress *Progress
@@ -51,7 +51,7 @@
 }
 
 // scriptFrame reads "frame <kind> seq=n [attempt=n] [version=v] [text=ab]".
-// An end's digest is right unless "torn" is given.
+// The digest of an "end" frame is correct unless "torn" is given.
 func scriptFrame(t *testing.T, d *datadriven.TestData, progress *Progress) *wire.Frame {
 	frame := &wire.Frame{RequestId: "r", Attempt: progress.AttemptNumber(), Kind: d.CmdArgs[0].Key, Version: "v1", Reason: "why"}
 	var sequence, attempt int
@@ -72,18 +72,18 @@
 	return frame
 }
 
-// TestProgressUnderFaults delivers the frames of several attempts late,
-// doubled, out of order and mixed, with attempts that break off anywhere. What
-// goes out to the caller is always the beginning of one version's answer, and
-// whole only if it is all of it.
+// TestProgressUnderFaults delivers the frames of several attempts late, duplicated,
+// out of order and interleaved, and cuts attempts off at any frame. The delivered
+// tokens must always be a prefix of one version's answer, and the outcome is
+// answered only if they are the complete answer.
 func TestProgressUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		streaming := rapid.Bool().Draw(t, "streaming")
 		progress := NewProgress("r", repeatable)
-		var late []*wire.Frame // of all attempts
-		var delivered []string // tokens that went out
-		begun := 0             // attempts that a back end may have begun
+		var late []*wire.Frame // frames of all earlier attempts
+		var delivered []string // tokens sent to the caller
+		begun := 0             // number of attempts that a back end may have begun
 		for progress.MayRetry() && progress.AttemptNumber() < 4 && progress.Outcome() != Answered {
 			version := rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")
 			if pinned, _, yes := progress.Pinned(); yes {
@@ -91,7 +91,7 @@
 			}
 			resume, ok := progress.Start(version, "")
 			if !ok {
-				t.Fatal("got an attempt forbidden, want it allowed")
+				t.Fatal("Start rejected an attempt that MayRetry allows")
 			}
 			sent := attemptFrames(t, progress.AttemptNumber(), version, resume)
 			progress.MarkSent()
@@ -124,14 +124,16 @@
 	})
 }
 
+// checkDelivered checks that the delivered tokens belong to the version's answer. A
+// stream may contain corrupt tokens, but then its outcome must not be answered.
 func checkDelivered(t *rapid.T, progress *Progress, delivered []string, version string) {
 	want := expectedTokens(version)
 	corrupt := slices.Contains(delivered, corruptToken)
 	if !corrupt && (len(delivered) > len(want) || !slices.Equal(delivered, want[:len(delivered)])) {
-		t.Fatalf("got tokens %q, want the beginning of %q", delivered, want)
+		t.Fatalf("got tokens %q, want a prefix of %q", delivered, want)
 	}
 	if progress.Outcome() == Answered && !slices.Equal(delivered, want) {
-		t.Fatalf("got a whole answer %q, want %q", delivered, want)
+		t.Fatalf("got answer %q, want %q", delivered, want)
 	}
 }
 
@@ -141,9 +143,9 @@
 	return []string{version + "a", version + "b", version + "c"}
 }
 
-// attemptFrames are the frames that an agent sends for one attempt, cut off
-// anywhere. Corrupt ones come to their end: only there the digest shows it, and
-// on the way the transport's own checks do.
+// attemptFrames returns the frames that an agent sends for one attempt, cut off at
+// a random frame. Corrupt answers are not cut off: only the digest in the end frame
+// reveals them, while the transport's checksums protect the frames in transit.
 func attemptFrames(t *rapid.T, attempt uint32, version string, resume []string) []*wire.Frame {
 	if rapid.IntRange(0, 4).Draw(t, "refused") == 0 {
 		return []*wire.Frame{{RequestId: "r", Attempt: attempt, Kind: frameRefused}}
@@ -156,7 +158,7 @@
 		}
 		sent = append(sent, &wire.Frame{Kind: frameTokens, Tokens: []string{token}})
 	}
-	// The agent's digest covers the part that it goes on from.
+	// The agent's digest includes the tokens from which the answer resumes.
 	whole := append(slices.Clone(resume), expectedTokens(version)[len(resume):]...)
 	sent = append(sent, &wire.Frame{Kind: frameEnd, Version: version, Digest: DigestOf(whole)})
 	for i, frame := range sent {
@@ -168,8 +170,8 @@
 	return sent[:rapid.IntRange(0, len(sent)).Draw(t, "cut")]
 }
 
-// faultyDelivery puts late frames between the sent ones, doubles some and may lose
-// one.
+// faultyDelivery interleaves late and foreign frames with the sent ones, duplicates
+// some and may lose one. No frame of a corrupt answer is lost.
 func faultyDelivery(t *rapid.T, sent, late []*wire.Frame) []*wire.Frame {
 	lost := rapid.IntRange(0, 20).Draw(t, "lost")
 	if slices.ContainsFunc(sent, func(frame *wire.Frame) bool { return slices.Contains(frame.GetTokens(), corruptToken) }) {
--- a/entry/internal/dispatch/receiver.go
+++ b/entry/internal/dispatch/receiver.go
@@ -2,16 +2,17 @@
 
 import "comfreyrelay.example/relay/wire"
 
-// received is a frame of a host, or why no more come.
+// received is a frame from a host, or the error that ended the stream.
 type received struct {
 	frame *wire.Frame
 	err   error
 }
 
-// receiver reads a host's frames, one each time it is asked.
+// receiver reads a stream in its own goroutine, one frame per call of request. The
+// caller can thereby wait for a frame and a timer at the same time.
 type receiver struct {
 	requests chan struct{}
-	results  chan received // buffered by one: a frame that nobody awaits any more is dropped
+	results  chan received // capacity 1, so the goroutine does not block when nobody waits for the frame
 }
 
 func newReceiver(stream Stream) *receiver {
--- a/entry/internal/dispatch/run.go
+++ b/entry/internal/dispatch/run.go
@@ -12,16 +12,17 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Constants of an attempt.
+// Limits of an attempt.
 const (
-	cancelTimeout     = 300 * time.Millisecond
-	cancelTimeDivisor = 10 // of the time left is kept for a cancel, at most
-	// A host's speed is looked at after so many tokens, or so much time.
+	cancelTimeout = 300 * time.Millisecond
+	// At most 1/cancelTimeDivisor of a request's time is kept for a cancel request.
+	cancelTimeDivisor = 10
+	// A host's speed is sampled after this many tokens or this much time.
 	speedSampleTokens   = 8
 	speedSampleInterval = 150 * time.Millisecond
 )
 
-// requestRun is one request on its way.
+// requestRun is the execution of one request over all its attempts.
 type requestRun struct {
 	dispatcher   *Dispatcher
 	pool         *hostPool
@@ -29,25 +30,26 @@
 	sink         Sink
 	progress     *Progress
 	started      time.Time
-	failedHosts  []string // hosts that failed the request
-	prefixHash   uint64   // prefix hash; 0 until computed
-	lastHost     string   // of the last attempt
+	failedHosts  []string // ids of hosts on which an attempt failed
+	prefixHash   uint64   // hash of the prompt's prefix; 0 until computed
+	lastHost     string   // host of the last attempt
 	affinity     bool
 	queueTime    time.Duration
 	firstToken   time.Duration
-	callerGone   bool // the caller is gone; the answer is collected all the same
-	leftSlowHost bool // it left a slow host once already
-	// reserved is the place of the next attempt, whose retry is paid for; nil: none.
+	callerGone   bool // the caller disconnected; the answer may still be collected
+	leftSlowHost bool // the answer was already moved away from a slow host
+	// reserved is the place for the next attempt, already charged to the retry
+	// budget; nil if none is reserved.
 	reserved *route.Choice
 }
 
-// attemptEnd is how one attempt ended.
+// attemptEnd describes how one attempt ended.
 type attemptEnd struct {
 	complete   bool
-	refused    bool // proved not run, by the agent
-	cancelled  bool // by the caller or the deadline: not the host's fault
+	refused    bool // the agent proved that the attempt did not run
+	cancelled  bool // by the caller or the deadline, not through a fault of the host
 	reason     string
-	moved      bool // by us, for a quicker host
+	moved      bool // ended by this entry to continue on a faster host
 	retryAfter time.Duration
 }
 
@@ -73,6 +75,7 @@
 	return end
 }
 
+// attemptMessage builds the message that is sent to the agent.
 func (r *requestRun) attemptMessage(ctx context.Context, choice route.Choice, resume []string) *wire.Attempt {
 	left := time.Duration(0)
 	if deadline, ok := ctx.Deadline(); ok {
@@ -99,7 +102,7 @@
 	}
 }
 
-// exchange hands the attempt out and takes its frames until it is over.
+// exchange sends the attempt and handles its frames until it ends.
 func (r *requestRun) exchange(ctx context.Context, choice route.Choice, message *wire.Attempt, timing *attemptTiming) attemptEnd {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -132,7 +135,8 @@
 	}
 }
 
-// nextFrame waits for the host's next frame; false: the attempt ends before it came.
+// nextFrame waits for the host's next frame. It returns false if the attempt is ended
+// because the host sends nothing.
 func (r *requestRun) nextFrame(choice route.Choice, frames *receiver, silence *silenceTimer) (received, bool) {
 	frames.request()
 	silence.reset()
@@ -148,14 +152,14 @@
 	}
 }
 
-// errSendTimeout says that a host did not take an attempt in time.
-var errSendTimeout = errors.New("the host did not take the attempt in time")
+// errSendTimeout is returned by send if the host did not accept the attempt in time.
+var errSendTimeout = errors.New("the host did not accept the attempt in time")
 
-// send hands the attempt out, within the time that is waited for a silent host.
+// send sends the attempt and opens the stream of frames. It fails after limit.
 func (r *requestRun) send(ctx context.Context, cancel context.CancelFunc, choice route.Choice, message *wire.Attempt, limit time.Duration) (Stream, bool, error) {
 	timer := r.dispatcher.cfg.Clock.AfterFunc(limit, cancel)
 	stream, sent, err := r.dispatcher.cfg.Hosts.Run(ctx, choice.Host.Address, message)
-	if !timer.Stop() { // it ended ctx, and the stream with it
+	if !timer.Stop() { // the timer already cancelled ctx, and with it the stream
 		if err == nil {
 			_ = stream.Close()
 		}
@@ -164,6 +168,7 @@
 	return stream, sent, err
 }
 
+// streamErrorReason describes why a stream ended without a final frame.
 func streamErrorReason(err error) string {
 	if errors.Is(err, io.EOF) {
 		return "the host ended the answer early"
@@ -171,7 +176,7 @@
 	return "the connection to the host broke"
 }
 
-// recordLoad takes the host's report of its load. Frames of tokens carry none.
+// recordLoad records the host load that a frame reports. Token frames do not carry it.
 func (r *requestRun) recordLoad(choice route.Choice, frame *wire.Frame, step Step) {
 	switch step.Kind {
 	case StepBegin, StepComplete:
@@ -180,7 +185,7 @@
 	}
 }
 
-// handleStep does what a step asks for.
+// handleStep acts on a step. The second result is true if the attempt is over.
 func (r *requestRun) handleStep(choice route.Choice, frame *wire.Frame, step Step, timing *attemptTiming, silence *silenceTimer) (attemptEnd, bool) {
 	switch step.Kind {
 	case StepData:
@@ -197,9 +202,10 @@
 	}
 }
 
-// relay passes tokens on. While the caller takes them, no frame is read: the
-// transport's flow control slows the host down, and a slow caller costs only
-// the buffers of one connection.
+// forward sends the new tokens to the caller and ends the attempt if the caller
+// disconnected or the host is slow. No frame is read while the caller accepts the
+// tokens: the transport's flow control slows the host down, and a slow caller
+// costs only the buffers of one connection.
 func (r *requestRun) forward(choice route.Choice, step Step, timing *attemptTiming, silence *silenceTimer) (attemptEnd, bool) {
 	timing.addTokens(len(step.Tokens))
 	if timing.count == len(step.Tokens) && timing.count > 0 {
@@ -215,10 +221,10 @@
 	if !r.req.Repeatable {
 		return attemptEnd{}, false
 	}
-	return attemptEnd{cancelled: true, reason: "the caller is gone"}, true
+	return attemptEnd{cancelled: true, reason: "the caller disconnected"}, true
 }
 
-// deliver passes tokens to the caller that wants them as they come.
+// deliver sends tokens to a caller that requested a stream.
 func (r *requestRun) deliver(tokens []string) error {
 	if r.sink.Tokens == nil || r.callerGone || len(tokens) == 0 {
 		return nil
@@ -227,9 +233,10 @@
 	return r.sink.Tokens(r.progress.Version(), tokens)
 }
 
-// moveIfSlow gives up a host that is left out as slow, once and for what may
-// be resumed: at a tenth of the speed most answers in progress there would miss
-// their deadline. Without room elsewhere the answer stays where it is.
+// moveIfSlow ends the attempt if its host is ejected as slow, so that the answer
+// resumes on another host: at a tenth of the speed, most answers in progress would
+// miss their deadline. It moves a request only once, and only one that may be
+// repeated. If no other host has capacity, the answer stays where it is.
 func (r *requestRun) moveIfSlow(choice route.Choice, timing *attemptTiming) (attemptEnd, bool) {
 	if !timing.sampleDue() {
 		return attemptEnd{}, false
@@ -242,12 +249,13 @@
 	return attemptEnd{moved: true, reason: "the host is slow"}, true
 }
 
-// resolveUnproven asks the agent what became of an attempt that ended without proof.
-// The cancel comes before any other attempt: it leaves a tombstone, so that a
-// delivery that is still under way is not run after the decision.
+// resolveUnproven cancels an attempt that ended without proof and asks the agent
+// whether it began. For a request that may not be repeated, the cancel completes
+// before any other attempt: it leaves a tombstone, so that a message still in
+// transit does not run after the decision.
 func (r *requestRun) resolveUnproven(ctx context.Context, choice route.Choice) {
 	if !r.progress.IsUnproven() {
-		return // never handed out: nothing to cancel
+		return // never sent, or already proven: nothing to cancel
 	}
 	ctx = context.WithoutCancel(ctx)
 	request := &wire.CancelRequest{
@@ -265,7 +273,8 @@
 	}
 }
 
-// cancelAttempt reports whether the attempt was never begun and never will be.
+// cancelAttempt cancels the attempt at the agent. It reports whether the attempt never
+// began and never will.
 func (r *requestRun) cancelAttempt(ctx context.Context, address string, request *wire.CancelRequest) bool {
 	ctx, stop := clockwork.WithTimeout(ctx, r.dispatcher.cfg.Clock, cancelTimeout)
 	defer stop()
@@ -273,17 +282,18 @@
 	return err == nil && reply.GetState() == "neverBegun"
 }
 
-// attemptTiming measures one attempt.
+// attemptTiming measures the timing of one attempt.
 type attemptTiming struct {
 	clock        clockwork.Clock
-	started      time.Time // handed out
-	firstToken   time.Time // first token; zero before
-	lastToken    time.Time // newest token
-	count        int       // tokens so far
-	sampledCount int       // count at the last look at the speed
-	sampledAt    time.Time // of the last look
+	started      time.Time // when the attempt was sent
+	firstToken   time.Time // when the first token arrived; zero before
+	lastToken    time.Time // when the latest token arrived
+	count        int       // tokens received
+	sampledCount int       // count at the last speed sample
+	sampledAt    time.Time // time of the last speed sample
 }
 
+// addTokens records the arrival of tokens.
 func (t *attemptTiming) addTokens(count int) {
 	if count == 0 {
 		return
@@ -296,13 +306,15 @@
 	t.count += count
 }
 
-// sampleDue reports whether enough tokens, or enough time, came since the last look.
+// sampleDue reports whether enough tokens arrived, or enough time passed, since the
+// last speed sample.
 func (t *attemptTiming) sampleDue() bool {
 	tokens := t.count - t.sampledCount
 	return tokens >= speedSampleTokens || tokens > 0 && t.lastToken.Sub(t.sampledAt) >= speedSampleInterval
 }
 
-// sampleGap returns the mean time between tokens since the last look, and looks.
+// sampleGap takes a speed sample: it returns the mean time between tokens since the
+// previous sample.
 func (t *attemptTiming) sampleGap() time.Duration {
 	tokens := t.count - t.sampledCount
 	if tokens <= 0 {
@@ -313,6 +325,7 @@
 	return gap
 }
 
+// result returns the measurements for the routing table.
 func (t *attemptTiming) result(end attemptEnd) route.Result {
 	result := route.Result{End: routeEnd(end), RetryAfter: end.retryAfter, Took: t.clock.Since(t.started)}
 	if !t.firstToken.IsZero() {
@@ -322,6 +335,7 @@
 	return result
 }
 
+// routeEnd translates an attemptEnd for the routing table.
 func routeEnd(end attemptEnd) route.End {
 	switch {
 	case end.complete:
@@ -335,8 +349,8 @@
 	}
 }
 
-// isDone reports whether ctx is over. A clockwork context's Err waits for that
-// on a fake clock, so it is not asked.
+// isDone reports whether ctx is done. It does not use ctx.Err, because on a fake
+// clock the Err method of a clockwork context blocks until the context is done.
 func isDone(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
--- a/entry/internal/dispatch/run_test.go
+++ b/entry/internal/dispatch/run_test.go
@@ -17,25 +17,25 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// scriptedStep is what a fake host does with an attempt, frame by frame.
+// scriptedStep is one step of a fake host's answer to an attempt.
 type scriptedStep struct {
-	delay         time.Duration // on the fake clock, before the frame
-	silenceChecks int           // that pass before the frame, each of patienceLook
+	delay         time.Duration // advance of the fake clock before the frame
+	silenceChecks int           // silence checks that pass before the frame
 	frame         *wire.Frame
-	stall         bool // no frame comes, however long the wait
+	stall         bool // blocks until the attempt's context ends
 	err           error
 }
 
-// fakeHosts are hosts on a fake clock that only their answers move.
+// fakeHosts implements Hosts on a fake clock that its answers advance.
 type fakeHosts struct {
 	clock *clockwork.FakeClock
-	// script answers an attempt on the host with the address; reachable is
-	// false where the connection is refused.
+	// script returns the answer to an attempt on the host with the address.
+	// reachable is false if the connection is refused.
 	script      func(address string, att *wire.Attempt) (steps []scriptedStep, reachable bool)
 	cancelState string
 
 	mu       sync.Mutex
-	attempts []string // addresses, in order
+	attempts []string // addresses in order of the attempts
 	cancels  []string
 }
 
@@ -93,7 +93,7 @@
 	return tokens
 }
 
-// answerWithGap answers whole, with a time between tokens.
+// answerWithGap returns a complete answer with the gap between tokens.
 func answerWithGap(att *wire.Attempt, gap time.Duration) []scriptedStep {
 	steps := []scriptedStep{{frame: &wire.Frame{Kind: frameBegin, Version: att.GetVersion()}}}
 	for _, token := range testTokens()[len(att.GetResumeTokens()):] {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Symptom: answers in progress on a host that turned slow miss their deadline.
-// It sends ten times slower than the others and reports itself well.
+// Guards against answers that miss their deadline because they stay on a host that
+// became slow: it sends ten times slower than the others but reports itself healthy.
 func TestMoveFromSlowHost(t *testing.T) {
 	slow := ""
 	hosts := &fakeHosts{script: func(address string, att *wire.Attempt) ([]scriptedStep, bool) {
@@ -155,15 +155,15 @@
 	}}
 	result := dispatcher.Do(context.Background(), testRequest(hosts, 0, true), sink)
 	if result.Outcome != Answered || !slices.Equal(tokens, testTokens()) {
-		t.Fatalf("got %s %q, want the whole answer", result.Outcome, tokens)
+		t.Fatalf("got %s %q, want the complete answer", result.Outcome, tokens)
 	}
 	if got := hosts.attempts[before:]; len(got) != 2 || got[0] != slow || got[1] == slow {
-		t.Errorf("got attempts on %q, want one on %s and one elsewhere", got, slow)
+		t.Errorf("got attempts on %q, want one on %s and one on another host", got, slow)
 	}
 }
 
-// Symptom: a caller waits for its whole deadline on a host whose network is
-// gone: nothing comes, no connection breaks.
+// Guards against a caller that waits until its deadline for a host that lost its
+// network: no frame arrives and no connection breaks.
 func TestSilentHostAbandoned(t *testing.T) {
 	for _, test := range []struct {
 		repeatable  bool
@@ -195,16 +195,16 @@
 	}
 }
 
-// answerWithSilence answers as answerAt does, but shows nothing for twice the longest patience after some
-// tokens.
+// answerWithSilence returns a complete answer with a silence of twice maxSilence
+// before the given step.
 func answerWithSilence(att *wire.Attempt, silentStep int) []scriptedStep {
 	steps := answerWithGap(att, 20*time.Millisecond)
 	steps[silentStep].silenceChecks = int(2 * maxSilence / silenceCheckInterval)
 	return steps
 }
 
-// Guards against an answer in progress that is lost: its host is silent for a while, and is given
-// up though no other one has room.
+// Guards against losing an answer in progress: its host sends nothing for a while
+// and is abandoned although no other attempt can replace it.
 func TestStayOnSilentHostWithoutAlternative(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -232,8 +232,9 @@
 	}
 }
 
-// Guards against an answer in progress that waits for a silent host to its deadline though another
-// one has room, and against a place there that stays taken.
+// Guards against an answer in progress that waits for a silent host until its
+// deadline although another host has capacity, and against a reserved place that is
+// never released.
 func TestMoveFromSilentHost(t *testing.T) {
 	silent := ""
 	hosts := &fakeHosts{cancelState: "running"}
@@ -250,15 +251,16 @@
 	advanceClock(t, hosts.clock)
 	result := dispatcher.Do(context.Background(), testRequest(hosts, 1, true), Sink{})
 	if result.Outcome != Answered || result.Attempts != 2 || result.Host == silent {
-		t.Errorf("got %s after %d attempts at %s, want %s after 2 elsewhere than at %s: %v",
+		t.Errorf("got %s after %d attempts on %s, want %s after 2 on a host other than %s: %v",
 			result.Outcome, result.Attempts, result.Host, Answered, silent, result.Err)
 	}
 	if got := dispatcher.pool("lane").inFlightCount(); got != 0 {
-		t.Errorf("got %d places taken after the answer, want none", got)
+		t.Errorf("got %d attempts in flight after the answer, want none", got)
 	}
 }
 
-// Guards against an answer that leaves a slow host and is lost, since no other one has room.
+// Guards against losing an answer that is moved away from a slow host although no
+// other host has capacity.
 func TestStayOnSlowHostWithoutAlternative(t *testing.T) {
 	slow := ""
 	hosts := &fakeHosts{script: func(address string, att *wire.Attempt) ([]scriptedStep, bool) {
@@ -293,7 +295,8 @@
 	}
 }
 
-// advanceClock lets the waits between attempts pass.
+// advanceClock keeps advancing the clock until the test ends, so that waits such as
+// the backoff between attempts elapse.
 func advanceClock(t *testing.T, clock *clockwork.FakeClock) {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -309,7 +312,7 @@
 	}()
 }
 
-// Symptom: an engine works for a caller who hung up.
+// Guards against an engine that keeps working for a caller that disconnected.
 func TestCallerDisconnects(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		hosts := &fakeHosts{script: func(_ string, att *wire.Attempt) ([]scriptedStep, bool) {
@@ -320,7 +323,7 @@
 		result := dispatcher.Do(context.Background(), testRequest(hosts, 1, repeatable), sink)
 		want := Unknown
 		if !repeatable {
-			want = Answered // kept for the caller's next sending of the key
+			want = Answered // the caller can send the key again and receive the answer
 		}
 		if result.Outcome != want || result.Attempts != 1 {
 			t.Errorf("repeatable %t: got %s after %d attempts, want %s after 1", repeatable, result.Outcome, result.Attempts, want)
@@ -328,8 +331,8 @@
 	}
 }
 
-// Symptom: a request that nobody ran is called unknown, or one that may have
-// run is called notRun. The proofs of several attempts add up.
+// Guards against reporting a request that never ran as unknown, or one that may have
+// run as notRun. The outcome depends on the proofs of all attempts.
 func TestOutcomeOfSeveralAttempts(t *testing.T) {
 	refused := []scriptedStep{{frame: &wire.Frame{Kind: frameRefused, Reason: "busy"}}}
 	broken := []scriptedStep{{err: io.ErrUnexpectedEOF}}
@@ -343,7 +346,7 @@
 	}{
 		{"refused everywhere", refused, true, "", false, NotRun},
 		{"not reachable", nil, false, "", false, NotRun},
-		{"broken, proved never begun", broken, true, "neverBegun", false, NotRun},
+		{"broken, proven never begun", broken, true, "neverBegun", false, NotRun},
 		{"broken", broken, true, "ended", false, Unknown},
 		{"broken, another incarnation", broken, true, "otherIncarnation", false, Unknown},
 		{"broken, repeatable", broken, true, "ended", true, Unknown},
@@ -367,8 +370,8 @@
 	}
 }
 
-// Symptom: a caller is left waiting until its deadline although it is plain
-// that its request cannot be on time.
+// Guards against a caller that waits until its deadline although its request is
+// already known to miss it.
 func TestLateRequestRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	hosts := &fakeHosts{}
@@ -393,16 +396,16 @@
 	late.Deadline = hosts.clock.Now().Add(100 * time.Millisecond)
 	result := dispatcher.Do(context.Background(), late, Sink{})
 	if result.Outcome != NotRun || !errors.Is(result.Err, ErrLate) || result.Attempts != 0 {
-		t.Errorf("got %s after %d attempts: %v, want notRun without any", result.Outcome, result.Attempts, result.Err)
+		t.Errorf("got %s after %d attempts: %v, want notRun after none", result.Outcome, result.Attempts, result.Err)
 	}
 	if result.Err.RetryAfter() == 0 {
-		t.Error("got no time to retry after, want one")
+		t.Error("got no retry-after time, want one")
 	}
 	close(release)
 	running.Wait()
 }
 
-// inFlightCount returns the attempts in progress.
+// inFlightCount returns the number of attempts in progress.
 func (p *hostPool) inFlightCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/internal/dispatch/silence.go
+++ b/entry/internal/dispatch/silence.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// A silent host is given up for a repeatable request after a multiple of
-	// what is usual, within bounds.
+	// A host that sends nothing is abandoned for a repeatable request after
+	// silenceFactor times the typical interval, clamped to these bounds.
 	silenceFactor = 10
 	minSilence    = time.Second
 	maxSilence    = 10 * time.Second
-	// nonRepeatableFactor is how many times as long what may not be repeated waits: giving it up costs
-	// its caller the outcome.
+	// nonRepeatableFactor multiplies the limit for requests that may not be repeated:
+	// abandoning the host leaves their caller without an outcome.
 	nonRepeatableFactor = 3
-	// silenceCheckInterval is how often an attempt that waits looks whether it should go on.
+	// silenceCheckInterval is how often a waiting attempt checks whether to keep waiting.
 	silenceCheckInterval = 250 * time.Millisecond
 )
 
-// abandonSilentHost reports whether the attempt at a silent host ends now. The host may be sound and
-// only slow, so that what is in progress there ends only once another one has room for it.
+// abandonSilentHost reports whether to end the attempt on a host that sends nothing.
+// The host may be healthy but slow, so an answer in progress is ended only once a
+// place on another host is reserved for it.
 func (r *requestRun) abandonSilentHost(choice route.Choice) bool {
 	if !r.req.Repeatable {
-		// Once it began, no other attempt is allowed: its own answer is all that may come.
+		// Once the attempt has begun, no other is allowed, so only this host can still answer.
 		return !r.progress.Begun()
 	}
 	if r.progress.Begun() || len(r.progress.Tokens()) > 0 {
@@ -36,8 +37,8 @@
 	return r.progress.AttemptNumber() < retry.MaxAttempts
 }
 
-// reserve takes a place at another host for the next attempt and pays for its retry; false:
-// there is none.
+// reserve reserves a place on another host for the next attempt and charges the
+// retry budget for it. It returns false if no attempt, place or budget is left.
 func (r *requestRun) reserve(current route.Choice) bool {
 	if r.progress.AttemptNumber() >= retry.MaxAttempts {
 		return false
@@ -54,15 +55,16 @@
 	return true
 }
 
-// otherHostCriteria asks for a host other than that of the current attempt.
+// otherHostCriteria returns criteria that exclude the host of the current attempt.
 func (r *requestRun) otherHostCriteria() route.Ask {
 	criteria := r.criteria()
 	criteria.Exclude = append(slices.Clone(criteria.Exclude), r.lastHost)
 	return criteria
 }
 
-// silenceTimer counts how long a host sends nothing, in whole looks: a process that stood still
-// itself sees at the next look what came meanwhile.
+// silenceTimer measures how long a host has sent nothing, in whole check intervals
+// instead of by the clock. If this process itself was paused, only one interval
+// counts, and frames that arrived in the meantime are read before the next check.
 type silenceTimer struct {
 	timer   clockwork.Timer
 	limit   time.Duration
@@ -73,15 +75,17 @@
 	return &silenceTimer{timer: clock.NewTimer(silenceCheckInterval), limit: limit}
 }
 
+// ticks returns the channel that fires at each check.
 func (s *silenceTimer) ticks() <-chan time.Time { return s.timer.Chan() }
 
-// tick counts a look at which nothing had come and reports whether that is too long.
+// tick records a check without a new frame and reports whether the limit is reached.
 func (s *silenceTimer) tick() bool {
 	s.elapsed += silenceCheckInterval
 	s.timer.Reset(silenceCheckInterval)
 	return s.elapsed >= s.limit
 }
 
+// reset restarts the measurement. It is called before each wait for a frame.
 func (s *silenceTimer) reset() {
 	s.elapsed = 0
 	s.timer.Reset(silenceCheckInterval)
@@ -89,8 +93,8 @@
 
 func (s *silenceTimer) stop() { s.timer.Stop() }
 
-// firstFrameLimit is how long a first frame is waited for. A plain service says nothing until it
-// is done, so only the deadline bounds it.
+// firstFrameLimit returns how long to wait for the first frame. A plain service sends
+// nothing until it has finished, so only the deadline limits it.
 func (r *requestRun) firstFrameLimit() time.Duration {
 	if r.req.Service != "" {
 		return r.req.Deadline.Sub(r.started)
@@ -99,6 +103,8 @@
 	return first
 }
 
+// silenceLimits returns how long a host may send nothing before its first frame and
+// between later frames.
 func (r *requestRun) silenceLimits() (first, between time.Duration) {
 	first, between = r.pool.typicalTimes()
 	if !r.req.Repeatable {
@@ -107,9 +113,10 @@
 	return clampSilence(first * silenceFactor), clampSilence(between * silenceFactor)
 }
 
+// clampSilence keeps a limit within minSilence and maxSilence.
 func clampSilence(limit time.Duration) time.Duration {
 	if limit == 0 {
-		return maxSilence // nothing is known yet
+		return maxSilence // no typical time is known yet
 	}
 	return min(maxSilence, max(minSilence, limit))
 }
