--- a/entry/internal/dispatch/dispatcher.go
+++ b/entry/internal/dispatch/dispatcher.go
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Config is what a Dispatcher needs.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
 	Self       *wire.Node
 	Clock      clockwork.Clock
@@ -24,211 +24,222 @@
 	Hosts      Hosts
 	Policy     route.Policy
 	Seed       uint64
-	Known      func() *wire.Known // revisions in force, for the attempts
-	Refresh    func()             // brings the lanes up to date with the view
+	Known      func() *wire.Known // returns the revisions in force, which each attempt carries
+	Refresh    func()             // updates the host pools from the current view
 	Invariants Invariants
 }
 
-// Request is one request as the filters before made it.
+// Request is a request that has passed authentication, key claims and limits.
 type Request struct {
-	ID         string // new for each arrival at an entry
+	ID         string // unique per arrival at an entry
 	Customer   string
-	Weight     float64 // share under overload; above 0
-	Large      bool    // the customer asks for much more than its share
+	Weight     float64 // relative share under overload; greater than 0
+	Large      bool    // the customer's demand is far above its share
 	Priority   uint32
-	Lane       string // names the hosts that serve it; see Update
+	Lane       string // name of the host pool that serves it; see Dispatcher.Update
 	Model      string
 	Adapter    string
 	Service    string
 	Prompt     string
 	MaxTokens  int
-	Body       []byte // to a plain service
+	Body       []byte // request body for a plain service
 	Repeatable bool
 	Deadline   time.Time
-	// Versions returns those that may serve the request now. It is called with
-	// a lane locked and must not call Update.
+	// Versions returns the model versions that may serve the request now. It is
+	// called with a host pool locked and must not call Dispatcher.Update, which
+	// would deadlock.
 	Versions func() []string
-	// Retry takes one retry from the customer's budget; false: none is left.
+	// Retry charges one retry to the customer's budget. It returns false if the
+	// budget is exhausted.
 	Retry func() bool
 }
 
-// Sink takes the answer's tokens as they come, for callers who want a stream.
-// An error from it means that the caller is gone. The zero Sink takes nothing:
-// the answer is in the Result.
+// Sink receives the tokens of an answer as they arrive, for callers that requested
+// a stream. The zero Sink receives nothing; the answer is then only in the Result.
 type Sink struct {
+	// Tokens returns an error if the caller has disconnected.
 	Tokens func(version string, tokens []string) error
 }
 
-// Result is how a request ended.
+// Result describes how a request ended.
 type Result struct {
 	Outcome    Outcome
 	Version    string
 	Tokens     []string
 	Body       []byte
 	Digest     []byte
-	Err        *failure.Error // nil with Answered
+	Err        *failure.Error // nil if Outcome is Answered
 	Attempts   int
-	Host       string        // of the last attempt; empty if there was none
-	FirstToken time.Duration // from the call of Do; 0 while there was none
-	Queued     time.Duration // waited for room, all attempts together
-	Affinity   bool          // the last host was expected to hold the prefix
+	Host       string        // host of the last attempt; empty if there was none
+	FirstToken time.Duration // time from the call of Do to the first data; 0 if there was none
+	Queued     time.Duration // total time spent waiting for a host, over all attempts
+	Affinity   bool          // the last host was expected to have the prompt's prefix cached
 }
 
-// Dispatcher runs requests. Its state is in lanes, each under its own lock.
+// Dispatcher runs requests. It keeps one host pool per model or service, each with
+// its own lock.
 type Dispatcher struct {
 	cfg Config
 
 	mu    sync.RWMutex
-	lanes map[string]*lane
+	pools map[string]*hostPool
 }
 
-// New returns a Dispatcher without lanes.
+// New returns a Dispatcher without host pools.
 func New(cfg Config) *Dispatcher {
-	return &Dispatcher{cfg: cfg, lanes: make(map[string]*lane)}
+	return &Dispatcher{cfg: cfg, pools: make(map[string]*hostPool)}
 }
 
-// Update gives a lane the hosts that serve its model or service now, sorted by
-// id, and the number of entries that share them.
+// Update replaces the hosts of the named pool with those that serve its model or
+// service now, sorted by id. entries is the number of entries that share them.
 func (d *Dispatcher) Update(name string, hosts []route.Host, entries int) {
-	d.lane(name).update(hosts, entries)
+	d.pool(name).update(hosts, entries)
 }
 
-func (d *Dispatcher) lane(name string) *lane {
+// pool returns the named host pool and creates it if needed.
+func (d *Dispatcher) pool(name string) *hostPool {
 	d.mu.RLock()
-	found := d.lanes[name]
+	found := d.pools[name]
 	d.mu.RUnlock()
 	if found != nil {
 		return found
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if found = d.lanes[name]; found == nil {
-		found = newLane(d.cfg.Clock, route.Options{
+	if found = d.pools[name]; found == nil {
+		found = newHostPool(d.cfg.Clock, route.Options{
 			Policy:        d.cfg.Policy,
 			Region:        d.cfg.Self.GetRegion(),
 			FailureDomain: d.cfg.Self.GetFailureDomain(),
 			Seed:          d.cfg.Seed ^ xxhash.Sum64String(name),
 		}, d.cfg.Refresh)
-		d.lanes[name] = found
+		d.pools[name] = found
 	}
 	return found
 }
 
-// Do runs the request to its end: an answer, or the moment it is given up.
-// The end of ctx means that the caller is gone.
+// Do runs the request until it is answered or abandoned. ctx ends when the caller
+// disconnects.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
-	run := &run{
+	run := &requestRun{
 		dispatcher: d,
-		lane:       d.lane(req.Lane),
+		pool:       d.pool(req.Lane),
 		req:        req,
 		sink:       sink,
 		progress:   NewProgress(req.ID, req.Repeatable),
 		started:    d.cfg.Clock.Now(),
 	}
-	// What may not be repeated goes on when its caller goes: the caller sends
-	// the key again and gets the answer, which a cancel would have lost.
+	// A request that may not be repeated continues after its caller disconnects.
+	// The caller can send the key again and receive the answer, which cancelling
+	// would have lost.
 	if !req.Repeatable {
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := clockwork.WithDeadline(ctx, d.cfg.Clock, run.cutoff())
 	defer cancel()
-	defer run.release()
+	defer run.releaseReserved()
 	err := run.loop(ctx)
 	return run.result(err)
 }
 
-// cutoff is when attempts are given up: a little before the deadline, so that
-// a cancel can still prove what happened and the caller learns of it in time.
-func (r *run) cutoff() time.Time {
+// cutoff returns when attempts are abandoned. It is slightly before the deadline,
+// so that a cancel request can still establish whether the attempt ran and the
+// caller is told in time.
+func (r *requestRun) cutoff() time.Time {
 	left := r.req.Deadline.Sub(r.started)
-	return r.req.Deadline.Add(-min(cancelTimeout, left/cutoffShare))
+	return r.req.Deadline.Add(-min(cancelTimeout, left/cancelTimeDivisor))
 }
 
-func (r *run) loop(ctx context.Context) *failure.Error {
+// loop makes attempts until one succeeds or no further attempt is allowed.
+func (r *requestRun) loop(ctx context.Context) *failure.Error {
 	for {
-		choice, err := r.place(ctx)
+		choice, err := r.acquireHost(ctx)
 		if err != nil {
 			return err
 		}
 		end := r.attempt(ctx, choice)
-		if end.whole {
+		if end.complete {
 			return nil
 		}
-		if !end.refused { // a host that refused asks for a pause by itself
-			r.exclude = append(r.exclude, choice.Host.ID)
+		if !end.refused { // a host that refuses states its own retry-after time
+			r.failedHosts = append(r.failedHosts, choice.Host.ID)
 		}
-		if err := r.mayGoOn(ctx, end); err != nil {
+		if err := r.checkRetry(ctx, end); err != nil {
 			return err
 		}
-		if !r.pause(ctx, end) {
-			return errGivenUp(end.reason)
+		if !r.waitForRetry(ctx, end) {
+			return errNoAnswer(end.reason)
 		}
 	}
 }
 
-// release gives a place back that was reserved and is not used.
-func (r *run) release() {
+// releaseReserved releases a reserved place that was not used.
+func (r *requestRun) releaseReserved() {
 	if r.reserved != nil {
-		r.lane.finish(*r.reserved, route.Result{End: route.EndCancelled})
+		r.pool.finish(*r.reserved, route.Result{End: route.EndCancelled})
 		r.reserved = nil
 	}
 }
 
-// place waits for a host; a resumed answer stays with its version.
-func (r *run) place(ctx context.Context) (route.Choice, *failure.Error) {
+// acquireHost returns the host reserved for the next attempt, or waits for one.
+func (r *requestRun) acquireHost(ctx context.Context) (route.Choice, *failure.Error) {
 	if next := r.reserved; next != nil {
 		r.reserved = nil
 		return *next, nil
 	}
-	before := r.dispatcher.cfg.Clock.Now()
-	choice, err := r.lane.acquire(ctx, r.req, r.ask)
-	r.queued += r.dispatcher.cfg.Clock.Since(before)
+	started := r.dispatcher.cfg.Clock.Now()
+	choice, err := r.pool.acquire(ctx, r.req, r.criteria)
+	r.queueTime += r.dispatcher.cfg.Clock.Since(started)
 	return choice, err
 }
 
-func (r *run) ask() route.Ask {
-	ask := route.Ask{
+// criteria returns what the next attempt requires of a host. An answer that was
+// partly delivered stays on its version.
+func (r *requestRun) criteria() route.Ask {
+	criteria := route.Ask{
 		Prefix:   r.prefix(),
 		Tokens:   r.req.MaxTokens,
 		Versions: r.req.Versions(),
 		Adapter:  r.req.Adapter,
-		Exclude:  r.exclude,
+		Exclude:  r.failedHosts,
 	}
 	if version, adapter, pinned := r.progress.Pinned(); pinned {
-		ask.Versions = []string{version}
-		ask.AdapterVersion = adapter
+		criteria.Versions = []string{version}
+		criteria.AdapterVersion = adapter
 	}
-	return ask
+	return criteria
 }
 
-func (r *run) prefix() uint64 {
-	if r.hashed == 0 {
-		r.hashed = route.PrefixOf(r.req.Prompt)
+// prefix returns the hash of the prompt's prefix and caches it.
+func (r *requestRun) prefix() uint64 {
+	if r.prefixHash == 0 {
+		r.prefixHash = route.PrefixOf(r.req.Prompt)
 	}
-	return r.hashed
+	return r.prefixHash
 }
 
-// mayGoOn applies the rules for another attempt. Only what may have cost a
-// back end work is charged to the retry budget: a refusal does not multiply
-// the load.
-func (r *run) mayGoOn(ctx context.Context, end attemptEnd) *failure.Error {
+// checkRetry returns an error if no further attempt is allowed. Only attempts that
+// may have caused work on a back end are charged to the retry budget: a refusal
+// does not multiply the load.
+func (r *requestRun) checkRetry(ctx context.Context, end attemptEnd) *failure.Error {
 	switch {
 	case !r.progress.MayRetry():
-		return errUnproved(end.reason)
-	case end.cancelled || ended(ctx):
-		return errGivenUp(end.reason)
-	case r.progress.Number() >= retry.MaxAttempts:
-		return errGivenUp(end.reason)
+		return errUnknownOutcome(end.reason)
+	case end.cancelled || isDone(ctx):
+		return errNoAnswer(end.reason)
+	case r.progress.AttemptNumber() >= retry.MaxAttempts:
+		return errNoAnswer(end.reason)
 	case !end.refused && r.reserved == nil && !r.req.Retry():
-		return errBudget(end.reason)
+		return errRetryBudget(end.reason)
 	}
 	return nil
 }
 
-// pause waits before the next attempt; false: the time is over. After a
-// refusal another host is tried at once, for the first time.
-func (r *run) pause(ctx context.Context, end attemptEnd) bool {
-	next := int(r.progress.Number()) + 1
+// waitForRetry waits for the backoff before the next attempt. It returns false if
+// ctx ended first. It does not wait if a place is already reserved, or if the
+// first attempt was refused.
+func (r *requestRun) waitForRetry(ctx context.Context, end attemptEnd) bool {
+	next := int(r.progress.AttemptNumber()) + 1
 	if r.reserved != nil || end.refused && next == 2 {
 		return true
 	}
@@ -242,7 +253,8 @@
 	}
 }
 
-func (r *run) result(err *failure.Error) Result {
+// result builds the Result and checks that error and outcome are consistent.
+func (r *requestRun) result(err *failure.Error) Result {
 	outcome := r.progress.Outcome()
 	check := r.dispatcher.cfg.Invariants.Check
 	check((err == nil) == (outcome == Answered), "answeredMeansWhole", "request", r.req.ID)
@@ -250,11 +262,11 @@
 	result := Result{
 		Outcome:    outcome,
 		Err:        err,
-		Attempts:   int(r.progress.Number()),
-		Host:       r.host,
+		Attempts:   int(r.progress.AttemptNumber()),
+		Host:       r.lastHost,
 		Version:    r.progress.Version(),
 		FirstToken: r.firstToken,
-		Queued:     r.queued,
+		Queued:     r.queueTime,
 		Affinity:   r.affinity,
 	}
 	if outcome == Answered {
@@ -265,17 +277,17 @@
 	return result
 }
 
-func errUnproved(reason string) *failure.Error {
-	return failure.New(failure.Ambiguous, "the host did not answer to the end: "+reason,
-		"it may have run: look for its effect before you send it with a new key")
+func errUnknownOutcome(reason string) *failure.Error {
+	return failure.New(failure.Ambiguous, "the host did not complete the answer: "+reason,
+		"the request may have run: check for its effects before sending it with a new key")
 }
 
-func errGivenUp(reason string) *failure.Error {
+func errNoAnswer(reason string) *failure.Error {
 	return failure.New(failure.Unavailable, "no host answered: "+reason,
 		"try again").WithRetryAfter(minRetry)
 }
 
-func errBudget(reason string) *failure.Error {
-	return failure.New(failure.Exhausted, "no host answered, and the customer's retries are used up: "+reason,
+func errRetryBudget(reason string) *failure.Error {
+	return failure.New(failure.Exhausted, "no host answered, and the customer's retry budget is exhausted: "+reason,
 		"try again later").WithRetryAfter(noHostRetry)
 }
