--- a/relay/fleet/backlog.go
+++ b/relay/fleet/backlog.go
@@ -10,12 +10,12 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	var next time.Time
-	for _, end := range g.order {
-		if end.limit.active() {
-			next = earliestAfter(now, next, end.limit.admitsAt(now))
+	for _, ep := range g.sorted {
+		if ep.limit.active() {
+			next = earliestAfter(now, next, ep.limit.admitsAt(now))
 		}
-		next = earliestAfter(now, next, end.notice.restUntil)
-		next = earliestAfter(now, next, end.ejected)
+		next = earliestAfter(now, next, ep.notice.backOffUntil)
+		next = earliestAfter(now, next, ep.ejectedUntil)
 	}
 	return next
 }
@@ -42,36 +42,36 @@
 
 // Backlog returns when a request that so many others go before is admitted. ok is false where an
 // endpoint may take it sooner, or none serves it.
-func (g *Group) Backlog(need Need, ahead int) (first Backlog, ok bool) {
+func (g *Group) Backlog(need Need, ahead int) (backlog Backlog, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	rest, pending := g.rest(need, now)
-	limits, found := g.limitedWait(need, ahead, now)
+	backOff, pending := g.backOffWait(need, now)
+	rateLimited, found := g.rateLimitWait(need, ahead, now)
 	switch {
-	case found == unlimited:
+	case found == anyUnlimited:
 		return Backlog{}, false
-	case found == nobody:
-		return rest, rest.Rest && !pending
-	case rest.Rest && !rest.Tried && rest.Wait < limits.Wait:
-		return rest, true
+	case found == unavailable:
+		return backOff, backOff.Rest && !pending
+	case backOff.Rest && !backOff.Tried && backOff.Wait < rateLimited.Wait:
+		return backOff, true
 	}
-	return limits, true
+	return rateLimited, true
 }
 
 // rest returns when the first rest ends of the endpoints that would serve a request. pending:
 // one that doesn't rest may take it soon; g.mu is held.
-func (g *Group) rest(need Need, now time.Time) (found Backlog, pending bool) {
-	for _, end := range g.candidates(need) {
-		if end.leaves() || !end.here(now) || !g.loaded(end, need, now) {
+func (g *Group) backOffWait(need Need, now time.Time) (found Backlog, pending bool) {
+	for _, ep := range g.candidates(need) {
+		if ep.isLeaving() || !ep.available(now) || !g.hasVersion(ep, need, now) {
 			continue
 		}
-		tried := need.tried(end)
-		if !end.notice.rests(now) {
+		tried := need.tried(ep)
+		if !ep.notice.backingOff(now) {
 			pending = pending || !tried
 			continue
 		}
-		wait := end.notice.restUntil.Sub(now)
+		wait := ep.notice.backOffUntil.Sub(now)
 		if !found.Rest || found.Tried && !tried || found.Tried == tried && wait < found.Wait {
 			found = Backlog{Wait: wait, Rest: true, Tried: tried}
 		}
@@ -80,46 +80,46 @@
 }
 
 // serving says which endpoints serve a request now.
-type serving int
+type availability int
 
 const (
-	nobody    serving = iota // none
-	limited                  // some, all with a rate limit
-	unlimited                // one without a limit
+	unavailable  availability = iota // none
+	allLimited                       // some, all with a rate limit
+	anyUnlimited                     // one without a limit
 )
 
 // limitedWait returns when a request is admitted by rate limits; g.mu is held.
-func (g *Group) limitedWait(need Need, ahead int, now time.Time) (Backlog, serving) {
-	found := nobody
-	share, credit, accepted := 0.0, 0.0, 0.0
-	var askAt time.Time
-	for _, end := range g.candidates(need) {
-		if !g.serves(end, need, now) {
+func (g *Group) rateLimitWait(need Need, ahead int, now time.Time) (Backlog, availability) {
+	found := unavailable
+	share, credit, acceptedRate := 0.0, 0.0, 0.0
+	var probeAt time.Time
+	for _, ep := range g.candidates(need) {
+		if !g.eligible(ep, need, now) {
 			continue
 		}
-		if !end.limit.active() {
-			return Backlog{}, unlimited
+		if !ep.limit.active() {
+			return Backlog{}, anyUnlimited
 		}
-		found = limited
-		accepted += max(leastRate, end.limit.perSecond)
-		if end.limit.share == 0 {
-			if at := end.limit.askAt; askAt.IsZero() || at.Before(askAt) {
-				askAt = at
+		found = allLimited
+		acceptedRate += max(minRate, ep.limit.perSecond)
+		if ep.limit.share == 0 {
+			if at := ep.limit.probeAt; probeAt.IsZero() || at.Before(probeAt) {
+				probeAt = at
 			}
 			continue
 		}
-		share += end.limit.share
-		credit += end.limit.credit.Level(now, end.limit.share)
+		share += ep.limit.share
+		credit += ep.limit.bucket.Level(now, ep.limit.share)
 	}
 	switch {
-	case found == nobody:
-		return Backlog{}, nobody
+	case found == unavailable:
+		return Backlog{}, unavailable
 	case share > 0:
-		return Backlog{Wait: max(0, seconds((float64(1+ahead)-credit)/share))}, limited
-	case ahead == 0 && !askAt.After(now):
-		return Backlog{}, limited
+		return Backlog{Wait: max(0, seconds((float64(1+ahead)-credit)/share))}, allLimited
+	case ahead == 0 && !probeAt.After(now):
+		return Backlog{}, allLimited
 	}
-	return Backlog{Wait: seconds(1 / accepted), Elsewhere: true}, limited
+	return Backlog{Wait: seconds(1 / acceptedRate), Elsewhere: true}, allLimited
 }
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
--- a/relay/fleet/conns_test.go
+++ b/relay/fleet/conns_test.go
@@ -12,21 +12,21 @@
 // Guards against entries that together have more connections to an endpoint than it takes: it
 // resets those beyond.
 func TestConnectionsToAnEndpointAreSharedByAllEntries(t *testing.T) {
-	for _, one := range []struct{ entries, maxConns, slots int }{{9, 110, 6}, {9, 48, 8}, {38, 460, 6}, {98, 1200, 64}, {9, 0, 6}} {
-		t.Run(fmt.Sprintf("%d entries, %d connections", one.entries, one.maxConns), func(t *testing.T) {
+	for _, tc := range []struct{ entries, maxConns, slots int }{{9, 110, 6}, {9, 48, 8}, {38, 460, 6}, {98, 1200, 64}, {9, 0, 6}} {
+		t.Run(fmt.Sprintf("%d entries, %d connections", tc.entries, tc.maxConns), func(t *testing.T) {
 			now := time.Now()
 			inUse, idle := 0, 0
-			for i := range one.entries {
+			for i := range tc.entries {
 				flt := fleet.New(func() time.Time { return now })
-				flt.Declare(catalog.New(catalog.Spec{Services: []catalog.Service{{Name: "app", MaxConns: one.maxConns}}}))
-				flt.Register(fleet.Registration{ID: "e", Service: "app", Address: "10.0.0.1:80", FailureDomain: "d", Slots: one.slots})
+				flt.Declare(catalog.New(catalog.Spec{Services: []catalog.Service{{Name: "app", MaxConns: tc.maxConns}}}))
+				flt.Register(fleet.Registration{ID: "e", Service: "app", Address: "10.0.0.1:80", FailureDomain: "d", Slots: tc.slots})
 				var others []string
-				for j := range one.entries - 1 {
+				for j := range tc.entries - 1 {
 					others = append(others, fmt.Sprint("other-", i, j))
 				}
 				flt.SetEntries("self", others)
 				// The endpoint takes any number of requests into its queue.
-				need := fleet.Need{Domain: "d", Entries: one.entries, Extra: 1000}
+				need := fleet.Need{Domain: "d", Entries: tc.entries, Extra: 1000}
 				var grants []*fleet.Grant
 				for {
 					grant, verdict := flt.Group("app").Pick(need)
@@ -46,8 +46,8 @@
 				}
 				idle += min(room, len(grants))
 			}
-			if one.maxConns > 0 && (inUse > one.maxConns || idle > one.maxConns) {
-				t.Errorf("got %d connections in use, then %d idle, want %d at most", inUse, idle, one.maxConns)
+			if tc.maxConns > 0 && (inUse > tc.maxConns || idle > tc.maxConns) {
+				t.Errorf("got %d connections in use, then %d idle, want %d at most", inUse, idle, tc.maxConns)
 			}
 		})
 	}
--- a/relay/fleet/fleet.go
+++ b/relay/fleet/fleet.go
@@ -54,16 +54,16 @@
 	clock  func() time.Time
 	random func() float64 // in [0,1)
 
-	mu     sync.RWMutex
-	groups map[string]*Group // by service
-	owner  map[string]string // service by endpoint id
-	self   string            // id of this entry
-	others []string          // ids of the other entries
+	mu          sync.RWMutex
+	groups      map[string]*Group // by service
+	serviceByID map[string]string // service by endpoint id
+	self        string            // id of this entry
+	others      []string          // ids of the other entries
 }
 
 // New returns an empty Fleet.
 func New(clock func() time.Time) *Fleet {
-	return &Fleet{clock: clock, random: rand.Float64, groups: map[string]*Group{}, owner: map[string]string{}}
+	return &Fleet{clock: clock, random: rand.Float64, groups: map[string]*Group{}, serviceByID: map[string]string{}}
 }
 
 // SetRandom replaces the source of chance, for runs that are to repeat. It is called
@@ -107,8 +107,8 @@
 func (f *Fleet) IDs() []string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	ids := make([]string, 0, len(f.owner))
-	for id := range f.owner {
+	ids := make([]string, 0, len(f.serviceByID))
+	for id := range f.serviceByID {
 		ids = append(ids, id)
 	}
 	return ids
@@ -118,10 +118,10 @@
 func (f *Fleet) Register(reg Registration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if old, ok := f.owner[reg.ID]; ok && old != reg.Service {
-		f.group(old).remove(reg.ID, f.clock())
+	if oldService, ok := f.serviceByID[reg.ID]; ok && oldService != reg.Service {
+		f.group(oldService).remove(reg.ID, f.clock())
 	}
-	f.owner[reg.ID] = reg.Service
+	f.serviceByID[reg.ID] = reg.Service
 	f.group(reg.Service).register(reg)
 }
 
@@ -131,11 +131,11 @@
 func (f *Fleet) Remove(id string, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	service, ok := f.owner[id]
+	service, ok := f.serviceByID[id]
 	if !ok {
 		return
 	}
-	delete(f.owner, id)
+	delete(f.serviceByID, id)
 	f.group(service).remove(id, at)
 }
 
@@ -157,21 +157,21 @@
 
 // SetTurns sets the hosts' places in a rollout, 0 to 1, by their engines' addresses: what goes
 // on after another engine goes where a load comes late.
-func (f *Fleet) SetTurns(turns map[string]float64) {
+func (f *Fleet) SetTurns(positions map[string]float64) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	for _, grp := range f.groups {
-		grp.setTurns(turns)
+		grp.setRolloutPositions(positions)
 	}
 }
 
 // Reading returns the prompt tokens that this entry sent to the engine at the
 // address and that are not read yet.
-func (f *Fleet) Reading(service, address string) int { return f.Group(service).readingAt(address) }
+func (f *Fleet) Reading(service, address string) int { return f.Group(service).prefillAt(address) }
 
 // Last returns the requests of this entry in progress at the engine at the address that no
 // other engine may go on with.
-func (f *Fleet) Last(service, address string) int { return f.Group(service).lastAt(address) }
+func (f *Fleet) Last(service, address string) int { return f.Group(service).finalAttemptsAt(address) }
 
 // Engine is an engine's host, for those who follow its agent.
 type Engine struct {
--- a/relay/fleet/fleet_test.go
+++ b/relay/fleet/fleet_test.go
@@ -12,13 +12,13 @@
 )
 
 // world is a fleet of engines with a clock that tests move.
-type world struct {
+type fixture struct {
 	now   time.Time
 	fleet *fleet.Fleet
 }
 
-func newWorld() *world {
-	w := &world{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+func newFixture() *fixture {
+	w := &fixture{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	w.fleet = fleet.New(func() time.Time { return w.now })
 	w.fleet.Declare(catalog.New(catalog.Spec{Services: []catalog.Service{
 		{Name: "llm", Engine: &catalog.Engine{Slots: 16, ReadPerSecond: 19100}},
@@ -27,7 +27,7 @@
 	return w
 }
 
-func (w *world) engine(i int, version uint64) {
+func (w *fixture) registerEngine(i int, version uint64) {
 	w.fleet.Register(fleet.Registration{
 		ID: fmt.Sprintf("e-%d", i), Service: "llm", Address: address(i), FailureDomain: "d1",
 		Slots: 16, Loaded: map[string]uint64{"m": version},
@@ -35,10 +35,10 @@
 }
 
 // own makes all engines known now home to this entry.
-func (w *world) own() { w.deal("d1", "self", "self") }
+func (w *fixture) assignAll() { w.assign("d1", "self", "self") }
 
 // deal shares the engines known now out among entries of a failure domain.
-func (w *world) deal(domain, self string, entries ...string) {
+func (w *fixture) assign(domain, self string, entries ...string) {
 	place := func(id string) deal.Place { return deal.Place{ID: id, Region: domain, FailureDomain: domain} }
 	var others, engines []deal.Place
 	for _, id := range entries {
@@ -52,7 +52,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:80", i) }
 
-func (w *world) state(i int, state fleet.EngineState) {
+func (w *fixture) observeState(i int, state fleet.EngineState) {
 	if state.Loaded == nil {
 		state.Loaded = map[string]uint64{"m": 1}
 	}
@@ -61,7 +61,7 @@
 
 var need = fleet.Need{Model: "m", Prompt: 1000, Domain: "d1", Entries: 1}
 
-func (w *world) pick(t *testing.T, need fleet.Need) *fleet.Grant {
+func (w *fixture) pick(t *testing.T, need fleet.Need) *fleet.Grant {
 	t.Helper()
 	grant, verdict := w.fleet.Group("llm").Pick(need)
 	if verdict != fleet.Granted {
@@ -78,13 +78,13 @@
 	entries := []string{"entry-a", "entry-b", "entry-c"}
 	chosen := map[string]string{}
 	for _, self := range entries {
-		w := newWorld()
+		w := newFixture()
 		for i := range 6 {
-			w.engine(i, 1)
+			w.registerEngine(i, 1)
 		}
-		w.deal("d1", self, entries...)
+		w.assign("d1", self, entries...)
 		for i := range 6 {
-			w.state(i, fleet.EngineState{Alive: true, Running: 4})
+			w.observeState(i, fleet.EngineState{Alive: true, Running: 4})
 		}
 		for range 2 {
 			grant := w.pick(t, need)
@@ -100,11 +100,11 @@
 }
 
 func TestPromptsOfOtherEntriesCount(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.engine(1, 1)
-	w.state(0, fleet.EngineState{Alive: true, Running: 1, Reading: 6000})
-	w.state(1, fleet.EngineState{Alive: true, Running: 8})
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.registerEngine(1, 1)
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 1, Reading: 6000})
+	w.observeState(1, fleet.EngineState{Alive: true, Running: 8})
 	if got, want := w.pick(t, need).ID(), "e-1"; got != want {
 		t.Errorf("got %s, want %s, where nothing waits to be read", got, want)
 	}
@@ -113,11 +113,11 @@
 // Symptom: requests wait a second at an engine and are late. Sequence: prompts
 // come faster than engines read. Cause: engines take what comes; each has free
 // slots.
-func TestPromptsThatCannotBeReadInTimeAreHeld(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.own()
-	w.state(0, fleet.EngineState{Alive: true, Running: 1, Reading: 3000})
+func TestPromptsThatCannotBeReadInTimeWait(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.assignAll()
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 1, Reading: 3000})
 	tight := need
 	tight.Unread = 3500
 	if _, verdict := w.fleet.Group("llm").Pick(tight); verdict != fleet.Full {
@@ -132,17 +132,17 @@
 	if got := w.fleet.Reading("llm", address(0)); got != 0 {
 		t.Errorf("got %d tokens unread after the first event, want none", got)
 	}
-	w.state(0, fleet.EngineState{Alive: true})
+	w.observeState(0, fleet.EngineState{Alive: true})
 	huge := need
 	huge.Prompt, huge.Unread = 9000, 2000
 	w.pick(t, huge) // an engine that reads nothing takes any prompt
 }
 
-func TestSlotsCountWhatAgentsSawAndWhatWasSentSince(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.own()
-	w.state(0, fleet.EngineState{Alive: true, Running: 15})
+func TestOccupancyAddsRequestsSentSinceAgentReport(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.assignAll()
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 15})
 	w.now = w.now.Add(50 * time.Millisecond)
 	grant := w.pick(t, need)
 	if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Full {
@@ -155,28 +155,28 @@
 // Symptom: prompts wait for a slot at an engine that was chosen because one was
 // free. Sequence: its own entry and another one send within one state's age.
 // Cause: both count the same free slot.
-func TestEngineOfAnotherEntryKeepsASlotForIt(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.state(0, fleet.EngineState{Alive: true, Running: 15})
+func TestEngineReservesASlotForItsHomeEntry(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 15})
 	if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Full {
 		t.Errorf("got verdict %v away from home, want full", verdict)
 	}
-	w.own()
+	w.assignAll()
 	w.pick(t, need).Done(fleet.Served)
-	w.deal("d1", "self", "a", "self")
-	again := need
-	again.Again = true
-	w.pick(t, again) // what was begun elsewhere waits for no slot of others
+	w.assign("d1", "self", "a", "self")
+	resumed := need
+	resumed.Again = true
+	w.pick(t, resumed) // what was begun elsewhere waits for no slot of others
 }
 
-func TestDeadAndBusyEnginesGetNothing(t *testing.T) {
+func TestDeadAndBusyEnginesGetNoRequests(t *testing.T) {
 	for name, state := range map[string]fleet.EngineState{
 		"dead": {}, "ordered": {Alive: true, Busy: true}, "empty": {Alive: true, Loaded: map[string]uint64{}},
 	} {
-		w := newWorld()
-		w.engine(0, 1)
-		w.state(0, state)
+		w := newFixture()
+		w.registerEngine(0, 1)
+		w.observeState(0, state)
 		if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Nobody {
 			t.Errorf("%s: got verdict %v, want nobody", name, verdict)
 		}
@@ -186,17 +186,17 @@
 // Symptom: a request begins on a version that ended (VERSION of the platform's
 // rules). Sequence: it is sent to an engine half a second before the end and
 // waits there behind others. Cause: only the moment of sending was looked at.
-func TestEngineWhoseVersionEndsTakesOnlyWhatItBeginsAtOnce(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.own()
+func TestEngineWithEndingVersionGetsOnlyRequestsItStartsAtOnce(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.assignAll()
 	ending := need
 	ending.SoonFloor, ending.Unread = 2, 9000
-	w.state(0, fleet.EngineState{Alive: true, Running: 3, Reading: 1200})
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 3, Reading: 1200})
 	if _, verdict := w.fleet.Group("llm").Pick(ending); verdict != fleet.Full {
 		t.Errorf("got verdict %v behind 1200 tokens, want full", verdict)
 	}
-	w.state(0, fleet.EngineState{Alive: true, Running: 3})
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 3})
 	w.pick(t, ending)
 	ending.Floor = 2
 	if _, verdict := w.fleet.Group("llm").Pick(ending); verdict != fleet.Nobody {
@@ -209,16 +209,16 @@
 // with the old one; 35 entries see the same engine idle, 20 to 250 ms ago, and each
 // sends what it would begin at once; the last of them waits 1.2 s there. Cause: each
 // entry reckoned as if it were the only one.
-func TestEngineWhoseVersionEndsGetsWorkFromOneEntry(t *testing.T) {
+func TestEngineWithEndingVersionGetsRequestsFromOneEntry(t *testing.T) {
 	ending := need
 	ending.SoonFloor, ending.Unread = 2, 9000
 	senders := 0
 	entries := []string{"a", "b", "c", "d"}
 	for _, self := range entries {
-		w := newWorld()
-		w.engine(0, 1)
-		w.state(0, fleet.EngineState{Alive: true})
-		w.deal("d1", self, entries...)
+		w := newFixture()
+		w.registerEngine(0, 1)
+		w.observeState(0, fleet.EngineState{Alive: true})
+		w.assign("d1", self, entries...)
 		if _, verdict := w.fleet.Group("llm").Pick(ending); verdict == fleet.Granted {
 			senders++
 		}
@@ -228,43 +228,43 @@
 	}
 }
 
-func TestWhatWasCutGoesToAnEngineThatLoadedAlready(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.engine(1, 2)
-	w.state(0, fleet.EngineState{Alive: true, Running: 2})
-	w.state(1, fleet.EngineState{Alive: true, Running: 14, Loaded: map[string]uint64{"m": 2}})
-	again := need
-	again.Wanted, again.Again = 2, true
-	if got, want := w.pick(t, again).ID(), "e-1"; got != want {
+func TestResumedRequestPrefersEngineWithWantedVersion(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.registerEngine(1, 2)
+	w.observeState(0, fleet.EngineState{Alive: true, Running: 2})
+	w.observeState(1, fleet.EngineState{Alive: true, Running: 14, Loaded: map[string]uint64{"m": 2}})
+	resumed := need
+	resumed.Wanted, resumed.Again = 2, true
+	if got, want := w.pick(t, resumed).ID(), "e-1"; got != want {
 		t.Errorf("got %s, want %s, which will not be cut again", got, want)
 	}
 }
 
 // Guards against a stream that is cut off again, for good, because it went on at the engine whose turn
 // to load came next.
-func TestWhatWasCutGoesToAnEngineThatLoadsLate(t *testing.T) {
+func TestResumedRequestPrefersEngineLateInRollout(t *testing.T) {
 	for name, turns := range map[string][]float64{"next and later": {0.1, 0.6}, "later and waiting for what runs": {0.6, 0.8}} {
-		w := newWorld()
+		w := newFixture()
 		places := map[string]float64{}
 		for i, turn := range turns {
-			w.engine(i, 1)
+			w.registerEngine(i, 1)
 			places[address(i)] = turn
 		}
-		w.state(0, fleet.EngineState{Alive: true, Running: 2})
-		w.state(1, fleet.EngineState{Alive: true, Running: 14})
+		w.observeState(0, fleet.EngineState{Alive: true, Running: 2})
+		w.observeState(1, fleet.EngineState{Alive: true, Running: 14})
 		w.fleet.SetTurns(places)
-		again := need
-		again.Wanted, again.Again = 2, true
-		if got, want := w.pick(t, again).ID(), "e-1"; got != want {
+		resumed := need
+		resumed.Wanted, resumed.Again = 2, true
+		if got, want := w.pick(t, resumed).ID(), "e-1"; got != want {
 			t.Errorf("%s: got %s, want %s", name, got, want)
 		}
 	}
 }
 
-func TestWhatCannotGoOnElsewhereIsCounted(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
+func TestFinalAttemptsAreCounted(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
 	final := need
 	final.Last = true
 	one, two, other := w.pick(t, final), w.pick(t, final), w.pick(t, need)
@@ -283,13 +283,13 @@
 // Symptom: all endpoints are gone for two seconds after an outage. Sequence: the
 // store is down, registrations lapse, it comes back, owners write again. Cause:
 // what is missing was taken for gone at once.
-func TestRegistrationsThatLapsedMayComeBack(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
+func TestLapsedRegistrationsMayReturn(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
 	w.fleet.Remove("e-0", w.now.Add(2*time.Second))
 	w.now = w.now.Add(time.Second)
 	w.pick(t, need).Done(fleet.Served)
-	w.engine(0, 1)
+	w.registerEngine(0, 1)
 	w.now = w.now.Add(2 * time.Second)
 	w.pick(t, need).Done(fleet.Served)
 	w.fleet.Remove("e-0", w.now)
@@ -298,8 +298,8 @@
 	}
 }
 
-func TestLeavingEndpointsGetNothing(t *testing.T) {
-	w := newWorld()
+func TestLeavingEndpointsGetNoRequests(t *testing.T) {
+	w := newFixture()
 	w.fleet.Register(fleet.Registration{ID: "a-1", Service: "app", Slots: 4, Leaving: true})
 	if _, verdict := w.fleet.Group("app").Pick(fleet.Need{}); verdict != fleet.Nobody {
 		t.Errorf("got verdict %v, want nobody", verdict)
@@ -309,8 +309,8 @@
 // Symptom: one plain endpoint in three fails half of its requests, and gets a
 // third of them. Sequence: it answers fast with errors and so looks idle. Cause:
 // only its load was looked at.
-func TestEndpointThatFailsGetsFewer(t *testing.T) {
-	w := newWorld()
+func TestFailingEndpointGetsFewerRequests(t *testing.T) {
+	w := newFixture()
 	for i := range 3 {
 		w.fleet.Register(fleet.Registration{ID: fmt.Sprintf("a-%d", i), Service: "app", Address: address(i), Slots: 4})
 	}
@@ -330,8 +330,8 @@
 	}
 }
 
-func TestUnreachableEndpointsAreTriedLessAndLess(t *testing.T) {
-	w := newWorld()
+func TestUnreachableEndpointsAreRetriedWithBackoff(t *testing.T) {
+	w := newFixture()
 	w.fleet.Register(fleet.Registration{ID: "a-1", Service: "app", Slots: 4})
 	tries := 0
 	for range 1000 {
@@ -350,8 +350,8 @@
 	}
 }
 
-func TestLoadSentWithAnswersCounts(t *testing.T) {
-	w := newWorld()
+func TestLoadReportedWithAnswersCounts(t *testing.T) {
+	w := newFixture()
 	w.fleet.Register(fleet.Registration{ID: "a-1", Service: "app", Slots: 2})
 	grant, _ := w.fleet.Group("app").Pick(fleet.Need{Entries: 3})
 	grant.Answered(&call.Load{Running: 2, Waiting: 3, Slots: 2})
--- a/relay/fleet/grant.go
+++ b/relay/fleet/grant.go
@@ -29,20 +29,20 @@
 
 // Grant is one request's place at an endpoint.
 type Grant struct {
-	group       *Group
-	end         *endpoint
-	incarnation Incarnation
-	address     string
-	version     uint64
-	prompt      int
-	last        bool // no other endpoint may go on with the request
-	occupied    int
-	unread      int  // prompt tokens before this request's, as known at the choice
-	home        bool // the engine was home to this entry
-	stateAge    time.Duration
-	delay       time.Duration // of the agent's report on its way
-	begun       bool          // the first event came; guarded by the group's lock
-	done        bool
+	group          *Group
+	endpoint       *endpoint
+	incarnation    Incarnation
+	address        string
+	version        uint64
+	prompt         int
+	final          bool // no other endpoint may go on with the request
+	occupancy      int
+	pendingPrefill int  // prompt tokens before this request's, as known at the choice
+	home           bool // the engine was home to this entry
+	stateAge       time.Duration
+	reportDelay    time.Duration // of the agent's report on its way
+	promptRead     bool          // the first event came; guarded by the group's lock
+	done           bool
 }
 
 // ID returns the endpoint's id.
@@ -56,7 +56,7 @@
 func (g *Grant) Over() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	return g.end.over
+	return g.endpoint.superseded
 }
 
 // Address returns the endpoint's address, "IP:PORT".
@@ -66,16 +66,16 @@
 func (g *Grant) Version() uint64 { return g.version }
 
 // Occupied returns the requests that were counted there at the choice.
-func (g *Grant) Occupied() int { return g.occupied }
+func (g *Grant) Occupied() int { return g.occupancy }
 
 // Unread returns the prompt tokens that were to be read there before the request's.
-func (g *Grant) Unread() int { return g.unread }
+func (g *Grant) Unread() int { return g.pendingPrefill }
 
 // Home reports whether the engine was home to this entry.
 func (g *Grant) Home() bool { return g.home }
 
 // Delay returns how much longer than usual the agent's report was on its way.
-func (g *Grant) Delay() time.Duration { return g.delay }
+func (g *Grant) Delay() time.Duration { return g.reportDelay }
 
 // StateAge returns the age of the agent's report at the choice, -1 ms where none came.
 func (g *Grant) StateAge() time.Duration { return g.stateAge }
@@ -85,17 +85,17 @@
 func (g *Grant) Alive() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	if g.end.over {
+	if g.endpoint.superseded {
 		return false
 	}
-	return !g.end.followed(g.group.clock()) || g.end.state.Alive
+	return !g.endpoint.hasFreshReport(g.group.clock()) || g.endpoint.state.Alive
 }
 
 // Followed reports whether the agent on the endpoint's host reports, whatever it says.
 func (g *Grant) Followed() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	return g.end.followed(g.group.clock())
+	return g.endpoint.hasFreshReport(g.group.clock())
 }
 
 // Answered takes over what the endpoint sent with its answer.
@@ -105,27 +105,27 @@
 	}
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	g.end.load, g.end.loadAt = load.Running+load.Waiting, g.group.clock()
+	g.endpoint.load, g.endpoint.loadAt = load.Running+load.Waiting, g.group.clock()
 }
 
 // Began notes the first event: the prompt is read.
 func (g *Grant) Began() {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	g.end.refusals = 0
-	g.began()
+	g.endpoint.refusals = 0
+	g.markPromptRead()
 }
 
-func (g *Grant) began() {
-	if !g.begun {
-		g.begun = true
-		g.group.addReading(g.end, -g.prompt)
+func (g *Grant) markPromptRead() {
+	if !g.promptRead {
+		g.promptRead = true
+		g.group.addPendingPrefill(g.endpoint, -g.prompt)
 	}
 }
 
 // hadRoom reports whether the endpoint had room at the choice, by its agent's report.
-func (g *Grant) hadRoom() bool {
-	return g.stateAge != noReport && g.stateAge < feedStale && g.occupied < g.end.reg.Slots
+func (g *Grant) hadFreeSlot() bool {
+	return g.stateAge != noReport && g.stateAge < reportMaxAge && g.occupancy < g.endpoint.reg.Slots
 }
 
 // Done gives the place back and takes the outcome as evidence. Calls after the
@@ -137,44 +137,44 @@
 		return
 	}
 	g.done = true
-	g.began()
+	g.markPromptRead()
 	now := g.group.clock()
-	delete(g.end.running, g)
-	if g.last {
-		g.end.last--
-		g.group.reportReading(g.end.reg.Address)
+	delete(g.endpoint.running, g)
+	if g.final {
+		g.endpoint.finalAttempts--
+		g.group.notifyPrefillChanged(g.endpoint.reg.Address)
 	}
-	if !g.end.stateAt.IsZero() {
-		g.end.ended = append(g.end.ended, now)
+	if !g.endpoint.stateAt.IsZero() {
+		g.endpoint.ended = append(g.endpoint.ended, now)
 	}
-	g.end.note(now, outcome, g.hadRoom())
-	g.group.forget()
-	g.group.wake()
+	g.endpoint.recordOutcome(now, outcome, g.hadFreeSlot())
+	g.group.dropRemoved()
+	g.group.notifyChanged()
 }
 
 // note takes an outcome as evidence of how the endpoint does. hadRoom: it had room by its agent's
 // report.
-func (e *endpoint) note(now time.Time, outcome Outcome, hadRoom bool) {
+func (e *endpoint) recordOutcome(now time.Time, outcome Outcome, hadFreeSlot bool) {
 	failed := 0.0
 	switch outcome {
 	case Served:
 		e.failures, e.refusals = 0, 0
-		e.proven++
+		e.servedUnreported++
 	case Failed, Broken:
 		failed = 1
-		e.proven = 0
+		e.servedUnreported = 0
 	case Refused:
-		e.refuse(now, hadRoom)
+		e.recordRefusal(now, hadFreeSlot)
 		return
 	case Moved:
-		e.ejected = now.Add(movedPause)
+		e.ejectedUntil = now.Add(movedPause)
 		return
 	case Unreachable, Silent:
 		e.eject(now)
-		e.proven = 0
+		e.servedUnreported = 0
 		failed = 1
 	case Abandoned, Withheld:
 		return
 	}
-	e.errors += errorWeight * (failed - e.errors)
+	e.errorRate += errorWeight * (failed - e.errorRate)
 }
--- a/relay/fleet/group.go
+++ b/relay/fleet/group.go
@@ -22,21 +22,21 @@
 	endpoints map[string]*endpoint
 	// order is all of endpoints by id, and reached those that requests are sent to
 	// first: of a large fleet an entry looks at few for each request.
-	order, reached []*endpoint
+	sorted, preferred []*endpoint
 	// byAddress is the same by address: one endpoint, and those that had it before
 	// until their registrations end.
-	byAddress map[string][]*endpoint
-	dealt     bool                  // the engines were shared out among the entries
-	self      string                // id of this entry
-	others    []string              // ids of the other entries
-	changed   chan struct{}         // closed and replaced when room may have come
-	notices   map[string]keptNotice // by id, of endpoints whose registration ended
+	byAddress    map[string][]*endpoint
+	assigned     bool                   // the engines were shared out among the entries
+	self         string                 // id of this entry
+	others       []string               // ids of the other entries
+	changed      chan struct{}          // closed and replaced when room may have come
+	savedNotices map[string]savedNotice // by id, of endpoints whose registration ended
 	// moved gets a value when what this entry has unread at an address changes.
-	moved map[string]chan struct{}
+	prefillChanged map[string]chan struct{}
 }
 
 func newGroup(clock func() time.Time, random func() float64) *Group {
-	return &Group{clock: clock, random: random, endpoints: map[string]*endpoint{}, changed: make(chan struct{}), moved: map[string]chan struct{}{}, notices: map[string]keptNotice{}}
+	return &Group{clock: clock, random: random, endpoints: map[string]*endpoint{}, changed: make(chan struct{}), prefillChanged: map[string]chan struct{}{}, savedNotices: map[string]savedNotice{}}
 }
 
 // ReadingChanged returns a channel that receives a value after what this entry
@@ -45,22 +45,22 @@
 func (g *Group) ReadingChanged(address string) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.moved[address] == nil {
-		g.moved[address] = make(chan struct{}, 1)
+	if g.prefillChanged[address] == nil {
+		g.prefillChanged[address] = make(chan struct{}, 1)
 	}
-	return g.moved[address]
+	return g.prefillChanged[address]
 }
 
 // addReading counts prompt tokens sent, or read where they are negative; g.mu is
 // held.
-func (g *Group) addReading(end *endpoint, tokens int) {
-	end.reading += tokens
-	g.reportReading(end.reg.Address)
+func (g *Group) addPendingPrefill(ep *endpoint, tokens int) {
+	ep.pendingPrefill += tokens
+	g.notifyPrefillChanged(ep.reg.Address)
 }
 
-func (g *Group) reportReading(address string) {
+func (g *Group) notifyPrefillChanged(address string) {
 	select {
-	case g.moved[address] <- struct{}{}:
+	case g.prefillChanged[address] <- struct{}{}:
 	default:
 	}
 }
@@ -69,86 +69,86 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.engine, g.maxConns = engine, maxConns
-	g.sort()
+	g.rebuildIndexes()
 }
 
 func (g *Group) register(reg Registration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	end := g.endpoints[reg.ID]
-	if end == nil {
-		end = newEndpoint(reg, births{})
-		g.endpoints[reg.ID] = end
-		g.sort()
+	ep := g.endpoints[reg.ID]
+	if ep == nil {
+		ep = newEndpoint(reg, incarnationTracker{})
+		g.endpoints[reg.ID] = ep
+		g.rebuildIndexes()
 	}
-	if end.births.register(reg.Born) {
-		end = g.begin(end)
+	if ep.incarnations.register(reg.Born) {
+		ep = g.startIncarnation(ep)
 	}
-	g.returnNotice(end)
-	if !end.births.accepts(reg.Born) {
+	g.restoreNotice(ep)
+	if !ep.incarnations.isCurrent(reg.Born) {
 		reg.Loaded = nil // of a former incarnation
 	}
-	moved := end.reg.Address != reg.Address
-	end.reg, end.gone = reg, time.Time{}
-	if moved {
-		g.sort()
+	addressChanged := ep.reg.Address != reg.Address
+	ep.reg, ep.removedAt = reg, time.Time{}
+	if addressChanged {
+		g.rebuildIndexes()
 	}
-	g.wake()
+	g.notifyChanged()
 }
 
 // begin replaces an endpoint by its next incarnation, which runs none of what was sent
 // to the former one, has nothing loaded and failed at nothing. Who waits for an
 // answer of the former incarnation keeps that incarnation and learns that it is over. g.mu is
 // held.
-func (g *Group) begin(former *endpoint) *endpoint {
-	reg := former.reg
+func (g *Group) startIncarnation(previous *endpoint) *endpoint {
+	reg := previous.reg
 	reg.Loaded = nil
-	next := newEndpoint(reg, former.births)
-	next.gone, next.reach, next.turn = former.gone, former.reach, former.turn
-	former.over = true
+	next := newEndpoint(reg, previous.incarnations)
+	next.removedAt, next.reach, next.rolloutPosition = previous.removedAt, previous.reach, previous.rolloutPosition
+	previous.superseded = true
 	g.endpoints[reg.ID] = next
-	g.sort()
-	g.reportReading(reg.Address)
+	g.rebuildIndexes()
+	g.notifyPrefillChanged(reg.Address)
 	return next
 }
 
 func (g *Group) remove(id string, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if end := g.endpoints[id]; end != nil {
-		end.gone = at
+	if ep := g.endpoints[id]; ep != nil {
+		ep.removedAt = at
 	}
-	g.forget()
+	g.dropRemoved()
 }
 
 // forget drops endpoints that are gone and have no request left.
-func (g *Group) forget() {
+func (g *Group) dropRemoved() {
 	now := g.clock()
 	dropped := false
-	for id, end := range g.endpoints {
-		if !end.gone.IsZero() && !now.Before(end.gone) && len(end.running) == 0 {
-			g.keepNotice(now, end)
+	for id, ep := range g.endpoints {
+		if !ep.removedAt.IsZero() && !now.Before(ep.removedAt) && len(ep.running) == 0 {
+			g.saveNotice(now, ep)
 			delete(g.endpoints, id)
 			dropped = true
 		}
 	}
 	if dropped {
-		g.sort()
+		g.rebuildIndexes()
 	}
 }
 
 // sort makes the lists of endpoints again; g.mu is held.
-func (g *Group) sort() {
-	g.order = slices.SortedFunc(maps.Values(g.endpoints), func(left, right *endpoint) int {
+func (g *Group) rebuildIndexes() {
+	g.sorted = slices.SortedFunc(maps.Values(g.endpoints), func(left, right *endpoint) int {
 		return cmp.Compare(left.reg.ID, right.reg.ID)
 	})
-	g.byAddress = make(map[string][]*endpoint, len(g.order))
-	for _, end := range g.order {
-		g.byAddress[end.reg.Address] = append(g.byAddress[end.reg.Address], end)
+	g.byAddress = make(map[string][]*endpoint, len(g.sorted))
+	for _, ep := range g.sorted {
+		g.byAddress[ep.reg.Address] = append(g.byAddress[ep.reg.Address], ep)
 	}
-	g.reached = g.order
-	if g.dealt && g.engine != nil {
-		g.reached = slices.DeleteFunc(slices.Clone(g.order), func(end *endpoint) bool { return end.reach == deal.Outside })
+	g.preferred = g.sorted
+	if g.assigned && g.engine != nil {
+		g.preferred = slices.DeleteFunc(slices.Clone(g.sorted), func(ep *endpoint) bool { return ep.reach == deal.Outside })
 	}
 }
 
@@ -156,27 +156,27 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	at := g.byAddress[address]
-	other := slices.ContainsFunc(at, func(end *endpoint) bool { return state.Born != 0 && end.births.current == state.Born })
-	for _, end := range at {
-		if other && !end.births.accepts(state.Born) {
+	endpoints := g.byAddress[address]
+	foreign := slices.ContainsFunc(endpoints, func(ep *endpoint) bool { return state.Born != 0 && ep.incarnations.current == state.Born })
+	for _, ep := range endpoints {
+		if foreign && !ep.incarnations.isCurrent(state.Born) {
 			// The address is another endpoint's now, or its agent lags.
-			end.otherAt = now
+			ep.foreignReportAt = now
 			continue
 		}
-		if end.births.observe(state.Born) {
-			end = g.begin(end)
+		if ep.incarnations.observe(state.Born) {
+			ep = g.startIncarnation(ep)
 		}
-		if end.births.accepts(state.Born) {
-			end.otherAt = time.Time{}
-			end.observe(now, state)
+		if ep.incarnations.isCurrent(state.Born) {
+			ep.foreignReportAt = time.Time{}
+			ep.observe(now, state)
 		}
 	}
-	g.wake()
+	g.notifyChanged()
 }
 
 // wake lets those who wait for room look again; g.mu is held.
-func (g *Group) wake() {
+func (g *Group) notifyChanged() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
@@ -196,9 +196,9 @@
 	}
 	var list []Engine
 	for _, address := range slices.Sorted(maps.Keys(g.byAddress)) {
-		at := g.byAddress[address]
-		stays := slices.ContainsFunc(at, func(end *endpoint) bool { return !end.leaves() })
-		list = append(list, Engine{Service: service, Address: address, FailureDomain: at[0].reg.FailureDomain, Leaving: !stays})
+		endpoints := g.byAddress[address]
+		stays := slices.ContainsFunc(endpoints, func(ep *endpoint) bool { return !ep.isLeaving() })
+		list = append(list, Engine{Service: service, Address: address, FailureDomain: endpoints[0].reg.FailureDomain, Leaving: !stays})
 	}
 	return list
 }
@@ -206,11 +206,11 @@
 func (g *Group) addModels(found map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, end := range g.endpoints {
-		for model, version := range end.reg.Loaded {
+	for _, ep := range g.endpoints {
+		for model, version := range ep.reg.Loaded {
 			found[model] = max(found[model], version)
 		}
-		for model, version := range end.state.Loaded {
+		for model, version := range ep.state.Loaded {
 			found[model] = max(found[model], version)
 		}
 	}
@@ -220,41 +220,41 @@
 func (g *Group) setParts(parts map[string]deal.Part) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dealt = true
-	for _, end := range g.endpoints {
-		end.reach = parts[end.reg.Address].Reach
+	g.assigned = true
+	for _, ep := range g.endpoints {
+		ep.reach = parts[ep.reg.Address].Reach
 	}
-	g.sort()
-	g.shareLimits()
-	g.wake()
+	g.rebuildIndexes()
+	g.updateLimitShares()
+	g.notifyChanged()
 }
 
 // setTurns takes over the hosts' places in a rollout, by address.
-func (g *Group) setTurns(turns map[string]float64) {
+func (g *Group) setRolloutPositions(positions map[string]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, end := range g.endpoints {
-		end.turn = turns[end.reg.Address]
+	for _, ep := range g.endpoints {
+		ep.rolloutPosition = positions[ep.reg.Address]
 	}
 }
 
 // lastAt returns the own requests at an address that no other endpoint may go on with.
-func (g *Group) lastAt(address string) int {
+func (g *Group) finalAttemptsAt(address string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	count := 0
-	for _, end := range g.byAddress[address] {
-		count += end.last
+	for _, ep := range g.byAddress[address] {
+		count += ep.finalAttempts
 	}
 	return count
 }
 
-func (g *Group) readingAt(address string) int {
+func (g *Group) prefillAt(address string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	tokens := 0
-	for _, end := range g.byAddress[address] {
-		tokens += end.reading
+	for _, ep := range g.byAddress[address] {
+		tokens += ep.pendingPrefill
 	}
 	return tokens
 }
--- a/relay/fleet/births_test.go
+++ b/relay/fleet/incarnation_test.go
@@ -18,8 +18,8 @@
 // and starts again under the id it had; its registration, its agent's report and
 // the answers to what it ran before come in any order. Cause: what was known of
 // the former incarnation was taken for the new one's.
-func TestBirths(t *testing.T) {
-	w := newWorld()
+func TestEndpointRestart(t *testing.T) {
+	w := newFixture()
 	grants := map[string]*fleet.Grant{}
 	datadriven.RunTest(t, "testdata/births", func(t *testing.T, td *datadriven.TestData) string {
 		number := func(key string) int {
@@ -34,13 +34,13 @@
 		}
 		switch td.Cmd {
 		case "new":
-			w = newWorld()
+			w = newFixture()
 		case "register":
 			w.fleet.Register(fleet.Registration{
 				ID: name("id"), Born: int64(number("born")), Service: "llm", Address: address(1), FailureDomain: "d1",
 				Slots: 16, Loaded: map[string]uint64{"m": uint64(number("version"))},
 			})
-			w.own()
+			w.assignAll()
 		case "agent":
 			w.fleet.Observe("llm", address(1), fleet.EngineState{
 				Born: int64(number("born")), Alive: true, Running: number("running"), Loaded: map[string]uint64{"m": uint64(number("version"))},
@@ -48,11 +48,11 @@
 		case "wait":
 			w.now = w.now.Add(time.Duration(number("millis")) * time.Millisecond)
 		case "send":
-			ask := need
+			request := need
 			if td.HasArg("after") {
-				ask.Exclude = []fleet.Incarnation{grants[name("after")].Incarnation()}
+				request.Exclude = []fleet.Incarnation{grants[name("after")].Incarnation()}
 			}
-			grant, verdict := w.fleet.Group("llm").Pick(ask)
+			grant, verdict := w.fleet.Group("llm").Pick(request)
 			if verdict != fleet.Granted {
 				return map[fleet.Verdict]string{fleet.Full: "full", fleet.Nobody: "nobody"}[verdict]
 			}
@@ -74,9 +74,9 @@
 // Whatever order the reports come in: once both sources reported the newest incarnation,
 // nothing of a former one counts, and no request of a former incarnation is counted
 // there.
-func TestNewestIncarnationIsBelievedInTheEnd(t *testing.T) {
+func TestNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newFixture()
 		births := rapid.SliceOfNDistinct(rapid.Int64Range(1, 1e6), 1, 4, rapid.ID[int64]).Draw(t, "births")
 		registered, observed := 0, -1
 		report := func() {
@@ -84,7 +84,7 @@
 				FailureDomain: "d1", Slots: 16, Loaded: map[string]uint64{"m": 1}})
 		}
 		report()
-		w.own()
+		w.assignAll()
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
@@ -92,7 +92,7 @@
 				report()
 			case 1:
 				observed = min(len(births)-1, max(0, observed)+rapid.IntRange(0, 1).Draw(t, "seen"))
-				w.state(1, fleet.EngineState{Born: births[observed], Alive: true})
+				w.observeState(1, fleet.EngineState{Born: births[observed], Alive: true})
 			case 2:
 				if grant, verdict := w.fleet.Group("llm").Pick(need); verdict == fleet.Granted && rapid.Bool().Draw(t, "ends") {
 					grant.Done(fleet.Silent)
@@ -105,9 +105,9 @@
 		behind := registered < newest
 		registered = newest
 		report()
-		w.state(1, fleet.EngineState{Born: births[newest], Alive: true})
+		w.observeState(1, fleet.EngineState{Born: births[newest], Alive: true})
 		w.now = w.now.Add(5 * time.Second)
-		w.state(1, fleet.EngineState{Born: births[newest], Alive: true})
+		w.observeState(1, fleet.EngineState{Born: births[newest], Alive: true})
 		grant, verdict := w.fleet.Group("llm").Pick(fleet.Need{Model: "m", Domain: "d1", Entries: 1, Extra: 100})
 		if verdict != fleet.Granted {
 			t.Fatalf("got verdict %v, want a grant", verdict)
--- a/relay/fleet/timely_test.go
+++ b/relay/fleet/late_report_test.go
@@ -12,24 +12,24 @@
 // sound engines have room. Sequence: the links of eight of a hundred hosts are
 // squeezed for 7 s; their agents' reports come late or not at all, and nothing is known
 // to run there. Cause: what is not known was taken for idle.
-func TestEngineWithoutTimelyReportsIsNotTakenForIdle(t *testing.T) {
+func TestEngineWithoutTimelyReportsIsNotAssumedIdle(t *testing.T) {
 	late := fleet.EngineState{Alive: true, Delay: 600 * time.Millisecond}
-	for name, quiet := range map[string]func(w *world){
-		"silent": func(w *world) { w.now = w.now.Add(2 * time.Second) },
-		"late":   func(w *world) { w.state(0, late) },
+	for name, losesReports := range map[string]func(w *fixture){
+		"silent": func(w *fixture) { w.now = w.now.Add(2 * time.Second) },
+		"late":   func(w *fixture) { w.observeState(0, late) },
 	} {
 		for _, home := range []bool{true, false} {
-			w := newWorld()
+			w := newFixture()
 			for i := range 4 {
-				w.engine(i, 1)
+				w.registerEngine(i, 1)
 			}
-			w.state(0, fleet.EngineState{Alive: true})
-			quiet(w)
+			w.observeState(0, fleet.EngineState{Alive: true})
+			losesReports(w)
 			for i := 1; i < 4; i++ {
-				w.state(i, fleet.EngineState{Alive: true, Running: 10})
+				w.observeState(i, fleet.EngineState{Alive: true, Running: 10})
 			}
 			if home {
-				w.own()
+				w.assignAll()
 			}
 			sent := 0
 			var probe *fleet.Grant
@@ -68,32 +68,32 @@
 // see whether it answers; the request stands 1.6 s in the link and begins 72 ms after
 // the end, though the entry gave it up before. Cause: what is sent shortly before an
 // end must begin at once, and nobody knows that of an engine whose reports come late.
-func TestEngineThatIsHeardLateGetsNothingBeforeItsVersionEnds(t *testing.T) {
-	for name, one := range map[string]struct {
+func TestEngineWithLateReportsGetsNothingBeforeVersionEnds(t *testing.T) {
+	for name, tc := range map[string]struct {
 		delay time.Duration
 		want  fleet.Verdict
 	}{"in time": {5 * time.Millisecond, fleet.Granted}, "late": {683 * time.Millisecond, fleet.Full}} {
-		w := newWorld()
+		w := newFixture()
 		for i := range 3 {
-			w.engine(i, 1)
-			w.state(i, fleet.EngineState{Alive: true, Running: 16})
+			w.registerEngine(i, 1)
+			w.observeState(i, fleet.EngineState{Alive: true, Running: 16})
 		}
-		w.own()
-		w.state(0, fleet.EngineState{Alive: true, Delay: one.delay})
-		ask := need
-		ask.SoonFloor, ask.Unread = 2, 4000
-		if _, got := w.fleet.Group("llm").Pick(ask); got != one.want {
-			t.Errorf("%s: got verdict %v, want %v", name, got, one.want)
+		w.assignAll()
+		w.observeState(0, fleet.EngineState{Alive: true, Delay: tc.delay})
+		request := need
+		request.SoonFloor, request.Unread = 2, 4000
+		if _, got := w.fleet.Group("llm").Pick(request); got != tc.want {
+			t.Errorf("%s: got verdict %v, want %v", name, got, tc.want)
 		}
 	}
 }
 
 // An entry that hardly any agent reports to is cut off itself, or agents are down: what
 // is registered then serves as before.
-func TestEntryThatHearsNoAgentUsesAllEngines(t *testing.T) {
-	w := newWorld()
+func TestEntryWithoutAgentReportsUsesAllEngines(t *testing.T) {
+	w := newFixture()
 	for i := range 4 {
-		w.engine(i, 1)
+		w.registerEngine(i, 1)
 	}
 	used := map[string]bool{}
 	for range 16 {
@@ -111,30 +111,30 @@
 // Cause: each sends there, since all see the same engine as the best. The pattern is
 // that of three domains with three entries each, the one with the fewest engines
 // getting the most requests.
-func TestEntriesOfOtherDomainsDoNotCrowdAnEngine(t *testing.T) {
+func TestEntriesOfOtherDomainsDoNotOverloadAnEngine(t *testing.T) {
 	domains := []string{"d1", "d2", "d3"}
 	sent := map[string]int{}
 	for _, domain := range domains[1:] {
 		entries := []string{domain + "-a", domain + "-b", domain + "-c"}
 		for _, self := range entries {
-			w := newWorld()
+			w := newFixture()
 			for i := range 12 {
 				w.fleet.Register(fleet.Registration{ID: fmt.Sprintf("e-%d", i), Service: "llm", Address: address(i),
 					FailureDomain: domains[i%3], Slots: 16, Loaded: map[string]uint64{"m": 1}})
 			}
-			w.deal(domain, self, entries...)
+			w.assign(domain, self, entries...)
 			for i := range 12 {
-				w.state(i, fleet.EngineState{Alive: true, Running: 16})
+				w.observeState(i, fleet.EngineState{Alive: true, Running: 16})
 			}
-			w.state(0, fleet.EngineState{Alive: true, Running: 14})
-			ask := need
-			ask.Domain = domain
-			if _, verdict := w.fleet.Group("llm").Pick(ask); verdict == fleet.Granted {
+			w.observeState(0, fleet.EngineState{Alive: true, Running: 14})
+			request := need
+			request.Domain = domain
+			if _, verdict := w.fleet.Group("llm").Pick(request); verdict == fleet.Granted {
 				sent[domain]++
 			}
 			// What goes on after another engine may go anywhere.
-			ask.Again = true
-			if _, verdict := w.fleet.Group("llm").Pick(ask); verdict != fleet.Granted {
+			request.Again = true
+			if _, verdict := w.fleet.Group("llm").Pick(request); verdict != fleet.Granted {
 				t.Errorf("%s: got verdict %v for what was begun, want a grant", self, verdict)
 			}
 		}
@@ -151,8 +151,8 @@
 // entry is home to one or two of them, and only a home sends there. Cause: others were
 // kept away for as long as for the last moments, though three of them at most send to an
 // engine and what they send begins within half a second.
-func TestOthersSendToAnEngineWhoseVersionEndsWhileThereIsTime(t *testing.T) {
-	for _, one := range []struct {
+func TestNonHomeEntriesSendToEngineWithEndingVersionInTime(t *testing.T) {
+	for _, tc := range []struct {
 		name   string
 		ends   time.Duration
 		unread int
@@ -164,27 +164,27 @@
 		{"behind others", 2 * time.Second, 1200, 0, fleet.Full},
 		{"late reports", 2 * time.Second, 400, 683 * time.Millisecond, fleet.Full},
 	} {
-		w := newWorld()
+		w := newFixture()
 		for i := range 3 {
-			w.engine(i, 1)
-			w.state(i, fleet.EngineState{Alive: true, Running: 16})
+			w.registerEngine(i, 1)
+			w.observeState(i, fleet.EngineState{Alive: true, Running: 16})
 		}
-		w.deal("d1", "self", "self", "a", "b")
+		w.assign("d1", "self", "self", "a", "b")
 		// One of the three is home to this entry: it is full.
 		for i := range 3 {
-			ask := need
-			ask.SoonFloor, ask.Unread, ask.Ends = 2, 4000, one.ends
-			w.state(i, fleet.EngineState{Alive: true, Running: 3, Reading: one.unread, Delay: one.delay})
-			grant, got := w.fleet.Group("llm").Pick(ask)
+			request := need
+			request.SoonFloor, request.Unread, request.Ends = 2, 4000, tc.ends
+			w.observeState(i, fleet.EngineState{Alive: true, Running: 3, Reading: tc.unread, Delay: tc.delay})
+			grant, got := w.fleet.Group("llm").Pick(request)
 			if grant != nil && grant.Home() {
 				grant.Done(fleet.Served)
-				w.state(i, fleet.EngineState{Alive: true, Running: 16})
+				w.observeState(i, fleet.EngineState{Alive: true, Running: 16})
 				continue
 			}
-			if got != one.want {
-				t.Errorf("%s: got verdict %v, want %v", one.name, got, one.want)
+			if got != tc.want {
+				t.Errorf("%s: got verdict %v, want %v", tc.name, got, tc.want)
 			}
-			w.state(i, fleet.EngineState{Alive: true, Running: 16})
+			w.observeState(i, fleet.EngineState{Alive: true, Running: 16})
 		}
 	}
 }
--- a/relay/fleet/limit.go
+++ b/relay/fleet/limit.go
@@ -11,38 +11,38 @@
 const (
 	// leastRate is the requests a second that are sent at least to an endpoint that names a
 	// lower limit, none included: only an answer shows that the limit was lifted.
-	leastRate = 0.2
+	minRate = 0.2
 	// senderRate is the least part of a limit for one entry, requests a second. A limit is
 	// shared by as many entries as can have so much.
-	senderRate = 1.0
+	minShare = 1.0
 	// askTime is how long an entry without a part of the limit waits for each entry of the
 	// deployment, and for one request a second of the limit, before it sends one request to
 	// learn whether the limit still stands: all such requests are a quarter of the limit, and
 	// of mostAsked where that is less, since the limit may have become lower.
-	askTime   = 4 * time.Second
-	mostAsked = 4.0
+	probeTime    = 4 * time.Second
+	maxProbeRate = 4.0
 	// ownWord is how long an answer to this entry goes before what another one reports of a
 	// higher limit: that may be older.
-	ownWord = time.Second
+	ownAnswerPrecedence = time.Second
 	// reportGap is the least time between two changes of one limit that an entry reports.
-	reportGap = time.Second
+	minReportInterval = time.Second
 )
 
 // rateLimit is the limit that an endpoint named for all entries together, and this entry's
 // part of it.
 type rateLimit struct {
-	perSecond float64
-	namedAt   time.Time // arrival of the newest answer that named it; zero: no limit
-	share     float64   // of this entry, requests a second; 0: others send
-	credit    limit.Bucket
-	askAt     time.Time // of the next request where share is 0
+	perSecond    float64
+	advertisedAt time.Time // arrival of the newest answer that named it; zero: no limit
+	share        float64   // of this entry, requests a second; 0: others send
+	bucket       limit.Bucket
+	probeAt      time.Time // of the next request where share is 0
 	// reported is the limit that the entries last reported to one another, and reportedAt when this one
 	// did.
 	reported   float64
 	reportedAt time.Time
 }
 
-func (l *rateLimit) active() bool { return !l.namedAt.IsZero() }
+func (l *rateLimit) active() bool { return !l.advertisedAt.IsZero() }
 
 // admitsAt returns the earliest time at which one more request may be sent.
 func (l *rateLimit) admitsAt(now time.Time) time.Time {
@@ -50,9 +50,9 @@
 		return now
 	}
 	if l.share == 0 {
-		return l.askAt
+		return l.probeAt
 	}
-	return now.Add(l.credit.Wait(now, l.share, 1))
+	return now.Add(l.bucket.Wait(now, l.share, 1))
 }
 
 // take counts a request that is sent now.
@@ -60,9 +60,9 @@
 	switch {
 	case !l.active():
 	case l.share == 0:
-		l.askAt = now.Add(interval)
+		l.probeAt = now.Add(interval)
 	default:
-		l.credit.Take(now, l.share, 1)
+		l.bucket.Take(now, l.share, 1)
 	}
 }
 
@@ -73,10 +73,10 @@
 		return
 	}
 	if l.share == 0 {
-		l.credit = limit.Drained(now)
+		l.bucket = limit.Drained(now)
 	}
 	if share == 0 {
-		l.askAt = now.Add(interval)
+		l.probeAt = now.Add(interval)
 	}
 	l.share = share
 }
@@ -97,32 +97,32 @@
 func (g *Grant) Limited(perSecond float64, ok bool) LimitChange {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	named := &g.end.limit
+	current := &g.endpoint.limit
 	now := g.group.clock()
 	if !ok {
 		// Answers overtake each other: one to a request that was sent before the limit was
 		// named doesn't lift it.
-		if !named.active() || !g.end.running[g].After(named.namedAt) {
+		if !current.active() || !g.endpoint.running[g].After(current.advertisedAt) {
 			return LimitKept
 		}
-		g.group.lift(g.end)
+		g.group.clearLimit(g.endpoint)
 		return LimitLifted
 	}
-	first := !named.active()
-	changed := first || named.perSecond != perSecond
-	named.perSecond, named.namedAt = perSecond, now
+	first := !current.active()
+	changed := first || current.perSecond != perSecond
+	current.perSecond, current.advertisedAt = perSecond, now
 	if first {
-		named.reported = perSecond
-		named.askAt = now.Add(g.group.askInterval(perSecond))
+		current.reported = perSecond
+		current.probeAt = now.Add(g.group.probeInterval(perSecond))
 	}
 	if changed {
-		g.group.shareLimit(g.end)
+		g.group.updateLimitShare(g.endpoint)
 	}
 	switch {
 	case first:
 		return LimitNamed
-	case named.reported != perSecond && now.Sub(named.reportedAt) >= reportGap:
-		named.reported, named.reportedAt = perSecond, now
+	case current.reported != perSecond && now.Sub(current.reportedAt) >= minReportInterval:
+		current.reported, current.reportedAt = perSecond, now
 		return LimitChanged
 	}
 	return LimitKept
@@ -139,7 +139,7 @@
 func (f *Fleet) ObserveLimit(report LimitReport) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	if service, ok := f.owner[report.ID]; ok {
+	if service, ok := f.serviceByID[report.ID]; ok {
 		f.groups[service].observeLimit(report)
 	}
 }
@@ -147,21 +147,21 @@
 func (g *Group) observeLimit(report LimitReport) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	end := g.endpoints[report.ID]
-	if end == nil || !end.incarnation().same(report.Incarnation) || !end.limit.active() {
+	ep := g.endpoints[report.ID]
+	if ep == nil || !ep.incarnation().matches(report.Incarnation) || !ep.limit.active() {
 		return
 	}
-	now, named := g.clock(), &end.limit
-	named.reported = report.PerSecond
-	if named.perSecond == report.PerSecond || report.PerSecond > named.perSecond && now.Sub(named.namedAt) < ownWord {
+	now, current := g.clock(), &ep.limit
+	current.reported = report.PerSecond
+	if current.perSecond == report.PerSecond || report.PerSecond > current.perSecond && now.Sub(current.advertisedAt) < ownAnswerPrecedence {
 		return
 	}
-	named.perSecond = report.PerSecond
-	if named.share == 0 {
-		named.askAt = now.Add(g.askInterval(report.PerSecond))
+	current.perSecond = report.PerSecond
+	if current.share == 0 {
+		current.probeAt = now.Add(g.probeInterval(report.PerSecond))
 	}
-	g.shareLimit(end)
-	g.wake()
+	g.updateLimitShare(ep)
+	g.notifyChanged()
 }
 
 // LiftLimit notes that another entry saw that an endpoint has no limit any more. An entry that
@@ -169,7 +169,7 @@
 func (f *Fleet) LiftLimit(name Incarnation) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	if service, ok := f.owner[name.ID]; ok {
+	if service, ok := f.serviceByID[name.ID]; ok {
 		f.groups[service].liftLimit(name)
 	}
 }
@@ -177,15 +177,15 @@
 func (g *Group) liftLimit(name Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if end := g.endpoints[name.ID]; end != nil && end.incarnation().same(name) {
-		g.lift(end)
+	if ep := g.endpoints[name.ID]; ep != nil && ep.incarnation().matches(name) {
+		g.clearLimit(ep)
 	}
 }
 
 // lift ends a limit; g.mu is held.
-func (g *Group) lift(end *endpoint) {
-	end.limit = rateLimit{}
-	g.wake()
+func (g *Group) clearLimit(ep *endpoint) {
+	ep.limit = rateLimit{}
+	g.notifyChanged()
 }
 
 // SetEntries takes over the ids of the entries that share the limits of endpoints: this one
@@ -203,42 +203,42 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.self, g.others = self, others
-	g.shareLimits()
+	g.updateLimitShares()
 }
 
 // shareLimits computes this entry's part of each limit again; g.mu is held.
-func (g *Group) shareLimits() {
-	for _, end := range g.order {
-		if end.limit.active() {
-			g.shareLimit(end)
+func (g *Group) updateLimitShares() {
+	for _, ep := range g.sorted {
+		if ep.limit.active() {
+			g.updateLimitShare(ep)
 		}
 	}
 }
 
 // shareLimit computes this entry's part of a limit; g.mu is held. Entries that know the same
 // agree without a message, and the parts add up to the limit.
-func (g *Group) shareLimit(end *endpoint) {
-	rate := max(leastRate, end.limit.perSecond)
+func (g *Group) updateLimitShare(ep *endpoint) {
+	rate := max(minRate, ep.limit.perSecond)
 	share := 0.0
-	if g.dealt && g.engine != nil {
-		if end.reach == deal.Home {
+	if g.assigned && g.engine != nil {
+		if ep.reach == deal.Home {
 			share = rate
 		}
 	} else {
-		senders := min(1+len(g.others), max(1, int(rate/senderRate)))
-		if rendezvous.Rank(end.reg.ID, g.self, g.others) < senders {
+		senders := min(1+len(g.others), max(1, int(rate/minShare)))
+		if rendezvous.Rank(ep.reg.ID, g.self, g.others) < senders {
 			share = rate / float64(senders)
 		}
 	}
-	end.limit.setShare(g.clock(), share, g.askInterval(end.limit.perSecond))
+	ep.limit.setShare(g.clock(), share, g.probeInterval(ep.limit.perSecond))
 }
 
 // askInterval returns how long an entry without a part of a limit waits before it sends a
 // request: spread by chance, so that entries which learned of the limit together ask one
 // after the other.
-func (g *Group) askInterval(perSecond float64) time.Duration {
-	spread := 0.5 + g.random()
-	return time.Duration(spread * float64(1+len(g.others)) * float64(askTime) / min(mostAsked, max(leastRate, perSecond)))
+func (g *Group) probeInterval(perSecond float64) time.Duration {
+	jitter := 0.5 + g.random()
+	return time.Duration(jitter * float64(1+len(g.others)) * float64(probeTime) / min(maxProbeRate, max(minRate, perSecond)))
 }
 
 // LimitedEndpoints returns how many endpoints have a rate limit in force.
@@ -247,17 +247,17 @@
 	defer f.mu.RUnlock()
 	count := 0
 	for _, grp := range f.groups {
-		count += grp.limited()
+		count += grp.countLimited()
 	}
 	return count
 }
 
-func (g *Group) limited() int {
+func (g *Group) countLimited() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	count := 0
-	for _, end := range g.order {
-		if end.limit.active() {
+	for _, ep := range g.sorted {
+		if ep.limit.active() {
 			count++
 		}
 	}
--- a/relay/fleet/limit_test.go
+++ b/relay/fleet/limit_test.go
@@ -14,55 +14,55 @@
 
 // The bound on requests to an endpoint that named a limit, and the times of the simulated fleet.
 const (
-	limitWindow = 4 * time.Second
-	limitNotice = 3 * time.Second // the bound holds from then on
-	limitKnown  = 500 * time.Millisecond
-	limitFrom   = 2 * time.Second // the limit is named from then on
-	limitLength = 60 * time.Second
-	tick        = 5 * time.Millisecond
-	answerMost  = 200 * time.Millisecond
+	limitWindow      = 4 * time.Second
+	limitGracePeriod = 3 * time.Second // the bound holds from then on
+	limitKnownAfter  = 500 * time.Millisecond
+	limitStart       = 2 * time.Second // the limit is named from then on
+	limitDuration    = 60 * time.Second
+	tick             = 5 * time.Millisecond
+	maxAnswerTime    = 200 * time.Millisecond
 	// learnMost is the longest until an entry learns of another one's start or end.
-	learnMost = time.Second
+	maxPropagation = time.Second
 )
 
 // limitedFleet is entries before the endpoints of a service, of which the first names a limit.
-type limitedFleet struct {
-	service string
-	random  *rand.Rand
-	now     time.Time
-	limit   float64 // 0: none is named
-	named   bool
-	entries []*limitedEntry
-	started int
-	calls   map[time.Time][]func()
-	sent    []time.Duration // to the limited endpoint, by entries that knew of its limit
-	served  int             // there, in all
-	refused int
-	reports int  // changes of the limit that entries reported to one another
-	away    bool // the store, through which they do
+type limitSimulation struct {
+	service     string
+	random      *rand.Rand
+	now         time.Time
+	limit       float64 // 0: none is named
+	advertised  bool
+	entries     []*simulatedEntry
+	started     int
+	scheduled   map[time.Time][]func()
+	sent        []time.Duration // to the limited endpoint, by entries that knew of its limit
+	servedThere int             // there, in all
+	refused     int
+	reports     int  // changes of the limit that entries reported to one another
+	storeDown   bool // the store, through which they do
 }
 
-type limitedEntry struct {
+type simulatedEntry struct {
 	id         string
 	fleet      *fleet.Fleet
 	reportedAt time.Time
-	gone       bool
+	stopped    bool
 }
 
-func newLimitedFleet(service string, entries, endpoints int, seed uint64) *limitedFleet {
-	f := &limitedFleet{
+func newLimitSimulation(service string, entries, endpoints int, seed uint64) *limitSimulation {
+	f := &limitSimulation{
 		service: service, random: rand.New(rand.NewPCG(seed, 1)),
-		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), calls: map[time.Time][]func(){},
+		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), scheduled: map[time.Time][]func(){},
 	}
 	for range entries {
-		f.start(endpoints)
+		f.startEntry(endpoints)
 	}
-	f.share()
+	f.propagateEntries()
 	return f
 }
 
-func (f *limitedFleet) start(endpoints int) *limitedEntry {
-	e := &limitedEntry{id: fmt.Sprint("entry-", f.started), fleet: fleet.New(func() time.Time { return f.now })}
+func (f *limitSimulation) startEntry(endpoints int) *simulatedEntry {
+	e := &simulatedEntry{id: fmt.Sprint("entry-", f.started), fleet: fleet.New(func() time.Time { return f.now })}
 	f.started++
 	f.entries = append(f.entries, e)
 	e.fleet.SetRandom(f.random.Float64)
@@ -79,15 +79,15 @@
 }
 
 // replace ends an entry and starts another one.
-func (f *limitedFleet) replace(at, endpoints int) {
-	f.entries[at].gone = true
+func (f *limitSimulation) replaceEntry(at, endpoints int) {
+	f.entries[at].stopped = true
 	f.entries = slices.Delete(f.entries, at, at+1)
-	f.start(endpoints)
-	f.share()
+	f.startEntry(endpoints)
+	f.propagateEntries()
 }
 
 // share lets every entry learn of the entries that there are now.
-func (f *limitedFleet) share() {
+func (f *limitSimulation) propagateEntries() {
 	for _, e := range f.entries {
 		var others []string
 		var places []deal.Place
@@ -97,7 +97,7 @@
 				others = append(others, other.id)
 			}
 		}
-		f.after(time.Duration(f.random.Int64N(int64(learnMost))), func() {
+		f.schedule(time.Duration(f.random.Int64N(int64(maxPropagation))), func() {
 			e.fleet.SetEntries(e.id, others)
 			var engines []deal.Place
 			for _, eng := range e.fleet.Engines() {
@@ -108,13 +108,13 @@
 	}
 }
 
-func (f *limitedFleet) after(wait time.Duration, do func()) {
+func (f *limitSimulation) schedule(wait time.Duration, do func()) {
 	at := f.now.Add(max(tick, wait.Round(tick)))
-	f.calls[at] = append(f.calls[at], do)
+	f.scheduled[at] = append(f.scheduled[at], do)
 }
 
 // ask brings a request to an entry.
-func (f *limitedFleet) ask(e *limitedEntry) {
+func (f *limitSimulation) sendRequest(e *simulatedEntry) {
 	need := fleet.Need{Domain: "d1", Entries: len(f.entries)}
 	if f.service == "llm" {
 		need.Model, need.Prompt = "m", 900
@@ -126,20 +126,20 @@
 	}
 	limited := grant.Address() == address(0)
 	if limited {
-		f.served++
-		if !e.reportedAt.IsZero() && f.now.Sub(e.reportedAt) >= limitKnown {
+		f.servedThere++
+		if !e.reportedAt.IsZero() && f.now.Sub(e.reportedAt) >= limitKnownAfter {
 			f.sent = append(f.sent, f.now.Sub(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)))
 		}
 	}
-	f.after(time.Duration(f.random.Int64N(int64(answerMost))), func() {
-		if e.gone {
+	f.schedule(time.Duration(f.random.Int64N(int64(maxAnswerTime))), func() {
+		if e.stopped {
 			return
 		}
 		if limited {
-			if grant.Limited(f.limit, f.named) == fleet.LimitChanged {
-				f.report(fleet.LimitReport{Incarnation: grant.Incarnation(), PerSecond: f.limit})
+			if grant.Limited(f.limit, f.advertised) == fleet.LimitChanged {
+				f.propagateReport(fleet.LimitReport{Incarnation: grant.Incarnation(), PerSecond: f.limit})
 			}
-			if f.named && e.reportedAt.IsZero() {
+			if f.advertised && e.reportedAt.IsZero() {
 				e.reportedAt = f.now
 			}
 		}
@@ -148,54 +148,54 @@
 }
 
 // report lets every entry learn of a changed limit.
-func (f *limitedFleet) report(report fleet.LimitReport) {
+func (f *limitSimulation) propagateReport(report fleet.LimitReport) {
 	f.reports++
-	if f.away {
+	if f.storeDown {
 		return
 	}
 	for _, e := range f.entries {
-		f.after(time.Duration(f.random.Int64N(int64(learnMost))), func() { e.fleet.ObserveLimit(report) })
+		f.schedule(time.Duration(f.random.Int64N(int64(maxPropagation))), func() { e.fleet.ObserveLimit(report) })
 	}
 }
 
 // run plays the time with so many requests a second and calls each, if not nil, at each tick.
-func (f *limitedFleet) run(length time.Duration, rate float64, each func(at time.Duration)) {
+func (f *limitSimulation) run(length time.Duration, rate float64, onTick func(at time.Duration)) {
 	for at := time.Duration(0); at < length; at += tick {
 		f.now = f.now.Add(tick)
-		for _, do := range f.calls[f.now] {
+		for _, do := range f.scheduled[f.now] {
 			do()
 		}
-		delete(f.calls, f.now)
-		if each != nil {
-			each(at)
+		delete(f.scheduled, f.now)
+		if onTick != nil {
+			onTick(at)
 		}
-		for due := rate * tick.Seconds(); due > 0; due-- {
-			if f.random.Float64() >= due {
+		for expected := rate * tick.Seconds(); expected > 0; expected-- {
+			if f.random.Float64() >= expected {
 				continue
 			}
-			f.ask(f.entries[f.random.IntN(len(f.entries))])
+			f.sendRequest(f.entries[f.random.IntN(len(f.entries))])
 		}
 	}
 }
 
 // most returns the most requests that were sent within a window after the time given.
-func (f *limitedFleet) most(after time.Duration) int {
-	most, first := 0, 0
+func (f *limitSimulation) maxInWindow(after time.Duration) int {
+	highest, first := 0, 0
 	for last, at := range f.sent {
 		for f.sent[first] < after && first < last || at-f.sent[first] > limitWindow {
 			first++
 		}
 		if at >= after {
-			most = max(most, last-first+1)
+			highest = max(highest, last-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
 // Guards against entries that together send an endpoint more than the limit that it names, also
 // while some of them end and others start, and against a limit that leaves the endpoint idle.
 func TestLimitOfAnEndpointIsSharedByAllEntries(t *testing.T) {
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		service            string
 		entries, endpoints int
 		limit, rate        float64
@@ -213,22 +213,22 @@
 		{"llm", 34, 40, 1, 600, true},
 	} {
 		for seed := range uint64(3) {
-			f := newLimitedFleet(one.service, one.entries, one.endpoints, seed)
-			f.run(limitFrom, one.rate, nil)
-			f.limit, f.named = one.limit, true
-			f.run(limitLength, one.rate, func(at time.Duration) {
-				if one.churn && at%(5*time.Second) == 0 {
-					f.replace(f.random.IntN(len(f.entries)), one.endpoints)
+			f := newLimitSimulation(tc.service, tc.entries, tc.endpoints, seed)
+			f.run(limitStart, tc.rate, nil)
+			f.limit, f.advertised = tc.limit, true
+			f.run(limitDuration, tc.rate, func(at time.Duration) {
+				if tc.churn && at%(5*time.Second) == 0 {
+					f.replaceEntry(f.random.IntN(len(f.entries)), tc.endpoints)
 				}
 			})
-			allowed := int(1.5*one.limit*limitWindow.Seconds()) + 5
-			if got := f.most(limitFrom + limitNotice); got > allowed {
-				t.Errorf("%+v seed %d: got %d requests in %v, want %d at most", one, seed, got, limitWindow, allowed)
+			allowed := int(1.5*tc.limit*limitWindow.Seconds()) + 5
+			if got := f.maxInWindow(limitStart + limitGracePeriod); got > allowed {
+				t.Errorf("%+v seed %d: got %d requests in %v, want %d at most", tc, seed, got, limitWindow, allowed)
 			}
-			if got, want := f.served, int(0.5*one.limit*limitLength.Seconds()); got < want {
-				t.Errorf("%+v seed %d: got %d requests there in %v, want %d of those it accepts", one, seed, got, limitLength, want)
+			if got, want := f.servedThere, int(0.5*tc.limit*limitDuration.Seconds()); got < want {
+				t.Errorf("%+v seed %d: got %d requests there in %v, want %d of those it accepts", tc, seed, got, limitDuration, want)
 			}
-			t.Logf("%+v seed %d: most %d of %d, there %d, refused %d", one, seed, f.most(limitFrom+limitNotice), allowed, f.served, f.refused)
+			t.Logf("%+v seed %d: most %d of %d, there %d, refused %d", tc, seed, f.maxInWindow(limitStart+limitGracePeriod), allowed, f.servedThere, f.refused)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 // answers show that and entries without a part of the limit ask seldom.
 func TestChangedLimitOfAnEndpointIsSharedByAllEntries(t *testing.T) {
 	const changedAt, window = 30 * time.Second, 30 * time.Second
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		entries, endpoints int
 		rate               float64
 		before, after      float64
@@ -251,32 +251,32 @@
 		{34, 3, 600, 20, 0, true, false},
 	} {
 		for seed := range uint64(5) {
-			f := newLimitedFleet("app", one.entries, one.endpoints, seed)
-			f.away = one.away
+			f := newLimitSimulation("app", tc.entries, tc.endpoints, seed)
+			f.storeDown = tc.away
 			churn := func(at time.Duration) {
-				if one.churn && at%(4*time.Second) == 0 {
-					f.replace(f.random.IntN(len(f.entries)), one.endpoints)
+				if tc.churn && at%(4*time.Second) == 0 {
+					f.replaceEntry(f.random.IntN(len(f.entries)), tc.endpoints)
 				}
 			}
-			f.run(limitFrom, one.rate, nil)
-			f.limit, f.named = one.before, true
-			f.run(changedAt-limitFrom, one.rate, churn)
-			f.limit = one.after
-			f.run(limitNotice+time.Second, one.rate, churn)
-			before := f.served
-			f.run(window, one.rate, churn)
-			allowed := int(1.5*one.after*limitWindow.Seconds()) + 5
-			if got := f.most(changedAt + limitNotice + time.Second + limitWindow); got > allowed {
-				t.Errorf("%+v seed %d: got %d requests in %v, want %d at most", one, seed, got, limitWindow, allowed)
+			f.run(limitStart, tc.rate, nil)
+			f.limit, f.advertised = tc.before, true
+			f.run(changedAt-limitStart, tc.rate, churn)
+			f.limit = tc.after
+			f.run(limitGracePeriod+time.Second, tc.rate, churn)
+			before := f.servedThere
+			f.run(window, tc.rate, churn)
+			allowed := int(1.5*tc.after*limitWindow.Seconds()) + 5
+			if got := f.maxInWindow(changedAt + limitGracePeriod + time.Second + limitWindow); got > allowed {
+				t.Errorf("%+v seed %d: got %d requests in %v, want %d at most", tc, seed, got, limitWindow, allowed)
 			}
-			got, want := float64(f.served-before)/window.Seconds(), 0.8*one.after
-			if got < want && !one.away {
-				t.Errorf("%+v seed %d: got %.1f requests a second there, want %.1f", one, seed, got, want)
+			got, want := float64(f.servedThere-before)/window.Seconds(), 0.8*tc.after
+			if got < want && !tc.away {
+				t.Errorf("%+v seed %d: got %.1f requests a second there, want %.1f", tc, seed, got, want)
 			}
-			if most := 2 * one.entries; f.reports > most {
-				t.Errorf("%+v seed %d: got the change reported %d times, want %d at most", one, seed, f.reports, most)
+			if most := 2 * tc.entries; f.reports > most {
+				t.Errorf("%+v seed %d: got the change reported %d times, want %d at most", tc, seed, f.reports, most)
 			}
-			t.Logf("%+v seed %d: most %d of %d, there %.1f a second, reported %d", one, seed, f.most(changedAt+limitNotice+time.Second+limitWindow), allowed, got, f.reports)
+			t.Logf("%+v seed %d: most %d of %d, there %.1f a second, reported %d", tc, seed, f.maxInWindow(changedAt+limitGracePeriod+time.Second+limitWindow), allowed, got, f.reports)
 		}
 	}
 }
--- a/relay/fleet/notice.go
+++ b/relay/fleet/notice.go
@@ -6,24 +6,24 @@
 // requests. A registration says it later, or not at all while the platform's store is away, so
 // that it takes nothing of a notice back.
 type notice struct {
-	leaves    bool      // it gets nothing new any more
-	restUntil time.Time // it gets nothing new until then; zero: it asked for no rest
+	leaving      bool      // it gets nothing new any more
+	backOffUntil time.Time // it gets nothing new until then; zero: it asked for no rest
 }
 
 // stands reports whether the endpoint wants no new request now.
-func (n notice) stands(now time.Time) bool { return n.leaves || n.rests(now) }
+func (n notice) declinesNew(now time.Time) bool { return n.leaving || n.backingOff(now) }
 
-func (n notice) rests(now time.Time) bool { return now.Before(n.restUntil) }
+func (n notice) backingOff(now time.Time) bool { return now.Before(n.backOffUntil) }
 
 // NoteLeaving notes that the endpoint said in an answer that it leaves, and reports whether that is
 // new.
 func (g *Grant) NoteLeaving() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	if g.end.notice.leaves {
+	if g.endpoint.notice.leaving {
 		return false
 	}
-	g.end.notice.leaves = true
+	g.endpoint.notice.leaving = true
 	return true
 }
 
@@ -31,7 +31,7 @@
 func (g *Grant) Leaving() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	return g.end.leaves()
+	return g.endpoint.isLeaving()
 }
 
 // Rest notes that the endpoint turned a request away and wants none for so long. Rests don't
@@ -39,8 +39,8 @@
 func (g *Grant) Rest(wait time.Duration) {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	if until := g.group.clock().Add(wait); until.After(g.end.notice.restUntil) {
-		g.end.notice.restUntil = until
+	if until := g.group.clock().Add(wait); until.After(g.endpoint.notice.backOffUntil) {
+		g.endpoint.notice.backOffUntil = until
 	}
 }
 
@@ -49,59 +49,59 @@
 func (g *Grant) Good() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
-	return !g.end.over && !g.end.barred(g.group.clock())
+	return !g.endpoint.superseded && !g.endpoint.declinesNew(g.group.clock())
 }
 
 const (
 	// noticeTime is how long a notice outlives the registration of its endpoint, which may
 	// lapse and return while the endpoint serves on.
-	noticeTime = 10 * time.Minute
+	savedNoticeTTL = 10 * time.Minute
 	// maxNotices bounds the notices of one service that are kept so.
-	maxNotices = 1024
+	maxSavedNotices = 1024
 )
 
 // keptNotice is that of an endpoint whose registration ended.
-type keptNotice struct {
+type savedNotice struct {
 	notice
-	born  int64
-	until time.Time // forgotten then
+	born      int64
+	expiresAt time.Time // forgotten then
 }
 
 // keepNotice remembers what an endpoint said that is forgotten; g.mu is held.
-func (g *Group) keepNotice(now time.Time, end *endpoint) {
-	if !end.notice.stands(now) {
+func (g *Group) saveNotice(now time.Time, ep *endpoint) {
+	if !ep.notice.declinesNew(now) {
 		return
 	}
-	if len(g.notices) >= maxNotices {
-		g.dropNotices(now)
+	if len(g.savedNotices) >= maxSavedNotices {
+		g.evictNotices(now)
 	}
-	g.notices[end.reg.ID] = keptNotice{notice: end.notice, born: end.births.current, until: now.Add(noticeTime)}
+	g.savedNotices[ep.reg.ID] = savedNotice{notice: ep.notice, born: ep.incarnations.current, expiresAt: now.Add(savedNoticeTTL)}
 }
 
 // dropNotices makes room for one more: of those that are over, or else of the oldest; g.mu is held.
-func (g *Group) dropNotices(now time.Time) {
+func (g *Group) evictNotices(now time.Time) {
 	oldest := ""
-	for id, kept := range g.notices {
-		if !now.Before(kept.until) {
-			delete(g.notices, id)
-		} else if oldest == "" || kept.until.Before(g.notices[oldest].until) {
+	for id, saved := range g.savedNotices {
+		if !now.Before(saved.expiresAt) {
+			delete(g.savedNotices, id)
+		} else if oldest == "" || saved.expiresAt.Before(g.savedNotices[oldest].expiresAt) {
 			oldest = id
 		}
 	}
-	if len(g.notices) >= maxNotices {
-		delete(g.notices, oldest)
+	if len(g.savedNotices) >= maxSavedNotices {
+		delete(g.savedNotices, oldest)
 	}
 }
 
 // returnNotice gives an endpoint back what it said before its registration ended; g.mu is held.
-func (g *Group) returnNotice(end *endpoint) {
-	kept, ok := g.notices[end.reg.ID]
+func (g *Group) restoreNotice(ep *endpoint) {
+	saved, ok := g.savedNotices[ep.reg.ID]
 	if !ok {
 		return
 	}
-	delete(g.notices, end.reg.ID)
-	if end.incarnation().same(Incarnation{ID: end.reg.ID, Born: kept.born}) {
-		end.notice = kept.notice
+	delete(g.savedNotices, ep.reg.ID)
+	if ep.incarnation().matches(Incarnation{ID: ep.reg.ID, Born: saved.born}) {
+		ep.notice = saved.notice
 	}
 }
 
@@ -112,17 +112,17 @@
 	defer f.mu.RUnlock()
 	count := 0
 	for _, grp := range f.groups {
-		count += grp.noticed()
+		count += grp.countNotices()
 	}
 	return count
 }
 
-func (g *Group) noticed() int {
+func (g *Group) countNotices() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, count := g.clock(), len(g.notices)
-	for _, end := range g.order {
-		if end.notice.stands(now) {
+	now, count := g.clock(), len(g.savedNotices)
+	for _, ep := range g.sorted {
+		if ep.notice.declinesNew(now) {
 			count++
 		}
 	}
--- a/relay/fleet/notice_test.go
+++ b/relay/fleet/notice_test.go
@@ -8,19 +8,19 @@
 )
 
 // plain registers a plain endpoint.
-func (w *world) plain(id string, born int64) {
+func (w *fixture) registerPlain(id string, born int64) {
 	w.fleet.Register(fleet.Registration{ID: id, Born: born, Service: "app", Address: id + ":80", FailureDomain: "d1", Slots: 4})
 }
 
-func (w *world) pickPlain() (*fleet.Grant, fleet.Verdict) {
+func (w *fixture) pickPlain() (*fleet.Grant, fleet.Verdict) {
 	return w.fleet.Group("app").Pick(fleet.Need{Domain: "d1", Entries: 1})
 }
 
 // Guards against a rest that is shortened by what comes after it: a shorter one, a refusal that
 // names none, a request that was on its way and is served.
-func TestNothingShortensARest(t *testing.T) {
-	w := newWorld()
-	w.plain("a", 0)
+func TestBackOffIsNotShortened(t *testing.T) {
+	w := newFixture()
+	w.registerPlain("a", 0)
 	var grants []*fleet.Grant
 	for range 4 {
 		grant, verdict := w.pickPlain()
@@ -48,24 +48,24 @@
 // Guards against a notice that is lost with a registration that lapses and returns, and against one
 // that binds the next incarnation of an endpoint.
 func TestNoticeHoldsForItsIncarnation(t *testing.T) {
-	for name, give := range map[string]func(*fleet.Grant){
+	for name, announce := range map[string]func(*fleet.Grant){
 		"leaving": func(grant *fleet.Grant) { grant.NoteLeaving() },
 		"rest":    func(grant *fleet.Grant) { grant.Rest(time.Minute) },
 	} {
-		w := newWorld()
-		w.plain("a", 1)
+		w := newFixture()
+		w.registerPlain("a", 1)
 		grant, _ := w.pickPlain()
-		give(grant)
+		announce(grant)
 		grant.Done(fleet.Served)
 		w.fleet.Remove("a", w.now)
 		w.now = w.now.Add(10 * time.Second)
-		w.plain("b", 1)
+		w.registerPlain("b", 1)
 		w.fleet.Remove("b", w.now)
-		w.plain("a", 1)
+		w.registerPlain("a", 1)
 		if _, verdict := w.pickPlain(); verdict == fleet.Granted {
 			t.Errorf("%s: got a grant once the registration is back, want none", name)
 		}
-		w.plain("a", 2)
+		w.registerPlain("a", 2)
 		if _, verdict := w.pickPlain(); verdict != fleet.Granted {
 			t.Errorf("%s: got verdict %v for the next incarnation, want a grant", name, verdict)
 		}
@@ -73,9 +73,9 @@
 }
 
 // Guards against a choice that still stands once the endpoint wants nothing new.
-func TestGrantIsNoLongerGood(t *testing.T) {
-	w := newWorld()
-	w.plain("a", 0)
+func TestGrantOfEndpointThatDeclinesRequests(t *testing.T) {
+	w := newFixture()
+	w.registerPlain("a", 0)
 	first, _ := w.pickPlain()
 	second, _ := w.pickPlain()
 	if !second.Good() {
@@ -96,11 +96,11 @@
 }
 
 // Guards against endpoints kept out of notices that are remembered without bound.
-func TestNoticesAreBounded(t *testing.T) {
-	w := newWorld()
+func TestSavedNoticesAreBounded(t *testing.T) {
+	w := newFixture()
 	for i := range 5000 {
 		id := address(i)
-		w.plain(id, 0)
+		w.registerPlain(id, 0)
 		grant, verdict := w.pickPlain()
 		if verdict != fleet.Granted {
 			t.Fatalf("got verdict %v, want a grant", verdict)
@@ -116,70 +116,70 @@
 
 // Guards against an engine that is chosen though its agent reports that it leaves, and against one
 // that is kept out for what its agent reported of another one before it at its address.
-func TestEngineThatLeavesByItsAgentsReport(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.own()
-	w.state(0, fleet.EngineState{Alive: true, Leaving: true})
+func TestEngineReportedLeavingByAgent(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.assignAll()
+	w.observeState(0, fleet.EngineState{Alive: true, Leaving: true})
 	if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Nobody {
 		t.Errorf("got verdict %v of an engine that leaves, want nobody", verdict)
 	}
-	w.state(0, fleet.EngineState{Alive: true})
+	w.observeState(0, fleet.EngineState{Alive: true})
 	w.pick(t, need)
 }
 
 // Guards against a request that is refused though an endpoint may take it in time, and against one
 // that waits though none will.
-func TestBacklogOfRests(t *testing.T) {
+func TestBacklogOfBackOffs(t *testing.T) {
 	const rest = 3 * time.Second
 	for name, test := range map[string]struct {
 		// give says what each endpoint did; tried are those that the request was at.
-		give  map[string]func(*fleet.Grant)
-		tried []string
-		want  fleet.Backlog
-		ok    bool
+		events map[string]func(*fleet.Grant)
+		tried  []string
+		want   fleet.Backlog
+		ok     bool
 	}{
 		"all rest": {
-			give: map[string]func(*fleet.Grant){"a": resting(rest), "b": resting(2 * rest)},
-			want: fleet.Backlog{Wait: rest, Rest: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": backingOff(2 * rest)},
+			want:   fleet.Backlog{Wait: rest, Rest: true}, ok: true,
 		},
 		"the first to end was tried": {
-			give:  map[string]func(*fleet.Grant){"a": resting(rest), "b": resting(2 * rest)},
-			tried: []string{"a"},
-			want:  fleet.Backlog{Wait: 2 * rest, Rest: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": backingOff(2 * rest)},
+			tried:  []string{"a"},
+			want:   fleet.Backlog{Wait: 2 * rest, Rest: true}, ok: true,
 		},
 		"all were tried": {
-			give:  map[string]func(*fleet.Grant){"a": resting(2 * rest), "b": resting(rest)},
-			tried: []string{"a", "b"},
-			want:  fleet.Backlog{Wait: rest, Rest: true, Tried: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(2 * rest), "b": backingOff(rest)},
+			tried:  []string{"a", "b"},
+			want:   fleet.Backlog{Wait: rest, Rest: true, Tried: true}, ok: true,
 		},
 		"one leaves": {
-			give: map[string]func(*fleet.Grant){"a": resting(rest), "b": func(grant *fleet.Grant) { grant.NoteLeaving() }},
-			want: fleet.Backlog{Wait: rest, Rest: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.NoteLeaving() }},
+			want:   fleet.Backlog{Wait: rest, Rest: true}, ok: true,
 		},
-		"one is free":   {give: map[string]func(*fleet.Grant){"a": resting(rest)}},
-		"one is paused": {give: map[string]func(*fleet.Grant){"a": resting(rest), "b": func(grant *fleet.Grant) { grant.Done(fleet.Unreachable) }}},
+		"one is free":   {events: map[string]func(*fleet.Grant){"a": backingOff(rest)}},
+		"one is paused": {events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.Done(fleet.Unreachable) }}},
 		"one is limited and has credit": {
-			give: map[string]func(*fleet.Grant){"a": resting(rest), "b": func(grant *fleet.Grant) { grant.Limited(10, true) }},
-			ok:   true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.Limited(10, true) }},
+			ok:     true,
 		},
 		"one is limited for longer than the rest": {
-			give: map[string]func(*fleet.Grant){"a": resting(time.Second), "b": func(grant *fleet.Grant) { grant.Limited(0.25, true) }},
-			want: fleet.Backlog{Wait: time.Second, Rest: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(time.Second), "b": func(grant *fleet.Grant) { grant.Limited(0.25, true) }},
+			want:   fleet.Backlog{Wait: time.Second, Rest: true}, ok: true,
 		},
 	} {
-		w := newWorld()
+		w := newFixture()
 		grants := map[string]*fleet.Grant{}
 		for _, id := range []string{"a", "b"} {
-			w.plain(id, 0)
+			w.registerPlain(id, 0)
 			for grants[id] == nil {
 				grant, _ := w.pickPlain()
 				grants[grant.ID()] = grant
 			}
 		}
 		need := fleet.Need{Domain: "d1", Entries: 1}
-		for id, give := range test.give {
-			give(grants[id])
+		for id, events := range test.events {
+			events(grants[id])
 		}
 		w.now = w.now.Add(100 * time.Millisecond)
 		for _, id := range test.tried {
@@ -194,6 +194,6 @@
 	}
 }
 
-func resting(wait time.Duration) func(*fleet.Grant) {
+func backingOff(wait time.Duration) func(*fleet.Grant) {
 	return func(grant *fleet.Grant) { grant.Rest(wait) }
 }
--- a/relay/fleet/pick.go
+++ b/relay/fleet/pick.go
@@ -13,46 +13,46 @@
 const (
 	// occupiedCost is what one request in progress weighs: it lengthens a pass
 	// little, but a slot that is left is worth something.
-	occupiedCost = 4.0
+	runningCost = 4.0
 	// awayCost is what an engine weighs that is home to another entry, which
 	// may send there at the same moment.
-	awayCost = 20.0
+	notHomeCost = 20.0
 	// oldCost is what an engine weighs that still has to load the version
 	// wanted: what it runs then will be cut, and goes on elsewhere. A request
 	// that was cut once should not be again.
-	oldCost      = 30.0
-	oldAgainCost = 90.0
+	outdatedCost        = 30.0
+	outdatedResumedCost = 90.0
 	// soonAgainCost is what such an engine weighs more for what goes on, the sooner its turn to
 	// load comes; one that waits for what runs cuts nothing off.
-	soonAgainCost = 500.0
+	earlyRolloutCost = 500.0
 	// awaySlots and awayUnread are the slots that are left free at such an
 	// engine, and the part of the bound for waiting prompts that holds there.
-	awaySlots  = 1
-	awayUnread = 0.7
+	notHomeReservedSlots   = 1
+	notHomePrefillFraction = 0.7
 	// farCost is what another failure domain weighs: bytes between domains are
 	// paid for and take longer.
-	farCost = 45.0
+	otherDomainCost = 45.0
 	// chance spreads entries that see the same state over endpoints that are
 	// as good as equal.
-	chance = 6.0
+	maxJitter = 6.0
 	// errorCost is what an endpoint that fails every request weighs.
 	errorCost = 100.0
 	// silenceCost is what an endpoint weighs at which a plain request has been
 	// in progress for many times its usual time.
-	silenceCost = 60.0
+	unresponsiveCost = 60.0
 	// silentAfter is that time.
-	silentAfter = 400 * time.Millisecond
+	unresponsiveAfter = 400 * time.Millisecond
 	// soonUnread is the prompt tokens that may wait at an engine whose version
 	// ends shortly: about two passes.
-	soonUnread = 1500
+	endingMaxPrefill = 1500
 	// endReserve is left until a version's end beside the time in which its engines
 	// begin what is sent there: for links, processors and clocks.
-	endReserve = 500 * time.Millisecond
+	endMargin = 500 * time.Millisecond
 	// sendersAtOnce is the entries that may send to an engine before each learns of
 	// the others' requests.
-	sendersAtOnce = 3
+	concurrentSenders = 3
 	// plainCost is what one request in progress at a plain endpoint weighs.
-	plainCost = 10.0
+	plainRunningCost = 10.0
 )
 
 // Verdict says what became of a choice.
@@ -96,18 +96,18 @@
 }
 
 // tried reports whether the endpoint had the request already.
-func (n Need) tried(end *endpoint) bool {
-	return slices.ContainsFunc(n.Exclude, end.incarnation().same)
+func (n Need) tried(ep *endpoint) bool {
+	return slices.ContainsFunc(n.Exclude, ep.incarnation().matches)
 }
 
 // serves reports whether an endpoint may get the request, room aside.
-func (g *Group) serves(end *endpoint, need Need, now time.Time) bool {
-	return !need.tried(end) && end.open(now) && g.loaded(end, need, now)
+func (g *Group) eligible(ep *endpoint, need Need, now time.Time) bool {
+	return !need.tried(ep) && ep.acceptsNew(now) && g.hasVersion(ep, need, now)
 }
 
 // loaded reports whether an endpoint has loaded what the request needs.
-func (g *Group) loaded(end *endpoint, need Need, now time.Time) bool {
-	return g.engine == nil || need.Model == "" || end.version(now, need.Model) >= max(1, need.Floor)
+func (g *Group) hasVersion(ep *endpoint, need Need, now time.Time) bool {
+	return g.engine == nil || need.Model == "" || ep.version(now, need.Model) >= max(1, need.Floor)
 }
 
 // Pick chooses an endpoint for a request and counts the request there until
@@ -117,59 +117,59 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	var best *endpoint
-	var least float64
+	var bestScore float64
 	verdict := Nobody
-	agents := g.agentsTimely(now)
-	for _, end := range g.candidates(need) {
-		if !g.serves(end, need, now) {
+	agentsTimely := g.mostAgentsTimely(now)
+	for _, ep := range g.candidates(need) {
+		if !g.eligible(ep, need, now) {
 			continue
 		}
-		occupied := end.occupancy(now, need.Entries)
-		if end.limit.admitsAt(now).After(now) {
+		occupied := ep.occupancy(now, need.Entries)
+		if ep.limit.admitsAt(now).After(now) {
 			verdict = Full
 			continue
 		}
-		if g.left(end, need) {
+		if g.reservedForOthers(ep, need) {
 			verdict = Full
 			continue
 		}
-		if agents && !end.timely(now) && len(end.running) >= end.trust() {
+		if agentsTimely && !ep.hasTimelyReport(now) && len(ep.running) >= ep.maxUnreported() {
 			verdict = Full
 			continue
 		}
-		if occupied >= g.room(end, need) || g.connsFull(end) || !g.readsSoon(end, need, now) {
+		if occupied >= g.capacity(ep, need) || g.connLimitReached(ep) || !g.prefillsInTime(ep, need, now) {
 			verdict = Full
 			continue
 		}
-		if score := g.score(end, need, now, occupied); best == nil || score < least {
-			best, least = end, score
+		if score := g.score(ep, need, now, occupied); best == nil || score < bestScore {
+			best, bestScore = ep, score
 		}
 	}
 	if best == nil {
 		return nil, verdict
 	}
 	grant := &Grant{
-		group: g, end: best, prompt: need.Prompt, last: need.Last,
+		group: g, endpoint: best, prompt: need.Prompt, final: need.Last,
 		incarnation: best.incarnation(), address: best.reg.Address, version: best.version(now, need.Model),
-		occupied: best.occupancy(now, need.Entries), unread: best.unread(now), home: best.reach == deal.Home,
-		stateAge: best.stateAge(now), delay: best.state.Delay,
+		occupancy: best.occupancy(now, need.Entries), pendingPrefill: best.totalPendingPrefill(now), home: best.reach == deal.Home,
+		stateAge: best.stateAge(now), reportDelay: best.state.Delay,
 	}
 	best.running[grant] = now
-	best.limit.take(now, g.askInterval(best.limit.perSecond))
+	best.limit.take(now, g.probeInterval(best.limit.perSecond))
 	if !best.stateAt.IsZero() {
 		best.sent = append(best.sent, now)
 	}
 	if need.Last {
-		best.last++
+		best.finalAttempts++
 	}
-	g.addReading(best, need.Prompt)
+	g.addPendingPrefill(best, need.Prompt)
 	return grant, Granted
 }
 
 // left reports whether an engine of another failure domain is left to others because
 // the engines are not dealt yet.
-func (g *Group) left(end *endpoint, need Need) bool {
-	return g.engine != nil && !g.dealt && !need.Again && end.reg.FailureDomain != need.Domain
+func (g *Group) reservedForOthers(ep *endpoint, need Need) bool {
+	return g.engine != nil && !g.assigned && !need.Again && ep.reg.FailureDomain != need.Domain
 }
 
 // candidates returns the endpoints that a request may go to. Engines outside of this
@@ -178,52 +178,52 @@
 // to any.
 func (g *Group) candidates(need Need) []*endpoint {
 	if need.Again {
-		return g.order
+		return g.sorted
 	}
-	return g.reached
+	return g.preferred
 }
 
 // agentsTimely reports whether the agents of half of the engines that the entry sends to
 // report in time: one that does not is then an exception; otherwise the entry's own links
 // are the likely cause.
-func (g *Group) agentsTimely(now time.Time) bool {
+func (g *Group) mostAgentsTimely(now time.Time) bool {
 	if g.engine == nil {
 		return false
 	}
 	timely := 0
-	for _, end := range g.reached {
-		if end.timely(now) {
+	for _, ep := range g.preferred {
+		if ep.hasTimelyReport(now) {
 			timely++
 		}
 	}
-	return 2*timely >= len(g.reached) && timely > 0
+	return 2*timely >= len(g.preferred) && timely > 0
 }
 
 // room returns the requests that may be in progress at an endpoint before one
 // more is sent there. An engine that is home to another entry keeps a slot for
 // what that one sends at the same moment.
-func (g *Group) room(end *endpoint, need Need) int {
-	room := end.reg.Slots + need.Extra
-	if g.engine != nil && end.reach != deal.Home && !need.Again {
-		room -= awaySlots
+func (g *Group) capacity(ep *endpoint, need Need) int {
+	slots := ep.reg.Slots + need.Extra
+	if g.engine != nil && ep.reach != deal.Home && !need.Again {
+		slots -= notHomeReservedSlots
 	}
-	return room
+	return slots
 }
 
 // readsSoon reports whether an engine would read the request's prompt in time.
 // One that reads nothing gets any.
-func (g *Group) readsSoon(end *endpoint, need Need, now time.Time) bool {
+func (g *Group) prefillsInTime(ep *endpoint, need Need, now time.Time) bool {
 	if g.engine == nil || need.Unread <= 0 {
 		return true
 	}
-	unread := end.unread(now)
-	if end.version(now, need.Model) < need.SoonFloor {
-		return g.beginsSoon(end, need, now, unread)
+	pending := ep.totalPendingPrefill(now)
+	if ep.version(now, need.Model) < need.SoonFloor {
+		return g.startsBeforeVersionEnd(ep, need, now, pending)
 	}
-	if end.reach != deal.Home && !need.Again {
-		need.Unread = int(awayUnread * float64(need.Unread))
+	if ep.reach != deal.Home && !need.Again {
+		need.Unread = int(notHomePrefillFraction * float64(need.Unread))
 	}
-	return unread <= 0 || unread+need.Prompt <= need.Unread
+	return pending <= 0 || pending+need.Prompt <= need.Unread
 }
 
 // beginsSoon reports whether an engine whose version ends shortly would begin the
@@ -231,62 +231,62 @@
 // leaves time for what all of them send at the same moment. While its home alone sent
 // there, half of what was asked in the second and a half before an end was refused
 // beside engines with free slots.
-func (g *Group) beginsSoon(end *endpoint, need Need, now time.Time, unread int) bool {
-	if !end.timely(now) || unread > 0 && (unread+need.Prompt > soonUnread || end.state.Queued > 0) {
+func (g *Group) startsBeforeVersionEnd(ep *endpoint, need Need, now time.Time, pending int) bool {
+	if !ep.hasTimelyReport(now) || pending > 0 && (pending+need.Prompt > endingMaxPrefill || ep.state.Queued > 0) {
 		return false
 	}
-	switch end.reach {
+	switch ep.reach {
 	case deal.Home:
 		return true
 	case deal.Near:
-		begins := engine.FirstEvent(g.engine, end.state.Running+1, unread+need.Prompt)
-		if end.state.Pace > 1 {
-			begins = time.Duration(end.state.Pace * float64(begins))
+		startDelay := engine.FirstEvent(g.engine, ep.state.Running+1, pending+need.Prompt)
+		if ep.state.Pace > 1 {
+			startDelay = time.Duration(ep.state.Pace * float64(startDelay))
 		}
-		return need.Ends > sendersAtOnce*begins+endReserve
+		return need.Ends > concurrentSenders*startDelay+endMargin
 	}
 	return false
 }
 
 // score orders the endpoints that have room by the wait to be expected there;
 // the least is best.
-func (g *Group) score(end *endpoint, need Need, now time.Time, occupied int) float64 {
-	score := chance*g.random() + errorCost*end.errors
-	if end.reg.FailureDomain != need.Domain {
-		score += farCost
+func (g *Group) score(ep *endpoint, need Need, now time.Time, occupied int) float64 {
+	score := maxJitter*g.random() + errorCost*ep.errorRate
+	if ep.reg.FailureDomain != need.Domain {
+		score += otherDomainCost
 	}
 	if g.engine == nil {
-		if end.oldest(now) > silentAfter {
-			score += silenceCost
+		if ep.longestRunning(now) > unresponsiveAfter {
+			score += unresponsiveCost
 		}
-		return score + plainCost*float64(occupied)
+		return score + plainRunningCost*float64(occupied)
 	}
-	if end.reach != deal.Home {
-		score += awayCost
+	if ep.reach != deal.Home {
+		score += notHomeCost
 	}
-	if need.Wanted > end.version(now, need.Model) {
-		score += oldCost
+	if need.Wanted > ep.version(now, need.Model) {
+		score += outdatedCost
 		if need.Again {
-			score += againCost(end.turn) - oldCost
+			score += resumedCost(ep.rolloutPosition) - outdatedCost
 		}
 	}
-	wait := occupiedCost*float64(occupied) + g.readMillis(end.unread(now))
-	if end.followed(now) && end.state.Pace > 1 {
-		wait *= end.state.Pace
+	wait := runningCost*float64(occupied) + g.prefillMillis(ep.totalPendingPrefill(now))
+	if ep.hasFreshReport(now) && ep.state.Pace > 1 {
+		wait *= ep.state.Pace
 	}
 	return score + wait
 }
 
 // againCost returns what an engine that has to load weighs for what goes on after another one.
-func againCost(turn float64) float64 {
-	if rollout.RunsDry(turn) {
-		return oldAgainCost
+func resumedCost(position float64) float64 {
+	if rollout.RunsDry(position) {
+		return outdatedResumedCost
 	}
-	return oldAgainCost + soonAgainCost*(1-turn)
+	return outdatedResumedCost + earlyRolloutCost*(1-position)
 }
 
 // readMillis returns the time to read so many prompt tokens.
-func (g *Group) readMillis(tokens int) float64 {
+func (g *Group) prefillMillis(tokens int) float64 {
 	if g.engine.ReadPerSecond <= 0 {
 		return 0
 	}
--- a/relay/fleet/refusal_test.go
+++ b/relay/fleet/refusal_test.go
@@ -9,10 +9,10 @@
 
 // refuse lets the engines refuse all requests for so long, where the agent reports so many running,
 // and returns how many requests the first one refused.
-func (w *world) refuse(running int, span time.Duration) int {
+func (w *fixture) refuseAll(reportedRunning int, span time.Duration) int {
 	refused := 0
 	for until := w.now.Add(span); w.now.Before(until); w.now = w.now.Add(10 * time.Millisecond) {
-		w.state(0, fleet.EngineState{Alive: true, Running: running})
+		w.observeState(0, fleet.EngineState{Alive: true, Running: reportedRunning})
 		if grant, verdict := w.fleet.Group("llm").Pick(need); verdict == fleet.Granted {
 			refused++
 			grant.Done(fleet.Refused)
@@ -23,26 +23,26 @@
 
 // Guards against an engine that refuses everything, and attracts most requests since its agent reports
 // it idle.
-func TestEngineThatRefusesWithRoomIsAskedSeldom(t *testing.T) {
-	w := newWorld()
-	w.engine(0, 1)
-	w.own()
-	if got, want := w.refuse(0, 4*time.Second), 10; got > want {
+func TestRefusingEngineWithFreeSlotsIsRetriedRarely(t *testing.T) {
+	w := newFixture()
+	w.registerEngine(0, 1)
+	w.assignAll()
+	if got, want := w.refuseAll(0, 4*time.Second), 10; got > want {
 		t.Errorf("got %d requests in 4 s at an idle engine that refuses all, want %d at most", got, want)
 	}
 	w.now = w.now.Add(time.Second)
-	w.state(0, fleet.EngineState{Alive: true})
+	w.observeState(0, fleet.EngineState{Alive: true})
 	w.pick(t, need).Done(fleet.Served)
-	if got, want := w.refuse(0, 400*time.Millisecond), 3; got < want {
+	if got, want := w.refuseAll(0, 400*time.Millisecond), 3; got < want {
 		t.Errorf("got %d requests after one was served, want pauses to begin anew", got)
 	}
 }
 
 // Guards against places that stay free at an endpoint of whose room nobody reports, since refusals
 // while it was full keep requests away for long.
-func TestEndpointThatMayBeFullIsAskedAgainSoon(t *testing.T) {
-	w := newWorld()
-	w.plain("a", 0)
+func TestRefusingEndpointWithoutReportsIsRetriedSoon(t *testing.T) {
+	w := newFixture()
+	w.registerPlain("a", 0)
 	for i := range 20 {
 		grant, verdict := w.pickPlain()
 		if verdict != fleet.Granted {
@@ -55,9 +55,9 @@
 
 // Guards against a request that waits on after its endpoint's pause is over, since nothing happens
 // then that would wake it.
-func TestEndOfAPauseIsKnown(t *testing.T) {
-	w := newWorld()
-	w.plain("a", 0)
+func TestAdmitsAtReturnsEndOfPause(t *testing.T) {
+	w := newFixture()
+	w.registerPlain("a", 0)
 	grant, _ := w.pickPlain()
 	grant.Done(fleet.Refused)
 	if got, want := w.fleet.Group("app").AdmitsAt(), w.now.Add(40*time.Millisecond); !got.Equal(want) {
