--- a/relay/deal/deal.go
+++ b/relay/deal/deal.go
@@ -32,10 +32,10 @@
 	// nearGuides is the entries of its own failure domain that send a host what is wanted. One
 	// that is cut off from the store sends old guidance until its registration lapses; others
 	// send the new one.
-	nearGuides = 3
+	localGuidanceSenders = 3
 	// farGuides is the entries of other failure domains that do so too: all entries
 	// of one region may be cut off together.
-	farGuides = 2
+	remoteGuidanceSenders = 2
 )
 
 // Reach says how an entry stands to an engine.
@@ -68,11 +68,11 @@
 
 // Deal holds the entries that share the engines, as one of them knows them.
 type Deal struct {
-	shares  Shares
-	self    Place
-	near    []entry // of self's failure domain, self among them, by id
-	domains []domain
-	counts  map[string]int // entries by failure domain
+	shares          Shares
+	self            Place
+	local           []entry // of self's failure domain, self among them, by id
+	domains         []domain
+	entriesByDomain map[string]int // entries by failure domain
 }
 
 type entry struct {
@@ -90,17 +90,17 @@
 
 // NewWith is New with other shares, for those who compare them.
 func NewWith(shares Shares, self Place, others []Place) *Deal {
-	d := &Deal{shares: shares, self: self, counts: map[string]int{}}
+	d := &Deal{shares: shares, self: self, entriesByDomain: map[string]int{}}
 	known := append([]Place{self}, slices.DeleteFunc(slices.Clone(others), func(place Place) bool { return place.ID == self.ID })...)
 	for _, place := range known {
-		if d.counts[place.FailureDomain]++; d.counts[place.FailureDomain] == 1 {
+		if d.entriesByDomain[place.FailureDomain]++; d.entriesByDomain[place.FailureDomain] == 1 {
 			d.domains = append(d.domains, domain{place.FailureDomain, place.Region, rendezvous.Seed(place.FailureDomain)})
 		}
 		if place.FailureDomain == self.FailureDomain {
-			d.near = append(d.near, entry{place.ID, rendezvous.Seed(place.ID)})
+			d.local = append(d.local, entry{place.ID, rendezvous.Seed(place.ID)})
 		}
 	}
-	slices.SortFunc(d.near, func(left, right entry) int { return cmp.Compare(left.id, right.id) })
+	slices.SortFunc(d.local, func(left, right entry) int { return cmp.Compare(left.id, right.id) })
 	return d
 }
 
@@ -108,32 +108,32 @@
 // none are left out.
 func (d *Deal) Parts(engines []Place) map[string]Part {
 	parts := map[string]Part{}
-	var own, far []Place
+	var local, remote []Place
 	for _, eng := range engines {
 		if eng.FailureDomain == d.self.FailureDomain {
-			own = append(own, eng)
+			local = append(local, eng)
 		} else {
-			far = append(far, eng)
+			remote = append(remote, eng)
 		}
 	}
-	d.shareOwn(own, parts)
-	d.shareFar(far, parts)
+	d.assignLocal(local, parts)
+	d.assignRemote(remote, parts)
 	return parts
 }
 
 // shareOwn deals the engines of the entry's failure domain. Homes are dealt evenly: an
 // engine whose best entry has its share goes to the next one.
-func (d *Deal) shareOwn(engines []Place, parts map[string]Part) {
-	byAddress(engines)
+func (d *Deal) assignLocal(engines []Place, parts map[string]Part) {
+	sortByAddress(engines)
 	senders := d.senders(len(engines))
-	most := (len(engines) + len(d.near) - 1) / len(d.near)
-	homes := make([]int, len(d.near))
+	quota := (len(engines) + len(d.local) - 1) / len(d.local)
+	homes := make([]int, len(d.local))
 	for _, eng := range engines {
-		order := d.rank(eng)
-		home := slices.IndexFunc(order, func(at int) bool { return homes[at] < most })
+		order := d.rankEntries(eng)
+		home := slices.IndexFunc(order, func(at int) bool { return homes[at] < quota })
 		homes[order[home]]++
-		rank := slices.IndexFunc(order, func(at int) bool { return d.near[at].id == d.self.ID })
-		part := Part{Guide: rank < nearGuides}
+		rank := slices.IndexFunc(order, func(at int) bool { return d.local[at].id == d.self.ID })
+		part := Part{Guide: rank < localGuidanceSenders}
 		switch {
 		case rank == home:
 			part.Reach = Home
@@ -151,18 +151,18 @@
 	if engines == 0 {
 		return 0
 	}
-	wanted := (d.shares.Near*len(d.near) + engines - 1) / engines
-	return min(len(d.near), max(d.shares.Senders, wanted))
+	wanted := (d.shares.Near*len(d.local) + engines - 1) / engines
+	return min(len(d.local), max(d.shares.Senders, wanted))
 }
 
 // rank returns the entries of the failure domain, the best for the engine first, by
 // their places in near.
-func (d *Deal) rank(eng Place) []int {
+func (d *Deal) rankEntries(eng Place) []int {
 	seed := rendezvous.Seed(eng.ID)
-	order := make([]int, len(d.near))
-	scores := make([]uint64, len(d.near))
-	for at, one := range d.near {
-		order[at], scores[at] = at, rendezvous.Score(seed, one.seed)
+	order := make([]int, len(d.local))
+	scores := make([]uint64, len(d.local))
+	for at, ent := range d.local {
+		order[at], scores[at] = at, rendezvous.Score(seed, ent.seed)
 	}
 	slices.SortFunc(order, func(left, right int) int {
 		if scores[left] != scores[right] {
@@ -176,33 +176,33 @@
 // shareFar deals engines of other failure domains evenly, each to one entry of this
 // domain, those of its region first. Where there are more than its entries can follow,
 // a hash of the domain says which are left to others.
-func (d *Deal) shareFar(engines []Place, parts map[string]Part) {
+func (d *Deal) assignRemote(engines []Place, parts map[string]Part) {
 	for _, eng := range engines {
-		if d.rankOfSelf(eng) < d.farShare(eng) {
+		if d.rankOfSelf(eng) < d.remoteGuidanceShare(eng) {
 			parts[eng.ID] = Part{Guide: true}
 		}
 	}
-	d.orderFar(engines)
-	most := min(d.shares.Far, (len(engines)+len(d.near)-1)/len(d.near))
-	dealt := make([]int, len(d.near))
-	left := most * len(d.near)
-	for _, eng := range engines[:min(left, len(engines))] {
-		order := d.rank(eng)
-		taker := order[slices.IndexFunc(order, func(at int) bool { return dealt[at] < most })]
-		dealt[taker]++
-		if d.near[taker].id == d.self.ID {
+	d.sortRemote(engines)
+	quota := min(d.shares.Far, (len(engines)+len(d.local)-1)/len(d.local))
+	assigned := make([]int, len(d.local))
+	assignable := quota * len(d.local)
+	for _, eng := range engines[:min(assignable, len(engines))] {
+		order := d.rankEntries(eng)
+		assignee := order[slices.IndexFunc(order, func(at int) bool { return assigned[at] < quota })]
+		assigned[assignee]++
+		if d.local[assignee].id == d.self.ID {
 			parts[eng.ID] = Part{Reach: Far, Guide: parts[eng.ID].Guide}
 		}
 	}
 }
 
 // orderFar puts engines into the order in which this failure domain deals them.
-func (d *Deal) orderFar(engines []Place) {
+func (d *Deal) sortRemote(engines []Place) {
 	seed := rendezvous.Seed(d.self.FailureDomain)
 	score := func(eng Place) uint64 { return rendezvous.Score(seed, rendezvous.Seed(eng.ID)) }
 	slices.SortFunc(engines, func(left, right Place) int {
-		if near := left.Region == d.self.Region; near != (right.Region == d.self.Region) {
-			if near {
+		if leftInRegion := left.Region == d.self.Region; leftInRegion != (right.Region == d.self.Region) {
+			if leftInRegion {
 				return -1
 			}
 			return 1
@@ -217,7 +217,7 @@
 	seed := rendezvous.Seed(eng.ID)
 	own := rendezvous.Score(seed, rendezvous.Seed(d.self.ID))
 	rank := 0
-	for _, other := range d.near {
+	for _, other := range d.local {
 		if rendezvous.Score(seed, other.seed) > own {
 			rank++
 		}
@@ -228,10 +228,10 @@
 // farShare returns how many entries of this failure domain guide the host of an engine
 // in another one: those domains that rank first for it give one each, those of other
 // regions first, and in turn where there are few.
-func (d *Deal) farShare(eng Place) int {
-	wanted := nearGuides + farGuides - min(nearGuides, d.counts[eng.FailureDomain])
+func (d *Deal) remoteGuidanceShare(eng Place) int {
+	wanted := localGuidanceSenders + remoteGuidanceSenders - min(localGuidanceSenders, d.entriesByDomain[eng.FailureDomain])
 	seed := rendezvous.Seed(eng.ID)
-	before, others := 0, 0
+	ahead, others := 0, 0
 	own := rendezvous.Score(seed, rendezvous.Seed(d.self.FailureDomain))
 	for _, dom := range d.domains {
 		if dom.name == eng.FailureDomain {
@@ -241,20 +241,20 @@
 		if dom.name == d.self.FailureDomain {
 			continue
 		}
-		elsewhere, selfElsewhere := dom.region != eng.Region, d.self.Region != eng.Region
-		if elsewhere != selfElsewhere {
-			if elsewhere {
-				before++
+		otherRegion, selfOtherRegion := dom.region != eng.Region, d.self.Region != eng.Region
+		if otherRegion != selfOtherRegion {
+			if otherRegion {
+				ahead++
 			}
 			continue
 		}
 		if rendezvous.Score(seed, dom.seed) > own {
-			before++
+			ahead++
 		}
 	}
-	return max(0, wanted-before+others-1) / others
+	return max(0, wanted-ahead+others-1) / others
 }
 
-func byAddress(engines []Place) {
+func sortByAddress(engines []Place) {
 	slices.SortFunc(engines, func(left, right Place) int { return cmp.Compare(left.ID, right.ID) })
 }
--- a/relay/deal/deal_test.go
+++ b/relay/deal/deal_test.go
@@ -22,7 +22,7 @@
 }
 
 // even is a fleet with so many entries and engines in each of five domains.
-func even(entries, engines int) fleet {
+func evenFleet(entries, engines int) fleet {
 	counts := func(n int) map[string]int {
 		return map[string]int{"north": n, "south": n, "west": n, "east": n, "mid": n}
 	}
@@ -30,7 +30,7 @@
 }
 
 // parts returns each entry's parts.
-func (f fleet) parts() map[string]map[string]Part {
+func (f fleet) assignments() map[string]map[string]Part {
 	all := map[string]map[string]Part{}
 	for _, self := range f.entries {
 		all[self.ID] = New(self, f.entries).Parts(f.engines)
@@ -39,48 +39,48 @@
 }
 
 // tally is who has a part in one engine.
-type tally struct {
-	homes, near, far, guides, guidesNear int
+type assignmentCounts struct {
+	home, near, far, guidanceSenders, localGuidanceSenders int
 }
 
-func (f fleet) tallies() map[string]tally {
-	found := map[string]tally{}
-	where := map[string]string{}
+func (f fleet) countsByEngine() map[string]assignmentCounts {
+	found := map[string]assignmentCounts{}
+	domainByEntry := map[string]string{}
 	for _, self := range f.entries {
-		where[self.ID] = self.FailureDomain
+		domainByEntry[self.ID] = self.FailureDomain
 	}
-	domains := map[string]string{}
+	domainByEngine := map[string]string{}
 	for _, eng := range f.engines {
-		domains[eng.ID] = eng.FailureDomain
-		found[eng.ID] = tally{}
+		domainByEngine[eng.ID] = eng.FailureDomain
+		found[eng.ID] = assignmentCounts{}
 	}
-	for id, parts := range f.parts() {
+	for id, parts := range f.assignments() {
 		for address, part := range parts {
-			one := found[address]
+			counts := found[address]
 			switch part.Reach {
 			case Home:
-				one.homes++
+				counts.home++
 			case Near:
-				one.near++
+				counts.near++
 			case Far:
-				one.far++
+				counts.far++
 			}
 			if part.Guide {
-				one.guides++
-				if where[id] == domains[address] {
-					one.guidesNear++
+				counts.guidanceSenders++
+				if domainByEntry[id] == domainByEngine[address] {
+					counts.localGuidanceSenders++
 				}
 			}
-			found[address] = one
+			found[address] = counts
 		}
 	}
 	return found
 }
 
-func most(parts map[string]map[string]Part) int {
+func maxAssignments(parts map[string]map[string]Part) int {
 	count := 0
-	for _, one := range parts {
-		count = max(count, len(one))
+	for _, entryParts := range parts {
+		count = max(count, len(entryParts))
 	}
 	return count
 }
@@ -89,10 +89,10 @@
 // hosts give; entries and agents spend more on what they send one another than on
 // requests. Sequence: each entry follows each engine. Cause: what one entry follows
 // grew with the engines of the whole fleet.
-func TestWhatAnEntryFollowsDoesNotGrowWithTheFleet(t *testing.T) {
+func TestAssignmentsPerEntryDoNotGrowWithFleet(t *testing.T) {
 	for _, size := range []struct{ entries, engines int }{{6, 9}, {20, 28}, {60, 84}} {
-		f := even(size.entries, size.engines)
-		if got, bound := most(f.parts()), 2*(Usual.Near+Usual.Far); got > bound {
+		f := evenFleet(size.entries, size.engines)
+		if got, bound := maxAssignments(f.assignments()), 2*(Usual.Near+Usual.Far); got > bound {
 			t.Errorf("%d entries and %d engines a domain: an entry has part in %d engines, want at most %d", size.entries, size.engines, got, bound)
 		}
 	}
@@ -101,11 +101,11 @@
 // Symptom: an engine stands idle while others are full. Cause: no entry sends to it.
 func TestEveryEngineHasSendersAndOneHome(t *testing.T) {
 	for _, size := range []struct{ entries, engines int }{{1, 4}, {3, 5}, {6, 9}, {20, 28}, {28, 7}} {
-		for address, one := range even(size.entries, size.engines).tallies() {
-			if one.homes != 1 {
-				t.Errorf("%v: %s is home to %d entries, want one", size, address, one.homes)
+		for address, counts := range evenFleet(size.entries, size.engines).countsByEngine() {
+			if counts.home != 1 {
+				t.Errorf("%v: %s is home to %d entries, want one", size, address, counts.home)
 			}
-			if got, want := one.homes+one.near, min(Usual.Senders, size.entries); got < want {
+			if got, want := counts.home+counts.near, min(Usual.Senders, size.entries); got < want {
 				t.Errorf("%v: %d entries of its domain send to %s, want %d", size, got, address, want)
 			}
 		}
@@ -113,17 +113,17 @@
 }
 
 // With few engines a domain all its entries send to each of them.
-func TestSmallFleetIsSharedByAll(t *testing.T) {
-	for address, one := range even(3, 5).tallies() {
-		if one.homes+one.near != 3 || one.far != 4 {
-			t.Errorf("%s: got %+v, want all three of its domain and one of each other", address, one)
+func TestSmallFleetIsSharedByAllEntries(t *testing.T) {
+	for address, counts := range evenFleet(3, 5).countsByEngine() {
+		if counts.home+counts.near != 3 || counts.far != 4 {
+			t.Errorf("%s: got %+v, want all three of its domain and one of each other", address, counts)
 		}
 	}
 }
 
-func TestHomesAreDealtEvenly(t *testing.T) {
-	f := even(20, 28)
-	for id, parts := range f.parts() {
+func TestHomesAreAssignedEvenly(t *testing.T) {
+	f := evenFleet(20, 28)
+	for id, parts := range f.assignments() {
 		homes := 0
 		for _, part := range parts {
 			if part.Reach == Home {
@@ -140,14 +140,14 @@
 // are busy with lists of hosts, and new hosts get weights a second later.
 // Sequence: an endpoint registers; every entry sends every host the new list.
 // Cause: what is sent to one host grew with entries times hosts.
-func TestHostHearsFromFewEntriesHoweverManyThereAre(t *testing.T) {
+func TestGuidanceSendersPerHostAreBounded(t *testing.T) {
 	for _, size := range []int{3, 11, 270} {
-		for address, one := range even(size, 2).tallies() {
-			if got, want := one.guides, nearGuides+farGuides; got != want {
+		for address, counts := range evenFleet(size, 2).countsByEngine() {
+			if got, want := counts.guidanceSenders, localGuidanceSenders+remoteGuidanceSenders; got != want {
 				t.Errorf("%d entries a domain: %s has %d guides, want %d", size, address, got, want)
 			}
-			if got := one.guidesNear; got != nearGuides {
-				t.Errorf("%d entries a domain: %s has %d guides of its own, want %d", size, address, got, nearGuides)
+			if got := counts.localGuidanceSenders; got != localGuidanceSenders {
+				t.Errorf("%d entries a domain: %s has %d guides of its own, want %d", size, address, got, localGuidanceSenders)
 			}
 		}
 	}
@@ -157,26 +157,26 @@
 // Sequence: all entries of the region are lost; those of other regions think it
 // is not their turn.
 // Cause: a host whose region has too few entries needs others in their place.
-func TestHostWithoutEntriesNearHearsFromFar(t *testing.T) {
-	for _, near := range []int{0, 1, 2} {
-		f := newFleet(map[string]int{"north": near, "south": 4}, map[string]int{"north": 1})
-		for address, one := range f.tallies() {
-			if got, want := one.guides, min(nearGuides+farGuides, near+4); got != want {
-				t.Errorf("%d entries near: %s has %d guides, want %d", near, address, got, want)
+func TestHostWithFewLocalEntriesGetsRemoteGuidance(t *testing.T) {
+	for _, local := range []int{0, 1, 2} {
+		f := newFleet(map[string]int{"north": local, "south": 4}, map[string]int{"north": 1})
+		for address, counts := range f.countsByEngine() {
+			if got, want := counts.guidanceSenders, min(localGuidanceSenders+remoteGuidanceSenders, local+4); got != want {
+				t.Errorf("%d entries near: %s has %d guides, want %d", local, address, got, want)
 			}
 		}
 	}
 	f := newFleet(map[string]int{"south": 1}, map[string]int{"north": 1})
-	for address, one := range f.tallies() {
-		if one.guides != 1 || one.far != 1 {
-			t.Errorf("one entry: %s has %+v, want its guidance and its requests", address, one)
+	for address, counts := range f.countsByEngine() {
+		if counts.guidanceSenders != 1 || counts.far != 1 {
+			t.Errorf("one entry: %s has %+v, want its guidance and its requests", address, counts)
 		}
 	}
 }
 
 // Two entries of other regions guide a host even where its region has several
 // failure domains.
-func TestGuidesStandInAnotherRegion(t *testing.T) {
+func TestGuidanceComesFromAnotherRegion(t *testing.T) {
 	var entries []Place
 	for i := range 12 {
 		region := "north"
@@ -186,32 +186,32 @@
 		entries = append(entries, Place{fmt.Sprintf("e-%d", i), region, fmt.Sprintf("%s-%d", region, i%3)})
 	}
 	f := fleet{entries: entries, engines: []Place{{"10.0.0.1:80", "north", "north-0"}}}
-	far := 0
+	remote := 0
 	for _, self := range entries {
 		if New(self, entries).Parts(f.engines)["10.0.0.1:80"].Guide && self.Region == "south" {
-			far++
+			remote++
 		}
 	}
-	if far < 1 {
+	if remote < 1 {
 		t.Errorf("got no guide of another region, want one at least")
 	}
 }
 
-func TestEntryThatGoesChangesFewEngines(t *testing.T) {
-	f := even(20, 28)
-	before := f.parts()
-	gone := f.entries[0]
+func TestRemovedEntryChangesFewAssignments(t *testing.T) {
+	f := evenFleet(20, 28)
+	before := f.assignments()
+	removed := f.entries[0]
 	f.entries = f.entries[1:]
-	changed, all := 0, 0
-	for id, parts := range f.parts() {
+	changed, total := 0, 0
+	for id, parts := range f.assignments() {
 		for address, part := range before[id] {
-			all++
+			total++
 			if part != parts[address] {
 				changed++
 			}
 		}
 	}
-	if got, bound := changed, all/10; got > bound {
-		t.Errorf("%d of %d parts changed as %s went, want at most %d", got, all, gone.ID, bound)
+	if got, bound := changed, total/10; got > bound {
+		t.Errorf("%d of %d parts changed as %s went, want at most %d", got, total, removed.ID, bound)
 	}
 }
