--- a/relay/limit/bucket.go
+++ b/relay/limit/bucket.go
@@ -14,12 +14,12 @@
 // Bucket is a token bucket whose rate may change. The zero Bucket is full at
 // its first use. It is not safe for concurrent use.
 type Bucket struct {
-	level float64   // units available; may fall below 0, never above the burst
-	at    time.Time // when level was computed; zero before the first use
+	level     float64   // units available; may fall below 0, never above the burst
+	updatedAt time.Time // when level was computed; zero before the first use
 }
 
 // Drained returns a bucket that is empty at the time given.
-func Drained(now time.Time) Bucket { return Bucket{at: now} }
+func Drained(now time.Time) Bucket { return Bucket{updatedAt: now} }
 
 // Take withdraws cost units if the bucket, filled at rate units a second, holds
 // them. A cost larger than the burst needs a full bucket and leaves it in debt,
@@ -63,15 +63,15 @@
 
 func (b *Bucket) fill(now time.Time, rate float64) (burst float64) {
 	burst = math.Max(1, rate*burstSpan.Seconds())
-	if b.at.IsZero() {
-		b.level, b.at = burst, now
+	if b.updatedAt.IsZero() {
+		b.level, b.updatedAt = burst, now
 		return burst
 	}
-	passed := now.Sub(b.at).Seconds()
+	passed := now.Sub(b.updatedAt).Seconds()
 	if passed < 0 {
 		passed = 0
 	}
 	b.level = math.Min(burst, b.level+passed*rate)
-	b.at = now
+	b.updatedAt = now
 	return burst
 }
--- a/relay/limit/limit_test.go
+++ b/relay/limit/limit_test.go
@@ -27,11 +27,11 @@
 			case "expired":
 				var at int
 				d.ScanArgs(t, "at", &at)
-				var gone []string
+				var expired []string
 				for _, item := range queue.Expired(testStart.Add(time.Duration(at) * time.Second)) {
-					gone = append(gone, names[item])
+					expired = append(expired, names[item])
 				}
-				return fmt.Sprintf("%s; %d wait\n", strings.Join(gone, " "), queue.Len())
+				return fmt.Sprintf("%s; %d wait\n", strings.Join(expired, " "), queue.Len())
 			case "ahead":
 				weight := 1.0
 				d.MaybeScanArgs(t, "weight", &weight)
@@ -69,21 +69,21 @@
 	count, full := 1, ""
 	d.MaybeScanArgs(t, "n", &count)
 	d.MaybeScanArgs(t, "full", &full)
-	var left []string
+	var served []string
 	for range count {
 		item := queue.Next(func(item *Item) bool { return item.Customer != full })
 		if item == nil {
-			left = append(left, "none")
+			served = append(served, "none")
 			break
 		}
-		left = append(left, names[item])
+		served = append(served, names[item])
 	}
-	return fmt.Sprintf("%s; %d wait\n", strings.Join(left, " "), queue.Len())
+	return fmt.Sprintf("%s; %d wait\n", strings.Join(served, " "), queue.Len())
 }
 
 // Symptom: a small customer waits behind a large one's burst. However long the
 // other lines are, it waits for at most one request of each other customer.
-func TestSmallCustomerWaitsForOneOfEach(t *testing.T) {
+func TestSmallCustomerWaitsForAtMostOneRequestOfEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := NewQueue(1000)
 		others := rapid.IntRange(1, 8).Draw(t, "others")
@@ -93,18 +93,18 @@
 				queue.Push(&Item{Customer: fmt.Sprintf("other-%d", i), Weight: weight, Cost: 1})
 			}
 		}
-		any := func(*Item) bool { return true }
+		accept := func(*Item) bool { return true }
 		for range rapid.IntRange(0, 50).Draw(t, "served before") {
-			queue.Next(any)
+			queue.Next(accept)
 		}
 		waiting := queue.Len()
 		queue.Push(&Item{Customer: "small", Weight: 1, Cost: 1})
 		before := 0
-		for item := queue.Next(any); item.Customer != "small"; item = queue.Next(any) {
+		for item := queue.Next(accept); item.Customer != "small"; item = queue.Next(accept) {
 			before++
 		}
-		if most := min(others, waiting); before > most {
-			t.Fatalf("got %d requests before the small customer's, want at most %d", before, most)
+		if bound := min(others, waiting); before > bound {
+			t.Fatalf("got %d requests before the small customer's, want at most %d", before, bound)
 		}
 	})
 }
@@ -149,8 +149,8 @@
 				taken += cost
 			}
 			// One burst, and the debt of the last one taken.
-			if most := rate*now.Sub(testStart).Seconds() + max(1, rate) + 300; taken > most+1e-6 {
-				t.Fatalf("got %f units, want at most %f", taken, most)
+			if bound := rate*now.Sub(testStart).Seconds() + max(1, rate) + 300; taken > bound+1e-6 {
+				t.Fatalf("got %f units, want at most %f", taken, bound)
 			}
 		}
 	})
--- a/relay/limit/queue.go
+++ b/relay/limit/queue.go
@@ -20,16 +20,16 @@
 	Deadline time.Time // it is useless afterwards
 	Value    any       // the program's own handle
 
-	queue *line // nil while it does not wait
+	queue *customerQueue // nil while it does not wait
 }
 
 // line is one customer's waiting requests, first in first out.
-type line struct {
+type customerQueue struct {
 	customer string
 	weight   float64
 	items    []*Item
 	cost     float64 // sum over items
-	tag      float64 // virtual start time of the head
+	startTag float64 // virtual start time of the head
 }
 
 // Queue orders waiting requests by start-time fair queueing: each customer's
@@ -38,17 +38,17 @@
 // request of each other customer, however long their lines are. It is not safe
 // for concurrent use.
 type Queue struct {
-	maxWaiting int
-	waiting    int     // sum of the lines' lengths
-	cost       float64 // sum over the lines
-	clock      float64 // virtual time: start tag of the last request that left
-	lines      map[string]*line
-	last       map[string]float64 // finish tag of each customer's latest work, while above clock
+	maxWaiting  int
+	waiting     int     // sum of the lines' lengths
+	cost        float64 // sum over the lines
+	virtualTime float64 // virtual time: start tag of the last request that left
+	queues      map[string]*customerQueue
+	finishTags  map[string]float64 // finish tag of each customer's latest work, while above clock
 }
 
 // NewQueue returns an empty Queue that holds at most maxWaiting requests.
 func NewQueue(maxWaiting int) *Queue {
-	return &Queue{maxWaiting: maxWaiting, lines: make(map[string]*line), last: make(map[string]float64)}
+	return &Queue{maxWaiting: maxWaiting, queues: make(map[string]*customerQueue), finishTags: make(map[string]float64)}
 }
 
 // Len returns the number of requests that wait.
@@ -60,15 +60,15 @@
 // Push adds a request. Over the bound the longest line relative to its weight
 // loses its newest request, which is returned (it may be the one pushed).
 func (q *Queue) Push(item *Item) (dropped *Item) {
-	waiting := q.lines[item.Customer]
-	if waiting == nil {
-		waiting = &line{customer: item.Customer, tag: max(q.clock, q.last[item.Customer])}
-		q.lines[item.Customer] = waiting
+	cq := q.queues[item.Customer]
+	if cq == nil {
+		cq = &customerQueue{customer: item.Customer, startTag: max(q.virtualTime, q.finishTags[item.Customer])}
+		q.queues[item.Customer] = cq
 	}
-	waiting.weight = item.Weight
-	waiting.items = append(waiting.items, item)
-	item.queue = waiting
-	waiting.cost += item.Cost
+	cq.weight = item.Weight
+	cq.items = append(cq.items, item)
+	item.queue = cq
+	cq.cost += item.Cost
 	q.waiting++
 	q.cost += item.Cost
 	if q.waiting <= q.maxWaiting {
@@ -78,9 +78,9 @@
 }
 
 func (q *Queue) dropNewest() *Item {
-	var longest *line
-	for _, candidate := range q.lines {
-		if longest == nil || outweighs(candidate, longest) {
+	var longest *customerQueue
+	for _, candidate := range q.queues {
+		if longest == nil || longerByWeight(candidate, longest) {
 			longest = candidate
 		}
 	}
@@ -89,7 +89,7 @@
 	return victim
 }
 
-func outweighs(a, b *line) bool {
+func longerByWeight(a, b *customerQueue) bool {
 	left, right := float64(len(a.items))/a.weight, float64(len(b.items))/b.weight
 	if left != right {
 		return left > right
@@ -99,29 +99,29 @@
 
 // Remove takes a request out that gave up; it reports whether it still waited.
 func (q *Queue) Remove(item *Item) bool {
-	waiting := item.queue
-	if waiting == nil {
+	cq := item.queue
+	if cq == nil {
 		return false
 	}
-	for i, other := range waiting.items {
+	for i, other := range cq.items {
 		if other == item {
-			waiting.items = append(waiting.items[:i], waiting.items[i+1:]...)
+			cq.items = append(cq.items[:i], cq.items[i+1:]...)
 			break
 		}
 	}
-	q.left(item)
+	q.detach(item)
 	return true
 }
 
-func (q *Queue) left(item *Item) {
-	waiting := item.queue
+func (q *Queue) detach(item *Item) {
+	cq := item.queue
 	item.queue = nil
-	waiting.cost -= item.Cost
+	cq.cost -= item.Cost
 	q.waiting--
 	q.cost -= item.Cost
-	if len(waiting.items) == 0 {
-		delete(q.lines, waiting.customer)
-		q.last[waiting.customer] = waiting.tag
+	if len(cq.items) == 0 {
+		delete(q.queues, cq.customer)
+		q.finishTags[cq.customer] = cq.startTag
 	}
 	if q.waiting == 0 {
 		q.reset()
@@ -131,8 +131,8 @@
 // reset forgets tags once nobody waits: without it they would grow for ever
 // and customers long gone would stay in the map.
 func (q *Queue) reset() {
-	q.clock, q.cost = 0, 0
-	clear(q.last)
+	q.virtualTime, q.cost = 0, 0
+	clear(q.finishTags)
 }
 
 // Next offers the heads of the lines in fair order to place until one is
@@ -141,51 +141,51 @@
 	if q.waiting == 0 {
 		return nil
 	}
-	for tries, waiting := range q.ordered() {
+	for tries, cq := range q.byStartTag() {
 		if tries >= maxPlacementTries {
 			return nil
 		}
-		head := waiting.items[0]
+		head := cq.items[0]
 		if !place(head) {
 			continue
 		}
-		waiting.items = waiting.items[1:]
-		q.clock = max(q.clock, waiting.tag)
-		waiting.tag += head.Cost / head.Weight
-		q.left(head)
+		cq.items = cq.items[1:]
+		q.virtualTime = max(q.virtualTime, cq.startTag)
+		cq.startTag += head.Cost / head.Weight
+		q.detach(head)
 		return head
 	}
 	return nil
 }
 
-func (q *Queue) ordered() []*line {
-	lines := make([]*line, 0, len(q.lines))
-	for _, waiting := range q.lines {
-		lines = append(lines, waiting)
+func (q *Queue) byStartTag() []*customerQueue {
+	queues := make([]*customerQueue, 0, len(q.queues))
+	for _, cq := range q.queues {
+		queues = append(queues, cq)
 	}
-	sort.Slice(lines, func(i, j int) bool {
-		if lines[i].tag != lines[j].tag {
-			return lines[i].tag < lines[j].tag
+	sort.Slice(queues, func(i, j int) bool {
+		if queues[i].startTag != queues[j].startTag {
+			return queues[i].startTag < queues[j].startTag
 		}
-		return lines[i].customer < lines[j].customer
+		return queues[i].customer < queues[j].customer
 	})
-	return lines
+	return queues
 }
 
 // Expired removes and returns the requests whose deadline is not after at.
 func (q *Queue) Expired(at time.Time) []*Item {
-	var gone []*Item
-	for _, waiting := range q.lines {
-		for _, item := range waiting.items {
+	var expired []*Item
+	for _, cq := range q.queues {
+		for _, item := range cq.items {
 			if !item.Deadline.After(at) {
-				gone = append(gone, item)
+				expired = append(expired, item)
 			}
 		}
 	}
-	for _, item := range gone {
+	for _, item := range expired {
 		q.Remove(item)
 	}
-	return gone
+	return expired
 }
 
 // Ahead estimates the cost that leaves the queue before a request pushed now
@@ -193,11 +193,11 @@
 // let pass meanwhile.
 func (q *Queue) Ahead(customer string, weight float64) float64 {
 	own := 0.0
-	if waiting := q.lines[customer]; waiting != nil {
-		own = waiting.cost
+	if cq := q.queues[customer]; cq != nil {
+		own = cq.cost
 	}
 	ahead := own
-	for _, other := range q.lines {
+	for _, other := range q.queues {
 		if other.customer == customer {
 			continue
 		}
--- a/relay/limit/rate.go
+++ b/relay/limit/rate.go
@@ -8,28 +8,28 @@
 // Rate estimates events a second with exponential decay. The zero Rate is
 // ready for use. It is not safe for concurrent use.
 type Rate struct {
-	sum float64 // decayed count of units
-	at  time.Time
+	sum       float64 // decayed count of units
+	updatedAt time.Time
 }
 
 // rateSpan is the decay's time constant.
-const rateSpan = time.Second
+const decayTime = time.Second
 
 // Add counts units at now.
 func (r *Rate) Add(now time.Time, units float64) {
 	r.sum = r.decayed(now) + units
-	r.at = now
+	r.updatedAt = now
 }
 
 // PerSecond returns the estimate at now.
 func (r *Rate) PerSecond(now time.Time) float64 {
-	return r.decayed(now) / rateSpan.Seconds()
+	return r.decayed(now) / decayTime.Seconds()
 }
 
 func (r *Rate) decayed(now time.Time) float64 {
-	if r.at.IsZero() {
+	if r.updatedAt.IsZero() {
 		return 0
 	}
-	passed := max(0, now.Sub(r.at).Seconds())
-	return r.sum * math.Exp(-passed/rateSpan.Seconds())
+	passed := max(0, now.Sub(r.updatedAt).Seconds())
+	return r.sum * math.Exp(-passed/decayTime.Seconds())
 }
