--- a/relay/fleet/backlog.go
+++ b/relay/fleet/backlog.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// AdmitsAt returns when the next endpoint that keeps requests off for a time admits one of this
-// entry: by its rate limit, at the end of its rest, or of the pause after it failed. Zero: none
-// does so. Nothing else announces that time.
+// AdmitsAt returns the earliest future time at which an endpoint that currently blocks new requests
+// admits one from this entry: by its rate limit, at the end of its back-off, or at the end of its
+// ejection. Zero means that no endpoint blocks. No other event signals that time, so callers must
+// set a timer.
 func (g *Group) AdmitsAt() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -20,7 +21,8 @@
 	return next
 }
 
-// earliestAfter returns the earlier of two moments, of which those that are over don't count.
+// earliestAfter returns the earlier of first and other. It ignores other unless it is after now,
+// and first if it is zero.
 func earliestAfter(now, first, other time.Time) time.Time {
 	if other.After(now) && (first.IsZero() || other.Before(first)) {
 		return other
@@ -28,20 +30,21 @@
 	return first
 }
 
-// Backlog is when endpoints that all keep requests off for a time admit a request.
+// Backlog tells when a request is admitted while all endpoints block new requests.
 type Backlog struct {
-	Wait time.Duration // until this entry may send it
-	// Elsewhere: this entry has no part of the rate limits, others have. Wait is then the time
-	// between two requests that the endpoints accept.
+	Wait time.Duration // until this entry may send the request
+	// Elsewhere is set if this entry holds no share of the rate limits and other entries do. Wait
+	// is then the interval between two requests that the endpoints accept.
 	Elsewhere bool
-	// Rest: endpoints asked this entry for rest, and none is left.
+	// Rest is set if endpoints asked this entry to back off and no other endpoint is left.
 	Rest bool
-	// Tried: all that rest refused this request. Wait is for the caller's next try.
+	// Tried is set if every endpoint that asked to back off has refused this request already. Wait
+	// is then meant for the caller's next try.
 	Tried bool
 }
 
-// Backlog returns when a request that so many others go before is admitted. ok is false where an
-// endpoint may take it sooner, or none serves it.
+// Backlog returns when a request with the given number of requests ahead of it is admitted. ok is
+// false if an endpoint may take it sooner or if no endpoint serves it.
 func (g *Group) Backlog(need Need, ahead int) (backlog Backlog, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,8 +62,8 @@
 	return rateLimited, true
 }
 
-// rest returns when the first rest ends of the endpoints that would serve a request. pending:
-// one that doesn't rest may take it soon; g.mu is held.
+// backOffWait returns when the first back-off ends among the endpoints that would serve the
+// request. pending is set if an endpoint that is not backing off may take it soon. g.mu is held.
 func (g *Group) backOffWait(need Need, now time.Time) (found Backlog, pending bool) {
 	for _, ep := range g.candidates(need) {
 		if ep.isLeaving() || !ep.available(now) || !g.hasVersion(ep, need, now) {
@@ -79,16 +82,16 @@
 	return found, pending
 }
 
-// serving says which endpoints serve a request now.
+// availability tells which endpoints serve a request now.
 type availability int
 
 const (
-	unavailable  availability = iota // none
-	allLimited                       // some, all with a rate limit
-	anyUnlimited                     // one without a limit
+	unavailable  availability = iota // no endpoint
+	allLimited                       // at least one, all with a rate limit
+	anyUnlimited                     // at least one without a rate limit
 )
 
-// limitedWait returns when a request is admitted by rate limits; g.mu is held.
+// rateLimitWait returns when the rate limits admit a request. g.mu is held.
 func (g *Group) rateLimitWait(need Need, ahead int, now time.Time) (Backlog, availability) {
 	found := unavailable
 	share, credit, acceptedRate := 0.0, 0.0, 0.0
--- a/relay/fleet/conns_test.go
+++ b/relay/fleet/conns_test.go
@@ -9,8 +9,8 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// Guards against entries that together have more connections to an endpoint than it takes: it
-// resets those beyond.
+// Guards against entries that together open more connections to an endpoint than it accepts: the
+// endpoint resets the excess ones.
 func TestConnectionsToAnEndpointAreSharedByAllEntries(t *testing.T) {
 	for _, tc := range []struct{ entries, maxConns, slots int }{{9, 110, 6}, {9, 48, 8}, {38, 460, 6}, {98, 1200, 64}, {9, 0, 6}} {
 		t.Run(fmt.Sprintf("%d entries, %d connections", tc.entries, tc.maxConns), func(t *testing.T) {
@@ -25,7 +25,7 @@
 					others = append(others, fmt.Sprint("other-", i, j))
 				}
 				flt.SetEntries("self", others)
-				// The endpoint takes any number of requests into its queue.
+				// The endpoint queues any number of requests.
 				need := fleet.Need{Domain: "d", Entries: tc.entries, Extra: 1000}
 				var grants []*fleet.Grant
 				for {
@@ -36,7 +36,7 @@
 					grants = append(grants, grant)
 				}
 				if len(grants) == 0 {
-					t.Fatal("got an entry that sends nothing")
+					t.Fatal("got no request sent by an entry")
 				}
 				inUse += len(grants)
 				room := 0
@@ -47,7 +47,7 @@
 				idle += min(room, len(grants))
 			}
 			if tc.maxConns > 0 && (inUse > tc.maxConns || idle > tc.maxConns) {
-				t.Errorf("got %d connections in use, then %d idle, want %d at most", inUse, idle, tc.maxConns)
+				t.Errorf("got %d connections in use, then %d idle, want at most %d", inUse, idle, tc.maxConns)
 			}
 		})
 	}
--- a/relay/fleet/fleet.go
+++ b/relay/fleet/fleet.go
@@ -1,9 +1,8 @@
-// Package fleet keeps what one entry believes of the endpoints and chooses
-// among them.
+// Package fleet holds one entry's view of the endpoints and selects among them.
 //
-// Three sources are joined: registrations say who is there and who leaves,
-// engines' agents stream what their engine does, and the entry's own requests
-// show who answers. Time is passed in by the clock; nothing here does I/O.
+// It combines three sources: registrations list the endpoints and those that are leaving, agents
+// stream the state of their engines, and the entry's own requests show which endpoints answer. The
+// caller provides the clock; the package does no I/O.
 package fleet
 
 import (
@@ -15,48 +14,47 @@
 	"comfreyrelay.example/relay/deal"
 )
 
-// Registration is what an endpoint reports of itself through the platform.
+// Registration is an endpoint's own record in the platform's store.
 type Registration struct {
 	ID string
-	// Born is when this incarnation of the endpoint began, Unix milliseconds by its own
-	// host's clock; 0: unknown. Hosts' clocks differ: births are compared for
-	// being another, never for being later.
+	// Born is when this incarnation of the endpoint started, in Unix milliseconds by its own host's
+	// clock; 0: unknown. Host clocks differ, so values are compared only for equality, never for
+	// order.
 	Born          int64
 	Service       string
 	Address       string // "IP:PORT"
 	FailureDomain string
 	Slots         int
-	Leaving       bool          // gets nothing new
-	Cold          time.Duration // how much longer it is slow after its start
+	Leaving       bool          // gets no new requests
+	Cold          time.Duration // remaining warm-up time after its start
 	Loaded        map[string]uint64
 }
 
-// EngineState is an engine as its agent sees it.
+// EngineState is the state of an engine as its agent reports it.
 type EngineState struct {
-	Born    int64 // of the incarnation that is reported; 0: unknown
+	Born    int64 // start time of the reported incarnation; 0: unknown
 	Alive   bool
 	Running int
 	Queued  int
-	Pace    float64 // over 1: slow
-	Busy    bool    // an order is in progress, nothing new is begun
-	Leaving bool    // it gets nothing new
+	Pace    float64 // slowdown factor; above 1: slower than usual
+	Busy    bool    // an order is in progress and no new request is started
+	Leaving bool    // gets no new requests
 	Loaded  map[string]uint64
-	// Delay is how much longer than usual the report was on its way.
+	// Delay is how much longer than usual the report was in transit.
 	Delay time.Duration
-	// Reading is the prompt tokens that other entries sent and that are not
-	// read yet.
+	// Reading is the number of prompt tokens from other entries that wait for prefill.
 	Reading int
 }
 
-// Fleet holds the endpoints of all services, in a group a service with a lock
-// of its own. It is safe for concurrent use.
+// Fleet holds the endpoints of all services, in one group per service with its own lock. It is safe
+// for concurrent use.
 type Fleet struct {
 	clock  func() time.Time
 	random func() float64 // in [0,1)
 
 	mu          sync.RWMutex
 	groups      map[string]*Group // by service
-	serviceByID map[string]string // service by endpoint id
+	serviceByID map[string]string // by endpoint id
 	self        string            // id of this entry
 	others      []string          // ids of the other entries
 }
@@ -66,11 +64,11 @@
 	return &Fleet{clock: clock, random: rand.Float64, groups: map[string]*Group{}, serviceByID: map[string]string{}}
 }
 
-// SetRandom replaces the source of chance, for runs that are to repeat. It is called
-// before anything else.
+// SetRandom replaces the random source to make runs reproducible. It must be called before any
+// other method.
 func (f *Fleet) SetRandom(random func() float64) { f.random = random }
 
-// Group returns the endpoints of a service; it is made at its first use.
+// Group returns the endpoints of a service. The group is created on first use.
 func (f *Fleet) Group(service string) *Group {
 	f.mu.RLock()
 	grp := f.groups[service]
@@ -94,7 +92,7 @@
 	return grp
 }
 
-// Declare takes over what operators say of the services' engines.
+// Declare applies the operators' configuration of the services' engines and connection limits.
 func (f *Fleet) Declare(cat *catalog.Catalog) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,7 +101,7 @@
 	})
 }
 
-// IDs returns the ids of the endpoints known.
+// IDs returns the ids of all known endpoints.
 func (f *Fleet) IDs() []string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -114,7 +112,7 @@
 	return ids
 }
 
-// Register takes over a registration, new or changed.
+// Register adds or updates a registration.
 func (f *Fleet) Register(reg Registration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,9 +123,8 @@
 	f.group(reg.Service).register(reg)
 }
 
-// Remove notes that a registration ended. The endpoint is chosen no more from
-// the moment given on: after an outage of the store a registration may come
-// back until then.
+// Remove records that a registration ended. The endpoint is not chosen from the given time on:
+// after an outage of the store, a registration may come back until then.
 func (f *Fleet) Remove(id string, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,14 +136,14 @@
 	f.group(service).remove(id, at)
 }
 
-// Observe takes over what the agent at an engine's address saw.
+// Observe applies the state that the agent reports for the engine at an address.
 func (f *Fleet) Observe(service, address string, state EngineState) {
 	f.Group(service).observe(address, state)
 }
 
-// SetParts sets the entry's part in each engine, by address; it has none in those
-// left out. Entries that know the same state would otherwise choose the same engine at
-// the same moment.
+// SetParts sets this entry's assignment for each engine, by address; engines left out are not
+// assigned to it. Without assignments, entries that see the same state would choose the same engine
+// at the same moment.
 func (f *Fleet) SetParts(parts map[string]deal.Part) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -155,8 +152,8 @@
 	}
 }
 
-// SetTurns sets the hosts' places in a rollout, 0 to 1, by their engines' addresses: what goes
-// on after another engine goes where a load comes late.
+// SetTurns sets the hosts' positions in a rollout, 0 to 1, by the addresses of their engines. A
+// resumed request goes to an engine that loads its next version late.
 func (f *Fleet) SetTurns(positions map[string]float64) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -165,23 +162,23 @@
 	}
 }
 
-// Reading returns the prompt tokens that this entry sent to the engine at the
-// address and that are not read yet.
+// Reading returns the prompt tokens that this entry sent to the engine at the address and that wait
+// for prefill.
 func (f *Fleet) Reading(service, address string) int { return f.Group(service).prefillAt(address) }
 
-// Last returns the requests of this entry in progress at the engine at the address that no
-// other engine may go on with.
+// Last returns the number of requests of this entry in progress at the engine at the address that
+// no other engine may resume.
 func (f *Fleet) Last(service, address string) int { return f.Group(service).finalAttemptsAt(address) }
 
-// Engine is an engine's host, for those who follow its agent.
+// Engine is an engine's host, for components that follow its agent.
 type Engine struct {
 	Service       string
 	Address       string // of the engine, "IP:PORT"
 	FailureDomain string
-	Leaving       bool // takes in no weights any more
+	Leaving       bool // loads no further weights
 }
 
-// Engines returns the addresses of all engines known, one for each address.
+// Engines returns all known engines, one per address.
 func (f *Fleet) Engines() []Engine {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -192,8 +189,7 @@
 	return list
 }
 
-// Models returns the highest version of each model that some endpoint has
-// loaded.
+// Models returns the highest version of each model that an endpoint has loaded.
 func (f *Fleet) Models() map[string]uint64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/relay/fleet/fleet_test.go
+++ b/relay/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// world is a fleet of engines with a clock that tests move.
+// fixture is a fleet of engines with a clock that tests advance.
 type fixture struct {
 	now   time.Time
 	fleet *fleet.Fleet
@@ -34,10 +34,10 @@
 	})
 }
 
-// own makes all engines known now home to this entry.
+// assignAll makes this entry the home of all known engines.
 func (w *fixture) assignAll() { w.assign("d1", "self", "self") }
 
-// deal shares the engines known now out among entries of a failure domain.
+// assign divides the known engines among the entries of a failure domain.
 func (w *fixture) assign(domain, self string, entries ...string) {
 	place := func(id string) deal.Place { return deal.Place{ID: id, Region: domain, FailureDomain: domain} }
 	var others, engines []deal.Place
@@ -70,10 +70,9 @@
 	return grant
 }
 
-// Symptom: first events take half a second though no engine is full. Sequence:
-// nine entries know the same state of the engines and prompts arrive at several
-// entries within one state's age. Cause: all choose the engine that looks best,
-// and its prompts wait for one another.
+// Guards against first events that take half a second while no engine is full. Nine entries see the
+// same engine state and receive prompts within the age of one state. If all choose the engine that
+// looks best, their prompts wait for one another there.
 func TestEntriesOfADomainPreferDifferentEngines(t *testing.T) {
 	entries := []string{"entry-a", "entry-b", "entry-c"}
 	chosen := map[string]string{}
@@ -106,13 +105,12 @@
 	w.observeState(0, fleet.EngineState{Alive: true, Running: 1, Reading: 6000})
 	w.observeState(1, fleet.EngineState{Alive: true, Running: 8})
 	if got, want := w.pick(t, need).ID(), "e-1"; got != want {
-		t.Errorf("got %s, want %s, where nothing waits to be read", got, want)
+		t.Errorf("got %s, want %s, where no prompt tokens wait", got, want)
 	}
 }
 
-// Symptom: requests wait a second at an engine and are late. Sequence: prompts
-// come faster than engines read. Cause: engines take what comes; each has free
-// slots.
+// Guards against requests that wait a second at an engine and miss their deadline: prompts arrive
+// faster than the engines process them, and every engine with a free slot accepts more.
 func TestPromptsThatCannotBeReadInTimeWait(t *testing.T) {
 	w := newFixture()
 	w.registerEngine(0, 1)
@@ -126,16 +124,16 @@
 	tight.Unread = 4000
 	grant := w.pick(t, tight)
 	if got, want := w.fleet.Reading("llm", address(0)), 1000; got != want {
-		t.Errorf("got %d tokens unread, want %d", got, want)
+		t.Errorf("got %d prompt tokens waiting, want %d", got, want)
 	}
 	grant.Began()
 	if got := w.fleet.Reading("llm", address(0)); got != 0 {
-		t.Errorf("got %d tokens unread after the first event, want none", got)
+		t.Errorf("got %d prompt tokens waiting after the first event, want none", got)
 	}
 	w.observeState(0, fleet.EngineState{Alive: true})
 	huge := need
 	huge.Prompt, huge.Unread = 9000, 2000
-	w.pick(t, huge) // an engine that reads nothing takes any prompt
+	w.pick(t, huge) // an engine with no prompt tokens waiting takes any prompt
 }
 
 func TestOccupancyAddsRequestsSentSinceAgentReport(t *testing.T) {
@@ -146,28 +144,27 @@
 	w.now = w.now.Add(50 * time.Millisecond)
 	grant := w.pick(t, need)
 	if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Full {
-		t.Errorf("got verdict %v beside 15 running and one sent, want full", verdict)
+		t.Errorf("got verdict %v with 15 requests running and one sent, want full", verdict)
 	}
 	grant.Done(fleet.Served)
 	w.pick(t, need)
 }
 
-// Symptom: prompts wait for a slot at an engine that was chosen because one was
-// free. Sequence: its own entry and another one send within one state's age.
-// Cause: both count the same free slot.
+// Guards against prompts that wait for a slot at an engine chosen for its free slot: its home entry
+// and another entry send within the age of one state, and both count the same free slot.
 func TestEngineReservesASlotForItsHomeEntry(t *testing.T) {
 	w := newFixture()
 	w.registerEngine(0, 1)
 	w.observeState(0, fleet.EngineState{Alive: true, Running: 15})
 	if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Full {
-		t.Errorf("got verdict %v away from home, want full", verdict)
+		t.Errorf("got verdict %v at an engine of another home entry, want full", verdict)
 	}
 	w.assignAll()
 	w.pick(t, need).Done(fleet.Served)
 	w.assign("d1", "self", "a", "self")
 	resumed := need
 	resumed.Again = true
-	w.pick(t, resumed) // what was begun elsewhere waits for no slot of others
+	w.pick(t, resumed) // a resumed request ignores the slots reserved for other entries
 }
 
 func TestDeadAndBusyEnginesGetNoRequests(t *testing.T) {
@@ -183,9 +180,9 @@
 	}
 }
 
-// Symptom: a request begins on a version that ended (VERSION of the platform's
-// rules). Sequence: it is sent to an engine half a second before the end and
-// waits there behind others. Cause: only the moment of sending was looked at.
+// Guards against a request that starts on a version that has ended (VERSION of the platform's
+// rules). It is sent to an engine half a second before the end and waits there behind others, if
+// the entry considers only the time of sending.
 func TestEngineWithEndingVersionGetsOnlyRequestsItStartsAtOnce(t *testing.T) {
 	w := newFixture()
 	w.registerEngine(0, 1)
@@ -194,21 +191,21 @@
 	ending.SoonFloor, ending.Unread = 2, 9000
 	w.observeState(0, fleet.EngineState{Alive: true, Running: 3, Reading: 1200})
 	if _, verdict := w.fleet.Group("llm").Pick(ending); verdict != fleet.Full {
-		t.Errorf("got verdict %v behind 1200 tokens, want full", verdict)
+		t.Errorf("got verdict %v with 1200 prompt tokens waiting, want full", verdict)
 	}
 	w.observeState(0, fleet.EngineState{Alive: true, Running: 3})
 	w.pick(t, ending)
 	ending.Floor = 2
 	if _, verdict := w.fleet.Group("llm").Pick(ending); verdict != fleet.Nobody {
-		t.Errorf("got verdict %v once the version ended, want nobody", verdict)
+		t.Errorf("got verdict %v after the version ended, want nobody", verdict)
 	}
 }
 
-// Symptom: a request begins on a version 13.4 s after a newer one was acknowledged,
-// where 13.4 s were allowed. Sequence: 88 engines load a new version; a few are left
-// with the old one; 35 entries see the same engine idle, 20 to 250 ms ago, and each
-// sends what it would begin at once; the last of them waits 1.2 s there. Cause: each
-// entry reckoned as if it were the only one.
+// Guards against a request that starts on a version too late after a newer one was acknowledged:
+// 13.4 s, which was the time allowed. While 88 engines load a new version, a few still have the old
+// one. 35 entries see the same engine idle, 20 to 250 ms ago, and each sends a request that the
+// engine would start at once. The last of them waits 1.2 s, because each entry calculated as if it
+// were the only sender.
 func TestEngineWithEndingVersionGetsRequestsFromOneEntry(t *testing.T) {
 	ending := need
 	ending.SoonFloor, ending.Unread = 2, 9000
@@ -237,14 +234,14 @@
 	resumed := need
 	resumed.Wanted, resumed.Again = 2, true
 	if got, want := w.pick(t, resumed).ID(), "e-1"; got != want {
-		t.Errorf("got %s, want %s, which will not be cut again", got, want)
+		t.Errorf("got %s, want %s, which has the wanted version", got, want)
 	}
 }
 
-// Guards against a stream that is cut off again, for good, because it went on at the engine whose turn
-// to load came next.
+// Guards against a stream that is cut off again, this time for good, because it resumed at the
+// engine that was next to load.
 func TestResumedRequestPrefersEngineLateInRollout(t *testing.T) {
-	for name, turns := range map[string][]float64{"next and later": {0.1, 0.6}, "later and waiting for what runs": {0.6, 0.8}} {
+	for name, turns := range map[string][]float64{"next and later": {0.1, 0.6}, "later and waiting for its requests to end": {0.6, 0.8}} {
 		w := newFixture()
 		places := map[string]float64{}
 		for i, turn := range turns {
@@ -280,9 +277,9 @@
 	}
 }
 
-// Symptom: all endpoints are gone for two seconds after an outage. Sequence: the
-// store is down, registrations lapse, it comes back, owners write again. Cause:
-// what is missing was taken for gone at once.
+// Guards against losing all endpoints for two seconds after an outage of the store: registrations
+// lapse while it is down, it comes back, and the owners write them again. Missing registrations
+// must not count as removed at once.
 func TestLapsedRegistrationsMayReturn(t *testing.T) {
 	w := newFixture()
 	w.registerEngine(0, 1)
@@ -306,9 +303,8 @@
 	}
 }
 
-// Symptom: one plain endpoint in three fails half of its requests, and gets a
-// third of them. Sequence: it answers fast with errors and so looks idle. Cause:
-// only its load was looked at.
+// Guards against a plain endpoint, one of three, that fails half of its requests and still gets a
+// third of them: it answers quickly with errors and so looks idle if only its load counts.
 func TestFailingEndpointGetsFewerRequests(t *testing.T) {
 	w := newFixture()
 	for i := range 3 {
@@ -326,7 +322,7 @@
 		w.now = w.now.Add(10 * time.Millisecond)
 	}
 	if got := counts["a-1"]; got > 30 {
-		t.Errorf("got %d of 300 requests at the one that fails, want at most 30", got)
+		t.Errorf("got %d of 300 requests at the failing endpoint, want at most 30", got)
 	}
 }
 
@@ -361,6 +357,6 @@
 	}
 	w.now = w.now.Add(2 * time.Second)
 	if _, verdict := w.fleet.Group("app").Pick(fleet.Need{Entries: 3}); verdict != fleet.Granted {
-		t.Errorf("got verdict %v once the word is old, want a grant", verdict)
+		t.Errorf("got verdict %v after the reported load is stale, want a grant", verdict)
 	}
 }
--- a/relay/fleet/grant.go
+++ b/relay/fleet/grant.go
@@ -6,28 +6,28 @@
 	"comfreyrelay.example/relay/call"
 )
 
-// Outcome is how a request ended at an endpoint.
+// Outcome tells how a request ended at an endpoint.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	Served      Outcome = iota // an answer came, whole
-	Failed                     // the endpoint answered that it failed
-	Refused                    // it proved that it did not run the request
+	Served      Outcome = iota // a complete answer arrived
+	Failed                     // the endpoint answered with an error
+	Refused                    // the endpoint proved that it did not run the request
 	Moved                      // another endpoint has the address
-	Unreachable                // no connection came about: nothing was sent
-	Broken                     // the connection or the answer broke off
-	Silent                     // no answer came in time
-	Abandoned                  // the caller left or its time was over
-	Withheld                   // nothing was sent, as the endpoint wants nothing new any more
+	Unreachable                // no connection was established: nothing was sent
+	Broken                     // the connection or the answer was cut off
+	Silent                     // no answer arrived in time
+	Abandoned                  // the caller disconnected or its deadline passed
+	Withheld                   // nothing was sent, because the endpoint accepts no new requests any more
 )
 
-// String returns the name for logs.
+// String returns the name used in logs.
 func (o Outcome) String() string {
 	return [...]string{"served", "failed", "refused", "moved", "unreachable", "broken", "silent", "abandoned", "withheld"}[o]
 }
 
-// Grant is one request's place at an endpoint.
+// Grant is the place of one request at the endpoint chosen for it.
 type Grant struct {
 	group          *Group
 	endpoint       *endpoint
@@ -35,13 +35,13 @@
 	address        string
 	version        uint64
 	prompt         int
-	final          bool // no other endpoint may go on with the request
+	final          bool // no other endpoint may resume the request
 	occupancy      int
-	pendingPrefill int  // prompt tokens before this request's, as known at the choice
-	home           bool // the engine was home to this entry
+	pendingPrefill int  // prompt tokens ahead of this request's, as known when it was chosen
+	home           bool // this entry was the engine's home
 	stateAge       time.Duration
-	reportDelay    time.Duration // of the agent's report on its way
-	promptRead     bool          // the first event came; guarded by the group's lock
+	reportDelay    time.Duration // extra transit time of the agent's report
+	promptRead     bool          // the first event arrived; guarded by the group's lock
 	done           bool
 }
 
@@ -51,8 +51,8 @@
 // Incarnation returns the incarnation of the endpoint that was chosen.
 func (g *Grant) Incarnation() Incarnation { return g.incarnation }
 
-// Over reports whether the endpoint started again since the choice: it knows
-// nothing of what it was sent before, and no answer will come.
+// Over reports whether the endpoint has restarted since it was chosen. It does not know the request
+// any more, and no answer will arrive.
 func (g *Grant) Over() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -62,26 +62,27 @@
 // Address returns the endpoint's address, "IP:PORT".
 func (g *Grant) Address() string { return g.address }
 
-// Version returns the version of the model that was loaded at the choice.
+// Version returns the version of the model that was loaded when the endpoint was chosen.
 func (g *Grant) Version() uint64 { return g.version }
 
-// Occupied returns the requests that were counted there at the choice.
+// Occupied returns the requests counted at the endpoint when it was chosen.
 func (g *Grant) Occupied() int { return g.occupancy }
 
-// Unread returns the prompt tokens that were to be read there before the request's.
+// Unread returns the prompt tokens that waited for prefill ahead of the request's.
 func (g *Grant) Unread() int { return g.pendingPrefill }
 
-// Home reports whether the engine was home to this entry.
+// Home reports whether this entry was the engine's home.
 func (g *Grant) Home() bool { return g.home }
 
-// Delay returns how much longer than usual the agent's report was on its way.
+// Delay returns how much longer than usual the agent's report was in transit.
 func (g *Grant) Delay() time.Duration { return g.reportDelay }
 
-// StateAge returns the age of the agent's report at the choice, -1 ms where none came.
+// StateAge returns the age of the agent's report when the endpoint was chosen, -1 ms if none had
+// arrived.
 func (g *Grant) StateAge() time.Duration { return g.stateAge }
 
-// Alive reports whether the endpoint is not known to be dead: the agent on its
-// host says at once that it does not answer, or that it started again.
+// Alive reports whether the endpoint is not known to be dead. The agent on its host reports at once
+// if the endpoint does not answer or has restarted.
 func (g *Grant) Alive() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -91,14 +92,14 @@
 	return !g.endpoint.hasFreshReport(g.group.clock()) || g.endpoint.state.Alive
 }
 
-// Followed reports whether the agent on the endpoint's host reports, whatever it says.
+// Followed reports whether the agent on the endpoint's host sends reports, whatever they contain.
 func (g *Grant) Followed() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
 	return g.endpoint.hasFreshReport(g.group.clock())
 }
 
-// Answered takes over what the endpoint sent with its answer.
+// Answered applies the load that the endpoint sent with its answer.
 func (g *Grant) Answered(load *call.Load) {
 	if load == nil {
 		return
@@ -108,7 +109,7 @@
 	g.endpoint.load, g.endpoint.loadAt = load.Running+load.Waiting, g.group.clock()
 }
 
-// Began notes the first event: the prompt is read.
+// Began records the first event: the prompt has been processed.
 func (g *Grant) Began() {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -116,6 +117,7 @@
 	g.markPromptRead()
 }
 
+// markPromptRead releases the prompt tokens of the request, once. The group's lock is held.
 func (g *Grant) markPromptRead() {
 	if !g.promptRead {
 		g.promptRead = true
@@ -123,13 +125,13 @@
 	}
 }
 
-// hadRoom reports whether the endpoint had room at the choice, by its agent's report.
+// hadFreeSlot reports whether, by its agent's report, the endpoint had a free slot when it was
+// chosen.
 func (g *Grant) hadFreeSlot() bool {
 	return g.stateAge != noReport && g.stateAge < reportMaxAge && g.occupancy < g.endpoint.reg.Slots
 }
 
-// Done gives the place back and takes the outcome as evidence. Calls after the
-// first do nothing.
+// Done releases the place and records the outcome. Calls after the first do nothing.
 func (g *Grant) Done(outcome Outcome) {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -152,8 +154,8 @@
 	g.group.notifyChanged()
 }
 
-// note takes an outcome as evidence of how the endpoint does. hadRoom: it had room by its agent's
-// report.
+// recordOutcome updates the endpoint's failure statistics and ejection. hadFreeSlot tells whether
+// the endpoint had a free slot by its agent's report.
 func (e *endpoint) recordOutcome(now time.Time, outcome Outcome, hadFreeSlot bool) {
 	failed := 0.0
 	switch outcome {
--- a/relay/fleet/group.go
+++ b/relay/fleet/group.go
@@ -18,20 +18,21 @@
 
 	mu        sync.Mutex
 	engine    *catalog.Engine // nil: a plain service
-	maxConns  int             // that each endpoint takes of all entries together; 0: unknown
+	maxConns  int             // of one endpoint, for all entries together; 0: unknown
 	endpoints map[string]*endpoint
-	// order is all of endpoints by id, and reached those that requests are sent to
-	// first: of a large fleet an entry looks at few for each request.
+	// sorted holds all endpoints by id, and preferred those that get requests first. In a large
+	// fleet an entry considers only a few endpoints for each request.
 	sorted, preferred []*endpoint
-	// byAddress is the same by address: one endpoint, and those that had it before
-	// until their registrations end.
+	// byAddress holds the same endpoints by address: one per address, and those that used the
+	// address before until their registrations end.
 	byAddress    map[string][]*endpoint
-	assigned     bool                   // the engines were shared out among the entries
+	assigned     bool                   // SetParts has been called
 	self         string                 // id of this entry
 	others       []string               // ids of the other entries
-	changed      chan struct{}          // closed and replaced when room may have come
+	changed      chan struct{}          // closed and replaced when capacity may have become free
 	savedNotices map[string]savedNotice // by id, of endpoints whose registration ended
-	// moved gets a value when what this entry has unread at an address changes.
+	// prefillChanged holds, by address, channels that receive a value when this entry's prompt
+	// tokens waiting for prefill there change.
 	prefillChanged map[string]chan struct{}
 }
 
@@ -39,9 +40,10 @@
 	return &Group{clock: clock, random: random, endpoints: map[string]*endpoint{}, changed: make(chan struct{}), prefillChanged: map[string]chan struct{}{}, savedNotices: map[string]savedNotice{}}
 }
 
-// ReadingChanged returns a channel that receives a value after what this entry
-// sent to the engine at the address and is not read yet has changed, or how much of it
-// can't go on elsewhere; several changes may make one. One reader at a time gets them.
+// ReadingChanged returns a channel that receives a value after a change of this entry's prompt
+// tokens waiting for prefill at the engine at the address, or of its requests there that no other
+// engine may resume. Several changes may be merged into one value. The channel supports one reader
+// at a time.
 func (g *Group) ReadingChanged(address string) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,8 +53,8 @@
 	return g.prefillChanged[address]
 }
 
-// addReading counts prompt tokens sent, or read where they are negative; g.mu is
-// held.
+// addPendingPrefill adds prompt tokens that were sent, or removes processed ones if tokens is
+// negative. g.mu is held.
 func (g *Group) addPendingPrefill(ep *endpoint, tokens int) {
 	ep.pendingPrefill += tokens
 	g.notifyPrefillChanged(ep.reg.Address)
@@ -86,7 +88,7 @@
 	}
 	g.restoreNotice(ep)
 	if !ep.incarnations.isCurrent(reg.Born) {
-		reg.Loaded = nil // of a former incarnation
+		reg.Loaded = nil // belongs to an earlier incarnation
 	}
 	addressChanged := ep.reg.Address != reg.Address
 	ep.reg, ep.removedAt = reg, time.Time{}
@@ -96,10 +98,9 @@
 	g.notifyChanged()
 }
 
-// begin replaces an endpoint by its next incarnation, which runs none of what was sent
-// to the former one, has nothing loaded and failed at nothing. Who waits for an
-// answer of the former incarnation keeps that incarnation and learns that it is over. g.mu is
-// held.
+// startIncarnation replaces an endpoint by its next incarnation, which has no requests in progress,
+// no models loaded and no recorded failures. Requests that wait for an answer of the previous
+// incarnation keep referring to it and learn that it has ended. g.mu is held.
 func (g *Group) startIncarnation(previous *endpoint) *endpoint {
 	reg := previous.reg
 	reg.Loaded = nil
@@ -121,7 +122,7 @@
 	g.dropRemoved()
 }
 
-// forget drops endpoints that are gone and have no request left.
+// dropRemoved deletes removed endpoints that have no requests in progress. g.mu is held.
 func (g *Group) dropRemoved() {
 	now := g.clock()
 	dropped := false
@@ -137,7 +138,7 @@
 	}
 }
 
-// sort makes the lists of endpoints again; g.mu is held.
+// rebuildIndexes recomputes the lists of endpoints. g.mu is held.
 func (g *Group) rebuildIndexes() {
 	g.sorted = slices.SortedFunc(maps.Values(g.endpoints), func(left, right *endpoint) int {
 		return cmp.Compare(left.reg.ID, right.reg.ID)
@@ -152,6 +153,7 @@
 	}
 }
 
+// observe applies an agent's report to the endpoint that it concerns at the address.
 func (g *Group) observe(address string, state EngineState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,7 +162,7 @@
 	foreign := slices.ContainsFunc(endpoints, func(ep *endpoint) bool { return state.Born != 0 && ep.incarnations.current == state.Born })
 	for _, ep := range endpoints {
 		if foreign && !ep.incarnations.isCurrent(state.Born) {
-			// The address is another endpoint's now, or its agent lags.
+			// Another endpoint has the address now, or the agent lags behind.
 			ep.foreignReportAt = now
 			continue
 		}
@@ -175,13 +177,13 @@
 	g.notifyChanged()
 }
 
-// wake lets those who wait for room look again; g.mu is held.
+// notifyChanged wakes the requests that wait for capacity. g.mu is held.
 func (g *Group) notifyChanged() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed when room may have come.
+// Changed returns a channel that is closed when capacity may have become free.
 func (g *Group) Changed() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -216,7 +218,7 @@
 	}
 }
 
-// setParts takes over this entry's part in the engines, by address.
+// setParts applies this entry's assignments of engines, by address.
 func (g *Group) setParts(parts map[string]deal.Part) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -229,7 +231,7 @@
 	g.notifyChanged()
 }
 
-// setTurns takes over the hosts' places in a rollout, by address.
+// setRolloutPositions applies the hosts' positions in a rollout, by address.
 func (g *Group) setRolloutPositions(positions map[string]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -238,7 +240,7 @@
 	}
 }
 
-// lastAt returns the own requests at an address that no other endpoint may go on with.
+// finalAttemptsAt returns the own requests at an address that no other endpoint may resume.
 func (g *Group) finalAttemptsAt(address string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -249,6 +251,7 @@
 	return count
 }
 
+// prefillAt returns the own prompt tokens at an address that wait for prefill.
 func (g *Group) prefillAt(address string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/relay/fleet/incarnation_test.go
+++ b/relay/fleet/incarnation_test.go
@@ -11,13 +11,12 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// TestBirths runs testdata/births: an engine that starts again under its id.
+// TestEndpointRestart runs testdata/births: an engine restarts under its id.
 //
-// Symptom: requests go to an engine that has nothing loaded, wait for answers
-// that never come, or stay away from one that is well. Sequence: the engine dies
-// and starts again under the id it had; its registration, its agent's report and
-// the answers to what it ran before come in any order. Cause: what was known of
-// the former incarnation was taken for the new one's.
+// It guards against requests that go to an engine with nothing loaded, wait for answers that never
+// arrive, or avoid a healthy engine. The engine dies and restarts under the same id; its
+// registration, its agent's report and the outcomes of its earlier requests arrive in any order.
+// What is known of the earlier incarnation must not be applied to the new one.
 func TestEndpointRestart(t *testing.T) {
 	w := newFixture()
 	grants := map[string]*fleet.Grant{}
@@ -71,9 +70,8 @@
 	})
 }
 
-// Whatever order the reports come in: once both sources reported the newest incarnation,
-// nothing of a former one counts, and no request of a former incarnation is counted
-// there.
+// Checks that reports may arrive in any order: once both sources have reported the newest
+// incarnation, nothing of an earlier one counts, and no request of an earlier one is counted there.
 func TestNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newFixture()
@@ -116,7 +114,7 @@
 			t.Errorf("got incarnation %v, want %v", got, want)
 		}
 		if got, want := w.fleet.Reading("llm", address(1)), 0; behind && observed < newest && got != want {
-			t.Errorf("got %d tokens unread in an incarnation that began now, want %d", got, want)
+			t.Errorf("got %d prompt tokens waiting in an incarnation that began now, want %d", got, want)
 		}
 	})
 }
--- a/relay/fleet/late_report_test.go
+++ b/relay/fleet/late_report_test.go
@@ -8,10 +8,10 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// Symptom: requests wait 1.2 s at engines that don't answer, then at the next, while
-// sound engines have room. Sequence: the links of eight of a hundred hosts are
-// squeezed for 7 s; their agents' reports come late or not at all, and nothing is known
-// to run there. Cause: what is not known was taken for idle.
+// Guards against requests that wait 1.2 s at each of several engines that don't answer, while
+// healthy engines have capacity. The links of eight of a hundred hosts are slowed down for 7 s;
+// their agents' reports arrive late or not at all, so that nothing is known to run there. Unknown
+// must not mean idle.
 func TestEngineWithoutTimelyReportsIsNotAssumedIdle(t *testing.T) {
 	late := fleet.EngineState{Alive: true, Delay: 600 * time.Millisecond}
 	for name, losesReports := range map[string]func(w *fixture){
@@ -46,7 +46,7 @@
 			if probe == nil {
 				continue
 			}
-			// Where the first is served, two may be there at once.
+			// Once the first request was served, two may be in progress at once.
 			probe.Done(fleet.Served)
 			sent = 0
 			for range 8 {
@@ -56,18 +56,17 @@
 				}
 			}
 			if want := 2; sent != want {
-				t.Errorf("%s: got %d sent there after one was served, want %d", name, sent, want)
+				t.Errorf("%s: got %d requests in progress there after one was served, want %d", name, sent, want)
 			}
 		}
 	}
 }
 
-// Symptom: a request begins on an old version after its time (VERSION of the
-// platform's rules). Sequence: a host's link is squeezed and its agent's report comes
-// 0.7 s late; 1.6 s before the version ends its home entry sends a request there to
-// see whether it answers; the request stands 1.6 s in the link and begins 72 ms after
-// the end, though the entry gave it up before. Cause: what is sent shortly before an
-// end must begin at once, and nobody knows that of an engine whose reports come late.
+// Guards against a request that starts on an old version after that version's end (VERSION of the
+// platform's rules). A host's link is slow and its agent's report arrives 0.7 s late. 1.6 s before
+// the end its home entry sends a request there as a probe; the request is held up 1.6 s in the link
+// and starts 72 ms after the end, although the entry abandoned it before. A request sent shortly
+// before an end must start at once, which is unknown for an engine with late reports.
 func TestEngineWithLateReportsGetsNothingBeforeVersionEnds(t *testing.T) {
 	for name, tc := range map[string]struct {
 		delay time.Duration
@@ -88,8 +87,8 @@
 	}
 }
 
-// An entry that hardly any agent reports to is cut off itself, or agents are down: what
-// is registered then serves as before.
+// An entry that gets reports from hardly any agent is cut off itself, or the agents are down:
+// registered engines then serve as before.
 func TestEntryWithoutAgentReportsUsesAllEngines(t *testing.T) {
 	w := newFixture()
 	for i := range 4 {
@@ -104,13 +103,12 @@
 	}
 }
 
-// Symptom: 34 in 100 of the requests that entries send to engines of other failure
-// domains are late, at 1.2 times what the engines can do; of those sent to engines of
-// their own 4. Sequence: two slots of an engine come free; the entries of the two
-// other domains learn of it at the same moment and each has requests that wait.
-// Cause: each sends there, since all see the same engine as the best. The pattern is
-// that of three domains with three entries each, the one with the fewest engines
-// getting the most requests.
+// Guards against entries of other failure domains that overload an engine. Under 1.2 times the load
+// that the engines can serve, 34 % of the requests sent to engines of other domains were late,
+// against 4 % of those sent to engines of their own. Two slots of an engine become free; the
+// entries of the two other domains learn of it at the same moment, and each has requests waiting.
+// All see the same engine as the best and send there. The setup is three domains with three entries
+// each, where the domain with the fewest engines gets the most requests.
 func TestEntriesOfOtherDomainsDoNotOverloadAnEngine(t *testing.T) {
 	domains := []string{"d1", "d2", "d3"}
 	sent := map[string]int{}
@@ -132,25 +130,25 @@
 			if _, verdict := w.fleet.Group("llm").Pick(request); verdict == fleet.Granted {
 				sent[domain]++
 			}
-			// What goes on after another engine may go anywhere.
+			// A resumed request may go to any engine.
 			request.Again = true
 			if _, verdict := w.fleet.Group("llm").Pick(request); verdict != fleet.Granted {
-				t.Errorf("%s: got verdict %v for what was begun, want a grant", self, verdict)
+				t.Errorf("%s: got verdict %v for a resumed request, want a grant", self, verdict)
 			}
 		}
 	}
 	for _, domain := range domains[1:] {
 		if got, want := sent[domain], 1; got != want {
-			t.Errorf("%s: got %d of 3 entries sending to the engine with room, want %d", domain, got, want)
+			t.Errorf("%s: got %d of 3 entries sending to the engine with free slots, want %d", domain, got, want)
 		}
 	}
 }
 
-// Symptom: for a second and a half before a version ends half of what is asked is refused,
-// beside engines with free slots. Sequence: all engines have the version that ends; each
-// entry is home to one or two of them, and only a home sends there. Cause: others were
-// kept away for as long as for the last moments, though three of them at most send to an
-// engine and what they send begins within half a second.
+// Guards against refusing half of the requests in the last 1.5 s before a version ends while
+// engines have free slots. All engines have the version that ends; each entry is home to one or two
+// of them, and only the home entry sends there. The other entries were excluded for as long as in
+// the last moments, although at most three entries send to an engine and what they send starts
+// within half a second.
 func TestNonHomeEntriesSendToEngineWithEndingVersionInTime(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -170,7 +168,7 @@
 			w.observeState(i, fleet.EngineState{Alive: true, Running: 16})
 		}
 		w.assign("d1", "self", "self", "a", "b")
-		// One of the three is home to this entry: it is full.
+		// This entry is home to one of the three, which is full.
 		for i := range 3 {
 			request := need
 			request.SoonFloor, request.Unread, request.Ends = 2, 4000, tc.ends
--- a/relay/fleet/limit.go
+++ b/relay/fleet/limit.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// leastRate is the requests a second that are sent at least to an endpoint that names a
-	// lower limit, none included: only an answer shows that the limit was lifted.
+	// minRate is the least rate, in requests per second, sent to an endpoint whose limit is lower
+	// or 0: only an answer shows that the limit was removed.
 	minRate = 0.2
-	// senderRate is the least part of a limit for one entry, requests a second. A limit is
-	// shared by as many entries as can have so much.
+	// minShare is the smallest share of a limit for one entry, in requests per second. A limit is
+	// divided among as many entries as can have that much.
 	minShare = 1.0
-	// askTime is how long an entry without a part of the limit waits for each entry of the
-	// deployment, and for one request a second of the limit, before it sends one request to
-	// learn whether the limit still stands: all such requests are a quarter of the limit, and
-	// of mostAsked where that is less, since the limit may have become lower.
+	// probeTime sets how often an entry without a share of the limit sends one request to learn
+	// whether the limit still holds. The interval is probeTime times the number of entries divided
+	// by the limit in requests per second, so that all these probes together are a quarter of the
+	// limit. maxProbeRate caps the limit in this formula, since the limit may have become lower.
 	probeTime    = 4 * time.Second
 	maxProbeRate = 4.0
-	// ownWord is how long an answer to this entry goes before what another one reports of a
-	// higher limit: that may be older.
+	// ownAnswerPrecedence is how long an answer to this entry takes precedence over a higher limit
+	// that another entry reports: that report may be older.
 	ownAnswerPrecedence = time.Second
-	// reportGap is the least time between two changes of one limit that an entry reports.
+	// minReportInterval is the least time between two changes of one limit that an entry reports.
 	minReportInterval = time.Second
 )
 
-// rateLimit is the limit that an endpoint named for all entries together, and this entry's
-// part of it.
+// rateLimit is the limit that an endpoint advertised for all entries together, and this entry's
+// share of it.
 type rateLimit struct {
 	perSecond    float64
-	advertisedAt time.Time // arrival of the newest answer that named it; zero: no limit
-	share        float64   // of this entry, requests a second; 0: others send
+	advertisedAt time.Time // arrival of the latest answer with the limit; zero: no limit
+	share        float64   // of this entry, in requests per second; 0: only other entries send
 	bucket       limit.Bucket
-	probeAt      time.Time // of the next request where share is 0
-	// reported is the limit that the entries last reported to one another, and reportedAt when this one
-	// did.
+	probeAt      time.Time // time of the next probe if share is 0
+	// reported is the limit that the entries last reported to each other, and reportedAt the time
+	// at which this entry last reported it.
 	reported   float64
 	reportedAt time.Time
 }
@@ -55,7 +55,7 @@
 	return now.Add(l.bucket.Wait(now, l.share, 1))
 }
 
-// take counts a request that is sent now.
+// take counts a request that is sent now. interval is the time to the next probe.
 func (l *rateLimit) take(now time.Time, interval time.Duration) {
 	switch {
 	case !l.active():
@@ -66,8 +66,8 @@
 	}
 }
 
-// setShare changes this entry's part. One that had none begins without credit: the entry that
-// had it before may have used its own.
+// setShare changes this entry's share. An entry that had none starts without saved-up tokens: the
+// entry that held the share before may have used its own.
 func (l *rateLimit) setShare(now time.Time, share float64, interval time.Duration) {
 	if l.share == share {
 		return
@@ -81,27 +81,26 @@
 	l.share = share
 }
 
-// LimitChange is what an answer changed about an endpoint's rate limit.
+// LimitChange tells how an answer changed an endpoint's rate limit.
 type LimitChange int
 
-// The changes.
+// Changes of a rate limit.
 const (
-	LimitKept    LimitChange = iota
-	LimitNamed               // a limit is in force
-	LimitChanged             // another one is, which the other entries should learn
-	LimitLifted              // there is none any more
+	LimitKept    LimitChange = iota // nothing changed that others need to know
+	LimitNamed                      // the endpoint advertised its first limit
+	LimitChanged                    // the limit is another one, which the other entries should learn
+	LimitLifted                     // the limit was removed
 )
 
-// Limited applies what the endpoint's answer said of its rate limit: it names one, or ok is
-// false.
+// Limited applies the rate limit in the endpoint's answer; ok is false if the answer has none.
 func (g *Grant) Limited(perSecond float64, ok bool) LimitChange {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
 	current := &g.endpoint.limit
 	now := g.group.clock()
 	if !ok {
-		// Answers overtake each other: one to a request that was sent before the limit was
-		// named doesn't lift it.
+		// Answers may arrive out of order: an answer to a request that was sent before the limit
+		// was advertised does not remove it.
 		if !current.active() || !g.endpoint.running[g].After(current.advertisedAt) {
 			return LimitKept
 		}
@@ -128,14 +127,14 @@
 	return LimitKept
 }
 
-// LimitReport is a limit that an endpoint changed, as an entry reports it to others.
+// LimitReport is a changed limit of an endpoint, as one entry reports it to the others.
 type LimitReport struct {
 	Incarnation
 	PerSecond float64 `json:"perSecond"`
 }
 
-// ObserveLimit takes over a limit that another entry was named. An entry that was named none
-// isn't bound by it.
+// ObserveLimit applies a limit that another entry reports. It has no effect if no answer to this
+// entry advertised a limit.
 func (f *Fleet) ObserveLimit(report LimitReport) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -164,8 +163,8 @@
 	g.notifyChanged()
 }
 
-// LiftLimit notes that another entry saw that an endpoint has no limit any more. An entry that
-// does not send there would learn of it late.
+// LiftLimit records that another entry saw an endpoint without a limit. An entry that does not send
+// requests there would learn it late.
 func (f *Fleet) LiftLimit(name Incarnation) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -182,14 +181,14 @@
 	}
 }
 
-// lift ends a limit; g.mu is held.
+// clearLimit removes the limit of an endpoint. g.mu is held.
 func (g *Group) clearLimit(ep *endpoint) {
 	ep.limit = rateLimit{}
 	g.notifyChanged()
 }
 
-// SetEntries takes over the ids of the entries that share the limits of endpoints: this one
-// and the others.
+// SetEntries sets the ids of the entries that share the endpoints' limits: this entry and the
+// others.
 func (f *Fleet) SetEntries(self string, others []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -206,7 +205,7 @@
 	g.updateLimitShares()
 }
 
-// shareLimits computes this entry's part of each limit again; g.mu is held.
+// updateLimitShares recomputes this entry's share of every limit. g.mu is held.
 func (g *Group) updateLimitShares() {
 	for _, ep := range g.sorted {
 		if ep.limit.active() {
@@ -215,8 +214,8 @@
 	}
 }
 
-// shareLimit computes this entry's part of a limit; g.mu is held. Entries that know the same
-// agree without a message, and the parts add up to the limit.
+// updateLimitShare recomputes this entry's share of one limit. Entries that know the same
+// deployment agree without messages, and their shares add up to the limit. g.mu is held.
 func (g *Group) updateLimitShare(ep *endpoint) {
 	rate := max(minRate, ep.limit.perSecond)
 	share := 0.0
@@ -233,9 +232,8 @@
 	ep.limit.setShare(g.clock(), share, g.probeInterval(ep.limit.perSecond))
 }
 
-// askInterval returns how long an entry without a part of a limit waits before it sends a
-// request: spread by chance, so that entries which learned of the limit together ask one
-// after the other.
+// probeInterval returns how long an entry without a share of a limit waits before its next probe.
+// Jitter keeps entries that learned of the limit together from probing together.
 func (g *Group) probeInterval(perSecond float64) time.Duration {
 	jitter := 0.5 + g.random()
 	return time.Duration(jitter * float64(1+len(g.others)) * float64(probeTime) / min(maxProbeRate, max(minRate, perSecond)))
--- a/relay/fleet/limit_test.go
+++ b/relay/fleet/limit_test.go
@@ -12,34 +12,35 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// The bound on requests to an endpoint that named a limit, and the times of the simulated fleet.
+// The bound on requests to an endpoint that advertises a limit, and the times of the simulation.
 const (
 	limitWindow      = 4 * time.Second
 	limitGracePeriod = 3 * time.Second // the bound holds from then on
 	limitKnownAfter  = 500 * time.Millisecond
-	limitStart       = 2 * time.Second // the limit is named from then on
+	limitStart       = 2 * time.Second // the limit is advertised from then on
 	limitDuration    = 60 * time.Second
 	tick             = 5 * time.Millisecond
 	maxAnswerTime    = 200 * time.Millisecond
-	// learnMost is the longest until an entry learns of another one's start or end.
+	// maxPropagation is the longest time until an entry learns of another one's start or stop.
 	maxPropagation = time.Second
 )
 
-// limitedFleet is entries before the endpoints of a service, of which the first names a limit.
+// limitSimulation is a set of entries and the endpoints of a service, the first of which advertises
+// a limit.
 type limitSimulation struct {
 	service     string
 	random      *rand.Rand
 	now         time.Time
-	limit       float64 // 0: none is named
+	limit       float64 // 0: none is advertised
 	advertised  bool
 	entries     []*simulatedEntry
 	started     int
 	scheduled   map[time.Time][]func()
-	sent        []time.Duration // to the limited endpoint, by entries that knew of its limit
-	servedThere int             // there, in all
+	sent        []time.Duration // to the limited endpoint, by entries that knew its limit
+	servedThere int             // by the limited endpoint, in total
 	refused     int
-	reports     int  // changes of the limit that entries reported to one another
-	storeDown   bool // the store, through which they do
+	reports     int  // changes of the limit that entries reported to each other
+	storeDown   bool // the store, which carries these reports
 }
 
 type simulatedEntry struct {
@@ -78,7 +79,7 @@
 	return e
 }
 
-// replace ends an entry and starts another one.
+// replaceEntry stops an entry and starts another one.
 func (f *limitSimulation) replaceEntry(at, endpoints int) {
 	f.entries[at].stopped = true
 	f.entries = slices.Delete(f.entries, at, at+1)
@@ -86,7 +87,7 @@
 	f.propagateEntries()
 }
 
-// share lets every entry learn of the entries that there are now.
+// propagateEntries lets every entry learn the current set of entries.
 func (f *limitSimulation) propagateEntries() {
 	for _, e := range f.entries {
 		var others []string
@@ -113,7 +114,7 @@
 	f.scheduled[at] = append(f.scheduled[at], do)
 }
 
-// ask brings a request to an entry.
+// sendRequest gives a request to an entry.
 func (f *limitSimulation) sendRequest(e *simulatedEntry) {
 	need := fleet.Need{Domain: "d1", Entries: len(f.entries)}
 	if f.service == "llm" {
@@ -147,7 +148,7 @@
 	})
 }
 
-// report lets every entry learn of a changed limit.
+// propagateReport lets every entry learn of a changed limit.
 func (f *limitSimulation) propagateReport(report fleet.LimitReport) {
 	f.reports++
 	if f.storeDown {
@@ -158,7 +159,8 @@
 	}
 }
 
-// run plays the time with so many requests a second and calls each, if not nil, at each tick.
+// run simulates the given time at rate requests per second and calls onTick, if not nil, at each
+// tick.
 func (f *limitSimulation) run(length time.Duration, rate float64, onTick func(at time.Duration)) {
 	for at := time.Duration(0); at < length; at += tick {
 		f.now = f.now.Add(tick)
@@ -178,7 +180,7 @@
 	}
 }
 
-// most returns the most requests that were sent within a window after the time given.
+// maxInWindow returns the most requests sent within a window after the given time.
 func (f *limitSimulation) maxInWindow(after time.Duration) int {
 	highest, first := 0, 0
 	for last, at := range f.sent {
@@ -192,8 +194,8 @@
 	return highest
 }
 
-// Guards against entries that together send an endpoint more than the limit that it names, also
-// while some of them end and others start, and against a limit that leaves the endpoint idle.
+// Guards against entries that together exceed the limit that an endpoint advertises, also while
+// entries stop and start, and against a limit that leaves the endpoint idle.
 func TestLimitOfAnEndpointIsSharedByAllEntries(t *testing.T) {
 	for _, tc := range []struct {
 		service            string
@@ -223,18 +225,18 @@
 			})
 			allowed := int(1.5*tc.limit*limitWindow.Seconds()) + 5
 			if got := f.maxInWindow(limitStart + limitGracePeriod); got > allowed {
-				t.Errorf("%+v seed %d: got %d requests in %v, want %d at most", tc, seed, got, limitWindow, allowed)
+				t.Errorf("%+v seed %d: got %d requests in %v, want at most %d", tc, seed, got, limitWindow, allowed)
 			}
 			if got, want := f.servedThere, int(0.5*tc.limit*limitDuration.Seconds()); got < want {
-				t.Errorf("%+v seed %d: got %d requests there in %v, want %d of those it accepts", tc, seed, got, limitDuration, want)
+				t.Errorf("%+v seed %d: got %d requests at the limited endpoint in %v, want at least %d", tc, seed, got, limitDuration, want)
 			}
-			t.Logf("%+v seed %d: most %d of %d, there %d, refused %d", tc, seed, f.maxInWindow(limitStart+limitGracePeriod), allowed, f.servedThere, f.refused)
+			t.Logf("%+v seed %d: highest %d of %d allowed, served %d, refused %d", tc, seed, f.maxInWindow(limitStart+limitGracePeriod), allowed, f.servedThere, f.refused)
 		}
 	}
 }
 
-// Guards against entries that go by a limit which the endpoint has changed, because only its own
-// answers show that and entries without a part of the limit ask seldom.
+// Guards against entries that use an outdated limit after the endpoint changed it: only its own
+// answers show the change, and entries without a share of the limit rarely send there.
 func TestChangedLimitOfAnEndpointIsSharedByAllEntries(t *testing.T) {
 	const changedAt, window = 30 * time.Second, 30 * time.Second
 	for _, tc := range []struct {
@@ -267,16 +269,16 @@
 			f.run(window, tc.rate, churn)
 			allowed := int(1.5*tc.after*limitWindow.Seconds()) + 5
 			if got := f.maxInWindow(changedAt + limitGracePeriod + time.Second + limitWindow); got > allowed {
-				t.Errorf("%+v seed %d: got %d requests in %v, want %d at most", tc, seed, got, limitWindow, allowed)
+				t.Errorf("%+v seed %d: got %d requests in %v, want at most %d", tc, seed, got, limitWindow, allowed)
 			}
 			got, want := float64(f.servedThere-before)/window.Seconds(), 0.8*tc.after
 			if got < want && !tc.away {
-				t.Errorf("%+v seed %d: got %.1f requests a second there, want %.1f", tc, seed, got, want)
+				t.Errorf("%+v seed %d: got %.1f requests per second at the limited endpoint, want at least %.1f", tc, seed, got, want)
 			}
 			if most := 2 * tc.entries; f.reports > most {
-				t.Errorf("%+v seed %d: got the change reported %d times, want %d at most", tc, seed, f.reports, most)
+				t.Errorf("%+v seed %d: got %d reports of the change, want at most %d", tc, seed, f.reports, most)
 			}
-			t.Logf("%+v seed %d: most %d of %d, there %.1f a second, reported %d", tc, seed, f.maxInWindow(changedAt+limitGracePeriod+time.Second+limitWindow), allowed, got, f.reports)
+			t.Logf("%+v seed %d: highest %d of %d allowed, served %.1f per second, reported %d", tc, seed, f.maxInWindow(changedAt+limitGracePeriod+time.Second+limitWindow), allowed, got, f.reports)
 		}
 	}
 }
--- a/relay/fleet/notice.go
+++ b/relay/fleet/notice.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// notice is what an incarnation of an endpoint itself said, in its answers to this entry, of new
-// requests. A registration says it later, or not at all while the platform's store is away, so
-// that it takes nothing of a notice back.
+// notice is what an endpoint's incarnation told this entry in its answers about new requests. A
+// registration says the same later, or not at all while the platform's store is down, so it never
+// clears a notice.
 type notice struct {
-	leaving      bool      // it gets nothing new any more
-	backOffUntil time.Time // it gets nothing new until then; zero: it asked for no rest
+	leaving      bool      // gets no new requests any more
+	backOffUntil time.Time // gets no new requests until then; zero: no back-off requested
 }
 
-// stands reports whether the endpoint wants no new request now.
+// declinesNew reports whether the endpoint wants no new requests now.
 func (n notice) declinesNew(now time.Time) bool { return n.leaving || n.backingOff(now) }
 
 func (n notice) backingOff(now time.Time) bool { return now.Before(n.backOffUntil) }
 
-// NoteLeaving notes that the endpoint said in an answer that it leaves, and reports whether that is
-// new.
+// NoteLeaving records that the endpoint said in an answer that it is leaving, and reports whether
+// this is new.
 func (g *Grant) NoteLeaving() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -27,15 +27,15 @@
 	return true
 }
 
-// Leaving reports whether the endpoint leaves, as it registered or said in an answer.
+// Leaving reports whether the endpoint is leaving, by its registration or by one of its answers.
 func (g *Grant) Leaving() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
 	return g.endpoint.isLeaving()
 }
 
-// Rest notes that the endpoint turned a request away and wants none for so long. Rests don't
-// shorten each other: answers overtake one another.
+// Rest records that the endpoint refused a request and asked to back off for the given time. A
+// back-off never shortens an earlier one, since answers may arrive out of order.
 func (g *Grant) Rest(wait time.Duration) {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// Good reports whether the endpoint still takes new requests: it may have asked for
-// rest or left since the choice.
+// Good reports whether the endpoint still accepts new requests. It may have asked to back off or
+// started to leave since it was chosen.
 func (g *Grant) Good() bool {
 	g.group.mu.Lock()
 	defer g.group.mu.Unlock()
@@ -53,21 +53,21 @@
 }
 
 const (
-	// noticeTime is how long a notice outlives the registration of its endpoint, which may
-	// lapse and return while the endpoint serves on.
+	// savedNoticeTTL is how long a notice outlives the registration of its endpoint, which may
+	// lapse and return while the endpoint keeps serving.
 	savedNoticeTTL = 10 * time.Minute
-	// maxNotices bounds the notices of one service that are kept so.
+	// maxSavedNotices bounds the saved notices of one service.
 	maxSavedNotices = 1024
 )
 
-// keptNotice is that of an endpoint whose registration ended.
+// savedNotice is the notice of an endpoint whose registration ended.
 type savedNotice struct {
 	notice
 	born      int64
-	expiresAt time.Time // forgotten then
+	expiresAt time.Time // deleted then
 }
 
-// keepNotice remembers what an endpoint said that is forgotten; g.mu is held.
+// saveNotice keeps the notice of an endpoint that is about to be deleted. g.mu is held.
 func (g *Group) saveNotice(now time.Time, ep *endpoint) {
 	if !ep.notice.declinesNew(now) {
 		return
@@ -78,7 +78,8 @@
 	g.savedNotices[ep.reg.ID] = savedNotice{notice: ep.notice, born: ep.incarnations.current, expiresAt: now.Add(savedNoticeTTL)}
 }
 
-// dropNotices makes room for one more: of those that are over, or else of the oldest; g.mu is held.
+// evictNotices makes room for one notice by deleting expired ones, or else the oldest. g.mu is
+// held.
 func (g *Group) evictNotices(now time.Time) {
 	oldest := ""
 	for id, saved := range g.savedNotices {
@@ -93,7 +94,8 @@
 	}
 }
 
-// returnNotice gives an endpoint back what it said before its registration ended; g.mu is held.
+// restoreNotice restores the notice of an endpoint from before its registration ended. g.mu is
+// held.
 func (g *Group) restoreNotice(ep *endpoint) {
 	saved, ok := g.savedNotices[ep.reg.ID]
 	if !ok {
@@ -105,8 +107,8 @@
 	}
 }
 
-// Notices returns how many endpoints are known to want nothing new, those whose registration
-// ended included.
+// Notices returns how many endpoints are known to accept no new requests, including those whose
+// registration ended.
 func (f *Fleet) Notices() int {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/relay/fleet/notice_test.go
+++ b/relay/fleet/notice_test.go
@@ -7,7 +7,7 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// plain registers a plain endpoint.
+// registerPlain registers a plain endpoint.
 func (w *fixture) registerPlain(id string, born int64) {
 	w.fleet.Register(fleet.Registration{ID: id, Born: born, Service: "app", Address: id + ":80", FailureDomain: "d1", Slots: 4})
 }
@@ -16,8 +16,8 @@
 	return w.fleet.Group("app").Pick(fleet.Need{Domain: "d1", Entries: 1})
 }
 
-// Guards against a rest that is shortened by what comes after it: a shorter one, a refusal that
-// names none, a request that was on its way and is served.
+// Guards against a back-off that is shortened by a later event: a shorter back-off, a refusal
+// without one, or an earlier request that is served.
 func TestBackOffIsNotShortened(t *testing.T) {
 	w := newFixture()
 	w.registerPlain("a", 0)
@@ -37,16 +37,16 @@
 	grants[3].Done(fleet.Served)
 	w.now = w.now.Add(3*time.Second - time.Millisecond)
 	if _, verdict := w.pickPlain(); verdict == fleet.Granted {
-		t.Errorf("got a grant within the rest, want none")
+		t.Errorf("got a grant during the back-off, want none")
 	}
 	w.now = w.now.Add(time.Millisecond)
 	if _, verdict := w.pickPlain(); verdict != fleet.Granted {
-		t.Errorf("got verdict %v after the rest, want a grant", verdict)
+		t.Errorf("got verdict %v after the back-off, want a grant", verdict)
 	}
 }
 
-// Guards against a notice that is lost with a registration that lapses and returns, and against one
-// that binds the next incarnation of an endpoint.
+// Guards against a notice that is lost when a registration lapses and returns, and against one that
+// applies to the endpoint's next incarnation.
 func TestNoticeHoldsForItsIncarnation(t *testing.T) {
 	for name, announce := range map[string]func(*fleet.Grant){
 		"leaving": func(grant *fleet.Grant) { grant.NoteLeaving() },
@@ -63,7 +63,7 @@
 		w.fleet.Remove("b", w.now)
 		w.registerPlain("a", 1)
 		if _, verdict := w.pickPlain(); verdict == fleet.Granted {
-			t.Errorf("%s: got a grant once the registration is back, want none", name)
+			t.Errorf("%s: got a grant after the registration came back, want none", name)
 		}
 		w.registerPlain("a", 2)
 		if _, verdict := w.pickPlain(); verdict != fleet.Granted {
@@ -72,30 +72,30 @@
 	}
 }
 
-// Guards against a choice that still stands once the endpoint wants nothing new.
+// Guards against a grant that remains valid after the endpoint declined new requests.
 func TestGrantOfEndpointThatDeclinesRequests(t *testing.T) {
 	w := newFixture()
 	w.registerPlain("a", 0)
 	first, _ := w.pickPlain()
 	second, _ := w.pickPlain()
 	if !second.Good() {
-		t.Fatal("got a grant that isn't good, want one that is")
+		t.Fatal("got a declined grant, want a good one")
 	}
 	first.Rest(time.Second)
 	if second.Good() {
-		t.Errorf("got a grant that is good within a rest, want one that isn't")
+		t.Errorf("got a good grant during a back-off, want a declined one")
 	}
 	w.now = w.now.Add(time.Second)
 	if !second.Good() {
-		t.Errorf("got a grant that isn't good after the rest, want one that is")
+		t.Errorf("got a declined grant after the back-off, want a good one")
 	}
 	first.NoteLeaving()
 	if second.Good() {
-		t.Errorf("got a grant that is good at an endpoint that leaves, want one that isn't")
+		t.Errorf("got a good grant at a leaving endpoint, want a declined one")
 	}
 }
 
-// Guards against endpoints kept out of notices that are remembered without bound.
+// Guards against saved notices of removed endpoints that grow without bound.
 func TestSavedNoticesAreBounded(t *testing.T) {
 	w := newFixture()
 	for i := range 5000 {
@@ -110,36 +110,37 @@
 		w.fleet.Remove(id, w.now)
 	}
 	if got, want := w.fleet.Notices(), 1024; got > want {
-		t.Errorf("got %d notices of endpoints that are gone, want at most %d", got, want)
+		t.Errorf("got %d notices of removed endpoints, want at most %d", got, want)
 	}
 }
 
-// Guards against an engine that is chosen though its agent reports that it leaves, and against one
-// that is kept out for what its agent reported of another one before it at its address.
+// Guards against choosing an engine that its agent reports as leaving, and against excluding an
+// engine because of what its agent reported of an earlier one at its address.
 func TestEngineReportedLeavingByAgent(t *testing.T) {
 	w := newFixture()
 	w.registerEngine(0, 1)
 	w.assignAll()
 	w.observeState(0, fleet.EngineState{Alive: true, Leaving: true})
 	if _, verdict := w.fleet.Group("llm").Pick(need); verdict != fleet.Nobody {
-		t.Errorf("got verdict %v of an engine that leaves, want nobody", verdict)
+		t.Errorf("got verdict %v for a leaving engine, want nobody", verdict)
 	}
 	w.observeState(0, fleet.EngineState{Alive: true})
 	w.pick(t, need)
 }
 
-// Guards against a request that is refused though an endpoint may take it in time, and against one
-// that waits though none will.
+// Guards against refusing a request that an endpoint may take in time, and against letting one wait
+// that no endpoint will take.
 func TestBacklogOfBackOffs(t *testing.T) {
 	const rest = 3 * time.Second
 	for name, test := range map[string]struct {
-		// give says what each endpoint did; tried are those that the request was at.
+		// events holds what each endpoint did; tried lists the endpoints that got the request
+		// already.
 		events map[string]func(*fleet.Grant)
 		tried  []string
 		want   fleet.Backlog
 		ok     bool
 	}{
-		"all rest": {
+		"all back off": {
 			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": backingOff(2 * rest)},
 			want:   fleet.Backlog{Wait: rest, Rest: true}, ok: true,
 		},
@@ -163,7 +164,7 @@
 			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.Limited(10, true) }},
 			ok:     true,
 		},
-		"one is limited for longer than the rest": {
+		"one is limited for longer than the back-off": {
 			events: map[string]func(*fleet.Grant){"a": backingOff(time.Second), "b": func(grant *fleet.Grant) { grant.Limited(0.25, true) }},
 			want:   fleet.Backlog{Wait: time.Second, Rest: true}, ok: true,
 		},
--- a/relay/fleet/pick.go
+++ b/relay/fleet/pick.go
@@ -9,109 +9,108 @@
 	"comfreyrelay.example/relay/rollout"
 )
 
-// What choices weigh, in milliseconds of waiting.
+// Weights of the score, in milliseconds of expected wait.
 const (
-	// occupiedCost is what one request in progress weighs: it lengthens a pass
-	// little, but a slot that is left is worth something.
+	// runningCost is the weight of one request in progress: it lengthens a decoding pass only a
+	// little, but a free slot has some value.
 	runningCost = 4.0
-	// awayCost is what an engine weighs that is home to another entry, which
-	// may send there at the same moment.
+	// notHomeCost is the weight of an engine whose home is another entry: that entry may send there
+	// at the same moment.
 	notHomeCost = 20.0
-	// oldCost is what an engine weighs that still has to load the version
-	// wanted: what it runs then will be cut, and goes on elsewhere. A request
-	// that was cut once should not be again.
+	// outdatedCost is the weight of an engine that has yet to load the wanted version: the load
+	// will cut off its requests, which then resume elsewhere. outdatedResumedCost replaces it for a
+	// request that was cut off once and should not be again.
 	outdatedCost        = 30.0
 	outdatedResumedCost = 90.0
-	// soonAgainCost is what such an engine weighs more for what goes on, the sooner its turn to
-	// load comes; one that waits for what runs cuts nothing off.
+	// earlyRolloutCost is the additional weight of such an engine for a resumed request, in full if
+	// its host is first in the rollout. An engine that waits for its requests to end before it
+	// loads cuts none off.
 	earlyRolloutCost = 500.0
-	// awaySlots and awayUnread are the slots that are left free at such an
-	// engine, and the part of the bound for waiting prompts that holds there.
+	// notHomeReservedSlots is the number of slots left free at an engine whose home is another
+	// entry, and notHomePrefillFraction the part of the bound on waiting prompt tokens that applies
+	// there.
 	notHomeReservedSlots   = 1
 	notHomePrefillFraction = 0.7
-	// farCost is what another failure domain weighs: bytes between domains are
-	// paid for and take longer.
+	// otherDomainCost is the weight of another failure domain: traffic between domains is billed
+	// and takes longer.
 	otherDomainCost = 45.0
-	// chance spreads entries that see the same state over endpoints that are
-	// as good as equal.
+	// maxJitter spreads entries that see the same state over endpoints with nearly equal scores.
 	maxJitter = 6.0
-	// errorCost is what an endpoint that fails every request weighs.
+	// errorCost is the weight of an endpoint that fails every request.
 	errorCost = 100.0
-	// silenceCost is what an endpoint weighs at which a plain request has been
-	// in progress for many times its usual time.
-	unresponsiveCost = 60.0
-	// silentAfter is that time.
+	// unresponsiveCost is the weight of a plain endpoint at which a request has been in progress
+	// for unresponsiveAfter, many times its usual time.
+	unresponsiveCost  = 60.0
 	unresponsiveAfter = 400 * time.Millisecond
-	// soonUnread is the prompt tokens that may wait at an engine whose version
-	// ends shortly: about two passes.
+	// endingMaxPrefill is the number of prompt tokens that may wait at an engine whose version ends
+	// shortly: about two passes.
 	endingMaxPrefill = 1500
-	// endReserve is left until a version's end beside the time in which its engines
-	// begin what is sent there: for links, processors and clocks.
+	// endMargin is the time left before a version ends in addition to the time in which its engines
+	// start the requests sent there. It covers network, scheduling and clock differences.
 	endMargin = 500 * time.Millisecond
-	// sendersAtOnce is the entries that may send to an engine before each learns of
+	// concurrentSenders is the number of entries that may send to an engine before each learns of
 	// the others' requests.
 	concurrentSenders = 3
-	// plainCost is what one request in progress at a plain endpoint weighs.
+	// plainRunningCost is the weight of one request in progress at a plain endpoint.
 	plainRunningCost = 10.0
 )
 
-// Verdict says what became of a choice.
+// Verdict is the result of Pick.
 type Verdict int
 
-// The verdicts.
+// Results of Pick.
 const (
-	Granted Verdict = iota // the grant is good
-	Full                   // endpoints serve this, all are full
-	Nobody                 // no endpoint serves this now
+	Granted Verdict = iota // an endpoint was chosen
+	Full                   // endpoints serve the request, but none has capacity
+	Nobody                 // no endpoint serves the request now
 )
 
-// Need says which endpoint a request needs.
+// Need describes which endpoint a request needs.
 type Need struct {
 	Model string // empty: a plain request
-	// Floor is the lowest version of the model that may serve.
+	// Floor is the lowest version of the model that may serve the request.
 	Floor uint64
-	// SoonFloor will be the floor shortly: an engine below it gets only what it
-	// begins at once, since what waits there would begin on an old version, and
-	// only from entries that its reports reach in time: what stands in a narrow link reaches
-	// it after the end. Near the end that is the entry that it is home to alone.
+	// SoonFloor will be the floor shortly. An engine below it gets only requests that it starts at
+	// once, since a waiting request would start on an outdated version, and only from entries that
+	// receive its reports in time: a request held up in a slow link would arrive after the end.
+	// Near the end only its home entry sends there.
 	SoonFloor uint64
-	// Ends is the time until engines below SoonFloor may begin nothing any more.
+	// Ends is the time after which engines below SoonFloor must not start any request.
 	Ends time.Duration
-	// Wanted is the version that every engine should come to; 0 where unknown.
+	// Wanted is the version that every engine should reach; 0: unknown.
 	Wanted uint64
-	// Again: the request goes on after another endpoint.
+	// Again is set if the request resumes after another endpoint.
 	Again bool
-	// Last: no other endpoint may go on with it.
+	// Last is set if no other endpoint may resume the request.
 	Last    bool
 	Prompt  int // tokens
 	Domain  string
-	Exclude []Incarnation // endpoints that had the request already
-	// Extra is the requests an engine may hold beyond its slots; below 0 it
-	// keeps slots free.
+	Exclude []Incarnation // endpoints that got the request already
+	// Extra is the number of requests an engine may hold beyond its slots; a negative value keeps
+	// slots free.
 	Extra int
-	// Unread is the prompt tokens that may wait to be read at an engine, this
-	// request's own included; 0 bounds nothing.
+	// Unread is the bound on prompt tokens waiting for prefill at an engine, including this
+	// request's; 0: no bound.
 	Unread  int
 	Entries int // entries that share the endpoints
 }
 
-// tried reports whether the endpoint had the request already.
+// tried reports whether the endpoint got the request already.
 func (n Need) tried(ep *endpoint) bool {
 	return slices.ContainsFunc(n.Exclude, ep.incarnation().matches)
 }
 
-// serves reports whether an endpoint may get the request, room aside.
+// eligible reports whether an endpoint may get the request, apart from its capacity.
 func (g *Group) eligible(ep *endpoint, need Need, now time.Time) bool {
 	return !need.tried(ep) && ep.acceptsNew(now) && g.hasVersion(ep, need, now)
 }
 
-// loaded reports whether an endpoint has loaded what the request needs.
+// hasVersion reports whether an endpoint has loaded the model version that the request needs.
 func (g *Group) hasVersion(ep *endpoint, need Need, now time.Time) bool {
 	return g.engine == nil || need.Model == "" || ep.version(now, need.Model) >= max(1, need.Floor)
 }
 
-// Pick chooses an endpoint for a request and counts the request there until
-// the grant is done with.
+// Pick chooses an endpoint for a request. The request counts there until Grant.Done is called.
 func (g *Group) Pick(need Need) (*Grant, Verdict) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,16 +165,15 @@
 	return grant, Granted
 }
 
-// left reports whether an engine of another failure domain is left to others because
-// the engines are not dealt yet.
+// reservedForOthers reports whether an engine of another failure domain must be left to other
+// entries because engines are not assigned yet.
 func (g *Group) reservedForOthers(ep *endpoint, need Need) bool {
 	return g.engine != nil && !g.assigned && !need.Again && ep.reg.FailureDomain != need.Domain
 }
 
-// candidates returns the endpoints that a request may go to. Engines outside of this
-// entry's part are left to other entries: all entries away from an engine would see a slot of it
-// come free at the same moment and send there at once. What goes on after another engine may go
-// to any.
+// candidates returns the endpoints that a request may go to. Engines not assigned to this entry are
+// left to others: otherwise all entries would see a slot become free at the same moment and send
+// there at once. A resumed request may go to any engine.
 func (g *Group) candidates(need Need) []*endpoint {
 	if need.Again {
 		return g.sorted
@@ -183,9 +181,9 @@
 	return g.preferred
 }
 
-// agentsTimely reports whether the agents of half of the engines that the entry sends to
-// report in time: one that does not is then an exception; otherwise the entry's own links
-// are the likely cause.
+// mostAgentsTimely reports whether the agents of at least half of the engines that this entry sends
+// to report in time. A late agent is then an exception; otherwise the entry's own links are the
+// likely cause.
 func (g *Group) mostAgentsTimely(now time.Time) bool {
 	if g.engine == nil {
 		return false
@@ -199,9 +197,8 @@
 	return 2*timely >= len(g.preferred) && timely > 0
 }
 
-// room returns the requests that may be in progress at an endpoint before one
-// more is sent there. An engine that is home to another entry keeps a slot for
-// what that one sends at the same moment.
+// capacity returns the number of requests in progress at which an endpoint gets no more. An engine
+// whose home is another entry keeps a slot free for what that entry sends at the same moment.
 func (g *Group) capacity(ep *endpoint, need Need) int {
 	slots := ep.reg.Slots + need.Extra
 	if g.engine != nil && ep.reach != deal.Home && !need.Again {
@@ -210,8 +207,8 @@
 	return slots
 }
 
-// readsSoon reports whether an engine would read the request's prompt in time.
-// One that reads nothing gets any.
+// prefillsInTime reports whether an engine would process the request's prompt in time. An engine
+// with no prompt tokens waiting takes any prompt.
 func (g *Group) prefillsInTime(ep *endpoint, need Need, now time.Time) bool {
 	if g.engine == nil || need.Unread <= 0 {
 		return true
@@ -226,11 +223,10 @@
 	return pending <= 0 || pending+need.Prompt <= need.Unread
 }
 
-// beginsSoon reports whether an engine whose version ends shortly would begin the
-// request before. Up to three entries send to an engine; one that is not its home
-// leaves time for what all of them send at the same moment. While its home alone sent
-// there, half of what was asked in the second and a half before an end was refused
-// beside engines with free slots.
+// startsBeforeVersionEnd reports whether an engine whose version ends shortly would start the
+// request before that. Up to three entries send to an engine; an entry that is not its home leaves
+// time for what all of them send at the same moment. When only the home entry sent there, half of
+// the requests in the last 1.5 s before the end were refused while engines had free slots.
 func (g *Group) startsBeforeVersionEnd(ep *endpoint, need Need, now time.Time, pending int) bool {
 	if !ep.hasTimelyReport(now) || pending > 0 && (pending+need.Prompt > endingMaxPrefill || ep.state.Queued > 0) {
 		return false
@@ -248,8 +244,8 @@
 	return false
 }
 
-// score orders the endpoints that have room by the wait to be expected there;
-// the least is best.
+// score returns the expected wait in milliseconds at an endpoint that has capacity, plus penalties.
+// The lowest score is best.
 func (g *Group) score(ep *endpoint, need Need, now time.Time, occupied int) float64 {
 	score := maxJitter*g.random() + errorCost*ep.errorRate
 	if ep.reg.FailureDomain != need.Domain {
@@ -277,7 +273,8 @@
 	return score + wait
 }
 
-// againCost returns what an engine that has to load weighs for what goes on after another one.
+// resumedCost returns the weight of an engine that has yet to load the wanted version, for a
+// resumed request.
 func resumedCost(position float64) float64 {
 	if rollout.RunsDry(position) {
 		return outdatedResumedCost
@@ -285,7 +282,7 @@
 	return outdatedResumedCost + earlyRolloutCost*(1-position)
 }
 
-// readMillis returns the time to read so many prompt tokens.
+// prefillMillis returns the time in milliseconds to process a number of prompt tokens.
 func (g *Group) prefillMillis(tokens int) float64 {
 	if g.engine.ReadPerSecond <= 0 {
 		return 0
--- a/relay/fleet/refusal_test.go
+++ b/relay/fleet/refusal_test.go
@@ -7,8 +7,8 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// refuse lets the engines refuse all requests for so long, where the agent reports so many running,
-// and returns how many requests the first one refused.
+// refuseAll makes the first engine refuse all requests for the given time, while its agent reports
+// reportedRunning requests, and returns how many requests it refused.
 func (w *fixture) refuseAll(reportedRunning int, span time.Duration) int {
 	refused := 0
 	for until := w.now.Add(span); w.now.Before(until); w.now = w.now.Add(10 * time.Millisecond) {
@@ -21,8 +21,8 @@
 	return refused
 }
 
-// Guards against an engine that refuses everything, and attracts most requests since its agent reports
-// it idle.
+// Guards against an engine that refuses everything and attracts most requests, because its agent
+// reports it idle.
 func TestRefusingEngineWithFreeSlotsIsRetriedRarely(t *testing.T) {
 	w := newFixture()
 	w.registerEngine(0, 1)
@@ -34,12 +34,12 @@
 	w.observeState(0, fleet.EngineState{Alive: true})
 	w.pick(t, need).Done(fleet.Served)
 	if got, want := w.refuseAll(0, 400*time.Millisecond), 3; got < want {
-		t.Errorf("got %d requests after one was served, want pauses to begin anew", got)
+		t.Errorf("got %d requests after one was served, want pauses to start over", got)
 	}
 }
 
-// Guards against places that stay free at an endpoint of whose room nobody reports, since refusals
-// while it was full keep requests away for long.
+// Guards against slots that stay free at an endpoint without agent reports, because refusals while
+// it was full block requests for too long.
 func TestRefusingEndpointWithoutReportsIsRetriedSoon(t *testing.T) {
 	w := newFixture()
 	w.registerPlain("a", 0)
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against a request that waits on after its endpoint's pause is over, since nothing happens
-// then that would wake it.
+// Guards against a request that keeps waiting after its endpoint's ejection ended, because no event
+// wakes it then.
 func TestAdmitsAtReturnsEndOfPause(t *testing.T) {
 	w := newFixture()
 	w.registerPlain("a", 0)
