--- a/relay/deal/deal.go
+++ b/relay/deal/deal.go
@@ -1,9 +1,10 @@
-// Package deal shares the engines of a fleet out among its entries: which entry
-// sends to which engine, and which of them send an engine's host what is wanted.
+// Package deal assigns the engines of a fleet to its entries: which entries send requests to an
+// engine, and which of them send guidance, the wanted state, to its host.
 //
-// Each entry computes its own part from who is registered; nobody leads. Entries that
-// know the same agree, and one that comes or goes moves few engines. The engines that an entry
-// follows grow with the engines for each entry and not with the fleet.
+// Each entry computes its own assignments from the registered entries and engines, without a
+// coordinator. Entries that know the same deployment agree, and an entry that joins or leaves
+// changes few assignments. The number of engines that an entry follows grows with the number of
+// engines per entry, not with the size of the fleet.
 package deal
 
 import (
@@ -13,66 +14,66 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// Shares says how many engines an entry has a part in.
+// Shares sets how many engines are assigned to an entry.
 type Shares struct {
-	// Near is the engines of its failure domain that an entry sends to where there are
-	// many.
+	// Near is the number of engines of its failure domain that an entry sends to if there are many.
 	Near int
-	// Senders is the entries of its failure domain at least that send to an engine.
+	// Senders is the least number of entries of its failure domain that send to an engine.
 	Senders int
 	// Far bounds the engines of other failure domains that an entry sends to.
 	Far int
 }
 
-// Usual is the shares in use. Few senders crowd a free slot less; more than one survive the loss
-// of another. Engines of other domains help a failure domain that gets more requests than others.
+// Usual holds the shares in use. With few senders, fewer requests compete for a free slot; with
+// more than one, an engine survives the loss of a sender. Engines of other domains help a failure
+// domain that gets more requests than others.
 var Usual = Shares{Near: 5, Senders: 3, Far: 8}
 
 const (
-	// nearGuides is the entries of its own failure domain that send a host what is wanted. One
-	// that is cut off from the store sends old guidance until its registration lapses; others
-	// send the new one.
+	// localGuidanceSenders is the number of entries of its own failure domain that send guidance to
+	// a host. An entry cut off from the store sends outdated guidance until its registration
+	// lapses; the others send the current one.
 	localGuidanceSenders = 3
-	// farGuides is the entries of other failure domains that do so too: all entries
-	// of one region may be cut off together.
+	// remoteGuidanceSenders is the number of entries of other failure domains that do so too: all
+	// entries of one region may be cut off together.
 	remoteGuidanceSenders = 2
 )
 
-// Reach says how an entry stands to an engine.
+// Reach is the relation of an entry to an engine.
 type Reach int
 
-// The reaches, the closest last.
+// Relations of an entry to an engine, the closest last.
 const (
 	Outside Reach = iota // left to other entries
-	Far                  // of another failure domain, dealt to this entry of its own
-	Near                 // of this entry's failure domain, home to another entry
-	Home                 // home to this entry
+	Far                  // engine of another failure domain, assigned to this entry within its own domain
+	Near                 // engine of this entry's failure domain, with another home entry
+	Home                 // engine whose home is this entry
 )
 
-// String returns the name for logs.
+// String returns the name used in logs.
 func (r Reach) String() string { return [...]string{"outside", "far", "near", "home"}[r] }
 
-// Place is where an entry or an engine stands.
+// Place identifies an entry or an engine and its location.
 type Place struct {
-	ID            string // of an entry, or the address of an engine
+	ID            string // entry id or engine address
 	Region        string
 	FailureDomain string
 }
 
-// Part is what an entry has to do with an engine.
+// Part is an entry's assignment for an engine.
 type Part struct {
 	Reach Reach
-	// Guide: the entry sends the engine's host what is wanted.
+	// Guide is set if the entry sends guidance to the engine's host.
 	Guide bool
 }
 
-// Deal holds the entries that share the engines, as one of them knows them.
+// Deal computes the assignments of one entry from the entries that it knows.
 type Deal struct {
 	shares          Shares
 	self            Place
-	local           []entry // of self's failure domain, self among them, by id
+	local           []entry // entries of self's failure domain, including self, by id
 	domains         []domain
-	entriesByDomain map[string]int // entries by failure domain
+	entriesByDomain map[string]int // number of entries by failure domain
 }
 
 type entry struct {
@@ -85,10 +86,10 @@
 	seed         uint64
 }
 
-// New returns the deal of an entry among others; it may be one of them.
+// New returns the Deal of self. others are the other entries and may include self.
 func New(self Place, others []Place) *Deal { return NewWith(Usual, self, others) }
 
-// NewWith is New with other shares, for those who compare them.
+// NewWith is New with custom shares, for comparisons.
 func NewWith(shares Shares, self Place, others []Place) *Deal {
 	d := &Deal{shares: shares, self: self, entriesByDomain: map[string]int{}}
 	known := append([]Place{self}, slices.DeleteFunc(slices.Clone(others), func(place Place) bool { return place.ID == self.ID })...)
@@ -104,8 +105,8 @@
 	return d
 }
 
-// Parts returns the entry's part in each engine, by address. Engines in which it has
-// none are left out.
+// Parts returns the entry's assignments by engine address, leaving out engines that are not
+// assigned to it.
 func (d *Deal) Parts(engines []Place) map[string]Part {
 	parts := map[string]Part{}
 	var local, remote []Place
@@ -121,8 +122,8 @@
 	return parts
 }
 
-// shareOwn deals the engines of the entry's failure domain. Homes are dealt evenly: an
-// engine whose best entry has its share goes to the next one.
+// assignLocal assigns the engines of the entry's failure domain. Homes are spread evenly: if the
+// highest-ranked entry has its quota, the engine goes to the next one.
 func (d *Deal) assignLocal(engines []Place, parts map[string]Part) {
 	sortByAddress(engines)
 	senders := d.senders(len(engines))
@@ -155,8 +156,8 @@
 	return min(len(d.local), max(d.shares.Senders, wanted))
 }
 
-// rank returns the entries of the failure domain, the best for the engine first, by
-// their places in near.
+// rankEntries returns the indexes in local of the failure domain's entries, the highest-ranked for
+// the engine first.
 func (d *Deal) rankEntries(eng Place) []int {
 	seed := rendezvous.Seed(eng.ID)
 	order := make([]int, len(d.local))
@@ -173,9 +174,9 @@
 	return order
 }
 
-// shareFar deals engines of other failure domains evenly, each to one entry of this
-// domain, those of its region first. Where there are more than its entries can follow,
-// a hash of the domain says which are left to others.
+// assignRemote assigns the engines of other failure domains evenly, each to one entry of this
+// domain, engines in the same region first. If there are more than the domain's entries can follow,
+// a hash of the domain decides which are left to others.
 func (d *Deal) assignRemote(engines []Place, parts map[string]Part) {
 	for _, eng := range engines {
 		if d.rankOfSelf(eng) < d.remoteGuidanceShare(eng) {
@@ -196,7 +197,7 @@
 	}
 }
 
-// orderFar puts engines into the order in which this failure domain deals them.
+// sortRemote sorts engines into the order in which this failure domain assigns them.
 func (d *Deal) sortRemote(engines []Place) {
 	seed := rendezvous.Seed(d.self.FailureDomain)
 	score := func(eng Place) uint64 { return rendezvous.Score(seed, rendezvous.Seed(eng.ID)) }
@@ -211,8 +212,7 @@
 	})
 }
 
-// rankOfSelf returns how many entries of the failure domain go before this one for
-// the engine.
+// rankOfSelf returns how many entries of the failure domain rank before this one for the engine.
 func (d *Deal) rankOfSelf(eng Place) int {
 	seed := rendezvous.Seed(eng.ID)
 	own := rendezvous.Score(seed, rendezvous.Seed(d.self.ID))
@@ -225,9 +225,9 @@
 	return rank
 }
 
-// farShare returns how many entries of this failure domain guide the host of an engine
-// in another one: those domains that rank first for it give one each, those of other
-// regions first, and in turn where there are few.
+// remoteGuidanceShare returns how many entries of this failure domain send guidance to the host of
+// an engine in another domain. The domains that rank first for the engine provide one each, those
+// of other regions first. If there are fewer domains than needed, some provide more than one.
 func (d *Deal) remoteGuidanceShare(eng Place) int {
 	wanted := localGuidanceSenders + remoteGuidanceSenders - min(localGuidanceSenders, d.entriesByDomain[eng.FailureDomain])
 	seed := rendezvous.Seed(eng.ID)
--- a/relay/deal/deal_test.go
+++ b/relay/deal/deal_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fleet is entries and engines in failure domains that are regions too.
+// fleet is a set of entries and engines whose failure domains are also regions.
 type fleet struct{ entries, engines []Place }
 
 func newFleet(entries, engines map[string]int) fleet {
@@ -21,7 +21,7 @@
 	return f
 }
 
-// even is a fleet with so many entries and engines in each of five domains.
+// evenFleet returns a fleet with the given entries and engines in each of five domains.
 func evenFleet(entries, engines int) fleet {
 	counts := func(n int) map[string]int {
 		return map[string]int{"north": n, "south": n, "west": n, "east": n, "mid": n}
@@ -29,7 +29,7 @@
 	return newFleet(counts(entries), counts(engines))
 }
 
-// parts returns each entry's parts.
+// assignments returns each entry's assignments.
 func (f fleet) assignments() map[string]map[string]Part {
 	all := map[string]map[string]Part{}
 	for _, self := range f.entries {
@@ -38,7 +38,7 @@
 	return all
 }
 
-// tally is who has a part in one engine.
+// assignmentCounts counts the entries assigned to one engine.
 type assignmentCounts struct {
 	home, near, far, guidanceSenders, localGuidanceSenders int
 }
@@ -85,25 +85,24 @@
 	return count
 }
 
-// Symptom: a day of 98 entries and 138 engines takes more than the processors of the
-// hosts give; entries and agents spend more on what they send one another than on
-// requests. Sequence: each entry follows each engine. Cause: what one entry follows
-// grew with the engines of the whole fleet.
+// Guards against entries and agents that spend more processor time on messages to each other than
+// on requests: 98 entries and 138 engines needed more than their hosts' processors provide, because
+// every entry followed every engine.
 func TestAssignmentsPerEntryDoNotGrowWithFleet(t *testing.T) {
 	for _, size := range []struct{ entries, engines int }{{6, 9}, {20, 28}, {60, 84}} {
 		f := evenFleet(size.entries, size.engines)
 		if got, bound := maxAssignments(f.assignments()), 2*(Usual.Near+Usual.Far); got > bound {
-			t.Errorf("%d entries and %d engines a domain: an entry has part in %d engines, want at most %d", size.entries, size.engines, got, bound)
+			t.Errorf("%d entries and %d engines per domain: an entry is assigned %d engines, want at most %d", size.entries, size.engines, got, bound)
 		}
 	}
 }
 
-// Symptom: an engine stands idle while others are full. Cause: no entry sends to it.
+// Guards against an engine that stays idle while others are full, because no entry sends to it.
 func TestEveryEngineHasSendersAndOneHome(t *testing.T) {
 	for _, size := range []struct{ entries, engines int }{{1, 4}, {3, 5}, {6, 9}, {20, 28}, {28, 7}} {
 		for address, counts := range evenFleet(size.entries, size.engines).countsByEngine() {
 			if counts.home != 1 {
-				t.Errorf("%v: %s is home to %d entries, want one", size, address, counts.home)
+				t.Errorf("%v: %s has %d home entries, want one", size, address, counts.home)
 			}
 			if got, want := counts.home+counts.near, min(Usual.Senders, size.entries); got < want {
 				t.Errorf("%v: %d entries of its domain send to %s, want %d", size, got, address, want)
@@ -112,11 +111,11 @@
 	}
 }
 
-// With few engines a domain all its entries send to each of them.
+// With few engines per domain, all its entries send to each of them.
 func TestSmallFleetIsSharedByAllEntries(t *testing.T) {
 	for address, counts := range evenFleet(3, 5).countsByEngine() {
 		if counts.home+counts.near != 3 || counts.far != 4 {
-			t.Errorf("%s: got %+v, want all three of its domain and one of each other", address, counts)
+			t.Errorf("%s: got %+v, want all three entries of its domain and one of each other domain", address, counts)
 		}
 	}
 }
@@ -131,51 +130,49 @@
 			}
 		}
 		if homes > 2 {
-			t.Errorf("%s has %d homes, want at most 2 of 28 among 20", id, homes)
+			t.Errorf("%s is home to %d engines, want at most 2 with 28 engines and 20 entries", id, homes)
 		}
 	}
 }
 
-// Symptom: while hosts are added, each host's link and the links between regions
-// are busy with lists of hosts, and new hosts get weights a second later.
-// Sequence: an endpoint registers; every entry sends every host the new list.
-// Cause: what is sent to one host grew with entries times hosts.
+// Guards against host lists that fill each host's link and the links between regions while hosts
+// are added, so that new hosts get weights a second later. When an endpoint registers, every entry
+// sends every host the new list: what one host receives grows with entries times hosts.
 func TestGuidanceSendersPerHostAreBounded(t *testing.T) {
 	for _, size := range []int{3, 11, 270} {
 		for address, counts := range evenFleet(size, 2).countsByEngine() {
 			if got, want := counts.guidanceSenders, localGuidanceSenders+remoteGuidanceSenders; got != want {
-				t.Errorf("%d entries a domain: %s has %d guides, want %d", size, address, got, want)
+				t.Errorf("%d entries per domain: %s has %d guidance senders, want %d", size, address, got, want)
 			}
 			if got := counts.localGuidanceSenders; got != localGuidanceSenders {
-				t.Errorf("%d entries a domain: %s has %d guides of its own, want %d", size, address, got, localGuidanceSenders)
+				t.Errorf("%d entries per domain: %s has %d guidance senders of its domain, want %d", size, address, got, localGuidanceSenders)
 			}
 		}
 	}
 }
 
-// Symptom: hosts of a region never learn of a version.
-// Sequence: all entries of the region are lost; those of other regions think it
-// is not their turn.
-// Cause: a host whose region has too few entries needs others in their place.
+// Guards against hosts of a region that never learn of a version. All entries of the region are
+// lost, and those of other regions do not send guidance in their place. A host whose region has too
+// few entries needs others instead.
 func TestHostWithFewLocalEntriesGetsRemoteGuidance(t *testing.T) {
 	for _, local := range []int{0, 1, 2} {
 		f := newFleet(map[string]int{"north": local, "south": 4}, map[string]int{"north": 1})
 		for address, counts := range f.countsByEngine() {
 			if got, want := counts.guidanceSenders, min(localGuidanceSenders+remoteGuidanceSenders, local+4); got != want {
-				t.Errorf("%d entries near: %s has %d guides, want %d", local, address, got, want)
+				t.Errorf("%d local entries: %s has %d guidance senders, want %d", local, address, got, want)
 			}
 		}
 	}
 	f := newFleet(map[string]int{"south": 1}, map[string]int{"north": 1})
 	for address, counts := range f.countsByEngine() {
 		if counts.guidanceSenders != 1 || counts.far != 1 {
-			t.Errorf("one entry: %s has %+v, want its guidance and its requests", address, counts)
+			t.Errorf("one entry: %s has %+v, want guidance and requests from it", address, counts)
 		}
 	}
 }
 
-// Two entries of other regions guide a host even where its region has several
-// failure domains.
+// Checks that guidance also comes from another region if a host's own region has several failure
+// domains.
 func TestGuidanceComesFromAnotherRegion(t *testing.T) {
 	var entries []Place
 	for i := range 12 {
@@ -193,7 +190,7 @@
 		}
 	}
 	if remote < 1 {
-		t.Errorf("got no guide of another region, want one at least")
+		t.Errorf("got no guidance sender of another region, want at least one")
 	}
 }
 
@@ -212,6 +209,6 @@
 		}
 	}
 	if got, bound := changed, total/10; got > bound {
-		t.Errorf("%d of %d parts changed as %s went, want at most %d", got, total, removed.ID, bound)
+		t.Errorf("%d of %d assignments changed when %s was removed, want at most %d", got, total, removed.ID, bound)
 	}
 }
