--- a/relay/limit/bucket.go
+++ b/relay/limit/bucket.go
@@ -1,6 +1,5 @@
-// Package limit holds the decisions that keep customers within their limits
-// and fair to one another: token buckets, the share of a deployment-wide limit that
-// one entry holds, and the fair queue.
+// Package limit enforces customers' limits and fairness between customers: token buckets, the share
+// of a deployment-wide limit that one entry holds, and the fair queue.
 package limit
 
 import (
@@ -8,7 +7,7 @@
 	"time"
 )
 
-// burstSpan is the time whose allowance a bucket can save up.
+// burstSpan is the time over which a bucket can accumulate unused units.
 const burstSpan = time.Second
 
 // Bucket is a token bucket whose rate may change. The zero Bucket is full at
@@ -18,13 +17,13 @@
 	updatedAt time.Time // when level was computed; zero before the first use
 }
 
-// Drained returns a bucket that is empty at the time given.
+// Drained returns a bucket that is empty at the given time.
 func Drained(now time.Time) Bucket { return Bucket{updatedAt: now} }
 
-// Take withdraws cost units if the bucket, filled at rate units a second, holds
-// them. A cost larger than the burst needs a full bucket and leaves it in debt,
-// so that it is possible at all and paid for afterwards. Otherwise wait says
-// how long until it would succeed. A rate of 0 or less means no limit.
+// Take withdraws cost units if the bucket, filled at rate units per second, holds them. A cost
+// larger than the burst needs a full bucket and leaves it in debt, so that the cost is possible at
+// all and paid for afterwards. Otherwise wait is the time until Take would succeed. A rate of 0 or
+// less means no limit.
 func (b *Bucket) Take(now time.Time, rate, cost float64) (ok bool, wait time.Duration) {
 	if rate <= 0 {
 		return true, 0
@@ -36,7 +35,7 @@
 	return true, 0
 }
 
-// Wait returns how long until Take would succeed; 0: at once. A cost larger than the burst
+// Wait returns the time until Take would succeed; 0 means at once. A cost larger than the burst
 // needs no more than the burst.
 func (b *Bucket) Wait(now time.Time, rate, cost float64) time.Duration {
 	if rate <= 0 {
@@ -47,18 +46,18 @@
 	if b.level >= needed {
 		return 0
 	}
-	// A nanosecond more: the sums of the filling are rounded, and a bucket that
-	// lacks the last bit would refuse a caller who waited exactly as asked.
+	// Add a nanosecond: filling rounds, and a bucket short by the last bit would refuse a caller
+	// who waited exactly as told.
 	return time.Duration(math.Ceil((needed-b.level)/rate*float64(time.Second))) + time.Nanosecond
 }
 
-// Level returns the units that the bucket holds.
+// Level returns the units in the bucket.
 func (b *Bucket) Level(now time.Time, rate float64) float64 {
 	b.fill(now, rate)
 	return b.level
 }
 
-// Refund gives back units that were taken and not used.
+// Refund returns units that were taken but not used.
 func (b *Bucket) Refund(units float64) { b.level += units }
 
 func (b *Bucket) fill(now time.Time, rate float64) (burst float64) {
--- a/relay/limit/large.go
+++ b/relay/limit/large.go
@@ -1,14 +1,14 @@
 package limit
 
-// Use is what one customer asks of the whole deployment.
+// Use is one customer's demand on the whole deployment.
 type Use struct {
 	Weight float64 // share under overload; above 0
-	Demand float64 // in any unit of work a second; 0: not active
+	Demand float64 // in any unit of work per second; 0: not active
 }
 
-// Large returns the customers that ask for much more than their fair share
-// among the active ones: more than twice of it, and more than half way between
-// it and all. One that is alone is not large.
+// Large returns the customers whose demand is far above their fair share among the active ones:
+// more than twice that share, and more than half way between it and the total. A single active
+// customer is not large.
 func Large(uses map[string]Use) map[string]bool {
 	weights, demand := 0.0, 0.0
 	for _, use := range uses {
--- a/relay/limit/limit_test.go
+++ b/relay/limit/limit_test.go
@@ -13,7 +13,7 @@
 
 var testStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// TestQueue runs the scripts of testdata/queue. Times are seconds.
+// TestQueue runs the scripts in testdata/queue. Times are in seconds.
 func TestQueue(t *testing.T) {
 	datadriven.Walk(t, "testdata/queue", func(t *testing.T, path string) {
 		queue := NewQueue(6)
@@ -64,7 +64,7 @@
 	return out.String()
 }
 
-// runNext takes n requests; those of the customer in "full" find no room.
+// runNext takes n requests; those of the customer in "full" cannot be placed.
 func runNext(t *testing.T, d *datadriven.TestData, queue *Queue, names map[*Item]string) string {
 	count, full := 1, ""
 	d.MaybeScanArgs(t, "n", &count)
@@ -81,8 +81,8 @@
 	return fmt.Sprintf("%s; %d wait\n", strings.Join(served, " "), queue.Len())
 }
 
-// Symptom: a small customer waits behind a large one's burst. However long the
-// other lines are, it waits for at most one request of each other customer.
+// Guards against a small customer that waits behind a large one's burst. However long the other
+// queues are, it waits for at most one request of each other customer.
 func TestSmallCustomerWaitsForAtMostOneRequestOfEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := NewQueue(1000)
@@ -109,8 +109,8 @@
 	})
 }
 
-// The shares that entries compute from the same reports add up to the whole
-// limit, and none is left without.
+// Checks that the shares that entries compute from the same reports add up to the whole limit and
+// that every entry gets one.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := make(map[string]float64)
@@ -148,7 +148,7 @@
 				}
 				taken += cost
 			}
-			// One burst, and the debt of the last one taken.
+			// One burst, plus the debt of the last cost taken.
 			if bound := rate*now.Sub(testStart).Seconds() + max(1, rate) + 300; taken > bound+1e-6 {
 				t.Fatalf("got %f units, want at most %f", taken, bound)
 			}
--- a/relay/limit/queue.go
+++ b/relay/limit/queue.go
@@ -7,8 +7,8 @@
 
 // Bounds of a Queue.
 const (
-	DefaultMaxWaiting = 2048 // requests waiting at once, all customers together
-	// maxPlacementTries bounds the heads that Next offers in one call.
+	DefaultMaxWaiting = 2048 // requests waiting at once, for all customers together
+	// maxPlacementTries bounds the requests that Next offers in one call.
 	maxPlacementTries = 16
 )
 
@@ -17,13 +17,13 @@
 	Customer string
 	Weight   float64   // share under overload; above 0
 	Cost     float64   // expected work in any unit; above 0
-	Deadline time.Time // it is useless afterwards
-	Value    any       // the program's own handle
+	Deadline time.Time // the request is useless afterwards
+	Value    any       // the caller's own handle
 
-	queue *customerQueue // nil while it does not wait
+	queue *customerQueue // nil if it is not waiting
 }
 
-// line is one customer's waiting requests, first in first out.
+// customerQueue holds one customer's waiting requests in FIFO order.
 type customerQueue struct {
 	customer string
 	weight   float64
@@ -32,18 +32,17 @@
 	startTag float64 // virtual start time of the head
 }
 
-// Queue orders waiting requests by start-time fair queueing: each customer's
-// line advances by cost over weight, and the line that is furthest behind goes
-// first. A customer whose demand is below its share waits for at most one
-// request of each other customer, however long their lines are. It is not safe
-// for concurrent use.
+// Queue orders waiting requests by start-time fair queueing: each customer's queue advances by cost
+// divided by weight, and the queue with the lowest start tag goes first. A customer whose demand is
+// below its share waits for at most one request of each other customer, however long their queues
+// are. It is not safe for concurrent use.
 type Queue struct {
 	maxWaiting  int
-	waiting     int     // sum of the lines' lengths
-	cost        float64 // sum over the lines
-	virtualTime float64 // virtual time: start tag of the last request that left
+	waiting     int     // sum of the queues' lengths
+	cost        float64 // sum over the queues
+	virtualTime float64 // start tag of the last request that left
 	queues      map[string]*customerQueue
-	finishTags  map[string]float64 // finish tag of each customer's latest work, while above clock
+	finishTags  map[string]float64 // finish tag of each customer's latest request, while above virtualTime
 }
 
 // NewQueue returns an empty Queue that holds at most maxWaiting requests.
@@ -51,14 +50,14 @@
 	return &Queue{maxWaiting: maxWaiting, queues: make(map[string]*customerQueue), finishTags: make(map[string]float64)}
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.waiting }
 
-// Cost returns the work of the requests that wait.
+// Cost returns the total cost of the waiting requests.
 func (q *Queue) Cost() float64 { return q.cost }
 
-// Push adds a request. Over the bound the longest line relative to its weight
-// loses its newest request, which is returned (it may be the one pushed).
+// Push adds a request. If that exceeds the bound, the longest queue relative to its weight loses
+// its newest request, which is returned and may be the one pushed.
 func (q *Queue) Push(item *Item) (dropped *Item) {
 	cq := q.queues[item.Customer]
 	if cq == nil {
@@ -97,7 +96,7 @@
 	return a.customer < b.customer
 }
 
-// Remove takes a request out that gave up; it reports whether it still waited.
+// Remove removes a request that gave up and reports whether it was still waiting.
 func (q *Queue) Remove(item *Item) bool {
 	cq := item.queue
 	if cq == nil {
@@ -128,15 +127,15 @@
 	}
 }
 
-// reset forgets tags once nobody waits: without it they would grow for ever
-// and customers long gone would stay in the map.
+// reset clears the tags once no request waits: otherwise they would grow without bound, and former
+// customers would stay in the map.
 func (q *Queue) reset() {
 	q.virtualTime, q.cost = 0, 0
 	clear(q.finishTags)
 }
 
-// Next offers the heads of the lines in fair order to place until one is
-// taken, and returns it; nil where none was.
+// Next offers the first request of each queue to place, in fair order, until one is taken, and
+// returns it, or nil if none was.
 func (q *Queue) Next(place func(*Item) bool) *Item {
 	if q.waiting == 0 {
 		return nil
@@ -172,7 +171,7 @@
 	return queues
 }
 
-// Expired removes and returns the requests whose deadline is not after at.
+// Expired removes and returns the requests whose deadline is at or before the given time.
 func (q *Queue) Expired(at time.Time) []*Item {
 	var expired []*Item
 	for _, cq := range q.queues {
@@ -188,9 +187,8 @@
 	return expired
 }
 
-// Ahead estimates the cost that leaves the queue before a request pushed now
-// by the customer: its own line's, and as much of the others' as their weights
-// let pass meanwhile.
+// Ahead estimates the cost that leaves the queue before a request that the customer would push now:
+// that of its own queue, and as much of the others' as their weights let pass in the meantime.
 func (q *Queue) Ahead(customer string, weight float64) float64 {
 	own := 0.0
 	if cq := q.queues[customer]; cq != nil {
--- a/relay/limit/rate.go
+++ b/relay/limit/rate.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Rate estimates events a second with exponential decay. The zero Rate is
-// ready for use. It is not safe for concurrent use.
+// Rate estimates events per second with exponential decay. The zero Rate is ready for use. It is
+// not safe for concurrent use.
 type Rate struct {
 	sum       float64 // decayed count of units
 	updatedAt time.Time
 }
 
-// rateSpan is the decay's time constant.
+// decayTime is the time constant of the decay.
 const decayTime = time.Second
 
-// Add counts units at now.
+// Add counts units at the given time.
 func (r *Rate) Add(now time.Time, units float64) {
 	r.sum = r.decayed(now) + units
 	r.updatedAt = now
 }
 
-// PerSecond returns the estimate at now.
+// PerSecond returns the estimate at the given time.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	return r.decayed(now) / decayTime.Seconds()
 }
--- a/relay/limit/share.go
+++ b/relay/limit/share.go
@@ -6,10 +6,9 @@
 // for one customer. Every entry computes it from the same demand reports, so
 // no write per request is needed.
 //
-// Each of n entries weighs its fraction of the customer's demand, but not less
-// than 1/(2n), so that a caller who moves to an idle entry is served before
-// the next report; the weights are normalised. With equal knowledge the shares
-// add up to 1. An entry always holds at least 1/(3n).
+// Each of n entries is weighted by its fraction of the customer's demand, but by at least 1/(2n),
+// so that a caller who moves to an idle entry is served before the next report; the weights are
+// normalised. With equal knowledge the shares add up to 1. An entry always holds at least 1/(3n).
 func Share(self string, demand map[string]float64) float64 {
 	entries := float64(max(1, len(demand)))
 	if _, listed := demand[self]; !listed {
@@ -33,8 +32,7 @@
 	return own / sum
 }
 
-// DemandOf collects one customer's demand by entry id: requests a second and
-// tokens a second.
+// DemandOf returns one customer's demand by entry id, in requests per second and tokens per second.
 func DemandOf(customer string, reports []*wire.EntryReport) (requests, tokens map[string]float64) {
 	requests = make(map[string]float64, len(reports))
 	tokens = make(map[string]float64, len(reports))
