--- a/relay/deal/deal.go
+++ b/relay/deal/deal.go
@@ -67,8 +67,8 @@
 	Guide bool
 }
 
-// Deal computes the assignments of one entry from the entries that it knows.
-type Deal struct {
+// Assigner computes the assignments of one entry from the entries that it knows.
+type Assigner struct {
 	shares          Shares
 	self            Place
 	local           []entry // entries of self's failure domain, including self, by id
@@ -86,54 +86,54 @@
 	seed         uint64
 }
 
-// New returns the Deal of self. others are the other entries and may include self.
-func New(self Place, others []Place) *Deal { return NewWith(Usual, self, others) }
+// New returns the Assigner of self. others are the other entries and may include self.
+func New(self Place, others []Place) *Assigner { return NewWith(Usual, self, others) }
 
 // NewWith is New with custom shares, for comparisons.
-func NewWith(shares Shares, self Place, others []Place) *Deal {
-	d := &Deal{shares: shares, self: self, entriesByDomain: map[string]int{}}
+func NewWith(shares Shares, self Place, others []Place) *Assigner {
+	a := &Assigner{shares: shares, self: self, entriesByDomain: map[string]int{}}
 	known := append([]Place{self}, slices.DeleteFunc(slices.Clone(others), func(place Place) bool { return place.ID == self.ID })...)
 	for _, place := range known {
-		if d.entriesByDomain[place.FailureDomain]++; d.entriesByDomain[place.FailureDomain] == 1 {
-			d.domains = append(d.domains, domain{place.FailureDomain, place.Region, rendezvous.Seed(place.FailureDomain)})
+		if a.entriesByDomain[place.FailureDomain]++; a.entriesByDomain[place.FailureDomain] == 1 {
+			a.domains = append(a.domains, domain{place.FailureDomain, place.Region, rendezvous.Seed(place.FailureDomain)})
 		}
 		if place.FailureDomain == self.FailureDomain {
-			d.local = append(d.local, entry{place.ID, rendezvous.Seed(place.ID)})
+			a.local = append(a.local, entry{place.ID, rendezvous.Seed(place.ID)})
 		}
 	}
-	slices.SortFunc(d.local, func(left, right entry) int { return cmp.Compare(left.id, right.id) })
-	return d
+	slices.SortFunc(a.local, func(left, right entry) int { return cmp.Compare(left.id, right.id) })
+	return a
 }
 
 // Parts returns the entry's assignments by engine address, leaving out engines that are not
 // assigned to it.
-func (d *Deal) Parts(engines []Place) map[string]Part {
+func (a *Assigner) Parts(engines []Place) map[string]Part {
 	parts := map[string]Part{}
 	var local, remote []Place
 	for _, eng := range engines {
-		if eng.FailureDomain == d.self.FailureDomain {
+		if eng.FailureDomain == a.self.FailureDomain {
 			local = append(local, eng)
 		} else {
 			remote = append(remote, eng)
 		}
 	}
-	d.assignLocal(local, parts)
-	d.assignRemote(remote, parts)
+	a.assignLocal(local, parts)
+	a.assignRemote(remote, parts)
 	return parts
 }
 
 // assignLocal assigns the engines of the entry's failure domain. Homes are spread evenly: if the
 // highest-ranked entry has its quota, the engine goes to the next one.
-func (d *Deal) assignLocal(engines []Place, parts map[string]Part) {
+func (a *Assigner) assignLocal(engines []Place, parts map[string]Part) {
 	sortByAddress(engines)
-	senders := d.senders(len(engines))
-	quota := (len(engines) + len(d.local) - 1) / len(d.local)
-	homes := make([]int, len(d.local))
+	senders := a.senders(len(engines))
+	quota := (len(engines) + len(a.local) - 1) / len(a.local)
+	homes := make([]int, len(a.local))
 	for _, eng := range engines {
-		order := d.rankEntries(eng)
+		order := a.rankEntries(eng)
 		home := slices.IndexFunc(order, func(at int) bool { return homes[at] < quota })
 		homes[order[home]]++
-		rank := slices.IndexFunc(order, func(at int) bool { return d.local[at].id == d.self.ID })
+		rank := slices.IndexFunc(order, func(at int) bool { return a.local[at].id == a.self.ID })
 		part := Part{Guide: rank < localGuidanceSenders}
 		switch {
 		case rank == home:
@@ -148,21 +148,21 @@
 }
 
 // senders returns how many entries of the failure domain send to each of its engines.
-func (d *Deal) senders(engines int) int {
+func (a *Assigner) senders(engines int) int {
 	if engines == 0 {
 		return 0
 	}
-	wanted := (d.shares.Near*len(d.local) + engines - 1) / engines
-	return min(len(d.local), max(d.shares.Senders, wanted))
+	wanted := (a.shares.Near*len(a.local) + engines - 1) / engines
+	return min(len(a.local), max(a.shares.Senders, wanted))
 }
 
 // rankEntries returns the indexes in local of the failure domain's entries, the highest-ranked for
 // the engine first.
-func (d *Deal) rankEntries(eng Place) []int {
+func (a *Assigner) rankEntries(eng Place) []int {
 	seed := rendezvous.Seed(eng.ID)
-	order := make([]int, len(d.local))
-	scores := make([]uint64, len(d.local))
-	for at, ent := range d.local {
+	order := make([]int, len(a.local))
+	scores := make([]uint64, len(a.local))
+	for at, ent := range a.local {
 		order[at], scores[at] = at, rendezvous.Score(seed, ent.seed)
 	}
 	slices.SortFunc(order, func(left, right int) int {
@@ -177,32 +177,32 @@
 // assignRemote assigns the engines of other failure domains evenly, each to one entry of this
 // domain, engines in the same region first. If there are more than the domain's entries can follow,
 // a hash of the domain decides which are left to others.
-func (d *Deal) assignRemote(engines []Place, parts map[string]Part) {
+func (a *Assigner) assignRemote(engines []Place, parts map[string]Part) {
 	for _, eng := range engines {
-		if d.rankOfSelf(eng) < d.remoteGuidanceShare(eng) {
+		if a.rankOfSelf(eng) < a.remoteGuidanceShare(eng) {
 			parts[eng.ID] = Part{Guide: true}
 		}
 	}
-	d.sortRemote(engines)
-	quota := min(d.shares.Far, (len(engines)+len(d.local)-1)/len(d.local))
-	assigned := make([]int, len(d.local))
-	assignable := quota * len(d.local)
+	a.sortRemote(engines)
+	quota := min(a.shares.Far, (len(engines)+len(a.local)-1)/len(a.local))
+	assigned := make([]int, len(a.local))
+	assignable := quota * len(a.local)
 	for _, eng := range engines[:min(assignable, len(engines))] {
-		order := d.rankEntries(eng)
+		order := a.rankEntries(eng)
 		assignee := order[slices.IndexFunc(order, func(at int) bool { return assigned[at] < quota })]
 		assigned[assignee]++
-		if d.local[assignee].id == d.self.ID {
+		if a.local[assignee].id == a.self.ID {
 			parts[eng.ID] = Part{Reach: Far, Guide: parts[eng.ID].Guide}
 		}
 	}
 }
 
 // sortRemote sorts engines into the order in which this failure domain assigns them.
-func (d *Deal) sortRemote(engines []Place) {
-	seed := rendezvous.Seed(d.self.FailureDomain)
+func (a *Assigner) sortRemote(engines []Place) {
+	seed := rendezvous.Seed(a.self.FailureDomain)
 	score := func(eng Place) uint64 { return rendezvous.Score(seed, rendezvous.Seed(eng.ID)) }
 	slices.SortFunc(engines, func(left, right Place) int {
-		if leftInRegion := left.Region == d.self.Region; leftInRegion != (right.Region == d.self.Region) {
+		if leftInRegion := left.Region == a.self.Region; leftInRegion != (right.Region == a.self.Region) {
 			if leftInRegion {
 				return -1
 			}
@@ -213,11 +213,11 @@
 }
 
 // rankOfSelf returns how many entries of the failure domain rank before this one for the engine.
-func (d *Deal) rankOfSelf(eng Place) int {
+func (a *Assigner) rankOfSelf(eng Place) int {
 	seed := rendezvous.Seed(eng.ID)
-	own := rendezvous.Score(seed, rendezvous.Seed(d.self.ID))
+	own := rendezvous.Score(seed, rendezvous.Seed(a.self.ID))
 	rank := 0
-	for _, other := range d.local {
+	for _, other := range a.local {
 		if rendezvous.Score(seed, other.seed) > own {
 			rank++
 		}
@@ -228,20 +228,20 @@
 // remoteGuidanceShare returns how many entries of this failure domain send guidance to the host of
 // an engine in another domain. The domains that rank first for the engine provide one each, those
 // of other regions first. If there are fewer domains than needed, some provide more than one.
-func (d *Deal) remoteGuidanceShare(eng Place) int {
-	wanted := localGuidanceSenders + remoteGuidanceSenders - min(localGuidanceSenders, d.entriesByDomain[eng.FailureDomain])
+func (a *Assigner) remoteGuidanceShare(eng Place) int {
+	wanted := localGuidanceSenders + remoteGuidanceSenders - min(localGuidanceSenders, a.entriesByDomain[eng.FailureDomain])
 	seed := rendezvous.Seed(eng.ID)
 	ahead, others := 0, 0
-	own := rendezvous.Score(seed, rendezvous.Seed(d.self.FailureDomain))
-	for _, dom := range d.domains {
+	own := rendezvous.Score(seed, rendezvous.Seed(a.self.FailureDomain))
+	for _, dom := range a.domains {
 		if dom.name == eng.FailureDomain {
 			continue
 		}
 		others++
-		if dom.name == d.self.FailureDomain {
+		if dom.name == a.self.FailureDomain {
 			continue
 		}
-		otherRegion, selfOtherRegion := dom.region != eng.Region, d.self.Region != eng.Region
+		otherRegion, selfOtherRegion := dom.region != eng.Region, a.self.Region != eng.Region
 		if otherRegion != selfOtherRegion {
 			if otherRegion {
 				ahead++
