--- a/relay/fleet/conns_test.go
+++ b/relay/fleet/conns_test.go
@@ -39,12 +39,12 @@
 					t.Fatal("got no request sent by an entry")
 				}
 				inUse += len(grants)
-				room := 0
+				idleRoom := 0
 				for _, grant := range grants {
-					room = grant.IdleRoom()
+					idleRoom = grant.IdleRoom()
 					grant.Done(fleet.Served)
 				}
-				idle += min(room, len(grants))
+				idle += min(idleRoom, len(grants))
 			}
 			if tc.maxConns > 0 && (inUse > tc.maxConns || idle > tc.maxConns) {
 				t.Errorf("got %d connections in use, then %d idle, want at most %d", inUse, idle, tc.maxConns)
--- a/relay/fleet/fleet_test.go
+++ b/relay/fleet/fleet_test.go
@@ -243,14 +243,14 @@
 func TestResumedRequestPrefersEngineLateInRollout(t *testing.T) {
 	for name, turns := range map[string][]float64{"next and later": {0.1, 0.6}, "later and waiting for its requests to end": {0.6, 0.8}} {
 		w := newFixture()
-		places := map[string]float64{}
+		positions := map[string]float64{}
 		for i, turn := range turns {
 			w.registerEngine(i, 1)
-			places[address(i)] = turn
+			positions[address(i)] = turn
 		}
 		w.observeState(0, fleet.EngineState{Alive: true, Running: 2})
 		w.observeState(1, fleet.EngineState{Alive: true, Running: 14})
-		w.fleet.SetTurns(places)
+		w.fleet.SetTurns(positions)
 		resumed := need
 		resumed.Wanted, resumed.Again = 2, true
 		if got, want := w.pick(t, resumed).ID(), "e-1"; got != want {
--- a/relay/fleet/limit.go
+++ b/relay/fleet/limit.go
@@ -165,18 +165,18 @@
 
 // LiftLimit records that another entry saw an endpoint without a limit. An entry that does not send
 // requests there would learn it late.
-func (f *Fleet) LiftLimit(name Incarnation) {
+func (f *Fleet) LiftLimit(incarnation Incarnation) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	if service, ok := f.serviceByID[name.ID]; ok {
-		f.groups[service].liftLimit(name)
+	if service, ok := f.serviceByID[incarnation.ID]; ok {
+		f.groups[service].liftLimit(incarnation)
 	}
 }
 
-func (g *Group) liftLimit(name Incarnation) {
+func (g *Group) liftLimit(incarnation Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if ep := g.endpoints[name.ID]; ep != nil && ep.incarnation().matches(name) {
+	if ep := g.endpoints[incarnation.ID]; ep != nil && ep.incarnation().matches(incarnation) {
 		g.clearLimit(ep)
 	}
 }
--- a/relay/fleet/notice_test.go
+++ b/relay/fleet/notice_test.go
@@ -131,7 +131,7 @@
 // Guards against refusing a request that an endpoint may take in time, and against letting one wait
 // that no endpoint will take.
 func TestBacklogOfBackOffs(t *testing.T) {
-	const rest = 3 * time.Second
+	const backOff = 3 * time.Second
 	for name, test := range map[string]struct {
 		// events holds what each endpoint did; tried lists the endpoints that got the request
 		// already.
@@ -141,27 +141,27 @@
 		ok     bool
 	}{
 		"all back off": {
-			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": backingOff(2 * rest)},
-			want:   fleet.Backlog{Wait: rest, Rest: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(backOff), "b": backingOff(2 * backOff)},
+			want:   fleet.Backlog{Wait: backOff, Rest: true}, ok: true,
 		},
 		"the first to end was tried": {
-			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": backingOff(2 * rest)},
+			events: map[string]func(*fleet.Grant){"a": backingOff(backOff), "b": backingOff(2 * backOff)},
 			tried:  []string{"a"},
-			want:   fleet.Backlog{Wait: 2 * rest, Rest: true}, ok: true,
+			want:   fleet.Backlog{Wait: 2 * backOff, Rest: true}, ok: true,
 		},
 		"all were tried": {
-			events: map[string]func(*fleet.Grant){"a": backingOff(2 * rest), "b": backingOff(rest)},
+			events: map[string]func(*fleet.Grant){"a": backingOff(2 * backOff), "b": backingOff(backOff)},
 			tried:  []string{"a", "b"},
-			want:   fleet.Backlog{Wait: rest, Rest: true, Tried: true}, ok: true,
+			want:   fleet.Backlog{Wait: backOff, Rest: true, Tried: true}, ok: true,
 		},
 		"one leaves": {
-			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.NoteLeaving() }},
-			want:   fleet.Backlog{Wait: rest, Rest: true}, ok: true,
+			events: map[string]func(*fleet.Grant){"a": backingOff(backOff), "b": func(grant *fleet.Grant) { grant.NoteLeaving() }},
+			want:   fleet.Backlog{Wait: backOff, Rest: true}, ok: true,
 		},
-		"one is free":   {events: map[string]func(*fleet.Grant){"a": backingOff(rest)}},
-		"one is paused": {events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.Done(fleet.Unreachable) }}},
+		"one is free":   {events: map[string]func(*fleet.Grant){"a": backingOff(backOff)}},
+		"one is paused": {events: map[string]func(*fleet.Grant){"a": backingOff(backOff), "b": func(grant *fleet.Grant) { grant.Done(fleet.Unreachable) }}},
 		"one is limited and has credit": {
-			events: map[string]func(*fleet.Grant){"a": backingOff(rest), "b": func(grant *fleet.Grant) { grant.Limited(10, true) }},
+			events: map[string]func(*fleet.Grant){"a": backingOff(backOff), "b": func(grant *fleet.Grant) { grant.Limited(10, true) }},
 			ok:     true,
 		},
 		"one is limited for longer than the back-off": {
