--- a/relay/deal/deal_test.go
+++ b/relay/deal/deal_test.go
@@ -87,7 +87,7 @@
 
 // Guards against entries and agents that spend more processor time on messages to each other than
 // on requests: 98 entries and 138 engines needed more than their hosts' processors provide, because
-// every entry followed every engine.
+// every entry followed every engine, so that what one entry follows grew with the whole fleet.
 func TestAssignmentsPerEntryDoNotGrowWithFleet(t *testing.T) {
 	for _, size := range []struct{ entries, engines int }{{6, 9}, {20, 28}, {60, 84}} {
 		f := evenFleet(size.entries, size.engines)
