--- a/relay/limit/bucket.go
+++ b/relay/limit/bucket.go
@@ -60,6 +60,8 @@
 // Refund returns units that were taken but not used.
 func (b *Bucket) Refund(units float64) { b.level += units }
 
+// fill adds the units accumulated since the last call and returns the burst, the most that the
+// bucket holds.
 func (b *Bucket) fill(now time.Time, rate float64) (burst float64) {
 	burst = math.Max(1, rate*burstSpan.Seconds())
 	if b.updatedAt.IsZero() {
--- a/relay/limit/queue.go
+++ b/relay/limit/queue.go
@@ -88,6 +88,8 @@
 	return victim
 }
 
+// longerByWeight reports whether a is longer than b relative to its weight. Ties are broken by the
+// customers' names.
 func longerByWeight(a, b *customerQueue) bool {
 	left, right := float64(len(a.items))/a.weight, float64(len(b.items))/b.weight
 	if left != right {
@@ -112,6 +114,7 @@
 	return true
 }
 
+// detach updates the totals and the tags after item was taken out of its queue.
 func (q *Queue) detach(item *Item) {
 	cq := item.queue
 	item.queue = nil
@@ -157,6 +160,7 @@
 	return nil
 }
 
+// byStartTag returns the queues in the order in which they are served.
 func (q *Queue) byStartTag() []*customerQueue {
 	queues := make([]*customerQueue, 0, len(q.queues))
 	for _, cq := range q.queues {
--- a/relay/limit/rate.go
+++ b/relay/limit/rate.go
@@ -26,6 +26,7 @@
 	return r.decayed(now) / decayTime.Seconds()
 }
 
+// decayed returns the count of units as decayed until now.
 func (r *Rate) decayed(now time.Time) float64 {
 	if r.updatedAt.IsZero() {
 		return 0
