--- a/relay/fleet/fleet_test.go
+++ b/relay/fleet/fleet_test.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// Guards against a request that starts on a version too late after a newer one was acknowledged:
-// 13.4 s, which was the time allowed. While 88 engines load a new version, a few still have the old
+// Guards against a request that starts on a version 13.4 s after a newer one was acknowledged, with
+// 13.4 s allowed. While 88 engines load a new version, a few still have the old
 // one. 35 entries see the same engine idle, 20 to 250 ms ago, and each sends a request that the
 // engine would start at once. The last of them waits 1.2 s, because each entry calculated as if it
 // were the only sender.
--- a/relay/fleet/group.go
+++ b/relay/fleet/group.go
@@ -60,6 +60,7 @@
 	g.notifyPrefillChanged(ep.reg.Address)
 }
 
+// notifyPrefillChanged signals the channel returned by ReadingChanged, if there is one.
 func (g *Group) notifyPrefillChanged(address string) {
 	select {
 	case g.prefillChanged[address] <- struct{}{}:
@@ -190,6 +191,7 @@
 	return g.changed
 }
 
+// engines lists the engines of the group, one per address; it is empty for a plain service.
 func (g *Group) engines(service string) []Engine {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,6 +207,7 @@
 	return list
 }
 
+// addModels raises each version in found to the highest that an endpoint has loaded.
 func (g *Group) addModels(found map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/relay/fleet/pick.go
+++ b/relay/fleet/pick.go
@@ -79,7 +79,8 @@
 	Ends time.Duration
 	// Wanted is the version that every engine should reach; 0: unknown.
 	Wanted uint64
-	// Again is set if the request resumes after another endpoint.
+	// Again is set if the request was sent to another endpoint before and now resumes or is
+	// retried.
 	Again bool
 	// Last is set if no other endpoint may resume the request.
 	Last    bool
