--- a/relay/deal/deal.go
+++ b/relay/deal/deal.go
@@ -1,9 +1,10 @@
-// Package deal shares the engines of a fleet out among its entries: which entry
-// sends to which engine, and which of them send an engine's host what is wanted.
+// Package deal assigns the engines of a fleet to its entries: which entries send requests to an
+// engine, and which of them send guidance, the wanted state, to its host.
 //
-// Each entry computes its own part from who is registered; nobody leads. Entries that
-// know the same agree, and one that comes or goes moves few engines. The engines that an entry
-// follows grow with the engines for each entry and not with the fleet.
+// Each entry computes its own assignments from the registered entries and engines, without a
+// coordinator. Entries that know the same deployment agree, and an entry that joins or leaves
+// changes few assignments. The number of engines that an entry follows grows with the number of
+// engines per entry, not with the size of the fleet.
 package deal
 
 import (
@@ -13,66 +14,66 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// Shares says how many engines an entry has a part in.
+// Shares sets how many engines are assigned to an entry.
 type Shares struct {
-	// Near is the engines of its failure domain that an entry sends to where there are
-	// many.
+	// Near is the number of engines of its failure domain that an entry sends to if there are many.
 	Near int
-	// Senders is the entries of its failure domain at least that send to an engine.
+	// Senders is the least number of entries of its failure domain that send to an engine.
 	Senders int
 	// Far bounds the engines of other failure domains that an entry sends to.
 	Far int
 }
 
-// Usual is the shares in use. Few senders crowd a free slot less; more than one survive the loss
-// of another. Engines of other domains help a failure domain that gets more requests than others.
+// Usual holds the shares in use. With few senders, fewer requests compete for a free slot; with
+// more than one, an engine survives the loss of a sender. Engines of other domains help a failure
+// domain that gets more requests than others.
 var Usual = Shares{Near: 5, Senders: 3, Far: 8}
 
 const (
-	// nearGuides is the entries of its own failure domain that send a host what is wanted. One
-	// that is cut off from the store sends old guidance until its registration lapses; others
-	// send the new one.
-	nearGuides = 3
-	// farGuides is the entries of other failure domains that do so too: all entries
-	// of one region may be cut off together.
-	farGuides = 2
+	// localGuidanceSenders is the number of entries of its own failure domain that send guidance to
+	// a host. An entry cut off from the store sends outdated guidance until its registration
+	// lapses; the others send the current one.
+	localGuidanceSenders = 3
+	// remoteGuidanceSenders is the number of entries of other failure domains that do so too: all
+	// entries of one region may be cut off together.
+	remoteGuidanceSenders = 2
 )
 
-// Reach says how an entry stands to an engine.
+// Reach is the relation of an entry to an engine.
 type Reach int
 
-// The reaches, the closest last.
+// Relations of an entry to an engine, the closest last.
 const (
 	Outside Reach = iota // left to other entries
-	Far                  // of another failure domain, dealt to this entry of its own
-	Near                 // of this entry's failure domain, home to another entry
-	Home                 // home to this entry
+	Far                  // engine of another failure domain, assigned to this entry within its own domain
+	Near                 // engine of this entry's failure domain, with another home entry
+	Home                 // engine whose home is this entry
 )
 
-// String returns the name for logs.
+// String returns the name used in logs.
 func (r Reach) String() string { return [...]string{"outside", "far", "near", "home"}[r] }
 
-// Place is where an entry or an engine stands.
+// Place identifies an entry or an engine and its location.
 type Place struct {
-	ID            string // of an entry, or the address of an engine
+	ID            string // entry id or engine address
 	Region        string
 	FailureDomain string
 }
 
-// Part is what an entry has to do with an engine.
+// Part is an entry's assignment for an engine.
 type Part struct {
 	Reach Reach
-	// Guide: the entry sends the engine's host what is wanted.
+	// Guide is set if the entry sends guidance to the engine's host.
 	Guide bool
 }
 
-// Deal holds the entries that share the engines, as one of them knows them.
-type Deal struct {
-	shares  Shares
-	self    Place
-	near    []entry // of self's failure domain, self among them, by id
-	domains []domain
-	counts  map[string]int // entries by failure domain
+// Assigner computes the assignments of one entry from the entries that it knows.
+type Assigner struct {
+	shares          Shares
+	self            Place
+	local           []entry // entries of self's failure domain, including self, by id
+	domains         []domain
+	entriesByDomain map[string]int // number of entries by failure domain
 }
 
 type entry struct {
@@ -85,55 +86,55 @@
 	seed         uint64
 }
 
-// New returns the deal of an entry among others; it may be one of them.
-func New(self Place, others []Place) *Deal { return NewWith(Usual, self, others) }
+// New returns the Assigner of self. others are the other entries and may include self.
+func New(self Place, others []Place) *Assigner { return NewWith(Usual, self, others) }
 
-// NewWith is New with other shares, for those who compare them.
-func NewWith(shares Shares, self Place, others []Place) *Deal {
-	d := &Deal{shares: shares, self: self, counts: map[string]int{}}
+// NewWith is New with custom shares, for comparisons.
+func NewWith(shares Shares, self Place, others []Place) *Assigner {
+	a := &Assigner{shares: shares, self: self, entriesByDomain: map[string]int{}}
 	known := append([]Place{self}, slices.DeleteFunc(slices.Clone(others), func(place Place) bool { return place.ID == self.ID })...)
 	for _, place := range known {
-		if d.counts[place.FailureDomain]++; d.counts[place.FailureDomain] == 1 {
-			d.domains = append(d.domains, domain{place.FailureDomain, place.Region, rendezvous.Seed(place.FailureDomain)})
+		if a.entriesByDomain[place.FailureDomain]++; a.entriesByDomain[place.FailureDomain] == 1 {
+			a.domains = append(a.domains, domain{place.FailureDomain, place.Region, rendezvous.Seed(place.FailureDomain)})
 		}
 		if place.FailureDomain == self.FailureDomain {
-			d.near = append(d.near, entry{place.ID, rendezvous.Seed(place.ID)})
+			a.local = append(a.local, entry{place.ID, rendezvous.Seed(place.ID)})
 		}
 	}
-	slices.SortFunc(d.near, func(left, right entry) int { return cmp.Compare(left.id, right.id) })
-	return d
+	slices.SortFunc(a.local, func(left, right entry) int { return cmp.Compare(left.id, right.id) })
+	return a
 }
 
-// Parts returns the entry's part in each engine, by address. Engines in which it has
-// none are left out.
-func (d *Deal) Parts(engines []Place) map[string]Part {
+// Parts returns the entry's assignments by engine address, leaving out engines that are not
+// assigned to it.
+func (a *Assigner) Parts(engines []Place) map[string]Part {
 	parts := map[string]Part{}
-	var own, far []Place
+	var local, remote []Place
 	for _, eng := range engines {
-		if eng.FailureDomain == d.self.FailureDomain {
-			own = append(own, eng)
+		if eng.FailureDomain == a.self.FailureDomain {
+			local = append(local, eng)
 		} else {
-			far = append(far, eng)
+			remote = append(remote, eng)
 		}
 	}
-	d.shareOwn(own, parts)
-	d.shareFar(far, parts)
+	a.assignLocal(local, parts)
+	a.assignRemote(remote, parts)
 	return parts
 }
 
-// shareOwn deals the engines of the entry's failure domain. Homes are dealt evenly: an
-// engine whose best entry has its share goes to the next one.
-func (d *Deal) shareOwn(engines []Place, parts map[string]Part) {
-	byAddress(engines)
-	senders := d.senders(len(engines))
-	most := (len(engines) + len(d.near) - 1) / len(d.near)
-	homes := make([]int, len(d.near))
+// assignLocal assigns the engines of the entry's failure domain. Homes are spread evenly: if the
+// highest-ranked entry has its quota, the engine goes to the next one.
+func (a *Assigner) assignLocal(engines []Place, parts map[string]Part) {
+	sortByAddress(engines)
+	senders := a.senders(len(engines))
+	quota := (len(engines) + len(a.local) - 1) / len(a.local)
+	homes := make([]int, len(a.local))
 	for _, eng := range engines {
-		order := d.rank(eng)
-		home := slices.IndexFunc(order, func(at int) bool { return homes[at] < most })
+		order := a.rankEntries(eng)
+		home := slices.IndexFunc(order, func(at int) bool { return homes[at] < quota })
 		homes[order[home]]++
-		rank := slices.IndexFunc(order, func(at int) bool { return d.near[at].id == d.self.ID })
-		part := Part{Guide: rank < nearGuides}
+		rank := slices.IndexFunc(order, func(at int) bool { return a.local[at].id == a.self.ID })
+		part := Part{Guide: rank < localGuidanceSenders}
 		switch {
 		case rank == home:
 			part.Reach = Home
@@ -147,22 +148,22 @@
 }
 
 // senders returns how many entries of the failure domain send to each of its engines.
-func (d *Deal) senders(engines int) int {
+func (a *Assigner) senders(engines int) int {
 	if engines == 0 {
 		return 0
 	}
-	wanted := (d.shares.Near*len(d.near) + engines - 1) / engines
-	return min(len(d.near), max(d.shares.Senders, wanted))
+	wanted := (a.shares.Near*len(a.local) + engines - 1) / engines
+	return min(len(a.local), max(a.shares.Senders, wanted))
 }
 
-// rank returns the entries of the failure domain, the best for the engine first, by
-// their places in near.
-func (d *Deal) rank(eng Place) []int {
+// rankEntries returns the indexes in local of the failure domain's entries, the highest-ranked for
+// the engine first.
+func (a *Assigner) rankEntries(eng Place) []int {
 	seed := rendezvous.Seed(eng.ID)
-	order := make([]int, len(d.near))
-	scores := make([]uint64, len(d.near))
-	for at, one := range d.near {
-		order[at], scores[at] = at, rendezvous.Score(seed, one.seed)
+	order := make([]int, len(a.local))
+	scores := make([]uint64, len(a.local))
+	for at, ent := range a.local {
+		order[at], scores[at] = at, rendezvous.Score(seed, ent.seed)
 	}
 	slices.SortFunc(order, func(left, right int) int {
 		if scores[left] != scores[right] {
@@ -173,36 +174,36 @@
 	return order
 }
 
-// shareFar deals engines of other failure domains evenly, each to one entry of this
-// domain, those of its region first. Where there are more than its entries can follow,
-// a hash of the domain says which are left to others.
-func (d *Deal) shareFar(engines []Place, parts map[string]Part) {
+// assignRemote assigns the engines of other failure domains evenly, each to one entry of this
+// domain, engines in the same region first. If there are more than the domain's entries can follow,
+// a hash of the domain decides which are left to others.
+func (a *Assigner) assignRemote(engines []Place, parts map[string]Part) {
 	for _, eng := range engines {
-		if d.rankOfSelf(eng) < d.farShare(eng) {
+		if a.rankOfSelf(eng) < a.remoteGuidanceShare(eng) {
 			parts[eng.ID] = Part{Guide: true}
 		}
 	}
-	d.orderFar(engines)
-	most := min(d.shares.Far, (len(engines)+len(d.near)-1)/len(d.near))
-	dealt := make([]int, len(d.near))
-	left := most * len(d.near)
-	for _, eng := range engines[:min(left, len(engines))] {
-		order := d.rank(eng)
-		taker := order[slices.IndexFunc(order, func(at int) bool { return dealt[at] < most })]
-		dealt[taker]++
-		if d.near[taker].id == d.self.ID {
+	a.sortRemote(engines)
+	quota := min(a.shares.Far, (len(engines)+len(a.local)-1)/len(a.local))
+	assigned := make([]int, len(a.local))
+	assignable := quota * len(a.local)
+	for _, eng := range engines[:min(assignable, len(engines))] {
+		order := a.rankEntries(eng)
+		assignee := order[slices.IndexFunc(order, func(at int) bool { return assigned[at] < quota })]
+		assigned[assignee]++
+		if a.local[assignee].id == a.self.ID {
 			parts[eng.ID] = Part{Reach: Far, Guide: parts[eng.ID].Guide}
 		}
 	}
 }
 
-// orderFar puts engines into the order in which this failure domain deals them.
-func (d *Deal) orderFar(engines []Place) {
-	seed := rendezvous.Seed(d.self.FailureDomain)
+// sortRemote sorts engines into the order in which this failure domain assigns them.
+func (a *Assigner) sortRemote(engines []Place) {
+	seed := rendezvous.Seed(a.self.FailureDomain)
 	score := func(eng Place) uint64 { return rendezvous.Score(seed, rendezvous.Seed(eng.ID)) }
 	slices.SortFunc(engines, func(left, right Place) int {
-		if near := left.Region == d.self.Region; near != (right.Region == d.self.Region) {
-			if near {
+		if leftInRegion := left.Region == a.self.Region; leftInRegion != (right.Region == a.self.Region) {
+			if leftInRegion {
 				return -1
 			}
 			return 1
@@ -211,13 +212,12 @@
 	})
 }
 
-// rankOfSelf returns how many entries of the failure domain go before this one for
-// the engine.
-func (d *Deal) rankOfSelf(eng Place) int {
+// rankOfSelf returns how many entries of the failure domain rank before this one for the engine.
+func (a *Assigner) rankOfSelf(eng Place) int {
 	seed := rendezvous.Seed(eng.ID)
-	own := rendezvous.Score(seed, rendezvous.Seed(d.self.ID))
+	own := rendezvous.Score(seed, rendezvous.Seed(a.self.ID))
 	rank := 0
-	for _, other := range d.near {
+	for _, other := range a.local {
 		if rendezvous.Score(seed, other.seed) > own {
 			rank++
 		}
@@ -225,36 +225,36 @@
 	return rank
 }
 
-// farShare returns how many entries of this failure domain guide the host of an engine
-// in another one: those domains that rank first for it give one each, those of other
-// regions first, and in turn where there are few.
-func (d *Deal) farShare(eng Place) int {
-	wanted := nearGuides + farGuides - min(nearGuides, d.counts[eng.FailureDomain])
+// remoteGuidanceShare returns how many entries of this failure domain send guidance to the host of
+// an engine in another domain. The domains that rank first for the engine provide one each, those
+// of other regions first. If there are fewer domains than needed, some provide more than one.
+func (a *Assigner) remoteGuidanceShare(eng Place) int {
+	wanted := localGuidanceSenders + remoteGuidanceSenders - min(localGuidanceSenders, a.entriesByDomain[eng.FailureDomain])
 	seed := rendezvous.Seed(eng.ID)
-	before, others := 0, 0
-	own := rendezvous.Score(seed, rendezvous.Seed(d.self.FailureDomain))
-	for _, dom := range d.domains {
+	ahead, others := 0, 0
+	own := rendezvous.Score(seed, rendezvous.Seed(a.self.FailureDomain))
+	for _, dom := range a.domains {
 		if dom.name == eng.FailureDomain {
 			continue
 		}
 		others++
-		if dom.name == d.self.FailureDomain {
+		if dom.name == a.self.FailureDomain {
 			continue
 		}
-		elsewhere, selfElsewhere := dom.region != eng.Region, d.self.Region != eng.Region
-		if elsewhere != selfElsewhere {
-			if elsewhere {
-				before++
+		otherRegion, selfOtherRegion := dom.region != eng.Region, a.self.Region != eng.Region
+		if otherRegion != selfOtherRegion {
+			if otherRegion {
+				ahead++
 			}
 			continue
 		}
 		if rendezvous.Score(seed, dom.seed) > own {
-			before++
+			ahead++
 		}
 	}
-	return max(0, wanted-before+others-1) / others
+	return max(0, wanted-ahead+others-1) / others
 }
 
-func byAddress(engines []Place) {
+func sortByAddress(engines []Place) {
 	slices.SortFunc(engines, func(left, right Place) int { return cmp.Compare(left.ID, right.ID) })
 }
--- a/relay/fleet/backlog.go
+++ b/relay/fleet/backlog.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// AdmitsAt returns when the next endpoint that keeps requests off for a time admits one of this
-// entry: by its rate limit, at the end of its rest, or of the pause after it failed. Zero: none
-// does so. Nothing else announces that time.
+// AdmitsAt returns the earliest future time at which an endpoint that currently blocks new requests
+// admits one from this entry: by its rate limit, at the end of its back-off, or at the end of its
+// ejection. Zero means that no endpoint blocks. No other event signals that time, so callers must
+// set a timer.
 func (g *Group) AdmitsAt() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
 	var next time.Time
-	for _, end := range g.order {
-		if end.limit.active() {
-			next = earliestAfter(now, next, end.limit.admitsAt(now))
+	for _, ep := range g.sorted {
+		if ep.limit.active() {
+			next = earliestAfter(now, next, ep.limit.admitsAt(now))
 		}
-		next = earliestAfter(now, next, end.notice.restUntil)
-		next = earliestAfter(now, next, end.ejected)
+		next = earliestAfter(now, next, ep.notice.backOffUntil)
+		next = earliestAfter(now, next, ep.ejectedUntil)
 	}
 	return next
 }
 
-// earliestAfter returns the earlier of two moments, of which those that are over don't count.
+// earliestAfter returns the earlier of first and other. It ignores other unless it is after now,
+// and first if it is zero.
 func earliestAfter(now, first, other time.Time) time.Time {
 	if other.After(now) && (first.IsZero() || other.Before(first)) {
 		return other
@@ -28,50 +30,51 @@
 	return first
 }
 
-// Backlog is when endpoints that all keep requests off for a time admit a request.
+// Backlog tells when a request is admitted while all endpoints block new requests.
 type Backlog struct {
-	Wait time.Duration // until this entry may send it
-	// Elsewhere: this entry has no part of the rate limits, others have. Wait is then the time
-	// between two requests that the endpoints accept.
+	Wait time.Duration // until this entry may send the request
+	// Elsewhere is set if this entry holds no share of the rate limits and other entries do. Wait
+	// is then the interval between two requests that the endpoints accept.
 	Elsewhere bool
-	// Rest: endpoints asked this entry for rest, and none is left.
+	// Rest is set if endpoints asked this entry to back off and no other endpoint is left.
 	Rest bool
-	// Tried: all that rest refused this request. Wait is for the caller's next try.
+	// Tried is set if every endpoint that asked to back off has refused this request already. Wait
+	// is then meant for the caller's next try.
 	Tried bool
 }
 
-// Backlog returns when a request that so many others go before is admitted. ok is false where an
-// endpoint may take it sooner, or none serves it.
-func (g *Group) Backlog(need Need, ahead int) (first Backlog, ok bool) {
+// Backlog returns when a request with the given number of requests ahead of it is admitted. ok is
+// false if an endpoint may take it sooner or if no endpoint serves it.
+func (g *Group) Backlog(need Need, ahead int) (backlog Backlog, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	rest, pending := g.rest(need, now)
-	limits, found := g.limitedWait(need, ahead, now)
+	backOff, pending := g.backOffWait(need, now)
+	rateLimited, found := g.rateLimitWait(need, ahead, now)
 	switch {
-	case found == unlimited:
+	case found == anyUnlimited:
 		return Backlog{}, false
-	case found == nobody:
-		return rest, rest.Rest && !pending
-	case rest.Rest && !rest.Tried && rest.Wait < limits.Wait:
-		return rest, true
+	case found == unavailable:
+		return backOff, backOff.Rest && !pending
+	case backOff.Rest && !backOff.Tried && backOff.Wait < rateLimited.Wait:
+		return backOff, true
 	}
-	return limits, true
+	return rateLimited, true
 }
 
-// rest returns when the first rest ends of the endpoints that would serve a request. pending:
-// one that doesn't rest may take it soon; g.mu is held.
-func (g *Group) rest(need Need, now time.Time) (found Backlog, pending bool) {
-	for _, end := range g.candidates(need) {
-		if end.leaves() || !end.here(now) || !g.loaded(end, need, now) {
+// backOffWait returns when the first back-off ends among the endpoints that would serve the
+// request. pending is set if an endpoint that is not backing off may take it soon. g.mu is held.
+func (g *Group) backOffWait(need Need, now time.Time) (found Backlog, pending bool) {
+	for _, ep := range g.candidates(need) {
+		if ep.isLeaving() || !ep.available(now) || !g.hasVersion(ep, need, now) {
 			continue
 		}
-		tried := need.tried(end)
-		if !end.notice.rests(now) {
+		tried := need.tried(ep)
+		if !ep.notice.backingOff(now) {
 			pending = pending || !tried
 			continue
 		}
-		wait := end.notice.restUntil.Sub(now)
+		wait := ep.notice.backOffUntil.Sub(now)
 		if !found.Rest || found.Tried && !tried || found.Tried == tried && wait < found.Wait {
 			found = Backlog{Wait: wait, Rest: true, Tried: tried}
 		}
@@ -79,47 +82,47 @@
 	return found, pending
 }
 
-// serving says which endpoints serve a request now.
-type serving int
+// availability tells which endpoints serve a request now.
+type availability int
 
 const (
-	nobody    serving = iota // none
-	limited                  // some, all with a rate limit
-	unlimited                // one without a limit
+	unavailable  availability = iota // no endpoint
+	allLimited                       // at least one, all with a rate limit
+	anyUnlimited                     // at least one without a rate limit
 )
 
-// limitedWait returns when a request is admitted by rate limits; g.mu is held.
-func (g *Group) limitedWait(need Need, ahead int, now time.Time) (Backlog, serving) {
-	found := nobody
-	share, credit, accepted := 0.0, 0.0, 0.0
-	var askAt time.Time
-	for _, end := range g.candidates(need) {
-		if !g.serves(end, need, now) {
+// rateLimitWait returns when the rate limits admit a request. g.mu is held.
+func (g *Group) rateLimitWait(need Need, ahead int, now time.Time) (Backlog, availability) {
+	found := unavailable
+	share, credit, acceptedRate := 0.0, 0.0, 0.0
+	var probeAt time.Time
+	for _, ep := range g.candidates(need) {
+		if !g.eligible(ep, need, now) {
 			continue
 		}
-		if !end.limit.active() {
-			return Backlog{}, unlimited
+		if !ep.limit.active() {
+			return Backlog{}, anyUnlimited
 		}
-		found = limited
-		accepted += max(leastRate, end.limit.perSecond)
-		if end.limit.share == 0 {
-			if at := end.limit.askAt; askAt.IsZero() || at.Before(askAt) {
-				askAt = at
+		found = allLimited
+		acceptedRate += max(minRate, ep.limit.perSecond)
+		if ep.limit.share == 0 {
+			if at := ep.limit.probeAt; probeAt.IsZero() || at.Before(probeAt) {
+				probeAt = at
 			}
 			continue
 		}
-		share += end.limit.share
-		credit += end.limit.credit.Level(now, end.limit.share)
+		share += ep.limit.share
+		credit += ep.limit.bucket.Level(now, ep.limit.share)
 	}
 	switch {
-	case found == nobody:
-		return Backlog{}, nobody
+	case found == unavailable:
+		return Backlog{}, unavailable
 	case share > 0:
-		return Backlog{Wait: max(0, seconds((float64(1+ahead)-credit)/share))}, limited
-	case ahead == 0 && !askAt.After(now):
-		return Backlog{}, limited
+		return Backlog{Wait: max(0, seconds((float64(1+ahead)-credit)/share))}, allLimited
+	case ahead == 0 && !probeAt.After(now):
+		return Backlog{}, allLimited
 	}
-	return Backlog{Wait: seconds(1 / accepted), Elsewhere: true}, limited
+	return Backlog{Wait: seconds(1 / acceptedRate), Elsewhere: true}, allLimited
 }
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
--- a/relay/limit/limit_test.go
+++ b/relay/limit/limit_test.go
@@ -13,7 +13,7 @@
 
 var testStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// TestQueue runs the scripts of testdata/queue. Times are seconds.
+// TestQueue runs the scripts in testdata/queue. Times are in seconds.
 func TestQueue(t *testing.T) {
 	datadriven.Walk(t, "testdata/queue", func(t *testing.T, path string) {
 		queue := NewQueue(6)
@@ -27,11 +27,11 @@
 			case "expired":
 				var at int
 				d.ScanArgs(t, "at", &at)
-				var gone []string
+				var expired []string
 				for _, item := range queue.Expired(testStart.Add(time.Duration(at) * time.Second)) {
-					gone = append(gone, names[item])
+					expired = append(expired, names[item])
 				}
-				return fmt.Sprintf("%s; %d wait\n", strings.Join(gone, " "), queue.Len())
+				return fmt.Sprintf("%s; %d wait\n", strings.Join(expired, " "), queue.Len())
 			case "ahead":
 				weight := 1.0
 				d.MaybeScanArgs(t, "weight", &weight)
@@ -64,26 +64,26 @@
 	return out.String()
 }
 
-// runNext takes n requests; those of the customer in "full" find no room.
+// runNext takes n requests; those of the customer in "full" cannot be placed.
 func runNext(t *testing.T, d *datadriven.TestData, queue *Queue, names map[*Item]string) string {
 	count, full := 1, ""
 	d.MaybeScanArgs(t, "n", &count)
 	d.MaybeScanArgs(t, "full", &full)
-	var left []string
+	var served []string
 	for range count {
 		item := queue.Next(func(item *Item) bool { return item.Customer != full })
 		if item == nil {
-			left = append(left, "none")
+			served = append(served, "none")
 			break
 		}
-		left = append(left, names[item])
+		served = append(served, names[item])
 	}
-	return fmt.Sprintf("%s; %d wait\n", strings.Join(left, " "), queue.Len())
+	return fmt.Sprintf("%s; %d wait\n", strings.Join(served, " "), queue.Len())
 }
 
-// Symptom: a small customer waits behind a large one's burst. However long the
-// other lines are, it waits for at most one request of each other customer.
-func TestSmallCustomerWaitsForOneOfEach(t *testing.T) {
+// Guards against a small customer that waits behind a large one's burst. However long the other
+// queues are, it waits for at most one request of each other customer.
+func TestSmallCustomerWaitsForAtMostOneRequestOfEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := NewQueue(1000)
 		others := rapid.IntRange(1, 8).Draw(t, "others")
@@ -93,24 +93,24 @@
 				queue.Push(&Item{Customer: fmt.Sprintf("other-%d", i), Weight: weight, Cost: 1})
 			}
 		}
-		any := func(*Item) bool { return true }
+		accept := func(*Item) bool { return true }
 		for range rapid.IntRange(0, 50).Draw(t, "served before") {
-			queue.Next(any)
+			queue.Next(accept)
 		}
 		waiting := queue.Len()
 		queue.Push(&Item{Customer: "small", Weight: 1, Cost: 1})
 		before := 0
-		for item := queue.Next(any); item.Customer != "small"; item = queue.Next(any) {
+		for item := queue.Next(accept); item.Customer != "small"; item = queue.Next(accept) {
 			before++
 		}
-		if most := min(others, waiting); before > most {
-			t.Fatalf("got %d requests before the small customer's, want at most %d", before, most)
+		if bound := min(others, waiting); before > bound {
+			t.Fatalf("got %d requests before the small customer's, want at most %d", before, bound)
 		}
 	})
 }
 
-// The shares that entries compute from the same reports add up to the whole
-// limit, and none is left without.
+// Checks that the shares that entries compute from the same reports add up to the whole limit and
+// that every entry gets one.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := make(map[string]float64)
@@ -148,9 +148,9 @@
 				}
 				taken += cost
 			}
-			// One burst, and the debt of the last one taken.
-			if most := rate*now.Sub(testStart).Seconds() + max(1, rate) + 300; taken > most+1e-6 {
-				t.Fatalf("got %f units, want at most %f", taken, most)
+			// One burst, plus the debt of the last cost taken.
+			if bound := rate*now.Sub(testStart).Seconds() + max(1, rate) + 300; taken > bound+1e-6 {
+				t.Fatalf("got %f units, want at most %f", taken, bound)
 			}
 		}
 	})
--- a/relay/limit/queue.go
+++ b/relay/limit/queue.go
@@ -7,8 +7,8 @@
 
 // Bounds of a Queue.
 const (
-	DefaultMaxWaiting = 2048 // requests waiting at once, all customers together
-	// maxPlacementTries bounds the heads that Next offers in one call.
+	DefaultMaxWaiting = 2048 // requests waiting at once, for all customers together
+	// maxPlacementTries bounds the requests that Next offers in one call.
 	maxPlacementTries = 16
 )
 
@@ -17,58 +17,57 @@
 	Customer string
 	Weight   float64   // share under overload; above 0
 	Cost     float64   // expected work in any unit; above 0
-	Deadline time.Time // it is useless afterwards
-	Value    any       // the program's own handle
+	Deadline time.Time // the request is useless afterwards
+	Value    any       // the caller's own handle
 
-	queue *line // nil while it does not wait
+	queue *customerQueue // nil if it is not waiting
 }
 
-// line is one customer's waiting requests, first in first out.
-type line struct {
+// customerQueue holds one customer's waiting requests in FIFO order.
+type customerQueue struct {
 	customer string
 	weight   float64
 	items    []*Item
 	cost     float64 // sum over items
-	tag      float64 // virtual start time of the head
+	startTag float64 // virtual start time of the head
 }
 
-// Queue orders waiting requests by start-time fair queueing: each customer's
-// line advances by cost over weight, and the line that is furthest behind goes
-// first. A customer whose demand is below its share waits for at most one
-// request of each other customer, however long their lines are. It is not safe
-// for concurrent use.
+// Queue orders waiting requests by start-time fair queueing: each customer's queue advances by cost
+// divided by weight, and the queue with the lowest start tag goes first. A customer whose demand is
+// below its share waits for at most one request of each other customer, however long their queues
+// are. It is not safe for concurrent use.
 type Queue struct {
-	maxWaiting int
-	waiting    int     // sum of the lines' lengths
-	cost       float64 // sum over the lines
-	clock      float64 // virtual time: start tag of the last request that left
-	lines      map[string]*line
-	last       map[string]float64 // finish tag of each customer's latest work, while above clock
+	maxWaiting  int
+	waiting     int     // sum of the queues' lengths
+	cost        float64 // sum over the queues
+	virtualTime float64 // start tag of the last request that left
+	queues      map[string]*customerQueue
+	finishTags  map[string]float64 // finish tag of each customer's latest request, while above virtualTime
 }
 
 // NewQueue returns an empty Queue that holds at most maxWaiting requests.
 func NewQueue(maxWaiting int) *Queue {
-	return &Queue{maxWaiting: maxWaiting, lines: make(map[string]*line), last: make(map[string]float64)}
+	return &Queue{maxWaiting: maxWaiting, queues: make(map[string]*customerQueue), finishTags: make(map[string]float64)}
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.waiting }
 
-// Cost returns the work of the requests that wait.
+// Cost returns the total cost of the waiting requests.
 func (q *Queue) Cost() float64 { return q.cost }
 
-// Push adds a request. Over the bound the longest line relative to its weight
-// loses its newest request, which is returned (it may be the one pushed).
+// Push adds a request. If that exceeds the bound, the longest queue relative to its weight loses
+// its newest request, which is returned and may be the one pushed.
 func (q *Queue) Push(item *Item) (dropped *Item) {
-	waiting := q.lines[item.Customer]
-	if waiting == nil {
-		waiting = &line{customer: item.Customer, tag: max(q.clock, q.last[item.Customer])}
-		q.lines[item.Customer] = waiting
+	cq := q.queues[item.Customer]
+	if cq == nil {
+		cq = &customerQueue{customer: item.Customer, startTag: max(q.virtualTime, q.finishTags[item.Customer])}
+		q.queues[item.Customer] = cq
 	}
-	waiting.weight = item.Weight
-	waiting.items = append(waiting.items, item)
-	item.queue = waiting
-	waiting.cost += item.Cost
+	cq.weight = item.Weight
+	cq.items = append(cq.items, item)
+	item.queue = cq
+	cq.cost += item.Cost
 	q.waiting++
 	q.cost += item.Cost
 	if q.waiting <= q.maxWaiting {
@@ -78,9 +77,9 @@
 }
 
 func (q *Queue) dropNewest() *Item {
-	var longest *line
-	for _, candidate := range q.lines {
-		if longest == nil || outweighs(candidate, longest) {
+	var longest *customerQueue
+	for _, candidate := range q.queues {
+		if longest == nil || longerByWeight(candidate, longest) {
 			longest = candidate
 		}
 	}
@@ -89,7 +88,9 @@
 	return victim
 }
 
-func outweighs(a, b *line) bool {
+// longerByWeight reports whether a is longer than b relative to its weight. Ties are broken by the
+// customers' names.
+func longerByWeight(a, b *customerQueue) bool {
 	left, right := float64(len(a.items))/a.weight, float64(len(b.items))/b.weight
 	if left != right {
 		return left > right
@@ -97,107 +98,108 @@
 	return a.customer < b.customer
 }
 
-// Remove takes a request out that gave up; it reports whether it still waited.
+// Remove removes a request that gave up and reports whether it was still waiting.
 func (q *Queue) Remove(item *Item) bool {
-	waiting := item.queue
-	if waiting == nil {
+	cq := item.queue
+	if cq == nil {
 		return false
 	}
-	for i, other := range waiting.items {
+	for i, other := range cq.items {
 		if other == item {
-			waiting.items = append(waiting.items[:i], waiting.items[i+1:]...)
+			cq.items = append(cq.items[:i], cq.items[i+1:]...)
 			break
 		}
 	}
-	q.left(item)
+	q.detach(item)
 	return true
 }
 
-func (q *Queue) left(item *Item) {
-	waiting := item.queue
+// detach updates the totals and the tags after item was taken out of its queue.
+func (q *Queue) detach(item *Item) {
+	cq := item.queue
 	item.queue = nil
-	waiting.cost -= item.Cost
+	cq.cost -= item.Cost
 	q.waiting--
 	q.cost -= item.Cost
-	if len(waiting.items) == 0 {
-		delete(q.lines, waiting.customer)
-		q.last[waiting.customer] = waiting.tag
+	if len(cq.items) == 0 {
+		delete(q.queues, cq.customer)
+		q.finishTags[cq.customer] = cq.startTag
 	}
 	if q.waiting == 0 {
 		q.reset()
 	}
 }
 
-// reset forgets tags once nobody waits: without it they would grow for ever
-// and customers long gone would stay in the map.
+// reset clears the tags once no request waits: otherwise they would grow without bound, and former
+// customers would stay in the map.
 func (q *Queue) reset() {
-	q.clock, q.cost = 0, 0
-	clear(q.last)
+	q.virtualTime, q.cost = 0, 0
+	clear(q.finishTags)
 }
 
-// Next offers the heads of the lines in fair order to place until one is
-// taken, and returns it; nil where none was.
+// Next offers the first request of each queue to place, in fair order, until one is taken, and
+// returns it, or nil if none was.
 func (q *Queue) Next(place func(*Item) bool) *Item {
 	if q.waiting == 0 {
 		return nil
 	}
-	for tries, waiting := range q.ordered() {
+	for tries, cq := range q.byStartTag() {
 		if tries >= maxPlacementTries {
 			return nil
 		}
-		head := waiting.items[0]
+		head := cq.items[0]
 		if !place(head) {
 			continue
 		}
-		waiting.items = waiting.items[1:]
-		q.clock = max(q.clock, waiting.tag)
-		waiting.tag += head.Cost / head.Weight
-		q.left(head)
+		cq.items = cq.items[1:]
+		q.virtualTime = max(q.virtualTime, cq.startTag)
+		cq.startTag += head.Cost / head.Weight
+		q.detach(head)
 		return head
 	}
 	return nil
 }
 
-func (q *Queue) ordered() []*line {
-	lines := make([]*line, 0, len(q.lines))
-	for _, waiting := range q.lines {
-		lines = append(lines, waiting)
+// byStartTag returns the queues in the order in which they are served.
+func (q *Queue) byStartTag() []*customerQueue {
+	queues := make([]*customerQueue, 0, len(q.queues))
+	for _, cq := range q.queues {
+		queues = append(queues, cq)
 	}
-	sort.Slice(lines, func(i, j int) bool {
-		if lines[i].tag != lines[j].tag {
-			return lines[i].tag < lines[j].tag
+	sort.Slice(queues, func(i, j int) bool {
+		if queues[i].startTag != queues[j].startTag {
+			return queues[i].startTag < queues[j].startTag
 		}
-		return lines[i].customer < lines[j].customer
+		return queues[i].customer < queues[j].customer
 	})
-	return lines
+	return queues
 }
 
-// Expired removes and returns the requests whose deadline is not after at.
+// Expired removes and returns the requests whose deadline is at or before the given time.
 func (q *Queue) Expired(at time.Time) []*Item {
-	var gone []*Item
-	for _, waiting := range q.lines {
-		for _, item := range waiting.items {
+	var expired []*Item
+	for _, cq := range q.queues {
+		for _, item := range cq.items {
 			if !item.Deadline.After(at) {
-				gone = append(gone, item)
+				expired = append(expired, item)
 			}
 		}
 	}
-	for _, item := range gone {
+	for _, item := range expired {
 		q.Remove(item)
 	}
-	return gone
+	return expired
 }
 
-// Ahead estimates the cost that leaves the queue before a request pushed now
-// by the customer: its own line's, and as much of the others' as their weights
-// let pass meanwhile.
+// Ahead estimates the cost that leaves the queue before a request that the customer would push now:
+// that of its own queue, and as much of the others' as their weights let pass in the meantime.
 func (q *Queue) Ahead(customer string, weight float64) float64 {
 	own := 0.0
-	if waiting := q.lines[customer]; waiting != nil {
-		own = waiting.cost
+	if cq := q.queues[customer]; cq != nil {
+		own = cq.cost
 	}
 	ahead := own
-	for _, other := range q.lines {
+	for _, other := range q.queues {
 		if other.customer == customer {
 			continue
 		}
