--- a/agent/internal/onsite/cost_test.go
+++ b/agent/internal/onsite/bench_test.go
@@ -22,25 +22,25 @@
 // takes up to 33 a second; the engine's part on loopback is in it.
 func BenchmarkPoll(b *testing.B) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
+	server := httptest.NewServer(engine)
+	defer server.Close()
 	local := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
-	looks := newWatch(platform.NewEngine(host.URL, local), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
+	poller := newEnginePoller(platform.NewEngine(server.URL, local), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
 	b.ReportAllocs()
 	for b.Loop() {
-		looks.poll(context.Background())
+		poller.poll(context.Background())
 	}
 }
 
 // echoFeed answers each message with a state, as fast as they come.
-type echoFeed struct{ looks *watch }
+type echoFeed struct{ poller *enginePoller }
 
 func (f *echoFeed) Follow(stream wire.DRPCFeed_FollowStream) error {
 	for {
 		if _, err := stream.Recv(); err != nil {
 			return err
 		}
-		state := f.looks.message()
+		state := f.poller.message()
 		if err := stream.Send(state); err != nil {
 			return err
 		}
@@ -54,11 +54,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	looks := newWatch(nil, clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
-	looks.state = platform.EngineReport{Loaded: map[string]uint64{testModel: 1}, Running: 5}
+	poller := newEnginePoller(nil, clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
+	poller.state = platform.EngineReport{Loaded: map[string]uint64{testModel: 1}, Running: 5}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = serveFeed(ctx, lis, &echoFeed{looks}) }()
+	go func() { _ = serveFeed(ctx, lis, &echoFeed{poller}) }()
 	raw, err := net.Dial("tcp", lis.Addr().String())
 	if err != nil {
 		b.Fatal(err)
--- a/agent/internal/onsite/feed_test.go
+++ b/agent/internal/onsite/feed_test.go
@@ -20,7 +20,7 @@
 
 // Guards against an agent that restarts and reports its engine dead before it asked it: entries
 // then move the engine's streams away, and choose it no more for a moment.
-func TestAgentThatStartsReportsNoEngineDeadThatItHasNotAsked(t *testing.T) {
+func TestStartingAgentDoesNotReportUnpolledEngineDead(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler func(asked <-chan struct{}) http.Handler
 		alive   bool
@@ -38,9 +38,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked := make(chan struct{})
-			host := httptest.NewServer(test.handler(asked))
-			defer host.Close()
-			stream := followNewAgent(t, host.URL)
+			server := httptest.NewServer(test.handler(asked))
+			defer server.Close()
+			stream := followNewAgent(t, server.URL)
 			time.AfterFunc(50*time.Millisecond, func() { close(asked) })
 			state, err := stream.Recv()
 			if err != nil {
@@ -55,11 +55,11 @@
 
 // Guards against entries that go on sending to an engine which said to its agent that it leaves,
 // until each has passed on an answer of it.
-func TestAgentReportsThatItsEngineLeaves(t *testing.T) {
+func TestAgentReportsLeavingEngine(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
-	stream := followNewAgent(t, host.URL)
+	server := httptest.NewServer(engine)
+	defer server.Close()
+	stream := followNewAgent(t, server.URL)
 	first, err := stream.Recv()
 	if err != nil {
 		t.Fatal(err)
@@ -84,8 +84,8 @@
 func followNewAgent(t *testing.T, engineURL string) wire.DRPCFeed_FollowClient {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), slog.New(slog.DiscardHandler)
-	looks := newWatch(platform.NewEngine(engineURL, http.DefaultClient), clock, log)
-	served := newFeed(looks, newGuide(), newPace(clock.Now), clock)
+	poller := newEnginePoller(platform.NewEngine(engineURL, http.DefaultClient), clock, log)
+	server := newFeed(poller, newGuidanceStore(), newPacer(clock.Now), clock)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,11 +93,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
-		if err := serveFeed(ctx, lis, served); err != nil && !errors.Is(err, context.Canceled) {
+		if err := serveFeed(ctx, lis, server); err != nil && !errors.Is(err, context.Canceled) {
 			t.Error(err)
 		}
 	}()
-	go looks.run(ctx)
+	go poller.run(ctx)
 	raw, err := net.Dial("tcp", lis.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/agent/internal/onsite/onsite_test.go
+++ b/agent/internal/onsite/onsite_test.go
@@ -55,23 +55,23 @@
 			chunks = platformtest.Chunks(version, testChunks, testSize)
 		}
 		engine := platformtest.NewEngine(testModel, version, chunks)
-		host := httptest.NewServer(engine)
-		t.Cleanup(host.Close)
+		engineServer := httptest.NewServer(engine)
+		t.Cleanup(engineServer.Close)
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		set := &wire.AgentSettings{
 			Node:        &wire.NodeSettings{Id: fmt.Sprint("host-", i), Region: "r", FailureDomain: "d", ControlAddress: lis.Addr().String()},
-			EndpointUrl: host.URL,
+			EndpointUrl: engineServer.URL,
 			Site:        &wire.SiteSettings{LinkMegabits: 80, Bounds: &wire.SiteBounds{VersionMillis: 1500}},
 		}
-		one := newAgent(set, slog.New(slog.DiscardHandler))
-		s.engines, s.agents = append(s.engines, engine), append(s.agents, one)
+		member := newAgent(set, slog.New(slog.DiscardHandler))
+		s.engines, s.agents = append(s.engines, engine), append(s.agents, member)
 		s.nodes = append(s.nodes, &wire.Node{
-			Id: strings.TrimPrefix(host.URL, "http://"), Region: "r", FailureDomain: "d", ControlAddress: lis.Addr().String(),
+			Id: strings.TrimPrefix(engineServer.URL, "http://"), Region: "r", FailureDomain: "d", ControlAddress: lis.Addr().String(),
 		})
-		running.Go(func() { _ = one.run(ctx, lis) })
+		running.Go(func() { _ = member.run(ctx, lis) })
 	}
 	return s
 }
@@ -91,9 +91,9 @@
 }
 
 // guide sends all agents what is wanted, as entries do.
-func (s *testSite) guide(version uint64, revision uint64) {
-	for _, one := range s.agents {
-		one.guide.receive(time.Now(), &wire.Guidance{
+func (s *testSite) sendGuidance(version uint64, revision uint64) {
+	for _, agent := range s.agents {
+		agent.guidance.receive(time.Now(), &wire.Guidance{
 			Revision: revision, Hosts: s.hosts(), OriginUrl: s.originURL,
 			Wanted: []*wire.WantedWeights{{
 				Model: testModel, Version: version, Chunks: testChunks, ChunkBytes: testSize, Cutover: true, Fence: revision,
@@ -103,7 +103,7 @@
 }
 
 // await waits until all engines have loaded the version.
-func (s *testSite) await(t *testing.T, version uint64) {
+func (s *testSite) awaitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -157,12 +157,12 @@
 	}
 }
 
-func TestNewHostsGetTheWeightsFromTheOthers(t *testing.T) {
+func TestNewHostsFetchWeightsFromPeers(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0, 0)
 	// On a machine that is slow enough a new host draws before it has learned of
 	// the others: here it has no choice.
 	s.origin.RefuseChunks(true)
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	for _, i := range []int{2, 3} {
 		for len(s.engines[i].Loads()) == 0 {
 			time.Sleep(5 * time.Millisecond)
@@ -176,10 +176,10 @@
 
 func TestNewVersionReachesAllHosts(t *testing.T) {
 	s := newTestSite(t, 1, 1, 1, 1)
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
-	s.guide(2, 5)
-	s.await(t, 2)
+	s.sendGuidance(2, 5)
+	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 	if got, most := s.origin.Sent(), testChunks*testSize*3/2; got > most {
 		t.Errorf("got %d bytes from the origin, want at most %d, one copy and a half", got, most)
@@ -189,62 +189,62 @@
 // Symptom: a host answers from spoilt weights. Sequence: chunks are verified and
 // staged; one turns bad where it lies; the engine is ordered to load. Cause: what
 // was verified once was taken for good.
-func TestStagedChunkThatTurnedBadIsFetchedAgain(t *testing.T) {
+func TestCorruptedStagedChunkIsFetchedAgain(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0)
 	for i := range testChunks {
 		s.engines[0].Spoil(i)
 	}
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	for len(s.engines[2].Loads()) == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	s.checkLoads(t)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
 	s.engines[1].SetRunning(1) // it waits for its turn, so that there is time to spoil
-	s.guide(2, 5)
+	s.sendGuidance(2, 5)
 	for !s.engines[1].Spoil(3) {
 		time.Sleep(time.Millisecond)
 	}
-	s.await(t, 2)
+	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 }
 
 // Symptom: no host ever becomes whole. Sequence: the origin's answer is spoilt on
 // the way, in a digest. Cause: nothing proves a digest, so one draw was believed.
-func TestSpoiltManifestIsNotBelieved(t *testing.T) {
+func TestCorruptManifestIsRejected(t *testing.T) {
 	s := newTestSite(t, 1, 1)
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
 	s.origin.SpoilManifests(1)
-	s.guide(2, 5)
-	s.await(t, 2)
+	s.sendGuidance(2, 5)
+	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 }
 
-func TestOlderGuidanceChangesNothing(t *testing.T) {
-	guidance := newGuide()
+func TestOlderGuidanceIsIgnored(t *testing.T) {
+	guidance := newGuidanceStore()
 	now := time.Now()
 	receive := func(version, revision uint64) {
 		guidance.receive(now, &wire.Guidance{Revision: revision, OriginUrl: fmt.Sprint(revision),
 			Wanted: []*wire.WantedWeights{{Model: testModel, Version: version, AgeMillis: 1000}}})
 	}
-	if _, ok := guidance.weights(); ok {
+	if _, ok := guidance.newestWanted(); ok {
 		t.Errorf("got weights before any guidance")
 	}
 	receive(3, 7)
 	receive(2, 6)
-	want, ok := guidance.weights()
+	want, ok := guidance.newestWanted()
 	if !ok || want.version != 3 || guidance.originURL() != "7" {
 		t.Errorf("got version %d and origin %s, want 3 and 7", want.version, guidance.originURL())
 	}
-	if got, want := want.since, now.Add(-time.Second); !got.Equal(want) {
+	if got, want := want.declaredAt, now.Add(-time.Second); !got.Equal(want) {
 		t.Errorf("got declared at %v, want %v", got, want)
 	}
 	receive(4, 8)
-	if got, want := len(guidance.declared(testModel)), 2; got != want {
+	if got, want := len(guidance.declarations(testModel)), 2; got != want {
 		t.Errorf("got %d declarations remembered, want %d", got, want)
 	}
-	earlier := guidance.version(wanted{model: testModel, version: 4}, 3)
+	earlier := guidance.wantedVersion(wantedWeights{model: testModel, version: 4}, 3)
 	if earlier.version != 3 {
 		t.Errorf("got version %d, want 3", earlier.version)
 	}
@@ -252,43 +252,43 @@
 
 // Guards against a host that takes a version for newer than it is, because the entry that reported
 // of it first had started after its declaration, and against one that doesn't pass on what it knows.
-func TestHostReportsHowLongAgoVersionsWereDeclared(t *testing.T) {
-	guidance, now := newGuide(), time.Now()
+func TestHostReportsDeclarationAges(t *testing.T) {
+	guidance, now := newGuidanceStore(), time.Now()
 	for _, age := range []uint32{0, 5000, 200} {
 		guidance.receive(now, &wire.Guidance{Wanted: []*wire.WantedWeights{{Model: testModel, Version: 3, AgeMillis: age}}})
 	}
-	if want, _ := guidance.weights(); now.Sub(want.since) != 5*time.Second {
-		t.Errorf("got the version declared %v ago, want 5s", now.Sub(want.since))
+	if want, _ := guidance.newestWanted(); now.Sub(want.declaredAt) != 5*time.Second {
+		t.Errorf("got the version declared %v ago, want 5s", now.Sub(want.declaredAt))
 	}
-	got := guidance.ages(now.Add(time.Second))
+	got := guidance.declarationAges(now.Add(time.Second))
 	if len(got) != 1 || got[0].GetModel() != testModel || got[0].GetVersion() != 3 || got[0].GetAgeMillis() != 6000 {
 		t.Errorf("got %v, want version 3 for 6000 ms", got)
 	}
 }
 
-func TestHostCountsWhatCannotGoOnElsewhere(t *testing.T) {
+func TestHostCountsRequestsThatCannotMove(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	looks := newWatch(nil, clock, slog.New(slog.DiscardHandler))
-	served := newFeed(looks, newGuide(), newPace(clock.Now), clock)
-	one, two := &follower{feed: served}, &follower{feed: served}
+	poller := newEnginePoller(nil, clock, slog.New(slog.DiscardHandler))
+	server := newFeed(poller, newGuidanceStore(), newPacer(clock.Now), clock)
+	first, second := &follower{feed: server}, &follower{feed: server}
 	for _, step := range []struct {
 		do   func()
 		want int
 	}{
-		{func() { one.receive(&wire.Guidance{ReadingOnly: true, Last: 2}) }, 2},
-		{func() { two.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 3},
-		{func() { one.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 2},
-		{func() { served.remove(one) }, 1},
-		{func() { two.receive(&wire.Guidance{ReadingOnly: true}) }, 0},
+		{func() { first.receive(&wire.Guidance{ReadingOnly: true, Last: 2}) }, 2},
+		{func() { second.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 3},
+		{func() { first.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 2},
+		{func() { server.remove(first) }, 1},
+		{func() { second.receive(&wire.Guidance{ReadingOnly: true}) }, 0},
 	} {
 		step.do()
-		if got := looks.finals(); got != step.want {
+		if got := poller.countFinalRequests(); got != step.want {
 			t.Errorf("got %d, want %d", got, step.want)
 		}
 	}
 }
 
-func TestEntryHearsTheEngineAndWhatOthersSent(t *testing.T) {
+func TestEntryReceivesEngineStateAndOthersUnreadTokens(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.engines[0].SetRunning(5)
 	follow := func(reading uint32) wire.DRPCFeed_FollowClient {
@@ -296,9 +296,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		dial := drpcconn.New(conn)
-		t.Cleanup(func() { _ = dial.Close() })
-		stream, err := wire.NewDRPCFeedClient(dial).Follow(context.Background())
+		client := drpcconn.New(conn)
+		t.Cleanup(func() { _ = client.Close() })
+		stream, err := wire.NewDRPCFeedClient(client).Follow(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -307,10 +307,10 @@
 		}
 		return stream
 	}
-	one := follow(700)
+	stream := follow(700)
 	follow(300)
 	for {
-		state, err := one.Recv()
+		state, err := stream.Recv()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -321,7 +321,7 @@
 }
 
 func TestVersionNames(t *testing.T) {
-	model, version := splitName(versionName("a@b", 17))
+	model, version := parseVersionName(versionName("a@b", 17))
 	if model != "a@b" || version != 17 {
 		t.Errorf("got %s and %d, want a@b and 17", model, version)
 	}
@@ -331,11 +331,11 @@
 // requests, gets an order and cuts them; each is read again at another engine. Cause:
 // the order came as soon as entries could have learned of it. A host that serves
 // nothing waits for nobody.
-func TestOrderWaitsWhileWhatRunsEnds(t *testing.T) {
-	if got := notice(platform.EngineReport{Running: 9}); got != noticeTime {
-		t.Errorf("got a notice of %v where nine requests run, want %v", got, noticeTime)
+func TestNoticePeriodLetsRunningRequestsFinish(t *testing.T) {
+	if got := noticePeriodFor(platform.EngineReport{Running: 9}); got != noticePeriod {
+		t.Errorf("got a notice of %v where nine requests run, want %v", got, noticePeriod)
 	}
-	if got := notice(platform.EngineReport{}); got != idleNotice {
-		t.Errorf("got a notice of %v where nothing runs, want %v", got, idleNotice)
+	if got := noticePeriodFor(platform.EngineReport{}); got != idleNoticePeriod {
+		t.Errorf("got a notice of %v where nothing runs, want %v", got, idleNoticePeriod)
 	}
 }
--- a/agent/internal/onsite/pace.go
+++ b/agent/internal/onsite/pacer.go
@@ -15,15 +15,15 @@
 	// lagLow is the delay below which they take more again.
 	lagLow = 80 * time.Millisecond
 	// lagStale is the age at which an entry's report of a delay is no longer taken.
-	lagStale = 700 * time.Millisecond
+	maxReportAge = 700 * time.Millisecond
 	// paceStep is the time between two changes, a little more than such a report
 	// takes to come.
-	paceStep = 100 * time.Millisecond
+	adjustInterval = 100 * time.Millisecond
 	// leastPart is the part of the usual rate that is always taken, so that the
 	// link's recovery is noticed and the version comes at all.
-	leastPart = 0.06
+	minShare = 0.06
 	// partGain is added with each step while there is no delay.
-	partGain = 0.08
+	shareGain = 0.08
 )
 
 // pace decides which part of its usual share of the link the transfer of weights
@@ -36,13 +36,13 @@
 // the host's own domain see is the host's link; what one of them sees may be its own,
 // and what those of other domains see may be the link between, neither of which gets
 // better if this host takes less. It is safe for concurrent use.
-type pace struct {
+type pacer struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	reports map[*follower]delayReport
-	part    float64
-	stepped time.Time
+	mu           sync.Mutex
+	reports      map[*follower]delayReport
+	currentShare float64
+	adjustedAt   time.Time
 }
 
 // delayReport is what one entry reported of the delay on its way to this host.
@@ -52,12 +52,12 @@
 	at   time.Time
 }
 
-func newPace(now func() time.Time) *pace {
-	return &pace{now: now, part: 1, reports: map[*follower]delayReport{}}
+func newPacer(now func() time.Time) *pacer {
+	return &pacer{now: now, currentShare: 1, reports: map[*follower]delayReport{}}
 }
 
 // observe takes over the delay that an entry reports.
-func (p *pace) observe(from *follower, near bool, lag time.Duration) {
+func (p *pacer) observe(from *follower, near bool, lag time.Duration) {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,27 +65,27 @@
 }
 
 // leave forgets the report of an entry that follows no more.
-func (p *pace) leave(from *follower) {
+func (p *pacer) forget(from *follower) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.reports, from)
 }
 
 // delay returns the delay of the host's link that entries reported lately; 0: none.
-func (p *pace) delay() time.Duration {
+func (p *pacer) delay() time.Duration {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lag(now)
+	return p.reportedLag(now)
 }
 
 // lag returns the delay that most of the near entries see, of the others where no near
 // one reported any; p.mu is held.
-func (p *pace) lag(now time.Time) time.Duration {
+func (p *pacer) reportedLag(now time.Time) time.Duration {
 	var near, far []time.Duration
 	for _, report := range p.reports {
 		switch {
-		case now.Sub(report.at) > lagStale:
+		case now.Sub(report.at) > maxReportAge:
 		case report.near:
 			near = append(near, report.lag)
 		default:
@@ -93,14 +93,14 @@
 		}
 	}
 	if len(near) == 0 {
-		return ofMost(far)
+		return lowerMedian(far)
 	}
-	return ofMost(near)
+	return lowerMedian(near)
 }
 
 // ofMost returns the greatest delay that more than half of the entries see at least;
 // where there are two, both.
-func ofMost(lags []time.Duration) time.Duration {
+func lowerMedian(lags []time.Duration) time.Duration {
 	if len(lags) == 0 {
 		return 0
 	}
@@ -109,19 +109,19 @@
 }
 
 // share returns the part of the usual share that may be taken now.
-func (p *pace) share() float64 {
+func (p *pacer) share() float64 {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.stepped) < paceStep {
-		return p.part
+	if now.Sub(p.adjustedAt) < adjustInterval {
+		return p.currentShare
 	}
-	p.stepped = now
-	switch lag := p.lag(now); {
+	p.adjustedAt = now
+	switch lag := p.reportedLag(now); {
 	case lag > lagHigh:
-		p.part = max(leastPart, p.part/2)
+		p.currentShare = max(minShare, p.currentShare/2)
 	case lag < lagLow:
-		p.part = min(1, p.part+partGain)
+		p.currentShare = min(1, p.currentShare+shareGain)
 	}
-	return p.part
+	return p.currentShare
 }
--- a/agent/internal/onsite/watch.go
+++ b/agent/internal/onsite/poller.go
@@ -18,43 +18,43 @@
 	// pass, so that entries see a free slot well before the next pass begins.
 	pollInterval = 30 * time.Millisecond
 	// idlePoll is the same while nothing runs.
-	idlePoll = 80 * time.Millisecond
+	idlePollInterval = 80 * time.Millisecond
 	// pollTimeout is how long the engine may take to answer; one on the same
 	// host answers in a millisecond.
 	pollTimeout = 250 * time.Millisecond
 	// deadPolls is the polls in a row that fail until the engine is reported dead.
-	deadPolls = 2
+	maxFailedPolls = 2
 )
 
 // watch asks the engine for its state and keeps the newest.
-type watch struct {
+type enginePoller struct {
 	engine *platform.Engine
 	clock  clockwork.Clock
 	log    *slog.Logger
 
 	// beat is called after each look, on which whatever waits for a turn goes on.
-	beat func()
-
-	mu       sync.Mutex
-	sequence uint64 // grows with each change
-	state    platform.EngineReport
-	alive    bool
-	judged   bool // the engine answered once or was found dead
-	failures int
-	reading  int64 // prompt tokens that entries sent and that are not read
-	final    int   // requests of entries that can't go on at another engine
-	ordering bool  // an order is about to be given: nothing new should come
+	notify func()
+
+	mu            sync.Mutex
+	sequence      uint64 // grows with each change
+	state         platform.EngineReport
+	alive         bool
+	aliveKnown    bool // the engine answered once or was found dead
+	failures      int
+	unreadTokens  int64 // prompt tokens that entries sent and that are not read
+	finalRequests int   // requests of entries that can't go on at another engine
+	loadPending   bool  // an order is about to be given: nothing new should come
 }
 
-func newWatch(engine *platform.Engine, clock clockwork.Clock, log *slog.Logger) *watch {
-	return &watch{engine: engine, clock: clock, log: log, beat: func() {}}
+func newEnginePoller(engine *platform.Engine, clock clockwork.Clock, log *slog.Logger) *enginePoller {
+	return &enginePoller{engine: engine, clock: clock, log: log, notify: func() {}}
 }
 
-func (w *watch) run(ctx context.Context) {
+func (w *enginePoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.poll(ctx)
-		w.beat()
-		wait := idlePoll
+		w.notify()
+		wait := idlePollInterval
 		if report, alive := w.report(); alive && report.Running > 0 {
 			wait = pollInterval
 		}
@@ -65,7 +65,7 @@
 	}
 }
 
-func (w *watch) poll(ctx context.Context) {
+func (w *enginePoller) poll(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, err := w.engine.Report(callCtx)
@@ -76,15 +76,15 @@
 	defer w.mu.Unlock()
 	if err != nil {
 		w.failures++
-		w.judged = w.judged || w.failures >= deadPolls
-		if w.failures >= deadPolls && w.alive {
+		w.aliveKnown = w.aliveKnown || w.failures >= maxFailedPolls
+		if w.failures >= maxFailedPolls && w.alive {
 			w.alive = false
 			w.log.Warn("dependency lost", "dependency", "engine", "error", err)
 			w.sequence++
 		}
 		return
 	}
-	w.failures, w.judged = 0, true
+	w.failures, w.aliveKnown = 0, true
 	if w.state.Born != 0 && report.Born != w.state.Born {
 		w.log.Warn("the engine started again", "born", report.Born, "before", w.state.Born, "loaded", report.Loaded)
 	}
@@ -106,40 +106,40 @@
 }
 
 // addReading counts an entry's report of its prompts.
-func (w *watch) addReading(tokens int64) {
+func (w *enginePoller) addUnreadTokens(tokens int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.reading += tokens
+	w.unreadTokens += tokens
 	w.sequence++
 }
 
 // addFinal counts an entry's report of its requests that can't go on elsewhere.
-func (w *watch) addFinal(count int) {
+func (w *enginePoller) addFinalRequests(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.final += count
+	w.finalRequests += count
 }
 
 // finals returns how many requests are in progress that can't go on elsewhere.
-func (w *watch) finals() int {
+func (w *enginePoller) countFinalRequests() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.final
+	return w.finalRequests
 }
 
 // setOrdering reports to entries that the engine is about to get an order.
-func (w *watch) setOrdering(ordering bool) {
+func (w *enginePoller) setLoadPending(pending bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.ordering != ordering {
-		w.ordering = ordering
+	if w.loadPending != pending {
+		w.loadPending = pending
 		w.sequence++
 	}
 }
 
 // report returns the newest state; alive is false where the engine does not
 // answer.
-func (w *watch) report() (report platform.EngineReport, alive bool) {
+func (w *enginePoller) report() (report platform.EngineReport, alive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state, w.alive
@@ -147,28 +147,28 @@
 
 // known reports whether the state says anything of the engine: an agent that has just started
 // knows nothing of it.
-func (w *watch) known() bool {
+func (w *enginePoller) known() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.judged
+	return w.aliveKnown
 }
 
 // version returns a number that grows with each change of what entries receive.
-func (w *watch) version() uint64 {
+func (w *enginePoller) currentSequence() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.sequence
 }
 
 // message returns the state that entries receive.
-func (w *watch) message() *wire.EngineState {
+func (w *enginePoller) message() *wire.EngineState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := &wire.EngineState{
 		Sequence: w.sequence, Born: w.state.Born, Alive: w.alive,
 		Running: uint32(w.state.Running), Queued: uint32(w.state.Queued),
 		KvUsed: w.state.KVUsed, KvTotal: w.state.KVTotal, Pace: w.state.Pace,
-		Busy: w.state.Busy || w.ordering, Reading: uint32(max(0, w.reading)),
+		Busy: w.state.Busy || w.loadPending, Reading: uint32(max(0, w.unreadTokens)),
 		Leaving: w.state.Leaving,
 	}
 	for model, version := range w.state.Loaded {
--- a/agent/internal/onsite/run.go
+++ b/agent/internal/onsite/run.go
@@ -34,16 +34,16 @@
 	program = "comfreyagent"
 	// linkPart is the part of the host's link that weights take at most: the
 	// rest is for the engine's answers, which share it.
-	linkPart = 0.97
+	maxLinkShare = 0.97
 	// bitsPerMegabit and bitsPerByte turn a link's rate into bytes.
 	bitsPerMegabit = 1e6
 	bitsPerByte    = 8
 	// memoryPart is the part of the host's memory at which the collector works
 	// hardest.
-	memoryPart = 0.5
+	memoryLimitShare = 0.5
 	// aheadPart is the part of the host's memory that the chunks of a version
 	// after the one wanted may take.
-	aheadPart = 0.15
+	prefetchMemoryShare = 0.15
 	// drawWindow is the chunks that the hosts draw from the origin at once.
 	drawWindow = 14
 	// maxBackoff bounds the pause after the origin failed: the time for a new
@@ -51,38 +51,38 @@
 	maxBackoff = 700 * time.Millisecond
 	// originDial and originAnswer bound a connection to the origin and the wait
 	// for its answer: one that is cut off answers nothing.
-	originDial   = 500 * time.Millisecond
-	originAnswer = 1500 * time.Millisecond
+	originDialTimeout   = 500 * time.Millisecond
+	originHeaderTimeout = 1500 * time.Millisecond
 	// originConns and originIdle bound what one host holds of the connections
 	// that the origin takes from all: one that is kept for the next draw keeps
 	// other hosts out.
-	originConns = 2
-	originIdle  = 100 * time.Millisecond
+	maxOriginConns    = 2
+	originIdleTimeout = 100 * time.Millisecond
 	// servingBytes bounds the chunks that are on their way to a host at once while its engine serves:
 	// requests wait behind all of them where its link becomes narrow. idleFetches is the chunks while
 	// nothing runs, when the link should never be idle.
-	servingBytes = 96 << 10
-	idleFetches  = 8
+	maxServingBytes = 96 << 10
+	maxIdleFetches  = 8
 	// usualChunk is the size of a chunk where none is declared, bytes.
-	usualChunk = 32 << 10
+	defaultChunkBytes = 32 << 10
 	// crowdedPart is the part of the usual rate under which requests wait behind
 	// weights: one halving and a little.
-	crowdedPart = 0.6
+	congestedShare = 0.6
 	// upShare is the part of the uplink that weights take at most while the
 	// engine serves: its answers find no queue then.
-	upShare = 0.82
+	maxUpShare = 0.82
 	// downShare is the same of the downlink.
-	downShare = 0.85
+	maxDownShare = 0.85
 	// manifestDraws is how often a manifest is drawn until two are alike.
-	manifestDraws = 4
+	maxManifestDraws = 4
 )
 
 // Run runs an agent on a platform until drain or kill ends.
 func Run(drain, kill context.Context, set *wire.AgentSettings, out io.Writer) error {
-	lines := logging.NewBounded(out)
-	defer func() { _ = lines.Close() }()
-	log := logging.New(lines, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
-	debug.SetMemoryLimit(int64(memoryPart * float64(set.GetSite().GetMemoryMegabytes()) * (1 << 20)))
+	logWriter := logging.NewBounded(out)
+	defer func() { _ = logWriter.Close() }()
+	log := logging.New(logWriter, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(set.GetSite().GetMemoryMegabytes()) * (1 << 20)))
 	lis, err := net.Listen("tcp", set.GetNode().GetControlAddress())
 	if err != nil {
 		return failure.Wrap(err, failure.Unavailable, "cannot listen at node.controlAddress",
@@ -97,21 +97,21 @@
 
 // agent holds the parts of a running agent.
 type agent struct {
-	set    *wire.AgentSettings
-	log    *slog.Logger
-	clock  clockwork.Clock
-	guide  *guide
-	watch  *watch
-	pace   *pace
-	stage  *stage
-	mgr    *weights.Manager
-	loader *loader
-	pool   *peer.Pool
-	remote *http.Client
+	set        *wire.AgentSettings
+	log        *slog.Logger
+	clock      clockwork.Clock
+	guidance   *guidanceStore
+	poller     *enginePoller
+	pacer      *pacer
+	stage      *stage
+	mgr        *weights.Manager
+	loader     *loader
+	pool       *peer.Pool
+	originHTTP *http.Client
 
-	mu     sync.Mutex
-	origin *platform.Origin
-	base   string // of origin
+	mu         sync.Mutex
+	origin     *platform.Origin
+	originBase string // of origin
 }
 
 func newAgent(set *wire.AgentSettings, log *slog.Logger) *agent {
@@ -119,34 +119,34 @@
 	local := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	engine := platform.NewEngine(strings.TrimSuffix(set.GetEndpointUrl(), "/"), local)
 	a := &agent{
-		set: set, log: log, clock: clock, guide: newGuide(), pool: peer.NewPool(nil),
-		remote: originClient(),
+		set: set, log: log, clock: clock, guidance: newGuidanceStore(), pool: peer.NewPool(nil),
+		originHTTP: newOriginHTTPClient(),
 	}
-	a.watch = newWatch(engine, clock, log)
-	a.pace = newPace(clock.Now)
-	a.stage = newStage(engine, a.guide, int(aheadPart*float64(set.GetSite().GetMemoryMegabytes())*(1<<20)))
-	a.stage.man = a.wantedManifest
+	a.poller = newEnginePoller(engine, clock, log)
+	a.pacer = newPacer(clock.Now)
+	a.stage = newStage(engine, a.guidance, int(prefetchMemoryShare*float64(set.GetSite().GetMemoryMegabytes())*(1<<20)))
+	a.stage.manifest = a.currentManifest
 	a.mgr = weights.New(weights.Config{
 		Self: a.self(), Clock: clock, Log: log,
-		Peers:       a.guide.hosts,
+		Peers:       a.guidance.hosts,
 		Dial:        func(ctx context.Context, address string) drpc.Conn { return a.pool.Conn(ctx, address) },
-		Source:      weights.Source{Manifest: a.drawManifest, Chunk: a.drawChunk, Decode: manifest.DecodeNamed, Verify: verify},
-		Link:        linkOf(set.GetSite()),
+		Source:      weights.Source{Manifest: a.downloadManifest, Chunk: a.downloadChunk, Decode: manifest.DecodeNamed, Verify: verify},
+		Link:        linkSettings(set.GetSite()),
 		WindowBytes: set.GetWindowBytes(),
 		DearRegions: true,
 		DrawWindow:  drawWindow,
 		MaxBackoff:  maxBackoff,
-		Fetches:     a.fetches,
+		Fetches:     a.maxFetches,
 		LinkShares:  a.linkShares,
 		PutChunk:    a.stage.put,
 		GetChunk:    a.stage.get,
 		ReadBack:    a.stage.readBack,
 		DropChunk:   a.stage.drop,
-		HeldChunks:  a.stage.held,
+		HeldChunks:  a.stage.scan,
 	})
-	a.stage.lost = a.mgr.Lost
+	a.stage.onLost = a.mgr.Lost
 	a.loader = &loader{
-		engine: engine, watch: a.watch, guide: a.guide, mgr: a.mgr, stage: a.stage, clock: clock, log: log,
+		engine: engine, poller: a.poller, guidance: a.guidance, mgr: a.mgr, stage: a.stage, clock: clock, log: log,
 		self: a.self().GetId(), linkRate: linkRate(set.GetSite()),
 	}
 	a.apply(set)
@@ -155,14 +155,14 @@
 
 // apply takes over settings that may change while the agent runs: the bounds.
 func (a *agent) apply(set *wire.AgentSettings) {
-	a.loader.bound.Store(int64(versionBound(set.GetSite().GetBounds())))
+	a.loader.oldVersionLimit.Store(int64(versionBound(set.GetSite().GetBounds())))
 }
 
-func originClient() *http.Client {
+func newOriginHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: originDial}).DialContext,
-		MaxIdleConnsPerHost: 1, MaxConnsPerHost: originConns, IdleConnTimeout: originIdle, DisableCompression: true,
-		ResponseHeaderTimeout: originAnswer,
+		DialContext:         (&net.Dialer{Timeout: originDialTimeout}).DialContext,
+		MaxIdleConnsPerHost: 1, MaxConnsPerHost: maxOriginConns, IdleConnTimeout: originIdleTimeout, DisableCompression: true,
+		ResponseHeaderTimeout: originHeaderTimeout,
 	}}
 }
 
@@ -190,14 +190,14 @@
 	return set.GetLinkMegabits() * bitsPerMegabit / bitsPerByte
 }
 
-func linkOf(set *wire.SiteSettings) *wire.LinkSettings {
-	rate := uint64(linkPart * linkRate(set))
+func linkSettings(set *wire.SiteSettings) *wire.LinkSettings {
+	rate := uint64(maxLinkShare * linkRate(set))
 	return &wire.LinkSettings{Up: rate, Down: rate}
 }
 
 func (a *agent) run(ctx context.Context, lis net.Listener) error {
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterFeed(mux, newFeed(a.watch, a.guide, a.pace, a.clock)); err != nil {
+	if err := wire.DRPCRegisterFeed(mux, newFeed(a.poller, a.guidance, a.pacer, a.clock)); err != nil {
 		return failure.Wrap(err, failure.Internal, "cannot register the calls of entries", "report it")
 	}
 	if err := wire.DRPCRegisterHost(mux, &chunkServer{mgr: a.mgr}); err != nil {
@@ -205,21 +205,21 @@
 	}
 	a.log.Info("started", "endpoint", a.set.GetEndpointUrl(), "controlAddress", lis.Addr().String())
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return ended(ctx, peer.Serve(ctx, lis, nil, mux, a.log)) })
-	group.Go(func() error { a.watch.run(ctx); return nil })
+	group.Go(func() error { return ignoreAfterStop(ctx, peer.Serve(ctx, lis, nil, mux, a.log)) })
+	group.Go(func() error { a.poller.run(ctx); return nil })
 	reloader := &settings.Reloader[*wire.AgentSettings]{
 		File: platform.SettingsFile(), Load: settings.LoadAgent, Apply: a.apply, Clock: a.clock, Log: a.log,
 	}
 	group.Go(func() error { reloader.Run(ctx); return nil })
 	group.Go(func() error { a.loader.run(ctx); return nil })
-	group.Go(func() error { return ended(ctx, a.mgr.Run(ctx)) })
+	group.Go(func() error { return ignoreAfterStop(ctx, a.mgr.Run(ctx)) })
 	err := group.Wait()
 	a.log.Info("stopped")
 	return err
 }
 
 // ended drops the error that a part returns because it was asked to stop.
-func ended(ctx context.Context, err error) error {
+func ignoreAfterStop(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -227,8 +227,8 @@
 }
 
 // wantedManifest is that of the version being fetched.
-func (a *agent) wantedManifest() *wire.Manifest {
-	want, ok := a.guide.weights()
+func (a *agent) currentManifest() *wire.Manifest {
+	want, ok := a.guidance.newestWanted()
 	if !ok {
 		return nil
 	}
@@ -240,37 +240,37 @@
 // bounded by the chunks on their way instead, so that it goes on drawing what is its
 // turn.
 func (a *agent) linkShares() (up, down float64) {
-	report, alive := a.watch.report()
+	report, alive := a.poller.report()
 	if !alive || report.Running == 0 {
 		return 1, 1
 	}
-	return a.pace.share() * upShare, downShare
+	return a.pacer.share() * maxUpShare, maxDownShare
 }
 
 // fetches returns how many chunks may be on their way at once: one behind which
 // requests wait for long. A host that can't serve yet has none to spare.
-func (a *agent) fetches() int {
-	report, alive := a.watch.report()
-	part := a.pace.share()
+func (a *agent) maxFetches() int {
+	report, alive := a.poller.report()
+	share := a.pacer.share()
 	switch {
 	case !alive || len(report.Loaded) == 0:
-		return idleFetches
-	case part < crowdedPart:
+		return maxIdleFetches
+	case share < congestedShare:
 		return 1
 	case report.Running == 0:
-		return idleFetches
+		return maxIdleFetches
 	}
-	want, _ := a.guide.weights()
-	return servingFetches(want.size)
+	want, _ := a.guidance.newestWanted()
+	return maxServingFetches(want.chunkBytes)
 }
 
 // servingFetches returns how many chunks of so many bytes may be on their way to a host that
 // serves; 0 bytes: unknown.
-func servingFetches(size int) int {
+func maxServingFetches(size int) int {
 	if size <= 0 {
-		size = usualChunk
+		size = defaultChunkBytes
 	}
-	return max(1, servingBytes/size)
+	return max(1, maxServingBytes/size)
 }
 
 func verify(chunk, hash []byte) bool {
@@ -278,15 +278,15 @@
 	return bytes.Equal(sum[:], hash)
 }
 
-func (a *agent) source() (*platform.Origin, error) {
-	base := a.guide.originURL()
+func (a *agent) currentOrigin() (*platform.Origin, error) {
+	base := a.guidance.originURL()
 	if base == "" {
 		return nil, failure.New(failure.Unavailable, "no origin is declared", "wait for an entry")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if base != a.base {
-		a.origin, a.base = platform.NewOrigin(base, a.remote), base
+	if base != a.originBase {
+		a.origin, a.originBase = platform.NewOrigin(base, a.originHTTP), base
 	}
 	return a.origin, nil
 }
@@ -294,46 +294,46 @@
 // drawManifest draws a manifest until two draws are alike: the origin's answers
 // may be spoilt on the way, and nothing else proves a digest. The first two are
 // drawn at once, since all hosts wait for them.
-func (a *agent) drawManifest(ctx context.Context, version string) ([]byte, error) {
-	origin, err := a.source()
+func (a *agent) downloadManifest(ctx context.Context, version string) ([]byte, error) {
+	origin, err := a.currentOrigin()
 	if err != nil {
 		return nil, err
 	}
-	type draw struct {
+	type download struct {
 		encoded []byte
 		err     error
 	}
-	draws := make(chan draw, manifestDraws)
-	begin := func() {
-		encoded, err := drawOnce(ctx, origin, version)
-		draws <- draw{encoded, err}
+	downloads := make(chan download, maxManifestDraws)
+	start := func() {
+		encoded, err := downloadManifestOnce(ctx, origin, version)
+		downloads <- download{encoded, err}
 	}
-	go begin()
-	go begin()
+	go start()
+	go start()
 	var seen [][]byte
-	for begun, ended := 2, 0; ended < begun; {
-		one := <-draws
-		ended++
-		if one.err != nil && failure.KindOf(one.err) != failure.Corrupt {
-			return nil, one.err
+	for started, finished := 2, 0; finished < started; {
+		result := <-downloads
+		finished++
+		if result.err != nil && failure.KindOf(result.err) != failure.Corrupt {
+			return nil, result.err
 		}
-		if one.err == nil && slices.ContainsFunc(seen, func(other []byte) bool { return bytes.Equal(one.encoded, other) }) {
-			return one.encoded, nil
+		if result.err == nil && slices.ContainsFunc(seen, func(other []byte) bool { return bytes.Equal(result.encoded, other) }) {
+			return result.encoded, nil
 		}
-		if one.err == nil {
-			seen = append(seen, one.encoded)
+		if result.err == nil {
+			seen = append(seen, result.encoded)
 		}
-		if ended == begun && begun < manifestDraws {
-			begun++
-			go begin()
+		if finished == started && started < maxManifestDraws {
+			started++
+			go start()
 		}
 	}
 	return nil, failure.New(failure.Corrupt, "no two draws of the manifest are alike", "it is drawn again")
 }
 
 // drawOnce draws a manifest and encodes it.
-func drawOnce(ctx context.Context, origin *platform.Origin, version string) ([]byte, error) {
-	model, number := splitName(version)
+func downloadManifestOnce(ctx context.Context, origin *platform.Origin, version string) ([]byte, error) {
+	model, number := parseVersionName(version)
 	man, err := origin.Manifest(ctx, model, number)
 	if err != nil {
 		return nil, err
@@ -341,11 +341,11 @@
 	return manifest.Encode(manifest.Named(version, man.ChunkBytes, man.Digests))
 }
 
-func (a *agent) drawChunk(ctx context.Context, version string, index, limit int) ([]byte, error) {
-	origin, err := a.source()
+func (a *agent) downloadChunk(ctx context.Context, version string, index, limit int) ([]byte, error) {
+	origin, err := a.currentOrigin()
 	if err != nil {
 		return nil, err
 	}
-	model, number := splitName(version)
+	model, number := parseVersionName(version)
 	return origin.Chunk(ctx, model, number, index, limit)
 }
--- a/agent/internal/onsite/stage_test.go
+++ b/agent/internal/onsite/stage_test.go
@@ -16,10 +16,10 @@
 // while version 2 lies ready beside the engine and waits for its turn to load. Cause
 // guarded against: the engine's stage holds one version, and chunks of the next one
 // lie at the same indexes.
-func TestNextVersionWaitsInMemory(t *testing.T) {
+func TestNextVersionStaysInMemory(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
+	server := httptest.NewServer(engine)
+	defer server.Close()
 	chunks := map[uint64][][]byte{2: platformtest.Chunks(2, 3, testSize), 3: platformtest.Chunks(3, 3, testSize)}
 	manifests := map[uint64]*wire.Manifest{2: {}, 3: {}}
 	for version, list := range chunks {
@@ -28,31 +28,31 @@
 			manifests[version].ChunkHashes = append(manifests[version].ChunkHashes, sum[:])
 		}
 	}
-	guidance := newGuide()
+	guidance := newGuidanceStore()
 	guidance.receive(time.Now(), &wire.Guidance{Wanted: []*wire.WantedWeights{{Model: testModel, Version: 3}}})
-	kept := newStage(platform.NewEngine(host.URL, host.Client()), guidance, 2*testSize)
+	stage := newStage(platform.NewEngine(server.URL, server.Client()), guidance, 2*testSize)
 	wanted := uint64(2)
-	kept.man = func() *wire.Manifest { return manifests[wanted] }
+	stage.manifest = func() *wire.Manifest { return manifests[wanted] }
 	put := func(version uint64, i int) error {
-		return kept.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i])
+		return stage.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i])
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		version uint64
 		index   int
 		fits    bool
 	}{{2, 0, true}, {3, 0, true}, {2, 1, true}, {3, 1, true}, {2, 2, true}, {3, 2, false}} {
-		if err := put(one.version, one.index); (err == nil) != one.fits {
-			t.Errorf("version %d, chunk %d: got %v, want it taken: %v", one.version, one.index, err, one.fits)
+		if err := put(test.version, test.index); (err == nil) != test.fits {
+			t.Errorf("version %d, chunk %d: got %v, want it taken: %v", test.version, test.index, err, test.fits)
 		}
 	}
 	if !engine.Lies(chunks[2]) {
 		t.Error("got another thing than version 2 beside the engine")
 	}
-	if data, err := kept.get(t.Context(), manifests[3].ChunkHashes[1]); err != nil || !bytes.Equal(data, chunks[3][1]) {
+	if data, err := stage.get(t.Context(), manifests[3].ChunkHashes[1]); err != nil || !bytes.Equal(data, chunks[3][1]) {
 		t.Errorf("got %d bytes, %v, want what waits in memory", len(data), err)
 	}
 	wanted = 3
-	if err := kept.flush(t.Context()); err != nil {
+	if err := stage.flush(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if err := put(3, 2); err != nil {
@@ -61,11 +61,11 @@
 	if !engine.Lies(chunks[3]) {
 		t.Error("got another thing than version 3 beside the engine")
 	}
-	if got := len(kept.memory.waiting); got != 0 {
+	if got := len(stage.memory.pending); got != 0 {
 		t.Errorf("got %d chunks that wait in memory, want none", got)
 	}
-	if got := kept.memory.held(); got > 2*testSize || got != kept.memory.bytes {
-		t.Errorf("got %d bytes in memory, %d counted, want no more than there is room for, as counted", got, kept.memory.bytes)
+	if got := stage.memory.heldBytes(); got > 2*testSize || got != stage.memory.usedBytes {
+		t.Errorf("got %d bytes in memory, %d counted, want no more than there is room for, as counted", got, stage.memory.usedBytes)
 	}
 }
 
@@ -73,15 +73,15 @@
 // answers is late. Sequence: two versions are named in quick succession; hosts load
 // the first one in turns and begin to fetch the second one after their turn; those
 // who should draw chunks of it come last. Cause: one version was fetched at a time.
-func TestSecondVersionIsFetchedWhileTheFirstWaits(t *testing.T) {
+func TestSecondVersionIsFetchedWhileTheFirstAwaitsLoading(t *testing.T) {
 	s := newTestSite(t, 1, 1, 1, 1)
 	for version := uint64(2); version <= 3; version++ {
 		s.origin.Add(version, platformtest.Chunks(version, testChunks, testSize))
 	}
-	s.guide(2, 2)
+	s.sendGuidance(2, 2)
 	s.awaitFirstLoad(t)
-	s.guide(3, 3)
-	s.await(t, 3)
+	s.sendGuidance(3, 3)
+	s.awaitVersion(t, 3)
 	s.checkLoads(t)
 	both := 0
 	for _, engine := range s.engines {
@@ -98,10 +98,10 @@
 // that it no longer has, and takes itself for nearly whole. Sequence: chunks of version 3
 // are laid over those of version 2; version 3 can't be had and version 2 is wanted again.
 // Cause: nothing reported what a chunk was laid over.
-func TestChunkThatIsLaidOverIsLost(t *testing.T) {
+func TestOverwrittenChunkIsReportedLost(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
+	server := httptest.NewServer(engine)
+	defer server.Close()
 	chunks := map[uint64][][]byte{2: platformtest.Chunks(2, 3, testSize), 3: platformtest.Chunks(3, 3, testSize)}
 	manifests := map[uint64]*wire.Manifest{2: {}, 3: {}}
 	for version, list := range chunks {
@@ -110,16 +110,16 @@
 			manifests[version].ChunkHashes = append(manifests[version].ChunkHashes, sum[:])
 		}
 	}
-	guidance := newGuide()
+	guidance := newGuidanceStore()
 	guidance.receive(time.Now(), &wire.Guidance{Wanted: []*wire.WantedWeights{{Model: testModel, Version: 3}}})
-	kept := newStage(platform.NewEngine(host.URL, host.Client()), guidance, 0)
+	stage := newStage(platform.NewEngine(server.URL, server.Client()), guidance, 0)
 	wanted := uint64(2)
-	kept.man = func() *wire.Manifest { return manifests[wanted] }
+	stage.manifest = func() *wire.Manifest { return manifests[wanted] }
 	var lost [][]byte
-	kept.lost = func(hash []byte) { lost = append(lost, hash) }
+	stage.onLost = func(hash []byte) { lost = append(lost, hash) }
 	put := func(version uint64, i int) {
 		wanted = version
-		if err := kept.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i]); err != nil {
+		if err := stage.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i]); err != nil {
 			t.Fatal(err)
 		}
 	}
