--- a/agent/internal/onsite/bench_test.go
+++ b/agent/internal/onsite/bench_test.go
@@ -18,8 +18,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// BenchmarkPoll measures what an agent spends on one look at its engine, of which it
-// takes up to 33 a second; the engine's part on loopback is in it.
+// BenchmarkPoll measures the cost of one poll of the engine, of which an agent makes up to 33
+// per second. It includes the test engine's share, over loopback.
 func BenchmarkPoll(b *testing.B) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
 	server := httptest.NewServer(engine)
@@ -32,7 +32,7 @@
 	}
 }
 
-// echoFeed answers each message with a state, as fast as they come.
+// echoFeed answers each message with a state immediately.
 type echoFeed struct{ poller *enginePoller }
 
 func (f *echoFeed) Follow(stream wire.DRPCFeed_FollowStream) error {
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkState measures one message of an entry and one state of an agent, both ends
-// on loopback.
+// BenchmarkState measures one message from an entry and one state from an agent, with both
+// ends on loopback.
 func BenchmarkState(b *testing.B) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,6 +80,7 @@
 	}
 }
 
+// serveFeed serves a Feed service on the listener until ctx is done.
 func serveFeed(ctx context.Context, lis net.Listener, feed wire.DRPCFeedServer) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterFeed(mux, feed); err != nil {
--- a/agent/internal/onsite/chunk_server.go
+++ b/agent/internal/onsite/chunk_server.go
@@ -8,8 +8,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// chunkServer serves chunks to other agents. On a platform requests go straight
-// from entries to engines, so an agent serves none: wire.Host.
+// chunkServer implements the wire.Host service: it serves chunks to other agents. On a
+// platform, entries send requests directly to engines, so its request methods return an
+// error.
 type chunkServer struct{ mgr *weights.Manager }
 
 func (s *chunkServer) Chunk(req *wire.ChunkRequest, stream wire.DRPCHost_ChunkStream) error {
@@ -26,4 +27,4 @@
 	return nil, errNoRequests
 }
 
-var errNoRequests = failure.New(failure.Invalid, "this agent takes no requests", "send them to the engine")
+var errNoRequests = failure.New(failure.Invalid, "this agent does not accept requests", "send them to the engine")
--- a/agent/internal/onsite/feed.go
+++ b/agent/internal/onsite/feed.go
@@ -11,24 +11,23 @@
 )
 
 const (
-	// leastGap bounds how often an entry may ask for states; usualGap holds until it
-	// says how often it wants them.
+	// minGap is the least time between two states that an entry may ask for. defaultGap
+	// applies until the entry asks for one.
 	minGap     = 25 * time.Millisecond
 	defaultGap = 250 * time.Millisecond
-	// sendAnyway is the longest time between two states where the entry wants them
-	// more often: one that receives nothing for a few of these takes the agent's report no
-	// longer.
+	// maxGap is the time after which an unchanged state is sent again: an entry that
+	// receives nothing for a few times this long stops trusting the agent's last report.
 	maxGap = 250 * time.Millisecond
 )
 
-// feed serves entries: wire.Feed. States go out on the beat of the looks at the engine and not
-// by a timer for each entry, since waking up costs an agent more than what it sends.
+// feed implements the wire.Feed service for entries. States are sent after polls of the
+// engine and not by a timer per entry, since waking up costs an agent more than sending.
 type feed struct {
 	poller    *enginePoller
 	guidance  *guidanceStore
 	pacer     *pacer
 	clock     clockwork.Clock
-	startedAt time.Time // of the agent
+	startedAt time.Time // when the agent started
 
 	mu        sync.Mutex
 	followers map[*follower]bool
@@ -40,7 +39,7 @@
 	return f
 }
 
-// beat lets those followers send whose time has come.
+// notifyFollowers triggers a state message to each follower that is due for one.
 func (f *feed) notifyFollowers() {
 	if !f.poller.known() {
 		return
@@ -54,8 +53,7 @@
 	}
 }
 
-// Follow streams the engine's state until the entry goes, from the first beat on at which it
-// is known.
+// Follow streams the engine's state, as soon as it is known, until the entry disconnects.
 func (f *feed) Follow(stream wire.DRPCFeed_FollowStream) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
@@ -96,7 +94,7 @@
 	f.followers[entry] = true
 }
 
-// remove forgets a follower and what it had not read.
+// remove deletes a follower, its delay report and its counts of pending work.
 func (f *feed) remove(entry *follower) {
 	f.mu.Lock()
 	delete(f.followers, entry)
@@ -105,28 +103,28 @@
 	entry.setPendingWork(0, 0)
 }
 
-// follower is one entry that follows the engine.
+// follower is an entry that receives the engine's state.
 type follower struct {
 	feed *feed
-	due  chan struct{} // buffered by one: a state is to be sent
+	due  chan struct{} // signals that a state is to be sent; buffered by one
 
 	mu            sync.Mutex
 	gap           time.Duration // least time between two states
-	lastDue       time.Time     // when the last one was to be sent
-	sentSequence  uint64        // version of the state sent last
-	unreadTokens  int64         // prompt tokens of the entry that are not read yet
-	finalRequests int           // requests of the entry that can't go on elsewhere
+	lastDue       time.Time     // when the last state became due
+	sentSequence  uint64        // sequence number of the state that was due last
+	unreadTokens  int64         // prompt tokens of the entry that the engine has not processed yet
+	finalRequests int           // requests of the entry that no other engine can continue
 	received      receipt
 }
 
-// receipt is when the entry's newest message came; zero: none did.
+// receipt records the arrival of the entry's newest message. It is zero before the first.
 type receipt struct {
 	at   time.Time
-	sent uint64 // when it was sent, by the entry's clock
+	sent uint64 // when the message was sent, milliseconds of the entry's clock
 }
 
-// beat lets a state be sent if there is something new and the last one is old enough, or
-// nothing was sent for long.
+// notifyIfDue triggers a state message if the state changed and the last message is at least
+// gap old. An unchanged state is due again after maxGap.
 func (f *follower) notifyIfDue(now time.Time, sequence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +139,7 @@
 	}
 }
 
-// state is what is sent to the entry now.
+// state returns the message to send to the entry now.
 func (f *follower) state() *wire.EngineState {
 	state := f.feed.poller.message()
 	now := f.feed.clock.Now()
@@ -151,13 +149,14 @@
 	state.SentMillis, state.AgentBorn = uint64(now.Sub(f.feed.startedAt).Milliseconds()), f.feed.startedAt.UnixMilli()
 	state.LagMillis = uint32(f.feed.pacer.delay().Milliseconds())
 	if !f.received.at.IsZero() {
-		// The entry sees how long its message and this state were on their way.
+		// Lets the entry compute how long its message and this state were in transit.
 		state.EchoMillis = f.received.sent
 		state.EchoHeldMillis = uint64(now.Sub(f.received.at).Milliseconds())
 	}
 	return state
 }
 
+// receive processes a message from the entry.
 func (f *follower) receive(guidance *wire.Guidance) {
 	now := f.feed.clock.Now()
 	if guidance.GetSentMillis() > 0 {
@@ -170,7 +169,7 @@
 	}
 }
 
-// note keeps what the entry says of itself.
+// recordReceipt records the arrival of the message and the gap that the entry asks for.
 func (f *follower) recordReceipt(now time.Time, guidance *wire.Guidance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,6 +179,8 @@
 	}
 }
 
+// setPendingWork records the entry's unprocessed prompt tokens and the number of its
+// requests that no other engine can continue, and updates the engine's totals.
 func (f *follower) setPendingWork(tokens int64, final int) {
 	f.mu.Lock()
 	oldTokens, oldFinal := f.unreadTokens, f.finalRequests
--- a/agent/internal/onsite/feed_test.go
+++ b/agent/internal/onsite/feed_test.go
@@ -18,8 +18,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Guards against an agent that restarts and reports its engine dead before it asked it: entries
-// then move the engine's streams away, and choose it no more for a moment.
+// Guards against an agent that restarts and reports its engine dead before it has polled it:
+// entries then move the engine's streams elsewhere and avoid it for a moment.
 func TestStartingAgentDoesNotReportUnpolledEngineDead(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler func(asked <-chan struct{}) http.Handler
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against entries that go on sending to an engine which said to its agent that it leaves,
-// until each has passed on an answer of it.
+// Guards against entries that go on sending to an engine which reported to its agent that it
+// is leaving, until each entry has relayed one of the engine's answers, which say so too.
 func TestAgentReportsLeavingEngine(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
 	server := httptest.NewServer(engine)
@@ -65,13 +65,13 @@
 		t.Fatal(err)
 	}
 	if first.GetLeaving() {
-		t.Errorf("got an engine that leaves, want one that stays")
+		t.Errorf("got an engine that is leaving, want one that is not")
 	}
 	engine.Leave()
 	for {
 		state, err := stream.Recv()
 		if err != nil {
-			t.Fatalf("got %v, want a state of an engine that leaves", err)
+			t.Fatalf("got error %v, want a state of an engine that is leaving", err)
 		}
 		if state.GetLeaving() {
 			return
@@ -79,8 +79,8 @@
 	}
 }
 
-// followNewAgent follows an agent whose engine serves at the URL, from before it first asks
-// the engine.
+// followNewAgent starts the feed of an agent whose engine serves at the URL, and follows it
+// from before the first poll of the engine.
 func followNewAgent(t *testing.T, engineURL string) wire.DRPCFeed_FollowClient {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), slog.New(slog.DiscardHandler)
--- a/agent/internal/onsite/guidance.go
+++ b/agent/internal/onsite/guidance.go
@@ -1,6 +1,6 @@
-// Package onsite is the agent of an engine on a platform: it streams the engine's
-// state to entries, learns from them which weights are wanted, moves these onto
-// the host and orders the engine to load them.
+// Package onsite implements the agent of one engine on a platform. The agent streams the
+// engine's state to entries, receives from them which weights are wanted, transfers these
+// to the host and orders the engine to load them.
 package onsite
 
 import (
@@ -14,40 +14,40 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// wanted is the weights that the engine should use.
+// wantedWeights describes the weights that the engine should use.
 type wantedWeights struct {
 	model      string
 	version    uint64
-	fence      uint64
-	declaredAt time.Time // when it was declared, as far as known
-	loadTime   time.Duration
+	fence      uint64        // fencing number for the load order
+	declaredAt time.Time     // when the version was declared, as far as known
+	loadTime   time.Duration // time that an engine takes to load the version
 	chunks     int
-	chunkBytes int // of a chunk, bytes
-	// cutover: every stream of the engine may go on at another one, so that a
-	// load need not wait for those that run.
+	chunkBytes int
+	// cutover says that every stream of the engine may continue at another engine, so that
+	// a load need not wait for running streams.
 	cutover bool
 }
 
-// guide is the newest guidance of each entry. A guide never goes back to
-// an older version. It is safe for concurrent use.
+// guidanceStore merges the guidance of all entries and keeps the newest. It never goes back
+// to an older version of the weights. It is safe for concurrent use.
 type guidanceStore struct {
 	mu             sync.Mutex
-	revision       uint64 // of the guidance that gave peers and origin
-	wanted         map[string]wantedWeights
-	history        map[string][]rollout.Declared // by model, newest last
+	revision       uint64                        // revision of the guidance that set peers and origin
+	wanted         map[string]wantedWeights      // newest wanted version by model
+	history        map[string][]rollout.Declared // declarations by model, newest last
 	peers          []*wire.Node
-	origin         string
-	originLinkRate float64       // of the origin's link, bytes a second; 0: unknown
-	changed        chan struct{} // buffered by one
-	anyWanted      bool          // any weights were ever wanted
-	firstWanted    chan struct{} // closed then
+	origin         string        // base URL of the origin
+	originLinkRate float64       // bytes per second; 0: unknown
+	changed        chan struct{} // signals new guidance; buffered by one
+	anyWanted      bool          // whether any weights were ever wanted
+	firstWanted    chan struct{} // closed when anyWanted becomes true
 }
 
 func newGuidanceStore() *guidanceStore {
 	return &guidanceStore{wanted: map[string]wantedWeights{}, history: map[string][]rollout.Declared{}, changed: make(chan struct{}, 1), firstWanted: make(chan struct{})}
 }
 
-// await returns the weights wanted once some are.
+// awaitWanted waits until any weights are wanted and returns them.
 func (g *guidanceStore) awaitWanted(ctx context.Context) (wantedWeights, error) {
 	select {
 	case <-ctx.Done():
@@ -58,7 +58,7 @@
 	return want, nil
 }
 
-// receive takes over what is newer than what is known.
+// receive merges the parts of an entry's guidance that are newer than the known ones.
 func (g *guidanceStore) receive(now time.Time, guidance *wire.Guidance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,17 +93,19 @@
 	}
 }
 
-// maxHistory bounds the declarations remembered of one model: those still in
-// their time are a few.
+// maxHistory bounds the declarations kept per model. Only a few versions can still be
+// within the time for which they may be used.
 const maxHistory = 16
 
+// addDeclaration appends to a model's history. The caller holds g.mu.
 func (g *guidanceStore) addDeclaration(model string, decl rollout.Declared) {
 	list := append(g.history[model], decl)
 	g.history[model] = list[max(0, len(list)-maxHistory):]
 }
 
-// older takes over that a version was declared earlier than is known: the first to report it may
-// have started after its declaration.
+// moveDeclarationBack corrects the time of a version's declaration if the reported one is
+// earlier: the entry that reported the version first may have started after its
+// declaration. The caller holds g.mu.
 func (g *guidanceStore) moveDeclarationBack(model string, version uint64, declaredAt time.Time) {
 	for i, known := range g.history[model] {
 		if known.Version == version && declaredAt.Before(known.At) {
@@ -116,7 +118,7 @@
 	}
 }
 
-// ages returns the versions whose declaration is known, with its age.
+// declarationAges returns all versions whose declaration is known, with its age.
 func (g *guidanceStore) declarationAges(now time.Time) []*wire.DeclaredWeights {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,18 +132,19 @@
 	return found
 }
 
-// maxAge bounds the ages of declarations that are reported.
+// maxReportedAge is the upper limit of the ages that declarationAges returns.
 const maxReportedAge = time.Hour
 
-// declared returns the declarations known of a model, oldest first.
+// declarations returns the known declarations of a model, oldest first.
 func (g *guidanceStore) declarations(model string) []rollout.Declared {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.history[model])
 }
 
-// version returns what is known of an earlier declared version, given the newest
-// one: they differ in version, fence and time alone.
+// wantedVersion returns the description of an earlier declared version, derived from the
+// newest one: versions differ in number, fencing number and time of declaration only. The
+// fencing number of the newest one is kept.
 func (g *guidanceStore) wantedVersion(newest wantedWeights, version uint64) wantedWeights {
 	for _, decl := range g.declarations(newest.model) {
 		if decl.Version == version && version != newest.version {
@@ -151,8 +154,8 @@
 	return newest
 }
 
-// weights returns the weights wanted; ok is false while none are known. An
-// engine serves one model: of several, the first by name.
+// newestWanted returns the newest wanted weights; ok is false while none are known. An
+// engine serves one model; if several are wanted, the first by name is returned.
 func (g *guidanceStore) newestWanted() (want wantedWeights, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,19 +167,21 @@
 	return want, ok
 }
 
+// hosts returns the agents that entries listed as peers.
 func (g *guidanceStore) hosts() []*wire.Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.peers)
 }
 
-// originRate returns the rate of the origin's link, bytes a second; 0: unknown.
+// originRate returns the rate of the origin's link in bytes per second; 0: unknown.
 func (g *guidanceStore) originRate() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.originLinkRate
 }
 
+// originURL returns the origin's base URL; empty: unknown.
 func (g *guidanceStore) originURL() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/agent/internal/onsite/loader.go
+++ b/agent/internal/onsite/loader.go
@@ -18,41 +18,43 @@
 )
 
 const (
-	// loaderTick is how often the loader looks at what is wanted and there, and
-	// settledTick the same while the engine has what is wanted.
+	// loaderInterval is the time between two steps of the loader, and
+	// upToDateInterval the same while the engine has loaded the newest version.
 	loaderInterval   = 40 * time.Millisecond
 	upToDateInterval = 250 * time.Millisecond
-	// originCopies bounds how many hosts may draw one chunk from the origin where
-	// the first takes long: its link may have become narrow.
+	// originCopies is the maximum number of hosts that may download the same chunk from
+	// the origin. More than one may if the first is slow, since its link may have lost
+	// bandwidth.
 	originCopies = 3
-	// orderPause is the pause after an order that was not taken.
+	// orderRetryDelay is the pause after the engine rejected a load order.
 	orderRetryDelay = 150 * time.Millisecond
-	// orderTimeout bounds one order.
+	// orderTimeout bounds one load order.
 	orderTimeout = time.Second
-	// noticeTime is how long entries send nothing new before an order is given, and
-	// idleNotice the same where nothing runs: one state's way to them and a request's
-	// way here. What runs ends soon without prompts beside it, and what ended need
-	// not be cut, read again elsewhere and pause there; longer, engines stand idle.
+	// noticePeriod is how long before a load order entries stop sending new requests.
+	// Without new prompts, running requests finish soon, and a finished request need not
+	// be cut off and have its prompt processed again at another engine, which pauses its
+	// stream. A longer period would leave engines idle. idleNoticePeriod applies where
+	// nothing runs: it covers one state message to the entries and one request from them.
 	noticePeriod     = 600 * time.Millisecond
 	idleNoticePeriod = 40 * time.Millisecond
-	// recheckTimeout bounds the reading back of all chunks.
+	// recheckTimeout bounds reading all staged chunks back for verification.
 	recheckTimeout = 5 * time.Second
 )
 
-// versionName names a version of a model among hosts.
+// versionName returns the name that hosts use among each other for a version of a model.
 func versionName(model string, version uint64) string {
 	return model + "@" + strconv.FormatUint(version, 10)
 }
 
-// splitName is the reverse of versionName.
+// parseVersionName splits a name that versionName returned.
 func parseVersionName(name string) (model string, version uint64) {
 	at := strings.LastIndexByte(name, '@')
 	version, _ = strconv.ParseUint(name[at+1:], 10, 64)
 	return name[:max(0, at)], version
 }
 
-// loader brings the weights wanted into the engine: it sets what the Manager
-// fetches and gives the order once all is there.
+// loader brings the wanted weights into the engine. It sets which versions the Manager
+// fetches, and orders the engine to load one as soon as it is complete.
 type loader struct {
 	engine          *platform.Engine
 	poller          *enginePoller
@@ -61,18 +63,21 @@
 	stage           *stage
 	clock           clockwork.Clock
 	log             *slog.Logger
-	self            string       // this host among others
-	oldVersionLimit atomic.Int64 // for the use of a version after a newer one, nanoseconds
+	self            string       // node ID of this host
+	oldVersionLimit atomic.Int64 // how long a version may be used after a newer one was declared, nanoseconds
 
-	linkRate        float64       // of the host's link, bytes a second; 0: unlimited
+	linkRate        float64       // rate of the host's link, bytes per second; 0: unlimited
 	current         atomic.Uint64 // version that the Manager fetches
-	previousVersion uint64        // version that was fetched before it; its chunks stay
-	prefetchVersion uint64        // version that is fetched after it, into memory; 0: none
-	refusedFence    atomic.Uint64 // fencing number that the engine refused in this incarnation; lower ones are not used again
-	incarnation     int64         // incarnation of the engine that refused is of
-	retryAt         time.Time
+	previousVersion uint64        // version that was fetched before current; its chunks are kept
+	prefetchVersion uint64        // version that is prefetched into memory after current; 0: none
+	// refusedFence is the highest fencing number that the engine refused in this
+	// incarnation. Neither it nor lower ones are used again.
+	refusedFence atomic.Uint64
+	incarnation  int64     // engine incarnation to which refusedFence applies
+	retryAt      time.Time // no load order is sent before this time
 }
 
+// run calls step at intervals, and whenever guidance arrives, until ctx is done.
 func (l *loader) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.step(ctx)
@@ -88,13 +93,14 @@
 	}
 }
 
-// settled reports whether the engine has the newest version.
+// upToDate reports whether the engine has loaded the newest wanted version.
 func (l *loader) upToDate() bool {
 	newest, ok := l.guidance.newestWanted()
 	report, alive := l.poller.report()
 	return ok && alive && report.Loaded[newest.model] >= newest.version
 }
 
+// sleep waits for the given time or until ctx is done.
 func (l *loader) sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -102,6 +108,8 @@
 	}
 }
 
+// step chooses the version to fetch, stages chunks that are in memory, and sends a load
+// order if the version is complete and this host's turn to load has come.
 func (l *loader) step(ctx context.Context) {
 	newest, ok := l.guidance.newestWanted()
 	if !ok {
@@ -109,7 +117,7 @@
 	}
 	report, alive := l.poller.report()
 	if report.Born != l.incarnation {
-		// An engine that started again knows no fencing number.
+		// A restarted engine does not remember any fencing number.
 		l.incarnation = report.Born
 		l.refusedFence.Store(0)
 	}
@@ -134,8 +142,8 @@
 	l.orderLoad(ctx, want, name, report)
 }
 
-// choose returns the version that the host fetches now and lets the Manager
-// fetch it. A version that the host leaves is still given to others.
+// chooseVersion returns the version to fetch now, and passes it to the Manager as a target
+// if it changed. The host keeps serving the previously fetched version to its peers.
 func (l *loader) chooseVersion(newest wantedWeights, loaded uint64) wantedWeights {
 	current := l.current.Load()
 	declared := l.guidance.declarations(newest.model)
@@ -171,7 +179,7 @@
 	return want
 }
 
-// progress returns how far the versions are whose manifest is known.
+// progress returns the transfer progress of each declared version whose manifest is known.
 func (l *loader) progress(model string, declared []rollout.Declared) []rollout.Progress {
 	var found []rollout.Progress
 	for _, decl := range declared {
@@ -185,14 +193,15 @@
 	return found
 }
 
-// The version wanted goes before the one that is fetched ahead.
+// The current version takes precedence over the one that is prefetched.
 const (
 	prefetchPriority = 0
 	wantedPriority   = 1
 )
 
-// target is a version to fetch. Hosts that serve leave the links to those before
-// them in the order of turns, from its declaration on.
+// fetchTarget returns the Manager's target for a version. A host that serves delays its
+// pulls from peers, counted from the version's declaration, so that hosts whose turn to
+// load comes earlier have the links to themselves.
 func (l *loader) fetchTarget(want wantedWeights, loaded uint64, priority int) weights.Target {
 	target := weights.Target{Version: versionName(want.model, want.version), Priority: priority}
 	if loaded > 0 {
@@ -201,17 +210,18 @@
 	return target
 }
 
-// limit is how long an old version may be used after a newer one's declaration.
+// versionUseLimit returns how long a version may be used after a newer one was declared.
 func (l *loader) versionUseLimit() time.Duration { return time.Duration(l.oldVersionLimit.Load()) }
 
-// move returns how long the weights take to come here and into the engine, from
-// the notice on.
+// estimateMove returns the estimated times for transferring the weights to this host and
+// for loading them into the engine, including the notice period.
 func (l *loader) estimateMove(want wantedWeights) rollout.Move {
 	bytes := want.chunks * want.chunkBytes
 	return rollout.Move{Host: transferTime(bytes, l.linkRate), Origin: transferTime(bytes, l.guidance.originRate()), Load: noticePeriod + want.loadTime}
 }
 
-// timeOf returns the time of so many bytes at a rate; 0 where that is unknown.
+// transferTime returns the time to transfer the bytes at a rate in bytes per second; 0 if
+// the rate is unknown.
 func transferTime(bytes int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -219,9 +229,10 @@
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
+// currentVersion returns the version that the Manager fetches; 0: none yet.
 func (l *loader) currentVersion() uint64 { return l.current.Load() }
 
-// place is this host's among all.
+// place returns this host's position, from 0 to 1, in the order in which hosts load.
 func (l *loader) place() float64 {
 	hosts := l.guidance.hosts()
 	ids := make([]string, 0, len(hosts))
@@ -231,8 +242,9 @@
 	return rollout.Place(l.self, ids)
 }
 
-// start returns when this host's turn to load comes: at once where it serves
-// nothing.
+// loadStart returns when this host should load the version. The zero time means at once:
+// nothing is loaded yet, or the loaded version has no deadline. While the load has to wait
+// for running requests, loadStart returns the time of the loader's next step.
 func (l *loader) loadStart(want wantedWeights, report platform.EngineReport) time.Time {
 	deadline, ok := rollout.Deadline(l.guidance.declarations(want.model), report.Loaded[want.model], l.versionUseLimit())
 	if report.Loaded[want.model] == 0 || !ok {
@@ -249,7 +261,8 @@
 	return start
 }
 
-// notice returns how long before an order nothing new should come.
+// noticePeriodFor returns how long before a load order entries should stop sending
+// new requests.
 func noticePeriodFor(report platform.EngineReport) time.Duration {
 	if report.Running == 0 {
 		return idleNoticePeriod
@@ -257,8 +270,8 @@
 	return noticePeriod
 }
 
-// order reads the staged chunks back, because they may have turned bad where
-// they lie, and orders the engine to load them at once.
+// orderLoad reads the staged chunks back, because they may have been corrupted since they
+// were verified, and orders the engine to load them after the notice period.
 func (l *loader) orderLoad(ctx context.Context, want wantedWeights, name string, report platform.EngineReport) {
 	checkCtx, cancel := context.WithTimeout(ctx, recheckTimeout)
 	defer cancel()
@@ -273,13 +286,14 @@
 		return
 	}
 	l.poller.setLoadPending(true)
-	// Entries learn that nothing new should come before the engine stops.
+	// Tell entries to stop sending new requests before the engine stops serving.
 	l.poller.notify()
 	l.sleep(ctx, noticePeriodFor(report))
 	if current, alive := l.poller.report(); !alive || current.Born != report.Born {
-		// One that started again meanwhile may have lost what was read back, and
-		// its count of orders begins anew: the condition below would hold.
-		l.log.Info("no order: the engine is another one or gone", "version", name, "born", report.Born, "now", current.Born, "alive", alive)
+		// An engine that restarted meanwhile may have lost the chunks that were just
+		// verified. Its count of orders starts over, so the precondition of the order
+		// below might hold nevertheless.
+		l.log.Info("load order skipped: the engine restarted or does not answer", "version", name, "born", report.Born, "now", current.Born, "alive", alive)
 		l.poller.setLoadPending(false)
 		return
 	}
--- a/agent/internal/onsite/memory_store.go
+++ b/agent/internal/onsite/memory_store.go
@@ -7,28 +7,28 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// memory keeps chunks in this process, up to a bound: those of a version that is not
-// wanted yet, which lie nowhere else, and copies of what was staged beside the engine,
-// for which others ask and which need not be read back from the engine first. It is safe for
-// concurrent use.
+// memoryStore keeps a bounded number of bytes of chunks in this process. Pending chunks
+// belong to a version that cannot be staged yet, and this host has them nowhere else.
+// Copies duplicate chunks that are staged at the engine, so that peers' requests for them
+// need not read them back from the engine. It is safe for concurrent use.
 type memoryStore struct {
 	capacity int // bytes
 
 	mu        sync.Mutex
-	pending   map[digest][]byte // of a version that is not wanted yet
-	copies    map[digest][]byte
-	copyOrder []digest // of copies, oldest first
-	usedBytes int      // of both, at most room
+	pending   map[digest][]byte // chunks of a version that cannot be staged yet
+	copies    map[digest][]byte // chunks that are also staged at the engine
+	copyOrder []digest          // keys of copies, oldest first
+	usedBytes int               // total of pending and copies, at most capacity
 }
 
 func newMemoryStore(capacity int) *memoryStore {
 	return &memoryStore{capacity: capacity, pending: map[digest][]byte{}, copies: map[digest][]byte{}}
 }
 
-// fits reports whether a version may wait here.
+// fits reports whether a version of this size fits into the store.
 func (m *memoryStore) fits(bytes int) bool { return bytes <= m.capacity }
 
-// get returns a chunk. The caller must not change its bytes.
+// get returns a pending chunk or a copy. The caller must not change its bytes.
 func (m *memoryStore) get(sum digest) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -39,7 +39,8 @@
 	return data, ok
 }
 
-// wait keeps a chunk of a version that is not wanted yet; copies make room for it.
+// addPending keeps a chunk of a version that cannot be staged yet, and evicts copies to
+// make room for it.
 func (m *memoryStore) addPending(sum digest, data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,15 +49,15 @@
 	}
 	m.dropCopy(sum)
 	if !m.evictCopies(len(data)) {
-		return failure.New(failure.Exhausted, "no room for a version that is not wanted yet", "it is fetched once it is")
+		return failure.New(failure.Exhausted, "not enough memory to prefetch the next version", "it is fetched once it becomes the current one")
 	}
 	m.pending[sum] = slices.Clone(data)
 	m.usedBytes += len(data)
 	return nil
 }
 
-// staged notes that a chunk lies beside the engine, of which a copy stays if there is
-// room.
+// markStaged records that a chunk was staged at the engine, and keeps a copy of it if
+// there is room.
 func (m *memoryStore) markStaged(sum digest, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +75,7 @@
 	m.usedBytes += len(data)
 }
 
-// drop forgets a chunk.
+// drop removes a chunk, whether it is pending or a copy.
 func (m *memoryStore) drop(sum digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +84,7 @@
 	m.dropCopy(sum)
 }
 
-// dropCopy forgets a copy; m.mu is held.
+// dropCopy removes a copy. The caller holds m.mu.
 func (m *memoryStore) dropCopy(sum digest) {
 	data, ok := m.copies[sum]
 	if !ok {
@@ -94,8 +95,8 @@
 	m.copyOrder = slices.DeleteFunc(m.copyOrder, func(other digest) bool { return other == sum })
 }
 
-// makeRoom drops the oldest copies until so many bytes fit, and reports whether they do;
-// m.mu is held.
+// evictCopies removes the oldest copies until the given number of bytes fits, and reports
+// whether it does. The caller holds m.mu.
 func (m *memoryStore) evictCopies(bytes int) bool {
 	for m.usedBytes+bytes > m.capacity && len(m.copyOrder) > 0 {
 		m.dropCopy(m.copyOrder[0])
--- a/agent/internal/onsite/memory_store_test.go
+++ b/agent/internal/onsite/memory_store_test.go
@@ -14,7 +14,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// held returns the bytes that are really kept.
+// heldBytes returns the number of bytes in both maps, independently of usedBytes.
 func (m *memoryStore) heldBytes() int {
 	bytes := 0
 	for _, data := range m.pending {
@@ -26,8 +26,8 @@
 	return bytes
 }
 
-// TestMemoryKeepsItsBound: whatever comes and goes, the bytes kept are as counted and
-// fit, and a chunk that waits is not lost to a copy.
+// TestMemoryStoreStaysWithinCapacity checks random sequences of operations: the bytes held
+// match the count and fit the capacity, and a pending chunk is never evicted.
 func TestMemoryStoreStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore(rapid.IntRange(0, 50).Draw(t, "room"))
@@ -48,21 +48,21 @@
 				delete(pending, sum)
 			}
 			if got := store.heldBytes(); got != store.usedBytes || got > store.capacity || len(store.copyOrder) != len(store.copies) {
-				t.Fatalf("got %d bytes kept, %d counted, %d copies in %d places, want at most %d", got, store.usedBytes, len(store.copies), len(store.copyOrder), store.capacity)
+				t.Fatalf("got %d bytes held, %d counted, %d copies with %d entries in their order, want at most %d bytes", got, store.usedBytes, len(store.copies), len(store.copyOrder), store.capacity)
 			}
 			for sum := range pending {
 				if _, ok := store.get(sum); !ok {
-					t.Fatalf("got chunk %d lost that waits", sum[0])
+					t.Fatalf("got pending chunk %d lost, want it kept", sum[0])
 				}
 			}
 		}
 	})
 }
 
-// Symptom: a host whose staged weights turned bad draws them again from others, whose
-// links are full. Sequence: six in a hundred staged chunks of a third of the hosts turn
-// bad while a version rolls out. Cause: what this process had in memory was not asked.
-// What is read back is what lies beside the engine, never the copy.
+// Guards against a host that fetches corrupted staged chunks again from peers, whose links
+// are saturated, although it has copies in memory. It happened when 6 % of the staged chunks
+// on a third of the hosts were corrupted during a rollout. The chunk read back must still
+// come from the staging area, never from the copy.
 func TestCorruptedStagedChunkIsRestagedFromMemory(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
 	server := httptest.NewServer(engine)
@@ -89,10 +89,10 @@
 			t.Fatal(err)
 		}
 		if got, want := bytes.Equal(data, chunks[1]), capacity > 0; got != want {
-			t.Errorf("room for %d bytes: got the chunk whole %v, want %v", capacity, got, want)
+			t.Errorf("memory for %d bytes: got an intact chunk %v, want %v", capacity, got, want)
 		}
 		if got, want := engine.Lies(chunks), capacity > 0; got != want {
-			t.Errorf("room for %d bytes: got the version whole beside the engine %v, want %v", capacity, got, want)
+			t.Errorf("memory for %d bytes: got an intact version staged %v, want %v", capacity, got, want)
 		}
 	}
 }
--- a/agent/internal/onsite/onsite_test.go
+++ b/agent/internal/onsite/onsite_test.go
@@ -30,7 +30,7 @@
 	testSize   = 4096
 )
 
-// site is some hosts with an engine and an agent each, and an origin.
+// testSite is a set of hosts, each with an engine and an agent, and an origin.
 type testSite struct {
 	origin    *platformtest.Origin
 	originURL string
@@ -39,6 +39,7 @@
 	nodes     []*wire.Node
 }
 
+// newTestSite starts one host per loaded version; 0 means an engine without weights.
 func newTestSite(t *testing.T, loaded ...uint64) *testSite {
 	t.Helper()
 	s := &testSite{origin: platformtest.NewOrigin(testModel)}
@@ -76,7 +77,7 @@
 	return s
 }
 
-// hosts lists the hosts as entries list them, each with its own agent's port.
+// hosts lists the hosts as entries do, with one group per host since agent ports differ.
 func (s *testSite) hosts() []*wire.HostGroup {
 	var groups []*wire.HostGroup
 	for _, node := range s.nodes {
@@ -90,7 +91,7 @@
 	return groups
 }
 
-// guide sends all agents what is wanted, as entries do.
+// sendGuidance tells all agents which version is wanted, as entries do.
 func (s *testSite) sendGuidance(version uint64, revision uint64) {
 	for _, agent := range s.agents {
 		agent.guidance.receive(time.Now(), &wire.Guidance{
@@ -102,7 +103,7 @@
 	}
 }
 
-// await waits until all engines have loaded the version.
+// awaitVersion waits until all engines have loaded the version.
 func (s *testSite) awaitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -118,7 +119,7 @@
 	}
 }
 
-// awaitFirstLoad waits until one engine was ordered to load.
+// awaitFirstLoad waits until any engine was ordered to load.
 func (s *testSite) awaitFirstLoad(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -137,6 +138,7 @@
 	}
 }
 
+// digestOf returns the SHA-256 of the concatenated chunks, in hexadecimal.
 func digestOf(chunks [][]byte) string {
 	sum := sha256.New()
 	for _, chunk := range chunks {
@@ -145,13 +147,13 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// checkLoads fails where an engine loaded anything but whole versions.
+// checkLoads fails the test if an engine loaded anything but complete, intact versions.
 func (s *testSite) checkLoads(t *testing.T) {
 	t.Helper()
 	for i, engine := range s.engines {
 		for _, load := range engine.Loads() {
 			if got, want := load.Digest, digestOf(platformtest.Chunks(load.Version, testChunks, testSize)); got != want {
-				t.Errorf("engine %d: got version %d loaded from spoilt or mixed chunks", i, load.Version)
+				t.Errorf("engine %d: got version %d loaded from corrupted or mixed chunks", i, load.Version)
 			}
 		}
 	}
@@ -159,8 +161,8 @@
 
 func TestNewHostsFetchWeightsFromPeers(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0, 0)
-	// On a machine that is slow enough a new host draws before it has learned of
-	// the others: here it has no choice.
+	// On a slow machine a new host may download from the origin before it has learned of
+	// its peers, so the origin refuses chunks here.
 	s.origin.RefuseChunks(true)
 	s.sendGuidance(1, 1)
 	for _, i := range []int{2, 3} {
@@ -182,13 +184,13 @@
 	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 	if got, most := s.origin.Sent(), testChunks*testSize*3/2; got > most {
-		t.Errorf("got %d bytes from the origin, want at most %d, one copy and a half", got, most)
+		t.Errorf("got %d bytes from the origin, want at most %d, one and a half copies", got, most)
 	}
 }
 
-// Symptom: a host answers from spoilt weights. Sequence: chunks are verified and
-// staged; one turns bad where it lies; the engine is ordered to load. Cause: what
-// was verified once was taken for good.
+// Guards against a host that serves corrupted weights: a chunk is corrupted after it was
+// verified and staged, and the engine is ordered to load it. Chunks used to be trusted once
+// they had been verified.
 func TestCorruptedStagedChunkIsFetchedAgain(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0)
 	for i := range testChunks {
@@ -200,7 +202,7 @@
 	}
 	s.checkLoads(t)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
-	s.engines[1].SetRunning(1) // it waits for its turn, so that there is time to spoil
+	s.engines[1].SetRunning(1) // makes it wait for its turn, which leaves time to corrupt a chunk
 	s.sendGuidance(2, 5)
 	for !s.engines[1].Spoil(3) {
 		time.Sleep(time.Millisecond)
@@ -209,8 +211,9 @@
 	s.checkLoads(t)
 }
 
-// Symptom: no host ever becomes whole. Sequence: the origin's answer is spoilt on
-// the way, in a digest. Cause: nothing proves a digest, so one draw was believed.
+// Guards against hosts that never complete a version because a digest in the manifest was
+// corrupted in transit from the origin. Nothing verifies a digest, so a single download must
+// not be trusted.
 func TestCorruptManifestIsRejected(t *testing.T) {
 	s := newTestSite(t, 1, 1)
 	s.sendGuidance(1, 1)
@@ -238,11 +241,11 @@
 		t.Errorf("got version %d and origin %s, want 3 and 7", want.version, guidance.originURL())
 	}
 	if got, want := want.declaredAt, now.Add(-time.Second); !got.Equal(want) {
-		t.Errorf("got declared at %v, want %v", got, want)
+		t.Errorf("got declaration time %v, want %v", got, want)
 	}
 	receive(4, 8)
 	if got, want := len(guidance.declarations(testModel)), 2; got != want {
-		t.Errorf("got %d declarations remembered, want %d", got, want)
+		t.Errorf("got %d declarations kept, want %d", got, want)
 	}
 	earlier := guidance.wantedVersion(wantedWeights{model: testModel, version: 4}, 3)
 	if earlier.version != 3 {
@@ -250,8 +253,9 @@
 	}
 }
 
-// Guards against a host that takes a version for newer than it is, because the entry that reported
-// of it first had started after its declaration, and against one that doesn't pass on what it knows.
+// Guards against a host that assumes a later declaration than the true one because the entry
+// that reported the version first had started after its declaration, and against a host that
+// does not report the ages it knows.
 func TestHostReportsDeclarationAges(t *testing.T) {
 	guidance, now := newGuidanceStore(), time.Now()
 	for _, age := range []uint32{0, 5000, 200} {
@@ -283,7 +287,7 @@
 	} {
 		step.do()
 		if got := poller.countFinalRequests(); got != step.want {
-			t.Errorf("got %d, want %d", got, step.want)
+			t.Errorf("got %d requests, want %d", got, step.want)
 		}
 	}
 }
@@ -327,15 +331,15 @@
 	}
 }
 
-// Symptom: streams pause while a version rolls out. Sequence: an engine runs nine
-// requests, gets an order and cuts them; each is read again at another engine. Cause:
-// the order came as soon as entries could have learned of it. A host that serves
-// nothing waits for nobody.
+// Guards against streams that pause during a rollout: an engine that runs nine requests gets
+// a load order and cuts them off, and another engine has to process each prompt again. The
+// order used to be sent as soon as entries could have learned of it. A host that serves
+// nothing uses the short period.
 func TestNoticePeriodLetsRunningRequestsFinish(t *testing.T) {
 	if got := noticePeriodFor(platform.EngineReport{Running: 9}); got != noticePeriod {
-		t.Errorf("got a notice of %v where nine requests run, want %v", got, noticePeriod)
+		t.Errorf("got a notice period of %v with nine requests running, want %v", got, noticePeriod)
 	}
 	if got := noticePeriodFor(platform.EngineReport{}); got != idleNoticePeriod {
-		t.Errorf("got a notice of %v where nothing runs, want %v", got, idleNoticePeriod)
+		t.Errorf("got a notice period of %v with nothing running, want %v", got, idleNoticePeriod)
 	}
 }
--- a/agent/internal/onsite/pacer.go
+++ b/agent/internal/onsite/pacer.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// lagHigh is the delay on the way between entries and this host beyond which
-	// weights leave it more of the link: a request that stands behind them for so
-	// long is late, and may reach the engine after its caller left. The chunks that are on
-	// their way to a host delay others by less where its link is as wide as declared.
+	// lagHigh is the network delay between entries and this host above which weight
+	// transfers reduce their share of the link. A request that queues behind them for that
+	// long is late, and may reach the engine after its caller disconnected. Where the link
+	// has its declared rate, the chunks in flight to a host delay requests by less.
 	lagHigh = 150 * time.Millisecond
-	// lagLow is the delay below which they take more again.
+	// lagLow is the delay below which transfers increase their share again.
 	lagLow = 80 * time.Millisecond
-	// lagStale is the age at which an entry's report of a delay is no longer taken.
+	// maxReportAge is the age above which an entry's delay report is ignored.
 	maxReportAge = 700 * time.Millisecond
-	// paceStep is the time between two changes, a little more than such a report
-	// takes to come.
+	// adjustInterval is the least time between two changes of the share. It is slightly
+	// longer than a delay report takes to arrive.
 	adjustInterval = 100 * time.Millisecond
-	// leastPart is the part of the usual rate that is always taken, so that the
-	// link's recovery is noticed and the version comes at all.
+	// minShare is the fraction of the usual rate that transfers always use, so that the
+	// link's recovery is noticed and the version arrives eventually.
 	minShare = 0.06
-	// partGain is added with each step while there is no delay.
+	// shareGain is added to the share at each change while the delay is low.
 	shareGain = 0.08
 )
 
-// pace decides which part of its usual share of the link the transfer of weights
-// takes. The rate that the platform declares for the link may be wrong for a while: weights sent at
-// the full rate then stand before a narrow link, and requests behind them. Entries
-// measure that delay and report it; the part is halved while it is high and grows
-// slowly while it is low.
+// pacer decides what fraction of their usual share of the link weight transfers use. The
+// rate that the platform declares for the link may be too high for a while. Weights sent at
+// that rate then queue at the slower link, and requests queue behind them. Entries measure
+// the delay and report it. The share is halved while the delay is high and grows slowly
+// while it is low.
 //
-// A way has two ends, and links between failure domains besides. What most entries of
-// the host's own domain see is the host's link; what one of them sees may be its own,
-// and what those of other domains see may be the link between, neither of which gets
-// better if this host takes less. It is safe for concurrent use.
+// A delay arises at the host's link, at the entry's link or between failure domains. If
+// most entries in the host's own domain see a delay, it is at the host's link. A delay that
+// a single one of them sees may be at its own link, and a delay that entries in other
+// domains see may be at the link between the domains; neither gets better if this host
+// sends less. It is safe for concurrent use.
 type pacer struct {
 	now func() time.Time
 
@@ -45,10 +46,10 @@
 	adjustedAt   time.Time
 }
 
-// delayReport is what one entry reported of the delay on its way to this host.
+// delayReport is the delay between one entry and this host, as the entry reported it.
 type delayReport struct {
 	lag  time.Duration
-	near bool // the entry is of the host's failure domain
+	near bool // the entry is in the host's failure domain
 	at   time.Time
 }
 
@@ -56,7 +57,7 @@
 	return &pacer{now: now, currentShare: 1, reports: map[*follower]delayReport{}}
 }
 
-// observe takes over the delay that an entry reports.
+// observe records the delay that an entry reported.
 func (p *pacer) observe(from *follower, near bool, lag time.Duration) {
 	now := p.now()
 	p.mu.Lock()
@@ -64,14 +65,14 @@
 	p.reports[from] = delayReport{lag: lag, near: near, at: now}
 }
 
-// leave forgets the report of an entry that follows no more.
+// forget removes the report of an entry that disconnected.
 func (p *pacer) forget(from *follower) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.reports, from)
 }
 
-// delay returns the delay of the host's link that entries reported lately; 0: none.
+// delay returns the delay at the host's link according to recent reports; 0: none.
 func (p *pacer) delay() time.Duration {
 	now := p.now()
 	p.mu.Lock()
@@ -79,8 +80,8 @@
 	return p.reportedLag(now)
 }
 
-// lag returns the delay that most of the near entries see, of the others where no near
-// one reported any; p.mu is held.
+// reportedLag returns the delay that most near entries see, or that most other entries see
+// if there is no recent report of a near one. The caller holds p.mu.
 func (p *pacer) reportedLag(now time.Time) time.Duration {
 	var near, far []time.Duration
 	for _, report := range p.reports {
@@ -98,8 +99,8 @@
 	return lowerMedian(near)
 }
 
-// ofMost returns the greatest delay that more than half of the entries see at least;
-// where there are two, both.
+// lowerMedian returns the greatest delay that more than half of the entries reach or exceed;
+// of two entries, both must. It sorts lags.
 func lowerMedian(lags []time.Duration) time.Duration {
 	if len(lags) == 0 {
 		return 0
@@ -108,7 +109,8 @@
 	return lags[(len(lags)-1)/2]
 }
 
-// share returns the part of the usual share that may be taken now.
+// share returns the fraction of the usual rate that transfers may use now, and adjusts it
+// if adjustInterval has passed.
 func (p *pacer) share() float64 {
 	now := p.now()
 	p.mu.Lock()
--- a/agent/internal/onsite/pacer_test.go
+++ b/agent/internal/onsite/pacer_test.go
@@ -7,10 +7,10 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Symptom: requests reach engines 0.8 s after they were sent, some after their
-// callers left (GONE of the platform's rules). Sequence: six hosts' links are squeezed
-// to an eighth for 7 s while a new version is on its way; weights go on at the rate
-// that the platform declared. Cause: nothing noticed that they stood before the link.
+// Guards against requests that reach engines 0.8 s after they were sent, some of them after
+// their callers disconnected (GONE in the platform's rules). It happened when six hosts'
+// links dropped to an eighth of their rate for 7 s during a rollout: weights were still sent
+// at the declared rate, and nothing detected that they queued at the link.
 func TestWeightsYieldANarrowLinkToRequests(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	pacer := newPacer(clock.Now)
@@ -27,50 +27,50 @@
 		return share
 	}
 	if got, want := step(10, 40*time.Millisecond), 1.0; got != want {
-		t.Errorf("got a part of %v of the usual rate on a calm day, want %v", got, want)
+		t.Errorf("got share %v without delay, want %v", got, want)
 	}
-	// An eighth of the link is left: within half a second less than that is taken.
+	// An eighth of the link's rate is left: the share must drop below it within half a second.
 	if got, most := step(5, 900*time.Millisecond), 0.125; got > most {
-		t.Errorf("got a part of %v after half a second of delay, want at most %v", got, most)
+		t.Errorf("got share %v after half a second of delay, want at most %v", got, most)
 	}
 	if got, want := step(100, 900*time.Millisecond), minShare; got != want {
-		t.Errorf("got a part of %v, want never less than %v", got, want)
+		t.Errorf("got share %v after 10 s of delay, want the minimum %v", got, want)
 	}
-	// Entries that send nothing more report nothing: their last report is stale.
+	// The last report of an entry that sends nothing more becomes stale.
 	if got := step(40, -1); got < 0.9 || pacer.delay() != 0 {
-		t.Errorf("got a part of %v 4 s after the last word, want most of it", got)
+		t.Errorf("got share %v 4 s after the last report, want at least 0.9 and no delay", got)
 	}
 }
 
-// Symptom: a version that had left the origin whole was on the hosts 3 to 10 s later, and
-// in force too late. Sequence: configurations in quick succession fill the links between
-// failure domains and keep one entry of each domain busy; these entries see messages to and
-// from hosts 0.2 to 0.9 s late and say so. Cause: the highest report counted, so the hosts
-// left their own links, which were free, to requests.
+// Guards against a version that reaches the hosts 3 to 10 s after all of it left the origin,
+// and is loaded too late. Configurations in quick succession saturated the links between
+// failure domains and kept one entry of each domain busy, so that these entries measured and
+// reported delays of 0.2 to 0.9 s to hosts. Because the highest report counted, the hosts
+// reduced the weights' share of their own links, which were not congested.
 func TestDelayOnOtherLinksDoesNotSlowWeights(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		words string // a letter an entry: N near and late, n near and not, F and f far
-		want  bool   // weights leave the link
+		name    string
+		reports string // one letter per entry: N near with delay, n near without; F, f the same for far
+		want    bool   // weights reduce their share
 	}{
-		{"links between domains", "nnnFF", false},
+		{"congested links between domains", "nnnFF", false},
 		{"one busy entry", "Nnn", false},
-		{"one of two near ones", "Nnf", false},
-		{"the host's link", "NNNFF", true},
-		{"most near entries, another's way is not through the link's queue yet", "NNnff", true},
-		{"an only near entry", "Nff", true},
-		{"far entries alone, all", "FF", true},
-		{"far entries alone, one", "Ff", false},
+		{"one of two near entries", "Nnf", false},
+		{"congested link of the host", "NNNFF", true},
+		{"most near entries, with one whose messages have not queued at the link yet", "NNnff", true},
+		{"the only near entry", "Nff", true},
+		{"only far entries, all of them", "FF", true},
+		{"only far entries, one of two", "Ff", false},
 	} {
 		clock := clockwork.NewFakeClock()
 		pacer := newPacer(clock.Now)
-		followers := make([]*follower, len(test.words))
+		followers := make([]*follower, len(test.reports))
 		for i := range followers {
 			followers[i] = &follower{}
 		}
 		for range 5 {
 			clock.Advance(adjustInterval)
-			for i, kind := range test.words {
+			for i, kind := range test.reports {
 				lag := 2 * time.Millisecond
 				if kind == 'N' || kind == 'F' {
 					lag = 500 * time.Millisecond
@@ -80,15 +80,15 @@
 			pacer.share()
 		}
 		if got := pacer.share() < 0.1; got != test.want {
-			t.Errorf("%s: got a part of %v of the usual rate, want little: %v", test.name, pacer.share(), test.want)
+			t.Errorf("%s: got share %v, want it reduced: %v", test.name, pacer.share(), test.want)
 		}
 		if got := pacer.delay() == 500*time.Millisecond; got != test.want {
-			t.Errorf("%s: got a delay of %v to report, want the long one: %v", test.name, pacer.delay(), test.want)
+			t.Errorf("%s: got delay %v, want 500ms: %v", test.name, pacer.delay(), test.want)
 		}
 	}
 }
 
-// The last report of an entry that stopped no longer counts.
+// The last report of an entry that disconnected no longer counts.
 func TestDisconnectedEntryReportsNoDelay(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	pacer := newPacer(clock.Now)
@@ -97,6 +97,6 @@
 	pacer.forget(disconnected)
 	pacer.observe(connected, false, 3*time.Millisecond)
 	if got, want := pacer.delay(), 3*time.Millisecond; got != want {
-		t.Errorf("got a delay of %v, want %v of the one that stays", got, want)
+		t.Errorf("got delay %v, want %v from the connected entry", got, want)
 	}
 }
--- a/agent/internal/onsite/peers.go
+++ b/agent/internal/onsite/peers.go
@@ -8,7 +8,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// peersOf returns the agents beside the engines that an entry listed.
+// peersOf returns the agents of the engines that an entry listed.
 func peersOf(groups []*wire.HostGroup) []*wire.Node {
 	var list []*wire.Node
 	for _, group := range groups {
@@ -19,7 +19,7 @@
 	return list
 }
 
-// peerOf names an agent by its engine's address.
+// peerOf describes an agent, with its engine's address as the ID.
 func peerOf(group *wire.HostGroup, ip, port uint32) *wire.Node {
 	var bytes [4]byte
 	binary.BigEndian.PutUint32(bytes[:], ip)
--- a/agent/internal/onsite/poller.go
+++ b/agent/internal/onsite/poller.go
@@ -14,42 +14,44 @@
 )
 
 const (
-	// pollInterval is how often the engine is asked for its state: a part of a
-	// pass, so that entries see a free slot well before the next pass begins.
+	// pollInterval is the time between two polls of the engine's state. It is a fraction of
+	// one pass over the engine's batch, so that entries learn of a free slot well before
+	// the next pass begins.
 	pollInterval = 30 * time.Millisecond
-	// idlePoll is the same while nothing runs.
+	// idlePollInterval is the same while the engine runs no requests.
 	idlePollInterval = 80 * time.Millisecond
-	// pollTimeout is how long the engine may take to answer; one on the same
-	// host answers in a millisecond.
+	// pollTimeout bounds one poll. An engine on the same host answers within a millisecond.
 	pollTimeout = 250 * time.Millisecond
-	// deadPolls is the polls in a row that fail until the engine is reported dead.
+	// maxFailedPolls is the number of consecutive failed polls after which the engine is
+	// reported dead.
 	maxFailedPolls = 2
 )
 
-// watch asks the engine for its state and keeps the newest.
+// enginePoller polls the engine for its state and keeps the newest.
 type enginePoller struct {
 	engine *platform.Engine
 	clock  clockwork.Clock
 	log    *slog.Logger
 
-	// beat is called after each look, on which whatever waits for a turn goes on.
+	// notify is called after each poll, to send the state to the entries that are due.
 	notify func()
 
 	mu            sync.Mutex
-	sequence      uint64 // grows with each change
-	state         platform.EngineReport
+	sequence      uint64                // grows with each change of what entries receive
+	state         platform.EngineReport // newest report
 	alive         bool
-	aliveKnown    bool // the engine answered once or was found dead
-	failures      int
-	unreadTokens  int64 // prompt tokens that entries sent and that are not read
-	finalRequests int   // requests of entries that can't go on at another engine
-	loadPending   bool  // an order is about to be given: nothing new should come
+	aliveKnown    bool  // the engine answered once or was found dead
+	failures      int   // consecutive failed polls
+	unreadTokens  int64 // prompt tokens that entries sent and the engine has not processed yet
+	finalRequests int   // requests in progress that no other engine can continue
+	loadPending   bool  // a load order is imminent: entries should send no new requests
 }
 
 func newEnginePoller(engine *platform.Engine, clock clockwork.Clock, log *slog.Logger) *enginePoller {
 	return &enginePoller{engine: engine, clock: clock, log: log, notify: func() {}}
 }
 
+// run polls the engine until ctx is done.
 func (w *enginePoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.poll(ctx)
@@ -65,6 +67,7 @@
 	}
 }
 
+// poll asks the engine for its state once and records the result.
 func (w *enginePoller) poll(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -100,12 +103,13 @@
 	}
 }
 
+// sameReport reports whether two reports agree, apart from their KV cache usage.
 func sameReport(left, right platform.EngineReport) bool {
 	return left.Born == right.Born && left.Running == right.Running && left.Queued == right.Queued && left.Busy == right.Busy &&
 		left.Orders == right.Orders && left.Pace == right.Pace && left.Leaving == right.Leaving && maps.Equal(left.Loaded, right.Loaded)
 }
 
-// addReading counts an entry's report of its prompts.
+// addUnreadTokens adds the change in one entry's number of unprocessed prompt tokens.
 func (w *enginePoller) addUnreadTokens(tokens int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,21 +117,23 @@
 	w.sequence++
 }
 
-// addFinal counts an entry's report of its requests that can't go on elsewhere.
+// addFinalRequests adds the change in one entry's number of requests that no other engine
+// can continue.
 func (w *enginePoller) addFinalRequests(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.finalRequests += count
 }
 
-// finals returns how many requests are in progress that can't go on elsewhere.
+// countFinalRequests returns how many requests are in progress that no other engine can
+// continue.
 func (w *enginePoller) countFinalRequests() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.finalRequests
 }
 
-// setOrdering reports to entries that the engine is about to get an order.
+// setLoadPending sets whether entries are told that a load order is imminent.
 func (w *enginePoller) setLoadPending(pending bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,30 +143,29 @@
 	}
 }
 
-// report returns the newest state; alive is false where the engine does not
-// answer.
+// report returns the newest state; alive is false while the engine does not answer.
 func (w *enginePoller) report() (report platform.EngineReport, alive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state, w.alive
 }
 
-// known reports whether the state says anything of the engine: an agent that has just started
-// knows nothing of it.
+// known reports whether the engine has been found alive or dead. An agent that has just
+// started does not know yet.
 func (w *enginePoller) known() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.aliveKnown
 }
 
-// version returns a number that grows with each change of what entries receive.
+// currentSequence returns a number that grows with each change of what entries receive.
 func (w *enginePoller) currentSequence() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.sequence
 }
 
-// message returns the state that entries receive.
+// message returns the state in the form in which it is sent to entries.
 func (w *enginePoller) message() *wire.EngineState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/agent/internal/onsite/restart_test.go
+++ b/agent/internal/onsite/restart_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Symptom: an engine that started again stays without weights, or loads what is
-// not there. Sequence: it dies, by a crash or by a loss of power, and starts again
-// under the id it had, its count of orders anew and, after a loss of power, its
-// stage empty. Cause: the orders, the fencing number that was refused and the
-// chunks staged were those of its former incarnation.
+// Guards against an engine that gets no weights after a restart, or that is ordered to load
+// chunks which are not staged any more. After a crash or a power loss the engine restarts
+// under its former ID with its count of orders reset and, after a power loss, with an empty
+// staging area. The agent still relied on the count, the refused fencing number and the
+// staged chunks of the former incarnation.
 func TestRestartedEngineLoadsCompleteWeights(t *testing.T) {
 	for name, powerLoss := range map[string]bool{"crash": false, "power": true} {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// A fencing number that the former incarnation refused is good in the next one.
+// A fencing number that one incarnation of the engine refused may be used in the next one.
 func TestNextIncarnationIgnoresRefusedFencingNumber(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0)
 	s.engines[2].Restart(1000, false)
--- a/agent/internal/onsite/run.go
+++ b/agent/internal/onsite/run.go
@@ -32,52 +32,56 @@
 
 const (
 	program = "comfreyagent"
-	// linkPart is the part of the host's link that weights take at most: the
-	// rest is for the engine's answers, which share it.
+	// maxLinkShare is the largest fraction of the host's link that weight transfers may
+	// use. The rest is for the engine's answers, which share the link.
 	maxLinkShare = 0.97
-	// bitsPerMegabit and bitsPerByte turn a link's rate into bytes.
+	// bitsPerMegabit and bitsPerByte convert a link's rate to bytes per second.
 	bitsPerMegabit = 1e6
 	bitsPerByte    = 8
-	// memoryPart is the part of the host's memory at which the collector works
-	// hardest.
+	// memoryLimitShare is the fraction of the host's memory that is set as the Go
+	// runtime's soft memory limit, near which the garbage collector runs most often.
 	memoryLimitShare = 0.5
-	// aheadPart is the part of the host's memory that the chunks of a version
-	// after the one wanted may take.
+	// prefetchMemoryShare is the fraction of the host's memory that the memoryStore may
+	// use, which holds the chunks of a prefetched version.
 	prefetchMemoryShare = 0.15
-	// drawWindow is the chunks that the hosts draw from the origin at once.
+	// drawWindow is the number of chunks that all hosts together download from the origin
+	// at once.
 	drawWindow = 14
-	// maxBackoff bounds the pause after the origin failed: the time for a new
-	// version is short, and a host in a few asks at once.
+	// maxBackoff bounds the pause after a failed request to the origin. It is short because
+	// the time for rolling out a new version is, and only one host in a few sends requests
+	// to the origin at the same time.
 	maxBackoff = 700 * time.Millisecond
-	// originDial and originAnswer bound a connection to the origin and the wait
-	// for its answer: one that is cut off answers nothing.
+	// originDialTimeout bounds connecting to the origin, and originHeaderTimeout the wait
+	// for its response headers: an origin that is cut off never answers.
 	originDialTimeout   = 500 * time.Millisecond
 	originHeaderTimeout = 1500 * time.Millisecond
-	// originConns and originIdle bound what one host holds of the connections
-	// that the origin takes from all: one that is kept for the next draw keeps
-	// other hosts out.
+	// maxOriginConns and originIdleTimeout limit the connections that one host keeps open
+	// to the origin, which accepts a limited number from all hosts: an idle connection
+	// kept for the next download shuts out other hosts.
 	maxOriginConns    = 2
 	originIdleTimeout = 100 * time.Millisecond
-	// servingBytes bounds the chunks that are on their way to a host at once while its engine serves:
-	// requests wait behind all of them where its link becomes narrow. idleFetches is the chunks while
-	// nothing runs, when the link should never be idle.
+	// maxServingBytes bounds the bytes of chunks in flight to a host while its engine serves
+	// requests, which queue behind all of them if the link loses bandwidth. maxIdleFetches
+	// is the number of chunks in flight while the engine runs nothing, when the link should
+	// never be idle.
 	maxServingBytes = 96 << 10
 	maxIdleFetches  = 8
-	// usualChunk is the size of a chunk where none is declared, bytes.
+	// defaultChunkBytes is the size of a chunk where none is declared.
 	defaultChunkBytes = 32 << 10
-	// crowdedPart is the part of the usual rate under which requests wait behind
-	// weights: one halving and a little.
+	// congestedShare is the pacer's share below which requests are taken to queue behind
+	// weights. It is slightly more than the share after one halving.
 	congestedShare = 0.6
-	// upShare is the part of the uplink that weights take at most while the
-	// engine serves: its answers find no queue then.
+	// maxUpShare is the largest fraction of the uplink that weight transfers may use while
+	// the engine serves, so that its answers do not queue behind them.
 	maxUpShare = 0.82
-	// downShare is the same of the downlink.
+	// maxDownShare is the same for the downlink.
 	maxDownShare = 0.85
-	// manifestDraws is how often a manifest is drawn until two are alike.
+	// maxManifestDraws is how often a manifest is downloaded at most until two downloads
+	// agree.
 	maxManifestDraws = 4
 )
 
-// Run runs an agent on a platform until drain or kill ends.
+// Run runs an agent on a platform until drain or kill is done.
 func Run(drain, kill context.Context, set *wire.AgentSettings, out io.Writer) error {
 	logWriter := logging.NewBounded(out)
 	defer func() { _ = logWriter.Close() }()
@@ -111,7 +115,7 @@
 
 	mu         sync.Mutex
 	origin     *platform.Origin
-	originBase string // of origin
+	originBase string // base URL of origin
 }
 
 func newAgent(set *wire.AgentSettings, log *slog.Logger) *agent {
@@ -153,11 +157,13 @@
 	return a
 }
 
-// apply takes over settings that may change while the agent runs: the bounds.
+// apply applies the settings that may change while the agent runs: the bounds.
 func (a *agent) apply(set *wire.AgentSettings) {
 	a.loader.oldVersionLimit.Store(int64(versionBound(set.GetSite().GetBounds())))
 }
 
+// newOriginHTTPClient returns an HTTP client with the timeouts and connection limits for the
+// origin.
 func newOriginHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: originDialTimeout}).DialContext,
@@ -166,7 +172,8 @@
 	}}
 }
 
-// self names this host by its engine's address, as entries name it to others.
+// self describes this host, with its engine's address as the ID: entries list it under that
+// ID to its peers.
 func (a *agent) self() *wire.Node {
 	self := node.Describe(a.set.GetNode(), peer.RoleAgent, "")
 	self.Id = strings.TrimPrefix(a.set.GetEndpointUrl(), "http://")
@@ -174,10 +181,11 @@
 	return self
 }
 
-// defaultVersionBound is how long an old version may be used where the platform
-// does not say.
+// defaultVersionBound is how long a version may be used after a newer one was declared, if
+// the platform's settings do not say.
 const defaultVersionBound = 8 * time.Second
 
+// versionBound returns how long a version may be used after a newer one was declared.
 func versionBound(set *wire.SiteBounds) time.Duration {
 	if set.GetVersionMillis() == 0 {
 		return defaultVersionBound
@@ -185,23 +193,25 @@
 	return time.Duration(set.GetVersionMillis()) * time.Millisecond
 }
 
-// linkRate returns the rate of the host's link, bytes a second; 0: unlimited.
+// linkRate returns the rate of the host's link in bytes per second; 0: unlimited.
 func linkRate(set *wire.SiteSettings) float64 {
 	return set.GetLinkMegabits() * bitsPerMegabit / bitsPerByte
 }
 
+// linkSettings returns the rates up to which weight transfers may use the host's link.
 func linkSettings(set *wire.SiteSettings) *wire.LinkSettings {
 	rate := uint64(maxLinkShare * linkRate(set))
 	return &wire.LinkSettings{Up: rate, Down: rate}
 }
 
+// run serves entries and peers, polls the engine and loads weights until ctx is done.
 func (a *agent) run(ctx context.Context, lis net.Listener) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterFeed(mux, newFeed(a.poller, a.guidance, a.pacer, a.clock)); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the calls of entries", "report it")
+		return failure.Wrap(err, failure.Internal, "cannot register the Feed service", "report it")
 	}
 	if err := wire.DRPCRegisterHost(mux, &chunkServer{mgr: a.mgr}); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the calls of other agents", "report it")
+		return failure.Wrap(err, failure.Internal, "cannot register the Host service", "report it")
 	}
 	a.log.Info("started", "endpoint", a.set.GetEndpointUrl(), "controlAddress", lis.Addr().String())
 	group, ctx := errgroup.WithContext(ctx)
@@ -218,7 +228,8 @@
 	return err
 }
 
-// ended drops the error that a part returns because it was asked to stop.
+// ignoreAfterStop returns err, or nil once ctx is done: errors caused by stopping are
+// expected.
 func ignoreAfterStop(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -226,7 +237,7 @@
 	return err
 }
 
-// wantedManifest is that of the version being fetched.
+// currentManifest returns the manifest of the version being fetched; nil while unknown.
 func (a *agent) currentManifest() *wire.Manifest {
 	want, ok := a.guidance.newestWanted()
 	if !ok {
@@ -235,10 +246,10 @@
 	return a.mgr.Manifest(versionName(want.model, a.loader.currentVersion()))
 }
 
-// linkShares returns the parts of the link, up and down, that weights may take. A
-// host whose link is narrower than declared gives others little; what it takes itself is
-// bounded by the chunks on their way instead, so that it goes on drawing what is its
-// turn.
+// linkShares returns the fractions of the uplink and downlink that weight transfers may use.
+// A host whose link is slower than declared uploads little to its peers. Its own fetches are
+// bounded by the number of chunks in flight instead, so that it goes on downloading its share
+// of chunks from the origin.
 func (a *agent) linkShares() (up, down float64) {
 	report, alive := a.poller.report()
 	if !alive || report.Running == 0 {
@@ -247,8 +258,9 @@
 	return a.pacer.share() * maxUpShare, maxDownShare
 }
 
-// fetches returns how many chunks may be on their way at once: one behind which
-// requests wait for long. A host that can't serve yet has none to spare.
+// maxFetches returns how many chunks may be in flight to this host at once. It is only one
+// while requests queue behind weights for long. A host that cannot serve yet has no requests
+// to protect.
 func (a *agent) maxFetches() int {
 	report, alive := a.poller.report()
 	share := a.pacer.share()
@@ -264,8 +276,8 @@
 	return maxServingFetches(want.chunkBytes)
 }
 
-// servingFetches returns how many chunks of so many bytes may be on their way to a host that
-// serves; 0 bytes: unknown.
+// maxServingFetches returns how many chunks of a size in bytes may be in flight to a host
+// that serves; size 0: unknown.
 func maxServingFetches(size int) int {
 	if size <= 0 {
 		size = defaultChunkBytes
@@ -273,15 +285,17 @@
 	return max(1, maxServingBytes/size)
 }
 
+// verify reports whether hash is the SHA-256 of the chunk.
 func verify(chunk, hash []byte) bool {
 	sum := sha256.Sum256(chunk)
 	return bytes.Equal(sum[:], hash)
 }
 
+// currentOrigin returns a client for the origin that entries announced last.
 func (a *agent) currentOrigin() (*platform.Origin, error) {
 	base := a.guidance.originURL()
 	if base == "" {
-		return nil, failure.New(failure.Unavailable, "no origin is declared", "wait for an entry")
+		return nil, failure.New(failure.Unavailable, "no entry has announced an origin yet", "wait until an entry connects")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -291,9 +305,9 @@
 	return a.origin, nil
 }
 
-// drawManifest draws a manifest until two draws are alike: the origin's answers
-// may be spoilt on the way, and nothing else proves a digest. The first two are
-// drawn at once, since all hosts wait for them.
+// downloadManifest downloads a manifest from the origin until two downloads agree: the
+// origin's answers may be corrupted in transit, and nothing else verifies a digest. The first
+// two downloads run concurrently, since all hosts wait for the manifest.
 func (a *agent) downloadManifest(ctx context.Context, version string) ([]byte, error) {
 	origin, err := a.currentOrigin()
 	if err != nil {
@@ -328,10 +342,10 @@
 			go start()
 		}
 	}
-	return nil, failure.New(failure.Corrupt, "no two draws of the manifest are alike", "it is drawn again")
+	return nil, failure.New(failure.Corrupt, "no two downloads of the manifest agree", "it is downloaded again")
 }
 
-// drawOnce draws a manifest and encodes it.
+// downloadManifestOnce downloads a manifest and encodes it.
 func downloadManifestOnce(ctx context.Context, origin *platform.Origin, version string) ([]byte, error) {
 	model, number := parseVersionName(version)
 	man, err := origin.Manifest(ctx, model, number)
@@ -341,6 +355,7 @@
 	return manifest.Encode(manifest.Named(version, man.ChunkBytes, man.Digests))
 }
 
+// downloadChunk downloads a chunk of at most limit bytes from the origin.
 func (a *agent) downloadChunk(ctx context.Context, version string, index, limit int) ([]byte, error) {
 	origin, err := a.currentOrigin()
 	if err != nil {
--- a/agent/internal/onsite/stage.go
+++ b/agent/internal/onsite/stage.go
@@ -15,39 +15,40 @@
 // digest is the SHA-256 of a chunk.
 type digest [sha256.Size]byte
 
-// stage keeps chunks beside the engine, which loads from there. The engine's
-// stage knows indexes only and one version at a time; this knows which chunk
-// lies at which index. Chunks of the version after it wait in this process's
-// memory: the hosts whose turn to load comes last otherwise begin to fetch it, and
-// to draw what is their turn of it, seconds after the others, who wait for that.
+// stage manages the engine's staging area, from which the engine loads weights. The area
+// addresses chunks by index and holds one version at a time; stage tracks which chunk is
+// at which index. Chunks of the next version are kept in this process's memory until they
+// can be staged. Otherwise the hosts that load last would start to fetch that version, and
+// to download their share of it from the origin, seconds after the other hosts, which wait
+// for that share.
 type stage struct {
 	engine   *platform.Engine
 	guidance *guidanceStore
 	memory   *memoryStore
-	// man returns the manifest of the version wanted; nil while unknown.
+	// manifest returns the manifest of the version being fetched; nil while unknown.
 	manifest func() *wire.Manifest
-	// lost is called with the hash of a chunk that is nowhere any more, since another one was
-	// laid over it; nil: nobody is.
+	// onLost is called with the hash of a chunk that this host no longer has because
+	// another chunk overwrote it. It may be nil.
 	onLost func(hash []byte)
 
 	mu              sync.Mutex
-	indexesByDigest map[digest][]int // where a chunk lies, as far as known
-	digestByIndex   map[int]digest   // the same by index
+	indexesByDigest map[digest][]int // indexes at which a chunk is staged, as far as known
+	digestByIndex   map[int]digest   // the inverse of indexesByDigest
 }
 
 func newStage(engine *platform.Engine, guidance *guidanceStore, memoryCapacity int) *stage {
 	return &stage{engine: engine, guidance: guidance, memory: newMemoryStore(memoryCapacity), indexesByDigest: map[digest][]int{}, digestByIndex: map[int]digest{}}
 }
 
-// fits reports whether a version may wait in memory.
+// fits reports whether a version of this size fits into memory.
 func (s *stage) fits(bytes int) bool { return s.memory.fits(bytes) }
 
-// put lays a chunk at its indexes in the version wanted, or keeps it in memory
-// where that version has none.
+// put stages a chunk at each of its indexes in the version being fetched. A chunk that is
+// not part of that version is kept in memory.
 func (s *stage) put(ctx context.Context, hash, data []byte) error {
 	want, ok := s.guidance.newestWanted()
 	if !ok {
-		return failure.New(failure.Unavailable, "no weights are wanted", "wait for an entry")
+		return failure.New(failure.Unavailable, "no entry has announced any wanted weights yet", "wait until an entry connects")
 	}
 	staged := false
 	for i, other := range s.manifest().GetChunkHashes() {
@@ -65,7 +66,7 @@
 	return s.memory.addPending(digest(hash), data)
 }
 
-// lay stages a chunk at an index.
+// stageAt stages a chunk at an index and records it.
 func (s *stage) stageAt(ctx context.Context, model string, index int, sum digest, data []byte) error {
 	if err := s.engine.Stage(ctx, model, index, data); err != nil {
 		return err
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// flush lays what is in memory of the version wanted, and not there yet, beside the
-// engine. What is read back afterwards is what lies there.
+// flush stages those chunks of the version being fetched that are in memory but not staged
+// yet, so that reading them back afterwards reads the staging area.
 func (s *stage) flush(ctx context.Context) error {
 	want, ok := s.guidance.newestWanted()
 	if !ok {
@@ -97,6 +98,7 @@
 	return nil
 }
 
+// isStagedAt reports whether the chunk was recorded at the index.
 func (s *stage) isStagedAt(index int, sum digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +106,9 @@
 	return ok && at == sum
 }
 
-// note remembers what lies at an index, and reports the chunk that lay there if it is
-// nowhere else: who goes back to a version must know what is left of it.
+// recordStaged records which chunk is staged at an index. It reports the chunk that was
+// overwritten there as lost if this host has no other copy: a host that goes back to an
+// earlier version must know which of its chunks are left.
 func (s *stage) recordStaged(index int, sum digest) {
 	s.mu.Lock()
 	old, ok := s.digestByIndex[index]
@@ -129,17 +132,17 @@
 	}
 }
 
-// places returns the indexes at which a chunk lies.
+// indexesOf returns the indexes at which a chunk is staged.
 func (s *stage) indexesOf(sum digest) []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.indexesByDigest[sum])
 }
 
-// errNotStaged says that a chunk does not lie beside the engine.
+// errNotStaged is returned for a chunk that is not in the staging area.
 var errNotStaged = failure.New(failure.NotFound, "the chunk is not staged", "it is fetched again")
 
-// get returns a chunk for others: from memory, or as it lies beside the engine now.
+// get returns a chunk for a peer, from memory or else from the staging area.
 func (s *stage) get(ctx context.Context, hash []byte) ([]byte, error) {
 	if data, ok := s.memory.get(digest(hash)); ok {
 		return data, nil
@@ -147,8 +150,9 @@
 	return s.readBack(ctx, hash)
 }
 
-// readBack returns a chunk as it lies beside the engine now, which is what the engine
-// loads. Where it turned bad it is laid anew, if it is in memory.
+// readBack returns a chunk as it is in the staging area now, which is what the engine
+// would load. A corrupted chunk is staged again if memory has a copy of it. If the chunk is
+// staged at several indexes, a corrupted one is returned in preference to an intact one.
 func (s *stage) readBack(ctx context.Context, hash []byte) ([]byte, error) {
 	want, ok := s.guidance.newestWanted()
 	indexes := s.indexesOf(digest(hash))
@@ -168,8 +172,8 @@
 	return data, nil
 }
 
-// readMended reads what lies at an index where the chunk should lie, after it was laid
-// anew if need be.
+// readOrRepair returns what is staged at an index. If that is not the expected chunk and
+// memory has a copy of it, the copy is staged and read back first.
 func (s *stage) readOrRepair(ctx context.Context, model string, index int, sum digest) ([]byte, error) {
 	staged, err := s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
 	if err != nil && failure.KindOf(err) != failure.NotFound {
@@ -188,7 +192,7 @@
 	return s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
 }
 
-// drop forgets a chunk; its bytes stay until others overwrite them.
+// drop forgets a chunk. Its staged bytes stay until another chunk overwrites them.
 func (s *stage) drop(_ context.Context, hash []byte) error {
 	s.mu.Lock()
 	for _, index := range s.indexesByDigest[digest(hash)] {
@@ -200,7 +204,7 @@
 	return nil
 }
 
-// held reads what lies beside the engine and returns the hashes.
+// scan reads all chunks in the staging area, records them and returns their hashes.
 func (s *stage) scan(ctx context.Context) ([][]byte, error) {
 	want, err := s.guidance.awaitWanted(ctx)
 	if err != nil {
--- a/agent/internal/onsite/stage_test.go
+++ b/agent/internal/onsite/stage_test.go
@@ -12,10 +12,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Symptom: an engine loads a mixture of two versions. Sequence: version 3 is fetched
-// while version 2 lies ready beside the engine and waits for its turn to load. Cause
-// guarded against: the engine's stage holds one version, and chunks of the next one
-// lie at the same indexes.
+// Guards against an engine that loads a mixture of two versions: version 3 is fetched while
+// version 2 is staged and waits for its turn to load. The staging area holds one version, and
+// chunks of the next one would overwrite it at the same indexes.
 func TestNextVersionStaysInMemory(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
 	server := httptest.NewServer(engine)
@@ -42,14 +41,14 @@
 		fits    bool
 	}{{2, 0, true}, {3, 0, true}, {2, 1, true}, {3, 1, true}, {2, 2, true}, {3, 2, false}} {
 		if err := put(test.version, test.index); (err == nil) != test.fits {
-			t.Errorf("version %d, chunk %d: got %v, want it taken: %v", test.version, test.index, err, test.fits)
+			t.Errorf("version %d, chunk %d: got error %v, want it accepted: %v", test.version, test.index, err, test.fits)
 		}
 	}
 	if !engine.Lies(chunks[2]) {
-		t.Error("got another thing than version 2 beside the engine")
+		t.Error("got other chunks staged than those of version 2")
 	}
 	if data, err := stage.get(t.Context(), manifests[3].ChunkHashes[1]); err != nil || !bytes.Equal(data, chunks[3][1]) {
-		t.Errorf("got %d bytes, %v, want what waits in memory", len(data), err)
+		t.Errorf("got %d bytes and error %v, want the chunk that is pending in memory", len(data), err)
 	}
 	wanted = 3
 	if err := stage.flush(t.Context()); err != nil {
@@ -59,20 +58,21 @@
 		t.Fatal(err)
 	}
 	if !engine.Lies(chunks[3]) {
-		t.Error("got another thing than version 3 beside the engine")
+		t.Error("got other chunks staged than those of version 3")
 	}
 	if got := len(stage.memory.pending); got != 0 {
-		t.Errorf("got %d chunks that wait in memory, want none", got)
+		t.Errorf("got %d chunks pending in memory, want none", got)
 	}
 	if got := stage.memory.heldBytes(); got > 2*testSize || got != stage.memory.usedBytes {
-		t.Errorf("got %d bytes in memory, %d counted, want no more than there is room for, as counted", got, stage.memory.usedBytes)
+		t.Errorf("got %d bytes in memory, %d counted, want these equal and within the capacity", got, stage.memory.usedBytes)
 	}
 }
 
-// Symptom: all engines load the second of two versions at once, and a third of all
-// answers is late. Sequence: two versions are named in quick succession; hosts load
-// the first one in turns and begin to fetch the second one after their turn; those
-// who should draw chunks of it come last. Cause: one version was fetched at a time.
+// Guards against all engines loading the second of two versions at the same time, which made
+// a third of all answers late. When two versions are declared in quick succession, hosts load
+// the first one in turns. If only one version is fetched at a time, they begin to fetch the
+// second one after their turn, and the hosts that should download its chunks from the origin
+// come last.
 func TestSecondVersionIsFetchedWhileTheFirstAwaitsLoading(t *testing.T) {
 	s := newTestSite(t, 1, 1, 1, 1)
 	for version := uint64(2); version <= 3; version++ {
@@ -90,14 +90,14 @@
 		}
 	}
 	if both == 0 {
-		t.Error("got no engine that loaded both versions: this shows nothing")
+		t.Error("got no engine that loaded both versions, so the test is inconclusive")
 	}
 }
 
-// Symptom: a host that goes back to the version before the newest reports chunks to others
-// that it no longer has, and takes itself for nearly whole. Sequence: chunks of version 3
-// are laid over those of version 2; version 3 can't be had and version 2 is wanted again.
-// Cause: nothing reported what a chunk was laid over.
+// Guards against a host that goes back to the version before the newest, offers its peers
+// chunks that it no longer has, and counts itself as nearly complete. Chunks of version 3
+// overwrite those of version 2, then version 3 becomes unavailable and version 2 is fetched
+// again. Nothing reported the chunks that were overwritten.
 func TestOverwrittenChunkIsReportedLost(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
 	server := httptest.NewServer(engine)
@@ -131,6 +131,6 @@
 	}
 	put(3, 1)
 	if len(lost) != 1 || !bytes.Equal(lost[0], manifests[2].ChunkHashes[1]) {
-		t.Errorf("got %x lost, want the chunk that was laid over alone", lost)
+		t.Errorf("got chunks %x lost, want only the overwritten one", lost)
 	}
 }
