--- a/agent/internal/onsite/feed.go
+++ b/agent/internal/onsite/feed.go
@@ -108,13 +108,13 @@
 	feed *feed
 	due  chan struct{} // signals that a state is to be sent; buffered by one
 
-	mu            sync.Mutex
-	gap           time.Duration // least time between two states
-	lastDue       time.Time     // when the last state became due
-	sentSequence  uint64        // sequence number of the state that was due last
-	unreadTokens  int64         // prompt tokens of the entry that the engine has not processed yet
-	finalRequests int           // requests of the entry that no other engine can continue
-	received      receipt
+	mu                sync.Mutex
+	gap               time.Duration // least time between two states
+	lastDue           time.Time     // when the last state became due
+	sentSequence      uint64        // sequence number of the state that was due last
+	unprocessedTokens int64         // prompt tokens of the entry that the engine has not processed yet
+	pinnedRequests    int           // requests of the entry that no other engine can continue
+	received          receipt
 }
 
 // receipt records the arrival of the entry's newest message. It is zero before the first.
@@ -145,7 +145,7 @@
 	now := f.feed.clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state.ReadingYours = uint32(f.unreadTokens)
+	state.ReadingYours = uint32(f.unprocessedTokens)
 	state.SentMillis, state.AgentBorn = uint64(now.Sub(f.feed.startedAt).Milliseconds()), f.feed.startedAt.UnixMilli()
 	state.LagMillis = uint32(f.feed.pacer.delay().Milliseconds())
 	if !f.received.at.IsZero() {
@@ -181,15 +181,15 @@
 
 // setPendingWork records the entry's unprocessed prompt tokens and the number of its
 // requests that no other engine can continue, and updates the engine's totals.
-func (f *follower) setPendingWork(tokens int64, final int) {
+func (f *follower) setPendingWork(tokens int64, pinned int) {
 	f.mu.Lock()
-	oldTokens, oldFinal := f.unreadTokens, f.finalRequests
-	f.unreadTokens, f.finalRequests = tokens, final
+	oldTokens, oldPinned := f.unprocessedTokens, f.pinnedRequests
+	f.unprocessedTokens, f.pinnedRequests = tokens, pinned
 	f.mu.Unlock()
 	if oldTokens != tokens {
-		f.feed.poller.addUnreadTokens(tokens - oldTokens)
+		f.feed.poller.addUnprocessedTokens(tokens - oldTokens)
 	}
-	if oldFinal != final {
-		f.feed.poller.addFinalRequests(final - oldFinal)
+	if oldPinned != pinned {
+		f.feed.poller.addPinnedRequests(pinned - oldPinned)
 	}
 }
--- a/agent/internal/onsite/loader.go
+++ b/agent/internal/onsite/loader.go
@@ -255,7 +255,7 @@
 		return now.Add(loaderInterval)
 	}
 	start := rollout.Start(want.declaredAt, deadline, l.estimateMove(want), l.place())
-	if l.poller.countFinalRequests() > 0 && rollout.LetsPass(now, start, deadline, l.estimateMove(want)) {
+	if l.poller.countPinnedRequests() > 0 && rollout.LetsPass(now, start, deadline, l.estimateMove(want)) {
 		return now.Add(loaderInterval)
 	}
 	return start
--- a/agent/internal/onsite/onsite_test.go
+++ b/agent/internal/onsite/onsite_test.go
@@ -286,16 +286,16 @@
 		{func() { second.receive(&wire.Guidance{ReadingOnly: true}) }, 0},
 	} {
 		step.do()
-		if got := poller.countFinalRequests(); got != step.want {
+		if got := poller.countPinnedRequests(); got != step.want {
 			t.Errorf("got %d requests, want %d", got, step.want)
 		}
 	}
 }
 
-func TestEntryReceivesEngineStateAndOthersUnreadTokens(t *testing.T) {
+func TestEntryReceivesEngineStateAndOthersUnprocessedTokens(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.engines[0].SetRunning(5)
-	follow := func(reading uint32) wire.DRPCFeed_FollowClient {
+	follow := func(unprocessedTokens uint32) wire.DRPCFeed_FollowClient {
 		conn, err := net.Dial("tcp", s.nodes[0].GetControlAddress())
 		if err != nil {
 			t.Fatal(err)
@@ -306,7 +306,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := stream.Send(&wire.Guidance{GapMillis: 25, Reading: reading}); err != nil {
+		if err := stream.Send(&wire.Guidance{GapMillis: 25, Reading: unprocessedTokens}); err != nil {
 			t.Fatal(err)
 		}
 		return stream
--- a/agent/internal/onsite/poller.go
+++ b/agent/internal/onsite/poller.go
@@ -36,15 +36,15 @@
 	// notify is called after each poll, to send the state to the entries that are due.
 	notify func()
 
-	mu            sync.Mutex
-	sequence      uint64                // grows with each change of what entries receive
-	state         platform.EngineReport // newest report
-	alive         bool
-	aliveKnown    bool  // the engine answered once or was found dead
-	failures      int   // consecutive failed polls
-	unreadTokens  int64 // prompt tokens that entries sent and the engine has not processed yet
-	finalRequests int   // requests in progress that no other engine can continue
-	loadPending   bool  // a load order is imminent: entries should send no new requests
+	mu                sync.Mutex
+	sequence          uint64                // grows with each change of what entries receive
+	state             platform.EngineReport // newest report
+	alive             bool
+	aliveKnown        bool  // the engine answered once or was found dead
+	failures          int   // consecutive failed polls
+	unprocessedTokens int64 // prompt tokens that entries sent and the engine has not processed yet
+	pinnedRequests    int   // requests in progress that no other engine can continue
+	loadPending       bool  // a load order is imminent: entries should send no new requests
 }
 
 func newEnginePoller(engine *platform.Engine, clock clockwork.Clock, log *slog.Logger) *enginePoller {
@@ -109,28 +109,28 @@
 		left.Orders == right.Orders && left.Pace == right.Pace && left.Leaving == right.Leaving && maps.Equal(left.Loaded, right.Loaded)
 }
 
-// addUnreadTokens adds the change in one entry's number of unprocessed prompt tokens.
-func (w *enginePoller) addUnreadTokens(tokens int64) {
+// addUnprocessedTokens adds the change in one entry's number of unprocessed prompt tokens.
+func (w *enginePoller) addUnprocessedTokens(tokens int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unreadTokens += tokens
+	w.unprocessedTokens += tokens
 	w.sequence++
 }
 
-// addFinalRequests adds the change in one entry's number of requests that no other engine
+// addPinnedRequests adds the change in one entry's number of requests that no other engine
 // can continue.
-func (w *enginePoller) addFinalRequests(count int) {
+func (w *enginePoller) addPinnedRequests(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.finalRequests += count
+	w.pinnedRequests += count
 }
 
-// countFinalRequests returns how many requests are in progress that no other engine can
+// countPinnedRequests returns how many requests are in progress that no other engine can
 // continue.
-func (w *enginePoller) countFinalRequests() int {
+func (w *enginePoller) countPinnedRequests() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.finalRequests
+	return w.pinnedRequests
 }
 
 // setLoadPending sets whether entries are told that a load order is imminent.
@@ -173,7 +173,7 @@
 		Sequence: w.sequence, Born: w.state.Born, Alive: w.alive,
 		Running: uint32(w.state.Running), Queued: uint32(w.state.Queued),
 		KvUsed: w.state.KVUsed, KvTotal: w.state.KVTotal, Pace: w.state.Pace,
-		Busy: w.state.Busy || w.loadPending, Reading: uint32(max(0, w.unreadTokens)),
+		Busy: w.state.Busy || w.loadPending, Reading: uint32(max(0, w.unprocessedTokens)),
 		Leaving: w.state.Leaving,
 	}
 	for model, version := range w.state.Loaded {
