--- a/agent/internal/onsite/poller.go
+++ b/agent/internal/onsite/poller.go
@@ -52,54 +52,54 @@
 }
 
 // run polls the engine until ctx is done.
-func (w *enginePoller) run(ctx context.Context) {
+func (p *enginePoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.poll(ctx)
-		w.notify()
+		p.poll(ctx)
+		p.notify()
 		wait := idlePollInterval
-		if report, alive := w.report(); alive && report.Running > 0 {
+		if report, alive := p.report(); alive && report.Running > 0 {
 			wait = pollInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-w.clock.After(wait):
+		case <-p.clock.After(wait):
 		}
 	}
 }
 
 // poll asks the engine for its state once and records the result.
-func (w *enginePoller) poll(ctx context.Context) {
+func (p *enginePoller) poll(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	report, err := w.engine.Report(callCtx)
+	report, err := p.engine.Report(callCtx)
 	if ctx.Err() != nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if err != nil {
-		w.failures++
-		w.aliveKnown = w.aliveKnown || w.failures >= maxFailedPolls
-		if w.failures >= maxFailedPolls && w.alive {
-			w.alive = false
-			w.log.Warn("dependency lost", "dependency", "engine", "error", err)
-			w.sequence++
+		p.failures++
+		p.aliveKnown = p.aliveKnown || p.failures >= maxFailedPolls
+		if p.failures >= maxFailedPolls && p.alive {
+			p.alive = false
+			p.log.Warn("dependency lost", "dependency", "engine", "error", err)
+			p.sequence++
 		}
 		return
 	}
-	w.failures, w.aliveKnown = 0, true
-	if w.state.Born != 0 && report.Born != w.state.Born {
-		w.log.Warn("the engine started again", "born", report.Born, "before", w.state.Born, "loaded", report.Loaded)
+	p.failures, p.aliveKnown = 0, true
+	if p.state.Born != 0 && report.Born != p.state.Born {
+		p.log.Warn("the engine started again", "born", report.Born, "before", p.state.Born, "loaded", report.Loaded)
 	}
-	if !w.alive {
-		w.log.Info("dependency regained", "dependency", "engine", "born", report.Born, "loaded", report.Loaded, "orders", report.Orders)
+	if !p.alive {
+		p.log.Info("dependency regained", "dependency", "engine", "born", report.Born, "loaded", report.Loaded, "orders", report.Orders)
 	}
-	if report.Leaving && !w.state.Leaving {
-		w.log.Info("the engine leaves", "born", report.Born, "running", report.Running, "queued", report.Queued)
+	if report.Leaving && !p.state.Leaving {
+		p.log.Info("the engine leaves", "born", report.Born, "running", report.Running, "queued", report.Queued)
 	}
-	if !w.alive || !sameReport(report, w.state) {
-		w.state, w.alive = report, true
-		w.sequence++
+	if !p.alive || !sameReport(report, p.state) {
+		p.state, p.alive = report, true
+		p.sequence++
 	}
 }
 
@@ -110,73 +110,73 @@
 }
 
 // addUnprocessedTokens adds the change in one entry's number of unprocessed prompt tokens.
-func (w *enginePoller) addUnprocessedTokens(tokens int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.unprocessedTokens += tokens
-	w.sequence++
+func (p *enginePoller) addUnprocessedTokens(tokens int64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.unprocessedTokens += tokens
+	p.sequence++
 }
 
 // addPinnedRequests adds the change in one entry's number of requests that no other engine
 // can continue.
-func (w *enginePoller) addPinnedRequests(count int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pinnedRequests += count
+func (p *enginePoller) addPinnedRequests(count int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.pinnedRequests += count
 }
 
 // countPinnedRequests returns how many requests are in progress that no other engine can
 // continue.
-func (w *enginePoller) countPinnedRequests() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.pinnedRequests
+func (p *enginePoller) countPinnedRequests() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.pinnedRequests
 }
 
 // setLoadPending sets whether entries are told that a load order is imminent.
-func (w *enginePoller) setLoadPending(pending bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.loadPending != pending {
-		w.loadPending = pending
-		w.sequence++
+func (p *enginePoller) setLoadPending(pending bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.loadPending != pending {
+		p.loadPending = pending
+		p.sequence++
 	}
 }
 
 // report returns the newest state; alive is false while the engine does not answer.
-func (w *enginePoller) report() (report platform.EngineReport, alive bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.state, w.alive
+func (p *enginePoller) report() (report platform.EngineReport, alive bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state, p.alive
 }
 
 // known reports whether the engine has been found alive or dead. An agent that has just
 // started does not know yet.
-func (w *enginePoller) known() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.aliveKnown
+func (p *enginePoller) known() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.aliveKnown
 }
 
 // currentSequence returns a number that grows with each change of what entries receive.
-func (w *enginePoller) currentSequence() uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.sequence
+func (p *enginePoller) currentSequence() uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.sequence
 }
 
 // message returns the state in the form in which it is sent to entries.
-func (w *enginePoller) message() *wire.EngineState {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *enginePoller) message() *wire.EngineState {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	state := &wire.EngineState{
-		Sequence: w.sequence, Born: w.state.Born, Alive: w.alive,
-		Running: uint32(w.state.Running), Queued: uint32(w.state.Queued),
-		KvUsed: w.state.KVUsed, KvTotal: w.state.KVTotal, Pace: w.state.Pace,
-		Busy: w.state.Busy || w.loadPending, Reading: uint32(max(0, w.unprocessedTokens)),
-		Leaving: w.state.Leaving,
+		Sequence: p.sequence, Born: p.state.Born, Alive: p.alive,
+		Running: uint32(p.state.Running), Queued: uint32(p.state.Queued),
+		KvUsed: p.state.KVUsed, KvTotal: p.state.KVTotal, Pace: p.state.Pace,
+		Busy: p.state.Busy || p.loadPending, Reading: uint32(max(0, p.unprocessedTokens)),
+		Leaving: p.state.Leaving,
 	}
-	for model, version := range w.state.Loaded {
+	for model, version := range p.state.Loaded {
 		state.Loaded = append(state.Loaded, &wire.LoadedWeights{Model: model, Version: version})
 	}
 	return state
--- a/agent/internal/onsite/run.go
+++ b/agent/internal/onsite/run.go
@@ -76,9 +76,9 @@
 	maxUpShare = 0.82
 	// maxDownShare is the same for the downlink.
 	maxDownShare = 0.85
-	// maxManifestDraws is how often a manifest is downloaded at most until two downloads
+	// maxManifestDownloads is how often a manifest is downloaded at most until two downloads
 	// agree.
-	maxManifestDraws = 4
+	maxManifestDownloads = 4
 )
 
 // Run runs an agent on a platform until drain or kill is done.
@@ -317,7 +317,7 @@
 		encoded []byte
 		err     error
 	}
-	downloads := make(chan download, maxManifestDraws)
+	downloads := make(chan download, maxManifestDownloads)
 	start := func() {
 		encoded, err := downloadManifestOnce(ctx, origin, version)
 		downloads <- download{encoded, err}
@@ -337,7 +337,7 @@
 		if result.err == nil {
 			seen = append(seen, result.encoded)
 		}
-		if finished == started && started < maxManifestDraws {
+		if finished == started && started < maxManifestDownloads {
 			started++
 			go start()
 		}
