--- a/agent/internal/onsite/pacer_test.go
+++ b/agent/internal/onsite/pacer_test.go
@@ -27,9 +27,9 @@
 		return share
 	}
 	if got, want := step(10, 40*time.Millisecond), 1.0; got != want {
-		t.Errorf("got share %v without delay, want %v", got, want)
+		t.Errorf("got share %v with a delay of 40 ms, want %v", got, want)
 	}
-	// An eighth of the link's rate is left: the share must drop below it within half a second.
+	// An eighth of the link's rate is left: the share must drop to that within half a second.
 	if got, most := step(5, 900*time.Millisecond), 0.125; got > most {
 		t.Errorf("got share %v after half a second of delay, want at most %v", got, most)
 	}
@@ -45,7 +45,7 @@
 // Guards against a version that reaches the hosts 3 to 10 s after all of it left the origin,
 // and is loaded too late. Configurations in quick succession saturated the links between
 // failure domains and kept one entry of each domain busy, so that these entries measured and
-// reported delays of 0.2 to 0.9 s to hosts. Because the highest report counted, the hosts
+// reported delays of 0.2 to 0.9 s to and from hosts. Because the highest report counted, the hosts
 // reduced the weights' share of their own links, which were not congested.
 func TestDelayOnOtherLinksDoesNotSlowWeights(t *testing.T) {
 	for _, test := range []struct {
