--- a/agent/internal/onsite/cost_test.go
+++ b/agent/internal/onsite/bench_test.go
@@ -18,47 +18,47 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// BenchmarkPoll measures what an agent spends on one look at its engine, of which it
-// takes up to 33 a second; the engine's part on loopback is in it.
+// BenchmarkPoll measures the cost of one poll of the engine, of which an agent makes up to 33
+// per second. It includes the test engine's share, over loopback.
 func BenchmarkPoll(b *testing.B) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
+	server := httptest.NewServer(engine)
+	defer server.Close()
 	local := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
-	looks := newWatch(platform.NewEngine(host.URL, local), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
+	poller := newEnginePoller(platform.NewEngine(server.URL, local), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
 	b.ReportAllocs()
 	for b.Loop() {
-		looks.poll(context.Background())
+		poller.poll(context.Background())
 	}
 }
 
-// echoFeed answers each message with a state, as fast as they come.
-type echoFeed struct{ looks *watch }
+// echoFeed answers each message with a state immediately.
+type echoFeed struct{ poller *enginePoller }
 
 func (f *echoFeed) Follow(stream wire.DRPCFeed_FollowStream) error {
 	for {
 		if _, err := stream.Recv(); err != nil {
 			return err
 		}
-		state := f.looks.message()
+		state := f.poller.message()
 		if err := stream.Send(state); err != nil {
 			return err
 		}
 	}
 }
 
-// BenchmarkState measures one message of an entry and one state of an agent, both ends
-// on loopback.
+// BenchmarkState measures one message from an entry and one state from an agent, with both
+// ends on loopback.
 func BenchmarkState(b *testing.B) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	looks := newWatch(nil, clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
-	looks.state = platform.EngineReport{Loaded: map[string]uint64{testModel: 1}, Running: 5}
+	poller := newEnginePoller(nil, clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
+	poller.state = platform.EngineReport{Loaded: map[string]uint64{testModel: 1}, Running: 5}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = serveFeed(ctx, lis, &echoFeed{looks}) }()
+	go func() { _ = serveFeed(ctx, lis, &echoFeed{poller}) }()
 	raw, err := net.Dial("tcp", lis.Addr().String())
 	if err != nil {
 		b.Fatal(err)
@@ -80,6 +80,7 @@
 	}
 }
 
+// serveFeed serves a Feed service on the listener until ctx is done.
 func serveFeed(ctx context.Context, lis net.Listener, feed wire.DRPCFeedServer) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterFeed(mux, feed); err != nil {
--- a/agent/internal/onsite/onsite_test.go
+++ b/agent/internal/onsite/onsite_test.go
@@ -30,7 +30,7 @@
 	testSize   = 4096
 )
 
-// site is some hosts with an engine and an agent each, and an origin.
+// testSite is a set of hosts, each with an engine and an agent, and an origin.
 type testSite struct {
 	origin    *platformtest.Origin
 	originURL string
@@ -39,6 +39,7 @@
 	nodes     []*wire.Node
 }
 
+// newTestSite starts one host per loaded version; 0 means an engine without weights.
 func newTestSite(t *testing.T, loaded ...uint64) *testSite {
 	t.Helper()
 	s := &testSite{origin: platformtest.NewOrigin(testModel)}
@@ -55,28 +56,28 @@
 			chunks = platformtest.Chunks(version, testChunks, testSize)
 		}
 		engine := platformtest.NewEngine(testModel, version, chunks)
-		host := httptest.NewServer(engine)
-		t.Cleanup(host.Close)
+		engineServer := httptest.NewServer(engine)
+		t.Cleanup(engineServer.Close)
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		set := &wire.AgentSettings{
 			Node:        &wire.NodeSettings{Id: fmt.Sprint("host-", i), Region: "r", FailureDomain: "d", ControlAddress: lis.Addr().String()},
-			EndpointUrl: host.URL,
+			EndpointUrl: engineServer.URL,
 			Site:        &wire.SiteSettings{LinkMegabits: 80, Bounds: &wire.SiteBounds{VersionMillis: 1500}},
 		}
-		one := newAgent(set, slog.New(slog.DiscardHandler))
-		s.engines, s.agents = append(s.engines, engine), append(s.agents, one)
+		member := newAgent(set, slog.New(slog.DiscardHandler))
+		s.engines, s.agents = append(s.engines, engine), append(s.agents, member)
 		s.nodes = append(s.nodes, &wire.Node{
-			Id: strings.TrimPrefix(host.URL, "http://"), Region: "r", FailureDomain: "d", ControlAddress: lis.Addr().String(),
+			Id: strings.TrimPrefix(engineServer.URL, "http://"), Region: "r", FailureDomain: "d", ControlAddress: lis.Addr().String(),
 		})
-		running.Go(func() { _ = one.run(ctx, lis) })
+		running.Go(func() { _ = member.run(ctx, lis) })
 	}
 	return s
 }
 
-// hosts lists the hosts as entries list them, each with its own agent's port.
+// hosts lists the hosts as entries do, with one group per host since agent ports differ.
 func (s *testSite) hosts() []*wire.HostGroup {
 	var groups []*wire.HostGroup
 	for _, node := range s.nodes {
@@ -90,10 +91,10 @@
 	return groups
 }
 
-// guide sends all agents what is wanted, as entries do.
-func (s *testSite) guide(version uint64, revision uint64) {
-	for _, one := range s.agents {
-		one.guide.receive(time.Now(), &wire.Guidance{
+// sendGuidance tells all agents which version is wanted, as entries do.
+func (s *testSite) sendGuidance(version uint64, revision uint64) {
+	for _, agent := range s.agents {
+		agent.guidance.receive(time.Now(), &wire.Guidance{
 			Revision: revision, Hosts: s.hosts(), OriginUrl: s.originURL,
 			Wanted: []*wire.WantedWeights{{
 				Model: testModel, Version: version, Chunks: testChunks, ChunkBytes: testSize, Cutover: true, Fence: revision,
@@ -102,8 +103,8 @@
 	}
 }
 
-// await waits until all engines have loaded the version.
-func (s *testSite) await(t *testing.T, version uint64) {
+// awaitVersion waits until all engines have loaded the version.
+func (s *testSite) awaitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -118,7 +119,7 @@
 	}
 }
 
-// awaitFirstLoad waits until one engine was ordered to load.
+// awaitFirstLoad waits until any engine was ordered to load.
 func (s *testSite) awaitFirstLoad(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -137,6 +138,7 @@
 	}
 }
 
+// digestOf returns the SHA-256 of the concatenated chunks, in hexadecimal.
 func digestOf(chunks [][]byte) string {
 	sum := sha256.New()
 	for _, chunk := range chunks {
@@ -145,24 +147,24 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// checkLoads fails where an engine loaded anything but whole versions.
+// checkLoads fails the test if an engine loaded anything but complete, intact versions.
 func (s *testSite) checkLoads(t *testing.T) {
 	t.Helper()
 	for i, engine := range s.engines {
 		for _, load := range engine.Loads() {
 			if got, want := load.Digest, digestOf(platformtest.Chunks(load.Version, testChunks, testSize)); got != want {
-				t.Errorf("engine %d: got version %d loaded from spoilt or mixed chunks", i, load.Version)
+				t.Errorf("engine %d: got version %d loaded from corrupted or mixed chunks", i, load.Version)
 			}
 		}
 	}
 }
 
-func TestNewHostsGetTheWeightsFromTheOthers(t *testing.T) {
+func TestNewHostsFetchWeightsFromPeers(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0, 0)
-	// On a machine that is slow enough a new host draws before it has learned of
-	// the others: here it has no choice.
+	// On a slow machine a new host may download from the origin before it has learned of
+	// its peers, so the origin refuses chunks here.
 	s.origin.RefuseChunks(true)
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	for _, i := range []int{2, 3} {
 		for len(s.engines[i].Loads()) == 0 {
 			time.Sleep(5 * time.Millisecond)
@@ -176,141 +178,143 @@
 
 func TestNewVersionReachesAllHosts(t *testing.T) {
 	s := newTestSite(t, 1, 1, 1, 1)
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
-	s.guide(2, 5)
-	s.await(t, 2)
+	s.sendGuidance(2, 5)
+	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 	if got, most := s.origin.Sent(), testChunks*testSize*3/2; got > most {
-		t.Errorf("got %d bytes from the origin, want at most %d, one copy and a half", got, most)
+		t.Errorf("got %d bytes from the origin, want at most %d, one and a half copies", got, most)
 	}
 }
 
-// Symptom: a host answers from spoilt weights. Sequence: chunks are verified and
-// staged; one turns bad where it lies; the engine is ordered to load. Cause: what
-// was verified once was taken for good.
-func TestStagedChunkThatTurnedBadIsFetchedAgain(t *testing.T) {
+// Guards against a host that serves corrupted weights: a chunk is corrupted after it was
+// verified and staged, and the engine is ordered to load it. Chunks used to be trusted once
+// they had been verified.
+func TestCorruptedStagedChunkIsFetchedAgain(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0)
 	for i := range testChunks {
 		s.engines[0].Spoil(i)
 	}
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	for len(s.engines[2].Loads()) == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	s.checkLoads(t)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
-	s.engines[1].SetRunning(1) // it waits for its turn, so that there is time to spoil
-	s.guide(2, 5)
+	s.engines[1].SetRunning(1) // makes it wait for its turn, which leaves time to corrupt a chunk
+	s.sendGuidance(2, 5)
 	for !s.engines[1].Spoil(3) {
 		time.Sleep(time.Millisecond)
 	}
-	s.await(t, 2)
+	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 }
 
-// Symptom: no host ever becomes whole. Sequence: the origin's answer is spoilt on
-// the way, in a digest. Cause: nothing proves a digest, so one draw was believed.
-func TestSpoiltManifestIsNotBelieved(t *testing.T) {
+// Guards against hosts that never complete a version because a digest in the manifest was
+// corrupted in transit from the origin. Nothing verifies a digest, so a single download must
+// not be trusted.
+func TestCorruptManifestIsRejected(t *testing.T) {
 	s := newTestSite(t, 1, 1)
-	s.guide(1, 1)
+	s.sendGuidance(1, 1)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
 	s.origin.SpoilManifests(1)
-	s.guide(2, 5)
-	s.await(t, 2)
+	s.sendGuidance(2, 5)
+	s.awaitVersion(t, 2)
 	s.checkLoads(t)
 }
 
-func TestOlderGuidanceChangesNothing(t *testing.T) {
-	guidance := newGuide()
+func TestOlderGuidanceIsIgnored(t *testing.T) {
+	guidance := newGuidanceStore()
 	now := time.Now()
 	receive := func(version, revision uint64) {
 		guidance.receive(now, &wire.Guidance{Revision: revision, OriginUrl: fmt.Sprint(revision),
 			Wanted: []*wire.WantedWeights{{Model: testModel, Version: version, AgeMillis: 1000}}})
 	}
-	if _, ok := guidance.weights(); ok {
+	if _, ok := guidance.newestWanted(); ok {
 		t.Errorf("got weights before any guidance")
 	}
 	receive(3, 7)
 	receive(2, 6)
-	want, ok := guidance.weights()
+	want, ok := guidance.newestWanted()
 	if !ok || want.version != 3 || guidance.originURL() != "7" {
 		t.Errorf("got version %d and origin %s, want 3 and 7", want.version, guidance.originURL())
 	}
-	if got, want := want.since, now.Add(-time.Second); !got.Equal(want) {
-		t.Errorf("got declared at %v, want %v", got, want)
+	if got, want := want.declaredAt, now.Add(-time.Second); !got.Equal(want) {
+		t.Errorf("got declaration time %v, want %v", got, want)
 	}
 	receive(4, 8)
-	if got, want := len(guidance.declared(testModel)), 2; got != want {
-		t.Errorf("got %d declarations remembered, want %d", got, want)
+	if got, want := len(guidance.declarations(testModel)), 2; got != want {
+		t.Errorf("got %d declarations kept, want %d", got, want)
 	}
-	earlier := guidance.version(wanted{model: testModel, version: 4}, 3)
+	earlier := guidance.wantedVersion(wantedWeights{model: testModel, version: 4}, 3)
 	if earlier.version != 3 {
 		t.Errorf("got version %d, want 3", earlier.version)
 	}
 }
 
-// Guards against a host that takes a version for newer than it is, because the entry that reported
-// of it first had started after its declaration, and against one that doesn't pass on what it knows.
-func TestHostReportsHowLongAgoVersionsWereDeclared(t *testing.T) {
-	guidance, now := newGuide(), time.Now()
+// Guards against a host that assumes a later declaration than the true one because the entry
+// that reported the version first had started after its declaration, and against a host that
+// does not report the ages it knows.
+func TestHostReportsDeclarationAges(t *testing.T) {
+	guidance, now := newGuidanceStore(), time.Now()
 	for _, age := range []uint32{0, 5000, 200} {
 		guidance.receive(now, &wire.Guidance{Wanted: []*wire.WantedWeights{{Model: testModel, Version: 3, AgeMillis: age}}})
 	}
-	if want, _ := guidance.weights(); now.Sub(want.since) != 5*time.Second {
-		t.Errorf("got the version declared %v ago, want 5s", now.Sub(want.since))
+	if want, _ := guidance.newestWanted(); now.Sub(want.declaredAt) != 5*time.Second {
+		t.Errorf("got the version declared %v ago, want 5s", now.Sub(want.declaredAt))
 	}
-	got := guidance.ages(now.Add(time.Second))
+	got := guidance.declarationAges(now.Add(time.Second))
 	if len(got) != 1 || got[0].GetModel() != testModel || got[0].GetVersion() != 3 || got[0].GetAgeMillis() != 6000 {
 		t.Errorf("got %v, want version 3 for 6000 ms", got)
 	}
 }
 
-func TestHostCountsWhatCannotGoOnElsewhere(t *testing.T) {
+func TestHostCountsRequestsThatCannotMove(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	looks := newWatch(nil, clock, slog.New(slog.DiscardHandler))
-	served := newFeed(looks, newGuide(), newPace(clock.Now), clock)
-	one, two := &follower{feed: served}, &follower{feed: served}
+	poller := newEnginePoller(nil, clock, slog.New(slog.DiscardHandler))
+	server := newFeed(poller, newGuidanceStore(), newPacer(clock.Now), clock)
+	first, second := &follower{feed: server}, &follower{feed: server}
 	for _, step := range []struct {
 		do   func()
 		want int
 	}{
-		{func() { one.receive(&wire.Guidance{ReadingOnly: true, Last: 2}) }, 2},
-		{func() { two.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 3},
-		{func() { one.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 2},
-		{func() { served.remove(one) }, 1},
-		{func() { two.receive(&wire.Guidance{ReadingOnly: true}) }, 0},
+		{func() { first.receive(&wire.Guidance{ReadingOnly: true, Last: 2}) }, 2},
+		{func() { second.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 3},
+		{func() { first.receive(&wire.Guidance{ReadingOnly: true, Last: 1}) }, 2},
+		{func() { server.remove(first) }, 1},
+		{func() { second.receive(&wire.Guidance{ReadingOnly: true}) }, 0},
 	} {
 		step.do()
-		if got := looks.finals(); got != step.want {
-			t.Errorf("got %d, want %d", got, step.want)
+		if got := poller.countPinnedRequests(); got != step.want {
+			t.Errorf("got %d requests, want %d", got, step.want)
 		}
 	}
 }
 
-func TestEntryHearsTheEngineAndWhatOthersSent(t *testing.T) {
+func TestEntryReceivesEngineStateAndOthersUnprocessedTokens(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.engines[0].SetRunning(5)
-	follow := func(reading uint32) wire.DRPCFeed_FollowClient {
+	follow := func(unprocessedTokens uint32) wire.DRPCFeed_FollowClient {
 		conn, err := net.Dial("tcp", s.nodes[0].GetControlAddress())
 		if err != nil {
 			t.Fatal(err)
 		}
-		dial := drpcconn.New(conn)
-		t.Cleanup(func() { _ = dial.Close() })
-		stream, err := wire.NewDRPCFeedClient(dial).Follow(context.Background())
+		client := drpcconn.New(conn)
+		t.Cleanup(func() { _ = client.Close() })
+		stream, err := wire.NewDRPCFeedClient(client).Follow(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := stream.Send(&wire.Guidance{GapMillis: 25, Reading: reading}); err != nil {
+		if err := stream.Send(&wire.Guidance{GapMillis: 25, Reading: unprocessedTokens}); err != nil {
 			t.Fatal(err)
 		}
 		return stream
 	}
-	one := follow(700)
+	stream := follow(700)
 	follow(300)
 	for {
-		state, err := one.Recv()
+		state, err := stream.Recv()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -321,21 +325,21 @@
 }
 
 func TestVersionNames(t *testing.T) {
-	model, version := splitName(versionName("a@b", 17))
+	model, version := parseVersionName(versionName("a@b", 17))
 	if model != "a@b" || version != 17 {
 		t.Errorf("got %s and %d, want a@b and 17", model, version)
 	}
 }
 
-// Symptom: streams pause while a version rolls out. Sequence: an engine runs nine
-// requests, gets an order and cuts them; each is read again at another engine. Cause:
-// the order came as soon as entries could have learned of it. A host that serves
-// nothing waits for nobody.
-func TestOrderWaitsWhileWhatRunsEnds(t *testing.T) {
-	if got := notice(platform.EngineReport{Running: 9}); got != noticeTime {
-		t.Errorf("got a notice of %v where nine requests run, want %v", got, noticeTime)
+// Guards against streams that pause during a rollout: an engine that runs nine requests gets
+// a load order and cuts them off, and another engine has to process each prompt again. The
+// order used to be sent as soon as entries could have learned of it. A host that serves
+// nothing uses the short period.
+func TestNoticePeriodLetsRunningRequestsFinish(t *testing.T) {
+	if got := noticePeriodFor(platform.EngineReport{Running: 9}); got != noticePeriod {
+		t.Errorf("got a notice period of %v with nine requests running, want %v", got, noticePeriod)
 	}
-	if got := notice(platform.EngineReport{}); got != idleNotice {
-		t.Errorf("got a notice of %v where nothing runs, want %v", got, idleNotice)
+	if got := noticePeriodFor(platform.EngineReport{}); got != idleNoticePeriod {
+		t.Errorf("got a notice period of %v with nothing running, want %v", got, idleNoticePeriod)
 	}
 }
--- a/agent/internal/onsite/run.go
+++ b/agent/internal/onsite/run.go
@@ -32,57 +32,61 @@
 
 const (
 	program = "comfreyagent"
-	// linkPart is the part of the host's link that weights take at most: the
-	// rest is for the engine's answers, which share it.
-	linkPart = 0.97
-	// bitsPerMegabit and bitsPerByte turn a link's rate into bytes.
+	// maxLinkShare is the largest fraction of the host's link that weight transfers may
+	// use. The rest is for the engine's answers, which share the link.
+	maxLinkShare = 0.97
+	// bitsPerMegabit and bitsPerByte convert a link's rate to bytes per second.
 	bitsPerMegabit = 1e6
 	bitsPerByte    = 8
-	// memoryPart is the part of the host's memory at which the collector works
-	// hardest.
-	memoryPart = 0.5
-	// aheadPart is the part of the host's memory that the chunks of a version
-	// after the one wanted may take.
-	aheadPart = 0.15
-	// drawWindow is the chunks that the hosts draw from the origin at once.
+	// memoryLimitShare is the fraction of the host's memory that is set as the Go
+	// runtime's soft memory limit, near which the garbage collector runs most often.
+	memoryLimitShare = 0.5
+	// prefetchMemoryShare is the fraction of the host's memory that the memoryStore may
+	// use, which holds the chunks of a prefetched version.
+	prefetchMemoryShare = 0.15
+	// drawWindow is the number of chunks that all hosts together download from the origin
+	// at once.
 	drawWindow = 14
-	// maxBackoff bounds the pause after the origin failed: the time for a new
-	// version is short, and a host in a few asks at once.
+	// maxBackoff bounds the pause after a failed request to the origin. It is short because
+	// the time for rolling out a new version is, and only one host in a few sends requests
+	// to the origin at the same time.
 	maxBackoff = 700 * time.Millisecond
-	// originDial and originAnswer bound a connection to the origin and the wait
-	// for its answer: one that is cut off answers nothing.
-	originDial   = 500 * time.Millisecond
-	originAnswer = 1500 * time.Millisecond
-	// originConns and originIdle bound what one host holds of the connections
-	// that the origin takes from all: one that is kept for the next draw keeps
-	// other hosts out.
-	originConns = 2
-	originIdle  = 100 * time.Millisecond
-	// servingBytes bounds the chunks that are on their way to a host at once while its engine serves:
-	// requests wait behind all of them where its link becomes narrow. idleFetches is the chunks while
-	// nothing runs, when the link should never be idle.
-	servingBytes = 96 << 10
-	idleFetches  = 8
-	// usualChunk is the size of a chunk where none is declared, bytes.
-	usualChunk = 32 << 10
-	// crowdedPart is the part of the usual rate under which requests wait behind
-	// weights: one halving and a little.
-	crowdedPart = 0.6
-	// upShare is the part of the uplink that weights take at most while the
-	// engine serves: its answers find no queue then.
-	upShare = 0.82
-	// downShare is the same of the downlink.
-	downShare = 0.85
-	// manifestDraws is how often a manifest is drawn until two are alike.
-	manifestDraws = 4
+	// originDialTimeout bounds connecting to the origin, and originHeaderTimeout the wait
+	// for its response headers: an origin that is cut off never answers.
+	originDialTimeout   = 500 * time.Millisecond
+	originHeaderTimeout = 1500 * time.Millisecond
+	// maxOriginConns and originIdleTimeout limit the connections that one host keeps open
+	// to the origin, which accepts a limited number from all hosts: an idle connection
+	// kept for the next download shuts out other hosts.
+	maxOriginConns    = 2
+	originIdleTimeout = 100 * time.Millisecond
+	// maxServingBytes bounds the bytes of chunks in flight to a host while its engine serves
+	// requests, which queue behind all of them if the link loses bandwidth. maxIdleFetches
+	// is the number of chunks in flight while the engine runs nothing, when the link should
+	// never be idle.
+	maxServingBytes = 96 << 10
+	maxIdleFetches  = 8
+	// defaultChunkBytes is the size of a chunk where none is declared.
+	defaultChunkBytes = 32 << 10
+	// congestedShare is the pacer's share below which requests are taken to queue behind
+	// weights. It is slightly more than the share after one halving.
+	congestedShare = 0.6
+	// maxUpShare is the largest fraction of the uplink that weight transfers may use while
+	// the engine serves, so that its answers do not queue behind them.
+	maxUpShare = 0.82
+	// maxDownShare is the same for the downlink.
+	maxDownShare = 0.85
+	// maxManifestDownloads is how often a manifest is downloaded at most until two downloads
+	// agree.
+	maxManifestDownloads = 4
 )
 
-// Run runs an agent on a platform until drain or kill ends.
+// Run runs an agent on a platform until drain or kill is done.
 func Run(drain, kill context.Context, set *wire.AgentSettings, out io.Writer) error {
-	lines := logging.NewBounded(out)
-	defer func() { _ = lines.Close() }()
-	log := logging.New(lines, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
-	debug.SetMemoryLimit(int64(memoryPart * float64(set.GetSite().GetMemoryMegabytes()) * (1 << 20)))
+	logWriter := logging.NewBounded(out)
+	defer func() { _ = logWriter.Close() }()
+	log := logging.New(logWriter, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(set.GetSite().GetMemoryMegabytes()) * (1 << 20)))
 	lis, err := net.Listen("tcp", set.GetNode().GetControlAddress())
 	if err != nil {
 		return failure.Wrap(err, failure.Unavailable, "cannot listen at node.controlAddress",
@@ -97,21 +101,21 @@
 
 // agent holds the parts of a running agent.
 type agent struct {
-	set    *wire.AgentSettings
-	log    *slog.Logger
-	clock  clockwork.Clock
-	guide  *guide
-	watch  *watch
-	pace   *pace
-	stage  *stage
-	mgr    *weights.Manager
-	loader *loader
-	pool   *peer.Pool
-	remote *http.Client
+	set        *wire.AgentSettings
+	log        *slog.Logger
+	clock      clockwork.Clock
+	guidance   *guidanceStore
+	poller     *enginePoller
+	pacer      *pacer
+	stage      *stage
+	mgr        *weights.Manager
+	loader     *loader
+	pool       *peer.Pool
+	originHTTP *http.Client
 
-	mu     sync.Mutex
-	origin *platform.Origin
-	base   string // of origin
+	mu         sync.Mutex
+	origin     *platform.Origin
+	originBase string // base URL of origin
 }
 
 func newAgent(set *wire.AgentSettings, log *slog.Logger) *agent {
@@ -119,54 +123,57 @@
 	local := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	engine := platform.NewEngine(strings.TrimSuffix(set.GetEndpointUrl(), "/"), local)
 	a := &agent{
-		set: set, log: log, clock: clock, guide: newGuide(), pool: peer.NewPool(nil),
-		remote: originClient(),
+		set: set, log: log, clock: clock, guidance: newGuidanceStore(), pool: peer.NewPool(nil),
+		originHTTP: newOriginHTTPClient(),
 	}
-	a.watch = newWatch(engine, clock, log)
-	a.pace = newPace(clock.Now)
-	a.stage = newStage(engine, a.guide, int(aheadPart*float64(set.GetSite().GetMemoryMegabytes())*(1<<20)))
-	a.stage.man = a.wantedManifest
+	a.poller = newEnginePoller(engine, clock, log)
+	a.pacer = newPacer(clock.Now)
+	a.stage = newStage(engine, a.guidance, int(prefetchMemoryShare*float64(set.GetSite().GetMemoryMegabytes())*(1<<20)))
+	a.stage.manifest = a.currentManifest
 	a.mgr = weights.New(weights.Config{
 		Self: a.self(), Clock: clock, Log: log,
-		Peers:       a.guide.hosts,
+		Peers:       a.guidance.hosts,
 		Dial:        func(ctx context.Context, address string) drpc.Conn { return a.pool.Conn(ctx, address) },
-		Source:      weights.Source{Manifest: a.drawManifest, Chunk: a.drawChunk, Decode: manifest.DecodeNamed, Verify: verify},
-		Link:        linkOf(set.GetSite()),
+		Source:      weights.Source{Manifest: a.downloadManifest, Chunk: a.downloadChunk, Decode: manifest.DecodeNamed, Verify: verify},
+		Link:        linkSettings(set.GetSite()),
 		WindowBytes: set.GetWindowBytes(),
 		DearRegions: true,
 		DrawWindow:  drawWindow,
 		MaxBackoff:  maxBackoff,
-		Fetches:     a.fetches,
+		Fetches:     a.maxFetches,
 		LinkShares:  a.linkShares,
 		PutChunk:    a.stage.put,
 		GetChunk:    a.stage.get,
 		ReadBack:    a.stage.readBack,
 		DropChunk:   a.stage.drop,
-		HeldChunks:  a.stage.held,
+		HeldChunks:  a.stage.scan,
 	})
-	a.stage.lost = a.mgr.Lost
+	a.stage.onLost = a.mgr.Lost
 	a.loader = &loader{
-		engine: engine, watch: a.watch, guide: a.guide, mgr: a.mgr, stage: a.stage, clock: clock, log: log,
+		engine: engine, poller: a.poller, guidance: a.guidance, mgr: a.mgr, stage: a.stage, clock: clock, log: log,
 		self: a.self().GetId(), linkRate: linkRate(set.GetSite()),
 	}
 	a.apply(set)
 	return a
 }
 
-// apply takes over settings that may change while the agent runs: the bounds.
+// apply applies the settings that may change while the agent runs: the bounds.
 func (a *agent) apply(set *wire.AgentSettings) {
-	a.loader.bound.Store(int64(versionBound(set.GetSite().GetBounds())))
+	a.loader.oldVersionLimit.Store(int64(versionBound(set.GetSite().GetBounds())))
 }
 
-func originClient() *http.Client {
+// newOriginHTTPClient returns an HTTP client with the timeouts and connection limits for the
+// origin.
+func newOriginHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: originDial}).DialContext,
-		MaxIdleConnsPerHost: 1, MaxConnsPerHost: originConns, IdleConnTimeout: originIdle, DisableCompression: true,
-		ResponseHeaderTimeout: originAnswer,
+		DialContext:         (&net.Dialer{Timeout: originDialTimeout}).DialContext,
+		MaxIdleConnsPerHost: 1, MaxConnsPerHost: maxOriginConns, IdleConnTimeout: originIdleTimeout, DisableCompression: true,
+		ResponseHeaderTimeout: originHeaderTimeout,
 	}}
 }
 
-// self names this host by its engine's address, as entries name it to others.
+// self describes this host, with its engine's address as the ID: entries list it under that
+// ID to its peers.
 func (a *agent) self() *wire.Node {
 	self := node.Describe(a.set.GetNode(), peer.RoleAgent, "")
 	self.Id = strings.TrimPrefix(a.set.GetEndpointUrl(), "http://")
@@ -174,10 +181,11 @@
 	return self
 }
 
-// defaultVersionBound is how long an old version may be used where the platform
-// does not say.
+// defaultVersionBound is how long a version may be used after a newer one was declared, if
+// the platform's settings do not say.
 const defaultVersionBound = 8 * time.Second
 
+// versionBound returns how long a version may be used after a newer one was declared.
 func versionBound(set *wire.SiteBounds) time.Duration {
 	if set.GetVersionMillis() == 0 {
 		return defaultVersionBound
@@ -185,155 +193,161 @@
 	return time.Duration(set.GetVersionMillis()) * time.Millisecond
 }
 
-// linkRate returns the rate of the host's link, bytes a second; 0: unlimited.
+// linkRate returns the rate of the host's link in bytes per second; 0: unlimited.
 func linkRate(set *wire.SiteSettings) float64 {
 	return set.GetLinkMegabits() * bitsPerMegabit / bitsPerByte
 }
 
-func linkOf(set *wire.SiteSettings) *wire.LinkSettings {
-	rate := uint64(linkPart * linkRate(set))
+// linkSettings returns the rates up to which weight transfers may use the host's link.
+func linkSettings(set *wire.SiteSettings) *wire.LinkSettings {
+	rate := uint64(maxLinkShare * linkRate(set))
 	return &wire.LinkSettings{Up: rate, Down: rate}
 }
 
+// run serves entries and peers, polls the engine and loads weights until ctx is done.
 func (a *agent) run(ctx context.Context, lis net.Listener) error {
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterFeed(mux, newFeed(a.watch, a.guide, a.pace, a.clock)); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the calls of entries", "report it")
+	if err := wire.DRPCRegisterFeed(mux, newFeed(a.poller, a.guidance, a.pacer, a.clock)); err != nil {
+		return failure.Wrap(err, failure.Internal, "cannot register the Feed service", "report it")
 	}
 	if err := wire.DRPCRegisterHost(mux, &chunkServer{mgr: a.mgr}); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the calls of other agents", "report it")
+		return failure.Wrap(err, failure.Internal, "cannot register the Host service", "report it")
 	}
 	a.log.Info("started", "endpoint", a.set.GetEndpointUrl(), "controlAddress", lis.Addr().String())
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return ended(ctx, peer.Serve(ctx, lis, nil, mux, a.log)) })
-	group.Go(func() error { a.watch.run(ctx); return nil })
+	group.Go(func() error { return ignoreAfterStop(ctx, peer.Serve(ctx, lis, nil, mux, a.log)) })
+	group.Go(func() error { a.poller.run(ctx); return nil })
 	reloader := &settings.Reloader[*wire.AgentSettings]{
 		File: platform.SettingsFile(), Load: settings.LoadAgent, Apply: a.apply, Clock: a.clock, Log: a.log,
 	}
 	group.Go(func() error { reloader.Run(ctx); return nil })
 	group.Go(func() error { a.loader.run(ctx); return nil })
-	group.Go(func() error { return ended(ctx, a.mgr.Run(ctx)) })
+	group.Go(func() error { return ignoreAfterStop(ctx, a.mgr.Run(ctx)) })
 	err := group.Wait()
 	a.log.Info("stopped")
 	return err
 }
 
-// ended drops the error that a part returns because it was asked to stop.
-func ended(ctx context.Context, err error) error {
+// ignoreAfterStop returns err, or nil once ctx is done: errors caused by stopping are
+// expected.
+func ignoreAfterStop(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// wantedManifest is that of the version being fetched.
-func (a *agent) wantedManifest() *wire.Manifest {
-	want, ok := a.guide.weights()
+// currentManifest returns the manifest of the version being fetched; nil while unknown.
+func (a *agent) currentManifest() *wire.Manifest {
+	want, ok := a.guidance.newestWanted()
 	if !ok {
 		return nil
 	}
 	return a.mgr.Manifest(versionName(want.model, a.loader.currentVersion()))
 }
 
-// linkShares returns the parts of the link, up and down, that weights may take. A
-// host whose link is narrower than declared gives others little; what it takes itself is
-// bounded by the chunks on their way instead, so that it goes on drawing what is its
-// turn.
+// linkShares returns the fractions of the uplink and downlink that weight transfers may use.
+// A host whose link is slower than declared uploads little to its peers. Its own fetches are
+// bounded by the number of chunks in flight instead, so that it goes on downloading its share
+// of chunks from the origin.
 func (a *agent) linkShares() (up, down float64) {
-	report, alive := a.watch.report()
+	report, alive := a.poller.report()
 	if !alive || report.Running == 0 {
 		return 1, 1
 	}
-	return a.pace.share() * upShare, downShare
+	return a.pacer.share() * maxUpShare, maxDownShare
 }
 
-// fetches returns how many chunks may be on their way at once: one behind which
-// requests wait for long. A host that can't serve yet has none to spare.
-func (a *agent) fetches() int {
-	report, alive := a.watch.report()
-	part := a.pace.share()
+// maxFetches returns how many chunks may be in flight to this host at once. It is only one
+// while requests queue behind weights for long. A host that cannot serve yet has no requests
+// to protect.
+func (a *agent) maxFetches() int {
+	report, alive := a.poller.report()
+	share := a.pacer.share()
 	switch {
 	case !alive || len(report.Loaded) == 0:
-		return idleFetches
-	case part < crowdedPart:
+		return maxIdleFetches
+	case share < congestedShare:
 		return 1
 	case report.Running == 0:
-		return idleFetches
+		return maxIdleFetches
 	}
-	want, _ := a.guide.weights()
-	return servingFetches(want.size)
+	want, _ := a.guidance.newestWanted()
+	return maxServingFetches(want.chunkBytes)
 }
 
-// servingFetches returns how many chunks of so many bytes may be on their way to a host that
-// serves; 0 bytes: unknown.
-func servingFetches(size int) int {
+// maxServingFetches returns how many chunks of a size in bytes may be in flight to a host
+// that serves; size 0: unknown.
+func maxServingFetches(size int) int {
 	if size <= 0 {
-		size = usualChunk
+		size = defaultChunkBytes
 	}
-	return max(1, servingBytes/size)
+	return max(1, maxServingBytes/size)
 }
 
+// verify reports whether hash is the SHA-256 of the chunk.
 func verify(chunk, hash []byte) bool {
 	sum := sha256.Sum256(chunk)
 	return bytes.Equal(sum[:], hash)
 }
 
-func (a *agent) source() (*platform.Origin, error) {
-	base := a.guide.originURL()
+// currentOrigin returns a client for the origin that entries announced last.
+func (a *agent) currentOrigin() (*platform.Origin, error) {
+	base := a.guidance.originURL()
 	if base == "" {
-		return nil, failure.New(failure.Unavailable, "no origin is declared", "wait for an entry")
+		return nil, failure.New(failure.Unavailable, "no entry has announced an origin yet", "wait until an entry connects")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if base != a.base {
-		a.origin, a.base = platform.NewOrigin(base, a.remote), base
+	if base != a.originBase {
+		a.origin, a.originBase = platform.NewOrigin(base, a.originHTTP), base
 	}
 	return a.origin, nil
 }
 
-// drawManifest draws a manifest until two draws are alike: the origin's answers
-// may be spoilt on the way, and nothing else proves a digest. The first two are
-// drawn at once, since all hosts wait for them.
-func (a *agent) drawManifest(ctx context.Context, version string) ([]byte, error) {
-	origin, err := a.source()
+// downloadManifest downloads a manifest from the origin until two downloads agree: the
+// origin's answers may be corrupted in transit, and nothing else verifies a digest. The first
+// two downloads run concurrently, since all hosts wait for the manifest.
+func (a *agent) downloadManifest(ctx context.Context, version string) ([]byte, error) {
+	origin, err := a.currentOrigin()
 	if err != nil {
 		return nil, err
 	}
-	type draw struct {
+	type download struct {
 		encoded []byte
 		err     error
 	}
-	draws := make(chan draw, manifestDraws)
-	begin := func() {
-		encoded, err := drawOnce(ctx, origin, version)
-		draws <- draw{encoded, err}
+	downloads := make(chan download, maxManifestDownloads)
+	start := func() {
+		encoded, err := downloadManifestOnce(ctx, origin, version)
+		downloads <- download{encoded, err}
 	}
-	go begin()
-	go begin()
+	go start()
+	go start()
 	var seen [][]byte
-	for begun, ended := 2, 0; ended < begun; {
-		one := <-draws
-		ended++
-		if one.err != nil && failure.KindOf(one.err) != failure.Corrupt {
-			return nil, one.err
+	for started, finished := 2, 0; finished < started; {
+		result := <-downloads
+		finished++
+		if result.err != nil && failure.KindOf(result.err) != failure.Corrupt {
+			return nil, result.err
 		}
-		if one.err == nil && slices.ContainsFunc(seen, func(other []byte) bool { return bytes.Equal(one.encoded, other) }) {
-			return one.encoded, nil
+		if result.err == nil && slices.ContainsFunc(seen, func(other []byte) bool { return bytes.Equal(result.encoded, other) }) {
+			return result.encoded, nil
 		}
-		if one.err == nil {
-			seen = append(seen, one.encoded)
+		if result.err == nil {
+			seen = append(seen, result.encoded)
 		}
-		if ended == begun && begun < manifestDraws {
-			begun++
-			go begin()
+		if finished == started && started < maxManifestDownloads {
+			started++
+			go start()
 		}
 	}
-	return nil, failure.New(failure.Corrupt, "no two draws of the manifest are alike", "it is drawn again")
+	return nil, failure.New(failure.Corrupt, "no two downloads of the manifest agree", "it is downloaded again")
 }
 
-// drawOnce draws a manifest and encodes it.
-func drawOnce(ctx context.Context, origin *platform.Origin, version string) ([]byte, error) {
-	model, number := splitName(version)
+// downloadManifestOnce downloads a manifest and encodes it.
+func downloadManifestOnce(ctx context.Context, origin *platform.Origin, version string) ([]byte, error) {
+	model, number := parseVersionName(version)
 	man, err := origin.Manifest(ctx, model, number)
 	if err != nil {
 		return nil, err
@@ -341,11 +355,12 @@
 	return manifest.Encode(manifest.Named(version, man.ChunkBytes, man.Digests))
 }
 
-func (a *agent) drawChunk(ctx context.Context, version string, index, limit int) ([]byte, error) {
-	origin, err := a.source()
+// downloadChunk downloads a chunk of at most limit bytes from the origin.
+func (a *agent) downloadChunk(ctx context.Context, version string, index, limit int) ([]byte, error) {
+	origin, err := a.currentOrigin()
 	if err != nil {
 		return nil, err
 	}
-	model, number := splitName(version)
+	model, number := parseVersionName(version)
 	return origin.Chunk(ctx, model, number, index, limit)
 }
--- a/agent/internal/onsite/stage.go
+++ b/agent/internal/onsite/stage.go
@@ -15,46 +15,47 @@
 // digest is the SHA-256 of a chunk.
 type digest [sha256.Size]byte
 
-// stage keeps chunks beside the engine, which loads from there. The engine's
-// stage knows indexes only and one version at a time; this knows which chunk
-// lies at which index. Chunks of the version after it wait in this process's
-// memory: the hosts whose turn to load comes last otherwise begin to fetch it, and
-// to draw what is their turn of it, seconds after the others, who wait for that.
+// stage manages the engine's staging area, from which the engine loads weights. The area
+// addresses chunks by index and holds one version at a time; stage tracks which chunk is
+// at which index. Chunks of the next version are kept in this process's memory until they
+// can be staged. Otherwise the hosts that load last would start to fetch that version, and
+// to download their share of it from the origin, seconds after the other hosts, which wait
+// for that share.
 type stage struct {
-	engine *platform.Engine
-	guide  *guide
-	memory *memory
-	// man returns the manifest of the version wanted; nil while unknown.
-	man func() *wire.Manifest
-	// lost is called with the hash of a chunk that is nowhere any more, since another one was
-	// laid over it; nil: nobody is.
-	lost func(hash []byte)
-
-	mu    sync.Mutex
-	index map[digest][]int // where a chunk lies, as far as known
-	at    map[int]digest   // the same by index
+	engine   *platform.Engine
+	guidance *guidanceStore
+	memory   *memoryStore
+	// manifest returns the manifest of the version being fetched; nil while unknown.
+	manifest func() *wire.Manifest
+	// onLost is called with the hash of a chunk that this host no longer has because
+	// another chunk overwrote it. It may be nil.
+	onLost func(hash []byte)
+
+	mu              sync.Mutex
+	indexesByDigest map[digest][]int // indexes at which a chunk is staged, as far as known
+	digestByIndex   map[int]digest   // the inverse of indexesByDigest
 }
 
-func newStage(engine *platform.Engine, guide *guide, room int) *stage {
-	return &stage{engine: engine, guide: guide, memory: newMemory(room), index: map[digest][]int{}, at: map[int]digest{}}
+func newStage(engine *platform.Engine, guidance *guidanceStore, memoryCapacity int) *stage {
+	return &stage{engine: engine, guidance: guidance, memory: newMemoryStore(memoryCapacity), indexesByDigest: map[digest][]int{}, digestByIndex: map[int]digest{}}
 }
 
-// fits reports whether a version may wait in memory.
+// fits reports whether a version of this size fits into memory.
 func (s *stage) fits(bytes int) bool { return s.memory.fits(bytes) }
 
-// put lays a chunk at its indexes in the version wanted, or keeps it in memory
-// where that version has none.
+// put stages a chunk at each of its indexes in the version being fetched. A chunk that is
+// not part of that version is kept in memory.
 func (s *stage) put(ctx context.Context, hash, data []byte) error {
-	want, ok := s.guide.weights()
+	want, ok := s.guidance.newestWanted()
 	if !ok {
-		return failure.New(failure.Unavailable, "no weights are wanted", "wait for an entry")
+		return failure.New(failure.Unavailable, "no entry has announced any wanted weights yet", "wait until an entry connects")
 	}
 	staged := false
-	for i, other := range s.man().GetChunkHashes() {
+	for i, other := range s.manifest().GetChunkHashes() {
 		if !slices.Equal(other, hash) {
 			continue
 		}
-		if err := s.lay(ctx, want.model, i, digest(hash), data); err != nil {
+		if err := s.stageAt(ctx, want.model, i, digest(hash), data); err != nil {
 			return err
 		}
 		staged = true
@@ -62,84 +63,86 @@
 	if staged {
 		return nil
 	}
-	return s.memory.wait(digest(hash), data)
+	return s.memory.addPending(digest(hash), data)
 }
 
-// lay stages a chunk at an index.
-func (s *stage) lay(ctx context.Context, model string, index int, sum digest, data []byte) error {
+// stageAt stages a chunk at an index and records it.
+func (s *stage) stageAt(ctx context.Context, model string, index int, sum digest, data []byte) error {
 	if err := s.engine.Stage(ctx, model, index, data); err != nil {
 		return err
 	}
-	s.memory.staged(sum, data)
-	s.note(index, sum)
+	s.memory.markStaged(sum, data)
+	s.recordStaged(index, sum)
 	return nil
 }
 
-// flush lays what is in memory of the version wanted, and not there yet, beside the
-// engine. What is read back afterwards is what lies there.
+// flush stages those chunks of the version being fetched that are in memory but not staged
+// yet, so that reading them back afterwards reads the staging area.
 func (s *stage) flush(ctx context.Context) error {
-	want, ok := s.guide.weights()
+	want, ok := s.guidance.newestWanted()
 	if !ok {
 		return nil
 	}
-	for i, hash := range s.man().GetChunkHashes() {
-		if s.liesAt(i, digest(hash)) {
+	for i, hash := range s.manifest().GetChunkHashes() {
+		if s.isStagedAt(i, digest(hash)) {
 			continue
 		}
 		data, ok := s.memory.get(digest(hash))
 		if !ok {
 			continue
 		}
-		if err := s.lay(ctx, want.model, i, digest(hash), data); err != nil {
+		if err := s.stageAt(ctx, want.model, i, digest(hash), data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *stage) liesAt(index int, sum digest) bool {
+// isStagedAt reports whether the chunk was recorded at the index.
+func (s *stage) isStagedAt(index int, sum digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, ok := s.at[index]
+	at, ok := s.digestByIndex[index]
 	return ok && at == sum
 }
 
-// note remembers what lies at an index, and reports the chunk that lay there if it is
-// nowhere else: who goes back to a version must know what is left of it.
-func (s *stage) note(index int, sum digest) {
+// recordStaged records which chunk is staged at an index. It reports the chunk that was
+// overwritten there as lost if this host has no other copy: a host that goes back to an
+// earlier version must know which of its chunks are left.
+func (s *stage) recordStaged(index int, sum digest) {
 	s.mu.Lock()
-	old, ok := s.at[index]
-	gone := false
+	old, ok := s.digestByIndex[index]
+	lost := false
 	if ok && old != sum {
-		s.index[old] = slices.DeleteFunc(s.index[old], func(i int) bool { return i == index })
-		if gone = len(s.index[old]) == 0; gone {
-			delete(s.index, old)
+		s.indexesByDigest[old] = slices.DeleteFunc(s.indexesByDigest[old], func(i int) bool { return i == index })
+		if lost = len(s.indexesByDigest[old]) == 0; lost {
+			delete(s.indexesByDigest, old)
 		}
 	}
 	if !ok || old != sum {
-		s.at[index] = sum
-		s.index[sum] = append(s.index[sum], index)
+		s.digestByIndex[index] = sum
+		s.indexesByDigest[sum] = append(s.indexesByDigest[sum], index)
 	}
 	s.mu.Unlock()
-	if !gone || s.lost == nil {
+	if !lost || s.onLost == nil {
 		return
 	}
 	if _, kept := s.memory.get(old); !kept {
-		s.lost(old[:])
+		s.onLost(old[:])
 	}
 }
 
-// places returns the indexes at which a chunk lies.
-func (s *stage) places(sum digest) []int {
+// indexesOf returns the indexes at which a chunk is staged.
+func (s *stage) indexesOf(sum digest) []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.index[sum])
+	return slices.Clone(s.indexesByDigest[sum])
 }
 
-// errNotStaged says that a chunk does not lie beside the engine.
+// errNotStaged is returned for a chunk that is not in the staging area.
 var errNotStaged = failure.New(failure.NotFound, "the chunk is not staged", "it is fetched again")
 
-// get returns a chunk for others: from memory, or as it lies beside the engine now.
+// get returns a chunk for a peer, from memory or else from the staging area.
 func (s *stage) get(ctx context.Context, hash []byte) ([]byte, error) {
 	if data, ok := s.memory.get(digest(hash)); ok {
 		return data, nil
@@ -147,62 +150,63 @@
 	return s.readBack(ctx, hash)
 }
 
-// readBack returns a chunk as it lies beside the engine now, which is what the engine
-// loads. Where it turned bad it is laid anew, if it is in memory.
+// readBack returns a chunk as it is in the staging area now, which is what the engine
+// would load. A corrupted chunk is staged again if memory has a copy of it. If the chunk is
+// staged at several indexes, a corrupted one is returned in preference to an intact one.
 func (s *stage) readBack(ctx context.Context, hash []byte) ([]byte, error) {
-	want, ok := s.guide.weights()
-	places := s.places(digest(hash))
-	if !ok || len(places) == 0 {
+	want, ok := s.guidance.newestWanted()
+	indexes := s.indexesOf(digest(hash))
+	if !ok || len(indexes) == 0 {
 		return nil, errNotStaged
 	}
 	var data []byte
-	for _, index := range places {
-		lies, err := s.readMended(ctx, want.model, index, digest(hash))
+	for _, index := range indexes {
+		staged, err := s.readOrRepair(ctx, want.model, index, digest(hash))
 		if err != nil {
 			return nil, err
 		}
-		if data == nil || sha256.Sum256(lies) != digest(hash) {
-			data = lies
+		if data == nil || sha256.Sum256(staged) != digest(hash) {
+			data = staged
 		}
 	}
 	return data, nil
 }
 
-// readMended reads what lies at an index where the chunk should lie, after it was laid
-// anew if need be.
-func (s *stage) readMended(ctx context.Context, model string, index int, sum digest) ([]byte, error) {
-	lies, err := s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
+// readOrRepair returns what is staged at an index. If that is not the expected chunk and
+// memory has a copy of it, the copy is staged and read back first.
+func (s *stage) readOrRepair(ctx context.Context, model string, index int, sum digest) ([]byte, error) {
+	staged, err := s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
 	if err != nil && failure.KindOf(err) != failure.NotFound {
 		return nil, err
 	}
-	if err == nil && sha256.Sum256(lies) == sum {
-		return lies, nil
+	if err == nil && sha256.Sum256(staged) == sum {
+		return staged, nil
 	}
-	copied, ok := s.memory.get(sum)
+	backup, ok := s.memory.get(sum)
 	if !ok {
-		return lies, err
+		return staged, err
 	}
-	if err := s.engine.Stage(ctx, model, index, copied); err != nil {
+	if err := s.engine.Stage(ctx, model, index, backup); err != nil {
 		return nil, err
 	}
 	return s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
 }
 
-// drop forgets a chunk; its bytes stay until others overwrite them.
+// drop forgets a chunk. Its staged bytes stay until another chunk overwrites them.
 func (s *stage) drop(_ context.Context, hash []byte) error {
 	s.mu.Lock()
-	for _, index := range s.index[digest(hash)] {
-		delete(s.at, index)
+	for _, index := range s.indexesByDigest[digest(hash)] {
+		delete(s.digestByIndex, index)
 	}
-	delete(s.index, digest(hash))
+	delete(s.indexesByDigest, digest(hash))
 	s.mu.Unlock()
 	s.memory.drop(digest(hash))
 	return nil
 }
 
-// held reads what lies beside the engine and returns the hashes.
-func (s *stage) held(ctx context.Context) ([][]byte, error) {
-	want, err := s.guide.await(ctx)
+// scan reads all chunks in the staging area, records them and returns their hashes.
+func (s *stage) scan(ctx context.Context) ([][]byte, error) {
+	want, err := s.guidance.awaitWanted(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -217,8 +221,8 @@
 			continue
 		}
 		sum := digest(sha256.Sum256(data))
-		s.memory.staged(sum, data)
-		s.note(i, sum)
+		s.memory.markStaged(sum, data)
+		s.recordStaged(i, sum)
 		found = append(found, sum[:])
 	}
 	return found, nil
--- a/agent/internal/onsite/stage_test.go
+++ b/agent/internal/onsite/stage_test.go
@@ -12,14 +12,13 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Symptom: an engine loads a mixture of two versions. Sequence: version 3 is fetched
-// while version 2 lies ready beside the engine and waits for its turn to load. Cause
-// guarded against: the engine's stage holds one version, and chunks of the next one
-// lie at the same indexes.
-func TestNextVersionWaitsInMemory(t *testing.T) {
+// Guards against an engine that loads a mixture of two versions: version 3 is fetched while
+// version 2 is staged and waits for its turn to load. The staging area holds one version, and
+// chunks of the next one would overwrite it at the same indexes.
+func TestNextVersionStaysInMemory(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
+	server := httptest.NewServer(engine)
+	defer server.Close()
 	chunks := map[uint64][][]byte{2: platformtest.Chunks(2, 3, testSize), 3: platformtest.Chunks(3, 3, testSize)}
 	manifests := map[uint64]*wire.Manifest{2: {}, 3: {}}
 	for version, list := range chunks {
@@ -28,60 +27,61 @@
 			manifests[version].ChunkHashes = append(manifests[version].ChunkHashes, sum[:])
 		}
 	}
-	guidance := newGuide()
+	guidance := newGuidanceStore()
 	guidance.receive(time.Now(), &wire.Guidance{Wanted: []*wire.WantedWeights{{Model: testModel, Version: 3}}})
-	kept := newStage(platform.NewEngine(host.URL, host.Client()), guidance, 2*testSize)
+	stage := newStage(platform.NewEngine(server.URL, server.Client()), guidance, 2*testSize)
 	wanted := uint64(2)
-	kept.man = func() *wire.Manifest { return manifests[wanted] }
+	stage.manifest = func() *wire.Manifest { return manifests[wanted] }
 	put := func(version uint64, i int) error {
-		return kept.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i])
+		return stage.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i])
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		version uint64
 		index   int
 		fits    bool
 	}{{2, 0, true}, {3, 0, true}, {2, 1, true}, {3, 1, true}, {2, 2, true}, {3, 2, false}} {
-		if err := put(one.version, one.index); (err == nil) != one.fits {
-			t.Errorf("version %d, chunk %d: got %v, want it taken: %v", one.version, one.index, err, one.fits)
+		if err := put(test.version, test.index); (err == nil) != test.fits {
+			t.Errorf("version %d, chunk %d: got error %v, want it accepted: %v", test.version, test.index, err, test.fits)
 		}
 	}
 	if !engine.Lies(chunks[2]) {
-		t.Error("got another thing than version 2 beside the engine")
+		t.Error("got other chunks staged than those of version 2")
 	}
-	if data, err := kept.get(t.Context(), manifests[3].ChunkHashes[1]); err != nil || !bytes.Equal(data, chunks[3][1]) {
-		t.Errorf("got %d bytes, %v, want what waits in memory", len(data), err)
+	if data, err := stage.get(t.Context(), manifests[3].ChunkHashes[1]); err != nil || !bytes.Equal(data, chunks[3][1]) {
+		t.Errorf("got %d bytes and error %v, want the chunk that is pending in memory", len(data), err)
 	}
 	wanted = 3
-	if err := kept.flush(t.Context()); err != nil {
+	if err := stage.flush(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if err := put(3, 2); err != nil {
 		t.Fatal(err)
 	}
 	if !engine.Lies(chunks[3]) {
-		t.Error("got another thing than version 3 beside the engine")
+		t.Error("got other chunks staged than those of version 3")
 	}
-	if got := len(kept.memory.waiting); got != 0 {
-		t.Errorf("got %d chunks that wait in memory, want none", got)
+	if got := len(stage.memory.pending); got != 0 {
+		t.Errorf("got %d chunks pending in memory, want none", got)
 	}
-	if got := kept.memory.held(); got > 2*testSize || got != kept.memory.bytes {
-		t.Errorf("got %d bytes in memory, %d counted, want no more than there is room for, as counted", got, kept.memory.bytes)
+	if got := stage.memory.heldBytes(); got > 2*testSize || got != stage.memory.usedBytes {
+		t.Errorf("got %d bytes in memory, %d counted, want these equal and within the capacity", got, stage.memory.usedBytes)
 	}
 }
 
-// Symptom: all engines load the second of two versions at once, and a third of all
-// answers is late. Sequence: two versions are named in quick succession; hosts load
-// the first one in turns and begin to fetch the second one after their turn; those
-// who should draw chunks of it come last. Cause: one version was fetched at a time.
-func TestSecondVersionIsFetchedWhileTheFirstWaits(t *testing.T) {
+// Guards against all engines loading the second of two versions at the same time, which made
+// a third of all answers late. When two versions are declared in quick succession, hosts load
+// the first one in turns. If only one version is fetched at a time, they begin to fetch the
+// second one after their turn, and the hosts that should download its chunks from the origin
+// come last.
+func TestSecondVersionIsFetchedWhileTheFirstAwaitsLoading(t *testing.T) {
 	s := newTestSite(t, 1, 1, 1, 1)
 	for version := uint64(2); version <= 3; version++ {
 		s.origin.Add(version, platformtest.Chunks(version, testChunks, testSize))
 	}
-	s.guide(2, 2)
+	s.sendGuidance(2, 2)
 	s.awaitFirstLoad(t)
-	s.guide(3, 3)
-	s.await(t, 3)
+	s.sendGuidance(3, 3)
+	s.awaitVersion(t, 3)
 	s.checkLoads(t)
 	both := 0
 	for _, engine := range s.engines {
@@ -90,18 +90,18 @@
 		}
 	}
 	if both == 0 {
-		t.Error("got no engine that loaded both versions: this shows nothing")
+		t.Error("got no engine that loaded both versions, so the test is inconclusive")
 	}
 }
 
-// Symptom: a host that goes back to the version before the newest reports chunks to others
-// that it no longer has, and takes itself for nearly whole. Sequence: chunks of version 3
-// are laid over those of version 2; version 3 can't be had and version 2 is wanted again.
-// Cause: nothing reported what a chunk was laid over.
-func TestChunkThatIsLaidOverIsLost(t *testing.T) {
+// Guards against a host that goes back to the version before the newest, offers its peers
+// chunks that it no longer has, and counts itself as nearly complete. Chunks of version 3
+// overwrite those of version 2, then version 3 becomes unavailable and version 2 is fetched
+// again. Nothing reported the chunks that were overwritten.
+func TestOverwrittenChunkIsReportedLost(t *testing.T) {
 	engine := platformtest.NewEngine(testModel, 1, nil)
-	host := httptest.NewServer(engine)
-	defer host.Close()
+	server := httptest.NewServer(engine)
+	defer server.Close()
 	chunks := map[uint64][][]byte{2: platformtest.Chunks(2, 3, testSize), 3: platformtest.Chunks(3, 3, testSize)}
 	manifests := map[uint64]*wire.Manifest{2: {}, 3: {}}
 	for version, list := range chunks {
@@ -110,16 +110,16 @@
 			manifests[version].ChunkHashes = append(manifests[version].ChunkHashes, sum[:])
 		}
 	}
-	guidance := newGuide()
+	guidance := newGuidanceStore()
 	guidance.receive(time.Now(), &wire.Guidance{Wanted: []*wire.WantedWeights{{Model: testModel, Version: 3}}})
-	kept := newStage(platform.NewEngine(host.URL, host.Client()), guidance, 0)
+	stage := newStage(platform.NewEngine(server.URL, server.Client()), guidance, 0)
 	wanted := uint64(2)
-	kept.man = func() *wire.Manifest { return manifests[wanted] }
+	stage.manifest = func() *wire.Manifest { return manifests[wanted] }
 	var lost [][]byte
-	kept.lost = func(hash []byte) { lost = append(lost, hash) }
+	stage.onLost = func(hash []byte) { lost = append(lost, hash) }
 	put := func(version uint64, i int) {
 		wanted = version
-		if err := kept.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i]); err != nil {
+		if err := stage.put(t.Context(), manifests[version].ChunkHashes[i], chunks[version][i]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -131,6 +131,6 @@
 	}
 	put(3, 1)
 	if len(lost) != 1 || !bytes.Equal(lost[0], manifests[2].ChunkHashes[1]) {
-		t.Errorf("got %x lost, want the chunk that was laid over alone", lost)
+		t.Errorf("got chunks %x lost, want only the overwritten one", lost)
 	}
 }
