--- a/relay/route/health.go
+++ b/relay/route/health.go
@@ -4,25 +4,25 @@
 
 // Constants of a host's health.
 const (
-	failuresToEject  = 3 // in a row
-	firstEjection    = time.Second
-	maxEjection      = 30 * time.Second
-	firstRefusalWait = 20 * time.Millisecond
-	maxRefusalWait   = 2 * time.Second
-	gapWeight        = 0.2 // of a new sample of the token gap
-	slowRatio        = 3.0 // token gap over the median that ejects
-	slowSamples      = 3   // measurements before a host is judged slow
-	slowEjection     = 5 * time.Second
-	rampSpan         = 10 * time.Second // until a new replica gets its full load
-	ejectableShare   = 3                // at most one in so many is ejected as slow
-	minHostsForSlow  = 3                // below it there is no median to speak of
-	defaultSlots     = 8                // where the engine does not say
-	probeInFlight    = 1                // on a host just back from ejection
+	failuresToEject     = 3 // in a row
+	firstEjection       = time.Second
+	maxEjection         = 30 * time.Second
+	firstRefusalWait    = 20 * time.Millisecond
+	maxRefusalWait      = 2 * time.Second
+	gapSmoothing        = 0.2 // of a new sample of the token gap
+	slowRatio           = 3.0 // token gap over the median that ejects
+	minSlowSamples      = 3   // measurements before a host is judged slow
+	slowEjection        = 5 * time.Second
+	rampDuration        = 10 * time.Second // until a new replica gets its full load
+	slowEjectionDivisor = 3                // at most one in so many is ejected as slow
+	minHostsForSlow     = 3                // below it there is no median to speak of
+	defaultSlots        = 8                // where the engine does not say
+	maxProbesInFlight   = 1                // on a host just back from ejection
 )
 
 // health is what this entry itself saw of a host.
 type health struct {
-	gap          float64   // smoothed milliseconds between tokens
+	gapMillis    float64   // smoothed milliseconds between tokens
 	gapSamples   int       // measurements in gap since the last ejection
 	failures     int       // in a row; refusals and errors
 	refusals     int       // in a row
@@ -35,13 +35,13 @@
 }
 
 // ejected reports whether the host gets no work at now.
-func (h *health) ejected(now time.Time) bool {
+func (h *health) unavailable(now time.Time) bool {
 	return now.Before(h.ejectedUntil) || now.Before(h.waitUntil)
 }
 
 // failed takes an error. A host that fails at once looks idle and would draw
 // all the work; after a few errors in a row it is left out for a growing time.
-func (h *health) failed(now time.Time) {
+func (h *health) recordFailure(now time.Time) {
 	h.failures++
 	if h.failures >= failuresToEject || h.probing {
 		h.eject(now, firstEjection)
@@ -49,29 +49,29 @@
 }
 
 // refused takes a refusal that asked to come back after the wait.
-func (h *health) refused(now time.Time, wait time.Duration) {
+func (h *health) recordRefusal(now time.Time, wait time.Duration) {
 	h.refusals++
-	own := firstRefusalWait << min(h.refusals-1, 8)
-	h.waitUntil = now.Add(min(maxRefusalWait, max(own, wait)))
+	backoff := firstRefusalWait << min(h.refusals-1, 8)
+	h.waitUntil = now.Add(min(maxRefusalWait, max(backoff, wait)))
 }
 
 // answered takes a whole answer at a usual speed.
-func (h *health) answered() {
+func (h *health) recordSuccess() {
 	h.failures, h.refusals, h.ejections = 0, 0, 0
 	h.probing = false
 }
 
 // sample takes a measured time between tokens.
-func (h *health) sample(gap time.Duration) {
+func (h *health) recordTokenGap(gap time.Duration) {
 	if gap <= 0 {
 		return
 	}
-	took := float64(gap) / float64(time.Millisecond)
+	sample := float64(gap) / float64(time.Millisecond)
 	if h.gapSamples == 0 {
-		h.gap = took
+		h.gapMillis = sample
 	}
 	h.gapSamples++
-	h.gap += gapWeight * (took - h.gap)
+	h.gapMillis += gapSmoothing * (sample - h.gapMillis)
 }
 
 func (h *health) eject(now time.Time, first time.Duration) {
@@ -84,10 +84,10 @@
 
 // ramp returns the part of its load that a new replica gets, above 0 and at
 // most 1: its caches are cold, and its first reports are not there yet.
-func (h *health) ramp(now time.Time) float64 {
+func (h *health) rampFraction(now time.Time) float64 {
 	if h.joinedAt.IsZero() {
 		return 1
 	}
-	part := float64(now.Sub(h.joinedAt)) / float64(rampSpan)
-	return min(1, max(0.1, part))
+	fraction := float64(now.Sub(h.joinedAt)) / float64(rampDuration)
+	return min(1, max(0.1, fraction))
 }
--- a/relay/route/hints.go
+++ b/relay/route/hints.go
@@ -10,8 +10,8 @@
 const (
 	maxHintedPrefixes = 8192
 	hostsPerPrefix    = 4
-	placedHintAge     = time.Minute      // of our own placements
-	reportedHintAge   = 20 * time.Second // of the hosts' reports
+	placementHintTTL  = time.Minute      // of our own placements
+	reportHintTTL     = 20 * time.Second // of the hosts' reports
 )
 
 // hints remembers which hosts probably hold a prefix. Cache events come late
@@ -35,27 +35,27 @@
 
 // add notes that the host probably holds the prefix until expires.
 func (h hints) add(prefix uint64, host string, expires time.Time) {
-	known, _ := h.byPrefix.Get(prefix)
-	for i := range known {
-		if known[i].host == host {
-			if expires.After(known[i].expires) {
-				known[i].expires = expires
+	holders, _ := h.byPrefix.Get(prefix)
+	for i := range holders {
+		if holders[i].host == host {
+			if expires.After(holders[i].expires) {
+				holders[i].expires = expires
 			}
 			return
 		}
 	}
-	if len(known) >= hostsPerPrefix {
-		known = append(known[:0], known[1:]...)
+	if len(holders) >= hostsPerPrefix {
+		holders = append(holders[:0], holders[1:]...)
 	}
-	h.byPrefix.Add(prefix, append(known, hint{host, expires}))
+	h.byPrefix.Add(prefix, append(holders, hint{host, expires}))
 }
 
 // holders calls visit with the hosts that probably hold the prefix.
-func (h hints) holders(now time.Time, prefix uint64, visit func(host string)) {
-	known, _ := h.byPrefix.Get(prefix)
-	for _, each := range known {
-		if each.expires.After(now) {
-			visit(each.host)
+func (h hints) forEachHolder(now time.Time, prefix uint64, visit func(host string)) {
+	holders, _ := h.byPrefix.Get(prefix)
+	for _, holder := range holders {
+		if holder.expires.After(now) {
+			visit(holder.host)
 		}
 	}
 }
--- a/relay/route/host.go
+++ b/relay/route/host.go
@@ -59,18 +59,18 @@
 
 // Choice is a host reserved for one attempt; Finish gives it back.
 type Choice struct {
-	Host     Host
-	kept     *host
-	large    bool // reserved for a large customer
-	calm     bool // the host had a free slot, as far as known
-	affinity bool // the host was expected to hold the prefix
+	Host        Host
+	state       *hostState
+	large       bool // reserved for a large customer
+	hadFreeSlot bool // the host had a free slot, as far as known
+	affinity    bool // the host was expected to hold the prefix
 }
 
 // AdapterVersion returns the version of the named adapter on the host.
 func (c Choice) AdapterVersion(name string) string {
-	for _, each := range c.Host.Adapters {
-		if each.Name == name {
-			return each.Version
+	for _, adapter := range c.Host.Adapters {
+		if adapter.Name == name {
+			return adapter.Version
 		}
 	}
 	return ""
--- a/relay/route/pick.go
+++ b/relay/route/pick.go
@@ -8,15 +8,15 @@
 
 // Constants of the choice.
 const (
-	homes          = 2   // hosts from the ring that are considered
-	ringPoints     = 24  // points passed on the search for them
-	randomSamples  = 2   // random hosts considered beside them
-	randomTries    = 6   // draws for them
-	fullScanHosts  = 256 // up to so many hosts are all looked at when sampling finds none
-	sameRegionCost = 2.0 // milliseconds, there and back
-	otherRegion    = 6.0
-	typicalGap     = 10.0 // milliseconds, until measured
-	maxTokensCost  = 256  // tokens that speak for a fast host; few answers are longer
+	ringCandidates   = 2   // hosts from the ring that are considered
+	maxRingPoints    = 24  // points passed on the search for them
+	randomSamples    = 2   // random hosts considered beside them
+	maxRandomDraws   = 6   // draws for them
+	maxScannedHosts  = 256 // up to so many hosts are all looked at when sampling finds none
+	sameRegionCost   = 2.0 // milliseconds, there and back
+	otherRegionCost  = 6.0
+	defaultGapMillis = 10.0 // milliseconds, until measured
+	maxCostedTokens  = 256  // tokens that speak for a fast host; few answers are longer
 )
 
 // Pick chooses a host with room and reserves it until Finish.
@@ -24,40 +24,40 @@
 	if len(t.hosts) == 0 {
 		return Choice{}, NoHost
 	}
-	ask.Exclude = t.excluded(ask)
-	chosen := t.byPolicy(now, ask)
+	ask.Exclude = t.effectiveExclusions(ask)
+	chosen := t.pickByPolicy(now, ask)
 	if chosen == nil {
-		return Choice{}, t.whyNone(ask)
+		return Choice{}, t.failureReason(ask)
 	}
-	choice := Choice{Host: chosen.Host, kept: chosen, affinity: t.holds(now, chosen, ask.Prefix)}
+	choice := Choice{Host: chosen.Host, state: chosen, affinity: t.holdsPrefix(now, chosen, ask.Prefix)}
 	choice.large = ask.Large
-	choice.calm = chosen.load() < chosen.slots()
+	choice.hadFreeSlot = chosen.load() < chosen.slots()
 	chosen.inFlight++
-	chosen.trace.add(now, chosen.inFlight)
+	chosen.history.add(now, chosen.inFlight)
 	if ask.Large {
-		chosen.allotted--
+		chosen.largeQuota--
 	}
-	t.hints.add(ask.Prefix, chosen.ID, now.Add(placedHintAge))
+	t.hints.add(ask.Prefix, chosen.ID, now.Add(placementHintTTL))
 	return choice, Chosen
 }
 
 // excluded returns the hosts to leave out: none where no other host serves
 // the attempt, or it would wait for one that is not there.
-func (t *Table) excluded(ask Ask) []string {
+func (t *Table) effectiveExclusions(ask Ask) []string {
 	if len(ask.Exclude) == 0 {
 		return nil
 	}
-	for _, each := range t.hosts {
-		if serves(each, ask) && !slices.Contains(ask.Exclude, each.ID) {
+	for _, host := range t.hosts {
+		if serves(host, ask) && !slices.Contains(ask.Exclude, host.ID) {
 			return ask.Exclude
 		}
 	}
 	return nil
 }
 
-func (t *Table) whyNone(ask Ask) Reason {
-	for _, each := range t.hosts {
-		if serves(each, ask) {
+func (t *Table) failureReason(ask Ask) Reason {
+	for _, host := range t.hosts {
+		if serves(host, ask) {
 			return Busy
 		}
 	}
@@ -65,45 +65,45 @@
 }
 
 // serves reports whether the host may run the attempt at all.
-func serves(each *host, ask Ask) bool {
-	if !slices.Contains(ask.Versions, each.Version) {
+func serves(host *hostState, ask Ask) bool {
+	if !slices.Contains(ask.Versions, host.Version) {
 		return false
 	}
 	if ask.Adapter == "" {
 		return true
 	}
-	return slices.ContainsFunc(each.Adapters, func(adapter Adapter) bool {
+	return slices.ContainsFunc(host.Adapters, func(adapter Adapter) bool {
 		return adapter.Name == ask.Adapter && (ask.AdapterVersion == "" || adapter.Version == ask.AdapterVersion)
 	})
 }
 
 // open reports whether the host may run the attempt now.
-func (t *Table) open(now time.Time, each *host, ask Ask) bool {
-	if !serves(each, ask) || slices.Contains(ask.Exclude, each.ID) || each.ejected(now) {
+func (t *Table) available(now time.Time, host *hostState, ask Ask) bool {
+	if !serves(host, ask) || slices.Contains(ask.Exclude, host.ID) || host.unavailable(now) {
 		return false
 	}
-	return t.hasRoom(now, each, ask)
+	return t.hasCapacity(now, host, ask)
 }
 
 // hasRoom compares the host's load with its slots. An entry that has little
 // there gets its share even where the others fill the host, or it would starve.
 // A large customer gets neither that share nor the last slots: a small one that
 // came to full hosts would wait for one of them to finish.
-func (t *Table) hasRoom(now time.Time, each *host, ask Ask) bool {
-	if each.probing {
-		return each.inFlight < probeInFlight
+func (t *Table) hasCapacity(now time.Time, host *hostState, ask Ask) bool {
+	if host.probing {
+		return host.inFlight < maxProbesInFlight
 	}
-	slots := float64(each.slots()) * each.ramp(now)
+	slots := float64(host.slots()) * host.rampFraction(now)
 	if ask.Large {
-		return each.spare(slots) > 0 && (each.allotted >= 1 || t.random.Float64() < each.allotted)
+		return host.spareForLarge(slots) > 0 && (host.largeQuota >= 1 || t.random.Float64() < host.largeQuota)
 	}
-	if each.inFlight < max(1, int(slots)/(2*t.entries)) {
+	if host.inFlight < max(1, int(slots)/(2*t.entries)) {
 		return true
 	}
-	if !each.limit.Allows(each.inFlight) {
+	if !host.limit.Allows(host.inFlight) {
 		return false
 	}
-	return float64(each.load()) < slots+headroom(slots)
+	return float64(host.load()) < slots+headroom(slots)
 }
 
 // headroom is the queue that keeps an engine busy while the report of a free slot
@@ -113,7 +113,7 @@
 // spare is the room for large customers. A quarter is kept from them: entries
 // do not see one another's newest requests, so that less is often gone when a
 // small customer comes.
-func (h *host) spare(slots float64) float64 {
+func (h *hostState) spareForLarge(slots float64) float64 {
 	reserved := max(1, math.Ceil(slots/4))
 	return slots - reserved - float64(h.load())
 }
@@ -121,128 +121,128 @@
 // best chooses among the prefix's homes, hosts that probably hold it and a few
 // random ones by cost. The random ones are the power of two choices: entries
 // that act on the same stale report do not all meet on the same host.
-func (t *Table) best(now time.Time, ask Ask) *host {
-	var found shortlist
-	t.ring.walk(ask.Prefix, ringPoints, func(i int) bool {
-		if t.open(now, t.hosts[i], ask) {
-			found.add(t.hosts[i])
+func (t *Table) lowestCost(now time.Time, ask Ask) *hostState {
+	var candidates candidateSet
+	t.ring.walk(ask.Prefix, maxRingPoints, func(i int) bool {
+		if t.available(now, t.hosts[i], ask) {
+			candidates.add(t.hosts[i])
 		}
-		return found.count < homes
+		return candidates.count < ringCandidates
 	})
-	t.hints.holders(now, ask.Prefix, func(id string) {
-		if each := t.byID[id]; each != nil && t.open(now, each, ask) {
-			found.add(each)
+	t.hints.forEachHolder(now, ask.Prefix, func(id string) {
+		if host := t.byID[id]; host != nil && t.available(now, host, ask) {
+			candidates.add(host)
 		}
 	})
-	t.sample(now, ask, &found)
-	if found.count == 0 {
-		t.scan(now, ask, &found)
+	t.addRandomCandidates(now, ask, &candidates)
+	if candidates.count == 0 {
+		t.addScannedCandidates(now, ask, &candidates)
 	}
-	return t.cheapest(now, ask, found)
+	return t.cheapest(now, ask, candidates)
 }
 
-func (t *Table) sample(now time.Time, ask Ask, found *shortlist) {
-	wanted := found.count + randomSamples
-	for range randomTries {
-		each := t.hosts[t.random.IntN(len(t.hosts))]
-		if t.open(now, each, ask) {
-			found.add(each)
+func (t *Table) addRandomCandidates(now time.Time, ask Ask, candidates *candidateSet) {
+	wanted := candidates.count + randomSamples
+	for range maxRandomDraws {
+		host := t.hosts[t.random.IntN(len(t.hosts))]
+		if t.available(now, host, ask) {
+			candidates.add(host)
 		}
-		if found.count >= wanted {
+		if candidates.count >= wanted {
 			return
 		}
 	}
 }
 
 // scan looks at hosts in order from a random one until the shortlist is full.
-func (t *Table) scan(now time.Time, ask Ask, found *shortlist) {
+func (t *Table) addScannedCandidates(now time.Time, ask Ask, candidates *candidateSet) {
 	start := t.random.IntN(len(t.hosts))
-	for n := range min(len(t.hosts), fullScanHosts) {
-		each := t.hosts[(start+n)%len(t.hosts)]
-		if t.open(now, each, ask) && !found.add(each) {
+	for n := range min(len(t.hosts), maxScannedHosts) {
+		host := t.hosts[(start+n)%len(t.hosts)]
+		if t.available(now, host, ask) && !candidates.add(host) {
 			return
 		}
 	}
 }
 
-func (t *Table) cheapest(now time.Time, ask Ask, found shortlist) *host {
-	var chosen *host
+func (t *Table) cheapest(now time.Time, ask Ask, candidates candidateSet) *hostState {
+	var chosen *hostState
 	lowest := 0.0
-	for _, each := range found.hosts[:found.count] {
-		cost := t.cost(now, each, ask)
+	for _, host := range candidates.hosts[:candidates.count] {
+		cost := t.cost(now, host, ask)
 		if chosen == nil || cost < lowest {
-			chosen, lowest = each, cost
+			chosen, lowest = host, cost
 		}
 	}
 	return chosen
 }
 
 // cost estimates in milliseconds how long the attempt would take on the host.
-func (t *Table) cost(now time.Time, each *host, ask Ask) float64 {
-	slots := max(1, float64(each.slots())*each.ramp(now))
-	load := float64(each.load())
-	gap := t.gapOf(each)
-	service := gap * float64(min(max(ask.Tokens, 1), maxTokensCost))
+func (t *Table) cost(now time.Time, host *hostState, ask Ask) float64 {
+	slots := max(1, float64(host.slots())*host.rampFraction(now))
+	load := float64(host.load())
+	gap := t.expectedGapMillis(host)
+	service := gap * float64(min(max(ask.Tokens, 1), maxCostedTokens))
 	penalty := t.typical.missPenalty()
-	cost := service + t.distance(each)
+	cost := service + t.networkCost(host)
 	// Sharing an engine slows everybody on it a little.
 	cost += load / slots * penalty
 	if waiting := load + 1 - slots; waiting > 0 {
 		cost += waiting / slots * service
 	}
-	if !t.holds(now, each, ask.Prefix) {
+	if !t.holdsPrefix(now, host, ask.Prefix) {
 		cost += penalty
 	}
-	return cost * float64(1+each.failures)
+	return cost * float64(1+host.failures)
 }
 
-func (t *Table) gapOf(each *host) float64 {
+func (t *Table) expectedGapMillis(host *hostState) float64 {
 	switch {
-	case each.gapSamples > 0:
-		return each.gap
-	case each.TokenGap > 0 && !each.probing:
-		return float64(each.TokenGap) / float64(time.Millisecond)
+	case host.gapSamples > 0:
+		return host.gapMillis
+	case host.TokenGap > 0 && !host.probing:
+		return float64(host.TokenGap) / float64(time.Millisecond)
 	case t.typical.gapMillis > 0:
 		return t.typical.gapMillis
 	default:
-		return typicalGap
+		return defaultGapMillis
 	}
 }
 
-func (t *Table) distance(each *host) float64 {
+func (t *Table) networkCost(host *hostState) float64 {
 	switch {
-	case each.FailureDomain == t.options.FailureDomain:
+	case host.FailureDomain == t.options.FailureDomain:
 		return 0
-	case each.Region == t.options.Region:
+	case host.Region == t.options.Region:
 		return sameRegionCost
 	default:
-		return otherRegion
+		return otherRegionCost
 	}
 }
 
 // holds reports whether the host probably has the prefix cached.
-func (t *Table) holds(now time.Time, each *host, prefix uint64) bool {
+func (t *Table) holdsPrefix(now time.Time, host *hostState, prefix uint64) bool {
 	held := false
-	t.hints.holders(now, prefix, func(id string) { held = held || id == each.ID })
+	t.hints.forEachHolder(now, prefix, func(id string) { held = held || id == host.ID })
 	return held
 }
 
 // shortlist is a small set of hosts; it needs no allocation.
-type shortlist struct {
-	hosts [homes + hostsPerPrefix + randomSamples]*host
+type candidateSet struct {
+	hosts [ringCandidates + hostsPerPrefix + randomSamples]*hostState
 	count int
 }
 
 // add reports whether there is room for more.
-func (s *shortlist) add(each *host) bool {
-	for _, other := range s.hosts[:s.count] {
+func (c *candidateSet) add(each *hostState) bool {
+	for _, other := range c.hosts[:c.count] {
 		if other == each {
 			return true
 		}
 	}
-	if s.count < len(s.hosts) {
-		s.hosts[s.count] = each
-		s.count++
+	if c.count < len(c.hosts) {
+		c.hosts[c.count] = each
+		c.count++
 	}
-	return s.count < len(s.hosts)
+	return c.count < len(c.hosts)
 }
--- a/relay/route/policy.go
+++ b/relay/route/policy.go
@@ -30,37 +30,37 @@
 	}
 }
 
-func (t *Table) byPolicy(now time.Time, ask Ask) *host {
+func (t *Table) pickByPolicy(now time.Time, ask Ask) *hostState {
 	switch t.options.Policy {
 	case Random:
-		return t.firstOpen(now, ask, t.random.IntN(len(t.hosts)))
+		return t.firstAvailable(now, ask, t.random.IntN(len(t.hosts)))
 	case RoundRobin:
-		t.turn++
-		return t.firstOpen(now, ask, t.turn)
+		t.nextIndex++
+		return t.firstAvailable(now, ask, t.nextIndex)
 	case LeastInFlight:
 		return t.leastInFlight(now, ask)
 	default:
-		return t.best(now, ask)
+		return t.lowestCost(now, ask)
 	}
 }
 
-func (t *Table) firstOpen(now time.Time, ask Ask, start int) *host {
+func (t *Table) firstAvailable(now time.Time, ask Ask, start int) *hostState {
 	for n := range t.hosts {
-		each := t.hosts[(start+n)%len(t.hosts)]
-		if t.open(now, each, ask) {
-			return each
+		host := t.hosts[(start+n)%len(t.hosts)]
+		if t.available(now, host, ask) {
+			return host
 		}
 	}
 	return nil
 }
 
-func (t *Table) leastInFlight(now time.Time, ask Ask) *host {
-	var least *host
+func (t *Table) leastInFlight(now time.Time, ask Ask) *hostState {
+	var least *hostState
 	start := t.random.IntN(len(t.hosts))
 	for n := range t.hosts {
-		each := t.hosts[(start+n)%len(t.hosts)]
-		if t.open(now, each, ask) && (least == nil || each.inFlight < least.inFlight) {
-			least = each
+		host := t.hosts[(start+n)%len(t.hosts)]
+		if t.available(now, host, ask) && (least == nil || host.inFlight < least.inFlight) {
+			least = host
 		}
 	}
 	return least
--- a/relay/route/ring.go
+++ b/relay/route/ring.go
@@ -23,12 +23,12 @@
 	host int // index into Table.hosts
 }
 
-func newRing(hosts []*host) ring {
+func newRing(hosts []*hostState) ring {
 	points := make([]point, 0, len(hosts)*pointsPerHost)
-	for i, each := range hosts {
-		seed := xxhash.Sum64String(each.ID)
+	for i, host := range hosts {
+		seed := xxhash.Sum64String(host.ID)
 		for n := range pointsPerHost {
-			points = append(points, point{mix(seed, uint64(n)), i})
+			points = append(points, point{hashPair(seed, uint64(n)), i})
 		}
 	}
 	slices.SortFunc(points, func(a, b point) int {
@@ -44,7 +44,7 @@
 	return ring{points: points}
 }
 
-func mix(a, b uint64) uint64 {
+func hashPair(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
 	binary.LittleEndian.PutUint64(buf[8:], b)
@@ -57,7 +57,7 @@
 	if len(r.points) == 0 {
 		return
 	}
-	hash := mix(prefix, 0)
+	hash := hashPair(prefix, 0)
 	start := sort.Search(len(r.points), func(i int) bool { return r.points[i].hash >= hash })
 	for n := range min(limit, len(r.points)) {
 		if !visit(r.points[(start+n)%len(r.points)].host) {
--- a/relay/route/route_test.go
+++ b/relay/route/route_test.go
@@ -29,7 +29,7 @@
 // Symptom: all entries send a burst to the host that their report, seconds
 // old, calls idle. All hosts were equally idle; nothing is known of the others'
 // choices.
-func TestNoHerdOnAStaleReport(t *testing.T) {
+func TestStaleReportDoesNotOverloadOneHost(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	most := 0
 	for range 56 { // half of the slots
@@ -45,30 +45,30 @@
 
 // Symptom: a tenth of the requests are ten times as slow. One host answers at
 // a tenth of the speed and reports itself well.
-func TestSlowHostIsLeftOut(t *testing.T) {
+func TestSlowHostIsEjected(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].gap = 10 * simGap
 	s.run(0.6*14*simCapacity, 5*time.Second)
 	before := s.hosts[3].picked
 	arrived := s.arrived
 	s.run(0.6*14*simCapacity, 15*time.Second)
-	part := float64(s.hosts[3].picked-before) / float64(s.arrived-arrived)
-	t.Logf("slow host got %.4f of the requests", part)
-	if part > 0.01 {
-		t.Errorf("got %.4f of the requests on the slow host, want at most 0.01", part)
+	fraction := float64(s.hosts[3].picked-before) / float64(s.arrived-arrived)
+	t.Logf("slow host got %.4f of the requests", fraction)
+	if fraction > 0.01 {
+		t.Errorf("got %.4f of the requests on the slow host, want at most 0.01", fraction)
 	}
 }
 
 // Symptom: one broken host fails most requests. It fails at once, has nothing
 // in progress and looks idle.
-func TestHostThatFailsFastIsLeftOut(t *testing.T) {
+func TestFastFailingHostIsEjected(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
-	s.hosts[3].fails = true
+	s.hosts[3].failing = true
 	s.run(0.6*14*simCapacity, 20*time.Second)
-	part := float64(s.hosts[3].picked) / float64(s.arrived)
-	t.Logf("failing host got %.4f of the requests", part)
-	if part > 0.03 {
-		t.Errorf("got %.4f of the requests on the failing host, want at most 0.03", part)
+	fraction := float64(s.hosts[3].picked) / float64(s.arrived)
+	t.Logf("failing host got %.4f of the requests", fraction)
+	if fraction > 0.03 {
+		t.Errorf("got %.4f of the requests on the failing host, want at most 0.03", fraction)
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // Symptom: a pick that nobody gives back. A host restarts while an attempt
 // runs on it; the new process starts from nothing.
-func TestRestartedHostStartsFromNothing(t *testing.T) {
+func TestRestartedHostHasNoInFlightAttempts(t *testing.T) {
 	table := NewTable(Options{})
 	before := Host{ID: "h", Incarnation: "1", Version: "v", Slots: 1, Sequence: 9}
 	table.Update(simStart, []Host{before}, 1)
@@ -118,7 +118,7 @@
 // Symptom: hosts are overfilled although every report has their load. Our
 // own attempts that began after the report was made and before it arrived are
 // neither in it nor added to it.
-func TestAttemptsThatAReportDoesNotShow(t *testing.T) {
+func TestLoadIncludesAttemptsStartedAfterReport(t *testing.T) {
 	table := NewTable(Options{})
 	report := Host{ID: "h", Incarnation: "1", Version: "v", Slots: 8, Sequence: 1, SeenAt: simStart}
 	table.Update(simStart, []Host{report}, 1)
@@ -137,7 +137,7 @@
 
 // Symptom: small customers find every host full. One large customer's requests
 // wait on nine entries, and a report shows some room to all of them.
-func TestLargeCustomerLeavesRoom(t *testing.T) {
+func TestLargeCustomerLeavesReservedSlots(t *testing.T) {
 	const entries = 9
 	placed := 0
 	var tables []*Table
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestWhoMayServe(t *testing.T) {
+func TestPickFiltersByVersionAndAdapter(t *testing.T) {
 	hosts := []Host{
 		{ID: "a", Incarnation: "1", Version: "v1"},
 		{ID: "b", Incarnation: "1", Version: "v2", Adapters: []Adapter{{"customs", "c2"}}},
--- a/relay/route/shift.go
+++ b/relay/route/shift.go
@@ -1,7 +1,7 @@
 package route
 
 // maxOlder bounds the versions remembered from before the target.
-const maxOlder = 4
+const maxPreviousTargets = 4
 
 // Roll is the state of one model's move to its target version.
 type Roll struct {
@@ -14,10 +14,10 @@
 // Shift decides which versions of one model callers may get. The zero value is
 // not ready; use NewShift. It is not safe for concurrent use.
 type Shift struct {
-	target  string
-	whole   bool     // the target was whole once; stays so until the target moves
-	settled string   // the last version that was whole; empty if none
-	older   []string // targets before this one that hosts may still serve
+	target          string
+	complete        bool     // the target was whole once; stays so until the target moves
+	lastComplete    string   // the last version that was whole; empty if none
+	previousTargets []string // targets before this one that hosts may still serve
 }
 
 // NewShift returns a Shift that knows no version.
@@ -31,54 +31,54 @@
 // version that most hosts serve.
 func (s *Shift) Allowed(roll Roll) []string {
 	if roll.Target != s.target {
-		s.retarget(roll)
+		s.setTarget(roll)
 	}
-	s.whole = s.whole || roll.Whole
-	if s.whole {
-		s.settled = s.target
-		s.older = nil
+	s.complete = s.complete || roll.Whole
+	if s.complete {
+		s.lastComplete = s.target
+		s.previousTargets = nil
 		return []string{s.target}
 	}
-	if roll.WhenWhole && s.settled != "" && serving(roll.Serving, s.settled) {
-		return []string{s.settled}
+	if roll.WhenWhole && s.lastComplete != "" && isServed(roll.Serving, s.lastComplete) {
+		return []string{s.lastComplete}
 	}
-	return append([]string{s.target}, s.older...)
+	return append([]string{s.target}, s.previousTargets...)
 }
 
-func (s *Shift) retarget(roll Roll) {
-	before := s.target
-	s.target, s.whole = roll.Target, false
-	if before == "" {
-		s.adopt(roll)
+func (s *Shift) setTarget(roll Roll) {
+	previous := s.target
+	s.target, s.complete = roll.Target, false
+	if previous == "" {
+		s.inferPreviousVersion(roll)
 		return
 	}
-	s.older = append([]string{before}, s.older...)
-	s.older = s.older[:min(len(s.older), maxOlder)]
+	s.previousTargets = append([]string{previous}, s.previousTargets...)
+	s.previousTargets = s.previousTargets[:min(len(s.previousTargets), maxPreviousTargets)]
 }
 
 // adopt takes the version that most hosts serve beside the target as the one
 // from before.
-func (s *Shift) adopt(roll Roll) {
+func (s *Shift) inferPreviousVersion(roll Roll) {
 	counts := make(map[string]int)
 	for _, version := range roll.Serving {
 		counts[version]++
 	}
 	delete(counts, roll.Target)
-	best := ""
+	mostServed := ""
 	for version, count := range counts {
-		if best == "" || count > counts[best] || (count == counts[best] && version < best) {
-			best = version
+		if mostServed == "" || count > counts[mostServed] || (count == counts[mostServed] && version < mostServed) {
+			mostServed = version
 		}
 	}
-	if best != "" {
-		s.settled = best
-		s.older = []string{best}
+	if mostServed != "" {
+		s.lastComplete = mostServed
+		s.previousTargets = []string{mostServed}
 	}
 }
 
-func serving(hosts map[string]string, version string) bool {
-	for _, each := range hosts {
-		if each == version {
+func isServed(hosts map[string]string, version string) bool {
+	for _, served := range hosts {
+		if served == version {
 			return true
 		}
 	}
--- a/relay/route/sim_test.go
+++ b/relay/route/sim_test.go
@@ -13,7 +13,7 @@
 type simHost struct {
 	id      string
 	gap     time.Duration // between tokens
-	fails   bool          // answers at once with an error
+	failing bool          // answers at once with an error
 	running int
 	cache   []uint64 // newest last
 	picked  int      // requests that it got
@@ -22,27 +22,27 @@
 
 // sim runs entries, each with its own Table, against hosts on a virtual clock.
 type sim struct {
-	now     time.Time
-	random  *rand.Rand
-	hosts   []*simHost
-	entries []*Table
-	events  simEvents
-	arrived int
-	hits    int
-	waits   []time.Duration // to the first token
-	busy    int             // requests that found no room
+	now      time.Time
+	random   *rand.Rand
+	hosts    []*simHost
+	entries  []*Table
+	events   simEvents
+	arrived  int
+	hits     int
+	waits    []time.Duration // to the first token
+	rejected int             // requests that found no room
 }
 
 const (
-	simSlots    = 8
-	simCache    = 24
-	simTokens   = 16
-	simPrefill  = 60 * time.Millisecond
-	simCached   = 10 * time.Millisecond
-	simGap      = 10 * time.Millisecond
-	simLag      = 2 * time.Second
-	simInterval = 500 * time.Millisecond
-	simPrefixes = 160
+	simSlots         = 8
+	simCache         = 24
+	simTokens        = 16
+	simPrefill       = 60 * time.Millisecond
+	simCachedPrefill = 10 * time.Millisecond
+	simGap           = 10 * time.Millisecond
+	simLag           = 2 * time.Second
+	simInterval      = 500 * time.Millisecond
+	simPrefixes      = 160
 )
 
 var simStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
@@ -130,23 +130,23 @@
 	table := s.entries[s.random.IntN(len(s.entries))]
 	choice, reason := table.Pick(s.now, Ask{Prefix: prefix, Tokens: simTokens, Versions: []string{"v"}})
 	if reason != Chosen {
-		s.busy++
+		s.rejected++
 		return
 	}
 	host := s.hosts[slices.IndexFunc(s.hosts, func(h *simHost) bool { return h.id == choice.Host.ID })]
 	host.picked++
-	if host.fails {
+	if host.failing {
 		s.after(time.Millisecond, func() { table.Finish(s.now, choice, Result{End: EndFailed}) })
 		return
 	}
-	first := s.firstToken(host, prefix)
+	untilFirst := s.firstToken(host, prefix)
 	host.running++
-	s.waits = append(s.waits, first)
-	took := first + simTokens*host.gap
+	s.waits = append(s.waits, untilFirst)
+	took := untilFirst + simTokens*host.gap
 	s.after(took, func() {
 		host.running--
 		table.Load(s.now, host.id, host.running, 0)
-		table.Finish(s.now, choice, Result{End: EndAnswered, FirstToken: first, TokenGap: host.gap, Took: took})
+		table.Finish(s.now, choice, Result{End: EndAnswered, FirstToken: untilFirst, TokenGap: host.gap, Took: took})
 	})
 }
 
@@ -154,7 +154,7 @@
 func (s *sim) firstToken(host *simHost, prefix uint64) time.Duration {
 	first := simPrefill
 	if at := slices.Index(host.cache, prefix); at >= 0 {
-		first = simCached
+		first = simCachedPrefill
 		s.hits++
 		host.cache = slices.Delete(host.cache, at, at+1)
 	}
--- a/relay/route/slow_test.go
+++ b/relay/route/slow_test.go
@@ -7,7 +7,7 @@
 
 // Symptom: one request in a hundred is ten times as late although every entry
 // leaves the slow host out. Nine entries each probe it every few seconds.
-func TestEntriesShareTheProbesOfASlowHost(t *testing.T) {
+func TestSlowHostProbesAreLimitedAcrossEntries(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].gap = 10 * simGap
 	before := 0
@@ -23,16 +23,16 @@
 // Symptom: a host that was slow for a while gets no requests ever after. The
 // answers that it still had when it was left out made it look too expensive to
 // be probed.
-func TestRecoveredHostComesBack(t *testing.T) {
+func TestRecoveredHostGetsTraffic(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].gap = 10 * simGap
 	before, arrived := 0, 0
 	s.after(10*time.Second, func() { s.hosts[3].gap = simGap })
 	s.after(100*time.Second, func() { before, arrived = s.hosts[3].picked, s.arrived })
 	s.run(0.6*14*simCapacity, 130*time.Second)
-	part := float64(s.hosts[3].picked-before) / float64(s.arrived-arrived)
-	t.Logf("recovered host got %.4f of the requests", part)
-	if part < 0.04 {
-		t.Errorf("got %.4f of the requests on the recovered host, want about 0.07", part)
+	fraction := float64(s.hosts[3].picked-before) / float64(s.arrived-arrived)
+	t.Logf("recovered host got %.4f of the requests", fraction)
+	if fraction < 0.04 {
+		t.Errorf("got %.4f of the requests on the recovered host, want about 0.07", fraction)
 	}
 }
--- a/relay/route/table.go
+++ b/relay/route/table.go
@@ -18,29 +18,29 @@
 
 // host is a Host with what this entry knows besides its report. Hosts that
 // stay across updates keep it.
-type host struct {
+type hostState struct {
 	Host
 	health
 	inFlight int // own attempts in progress
 	// atReport is inFlight when running and queued were learned: our own
 	// attempts since then are not in them.
-	atReport int
-	trace    trace // of inFlight
+	inFlightAtReport int
+	history          inFlightHistory // of inFlight
 	// allotted is this entry's part of the room for large customers, in
 	// requests. All entries see the same report; if each took the room that it
 	// shows, together they would overfill the host many times.
-	allotted float64
-	learned  time.Time // when running and queued were true, by the local clock
-	limit    *admit.Limit
+	largeQuota float64
+	loadAsOf   time.Time // when running and queued were true, by the local clock
+	limit      *admit.Limit
 }
 
 // load estimates the requests on the host now: the last that is known, and
 // our own changes since. Never less than our own.
-func (h *host) load() int {
-	return max(h.inFlight, h.Running+h.Queued+h.inFlight-h.atReport)
+func (h *hostState) load() int {
+	return max(h.inFlight, h.Running+h.Queued+h.inFlight-h.inFlightAtReport)
 }
 
-func (h *host) slots() int {
+func (h *hostState) slots() int {
 	if h.Slots > 0 {
 		return h.Slots
 	}
@@ -50,27 +50,27 @@
 // Table chooses among the hosts of one model or service. It is not safe for
 // concurrent use.
 type Table struct {
-	options Options
-	hosts   []*host // sorted by id
-	byID    map[string]*host
-	ring    ring
-	hints   hints
-	random  *rand.Rand
-	turn    int // of the round-robin policy
-	entries int // that share the hosts; at least 1
-	started bool
-	typical typical
+	options   Options
+	hosts     []*hostState // sorted by id
+	byID      map[string]*hostState
+	ring      ring
+	hints     hints
+	random    *rand.Rand
+	nextIndex int // of the round-robin policy
+	entries   int // that share the hosts; at least 1
+	hadHosts  bool
+	typical   typicalTimes
 }
 
 // NewTable returns a Table without hosts.
 func NewTable(options Options) *Table {
 	return &Table{
 		options: options,
-		byID:    make(map[string]*host),
+		byID:    make(map[string]*hostState),
 		hints:   newHints(),
 		random:  rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)), //nolint:gosec // choices, not secrets
 		entries: 1,
-		typical: newTypical(),
+		typical: newTypicalTimes(),
 	}
 }
 
@@ -79,8 +79,8 @@
 
 // InFlight returns this entry's attempts in progress on a host.
 func (t *Table) InFlight(id string) int {
-	if each := t.byID[id]; each != nil {
-		return each.inFlight
+	if host := t.byID[id]; host != nil {
+		return host.inFlight
 	}
 	return 0
 }
@@ -90,75 +90,75 @@
 func (t *Table) Update(now time.Time, hosts []Host, entries int) {
 	t.entries = max(1, entries)
 	changed := len(hosts) != len(t.hosts)
-	next := make([]*host, 0, len(hosts))
+	states := make([]*hostState, 0, len(hosts))
 	for i := range hosts {
-		each, same := t.refresh(now, hosts[i])
-		changed = changed || !same || t.hosts[i] != each
-		next = append(next, each)
+		host, unchanged := t.updateHost(now, hosts[i])
+		changed = changed || !unchanged || t.hosts[i] != host
+		states = append(states, host)
 	}
-	t.started = t.started || len(hosts) > 0
-	t.hosts = next
+	t.hadHosts = t.hadHosts || len(hosts) > 0
+	t.hosts = states
 	if !changed {
 		return
 	}
-	t.byID = make(map[string]*host, len(next))
-	for _, each := range next {
-		t.byID[each.ID] = each
+	t.byID = make(map[string]*hostState, len(states))
+	for _, host := range states {
+		t.byID[host.ID] = host
 	}
-	t.ring = newRing(next)
+	t.ring = newRing(states)
 }
 
 // refresh returns the kept state of a host with its newest report; same is
 // false where it is new, was restarted or turned to another version.
-func (t *Table) refresh(now time.Time, report Host) (kept *host, same bool) {
-	kept = t.byID[report.ID]
-	if kept == nil || kept.Incarnation != report.Incarnation || kept.Version != report.Version {
-		fresh := &host{Host: report, limit: admit.NewLimit(report.Slots), learned: report.SeenAt}
-		if t.started {
-			fresh.joinedAt = now
+func (t *Table) updateHost(now time.Time, report Host) (state *hostState, unchanged bool) {
+	state = t.byID[report.ID]
+	if state == nil || state.Incarnation != report.Incarnation || state.Version != report.Version {
+		created := &hostState{Host: report, limit: admit.NewLimit(report.Slots), loadAsOf: report.SeenAt}
+		if t.hadHosts {
+			created.joinedAt = now
 		}
-		t.note(now, report)
-		t.allot(now, fresh)
-		return fresh, false
+		t.addReportedPrefixes(now, report)
+		t.setLargeQuota(now, created)
+		return created, false
 	}
-	if report.Sequence == kept.Sequence {
-		return kept, true
+	if report.Sequence == state.Sequence {
+		return state, true
 	}
-	t.note(now, report)
-	running, queued := kept.Running, kept.Queued
-	kept.Host = report
-	if report.SeenAt.Before(kept.learned) {
-		kept.Running, kept.Queued = running, queued // a frame brought later news
-		return kept, true
+	t.addReportedPrefixes(now, report)
+	running, queued := state.Running, state.Queued
+	state.Host = report
+	if report.SeenAt.Before(state.loadAsOf) {
+		state.Running, state.Queued = running, queued // a frame brought later news
+		return state, true
 	}
-	kept.learned = report.SeenAt
-	kept.atReport = kept.trace.at(report.SeenAt)
-	t.allot(now, kept)
-	return kept, true
+	state.loadAsOf = report.SeenAt
+	state.inFlightAtReport = state.history.at(report.SeenAt)
+	t.setLargeQuota(now, state)
+	return state, true
 }
 
 // allot divides the room that a report shows among the entries.
-func (t *Table) allot(now time.Time, each *host) {
-	slots := float64(each.slots()) * each.ramp(now)
-	each.allotted = max(0, each.spare(slots)) / float64(t.entries)
+func (t *Table) setLargeQuota(now time.Time, host *hostState) {
+	slots := float64(host.slots()) * host.rampFraction(now)
+	host.largeQuota = max(0, host.spareForLarge(slots)) / float64(t.entries)
 }
 
-func (t *Table) note(now time.Time, report Host) {
+func (t *Table) addReportedPrefixes(now time.Time, report Host) {
 	for _, prefix := range report.Prefixes {
-		t.hints.add(prefix, report.ID, now.Add(reportedHintAge))
+		t.hints.add(prefix, report.ID, now.Add(reportHintTTL))
 	}
 }
 
 // Load takes a host's own report of its load, which came with a frame.
 func (t *Table) Load(now time.Time, id string, running, queued int) {
-	each := t.byID[id]
-	if each == nil {
+	host := t.byID[id]
+	if host == nil {
 		return
 	}
-	each.Running, each.Queued = running, queued
-	each.atReport = each.inFlight
-	each.learned = now
-	each.limit.Queue(now, running, queued)
+	host.Running, host.Queued = running, queued
+	host.inFlightAtReport = host.inFlight
+	host.loadAsOf = now
+	host.limit.Queue(now, running, queued)
 }
 
 // End is how an attempt ended.
@@ -183,33 +183,33 @@
 
 // Finish gives back a choice.
 func (t *Table) Finish(now time.Time, choice Choice, result Result) {
-	each := choice.kept
-	each.inFlight--
-	each.trace.add(now, each.inFlight)
+	host := choice.state
+	host.inFlight--
+	host.history.add(now, host.inFlight)
 	if choice.large {
-		each.allotted++ // the place that it had is ours to fill again
+		host.largeQuota++ // the place that it had is ours to fill again
 	}
 	if result.FirstToken > 0 {
-		each.limit.FirstToken(now, result.FirstToken)
+		host.limit.FirstToken(now, result.FirstToken)
 		// Where requests waited for a slot, the wait would pass for the cost
 		// of a cold prefix, and affinity would hold on to the fullest hosts.
-		if choice.calm {
-			t.typical.firstToken(choice.affinity, result.FirstToken)
+		if choice.hadFreeSlot {
+			t.typical.recordFirstToken(choice.affinity, result.FirstToken)
 		}
 	}
 	switch result.End {
 	case EndAnswered:
-		each.limit.Done(now, each.inFlight)
-		t.typical.answered(now, result.Took, result.TokenGap)
-		each.sample(result.TokenGap)
-		if !t.judgeSlow(now, each) {
-			each.answered()
+		host.limit.Done(now, host.inFlight)
+		t.typical.recordAnswer(now, result.Took, result.TokenGap)
+		host.recordTokenGap(result.TokenGap)
+		if !t.ejectIfSlow(now, host) {
+			host.recordSuccess()
 		}
 	case EndRefused:
-		each.limit.Refused(now)
-		each.refused(now, result.RetryAfter)
+		host.limit.Refused(now)
+		host.recordRefusal(now, result.RetryAfter)
 	case EndFailed:
-		each.failed(now)
+		host.recordFailure(now)
 	case EndCancelled:
 	}
 }
@@ -218,37 +218,37 @@
 // slow host is noticed long before its first answer is whole. It reports
 // whether the host is left out as slow, so that the answer may go on elsewhere.
 func (t *Table) Speed(now time.Time, choice Choice, gap time.Duration) (slow bool) {
-	each := choice.kept
-	each.sample(gap)
-	if t.judgeSlow(now, each) {
+	host := choice.state
+	host.recordTokenGap(gap)
+	if t.ejectIfSlow(now, host) {
 		return true
 	}
-	return each.slowUntil.After(now) && float64(gap)/float64(time.Millisecond) > slowRatio*t.medianGap()
+	return host.slowUntil.After(now) && float64(gap)/float64(time.Millisecond) > slowRatio*t.medianGapMillis()
 }
 
 // judgeSlow ejects a host whose tokens come several times slower than the
 // median host's: it reports healthy, and only its answers show it.
-func (t *Table) judgeSlow(now time.Time, each *host) (slow bool) {
-	if each.gapSamples < slowSamples || len(t.hosts) < minHostsForSlow {
+func (t *Table) ejectIfSlow(now time.Time, host *hostState) (slow bool) {
+	if host.gapSamples < minSlowSamples || len(t.hosts) < minHostsForSlow {
 		return false
 	}
-	median := t.medianGap()
-	if median <= 0 || each.gap < slowRatio*median {
+	median := t.medianGapMillis()
+	if median <= 0 || host.gapMillis < slowRatio*median {
 		return false
 	}
-	if t.ejectedHosts(now) >= max(1, len(t.hosts)/ejectableShare) {
+	if t.countEjected(now) >= max(1, len(t.hosts)/slowEjectionDivisor) {
 		return false
 	}
-	each.eject(now, slowEjection)
-	each.slowUntil = each.ejectedUntil
+	host.eject(now, slowEjection)
+	host.slowUntil = host.ejectedUntil
 	return true
 }
 
-func (t *Table) medianGap() float64 {
+func (t *Table) medianGapMillis() float64 {
 	gaps := make([]float64, 0, len(t.hosts))
-	for _, each := range t.hosts {
-		if each.gapSamples > 0 {
-			gaps = append(gaps, each.gap)
+	for _, host := range t.hosts {
+		if host.gapSamples > 0 {
+			gaps = append(gaps, host.gapMillis)
 		}
 	}
 	if len(gaps) < minHostsForSlow {
@@ -258,10 +258,10 @@
 	return gaps[(len(gaps)-1)/2]
 }
 
-func (t *Table) ejectedHosts(now time.Time) int {
+func (t *Table) countEjected(now time.Time) int {
 	ejected := 0
-	for _, each := range t.hosts {
-		if now.Before(each.ejectedUntil) {
+	for _, host := range t.hosts {
+		if now.Before(host.ejectedUntil) {
 			ejected++
 		}
 	}
@@ -271,11 +271,11 @@
 // Service estimates how long an attempt of so many tokens takes on a typical
 // host; 0 while unknown.
 func (t *Table) Service(now time.Time, tokens int) time.Duration {
-	return t.typical.service(now, tokens)
+	return t.typical.serviceTime(now, tokens)
 }
 
 // FirstToken returns the typical time to the first token; 0 while unknown.
-func (t *Table) FirstToken() time.Duration { return millis(t.typical.missMillis) }
+func (t *Table) FirstToken() time.Duration { return millisToDuration(t.typical.missMillis) }
 
 // TokenGap returns the typical time between tokens; 0 while unknown.
-func (t *Table) TokenGap() time.Duration { return millis(t.typical.gapMillis) }
+func (t *Table) TokenGap() time.Duration { return millisToDuration(t.typical.gapMillis) }
