--- a/relay/route/averages.go
+++ b/relay/route/averages.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// Constants of the typical figures.
+// Constants of the averages.
 const (
-	averageSmoothing   = 0.05 // of a new sample
+	averageSmoothing   = 0.05 // weight of a new sample
 	defaultMissPenalty = 30.0 // milliseconds, until measured
 	minMissPenalty     = 5.0
 	maxMissPenalty     = 1000.0
-	// typicalAge is how long the time of an answer is believed. Refusals that
-	// rest on an old one would keep any answer from correcting it.
+	// maxServiceTimeAge is how long the duration of the last answer is used. If
+	// requests were refused because of an older one, no new answer could correct it.
 	maxServiceTimeAge = 2 * time.Second
 )
 
-// typical holds smoothed figures over all hosts, in milliseconds; 0 while
-// unknown.
+// typicalTimes holds smoothed times over all hosts, in milliseconds; 0 if unknown.
 type typicalTimes struct {
-	hitMillis  float64 // to the first token with the prefix cached
-	missMillis float64 // and without
+	hitMillis  float64 // to the first token, with the prefix cached
+	missMillis float64 // to the first token, with a cold prefix
 	gapMillis  float64 // between tokens
-	tookMillis float64 // whole attempt
+	tookMillis float64 // of a whole attempt
 	tookAt     time.Time
 }
 
@@ -41,7 +40,7 @@
 	}
 }
 
-// missPenalty is what a cold prefix costs, in milliseconds.
+// missPenalty returns the extra time that a cold prefix costs, in milliseconds.
 func (t *typicalTimes) missPenalty() float64 {
 	if t.hitMillis == 0 || t.missMillis == 0 {
 		return defaultMissPenalty
@@ -49,7 +48,9 @@
 	return min(maxMissPenalty, max(minMissPenalty, t.missMillis-t.hitMillis))
 }
 
-// service assumes that answers use as much of their tokens as they did.
+// serviceTime estimates the duration of an attempt that may generate the given
+// number of tokens. It assumes that answers use as much of their limit as past
+// ones did.
 func (t *typicalTimes) serviceTime(now time.Time, tokens int) time.Duration {
 	if t.tookMillis == 0 || now.Sub(t.tookAt) > maxServiceTimeAge {
 		return 0
@@ -61,6 +62,7 @@
 	return millisToDuration(t.tookMillis)
 }
 
+// updateAverage adds a sample to an exponential moving average in milliseconds.
 func updateAverage(value *float64, sample time.Duration) {
 	sampleMillis := float64(sample) / float64(time.Millisecond)
 	if *value == 0 {
--- a/relay/route/hints.go
+++ b/relay/route/hints.go
@@ -6,16 +6,16 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Bounds of the hints.
+// Bounds on prefix hints.
 const (
 	maxHintedPrefixes = 8192
 	hostsPerPrefix    = 4
-	placementHintTTL  = time.Minute      // of our own placements
-	reportHintTTL     = 20 * time.Second // of the hosts' reports
+	placementHintTTL  = time.Minute      // for this entry's own attempts
+	reportHintTTL     = 20 * time.Second // for prefixes in hosts' reports
 )
 
-// hints remembers which hosts probably hold a prefix. Cache events come late
-// and with gaps, so a hint is no proof, and it expires.
+// hints records which hosts probably have a prefix cached. Cache events are late
+// and incomplete, so a hint may be wrong, and it expires.
 type hints struct {
 	byPrefix *simplelru.LRU[uint64, []hint]
 }
@@ -28,12 +28,13 @@
 func newHints() hints {
 	lru, err := simplelru.NewLRU[uint64, []hint](maxHintedPrefixes, nil)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // only possible for a size below 1
 	}
 	return hints{byPrefix: lru}
 }
 
-// add notes that the host probably holds the prefix until expires.
+// add records that the host probably has the prefix cached until expires. If too
+// many hosts are recorded for the prefix, the oldest entry is dropped.
 func (h hints) add(prefix uint64, host string, expires time.Time) {
 	holders, _ := h.byPrefix.Get(prefix)
 	for i := range holders {
@@ -50,7 +51,7 @@
 	h.byPrefix.Add(prefix, append(holders, hint{host, expires}))
 }
 
-// holders calls visit with the hosts that probably hold the prefix.
+// forEachHolder calls visit for each host that probably has the prefix cached.
 func (h hints) forEachHolder(now time.Time, prefix uint64, visit func(host string)) {
 	holders, _ := h.byPrefix.Get(prefix)
 	for _, holder := range holders {
--- a/relay/route/history.go
+++ b/relay/route/history.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// traceLength bounds the changes remembered; older ones matter to no report.
+// historyLength is the number of changes kept; no report needs older ones.
 const historyLength = 64
 
-// trace remembers how many attempts were in progress over the last moments. A
-// report is as old as its way here: to correct it one needs to know what was
-// in progress when it was made, not when it arrived.
+// inFlightHistory records the recent changes of the number of attempts in progress.
+// A report arrives some time after it was made; correcting it takes the number at
+// the time it was made, not at its arrival.
 type inFlightHistory struct {
 	samples [historyLength]inFlightChange
-	next    int // index of the oldest, which the next change replaces
+	next    int // index of the oldest sample, which is overwritten next
 }
 
+// inFlightChange is a new number of attempts in progress.
 type inFlightChange struct {
 	at       time.Time
-	inFlight int // from then on
+	inFlight int // number from then on
 }
 
 func (t *inFlightHistory) add(now time.Time, inFlight int) {
@@ -23,8 +24,8 @@
 	t.next = (t.next + 1) % historyLength
 }
 
-// at returns what was in progress at the time; what the trace no longer holds
-// counts as none.
+// at returns the number of attempts in progress at a time, or 0 for a time before
+// the oldest sample.
 func (t *inFlightHistory) at(when time.Time) int {
 	for back := 1; back <= historyLength; back++ {
 		sample := t.samples[(t.next+historyLength-back)%historyLength]
--- a/relay/route/host.go
+++ b/relay/route/host.go
@@ -1,5 +1,5 @@
-// Package route chooses the host for an attempt: by the cache affinity of the
-// prompt's prefix against the hosts' load, with reports that lag by seconds.
+// Package route chooses the host that runs an attempt. It weighs prefix-cache
+// affinity against host load, and corrects load reports that are seconds old.
 package route
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixBytes is the length of a prompt's prefix that engines cache by.
+// prefixBytes is the length of the prompt prefix by which engines key their cache.
 const prefixBytes = 64
 
-// PrefixOf returns the prefix hash of a prompt.
+// PrefixOf returns the hash of a prompt's prefix.
 func PrefixOf(prompt string) uint64 {
 	if len(prompt) > prefixBytes {
 		prompt = prompt[:prefixBytes]
@@ -19,54 +19,56 @@
 	return xxhash.Sum64String(prompt)
 }
 
-// Host is one host that serves one version, as its latest report says.
+// Host is the latest report of a host that serves one model version.
 type Host struct {
 	ID            string
 	Incarnation   string
-	Address       string // of its agent's drpc listener, "ip:port"
+	Address       string // of the agent's drpc listener, "ip:port"
 	Region        string
 	FailureDomain string
-	Version       string    // that it serves
-	Adapters      []Adapter // that it serves over the version
+	Version       string    // model version served
+	Adapters      []Adapter // adapters served on top of the version
 	Running       int
 	Queued        int
-	Slots         int           // requests that it runs at once; 0 while unknown
-	Sequence      uint64        // of the report
-	SeenAt        time.Time     // when the report was made, by the local clock
-	TokenGap      time.Duration // median between tokens; 0 while unknown
-	Prefixes      []uint64      // prefixes in its cache, as far as it says
+	Slots         int           // concurrent requests; 0 if unknown
+	Sequence      uint64        // report number
+	SeenAt        time.Time     // local time at which the report was made
+	TokenGap      time.Duration // median time between tokens; 0 if unknown
+	Prefixes      []uint64      // cached prefixes; may be incomplete
 }
 
-// Adapter is one adapter that a host serves.
+// Adapter is a model adapter, with its version, that a host serves.
 type Adapter struct {
 	Name    string
 	Version string
 }
 
-// Ask is what an attempt needs.
+// Ask holds the requirements of an attempt.
 type Ask struct {
 	Prefix   uint64
-	Tokens   int      // at most this many are generated
-	Versions []string // allowed
-	Adapter  string   // empty: none
-	// AdapterVersion is the only one allowed; empty: any that the host lists.
+	Tokens   int      // upper bound of the tokens to generate
+	Versions []string // allowed model versions
+	Adapter  string   // empty if none is needed
+	// AdapterVersion is the only adapter version allowed. If it is empty, any
+	// version that the host lists will do.
 	AdapterVersion string
-	Exclude        []string // host ids that failed this request already
-	// Large marks a customer that uses much more than its share: some room on
-	// each host is kept from it for the others.
+	Exclude        []string // ids of hosts on which this request already failed
+	// Large marks a customer that uses much more than its fair share. Some slots
+	// of each host are reserved for the other customers.
 	Large bool
 }
 
-// Choice is a host reserved for one attempt; Finish gives it back.
+// Choice is a host reserved for one attempt. Finish releases it.
 type Choice struct {
 	Host        Host
 	state       *hostState
-	large       bool // reserved for a large customer
-	hadFreeSlot bool // the host had a free slot, as far as known
-	affinity    bool // the host was expected to hold the prefix
+	large       bool // for a large customer
+	hadFreeSlot bool // the host had a free slot, by its estimated load
+	affinity    bool // the host probably had the prefix cached
 }
 
-// AdapterVersion returns the version of the named adapter on the host.
+// AdapterVersion returns the version of the named adapter on the host, or ""
+// if the host does not list it.
 func (c Choice) AdapterVersion(name string) string {
 	for _, adapter := range c.Host.Adapters {
 		if adapter.Name == name {
@@ -76,15 +78,15 @@
 	return ""
 }
 
-// Affinity reports whether the host was expected to hold the prompt's prefix.
+// Affinity reports whether the host was expected to have the prompt's prefix cached.
 func (c Choice) Affinity() bool { return c.affinity }
 
-// Reason says why no host was chosen.
+// Reason tells whether Pick chose a host and, if not, why.
 type Reason int
 
-// The reasons of a Pick.
+// Results of Pick.
 const (
 	Chosen Reason = iota
-	Busy          // hosts serve it, and none has room now
-	NoHost        // no host serves it
+	Busy          // hosts serve the request, but none has capacity now
+	NoHost        // no host serves the request
 )
--- a/relay/route/pick.go
+++ b/relay/route/pick.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Constants of the choice.
+// Constants of host selection.
 const (
-	ringCandidates   = 2   // hosts from the ring that are considered
-	maxRingPoints    = 24  // points passed on the search for them
-	randomSamples    = 2   // random hosts considered beside them
-	maxRandomDraws   = 6   // draws for them
-	maxScannedHosts  = 256 // up to so many hosts are all looked at when sampling finds none
-	sameRegionCost   = 2.0 // milliseconds, there and back
-	otherRegionCost  = 6.0
-	defaultGapMillis = 10.0 // milliseconds, until measured
-	maxCostedTokens  = 256  // tokens that speak for a fast host; few answers are longer
+	ringCandidates   = 2    // candidates taken from the ring
+	maxRingPoints    = 24   // ring points visited to find them
+	randomSamples    = 2    // random candidates besides them
+	maxRandomDraws   = 6    // random draws to find those
+	maxScannedHosts  = 256  // hosts checked in order if no candidate was found
+	sameRegionCost   = 2.0  // milliseconds, round trip
+	otherRegionCost  = 6.0  // milliseconds, round trip
+	defaultGapMillis = 10.0 // until measured
+	maxCostedTokens  = 256  // tokens counted in favour of a fast host; few answers are longer
 )
 
-// Pick chooses a host with room and reserves it until Finish.
+// Pick chooses a host with capacity and reserves it until Finish.
 func (t *Table) Pick(now time.Time, ask Ask) (Choice, Reason) {
 	if len(t.hosts) == 0 {
 		return Choice{}, NoHost
@@ -41,8 +41,9 @@
 	return choice, Chosen
 }
 
-// excluded returns the hosts to leave out: none where no other host serves
-// the attempt, or it would wait for one that is not there.
+// effectiveExclusions returns the hosts to exclude. It returns none if only
+// excluded hosts serve the attempt, which would otherwise wait for a host that
+// does not exist.
 func (t *Table) effectiveExclusions(ask Ask) []string {
 	if len(ask.Exclude) == 0 {
 		return nil
@@ -55,6 +56,7 @@
 	return nil
 }
 
+// failureReason tells whether any host serves the attempt at all.
 func (t *Table) failureReason(ask Ask) Reason {
 	for _, host := range t.hosts {
 		if serves(host, ask) {
@@ -64,7 +66,8 @@
 	return NoHost
 }
 
-// serves reports whether the host may run the attempt at all.
+// serves reports whether the host has the model version and adapter that the
+// attempt needs.
 func serves(host *hostState, ask Ask) bool {
 	if !slices.Contains(ask.Versions, host.Version) {
 		return false
@@ -77,7 +80,7 @@
 	})
 }
 
-// open reports whether the host may run the attempt now.
+// available reports whether the host can start the attempt now.
 func (t *Table) available(now time.Time, host *hostState, ask Ask) bool {
 	if !serves(host, ask) || slices.Contains(ask.Exclude, host.ID) || host.unavailable(now) {
 		return false
@@ -85,10 +88,11 @@
 	return t.hasCapacity(now, host, ask)
 }
 
-// hasRoom compares the host's load with its slots. An entry that has little
-// there gets its share even where the others fill the host, or it would starve.
-// A large customer gets neither that share nor the last slots: a small one that
-// came to full hosts would wait for one of them to finish.
+// hasCapacity compares the host's load with its slots. An entry with few attempts
+// on the host may always start up to half its fair share, even if other entries
+// fill the host; otherwise it would starve. A large customer gets neither that
+// share nor the last slots, so that a small customer's request does not find all
+// hosts full and wait for one of the large customer's requests to finish.
 func (t *Table) hasCapacity(now time.Time, host *hostState, ask Ask) bool {
 	if host.probing {
 		return host.inFlight < maxProbesInFlight
@@ -106,21 +110,23 @@
 	return float64(host.load()) < slots+headroom(slots)
 }
 
-// headroom is the queue that keeps an engine busy while the report of a free slot
-// travels.
+// headroom returns the number of requests beyond the slots that keep an engine
+// busy until the report of a free slot arrives.
 func headroom(slots float64) float64 { return max(1, slots/8) }
 
-// spare is the room for large customers. A quarter is kept from them: entries
-// do not see one another's newest requests, so that less is often gone when a
-// small customer comes.
+// spareForLarge returns the free slots that large customers may use. A quarter of
+// the slots is reserved for small customers. Entries do not see each other's newest
+// requests, so a smaller reserve is often used up when a small customer's request
+// arrives.
 func (h *hostState) spareForLarge(slots float64) float64 {
 	reserved := max(1, math.Ceil(slots/4))
 	return slots - reserved - float64(h.load())
 }
 
-// best chooses among the prefix's homes, hosts that probably hold it and a few
-// random ones by cost. The random ones are the power of two choices: entries
-// that act on the same stale report do not all meet on the same host.
+// lowestCost returns the cheapest of a few candidates: the prefix's hosts on the
+// ring, hosts that probably have it cached, and some random ones (power of two
+// choices). The random ones keep entries that act on the same stale report from
+// all choosing the same host.
 func (t *Table) lowestCost(now time.Time, ask Ask) *hostState {
 	var candidates candidateSet
 	t.ring.walk(ask.Prefix, maxRingPoints, func(i int) bool {
@@ -141,6 +147,7 @@
 	return t.cheapest(now, ask, candidates)
 }
 
+// addRandomCandidates adds up to randomSamples random hosts with capacity.
 func (t *Table) addRandomCandidates(now time.Time, ask Ask, candidates *candidateSet) {
 	wanted := candidates.count + randomSamples
 	for range maxRandomDraws {
@@ -154,7 +161,8 @@
 	}
 }
 
-// scan looks at hosts in order from a random one until the shortlist is full.
+// addScannedCandidates checks hosts in order, starting at a random one, until the
+// candidate set is full or maxScannedHosts were checked.
 func (t *Table) addScannedCandidates(now time.Time, ask Ask, candidates *candidateSet) {
 	start := t.random.IntN(len(t.hosts))
 	for n := range min(len(t.hosts), maxScannedHosts) {
@@ -165,6 +173,7 @@
 	}
 }
 
+// cheapest returns the candidate with the lowest cost.
 func (t *Table) cheapest(now time.Time, ask Ask, candidates candidateSet) *hostState {
 	var chosen *hostState
 	lowest := 0.0
@@ -177,7 +186,8 @@
 	return chosen
 }
 
-// cost estimates in milliseconds how long the attempt would take on the host.
+// cost estimates the duration of the attempt on the host, in milliseconds,
+// multiplied by one plus the host's consecutive failures.
 func (t *Table) cost(now time.Time, host *hostState, ask Ask) float64 {
 	slots := max(1, float64(host.slots())*host.rampFraction(now))
 	load := float64(host.load())
@@ -185,7 +195,7 @@
 	service := gap * float64(min(max(ask.Tokens, 1), maxCostedTokens))
 	penalty := t.typical.missPenalty()
 	cost := service + t.networkCost(host)
-	// Sharing an engine slows everybody on it a little.
+	// Each request on an engine slows down the others a little.
 	cost += load / slots * penalty
 	if waiting := load + 1 - slots; waiting > 0 {
 		cost += waiting / slots * service
@@ -196,6 +206,8 @@
 	return cost * float64(1+host.failures)
 }
 
+// expectedGapMillis returns the time between tokens to expect on the host: as
+// measured by this entry, as reported, or the average of all hosts.
 func (t *Table) expectedGapMillis(host *hostState) float64 {
 	switch {
 	case host.gapSamples > 0:
@@ -209,6 +221,8 @@
 	}
 }
 
+// networkCost returns the round-trip time to the host in milliseconds, by region
+// and failure domain.
 func (t *Table) networkCost(host *hostState) float64 {
 	switch {
 	case host.FailureDomain == t.options.FailureDomain:
@@ -220,20 +234,21 @@
 	}
 }
 
-// holds reports whether the host probably has the prefix cached.
+// holdsPrefix reports whether the host probably has the prefix cached.
 func (t *Table) holdsPrefix(now time.Time, host *hostState, prefix uint64) bool {
 	held := false
 	t.hints.forEachHolder(now, prefix, func(id string) { held = held || id == host.ID })
 	return held
 }
 
-// shortlist is a small set of hosts; it needs no allocation.
+// candidateSet is a small set of hosts with a fixed capacity, to avoid allocation.
 type candidateSet struct {
 	hosts [ringCandidates + hostsPerPrefix + randomSamples]*hostState
 	count int
 }
 
-// add reports whether there is room for more.
+// add adds a host that is not in the set yet and reports whether there is room for
+// more.
 func (c *candidateSet) add(each *hostState) bool {
 	for _, other := range c.hosts[:c.count] {
 		if other == each {
--- a/relay/route/policy.go
+++ b/relay/route/policy.go
@@ -6,10 +6,10 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Policy is a way to choose among hosts with room.
+// Policy is a way to choose among hosts with capacity.
 type Policy string
 
-// The policies; all but Affinity are baselines for measurements.
+// The policies. All but Affinity are baselines for measurements.
 const (
 	Affinity      Policy = "affinity"
 	Random        Policy = "random"
@@ -17,7 +17,7 @@
 	LeastInFlight Policy = "leastInFlight"
 )
 
-// ParsePolicy reads a policy's name; empty means Affinity.
+// ParsePolicy parses the name of a policy; an empty name means Affinity.
 func ParsePolicy(name string) (Policy, error) {
 	switch policy := Policy(name); policy {
 	case "":
@@ -30,6 +30,7 @@
 	}
 }
 
+// pickByPolicy returns a host with capacity by the configured policy, or nil.
 func (t *Table) pickByPolicy(now time.Time, ask Ask) *hostState {
 	switch t.options.Policy {
 	case Random:
@@ -44,6 +45,7 @@
 	}
 }
 
+// firstAvailable returns the first host with capacity, from index start on.
 func (t *Table) firstAvailable(now time.Time, ask Ask, start int) *hostState {
 	for n := range t.hosts {
 		host := t.hosts[(start+n)%len(t.hosts)]
@@ -54,6 +56,8 @@
 	return nil
 }
 
+// leastInFlight returns the available host with the fewest of this entry's own
+// attempts in progress, with ties broken at random.
 func (t *Table) leastInFlight(now time.Time, ask Ask) *hostState {
 	var least *hostState
 	start := t.random.IntN(len(t.hosts))
--- a/relay/route/ring.go
+++ b/relay/route/ring.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pointsPerHost is the number of places that a host has on the ring.
+// pointsPerHost is the number of points that a host has on the ring.
 const pointsPerHost = 32
 
-// ring is a consistent-hash ring. Entries that know the same hosts agree on a
-// prefix's home without talking, and a host that comes or goes moves only its
-// own prefixes.
+// ring is a consistent-hash ring. Entries that know the same hosts map a prefix to
+// the same hosts without communicating, and a host that joins or leaves moves only
+// its own prefixes.
 type ring struct {
 	points []point // sorted by hash
 }
@@ -51,8 +51,8 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// walk visits hosts from the prefix's place on until visit returns false or
-// limit points were passed. A host may be visited more than once.
+// walk visits the hosts of the ring, starting at the prefix's position, until visit
+// returns false or limit points were passed. A host may be visited more than once.
 func (r ring) walk(prefix uint64, limit int, visit func(host int) bool) {
 	if len(r.points) == 0 {
 		return
--- a/relay/route/route_test.go
+++ b/relay/route/route_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// capacity of a simulated host, requests a second, with cold prefixes.
+// simCapacity is the throughput of a simulated host with cold prefixes, in requests
+// per second.
 const simCapacity = simSlots * float64(time.Second) / float64(simPrefill+simTokens*simGap)
 
 func TestAffinityAgainstLeastInFlight(t *testing.T) {
@@ -17,7 +18,7 @@
 	}
 	hits, p95 := measure(Affinity)
 	baseHits, baseP95 := measure(LeastInFlight)
-	t.Logf("hits %.3f against %.3f, p95 %v against %v", hits, baseHits, p95, baseP95)
+	t.Logf("hit ratio %.3f, baseline %.3f; p95 %v, baseline %v", hits, baseHits, p95, baseP95)
 	if hits < 1.5*baseHits {
 		t.Errorf("got hit ratio %.3f, want at least 1.5 times %.3f", hits, baseHits)
 	}
@@ -26,9 +27,8 @@
 	}
 }
 
-// Symptom: all entries send a burst to the host that their report, seconds
-// old, calls idle. All hosts were equally idle; nothing is known of the others'
-// choices.
+// Entries do not see each other's choices. If all hosts look equally idle in reports
+// that are seconds old, all entries may send a burst to the same host.
 func TestStaleReportDoesNotOverloadOneHost(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	most := 0
@@ -43,8 +43,8 @@
 	}
 }
 
-// Symptom: a tenth of the requests are ten times as slow. One host answers at
-// a tenth of the speed and reports itself well.
+// A host that answers at a tenth of the normal speed but reports itself healthy made
+// a tenth of the requests ten times as slow.
 func TestSlowHostIsEjected(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].gap = 10 * simGap
@@ -59,8 +59,8 @@
 	}
 }
 
-// Symptom: one broken host fails most requests. It fails at once, has nothing
-// in progress and looks idle.
+// A host that fails every request immediately has nothing in progress and looks idle.
+// It attracted most requests, which then failed.
 func TestFastFailingHostIsEjected(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].failing = true
@@ -72,8 +72,8 @@
 	}
 }
 
-// Symptom: a new replica is flooded. It has nothing in progress and everybody
-// finds it cheapest.
+// A new replica has nothing in progress, so every entry finds it cheapest and
+// floods it with requests.
 func TestNewReplicaRampsUp(t *testing.T) {
 	s := newSim(Affinity, 13, 9)
 	s.run(0.8*13*simCapacity, 5*time.Second)
@@ -87,12 +87,12 @@
 		t.Errorf("got %d requests on the new replica in its first 2 s, want at most %.0f", early, most)
 	}
 	if late := fresh.picked - early; float64(late) < 0.4*20*simCapacity {
-		t.Errorf("got %d requests on the new replica later, want a fair part", late)
+		t.Errorf("got %d requests on the new replica later, want a fair share", late)
 	}
 }
 
-// Symptom: a pick that nobody gives back. A host restarts while an attempt
-// runs on it; the new process starts from nothing.
+// If a host restarts during an attempt, the attempt's end must not change the count
+// of the new process, which starts at zero.
 func TestRestartedHostHasNoInFlightAttempts(t *testing.T) {
 	table := NewTable(Options{})
 	before := Host{ID: "h", Incarnation: "1", Version: "v", Slots: 1, Sequence: 9}
@@ -115,9 +115,9 @@
 	}
 }
 
-// Symptom: hosts are overfilled although every report has their load. Our
-// own attempts that began after the report was made and before it arrived are
-// neither in it nor added to it.
+// Hosts were overloaded although every report contained their load: attempts that
+// this entry started between the making of a report and its arrival are not in the
+// report, and were not added to it.
 func TestLoadIncludesAttemptsStartedAfterReport(t *testing.T) {
 	table := NewTable(Options{})
 	report := Host{ID: "h", Incarnation: "1", Version: "v", Slots: 8, Sequence: 1, SeenAt: simStart}
@@ -131,12 +131,12 @@
 	report.Sequence, report.Running, report.SeenAt = 2, 5, simStart.Add(2*time.Second)
 	table.Update(simStart.Add(5*time.Second), []Host{report}, 1)
 	if got, want := table.hosts[0].load(), 7; got != want {
-		t.Errorf("got load %d, want %d: the 5 reported and the 2 begun since", got, want)
+		t.Errorf("got load %d, want %d: the 5 reported and the 2 started since", got, want)
 	}
 }
 
-// Symptom: small customers find every host full. One large customer's requests
-// wait on nine entries, and a report shows some room to all of them.
+// Small customers found every host full: one large customer had requests waiting at
+// nine entries, and each entry filled the free slots shown by the same report.
 func TestLargeCustomerLeavesReservedSlots(t *testing.T) {
 	const entries = 9
 	placed := 0
@@ -157,7 +157,7 @@
 		t.Errorf("got %d requests placed on a report of 64 free slots, want about 48", placed)
 	}
 	if _, reason := tables[0].Pick(simStart, Ask{Versions: []string{"v"}}); reason != Chosen {
-		t.Errorf("got reason %d for a small customer, want room", reason)
+		t.Errorf("got reason %d for a small customer, want a host", reason)
 	}
 }
 
@@ -173,10 +173,10 @@
 	}{
 		{"by version", Ask{Versions: []string{"v1"}}, "a"},
 		{"by adapter", Ask{Versions: []string{"v1", "v2"}, Adapter: "customs"}, "b"},
-		{"by the adapter's version", Ask{Versions: []string{"v2"}, Adapter: "customs", AdapterVersion: "c1"}, ""},
-		{"none of the version", Ask{Versions: []string{"v3"}}, ""},
-		{"not the one that failed", Ask{Versions: []string{"v1", "v2"}, Exclude: []string{"a"}}, "b"},
-		{"the one that failed, for want of another", Ask{Versions: []string{"v1"}, Exclude: []string{"a"}}, "a"},
+		{"by adapter version", Ask{Versions: []string{"v2"}, Adapter: "customs", AdapterVersion: "c1"}, ""},
+		{"version not served", Ask{Versions: []string{"v3"}}, ""},
+		{"excluded host is skipped", Ask{Versions: []string{"v1", "v2"}, Exclude: []string{"a"}}, "b"},
+		{"excluded host is used if no other serves", Ask{Versions: []string{"v1"}, Exclude: []string{"a"}}, "a"},
 	}
 	for _, policy := range []Policy{Affinity, Random, RoundRobin, LeastInFlight} {
 		for _, test := range cases {
@@ -206,13 +206,13 @@
 		want  []string // after the last
 	}{
 		{"first version", []Roll{{Target: "v1"}}, []string{"v1"}},
-		{"as hosts turn", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Serving: serving("v1", "v2")}}, []string{"v2", "v1"}},
-		{"whole", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Whole: true}}, []string{"v2"}},
-		{"whole once, one host lost", []Roll{{Target: "v2", Whole: true}, {Target: "v2"}}, []string{"v2"}},
-		{"when whole", []Roll{{Target: "v1", Whole: true}, {Target: "v2", WhenWhole: true, Serving: serving("v1", "v2")}}, []string{"v1"}},
-		{"when whole, none of the old left", []Roll{{Target: "v1", Whole: true}, {Target: "v2", WhenWhole: true, Serving: serving("v2")}}, []string{"v2", "v1"}},
-		{"changed in mid-roll", []Roll{{Target: "v1", Whole: true}, {Target: "v2"}, {Target: "v3"}}, []string{"v3", "v2", "v1"}},
-		{"started in mid-roll", []Roll{{Target: "v2", Serving: serving("v1", "v1", "v0", "v2")}}, []string{"v2", "v1"}},
+		{"during the rollout", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Serving: serving("v1", "v2")}}, []string{"v2", "v1"}},
+		{"complete rollout", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Whole: true}}, []string{"v2"}},
+		{"complete once, then a host lost", []Roll{{Target: "v2", Whole: true}, {Target: "v2"}}, []string{"v2"}},
+		{"wait for all replicas", []Roll{{Target: "v1", Whole: true}, {Target: "v2", WhenWhole: true, Serving: serving("v1", "v2")}}, []string{"v1"}},
+		{"wait for all replicas, old version no longer served", []Roll{{Target: "v1", Whole: true}, {Target: "v2", WhenWhole: true, Serving: serving("v2")}}, []string{"v2", "v1"}},
+		{"target changed during the rollout", []Roll{{Target: "v1", Whole: true}, {Target: "v2"}, {Target: "v3"}}, []string{"v3", "v2", "v1"}},
+		{"process started during the rollout", []Roll{{Target: "v2", Serving: serving("v1", "v1", "v0", "v2")}}, []string{"v2", "v1"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/relay/route/shift.go
+++ b/relay/route/shift.go
@@ -1,34 +1,34 @@
 package route
 
-// maxOlder bounds the versions remembered from before the target.
+// maxPreviousTargets bounds the former targets that are remembered.
 const maxPreviousTargets = 4
 
-// Roll is the state of one model's move to its target version.
+// Roll is the state of one model's rollout to its target version.
 type Roll struct {
-	Target    string            // the document's version
-	WhenWhole bool              // the document's shift: no caller before every replica is whole
+	Target    string            // version in the document
+	WhenWhole bool              // the document's shift: callers switch only once every replica serves the target
 	Serving   map[string]string // version served, by host
 	Whole     bool              // every planned replica serves the target
 }
 
-// Shift decides which versions of one model callers may get. The zero value is
-// not ready; use NewShift. It is not safe for concurrent use.
+// Shift decides which versions of one model callers may get during a rollout. Use
+// NewShift to create one. It is not safe for concurrent use.
 type Shift struct {
 	target          string
-	complete        bool     // the target was whole once; stays so until the target moves
-	lastComplete    string   // the last version that was whole; empty if none
-	previousTargets []string // targets before this one that hosts may still serve
+	complete        bool     // the rollout to the target was complete once; reset when the target changes
+	lastComplete    string   // the last version whose rollout was complete, or empty
+	previousTargets []string // earlier targets that hosts may still serve, newest first
 }
 
-// NewShift returns a Shift that knows no version.
+// NewShift returns a Shift without a target.
 func NewShift() *Shift { return &Shift{} }
 
-// Allowed returns the versions that may serve now.
+// Allowed returns the versions that may serve now, the preferred one first.
 //
-// The target is always intended. Older ones are until the target is whole: the
-// hosts that have not turned keep the customers served. A process that started
-// in the middle of a roll does not know what was intended before; it takes the
-// version that most hosts serve.
+// The target is always allowed, unless the shift waits for all replicas. Earlier
+// targets are allowed until the rollout is complete, so that hosts which have not
+// switched yet keep serving customers. A process that started during a rollout does
+// not know the earlier target; it assumes the version that most hosts serve.
 func (s *Shift) Allowed(roll Roll) []string {
 	if roll.Target != s.target {
 		s.setTarget(roll)
@@ -45,6 +45,7 @@
 	return append([]string{s.target}, s.previousTargets...)
 }
 
+// setTarget starts a rollout to a new target.
 func (s *Shift) setTarget(roll Roll) {
 	previous := s.target
 	s.target, s.complete = roll.Target, false
@@ -56,8 +57,8 @@
 	s.previousTargets = s.previousTargets[:min(len(s.previousTargets), maxPreviousTargets)]
 }
 
-// adopt takes the version that most hosts serve beside the target as the one
-// from before.
+// inferPreviousVersion takes the version, other than the target, that most hosts
+// serve as the previous target.
 func (s *Shift) inferPreviousVersion(roll Roll) {
 	counts := make(map[string]int)
 	for _, version := range roll.Serving {
@@ -76,6 +77,7 @@
 	}
 }
 
+// isServed reports whether any host serves the version.
 func isServed(hosts map[string]string, version string) bool {
 	for _, served := range hosts {
 		if served == version {
--- a/relay/route/sim_test.go
+++ b/relay/route/sim_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// simHost is a host of the simulation: slots, a small prefix cache, and a
-// speed. It says what it holds and runs only in its reports.
+// simHost is a simulated host with slots, a small prefix cache and a speed. Entries
+// learn its load and cached prefixes only from its reports.
 type simHost struct {
 	id      string
 	gap     time.Duration // between tokens
-	failing bool          // answers at once with an error
+	failing bool          // fails every request immediately
 	running int
-	cache   []uint64 // newest last
-	picked  int      // requests that it got
-	reports []Host   // newest last; entries see one that is old
+	cache   []uint64 // least recently used first
+	picked  int      // requests routed to it
+	reports []Host   // newest last; entries see an older one
 }
 
 // sim runs entries, each with its own Table, against hosts on a virtual clock.
@@ -29,8 +29,8 @@
 	events   simEvents
 	arrived  int
 	hits     int
-	waits    []time.Duration // to the first token
-	rejected int             // requests that found no room
+	waits    []time.Duration // time to first token, by request
+	rejected int             // requests for which no host had capacity
 }
 
 const (
@@ -81,7 +81,8 @@
 	heap.Push(&s.events, simEvent{s.now.Add(wait), do})
 }
 
-// report makes the hosts' reports and shows the entries those of simLag ago.
+// report makes a report of each host and updates the entries with those made simLag
+// ago.
 func (s *sim) report() {
 	var seen []Host
 	for _, host := range s.hosts {
@@ -98,7 +99,7 @@
 	}
 }
 
-// run lets requests arrive at a rate, in requests a second.
+// run simulates requests that arrive at the given rate per second.
 func (s *sim) run(rate float64, length time.Duration) {
 	end := s.now.Add(length)
 	var arrive, report func()
@@ -120,7 +121,8 @@
 	s.events = nil
 }
 
-// request picks a host for a prompt; some prompts are much more common.
+// request routes a prompt with a random prefix. A few prefixes are much more common
+// than the rest.
 func (s *sim) request() {
 	s.arrived++
 	prefix := uint64(s.random.IntN(simPrefixes))
@@ -150,7 +152,8 @@
 	})
 }
 
-// firstToken uses the host's cache and its slots: beyond them requests wait.
+// firstToken returns the time to the first token and updates the host's cache.
+// Requests beyond the slots wait.
 func (s *sim) firstToken(host *simHost, prefix uint64) time.Duration {
 	first := simPrefill
 	if at := slices.Index(host.cache, prefix); at >= 0 {
--- a/relay/route/slow_test.go
+++ b/relay/route/slow_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Symptom: one request in a hundred is ten times as late although every entry
-// leaves the slow host out. Nine entries each probe it every few seconds.
+// One request in a hundred took ten times as long although every entry had ejected
+// the slow host: each of nine entries probed it every few seconds.
 func TestSlowHostProbesAreLimitedAcrossEntries(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].gap = 10 * simGap
@@ -20,9 +20,8 @@
 	}
 }
 
-// Symptom: a host that was slow for a while gets no requests ever after. The
-// answers that it still had when it was left out made it look too expensive to
-// be probed.
+// A host that had been slow for a while never got requests again: answers that it
+// finished after its ejection made it look too expensive to probe.
 func TestRecoveredHostGetsTraffic(t *testing.T) {
 	s := newSim(Affinity, 14, 9)
 	s.hosts[3].gap = 10 * simGap
--- a/relay/route/table.go
+++ b/relay/route/table.go
@@ -13,29 +13,30 @@
 	Policy        Policy
 	Region        string // of this entry
 	FailureDomain string
-	Seed          uint64 // the same seed and events repeat the same choices
+	Seed          uint64 // of random choices; the same seed and events give the same choices
 }
 
-// host is a Host with what this entry knows besides its report. Hosts that
-// stay across updates keep it.
+// hostState is a host's latest report and what this entry observed itself. It is
+// kept across updates while the host runs the same process and version.
 type hostState struct {
 	Host
 	health
-	inFlight int // own attempts in progress
-	// atReport is inFlight when running and queued were learned: our own
-	// attempts since then are not in them.
+	inFlight int // this entry's attempts in progress
+	// inFlightAtReport is the value of inFlight at the time of the reported load.
+	// Attempts that this entry started later are not part of Running and Queued.
 	inFlightAtReport int
-	history          inFlightHistory // of inFlight
-	// allotted is this entry's part of the room for large customers, in
-	// requests. All entries see the same report; if each took the room that it
-	// shows, together they would overfill the host many times.
+	history          inFlightHistory // recent values of inFlight
+	// largeQuota is the number of requests of large customers that this entry may
+	// still start on the host. All entries see the same report: if each used all
+	// free slots that it shows, together they would overload the host many times.
 	largeQuota float64
-	loadAsOf   time.Time // when running and queued were true, by the local clock
+	loadAsOf   time.Time // local time at which Running and Queued were measured
 	limit      *admit.Limit
 }
 
-// load estimates the requests on the host now: the last that is known, and
-// our own changes since. Never less than our own.
+// load estimates the current number of requests on the host: the last reported
+// load plus the change of this entry's own attempts since then. It is never less
+// than this entry's own attempts.
 func (h *hostState) load() int {
 	return max(h.inFlight, h.Running+h.Queued+h.inFlight-h.inFlightAtReport)
 }
@@ -47,7 +48,7 @@
 	return defaultSlots
 }
 
-// Table chooses among the hosts of one model or service. It is not safe for
+// Table selects among the hosts of one model or service. It is not safe for
 // concurrent use.
 type Table struct {
 	options   Options
@@ -56,9 +57,9 @@
 	ring      ring
 	hints     hints
 	random    *rand.Rand
-	nextIndex int // of the round-robin policy
-	entries   int // that share the hosts; at least 1
-	hadHosts  bool
+	nextIndex int  // of the round-robin policy
+	entries   int  // entries that share the hosts; at least 1
+	hadHosts  bool // an update contained hosts; hosts that appear later are ramped up
 	typical   typicalTimes
 }
 
@@ -77,7 +78,7 @@
 // Hosts returns the number of hosts.
 func (t *Table) Hosts() int { return len(t.hosts) }
 
-// InFlight returns this entry's attempts in progress on a host.
+// InFlight returns the number of this entry's attempts in progress on a host.
 func (t *Table) InFlight(id string) int {
 	if host := t.byID[id]; host != nil {
 		return host.inFlight
@@ -85,8 +86,8 @@
 	return 0
 }
 
-// Update takes the hosts that serve the model now, sorted by id, and the
-// number of entries that share them.
+// Update replaces the set of hosts. hosts is sorted by id; entries is the number
+// of entries that share them.
 func (t *Table) Update(now time.Time, hosts []Host, entries int) {
 	t.entries = max(1, entries)
 	changed := len(hosts) != len(t.hosts)
@@ -108,8 +109,9 @@
 	t.ring = newRing(states)
 }
 
-// refresh returns the kept state of a host with its newest report; same is
-// false where it is new, was restarted or turned to another version.
+// updateHost returns the state of a host with its newest report applied.
+// unchanged is false if the host is new, restarted or switched to another
+// version; its state then starts afresh.
 func (t *Table) updateHost(now time.Time, report Host) (state *hostState, unchanged bool) {
 	state = t.byID[report.ID]
 	if state == nil || state.Incarnation != report.Incarnation || state.Version != report.Version {
@@ -128,7 +130,7 @@
 	running, queued := state.Running, state.Queued
 	state.Host = report
 	if report.SeenAt.Before(state.loadAsOf) {
-		state.Running, state.Queued = running, queued // a frame brought later news
+		state.Running, state.Queued = running, queued // a response frame carried a newer load
 		return state, true
 	}
 	state.loadAsOf = report.SeenAt
@@ -137,19 +139,21 @@
 	return state, true
 }
 
-// allot divides the room that a report shows among the entries.
+// setLargeQuota sets this entry's share of the slots that the host's load leaves
+// for large customers.
 func (t *Table) setLargeQuota(now time.Time, host *hostState) {
 	slots := float64(host.slots()) * host.rampFraction(now)
 	host.largeQuota = max(0, host.spareForLarge(slots)) / float64(t.entries)
 }
 
+// addReportedPrefixes records the prefixes that the host reports as cached.
 func (t *Table) addReportedPrefixes(now time.Time, report Host) {
 	for _, prefix := range report.Prefixes {
 		t.hints.add(prefix, report.ID, now.Add(reportHintTTL))
 	}
 }
 
-// Load takes a host's own report of its load, which came with a frame.
+// Load records the load that a host reported in a response frame.
 func (t *Table) Load(now time.Time, id string, running, queued int) {
 	host := t.byID[id]
 	if host == nil {
@@ -161,38 +165,38 @@
 	host.limit.Queue(now, running, queued)
 }
 
-// End is how an attempt ended.
+// End is the outcome of an attempt.
 type End int
 
-// The ends of an attempt.
+// Outcomes of an attempt.
 const (
-	EndAnswered  End = iota // whole
-	EndRefused              // by the agent, for want of room or otherwise
-	EndFailed               // error, time-out or an answer that was cut short
-	EndCancelled            // by us or the caller: says nothing of the host
+	EndAnswered  End = iota // complete answer
+	EndRefused              // refused by the agent, for lack of capacity or another reason
+	EndFailed               // error, timeout or truncated answer
+	EndCancelled            // by this entry or the caller; not counted against the host
 )
 
-// Result is what an attempt showed.
+// Result is the outcome of an attempt and its timings.
 type Result struct {
 	End        End
 	RetryAfter time.Duration // with EndRefused
-	FirstToken time.Duration // from dispatch; 0 while none came
-	TokenGap   time.Duration // mean; 0 while unknown
+	FirstToken time.Duration // from dispatch to the first token; 0 if none arrived
+	TokenGap   time.Duration // mean time between tokens; 0 if unknown
 	Took       time.Duration // from dispatch to the end
 }
 
-// Finish gives back a choice.
+// Finish releases a choice and updates the host's state with the result.
 func (t *Table) Finish(now time.Time, choice Choice, result Result) {
 	host := choice.state
 	host.inFlight--
 	host.history.add(now, host.inFlight)
 	if choice.large {
-		host.largeQuota++ // the place that it had is ours to fill again
+		host.largeQuota++ // this entry may reuse the slot
 	}
 	if result.FirstToken > 0 {
 		host.limit.FirstToken(now, result.FirstToken)
-		// Where requests waited for a slot, the wait would pass for the cost
-		// of a cold prefix, and affinity would hold on to the fullest hosts.
+		// If no slot was free, the time includes queueing. Counted as the cost of
+		// a cold prefix, it would make affinity prefer the most loaded hosts.
 		if choice.hadFreeSlot {
 			t.typical.recordFirstToken(choice.affinity, result.FirstToken)
 		}
@@ -214,9 +218,9 @@
 	}
 }
 
-// Speed takes the time between tokens of an answer that is still coming: a
-// slow host is noticed long before its first answer is whole. It reports
-// whether the host is left out as slow, so that the answer may go on elsewhere.
+// Speed records the time between tokens of an answer in progress, so that a slow
+// host is detected long before its first answer is complete. It reports whether
+// the host is ejected as slow, in which case the answer may continue on another.
 func (t *Table) Speed(now time.Time, choice Choice, gap time.Duration) (slow bool) {
 	host := choice.state
 	host.recordTokenGap(gap)
@@ -226,8 +230,9 @@
 	return host.slowUntil.After(now) && float64(gap)/float64(time.Millisecond) > slowRatio*t.medianGapMillis()
 }
 
-// judgeSlow ejects a host whose tokens come several times slower than the
-// median host's: it reports healthy, and only its answers show it.
+// ejectIfSlow ejects a host whose time between tokens is several times the median
+// of all hosts. Such a host reports itself healthy; only its answers show it. At
+// most a third of the hosts, but at least one, may be ejected at a time.
 func (t *Table) ejectIfSlow(now time.Time, host *hostState) (slow bool) {
 	if host.gapSamples < minSlowSamples || len(t.hosts) < minHostsForSlow {
 		return false
@@ -244,6 +249,8 @@
 	return true
 }
 
+// medianGapMillis returns the median time between tokens over all hosts, or 0 if
+// too few hosts have been measured.
 func (t *Table) medianGapMillis() float64 {
 	gaps := make([]float64, 0, len(t.hosts))
 	for _, host := range t.hosts {
@@ -258,6 +265,7 @@
 	return gaps[(len(gaps)-1)/2]
 }
 
+// countEjected returns the number of hosts ejected at the moment.
 func (t *Table) countEjected(now time.Time) int {
 	ejected := 0
 	for _, host := range t.hosts {
@@ -268,14 +276,15 @@
 	return ejected
 }
 
-// Service estimates how long an attempt of so many tokens takes on a typical
-// host; 0 while unknown.
+// Service estimates the duration of an attempt that generates up to the given
+// number of tokens on a typical host. It returns 0 if unknown.
 func (t *Table) Service(now time.Time, tokens int) time.Duration {
 	return t.typical.serviceTime(now, tokens)
 }
 
-// FirstToken returns the typical time to the first token; 0 while unknown.
+// FirstToken returns the typical time to the first token without a cached
+// prefix, or 0 if unknown.
 func (t *Table) FirstToken() time.Duration { return millisToDuration(t.typical.missMillis) }
 
-// TokenGap returns the typical time between tokens; 0 while unknown.
+// TokenGap returns the typical time between tokens, or 0 if unknown.
 func (t *Table) TokenGap() time.Duration { return millisToDuration(t.typical.gapMillis) }
