--- a/relay/route/history.go
+++ b/relay/route/history.go
@@ -19,16 +19,16 @@
 	inFlight int // number from then on
 }
 
-func (t *inFlightHistory) add(now time.Time, inFlight int) {
-	t.samples[t.next] = inFlightChange{now, inFlight}
-	t.next = (t.next + 1) % historyLength
+func (h *inFlightHistory) add(now time.Time, inFlight int) {
+	h.samples[h.next] = inFlightChange{now, inFlight}
+	h.next = (h.next + 1) % historyLength
 }
 
 // at returns the number of attempts in progress at a time, or 0 for a time before
 // the oldest sample.
-func (t *inFlightHistory) at(when time.Time) int {
+func (h *inFlightHistory) at(when time.Time) int {
 	for back := 1; back <= historyLength; back++ {
-		sample := t.samples[(t.next+historyLength-back)%historyLength]
+		sample := h.samples[(h.next+historyLength-back)%historyLength]
 		if sample.at.IsZero() || !sample.at.After(when) {
 			return sample.inFlight
 		}
