--- a/relay/route/route_test.go
+++ b/relay/route/route_test.go
@@ -207,7 +207,7 @@
 	}{
 		{"first version", []Roll{{Target: "v1"}}, []string{"v1"}},
 		{"during the rollout", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Serving: serving("v1", "v2")}}, []string{"v2", "v1"}},
-		{"complete rollout", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Whole: true}}, []string{"v2"}},
+		{"whole", []Roll{{Target: "v1", Whole: true}, {Target: "v2", Whole: true}}, []string{"v2"}},
 		{"complete once, then a host lost", []Roll{{Target: "v2", Whole: true}, {Target: "v2"}}, []string{"v2"}},
 		{"wait for all replicas", []Roll{{Target: "v1", Whole: true}, {Target: "v2", WhenWhole: true, Serving: serving("v1", "v2")}}, []string{"v1"}},
 		{"wait for all replicas, old version no longer served", []Roll{{Target: "v1", Whole: true}, {Target: "v2", WhenWhole: true, Serving: serving("v2")}}, []string{"v2", "v1"}},
