--- a/relay/attempt/attempt.go
+++ b/relay/attempt/attempt.go
@@ -89,11 +89,11 @@
 const (
 	// maxStep is the most that the memory's age grows in one step, whatever the
 	// clock says.
-	maxStep = 2 * time.Second
+	maxAgeStep = 2 * time.Second
 	// attemptsPerRequest bounds what one request may cost.
 	attemptsPerRequest = 16
 	// reserve is the share of Limits.Requests in which nothing begins.
-	reserve = 8
+	reserveDivisor = 8
 )
 
 // Limits bound the memory.
@@ -112,7 +112,7 @@
 	state  State
 	// once marks the request as not repeatable. Where such an attempt is
 	// Running or Ended, no other of its request is.
-	once bool
+	nonRepeatable bool
 }
 
 type request struct {
@@ -132,12 +132,12 @@
 	requests map[ID]*request
 	expiries []expiry      // sorted by at; may hold outdated items
 	age      time.Duration // time awake; never falls
-	last     time.Time     // of the last step
+	lastStep time.Time     // of the last step
 }
 
 // NewMemory returns an empty Memory.
 func NewMemory(limits Limits, now time.Time) *Memory {
-	return &Memory{limits: limits, requests: map[ID]*request{}, last: now}
+	return &Memory{limits: limits, requests: map[ID]*request{}, lastStep: now}
 }
 
 // Len returns how many requests are remembered.
@@ -146,9 +146,9 @@
 // Step moves the memory's age on and forgets what is past its retention. It is
 // called several times a second.
 func (m *Memory) Step(now time.Time) {
-	passed := now.Sub(m.last)
-	m.last = now
-	m.age += min(max(passed, 0), maxStep)
+	elapsed := now.Sub(m.lastStep)
+	m.lastStep = now
+	m.age += min(max(elapsed, 0), maxAgeStep)
 	m.expire()
 }
 
@@ -156,11 +156,11 @@
 	for len(m.expiries) > 0 && m.expiries[0].at <= m.age {
 		due := m.expiries[0]
 		m.expiries = m.expiries[1:]
-		m.expireOne(due.id)
+		m.expireRequest(due.id)
 	}
 }
 
-func (m *Memory) expireOne(id ID) {
+func (m *Memory) expireRequest(id ID) {
 	req, ok := m.requests[id]
 	if !ok {
 		return
@@ -189,23 +189,23 @@
 func (m *Memory) Begin(id ID, number uint32, repeatable bool) Verdict {
 	req := m.requests[id]
 	if req != nil {
-		if verdict, known := req.known(number); known {
+		if verdict, seen := req.verdictFor(number); seen {
 			return verdict
 		}
 		// A cancel at the endpoint names the request, not the attempt, so two
 		// attempts of one request never run side by side on one host.
-		if begun, once := req.begun(); req.running > 0 || begun > 0 && (once || !repeatable) {
+		if started, nonRepeatable := req.countStarted(); req.running > 0 || started > 0 && (nonRepeatable || !repeatable) {
 			return BegunBefore
 		}
 		if len(req.attempts) >= attemptsPerRequest {
 			return Overfull
 		}
 	}
-	if req == nil && len(m.requests) >= m.limits.Requests-m.limits.Requests/reserve {
+	if req == nil && len(m.requests) >= m.limits.Requests-m.limits.Requests/reserveDivisor {
 		return m.refuseFull(id, number)
 	}
 	req = m.touch(id)
-	req.attempts = append(req.attempts, record{number: number, state: Running, once: !repeatable})
+	req.attempts = append(req.attempts, record{number: number, state: Running, nonRepeatable: !repeatable})
 	req.running++
 	return Begin
 }
@@ -219,20 +219,20 @@
 
 // begun counts the attempts that may have run and reports whether one of them
 // was marked not repeatable.
-func (r *request) begun() (count int, once bool) {
+func (r *request) countStarted() (count int, nonRepeatable bool) {
 	for _, rec := range r.attempts {
 		if rec.state == Running || rec.state == Ended {
 			count++
-			once = once || rec.once
+			nonRepeatable = nonRepeatable || rec.nonRepeatable
 		}
 	}
-	return count, once
+	return count, nonRepeatable
 }
 
 // known returns the verdict on an attempt that was seen before.
 //
 // Rule REFUSED of spec/once.pml.
-func (r *request) known(number uint32) (Verdict, bool) {
+func (r *request) verdictFor(number uint32) (Verdict, bool) {
 	for _, rec := range r.attempts {
 		if rec.number != number {
 			continue
@@ -315,7 +315,7 @@
 	if !ok {
 		return ""
 	}
-	if begun, once := req.begun(); once && begun > 1 {
+	if started, nonRepeatable := req.countStarted(); nonRepeatable && started > 1 {
 		return "a request that is not repeatable began twice"
 	}
 	running := 0
--- a/relay/attempt/attempt_test.go
+++ b/relay/attempt/attempt_test.go
@@ -54,7 +54,7 @@
 }
 
 // reference is the plainest memory that could be right: it forgets nothing.
-type reference struct {
+type referenceMemory struct {
 	begun, ended, refused, buried map[string]bool
 }
 
@@ -62,13 +62,13 @@
 // called not run runs later. Sequence: deliveries, doubled and late, cancels,
 // ends and waits in any order, within the retention. Cause: a memory that
 // forgets, or that takes one attempt for another.
-func TestAgainstReference(t *testing.T) {
+func TestMemoryAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		mem := NewMemory(Limits{Retention: time.Hour, Requests: 64}, now)
-		ref := reference{map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
+		ref := referenceMemory{map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 		ran := map[string]int{} // attempts of a request that may have run
-		once := map[string]bool{"a": true, "b": true, "c": false}
+		nonRepeatable := map[string]bool{"a": true, "b": true, "c": false}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			number := rapid.Uint32Range(0, 3).Draw(t, "attempt")
@@ -76,7 +76,7 @@
 			running := ref.begun[key] && !ref.ended[key] && !ref.refused[key]
 			switch rapid.SampledFrom([]string{"begin", "begin", "end", "cancel", "wait"}).Draw(t, "event") {
 			case "begin":
-				verdict := mem.Begin(ParseID(id), number, !once[id])
+				verdict := mem.Begin(ParseID(id), number, !nonRepeatable[id])
 				if verdict != Begin {
 					if verdict != Duplicate && verdict != RefusedBefore && verdict != Tombstone {
 						continue
@@ -89,21 +89,21 @@
 				if ref.begun[key] || ref.buried[key] {
 					t.Fatalf("%s began although it had begun or was cancelled", key)
 				}
-				if once[id] && ran[id] > 0 {
+				if nonRepeatable[id] && ran[id] > 0 {
 					t.Fatalf("%s began although the request may have run", key)
 				}
 				ref.begun[key] = true
 				ran[id]++
 			case "end":
-				proved := rapid.Bool().Draw(t, "unrun")
-				if got, want := mem.End(ParseID(id), number, !proved), running; got != want {
+				provedUnrun := rapid.Bool().Draw(t, "unrun")
+				if got, want := mem.End(ParseID(id), number, !provedUnrun), running; got != want {
 					t.Fatalf("end of %s: got %v, want %v", key, got, want)
 				}
 				if !running {
 					continue
 				}
-				ref.ended[key], ref.refused[key] = !proved, proved
-				if proved {
+				ref.ended[key], ref.refused[key] = !provedUnrun, provedUnrun
+				if provedUnrun {
 					ran[id]--
 				}
 			case "cancel":
@@ -121,8 +121,8 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 10).Draw(t, "seconds")) * time.Second)
 				mem.Step(now)
 			}
-			if broken := mem.Check(ParseID(id)); broken != "" {
-				t.Fatalf("%s: %s", key, broken)
+			if violation := mem.Check(ParseID(id)); violation != "" {
+				t.Fatalf("%s: %s", key, violation)
 			}
 		}
 	})
