--- a/relay/attempt/attempt.go
+++ b/relay/attempt/attempt.go
@@ -1,22 +1,23 @@
-// Package attempt is an agent's memory of the attempts it was given: it decides
-// whether one may begin, so that a late or doubled delivery, or one that was
-// cancelled before it arrived, is not run.
+// Package attempt keeps an agent's record of the attempts delivered to it. It
+// decides whether an attempt may begin, so that a late or duplicate delivery, or
+// one that was cancelled before it arrived, is not executed.
 //
-// Rules, of which some are in spec/once.pml too:
+// The rules below are enforced here; the names in capitals refer to the model in
+// spec/once.pml:
 //
 //   - An attempt begins at most once (ONCEONLY).
 //   - An attempt that was cancelled before it began never begins
 //     (TOMBSTONE).
-//   - Of a request that is not repeatable one attempt begins, and another only
-//     where the endpoint proved that it had not run the first (beginOnce).
+//   - Of a request that is not repeatable only one attempt begins, unless the
+//     endpoint proved that it had not run that attempt (beginOnce).
 //   - A refusal is remembered like a tombstone: a second delivery of an attempt
 //     that was answered as not run is not run either (REFUSED).
-//   - Memory is bounded in time and in count. Where the count is reached, new
-//     work is refused; what is remembered is not forgotten early.
+//   - Memory is bounded in time and in size. When the size limit is reached, new
+//     work is refused; nothing is forgotten early to make room.
 //
-// Time is measured by the steps in which the process was awake: a process that
-// was paused for long finds late deliveries in its socket buffers when it
-// wakes, and the tombstones that answer them must not have lapsed meanwhile.
+// Time is counted only while the process is awake. A process that was paused for
+// long finds late deliveries in its socket buffers when it resumes, and the
+// tombstones that refuse them must not have expired in the meantime.
 package attempt
 
 import (
@@ -26,10 +27,10 @@
 	"github.com/zeebo/blake3"
 )
 
-// ID names a request in 16 bytes: the UUID itself, else a hash of the text.
+// ID identifies a request: the UUID itself, or a hash of a request id that is not one.
 type ID [16]byte
 
-// ParseID returns the ID of a request id of any form.
+// ParseID returns the ID of a request id in any format.
 func ParseID(text string) ID {
 	if id, err := uuid.Parse(text); err == nil {
 		return ID(id)
@@ -38,26 +39,26 @@
 	return ID(sum[:16])
 }
 
-// Verdict says whether an attempt may begin.
+// Verdict tells whether an attempt may begin and, if not, why.
 type Verdict int
 
 // The verdicts.
 const (
-	// Begin: run it.
+	// Begin: run the attempt.
 	Begin Verdict = iota
-	// Duplicate: the same attempt was delivered before and runs or ran.
+	// Duplicate: this attempt was delivered before, and runs or ran.
 	Duplicate
-	// RefusedBefore: the same attempt was delivered before and proved unrun.
+	// RefusedBefore: this attempt was delivered before and proved not run.
 	RefusedBefore
-	// Tombstone: it was cancelled before it arrived.
+	// Tombstone: the attempt was cancelled before it arrived.
 	Tombstone
-	// BegunBefore: another attempt of the request runs, or may have run while
-	// the request is not repeatable.
+	// BegunBefore: another attempt of the request is running, or may have run and the
+	// request is not repeatable.
 	BegunBefore
-	// Full: the memory holds as much as it may; the refusal is remembered.
+	// Full: the size limit is reached; the refusal is remembered.
 	Full
-	// Overfull: not even the refusal could be remembered, so that a second
-	// delivery may begin: nothing is proved of this one.
+	// Overfull: the size limit is reached and the refusal could not be remembered.
+	// A second delivery may begin, so the attempt is not proved unrun.
 	Overfull
 )
 
@@ -66,18 +67,18 @@
 	return [...]string{"begin", "duplicate", "refusedBefore", "tombstone", "begunBefore", "full", "overfull"}[v]
 }
 
-// State is what the memory knows of one attempt.
+// State is the recorded state of an attempt.
 type State int
 
 // The states of an attempt.
 const (
-	// Buried: a tombstone; it never began and never will.
+	// Buried: cancelled before it began; it never will.
 	Buried State = iota
-	// Running: it began and has not ended.
+	// Running: begun and not ended.
 	Running
-	// Ended: it began and ended, or may have.
+	// Ended: begun, and ended or possibly ended.
 	Ended
-	// Refused: the endpoint proved that it did not run it.
+	// Refused: the endpoint proved that it did not run the attempt.
 	Refused
 )
 
@@ -87,52 +88,56 @@
 }
 
 const (
-	// maxStep is the most that the memory's age grows in one step, whatever the
-	// clock says.
+	// maxAgeStep is the most by which one Step advances the memory's age, whatever
+	// the clock says.
 	maxAgeStep = 2 * time.Second
-	// attemptsPerRequest bounds what one request may cost.
+	// attemptsPerRequest bounds the attempts recorded for one request.
 	attemptsPerRequest = 16
-	// reserve is the share of Limits.Requests in which nothing begins.
+	// reserveDivisor sets the part of Limits.Requests, one in this many, that is
+	// reserved for tombstones and refusals.
 	reserveDivisor = 8
 )
 
-// Limits bound the memory.
+// Limits bounds the memory.
 type Limits struct {
-	// Retention is how long an attempt is remembered after its last event, in
-	// time awake. It exceeds the longest deadline by a margin for deliveries
-	// that hang in the network.
+	// Retention is how long an attempt is remembered after its last event, counted
+	// while the process is awake. It exceeds the longest deadline by a margin for
+	// deliveries that are delayed in the network.
 	Retention time.Duration
-	// Requests bounds the requests remembered. The last eighth is kept for
-	// tombstones and refusals.
+	// Requests bounds the number of requests remembered. The last eighth is reserved
+	// for tombstones and refusals.
 	Requests int
 }
 
+// record is the state of one attempt.
 type record struct {
 	number uint32
 	state  State
-	// once marks the request as not repeatable. Where such an attempt is
-	// Running or Ended, no other of its request is.
+	// nonRepeatable marks the request as not repeatable. If such an attempt is Running
+	// or Ended, no other attempt of its request is.
 	nonRepeatable bool
 }
 
+// request holds the attempts of one request.
 type request struct {
 	attempts []record      // at most attemptsPerRequest
-	expires  time.Duration // by the memory's age; later with each event
-	running  int           // attempts in state Running; such a request never expires
+	expires  time.Duration // in terms of the memory's age; moved on by each event
+	running  int           // attempts in state Running; a request with any never expires
 }
 
+// expiry is an item of the expiry queue.
 type expiry struct {
 	id ID
 	at time.Duration
 }
 
-// Memory remembers attempts. Its owner serialises the calls.
+// Memory remembers attempts. It is not safe for concurrent use.
 type Memory struct {
 	limits   Limits
 	requests map[ID]*request
-	expiries []expiry      // sorted by at; may hold outdated items
-	age      time.Duration // time awake; never falls
-	lastStep time.Time     // of the last step
+	expiries []expiry      // sorted by at; may contain outdated items
+	age      time.Duration // time awake; never decreases
+	lastStep time.Time
 }
 
 // NewMemory returns an empty Memory.
@@ -140,10 +145,10 @@
 	return &Memory{limits: limits, requests: map[ID]*request{}, lastStep: now}
 }
 
-// Len returns how many requests are remembered.
+// Len returns the number of requests remembered.
 func (m *Memory) Len() int { return len(m.requests) }
 
-// Step moves the memory's age on and forgets what is past its retention. It is
+// Step advances the memory's age and forgets attempts past their retention. It is
 // called several times a second.
 func (m *Memory) Step(now time.Time) {
 	elapsed := now.Sub(m.lastStep)
@@ -160,6 +165,7 @@
 	}
 }
 
+// expireRequest forgets a request if it is due, and otherwise queues it again.
 func (m *Memory) expireRequest(id ID) {
 	req, ok := m.requests[id]
 	if !ok {
@@ -182,8 +188,8 @@
 	return m.expiries[len(m.expiries)-1].at
 }
 
-// Begin judges the delivery of an attempt and, with verdict Begin, remembers
-// that it runs. The caller reports the end with End.
+// Begin decides on the delivery of an attempt and, if the verdict is Begin, records
+// that it is running. The caller reports its end with End.
 //
 // Rule ONCEONLY of spec/once.pml.
 func (m *Memory) Begin(id ID, number uint32, repeatable bool) Verdict {
@@ -210,6 +216,8 @@
 	return Begin
 }
 
+// refuseFull refuses an attempt for lack of space and leaves a tombstone for it, if
+// the reserve has space for one.
 func (m *Memory) refuseFull(id ID, number uint32) Verdict {
 	if _, stored := m.Cancel(id, number); !stored {
 		return Overfull
@@ -217,8 +225,8 @@
 	return Full
 }
 
-// begun counts the attempts that may have run and reports whether one of them
-// was marked not repeatable.
+// countStarted returns the number of attempts that may have run, and whether one of
+// them was marked not repeatable.
 func (r *request) countStarted() (count int, nonRepeatable bool) {
 	for _, rec := range r.attempts {
 		if rec.state == Running || rec.state == Ended {
@@ -229,7 +237,7 @@
 	return count, nonRepeatable
 }
 
-// known returns the verdict on an attempt that was seen before.
+// verdictFor returns the verdict on an attempt that was recorded before.
 //
 // Rule REFUSED of spec/once.pml.
 func (r *request) verdictFor(number uint32) (Verdict, bool) {
@@ -249,7 +257,7 @@
 	return Begin, false
 }
 
-// touch returns the request and moves its expiry.
+// touch returns the request, created if necessary, with its expiry renewed.
 func (m *Memory) touch(id ID) *request {
 	req, ok := m.requests[id]
 	if !ok {
@@ -261,9 +269,9 @@
 	return req
 }
 
-// End reports how a begun attempt ended. With ran false the endpoint proved
-// that it did not run it, and another attempt may begin. End returns false
-// where no such attempt runs, which is an error of the caller.
+// End records how a begun attempt ended. ran is false if the endpoint proved that it
+// did not run the attempt, in which case another one may begin. End returns false if
+// no such attempt is running, which is an error of the caller.
 func (m *Memory) End(id ID, number uint32, ran bool) bool {
 	req, ok := m.requests[id]
 	if !ok {
@@ -285,9 +293,9 @@
 	return false
 }
 
-// Cancel leaves a tombstone for an attempt that has not begun, and returns what
-// is known of it. stored is false where the memory is full: then nothing may be
-// concluded, because the attempt may still begin.
+// Cancel leaves a tombstone for an attempt that has not begun, and returns the
+// attempt's state. stored is false if there was no space; the attempt may then still
+// begin, so the state says nothing.
 //
 // Rule TOMBSTONE of spec/once.pml.
 func (m *Memory) Cancel(id ID, number uint32) (state State, stored bool) {
@@ -309,7 +317,7 @@
 	return Buried, true
 }
 
-// Check returns a description of a broken invariant, or nothing.
+// Check returns a description of a violated invariant, or "".
 func (m *Memory) Check(id ID) string {
 	req, ok := m.requests[id]
 	if !ok {
--- a/relay/attempt/attempt_test.go
+++ b/relay/attempt/attempt_test.go
@@ -53,15 +53,15 @@
 	})
 }
 
-// reference is the plainest memory that could be right: it forgets nothing.
+// referenceMemory is the simplest correct memory: it forgets nothing.
 type referenceMemory struct {
 	begun, ended, refused, buried map[string]bool
 }
 
-// Symptom: a request marked not repeatable runs twice, or an attempt that was
-// called not run runs later. Sequence: deliveries, doubled and late, cancels,
-// ends and waits in any order, within the retention. Cause: a memory that
-// forgets, or that takes one attempt for another.
+// A request that is not repeatable must not run twice, and an attempt reported as not
+// run must not run later. The memory could fail at this by forgetting, or by mistaking
+// one attempt for another, when duplicate and late deliveries, cancels, ends and waits
+// come in any order within the retention.
 func TestMemoryAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -82,7 +82,7 @@
 						continue
 					}
 					if !ref.begun[key] && !ref.buried[key] {
-						t.Fatalf("%s: %v for an attempt never seen", key, verdict)
+						t.Fatalf("%s: got verdict %v for an attempt never delivered", key, verdict)
 					}
 					continue
 				}
@@ -112,7 +112,7 @@
 					t.Fatalf("cancel of %s was not stored", key)
 				}
 				if unrun := state == Buried || state == Refused; unrun == (running || ref.ended[key]) {
-					t.Fatalf("cancel of %s says %v, running %v, ended %v", key, state, running, ref.ended[key])
+					t.Fatalf("cancel of %s returned %v, running %v, ended %v", key, state, running, ref.ended[key])
 				}
 				if state == Buried {
 					ref.buried[key] = true
