--- a/relay/fence/fence_test.go
+++ b/relay/fence/fence_test.go
@@ -36,11 +36,11 @@
 // planners, among them woken ones, arrive in any order, mixed with restarts of
 // the agent and lagging statuses of an engine that keeps the number. Cause: a
 // guard that forgets or compares numbers wrongly.
-func TestNeverObeysLower(t *testing.T) {
+func TestGuardNeverObeysOlderNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		guard := NewGuard()
-		engine := uint64(0) // fence that the engine keeps over restarts
-		obeyed := Number{}  // highest obeyed in this incarnation
+		engineFence := uint64(0) // fence that the engine keeps over restarts
+		obeyed := Number{}       // highest obeyed in this incarnation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"order", "order", "learn", "lag", "restart"}).Draw(t, "event") {
 			case "order":
@@ -48,17 +48,17 @@
 				if guard.Admit(order) != Obey {
 					continue
 				}
-				if order.Less(obeyed) || order.Fence() < engine {
-					t.Fatalf("obeyed %v after %v, engine at %d", order, obeyed, engine)
+				if order.Less(obeyed) || order.Fence() < engineFence {
+					t.Fatalf("obeyed %v after %v, engine at %d", order, obeyed, engineFence)
 				}
-				obeyed, engine = order, order.Fence()
+				obeyed, engineFence = order, order.Fence()
 			case "learn":
-				guard.Learn(engine)
+				guard.Learn(engineFence)
 			case "lag":
-				guard.Learn(rapid.Uint64Range(0, engine).Draw(t, "old"))
+				guard.Learn(rapid.Uint64Range(0, engineFence).Draw(t, "old"))
 				// A first status that is older than the engine's last order is
 				// what the engine itself guards against, not this package.
-				engine = max(guard.Highest().Fence(), obeyed.Fence())
+				engineFence = max(guard.Highest().Fence(), obeyed.Fence())
 			case "restart":
 				guard, obeyed = NewGuard(), Number{}
 			}
