--- a/relay/admit/limit.go
+++ b/relay/admit/limit.go
@@ -9,15 +9,15 @@
 
 // Constants of a Limit.
 const (
-	minLimit     = 1
-	maxLimit     = 1024
-	startLimit   = 4
-	decrease     = 0.8             // factor at a sign of overload
-	decreaseGap  = time.Second / 4 // signs within it count once
-	slowFactor   = 2.5             // first token later than this times the best is a sign
-	slowMargin   = 50.0            // and at least this many milliseconds later
-	queuedRatio  = 0.25            // queue per running request that is a sign
-	smoothFactor = 0.2             // weight of a new first-token sample
+	minLimit             = 1
+	maxLimit             = 1024
+	initialLimit         = 4
+	decreaseFactor       = 0.8             // factor at a sign of overload
+	decreaseInterval     = time.Second / 4 // signs within it count once
+	slowFirstTokenFactor = 2.5             // first token later than this times the best is a sign
+	slowFirstTokenMargin = 50.0            // and at least this many milliseconds later
+	maxQueuedRatio       = 0.25            // queue per running request that is a sign
+	firstTokenSmoothing  = 0.2             // weight of a new first-token sample
 )
 
 // Limit adapts a concurrency limit: it grows by one for each round of requests
@@ -26,20 +26,20 @@
 // it takes at once, first tokens much later than the best. It is not safe for
 // concurrent use.
 type Limit struct {
-	limit       float64   // between minLimit and maxLimit
-	timed       bool      // first-token times count: the engine reports no slots
-	best        float64   // lowest first-token time, milliseconds; 0: none yet
-	smooth      float64   // smoothed first-token time, milliseconds
-	decreasedAt time.Time // last decrease
+	limit          float64   // between minLimit and maxLimit
+	useFirstToken  bool      // first-token times count: the engine reports no slots
+	bestMillis     float64   // lowest first-token time, milliseconds; 0: none yet
+	smoothedMillis float64   // smoothed first-token time, milliseconds
+	lastDecrease   time.Time // last decrease
 }
 
 // NewLimit returns a Limit; slots is the engine's own number, 0 where unknown.
 func NewLimit(slots int) *Limit {
-	start := float64(startLimit)
+	start := float64(initialLimit)
 	if slots > 0 {
 		start = math.Max(minLimit, float64(slots))
 	}
-	return &Limit{limit: start, timed: slots <= 0}
+	return &Limit{limit: start, useFirstToken: slots <= 0}
 }
 
 // Allows reports whether one more request may start beside inFlight others.
@@ -52,46 +52,46 @@
 // for good: one that rose with what is usual would take a queue of our own
 // making for the host's nature.
 func (l *Limit) FirstToken(now time.Time, took time.Duration) {
-	if !l.timed {
+	if !l.useFirstToken {
 		return
 	}
 	sample := float64(took) / float64(time.Millisecond)
-	if l.best == 0 || sample < l.best {
-		l.best = sample
+	if l.bestMillis == 0 || sample < l.bestMillis {
+		l.bestMillis = sample
 	}
-	if l.smooth == 0 {
-		l.smooth = sample
+	if l.smoothedMillis == 0 {
+		l.smoothedMillis = sample
 	}
-	l.smooth += smoothFactor * (sample - l.smooth)
-	if l.smooth > l.best*slowFactor && l.smooth > l.best+slowMargin {
-		l.shrink(now)
+	l.smoothedMillis += firstTokenSmoothing * (sample - l.smoothedMillis)
+	if l.smoothedMillis > l.bestMillis*slowFirstTokenFactor && l.smoothedMillis > l.bestMillis+slowFirstTokenMargin {
+		l.decrease(now)
 	}
 }
 
 // Queue takes the engine's own report of its load.
 func (l *Limit) Queue(now time.Time, running, queued int) {
-	if float64(queued) > math.Max(1, queuedRatio*float64(running)) {
-		l.shrink(now)
+	if float64(queued) > math.Max(1, maxQueuedRatio*float64(running)) {
+		l.decrease(now)
 	}
 }
 
 // Refused takes a refusal for want of room.
-func (l *Limit) Refused(now time.Time) { l.shrink(now) }
+func (l *Limit) Refused(now time.Time) { l.decrease(now) }
 
 // Done takes a whole answer; inFlight counts the requests beside it.
 func (l *Limit) Done(now time.Time, inFlight int) {
-	needed := inFlight+1 >= int(l.limit)
-	recent := now.Sub(l.decreasedAt) < decreaseGap
-	if !needed || recent {
+	limited := inFlight+1 >= int(l.limit)
+	recent := now.Sub(l.lastDecrease) < decreaseInterval
+	if !limited || recent {
 		return
 	}
 	l.limit = math.Min(maxLimit, l.limit+1/l.limit)
 }
 
-func (l *Limit) shrink(now time.Time) {
-	if now.Sub(l.decreasedAt) < decreaseGap {
+func (l *Limit) decrease(now time.Time) {
+	if now.Sub(l.lastDecrease) < decreaseInterval {
 		return
 	}
-	l.decreasedAt = now
-	l.limit = math.Max(minLimit, l.limit*decrease)
+	l.lastDecrease = now
+	l.limit = math.Max(minLimit, l.limit*decreaseFactor)
 }
--- a/relay/admit/limit_test.go
+++ b/relay/admit/limit_test.go
@@ -7,7 +7,7 @@
 
 // serve simulates a host with slots that runs as much as the limit allows, for
 // some rounds of 100 ms, and returns the limit.
-func serve(limit *Limit, slots, rounds int, queued bool) int {
+func simulate(limit *Limit, slots, rounds int, queued bool) int {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	for range rounds {
 		now = now.Add(100 * time.Millisecond)
@@ -25,10 +25,10 @@
 	return limit.Current()
 }
 
-func TestLimitFindsTheHostsRoom(t *testing.T) {
+func TestLimitConvergesToSlots(t *testing.T) {
 	for _, slots := range []int{4, 16, 64} {
 		for _, queued := range []bool{true, false} {
-			got := serve(NewLimit(0), slots, 4000, queued)
+			got := simulate(NewLimit(0), slots, 4000, queued)
 			if got < slots/2 || got > 2*slots+2 {
 				t.Errorf("slots %d, queue reported %t: got limit %d, want near the slots", slots, queued, got)
 			}
@@ -42,7 +42,7 @@
 	limit := NewLimit(16)
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	for range 100 {
-		now = now.Add(decreaseGap)
+		now = now.Add(decreaseInterval)
 		limit.Refused(now)
 	}
 	if got := limit.Current(); got != minLimit {
