--- a/relay/retry/backoff.go
+++ b/relay/retry/backoff.go
@@ -14,10 +14,10 @@
 // doubles with each, and random (in [0,1)) picks the upper half of it: callers
 // that failed together would otherwise return together.
 func Backoff(attempt int, random float64) time.Duration {
-	wait := firstBackoff
-	for i := 2; i < attempt && wait < maxBackoff; i++ {
-		wait *= 2
+	backoff := firstBackoff
+	for i := 2; i < attempt && backoff < maxBackoff; i++ {
+		backoff *= 2
 	}
-	wait = min(wait, maxBackoff)
-	return wait/2 + time.Duration(random*float64(wait/2))
+	backoff = min(backoff, maxBackoff)
+	return backoff/2 + time.Duration(random*float64(backoff/2))
 }
--- a/relay/retry/retry_test.go
+++ b/relay/retry/retry_test.go
@@ -17,18 +17,18 @@
 			retries++
 		}
 	}
-	if most := 0.2*requests + startSaved; float64(retries) > most {
+	if most := 0.2*requests + initialAvailable; float64(retries) > most {
 		t.Errorf("got %d retries, want at most %.0f", retries, most)
 	}
 }
 
 func TestBackoffGrowsWithinBounds(t *testing.T) {
-	last := time.Duration(0)
+	previous := time.Duration(0)
 	for attempt := 2; attempt < 12; attempt++ {
 		low, high := Backoff(attempt, 0), Backoff(attempt, 0.999)
-		if low < last || high > maxBackoff || low > high {
+		if low < previous || high > maxBackoff || low > high {
 			t.Errorf("attempt %d: got %v to %v, want growing up to %v", attempt, low, high, maxBackoff)
 		}
-		last = low
+		previous = low
 	}
 }
--- a/relay/retry/window.go
+++ b/relay/retry/window.go
@@ -6,7 +6,7 @@
 )
 
 // windowParts is the buckets that a Window keeps its counts in.
-const windowParts = 10
+const windowBuckets = 10
 
 // Window bounds the sends beyond the first of each request over a sliding
 // window, as this process's part of a bound for all: a ratio of the requests
@@ -16,9 +16,9 @@
 	span time.Duration
 
 	mu       sync.Mutex
-	at       time.Time // start of the newest bucket
-	requests [windowParts]int
-	repeats  [windowParts]int
+	newest   time.Time // start of the newest bucket
+	requests [windowBuckets]int
+	repeats  [windowBuckets]int
 }
 
 // NewWindow returns an empty Window.
@@ -38,7 +38,7 @@
 	defer w.mu.Unlock()
 	w.advance(now)
 	requests, repeats := 0, 0
-	for i := range windowParts {
+	for i := range windowBuckets {
 		requests += w.requests[i]
 		repeats += w.repeats[i]
 	}
@@ -50,17 +50,17 @@
 }
 
 func (w *Window) advance(now time.Time) {
-	part := w.span / windowParts
-	if w.at.IsZero() || now.Sub(w.at) >= w.span {
-		w.at = now
+	bucketSpan := w.span / windowBuckets
+	if w.newest.IsZero() || now.Sub(w.newest) >= w.span {
+		w.newest = now
 		clear(w.requests[:])
 		clear(w.repeats[:])
 		return
 	}
-	for now.Sub(w.at) >= part {
-		w.at = w.at.Add(part)
-		copy(w.requests[1:], w.requests[:windowParts-1])
-		copy(w.repeats[1:], w.repeats[:windowParts-1])
+	for now.Sub(w.newest) >= bucketSpan {
+		w.newest = w.newest.Add(bucketSpan)
+		copy(w.requests[1:], w.requests[:windowBuckets-1])
+		copy(w.repeats[1:], w.repeats[:windowBuckets-1])
 		w.requests[0], w.repeats[0] = 0, 0
 	}
 }
--- a/relay/retry/window_test.go
+++ b/relay/retry/window_test.go
@@ -9,9 +9,9 @@
 	"comfreyrelay.example/relay/retry"
 )
 
-// TestRepeatsStayWithinTheRatio: over any window, repeats let through are at most
+// TestRepeatsStayWithinRatio: over any window, repeats let through are at most
 // the ratio of the requests of that window and the one before, and the slack.
-func TestRepeatsStayWithinTheRatio(t *testing.T) {
+func TestRepeatsStayWithinRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span, ratio, slack = 10 * time.Second, 0.2, 5.0
 		window := retry.NewWindow(span)
@@ -34,10 +34,10 @@
 		}
 		for _, end := range events {
 			requests, repeats := 0, 0
-			for _, one := range events {
-				switch since := end.at.Sub(one.at); {
+			for _, other := range events {
+				switch since := end.at.Sub(other.at); {
 				case since < 0 || since >= 2*span:
-				case !one.repeat:
+				case !other.repeat:
 					requests++
 				case since < span-span/10:
 					repeats++
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestRepeatsComeBackWithTime(t *testing.T) {
+func TestRepeatsAreAllowedAgainAfterWindow(t *testing.T) {
 	window := retry.NewWindow(10 * time.Second)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	if !window.Repeat(now, 0.2, 1) || window.Repeat(now, 0.2, 1) {
