--- a/relay/engine/batch.go
+++ b/relay/engine/batch.go
@@ -14,17 +14,17 @@
 	Answer int // tokens to write
 	Rank   int // 0 the first
 
-	unread  int // prompt tokens left
-	written int
-	newest  int // tokens of the last pass
-	order   int // of arrival
+	unread   int // prompt tokens left
+	written  int
+	lastPass int // tokens of the last pass
+	arrival  int // of arrival
 }
 
 // Written returns the tokens that were written.
 func (w *Work) Written() int { return w.written }
 
 // Newest returns the tokens that its last pass wrote.
-func (w *Work) Newest() int { return w.newest }
+func (w *Work) Newest() int { return w.lastPass }
 
 // Batch is the discrete model of one engine: it admits what waits into its slots, reads
 // prompts in chunks between the steps of those who write, and reports after each pass who
@@ -35,13 +35,13 @@
 // Where the memory for requests is declared too, the newest is put back to be read
 // again once it runs out.
 type Batch struct {
-	spec   *catalog.Engine
-	queue  int // requests that may wait
-	memory int // tokens of all that run; 0: unbounded
+	spec         *catalog.Engine
+	maxWaiting   int // requests that may wait
+	memoryTokens int // tokens of all that run; 0: unbounded
 
-	waiting []*Work
-	running []*Work
-	orders  int
+	waiting     []*Work
+	running     []*Work
+	nextArrival int
 	// inPass: a pass runs; what comes meanwhile waits for the next one.
 	inPass  bool
 	writers []*Work // of the pass that runs
@@ -49,8 +49,8 @@
 
 // NewBatch returns an idle engine that lets so many wait; memory is in tokens, 0 where
 // it never runs out.
-func NewBatch(spec *catalog.Engine, queue, memory int) *Batch {
-	return &Batch{spec: spec, queue: queue, memory: memory}
+func NewBatch(spec *catalog.Engine, maxWaiting, memoryTokens int) *Batch {
+	return &Batch{spec: spec, maxWaiting: maxWaiting, memoryTokens: memoryTokens}
 }
 
 // Running returns the requests in slots.
@@ -61,19 +61,19 @@
 
 // Add takes a request and reports whether there was room for it.
 func (b *Batch) Add(work *Work) bool {
-	if len(b.running)+len(b.waiting) >= b.spec.Slots+b.queue {
+	if len(b.running)+len(b.waiting) >= b.spec.Slots+b.maxWaiting {
 		return false
 	}
 	work.unread, work.written = work.Prompt, 0
-	work.order = b.orders
-	b.orders++
-	at, _ := slices.BinarySearchFunc(b.waiting, work, inTurn)
-	b.waiting = slices.Insert(b.waiting, at, work)
+	work.arrival = b.nextArrival
+	b.nextArrival++
+	i, _ := slices.BinarySearchFunc(b.waiting, work, compareTurn)
+	b.waiting = slices.Insert(b.waiting, i, work)
 	return true
 }
 
-func inTurn(left, right *Work) int {
-	return cmp.Or(cmp.Compare(left.Rank, right.Rank), cmp.Compare(left.order, right.order))
+func compareTurn(left, right *Work) int {
+	return cmp.Or(cmp.Compare(left.Rank, right.Rank), cmp.Compare(left.arrival, right.arrival))
 }
 
 // Remove takes a request out, in a pass too.
@@ -86,7 +86,7 @@
 
 // Begin begins a pass and returns how long it takes; ok is false where nothing is to be
 // done or a pass runs.
-func (b *Batch) Begin() (took time.Duration, ok bool) {
+func (b *Batch) Begin() (duration time.Duration, ok bool) {
 	if b.inPass {
 		return 0, false
 	}
@@ -107,20 +107,20 @@
 	if writers == 0 {
 		steps = 1
 	}
-	read := b.read(steps)
+	readTime := b.readPrompts(steps)
 	b.writers = b.writers[:0]
 	for _, work := range b.running {
 		if work.unread == 0 {
 			b.writers = append(b.writers, work)
 		}
 	}
-	return read + time.Duration(steps)*step(b.spec, max(1, writers), context), true
+	return readTime + time.Duration(steps)*stepTime(b.spec, max(1, writers), context), true
 }
 
 // admit lets those who wait into free slots.
 func (b *Batch) admit() {
 	for len(b.waiting) > 0 && len(b.running) < b.spec.Slots {
-		if b.memory > 0 && b.held()+b.waiting[0].Prompt > b.memory && len(b.running) > 0 {
+		if b.memoryTokens > 0 && b.usedMemory()+b.waiting[0].Prompt > b.memoryTokens && len(b.running) > 0 {
 			return
 		}
 		b.running = append(b.running, b.waiting[0])
@@ -129,7 +129,7 @@
 }
 
 // held returns the tokens in memory.
-func (b *Batch) held() int {
+func (b *Batch) usedMemory() int {
 	tokens := 0
 	for _, work := range b.running {
 		tokens += work.Prompt + work.written - work.unread
@@ -140,34 +140,34 @@
 // preempt puts the newest requests back while the pass would need more memory than
 // there is.
 func (b *Batch) preempt() {
-	for b.memory > 0 && len(b.running) > 1 && b.held()+len(b.running)*max(1, b.spec.Stride) > b.memory {
-		newest := slices.MaxFunc(b.running, func(left, right *Work) int { return cmp.Compare(left.order, right.order) })
+	for b.memoryTokens > 0 && len(b.running) > 1 && b.usedMemory()+len(b.running)*max(1, b.spec.Stride) > b.memoryTokens {
+		newest := slices.MaxFunc(b.running, func(left, right *Work) int { return cmp.Compare(left.arrival, right.arrival) })
 		b.Remove(newest)
 		newest.unread = newest.Prompt + newest.written
-		at, _ := slices.BinarySearchFunc(b.waiting, newest, inTurn)
-		b.waiting = slices.Insert(b.waiting, at, newest)
+		i, _ := slices.BinarySearchFunc(b.waiting, newest, compareTurn)
+		b.waiting = slices.Insert(b.waiting, i, newest)
 	}
 }
 
 // read reads prompts in so many steps and returns the time that it takes.
-func (b *Batch) read(steps int) time.Duration {
-	room := steps * b.chunk()
-	took := time.Duration(0)
+func (b *Batch) readPrompts(steps int) time.Duration {
+	budget := steps * b.chunkTokens()
+	duration := time.Duration(0)
 	for _, work := range b.running {
-		if work.unread == 0 || room == 0 {
+		if work.unread == 0 || budget == 0 {
 			continue
 		}
-		tokens := min(room, work.unread)
-		before := work.Prompt + work.written - work.unread
-		took += Read(b.spec, before+tokens) - Read(b.spec, before)
+		tokens := min(budget, work.unread)
+		read := work.Prompt + work.written - work.unread
+		duration += Read(b.spec, read+tokens) - Read(b.spec, read)
 		work.unread -= tokens
-		room -= tokens
+		budget -= tokens
 	}
-	return took
+	return duration
 }
 
 // chunk returns the prompt tokens of one step.
-func (b *Batch) chunk() int {
+func (b *Batch) chunkTokens() int {
 	if b.spec.ChunkTokens <= 0 {
 		return 1 << 30
 	}
@@ -176,12 +176,12 @@
 
 // End ends the pass that runs: each that writes has up to a stride of tokens more.
 // Those in done have their whole answer and left.
-func (b *Batch) End() (wrote, done []*Work) {
+func (b *Batch) End() (writers, done []*Work) {
 	b.inPass = false
 	for _, work := range b.writers {
-		work.newest = min(work.Answer-work.written, max(1, b.spec.Stride))
-		work.written += work.newest
-		wrote = append(wrote, work)
+		work.lastPass = min(work.Answer-work.written, max(1, b.spec.Stride))
+		work.written += work.lastPass
+		writers = append(writers, work)
 		if work.written >= work.Answer {
 			done = append(done, work)
 		}
@@ -190,7 +190,7 @@
 		b.Remove(work)
 	}
 	b.writers = b.writers[:0]
-	return wrote, done
+	return writers, done
 }
 
 // Clear drops all requests and the pass, as a crash or an order that cuts over does,
--- a/relay/engine/batch_test.go
+++ b/relay/engine/batch_test.go
@@ -9,10 +9,10 @@
 
 // quick is an engine whose times are easy to add up: a step takes 10 ms, a token 0.1 ms
 // to read.
-var quick = &catalog.Engine{Slots: 2, Stride: 5, StepMillis: 10, ReadPerSecond: 10000, ChunkTokens: 200}
+var exampleSpec = &catalog.Engine{Slots: 2, Stride: 5, StepMillis: 10, ReadPerSecond: 10000, ChunkTokens: 200}
 
 // play runs passes until the engine is idle and returns when each request's events came.
-func play(b *Batch) map[*Work][]time.Duration {
+func run(b *Batch) map[*Work][]time.Duration {
 	events := map[*Work][]time.Duration{}
 	now := time.Duration(0)
 	for {
@@ -31,27 +31,27 @@
 // The times are those that an idle engine of the platform was seen to take for prompts
 // of 106 to 3,920 tokens: reading, one step for each piece of the prompt, and from then
 // on a pass for each event.
-func TestFirstEventOfAnIdleEngineTakesReadingAndAStepAPiece(t *testing.T) {
-	for _, one := range []struct {
+func TestFirstEventOfIdleEngine(t *testing.T) {
+	for _, test := range []struct {
 		prompt int
 		want   time.Duration
 	}{{100, 20 * time.Millisecond}, {200, 30 * time.Millisecond}, {300, 50 * time.Millisecond}} {
-		b := NewBatch(quick, 0, 0)
-		work := &Work{Prompt: one.prompt, Answer: 15}
+		b := NewBatch(exampleSpec, 0, 0)
+		work := &Work{Prompt: test.prompt, Answer: 15}
 		b.Add(work)
-		events := play(b)[work]
-		if len(events) != 3 || events[0] != one.want {
-			t.Errorf("prompt of %d: got events at %v, want three, the first at %v", one.prompt, events, one.want)
+		events := run(b)[work]
+		if len(events) != 3 || events[0] != test.want {
+			t.Errorf("prompt of %d: got events at %v, want three, the first at %v", test.prompt, events, test.want)
 			continue
 		}
 		if got, want := events[2]-events[1], 50*time.Millisecond; got != want {
-			t.Errorf("prompt of %d: got %v between events, want %v, a pass", one.prompt, got, want)
+			t.Errorf("prompt of %d: got %v between events, want %v, a pass", test.prompt, got, want)
 		}
 	}
 }
 
-func TestWhatComesDuringAPassWaitsForTheNext(t *testing.T) {
-	b := NewBatch(quick, 0, 0)
+func TestRequestAddedDuringPassWaitsForNextPass(t *testing.T) {
+	b := NewBatch(exampleSpec, 0, 0)
 	first, second := &Work{Prompt: 100, Answer: 20}, &Work{Prompt: 100, Answer: 5}
 	b.Add(first)
 	if _, ok := b.Begin(); !ok {
@@ -76,8 +76,8 @@
 	}
 }
 
-func TestSlotsQueueAndRanksHold(t *testing.T) {
-	b := NewBatch(quick, 2, 0)
+func TestBatchRespectsSlotsQueueAndRank(t *testing.T) {
+	b := NewBatch(exampleSpec, 2, 0)
 	var works []*Work
 	for i := range 5 {
 		work := &Work{Prompt: 10, Answer: 5, Rank: 5 - i}
@@ -104,12 +104,12 @@
 }
 
 // Where memory runs out the newest is put back and read again, also what it wrote.
-func TestNewestYieldsItsMemory(t *testing.T) {
-	b := NewBatch(quick, 0, 230)
+func TestNewestRequestIsPreemptedWhenMemoryIsFull(t *testing.T) {
+	b := NewBatch(exampleSpec, 0, 230)
 	older, newer := &Work{Prompt: 100, Answer: 40}, &Work{Prompt: 100, Answer: 40}
 	b.Add(older)
 	b.Add(newer)
-	events := play(b)
+	events := run(b)
 	if got := len(events[older]); got != 8 {
 		t.Errorf("got %d events of the older one, want 8", got)
 	}
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -22,18 +22,18 @@
 	}
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2
-	return time.Duration(tokens/spec.ReadPerSecond*float64(time.Second)) + inMillis(spec.PairMillis*pairs/pairsPerMillion)
+	return time.Duration(tokens/spec.ReadPerSecond*float64(time.Second)) + fromMillis(spec.PairMillis*pairs/pairsPerMillion)
 }
 
 // Write returns the time of the token steps of one pass with so many writers
 // and so much context in all, tokens.
 func Write(spec *catalog.Engine, writers, context int) time.Duration {
-	return time.Duration(max(1, spec.Stride)) * step(spec, writers, context)
+	return time.Duration(max(1, spec.Stride)) * stepTime(spec, writers, context)
 }
 
 // step returns the time of one token step.
-func step(spec *catalog.Engine, writers, context int) time.Duration {
-	return inMillis(spec.StepMillis + spec.PerSeqMillis*float64(writers) + spec.ContextMillis*float64(context)/tokensPerThousand)
+func stepTime(spec *catalog.Engine, writers, context int) time.Duration {
+	return fromMillis(spec.StepMillis + spec.PerSeqMillis*float64(writers) + spec.ContextMillis*float64(context)/tokensPerThousand)
 }
 
 // UsualPass returns the time of a pass in the long run with so many requests in
@@ -41,12 +41,12 @@
 // others end.
 func UsualPass(spec *catalog.Engine, running int) time.Duration {
 	context := running * (spec.UsualPrompt + spec.UsualAnswer/2)
-	write := Write(spec, running, context)
+	writeTime := Write(spec, running, context)
 	if spec.UsualAnswer <= 0 {
-		return write
+		return writeTime
 	}
 	ending := float64(running) * float64(max(1, spec.Stride)) / float64(spec.UsualAnswer)
-	return write + time.Duration(ending*float64(Read(spec, spec.UsualPrompt)))
+	return writeTime + time.Duration(ending*float64(Read(spec, spec.UsualPrompt)))
 }
 
 // FirstEvent returns the expected time from dispatch to the first event of a
@@ -68,4 +68,4 @@
 	return time.Duration(float64(UsualPass(spec, spec.Slots)) * passes / float64(spec.Slots))
 }
 
-func inMillis(count float64) time.Duration { return time.Duration(count * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/relay/engine/engine_test.go
+++ b/relay/engine/engine_test.go
@@ -14,9 +14,9 @@
 	ReadPerSecond: 19100, PairMillis: 1.47, ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94,
 }
 
-// TestTimesOfTheSheet compares with figures worked out by hand from the sheet.
-func TestTimesOfTheSheet(t *testing.T) {
-	for _, one := range []struct {
+// TestTimesMatchDeclaredFigures compares with figures worked out by hand from the sheet.
+func TestTimesMatchDeclaredFigures(t *testing.T) {
+	for _, test := range []struct {
 		name      string
 		got, want time.Duration
 	}{
@@ -26,8 +26,8 @@
 		{"the usual pass of 16", engine.UsualPass(spec, 16), 93900 * time.Microsecond},
 		{"the gap between ends", engine.Gap(spec), 110300 * time.Microsecond},
 	} {
-		if diff := one.got - one.want; diff < -time.Millisecond || diff > time.Millisecond {
-			t.Errorf("%s: got %v, want %v", one.name, one.got, one.want)
+		if diff := test.got - test.want; diff < -time.Millisecond || diff > time.Millisecond {
+			t.Errorf("%s: got %v, want %v", test.name, test.got, test.want)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestUndeclaredEnginesTakeNoTime(t *testing.T) {
+func TestUndeclaredEngineTakesNoTime(t *testing.T) {
 	if got := engine.FirstEvent(&catalog.Engine{}, 3, 1000); got != 0 {
 		t.Errorf("got %v of an engine that declares nothing, want 0", got)
 	}
