--- a/relay/budget/budget.go
+++ b/relay/budget/budget.go
@@ -23,7 +23,7 @@
 
 // startSpread is the time over which processes that start at the same moment
 // spread their first calls.
-const startSpread = 500 * time.Millisecond
+const maxStartDelay = 500 * time.Millisecond
 
 // burstFraction is the part of a second's share that may go out at once; the
 // rest is what comes back in a second. A submission of a document makes a few
@@ -50,8 +50,8 @@
 // lane each, with its own lock.
 type Budget struct {
 	role   string
-	reads  *lane
-	writes *lane
+	reads  *scheduler
+	writes *scheduler
 }
 
 // New makes a Budget. Its first calls wait a random moment of up to half a
@@ -62,11 +62,11 @@
 		jitter = rand.Float64
 	}
 	now := opts.Clock.Now()
-	opensAt := now.Add(time.Duration(jitter() * float64(startSpread)))
+	notBefore := now.Add(time.Duration(jitter() * float64(maxStartDelay)))
 	return &Budget{
 		role:   opts.Role,
-		reads:  newLane(opts.Clock, newQueue(orDefault(opts.ReadsPerSecond, DefaultReadsPerSecond), opensAt)),
-		writes: newLane(opts.Clock, newQueue(orDefault(opts.WritesPerSecond, DefaultWritesPerSecond), opensAt)),
+		reads:  newScheduler(opts.Clock, newQueue(orDefault(opts.ReadsPerSecond, DefaultReadsPerSecond), notBefore)),
+		writes: newScheduler(opts.Clock, newQueue(orDefault(opts.WritesPerSecond, DefaultWritesPerSecond), notBefore)),
 	}
 }
 
@@ -80,11 +80,11 @@
 // Wait returns nil once the call may go out. Kind Exhausted: the context ended
 // first or too many calls wait already.
 func (b *Budget) Wait(ctx context.Context, call Call) error {
-	lane := b.reads
+	scheduler := b.reads
 	if call.Kind.Writes() {
-		lane = b.writes
+		scheduler = b.writes
 	}
-	if err := lane.wait(ctx, call.rank()); err != nil {
+	if err := scheduler.wait(ctx, call.priority()); err != nil {
 		count(b.role, "refused", call)
 		return err
 	}
@@ -93,72 +93,72 @@
 }
 
 // lane hands out the grants of one queue.
-type lane struct {
+type scheduler struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
-	queue   *queue
-	ready   map[uint64]chan struct{} // closed when the ticket is granted
-	last    uint64                   // the highest ticket handed out
-	pending bool                     // a timer that will pump is running
+	mu         sync.Mutex
+	queue      *queue
+	granted    map[uint64]chan struct{} // closed when the ticket is granted
+	lastTicket uint64                   // the highest ticket handed out
+	timerSet   bool                     // a timer that will pump is running
 }
 
-func newLane(clock clockwork.Clock, queue *queue) *lane {
-	return &lane{clock: clock, queue: queue, ready: map[uint64]chan struct{}{}}
+func newScheduler(clock clockwork.Clock, queue *queue) *scheduler {
+	return &scheduler{clock: clock, queue: queue, granted: map[uint64]chan struct{}{}}
 }
 
-func (l *lane) wait(ctx context.Context, rank priority) error {
-	ticket, ready, err := l.ask(rank)
+func (s *scheduler) wait(ctx context.Context, level priority) error {
+	ticket, granted, err := s.enqueue(level)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-ready:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		l.cancel(ticket)
+		s.cancel(ticket)
 		return failure.Wrap(ctx.Err(), failure.Exhausted, "the call waited too long for the key-value service's budget",
 			"try again later; if it persists, raise kvReadsPerSecond and kvWritesPerSecond in the settings")
 	}
 }
 
-func (l *lane) ask(rank priority) (uint64, <-chan struct{}, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.last++
-	if err := l.queue.add(l.last, rank); err != nil {
+func (s *scheduler) enqueue(level priority) (uint64, <-chan struct{}, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastTicket++
+	if err := s.queue.add(s.lastTicket, level); err != nil {
 		return 0, nil, err
 	}
-	ready := make(chan struct{})
-	l.ready[l.last] = ready
-	ticket := l.last
-	l.pump()
-	return ticket, ready, nil
+	granted := make(chan struct{})
+	s.granted[s.lastTicket] = granted
+	ticket := s.lastTicket
+	s.grantDue()
+	return ticket, granted, nil
 }
 
-func (l *lane) cancel(ticket uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.queue.remove(ticket)
-	delete(l.ready, ticket)
+func (s *scheduler) cancel(ticket uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queue.remove(ticket)
+	delete(s.granted, ticket)
 }
 
-// pump grants what is due and sets the timer for the rest; l.mu is held.
-func (l *lane) pump() {
-	granted, next := l.queue.pump(l.clock.Now())
-	for _, ticket := range granted {
-		close(l.ready[ticket])
-		delete(l.ready, ticket)
+// pump grants what is due and sets the timer for the rest; s.mu is held.
+func (s *scheduler) grantDue() {
+	tickets, next := s.queue.grantDue(s.clock.Now())
+	for _, ticket := range tickets {
+		close(s.granted[ticket])
+		delete(s.granted, ticket)
 	}
-	if next == 0 || l.pending {
+	if next == 0 || s.timerSet {
 		return
 	}
-	l.pending = true
-	l.clock.AfterFunc(next, func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.pending = false
-		l.pump()
+	s.timerSet = true
+	s.clock.AfterFunc(next, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.timerSet = false
+		s.grantDue()
 	})
 }
 
--- a/relay/budget/budget_test.go
+++ b/relay/budget/budget_test.go
@@ -18,20 +18,20 @@
 const (
 	serviceReads  = 2000
 	serviceWrites = 300
-	entries       = 9
+	entryCount    = 9
 )
 
-// TestFleetRestartsAtOnce: all entries restart at one moment, each with more to
+// TestFleetRestartStaysWithinServiceLimits: all entries restart at one moment, each with more to
 // ask than its share. The symptom of a broken budget would be a second in which
 // the service gets more than it takes and refuses keep-alives.
-func TestFleetRestartsAtOnce(t *testing.T) {
+func TestFleetRestartStaysWithinServiceLimits(t *testing.T) {
 	for _, kind := range []Kind{Get, Swap} {
 		limit := serviceReads
 		if kind.Writes() {
 			limit = serviceWrites
 		}
 		synctest.Test(t, func(t *testing.T) {
-			sent := flood(t, kind)
+			sent := saturate(t, kind)
 			got := busiestSecond(sent)
 			t.Logf("%s: %d in the busiest second, %d in 5 s", kind, got, len(sent))
 			if got > limit {
@@ -46,14 +46,14 @@
 
 // flood starts a fleet of budgets, lets each ask without end for five seconds
 // and returns when the calls went out.
-func flood(t *testing.T, kind Kind) []time.Time {
+func saturate(t *testing.T, kind Kind) []time.Time {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	var mu sync.Mutex
 	var sent []time.Time
 	var callers sync.WaitGroup
-	for range entries {
+	for range entryCount {
 		limit := New(Options{Role: "test", Clock: clockwork.NewRealClock()})
 		for range 100 {
 			callers.Go(func() {
@@ -82,9 +82,9 @@
 	return most
 }
 
-// TestUrgentGoesFirst: a keep-alive that waits behind a crowd of claims costs
+// TestUrgentCallsGoFirst: a keep-alive that waits behind a crowd of claims costs
 // the lease.
-func TestUrgentGoesFirst(t *testing.T) {
+func TestUrgentCallsGoFirst(t *testing.T) {
 	now := time.Now()
 	queue := newQueue(4, now)
 	for ticket := range uint64(3) {
@@ -92,11 +92,11 @@
 	}
 	add(t, queue, 10, Call{Kind: KeepAlive})
 	add(t, queue, 11, Call{Kind: Swap, Key: "document/root"})
-	got, _ := queue.pump(now.Add(time.Hour))
+	got, _ := queue.grantDue(now.Add(time.Hour))
 	if want := []uint64{10}; !slices.Equal(got, want) {
 		t.Errorf("got tickets %v first, want %v", got, want)
 	}
-	got, _ = queue.pump(now.Add(2 * time.Hour))
+	got, _ = queue.grantDue(now.Add(2 * time.Hour))
 	if want := []uint64{11}; !slices.Equal(got, want) {
 		t.Errorf("got tickets %v next, want %v", got, want)
 	}
@@ -104,7 +104,7 @@
 
 func add(t *testing.T, queue *queue, ticket uint64, call Call) {
 	t.Helper()
-	if err := queue.add(ticket, call.rank()); err != nil {
+	if err := queue.add(ticket, call.priority()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -125,15 +125,15 @@
 			t.Errorf("got kind %s beyond the bound, want %s", got, failure.Exhausted)
 		}
 		callers.Wait()
-		if got := limit.writes.queue.length() + len(limit.writes.ready); got != 0 {
+		if got := limit.writes.queue.length() + len(limit.writes.granted); got != 0 {
 			t.Errorf("got %d waiting after all gave up, want 0", got)
 		}
 	})
 }
 
-// TestAnySecondWithinShare: whatever the pattern of calls, no second holds more
+// TestAnySecondStaysWithinShare: whatever the pattern of calls, no second holds more
 // than the share.
-func TestAnySecondWithinShare(t *testing.T) {
+func TestAnySecondStaysWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(2, 300).Draw(t, "share")
 		now := time.Now()
@@ -141,8 +141,8 @@
 		var sent []time.Time
 		for ticket := range uint64(rapid.IntRange(1, 400).Draw(t, "calls")) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "gapMillis")) * time.Millisecond)
-			_ = queue.add(ticket, ordinary) // a full queue is part of the pattern
-			granted, _ := queue.pump(now)
+			_ = queue.add(ticket, normal) // a full queue is part of the pattern
+			granted, _ := queue.grantDue(now)
 			for range granted {
 				sent = append(sent, now)
 			}
--- a/relay/budget/call.go
+++ b/relay/budget/call.go
@@ -40,8 +40,8 @@
 
 const (
 	urgent priority = iota
-	ordinary
-	priorities
+	normal
+	priorityLevels
 )
 
 // documentPrefix is the prefix of the keys that hold the operators' document.
@@ -50,12 +50,12 @@
 // rank puts lease keep-alives and the swaps of a document first: a late
 // keep-alive costs the lease and a late swap keeps an operator waiting, while
 // everything else can be a moment later without harm.
-func (c Call) rank() priority {
+func (c Call) priority() priority {
 	if c.Kind == KeepAlive || c.Kind == Revoke {
 		return urgent
 	}
 	if c.Kind == Swap && c.Prefix() == documentPrefix {
 		return urgent
 	}
-	return ordinary
+	return normal
 }
