--- a/relay/fence/fence.go
+++ b/relay/fence/fence.go
@@ -1,43 +1,45 @@
-// Package fence decides whether an order that comes out of a plan may still be
-// given, so that a planner whose lease lapsed does no harm when it wakes.
+// Package fence decides whether an order derived from a plan may still be given to
+// an engine, so that a planner whose lease expired while it was paused can't do harm
+// when it resumes.
 //
-// A Number orders plans: first by the planner's lease, then by the plan's own
-// revision. The highest Number obeyed wins; anything lower is refused.
+// A Number orders plans: first by the planner's lease, then by the revision of the
+// plan. Orders with a Number lower than the highest one obeyed are refused.
 //
-// Engines that check fencing numbers refuse an old one by themselves. For those
-// that ignore it, the agent's Guard is the refuser: the agent is the only
-// process that speaks to its engine, so what the Guard refuses is never sent.
+// Engines that check fencing numbers refuse old ones themselves. For engines that
+// ignore them, the agent's Guard enforces the order: only the agent talks to its
+// engine, so an order that the Guard refuses is never sent.
 //
-// An agent that restarted knows no number. Its Guard answers Wait until Learn
-// was called with the number that the engine reports, and afterwards obeys
-// nothing lower than that. None of this asks the key-value service: while it is
-// down, the plan in force is obeyed from the entries' memory, and with no entry
-// reachable the engine keeps what it has and no order is given.
+// A restarted agent knows no number. Its Guard returns Wait until Learn is called
+// with the number that the engine reports, and obeys nothing lower afterwards. None
+// of this requires the key-value service. While that is down, the agent obeys the
+// plan that the entries hold in memory; if no entry is reachable either, no order is
+// given and the engine keeps its state.
 //
-// What the engine reports is the fence at best. An engine that ignores numbers
-// may report 0, and none keeps the plan's revision, so that two plans of one
-// planner look alike to a restarted agent. The agent therefore
+// The engine reports at most the fence. An engine that ignores numbers may report
+// 0, and no engine stores the plan's revision, so a restarted agent can't tell two
+// plans of one planner apart. The agent therefore
 //
 //   - asks up to three entries and takes the highest plan among them (package
 //     control),
-//   - waits some seconds for a higher one before it orders anything beside an
-//     engine that has weights loaded, and
-//   - refuses a plan that would take the engine from what the document in force
-//     names to another version of the same model: versions come into plans from
-//     the document alone, so that plan is older (package orders).
+//   - waits some seconds for a higher one before it gives any order to an engine that
+//     has weights loaded, and
+//   - refuses a plan that would switch the engine from the version that the document
+//     in force names to another version of the same model. Plans get their versions
+//     only from the document, so that plan is older (package orders).
 //
-// This cannot be excluded: all entries that the restarted agent asks in that
-// time lag with document and plan alike, or the plans differ in the model of
-// the host only. The host then turns to the older plan until it learns of the
-// newer one. Its answers are whole and name their version all the same.
+// An older plan can still be obeyed in two cases: if all entries that the restarted
+// agent asks in that time lag behind with both document and plan, or if the plans
+// differ only in the host's model. The host then follows the older plan until it
+// receives the newer one. Its answers are complete and name the correct version
+// even then.
 package fence
 
 import "fmt"
 
-// Number identifies the authority of an order. The zero Number is below all.
+// Number is the fencing number of an order. The zero Number is lower than all others.
 type Number struct {
 	fence        uint64 // service revision of the planner's lease key
-	planRevision uint32 // grows by one with each plan
+	planRevision uint32 // increases by one with each plan
 }
 
 // NewNumber returns the Number of a plan.
@@ -45,13 +47,13 @@
 	return Number{fence: fence, planRevision: planRevision}
 }
 
-// Fence returns the part that engines are given.
+// Fence returns the part that is sent to engines.
 func (n Number) Fence() uint64 { return n.fence }
 
 // PlanRevision returns the revision of the plan.
 func (n Number) PlanRevision() uint32 { return n.planRevision }
 
-// Less reports whether n's authority is older than other's.
+// Less reports whether n is older than other.
 func (n Number) Less(other Number) bool {
 	if n.fence != other.fence {
 		return n.fence < other.fence
@@ -62,16 +64,16 @@
 // String returns "fence/planRevision" for logs.
 func (n Number) String() string { return fmt.Sprintf("%d/%d", n.fence, n.planRevision) }
 
-// Verdict says what to do with an order.
+// Verdict is the decision on an order.
 type Verdict int
 
 // The verdicts.
 const (
-	// Wait: the engine's own number is not known yet; ask it first.
+	// Wait: the engine's own number is not known yet and must be queried first.
 	Wait Verdict = iota
 	// Obey: give the order.
 	Obey
-	// Refuse: a newer authority was obeyed already.
+	// Refuse: an order with a higher number was obeyed already.
 	Refuse
 )
 
@@ -80,18 +82,17 @@
 	return [...]string{"wait", "obey", "refuse"}[v]
 }
 
-// Guard remembers the highest Number obeyed. Its owner serialises the calls.
+// Guard remembers the highest Number obeyed. It is not safe for concurrent use.
 type Guard struct {
-	learned bool   // the engine reported its number since this process started
-	highest Number // never falls
+	learned bool   // the engine has reported its number since this process started
+	highest Number // never decreases
 }
 
-// NewGuard returns a Guard that knows nothing yet.
+// NewGuard returns a Guard to which the engine's number is not known yet.
 func NewGuard() *Guard { return &Guard{} }
 
-// Learn takes the number that the engine reports. It is called at the start and
-// after every refusal by the engine; a lower report changes nothing, because
-// reports lag.
+// Learn records the number that the engine reports. It is called at startup and after
+// every refusal by the engine. Since reports lag, a lower number changes nothing.
 //
 // Rule RESTART of spec/lease.pml.
 func (g *Guard) Learn(engineFence uint64) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// Judge says what Admit would.
+// Judge returns the verdict on an order without recording it.
 func (g *Guard) Judge(order Number) Verdict {
 	if !g.learned {
 		return Wait
@@ -112,8 +113,8 @@
 	return Obey
 }
 
-// Admit judges an order of the given authority and remembers it if it is
-// obeyed. The same Number is obeyed again: a lost load is repeated.
+// Admit returns the verdict on an order and records its Number if it is obeyed. An
+// equal Number is obeyed again, so that a lost load order can be repeated.
 //
 // Rule FENCE of spec/lease.pml.
 func (g *Guard) Admit(order Number) Verdict {
--- a/relay/fence/fence_test.go
+++ b/relay/fence/fence_test.go
@@ -32,14 +32,14 @@
 	})
 }
 
-// Symptom: a host goes back to an older plan. Sequence: orders of several
-// planners, among them woken ones, arrive in any order, mixed with restarts of
-// the agent and lagging statuses of an engine that keeps the number. Cause: a
-// guard that forgets or compares numbers wrongly.
+// A host must not go back to an older plan when orders of several planners, some of
+// them resumed after a pause, arrive in any order, mixed with agent restarts and with
+// outdated reports of an engine that keeps its number. The guard could fail at this by
+// forgetting a number or by comparing numbers wrongly.
 func TestGuardNeverObeysOlderNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		guard := NewGuard()
-		engineFence := uint64(0) // fence that the engine keeps over restarts
+		engineFence := uint64(0) // fence that the engine keeps across agent restarts
 		obeyed := Number{}       // highest obeyed in this incarnation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"order", "order", "learn", "lag", "restart"}).Draw(t, "event") {
@@ -56,8 +56,8 @@
 				guard.Learn(engineFence)
 			case "lag":
 				guard.Learn(rapid.Uint64Range(0, engineFence).Draw(t, "old"))
-				// A first status that is older than the engine's last order is
-				// what the engine itself guards against, not this package.
+				// A first status report that is older than the engine's last order is
+				// the engine's to detect, not this package's.
 				engineFence = max(guard.Highest().Fence(), obeyed.Fence())
 			case "restart":
 				guard, obeyed = NewGuard(), Number{}
