--- a/relay/admit/limit.go
+++ b/relay/admit/limit.go
@@ -1,5 +1,5 @@
-// Package admit decides how many requests one entry may have in progress on
-// one host, by what the host shows rather than by a fixed number.
+// Package admit adapts the number of requests that one entry may have in progress on
+// one host to signs of overload, instead of using a fixed number.
 package admit
 
 import (
@@ -11,29 +11,28 @@
 const (
 	minLimit             = 1
 	maxLimit             = 1024
-	initialLimit         = 4
-	decreaseFactor       = 0.8             // factor at a sign of overload
-	decreaseInterval     = time.Second / 4 // signs within it count once
-	slowFirstTokenFactor = 2.5             // first token later than this times the best is a sign
-	slowFirstTokenMargin = 50.0            // and at least this many milliseconds later
-	maxQueuedRatio       = 0.25            // queue per running request that is a sign
+	initialLimit         = 4               // if the engine reports no slots
+	decreaseFactor       = 0.8             // applied at a sign of overload
+	decreaseInterval     = time.Second / 4 // further signs within it are ignored
+	slowFirstTokenFactor = 2.5             // a first token slower than this times the best is a sign of overload,
+	slowFirstTokenMargin = 50.0            // if it is also at least this many milliseconds slower
+	maxQueuedRatio       = 0.25            // queued requests per running one above which the queue is a sign of overload
 	firstTokenSmoothing  = 0.2             // weight of a new first-token sample
 )
 
-// Limit adapts a concurrency limit: it grows by one for each round of requests
-// that needed all of it and shrinks by a factor at signs of overload: a
-// refusal, a queue in the engine, or, of an engine that does not say how much
-// it takes at once, first tokens much later than the best. It is not safe for
-// concurrent use.
+// Limit is an adaptive concurrency limit. It grows by one for each round of requests
+// that used all of it, and is multiplied by a factor below 1 at signs of overload: a
+// refusal, a queue in the engine, or, if the engine does not report its slots, first
+// tokens much slower than the best. It is not safe for concurrent use.
 type Limit struct {
-	limit          float64   // between minLimit and maxLimit
-	useFirstToken  bool      // first-token times count: the engine reports no slots
-	bestMillis     float64   // lowest first-token time, milliseconds; 0: none yet
-	smoothedMillis float64   // smoothed first-token time, milliseconds
-	lastDecrease   time.Time // last decrease
+	limit          float64 // between minLimit and maxLimit
+	useFirstToken  bool    // first-token times count, since the engine reports no slots
+	bestMillis     float64 // lowest first-token time; 0 if there is none yet
+	smoothedMillis float64 // smoothed first-token time
+	lastDecrease   time.Time
 }
 
-// NewLimit returns a Limit; slots is the engine's own number, 0 where unknown.
+// NewLimit returns a Limit. slots is the number that the engine reports, or 0 if unknown.
 func NewLimit(slots int) *Limit {
 	start := float64(initialLimit)
 	if slots > 0 {
@@ -42,15 +41,15 @@
 	return &Limit{limit: start, useFirstToken: slots <= 0}
 }
 
-// Allows reports whether one more request may start beside inFlight others.
+// Allows reports whether another request may start while inFlight are in progress.
 func (l *Limit) Allows(inFlight int) bool { return inFlight < int(l.limit) }
 
 // Current returns the limit, in requests.
 func (l *Limit) Current() int { return int(l.limit) }
 
-// FirstToken takes the time from dispatch to the first token. The best is kept
-// for good: one that rose with what is usual would take a queue of our own
-// making for the host's nature.
+// FirstToken records the time from dispatch to the first token. The best time never
+// increases: if it followed the usual time, a queue caused by this limit itself would
+// be taken for the host's normal speed.
 func (l *Limit) FirstToken(now time.Time, took time.Duration) {
 	if !l.useFirstToken {
 		return
@@ -68,17 +67,17 @@
 	}
 }
 
-// Queue takes the engine's own report of its load.
+// Queue records the load that the engine reports.
 func (l *Limit) Queue(now time.Time, running, queued int) {
 	if float64(queued) > math.Max(1, maxQueuedRatio*float64(running)) {
 		l.decrease(now)
 	}
 }
 
-// Refused takes a refusal for want of room.
+// Refused records a refusal for lack of capacity.
 func (l *Limit) Refused(now time.Time) { l.decrease(now) }
 
-// Done takes a whole answer; inFlight counts the requests beside it.
+// Done records a complete answer. inFlight is the number of other requests in progress.
 func (l *Limit) Done(now time.Time, inFlight int) {
 	limited := inFlight+1 >= int(l.limit)
 	recent := now.Sub(l.lastDecrease) < decreaseInterval
@@ -88,6 +87,7 @@
 	l.limit = math.Min(maxLimit, l.limit+1/l.limit)
 }
 
+// decrease lowers the limit, at most once per decreaseInterval.
 func (l *Limit) decrease(now time.Time) {
 	if now.Sub(l.lastDecrease) < decreaseInterval {
 		return
--- a/relay/admit/limit_test.go
+++ b/relay/admit/limit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// serve simulates a host with slots that runs as much as the limit allows, for
-// some rounds of 100 ms, and returns the limit.
+// simulate runs as many requests as the limit allows on a host with slots, for a number
+// of rounds of 100 ms each, and returns the limit.
 func simulate(limit *Limit, slots, rounds int, queued bool) int {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	for range rounds {
@@ -30,14 +30,14 @@
 		for _, queued := range []bool{true, false} {
 			got := simulate(NewLimit(0), slots, 4000, queued)
 			if got < slots/2 || got > 2*slots+2 {
-				t.Errorf("slots %d, queue reported %t: got limit %d, want near the slots", slots, queued, got)
+				t.Errorf("slots %d, queue reported %t: got limit %d, want about the number of slots", slots, queued, got)
 			}
 		}
 	}
 }
 
-// Symptom: a host that refuses everything keeps being asked, or is given up
-// for ever.
+// A host that refuses everything must not keep getting many requests, but must not be
+// abandoned for good either.
 func TestRefusalsShrinkTheLimitToOne(t *testing.T) {
 	limit := NewLimit(16)
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
