--- a/relay/retry/backoff.go
+++ b/relay/retry/backoff.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds of the wait between attempts.
+// Bounds on retries.
 const (
 	firstBackoff = 10 * time.Millisecond
 	maxBackoff   = 500 * time.Millisecond
@@ -10,9 +10,9 @@
 	MaxAttempts = 5
 )
 
-// Backoff returns the wait before the attempt (2 is the first retry). It
-// doubles with each, and random (in [0,1)) picks the upper half of it: callers
-// that failed together would otherwise return together.
+// Backoff returns the wait before an attempt, of which 2 is the first retry. It doubles
+// with each attempt. random, in [0,1), adds jitter within the upper half of the wait,
+// so that callers which failed together do not retry together.
 func Backoff(attempt int, random float64) time.Duration {
 	backoff := firstBackoff
 	for i := 2; i < attempt && backoff < maxBackoff; i++ {
--- a/relay/retry/budget.go
+++ b/relay/retry/budget.go
@@ -5,22 +5,21 @@
 
 // Constants of a Budget.
 const (
-	defaultRatio     = 0.1 // where the document states none
-	maxAvailable     = 20  // retries that a customer can save up
-	initialAvailable = 5   // retries before the first deposits
+	defaultRatio     = 0.1 // retries per request if the document sets no ratio
+	maxAvailable     = 20  // retries that a customer can accumulate
+	initialAvailable = 5   // retries available before the first request
 )
 
-// Budget bounds the retries of one customer to a fraction of its requests, so
-// that a fault cannot multiply the load that caused it. It is not safe for
-// concurrent use.
+// Budget limits the retries of one customer to a fraction of its requests, so that a
+// fault can't multiply the load that caused it. It is not safe for concurrent use.
 type Budget struct {
-	available float64 // retries available, at most maxSaved
+	available float64 // retries left, at most maxAvailable
 }
 
-// NewBudget returns a Budget with a few retries saved.
+// NewBudget returns a Budget with initialAvailable retries.
 func NewBudget() *Budget { return &Budget{available: initialAvailable} }
 
-// Deposit counts one new request. A ratio of 0 stands for 0.1.
+// Deposit counts a new request, which adds ratio retries. A ratio of 0 stands for 0.1.
 func (b *Budget) Deposit(ratio float64) {
 	if ratio <= 0 {
 		ratio = defaultRatio
@@ -28,7 +27,7 @@
 	b.available = math.Min(maxAvailable, b.available+ratio)
 }
 
-// Withdraw takes one retry and reports whether there was one.
+// Withdraw uses one retry and reports whether one was available.
 func (b *Budget) Withdraw() bool {
 	if b.available < 1 {
 		return false
--- a/relay/retry/retry_test.go
+++ b/relay/retry/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Symptom: a fault of one host doubles the load on the others. Every request
-// fails and is tried again.
+// A fault of one host must not double the load on the others. Here every request fails
+// and is retried as often as the budget allows.
 func TestBudgetBoundsTheRetries(t *testing.T) {
 	budget := NewBudget()
 	retries := 0
--- a/relay/retry/window.go
+++ b/relay/retry/window.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// windowParts is the buckets that a Window keeps its counts in.
+// windowBuckets is the number of buckets of a Window's counters.
 const windowBuckets = 10
 
-// Window bounds the sends beyond the first of each request over a sliding
-// window, as this process's part of a bound for all: a ratio of the requests
-// that this process took, and its part of a constant. It is safe for concurrent
-// use.
+// Window limits, over a sliding window, how often requests are sent again. The limit is
+// this process's share of a limit for all processes: a ratio of the requests that this
+// process received plus its share of a constant. It is safe for concurrent use.
 type Window struct {
 	span time.Duration
 
@@ -21,7 +20,7 @@
 	repeats  [windowBuckets]int
 }
 
-// NewWindow returns an empty Window.
+// NewWindow returns an empty Window of the given length.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
 // Request counts a new request.
@@ -32,7 +31,8 @@
 	w.requests[0]++
 }
 
-// Repeat counts one more send of a request and reports whether it may go out.
+// Repeat reports whether a request may be sent once more, and counts the repeat if so.
+// ratio is the number of repeats allowed per request, and slack is added to the total.
 func (w *Window) Repeat(now time.Time, ratio, slack float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,6 +49,7 @@
 	return true
 }
 
+// advance drops the buckets that have left the window and starts new ones.
 func (w *Window) advance(now time.Time) {
 	bucketSpan := w.span / windowBuckets
 	if w.newest.IsZero() || now.Sub(w.newest) >= w.span {
--- a/relay/retry/window_test.go
+++ b/relay/retry/window_test.go
@@ -9,8 +9,8 @@
 	"comfreyrelay.example/relay/retry"
 )
 
-// TestRepeatsStayWithinRatio: over any window, repeats let through are at most
-// the ratio of the requests of that window and the one before, and the slack.
+// The repeats allowed in any window are at most the ratio of the requests in that window
+// and the one before, plus the slack.
 func TestRepeatsStayWithinRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span, ratio, slack = 10 * time.Second, 0.2, 5.0
@@ -54,7 +54,7 @@
 	window := retry.NewWindow(10 * time.Second)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	if !window.Repeat(now, 0.2, 1) || window.Repeat(now, 0.2, 1) {
-		t.Errorf("got another number than one repeat of a slack of one")
+		t.Errorf("got other than one repeat with a slack of one")
 	}
 	if !window.Repeat(now.Add(11*time.Second), 0.2, 1) {
 		t.Errorf("got no repeat after the window, want one")
