--- a/relay/engine/batch.go
+++ b/relay/engine/batch.go
@@ -8,58 +8,58 @@
 	"comfreyrelay.example/relay/catalog"
 )
 
-// Work is one request at an engine.
+// Work is a request at an engine.
 type Work struct {
-	Prompt int // tokens to read; those written before count where it goes on elsewhere
+	Prompt int // tokens to read, including those already written elsewhere for a continued answer
 	Answer int // tokens to write
-	Rank   int // 0 the first
+	Rank   int // 0 is the most urgent
 
-	unread   int // prompt tokens left
+	unread   int // prompt tokens not read yet
 	written  int
-	lastPass int // tokens of the last pass
-	arrival  int // of arrival
+	lastPass int // tokens written in the last pass
+	arrival  int // sequence number
 }
 
-// Written returns the tokens that were written.
+// Written returns the number of tokens written.
 func (w *Work) Written() int { return w.written }
 
-// Newest returns the tokens that its last pass wrote.
+// Newest returns the number of tokens written in the request's last pass.
 func (w *Work) Newest() int { return w.lastPass }
 
-// Batch is the discrete model of one engine: it admits what waits into its slots, reads
-// prompts in chunks between the steps of those who write, and reports after each pass who
-// wrote: those who wrote before, and those whose prompt was read in it. A pass in which
-// nobody writes yet has one step. It is pure; the caller asks for the next pass when the
-// one before has ended.
+// Batch is a discrete model of one engine. It admits waiting requests into slots, reads
+// prompts in chunks between the steps of the writing requests, and reports after each
+// pass which requests wrote: those that were writing before, and those whose prompt was
+// finished in the pass. A pass in which no request writes yet has one step. A Batch has
+// no side effects; the caller starts the next pass when the previous one has ended.
 //
-// Where the memory for requests is declared too, the newest is put back to be read
-// again once it runs out.
+// If the memory for requests is declared as well, the newest request is put back when
+// memory runs out, and is read again later.
 type Batch struct {
 	spec         *catalog.Engine
 	maxWaiting   int // requests that may wait
-	memoryTokens int // tokens of all that run; 0: unbounded
+	memoryTokens int // tokens of all running requests; 0 if unbounded
 
 	waiting     []*Work
 	running     []*Work
 	nextArrival int
-	// inPass: a pass runs; what comes meanwhile waits for the next one.
+	// inPass is set during a pass. Requests added meanwhile wait for the next one.
 	inPass  bool
-	writers []*Work // of the pass that runs
+	writers []*Work // requests that write in the current pass
 }
 
-// NewBatch returns an idle engine that lets so many wait; memory is in tokens, 0 where
-// it never runs out.
+// NewBatch returns an idle engine. maxWaiting is the number of requests that may wait for
+// a slot. memoryTokens is the size of its memory in tokens, or 0 if it is unbounded.
 func NewBatch(spec *catalog.Engine, maxWaiting, memoryTokens int) *Batch {
 	return &Batch{spec: spec, maxWaiting: maxWaiting, memoryTokens: memoryTokens}
 }
 
-// Running returns the requests in slots.
+// Running returns the number of requests in slots.
 func (b *Batch) Running() int { return len(b.running) }
 
-// Waiting returns the requests that wait for a slot.
+// Waiting returns the number of requests waiting for a slot.
 func (b *Batch) Waiting() int { return len(b.waiting) }
 
-// Add takes a request and reports whether there was room for it.
+// Add adds a request and reports whether there was room for it.
 func (b *Batch) Add(work *Work) bool {
 	if len(b.running)+len(b.waiting) >= b.spec.Slots+b.maxWaiting {
 		return false
@@ -72,11 +72,12 @@
 	return true
 }
 
+// compareTurn orders waiting requests by rank, then by arrival.
 func compareTurn(left, right *Work) int {
 	return cmp.Or(cmp.Compare(left.Rank, right.Rank), cmp.Compare(left.arrival, right.arrival))
 }
 
-// Remove takes a request out, in a pass too.
+// Remove removes a request, even during a pass.
 func (b *Batch) Remove(work *Work) {
 	same := func(other *Work) bool { return other == work }
 	b.waiting = slices.DeleteFunc(b.waiting, same)
@@ -84,8 +85,8 @@
 	b.writers = slices.DeleteFunc(b.writers, same)
 }
 
-// Begin begins a pass and returns how long it takes; ok is false where nothing is to be
-// done or a pass runs.
+// Begin starts a pass and returns its duration. ok is false if there is nothing to do or
+// a pass is in progress.
 func (b *Batch) Begin() (duration time.Duration, ok bool) {
 	if b.inPass {
 		return 0, false
@@ -117,7 +118,7 @@
 	return readTime + time.Duration(steps)*stepTime(b.spec, max(1, writers), context), true
 }
 
-// admit lets those who wait into free slots.
+// admit moves waiting requests into free slots, as far as memory allows.
 func (b *Batch) admit() {
 	for len(b.waiting) > 0 && len(b.running) < b.spec.Slots {
 		if b.memoryTokens > 0 && b.usedMemory()+b.waiting[0].Prompt > b.memoryTokens && len(b.running) > 0 {
@@ -128,7 +129,7 @@
 	}
 }
 
-// held returns the tokens in memory.
+// usedMemory returns the number of tokens in memory.
 func (b *Batch) usedMemory() int {
 	tokens := 0
 	for _, work := range b.running {
@@ -137,8 +138,8 @@
 	return tokens
 }
 
-// preempt puts the newest requests back while the pass would need more memory than
-// there is.
+// preempt puts the newest requests back into the queue until the next pass fits into
+// memory.
 func (b *Batch) preempt() {
 	for b.memoryTokens > 0 && len(b.running) > 1 && b.usedMemory()+len(b.running)*max(1, b.spec.Stride) > b.memoryTokens {
 		newest := slices.MaxFunc(b.running, func(left, right *Work) int { return cmp.Compare(left.arrival, right.arrival) })
@@ -149,7 +150,8 @@
 	}
 }
 
-// read reads prompts in so many steps and returns the time that it takes.
+// readPrompts reads prompts during the given number of steps and returns the time it
+// takes.
 func (b *Batch) readPrompts(steps int) time.Duration {
 	budget := steps * b.chunkTokens()
 	duration := time.Duration(0)
@@ -166,7 +168,7 @@
 	return duration
 }
 
-// chunk returns the prompt tokens of one step.
+// chunkTokens returns the number of prompt tokens read per step.
 func (b *Batch) chunkTokens() int {
 	if b.spec.ChunkTokens <= 0 {
 		return 1 << 30
@@ -174,8 +176,8 @@
 	return b.spec.ChunkTokens
 }
 
-// End ends the pass that runs: each that writes has up to a stride of tokens more.
-// Those in done have their whole answer and left.
+// End ends the current pass, in which each writer got up to Stride tokens. Requests in
+// done have their whole answer and were removed.
 func (b *Batch) End() (writers, done []*Work) {
 	b.inPass = false
 	for _, work := range b.writers {
@@ -193,8 +195,8 @@
 	return writers, done
 }
 
-// Clear drops all requests and the pass, as a crash or an order that cuts over does,
-// and returns them.
+// Clear removes all requests and aborts the pass, as a crash or a switch to another
+// version does. It returns the removed requests.
 func (b *Batch) Clear() []*Work {
 	dropped := append(b.running, b.waiting...)
 	b.running, b.waiting, b.writers, b.inPass = nil, nil, nil, false
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine models a model engine that works in passes: each pass reads
-// prompts that were admitted and runs a few token steps for all requests that
-// write. The model is pure; it predicts times from what operators declare of an
-// engine.
+// Package engine models an engine that generates tokens in passes. Each pass reads
+// prompts of admitted requests and runs a few decoding steps for all requests whose
+// prompt has been read. The model has no side effects; it predicts times from the
+// figures that operators declare for an engine.
 package engine
 
 import (
@@ -15,7 +15,7 @@
 	pairsPerMillion   = 1e6
 )
 
-// Read returns the time to read a prompt.
+// Read returns the time to read a prompt of the given number of tokens.
 func Read(spec *catalog.Engine, prompt int) time.Duration {
 	if spec.ReadPerSecond <= 0 {
 		return 0
@@ -25,20 +25,20 @@
 	return time.Duration(tokens/spec.ReadPerSecond*float64(time.Second)) + fromMillis(spec.PairMillis*pairs/pairsPerMillion)
 }
 
-// Write returns the time of the token steps of one pass with so many writers
-// and so much context in all, tokens.
+// Write returns the time of the decoding steps of one pass, with the given number of
+// writing requests and total tokens of context.
 func Write(spec *catalog.Engine, writers, context int) time.Duration {
 	return time.Duration(max(1, spec.Stride)) * stepTime(spec, writers, context)
 }
 
-// step returns the time of one token step.
+// stepTime returns the time of one decoding step.
 func stepTime(spec *catalog.Engine, writers, context int) time.Duration {
 	return fromMillis(spec.StepMillis + spec.PerSeqMillis*float64(writers) + spec.ContextMillis*float64(context)/tokensPerThousand)
 }
 
-// UsualPass returns the time of a pass in the long run with so many requests in
-// progress: each writes a stride of tokens a pass, and new prompts come as
-// others end.
+// UsualPass returns the average time of a pass with the given number of requests in
+// progress. Each writes Stride tokens per pass, and new prompts replace requests that
+// end.
 func UsualPass(spec *catalog.Engine, running int) time.Duration {
 	context := running * (spec.UsualPrompt + spec.UsualAnswer/2)
 	writeTime := Write(spec, running, context)
@@ -49,17 +49,16 @@
 	return writeTime + time.Duration(ending*float64(Read(spec, spec.UsualPrompt)))
 }
 
-// FirstEvent returns the expected time from dispatch to the first event of a
-// request with the prompt, where so many others are in progress: what is left
-// of the pass that runs, the reading, and the steps of the pass that it begins
-// with.
+// FirstEvent returns the expected time from dispatch to the first event of a request,
+// with the given number of other requests in progress: the rest of the pass in progress,
+// reading the prompt, and the steps of the pass in which the request starts writing.
 func FirstEvent(spec *catalog.Engine, running, prompt int) time.Duration {
 	pass := UsualPass(spec, running)
 	return pass/2 + pass + Read(spec, prompt)
 }
 
-// Gap returns the mean time between two requests' ends at an engine with all
-// slots taken.
+// Gap returns the mean time between the ends of two requests at an engine whose slots
+// are all taken.
 func Gap(spec *catalog.Engine) time.Duration {
 	if spec.Slots <= 0 || spec.UsualAnswer <= 0 {
 		return 0
--- a/relay/engine/engine_test.go
+++ b/relay/engine/engine_test.go
@@ -8,13 +8,13 @@
 	"comfreyrelay.example/relay/engine"
 )
 
-// spec is an engine as the users' sheets describe it.
+// spec is an engine as declared in the users' data sheets.
 var spec = &catalog.Engine{
 	Slots: 16, Stride: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227,
 	ReadPerSecond: 19100, PairMillis: 1.47, ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94,
 }
 
-// TestTimesMatchDeclaredFigures compares with figures worked out by hand from the sheet.
+// The expected times were calculated by hand from the data sheet.
 func TestTimesMatchDeclaredFigures(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -36,12 +36,12 @@
 	idle, full := engine.FirstEvent(spec, 1, 500), engine.FirstEvent(spec, 16, 500)
 	long := engine.FirstEvent(spec, 16, 3000)
 	if idle >= full || full >= long {
-		t.Errorf("got %v, %v, %v, want them to grow", idle, full, long)
+		t.Errorf("got %v, %v, %v, want increasing times", idle, full, long)
 	}
 }
 
 func TestUndeclaredEngineTakesNoTime(t *testing.T) {
 	if got := engine.FirstEvent(&catalog.Engine{}, 3, 1000); got != 0 {
-		t.Errorf("got %v of an engine that declares nothing, want 0", got)
+		t.Errorf("got %v for an engine without declared figures, want 0", got)
 	}
 }
