--- a/relay/budget/budget.go
+++ b/relay/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget keeps one process within its share of the calls that the
-// platform's key-value service takes from the whole fleet, and counts them.
+// Package budget limits one process's calls to the platform's key-value service to its
+// share of what the service accepts from the whole fleet, and counts the calls.
 package budget
 
 import (
@@ -14,48 +14,48 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// The share of one process where its settings name none: a ninth of the 2000
-// reads and 300 writes that the service takes in a second.
+// The default share of one process: a ninth of the 2000 reads and 300 writes per
+// second that the service accepts.
 const (
 	DefaultReadsPerSecond  = 2000.0 / 9
 	DefaultWritesPerSecond = 300.0 / 9
 )
 
-// startSpread is the time over which processes that start at the same moment
-// spread their first calls.
+// maxStartDelay is the interval over which processes that start at the same time spread
+// their first calls.
 const maxStartDelay = 500 * time.Millisecond
 
-// burstFraction is the part of a second's share that may go out at once; the
-// rest is what comes back in a second. A submission of a document makes a few
-// writes in a row, which should not wait even where the share is small; what
-// is sustained is less in exchange.
+// burstFraction is the part of a second's share that may be used at once; the rest is
+// refilled over the second. Submitting a document makes a few writes in a row, which
+// should not have to wait even if the share is small. In return the sustained rate is
+// lower.
 const burstFraction = 0.4
 
-// minWait keeps rounding errors from making the timer spin.
+// minWait prevents rounding errors from causing a busy loop of timers.
 const minWait = time.Millisecond
 
-// Options configure a Budget.
+// Options configures a Budget.
 type Options struct {
 	// Role labels the counters, for example "entry".
 	Role string
-	// ReadsPerSecond and WritesPerSecond are the most calls that go out in any
-	// second; 0 stands for the default.
+	// ReadsPerSecond and WritesPerSecond are the maximum numbers of calls in any second;
+	// 0 stands for the default.
 	ReadsPerSecond, WritesPerSecond float64
 	Clock                           clockwork.Clock
-	// Jitter returns a random number in [0,1); nil stands for math/rand/v2.
+	// Jitter returns a random number in [0,1); nil stands for rand.Float64.
 	Jitter func() float64
 }
 
-// Budget holds back calls over the process's share. Reads and writes have a
-// lane each, with its own lock.
+// Budget delays calls that exceed the process's share. Reads and writes are scheduled
+// separately, each with its own lock.
 type Budget struct {
 	role   string
 	reads  *scheduler
 	writes *scheduler
 }
 
-// New makes a Budget. Its first calls wait a random moment of up to half a
-// second, so that a fleet that restarts as one does not call as one.
+// New returns a Budget. Its first calls are delayed by a random time of up to
+// maxStartDelay, so that processes that restart together do not call at the same time.
 func New(opts Options) *Budget {
 	jitter := opts.Jitter
 	if jitter == nil {
@@ -77,8 +77,8 @@
 	return value
 }
 
-// Wait returns nil once the call may go out. Kind Exhausted: the context ended
-// first or too many calls wait already.
+// Wait blocks until the call may be made. It returns an error of kind Exhausted if the
+// context ends first or too many calls are waiting.
 func (b *Budget) Wait(ctx context.Context, call Call) error {
 	scheduler := b.reads
 	if call.Kind.Writes() {
@@ -92,21 +92,22 @@
 	return nil
 }
 
-// lane hands out the grants of one queue.
+// scheduler grants the calls of one queue as their turn comes.
 type scheduler struct {
 	clock clockwork.Clock
 
 	mu         sync.Mutex
 	queue      *queue
-	granted    map[uint64]chan struct{} // closed when the ticket is granted
-	lastTicket uint64                   // the highest ticket handed out
-	timerSet   bool                     // a timer that will pump is running
+	granted    map[uint64]chan struct{} // by ticket; closed when the call is granted
+	lastTicket uint64                   // highest ticket issued
+	timerSet   bool                     // a timer that will call grantDue is running
 }
 
 func newScheduler(clock clockwork.Clock, queue *queue) *scheduler {
 	return &scheduler{clock: clock, queue: queue, granted: map[uint64]chan struct{}{}}
 }
 
+// wait blocks until the call is granted or the context ends.
 func (s *scheduler) wait(ctx context.Context, level priority) error {
 	ticket, granted, err := s.enqueue(level)
 	if err != nil {
@@ -122,6 +123,7 @@
 	}
 }
 
+// enqueue adds a call to the queue. The returned channel is closed when it is granted.
 func (s *scheduler) enqueue(level priority) (uint64, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,6 +138,7 @@
 	return ticket, granted, nil
 }
 
+// cancel removes a call whose caller gave up.
 func (s *scheduler) cancel(ticket uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +146,8 @@
 	delete(s.granted, ticket)
 }
 
-// pump grants what is due and sets the timer for the rest; s.mu is held.
+// grantDue grants the calls whose turn has come and sets a timer for the next one. The
+// caller holds s.mu.
 func (s *scheduler) grantDue() {
 	tickets, next := s.queue.grantDue(s.clock.Now())
 	for _, ticket := range tickets {
@@ -162,8 +166,8 @@
 	})
 }
 
-// counters holds the calls of this process by role, verdict, kind and key
-// prefix: "entry.sent.swap.document".
+// counters counts the calls of this process by role, result, kind and key prefix, for
+// example "entry.sent.swap.document".
 var counters = expvar.NewMap("kvBudget")
 
 func count(role, verdict string, call Call) {
--- a/relay/budget/budget_test.go
+++ b/relay/budget/budget_test.go
@@ -14,16 +14,15 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// The service's rates and the entries of one deployment.
+// The service's rates, and the number of entries of a deployment.
 const (
 	serviceReads  = 2000
 	serviceWrites = 300
 	entryCount    = 9
 )
 
-// TestFleetRestartStaysWithinServiceLimits: all entries restart at one moment, each with more to
-// ask than its share. The symptom of a broken budget would be a second in which
-// the service gets more than it takes and refuses keep-alives.
+// If all entries restart at once, each with more calls than its share, the service must
+// not get more calls in any second than it accepts, or it refuses keep-alives.
 func TestFleetRestartStaysWithinServiceLimits(t *testing.T) {
 	for _, kind := range []Kind{Get, Swap} {
 		limit := serviceReads
@@ -44,8 +43,8 @@
 	}
 }
 
-// flood starts a fleet of budgets, lets each ask without end for five seconds
-// and returns when the calls went out.
+// saturate starts a fleet of budgets, makes calls on each as fast as possible for five
+// seconds and returns when the calls were made.
 func saturate(t *testing.T, kind Kind) []time.Time {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -69,7 +68,7 @@
 	return sent
 }
 
-// busiestSecond returns the most events within any second.
+// busiestSecond returns the largest number of events within any second.
 func busiestSecond(sent []time.Time) int {
 	slices.SortFunc(sent, time.Time.Compare)
 	most, first := 0, 0
@@ -82,8 +81,7 @@
 	return most
 }
 
-// TestUrgentCallsGoFirst: a keep-alive that waits behind a crowd of claims costs
-// the lease.
+// A keep-alive that waits behind many claims would lose the lease.
 func TestUrgentCallsGoFirst(t *testing.T) {
 	now := time.Now()
 	queue := newQueue(4, now)
@@ -109,8 +107,8 @@
 	}
 }
 
-// TestWaitIsBounded: during an outage callers pile up; those beyond the bound
-// learn it at once, and those whose context ends leave nothing behind.
+// Callers pile up during an outage. Those beyond the bound must be refused at once, and
+// those whose context ends must leave nothing behind.
 func TestWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := New(Options{Role: "test", WritesPerSecond: 0.001, Clock: clockwork.NewRealClock()})
@@ -122,17 +120,16 @@
 		}
 		synctest.Wait()
 		if got := failure.KindOf(limit.Wait(t.Context(), Call{Kind: Swap})); got != failure.Exhausted {
-			t.Errorf("got kind %s beyond the bound, want %s", got, failure.Exhausted)
+			t.Errorf("got kind %s beyond the limit, want %s", got, failure.Exhausted)
 		}
 		callers.Wait()
 		if got := limit.writes.queue.length() + len(limit.writes.granted); got != 0 {
-			t.Errorf("got %d waiting after all gave up, want 0", got)
+			t.Errorf("got %d calls waiting after all gave up, want 0", got)
 		}
 	})
 }
 
-// TestAnySecondStaysWithinShare: whatever the pattern of calls, no second holds more
-// than the share.
+// No second may contain more calls than the share, whatever the pattern of calls.
 func TestAnySecondStaysWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(2, 300).Draw(t, "share")
--- a/relay/budget/call.go
+++ b/relay/budget/call.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Kind names a call to the key-value service.
+// Kind is the kind of a call to the key-value service.
 type Kind string
 
-// The kinds of call; each counts as one read or one write of the service.
+// The kinds of calls. Each counts as one read or one write at the service.
 const (
 	Get       Kind = "get"
 	List      Kind = "list"
@@ -22,20 +22,20 @@
 	return k != Get && k != List && k != Watch
 }
 
-// Call is one call that is about to be made.
+// Call describes a call that is about to be made.
 type Call struct {
 	Kind Kind
-	// Key is the key or the prefix; empty for calls on leases.
+	// Key is the key or key prefix; empty for calls on leases.
 	Key string
 }
 
-// Prefix returns the first segment of the key, the unit of the counters.
+// Prefix returns the first segment of the key, by which calls are counted.
 func (c Call) Prefix() string {
 	first, _, _ := strings.Cut(c.Key, "/")
 	return first
 }
 
-// priority orders the calls that wait; the smaller one goes first.
+// priority orders waiting calls; lower values go first.
 type priority int
 
 const (
@@ -47,9 +47,9 @@
 // documentPrefix is the prefix of the keys that hold the operators' document.
 const documentPrefix = "document"
 
-// rank puts lease keep-alives and the swaps of a document first: a late
-// keep-alive costs the lease and a late swap keeps an operator waiting, while
-// everything else can be a moment later without harm.
+// priority puts keep-alives, revocations and swaps of a document first: a late
+// keep-alive loses the lease, and a late swap keeps an operator waiting. A short delay
+// of any other call does no harm.
 func (c Call) priority() priority {
 	if c.Kind == KeepAlive || c.Kind == Revoke {
 		return urgent
--- a/relay/budget/queue.go
+++ b/relay/budget/queue.go
@@ -9,22 +9,21 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// maxWaiting bounds the calls that wait in one queue: callers beyond it are
-// refused at once instead of piling up in memory during an outage.
+// maxWaiting bounds the calls waiting in one queue. Further calls are refused at once
+// instead of piling up in memory during an outage.
 const maxWaiting = 1024
 
-// queue decides which call of one class goes next. It is pure: the caller
-// passes the time in and acts on what comes back.
+// queue decides which call of one class is made next. It does no I/O and reads no clock:
+// the caller passes in the time and acts on the results.
 type queue struct {
 	limiter   *rate.Limiter
-	notBefore time.Time                // nothing is granted before
+	notBefore time.Time                // nothing is granted earlier
 	waiting   [priorityLevels][]uint64 // tickets in order of arrival, by priority
 }
 
-// newQueue makes a queue that grants at most perSecond calls in any second:
-// the burst and the refill of one second together make up the share. It starts
-// without tokens, so that a process that restarts over and over gets no more
-// than one that runs.
+// newQueue returns a queue that grants at most perSecond calls in any second: the burst
+// and one second's refill together make up the share. It starts without tokens, so that a
+// process that keeps restarting gets no more calls than one that keeps running.
 func newQueue(perSecond float64, notBefore time.Time) *queue {
 	burst := max(1, int(perSecond*burstFraction))
 	refill := perSecond - float64(burst)
@@ -36,7 +35,7 @@
 	return &queue{limiter: limiter, notBefore: notBefore}
 }
 
-// add lets the ticket wait for its turn.
+// add appends a ticket to its priority's queue, unless too many calls are waiting.
 func (q *queue) add(ticket uint64, level priority) error {
 	if q.length() >= maxWaiting {
 		return failure.New(failure.Exhausted, "too many calls wait for the key-value service's budget",
@@ -46,7 +45,7 @@
 	return nil
 }
 
-// remove forgets a ticket whose caller gave up.
+// remove removes a ticket whose caller gave up.
 func (q *queue) remove(ticket uint64) {
 	for level := range q.waiting {
 		i := slices.Index(q.waiting[level], ticket)
@@ -57,8 +56,8 @@
 	}
 }
 
-// pump returns the tickets whose turn has come and, while others wait, how long
-// it takes until the next one's turn.
+// grantDue returns the tickets whose turn has come and, if others wait, the time until
+// the next one's turn.
 func (q *queue) grantDue(now time.Time) (tickets []uint64, next time.Duration) {
 	if now.Before(q.notBefore) {
 		return nil, q.notBefore.Sub(now)
@@ -72,12 +71,14 @@
 	return tickets, 0
 }
 
+// untilToken returns the time until the limiter has a token again.
 func (q *queue) untilToken(now time.Time) time.Duration {
 	missing := 1 - q.limiter.TokensAt(now)
 	wait := time.Duration(missing / float64(q.limiter.Limit()) * float64(time.Second))
 	return max(wait, minWait)
 }
 
+// pop removes and returns the first ticket of the highest priority.
 func (q *queue) pop() uint64 {
 	for level := range q.waiting {
 		if len(q.waiting[level]) == 0 {
