--- a/relay/admission/line.go
+++ b/relay/admission/line.go
@@ -7,8 +7,8 @@
 
 // Line is the queue of requests that wait for an endpoint of one service: the most
 // urgent first, and among equals in order of arrival. Only the head looks for an
-// endpoint; the others wait for it to leave. It has no side effects and is not safe
-// for concurrent use.
+// endpoint; the others wait for it to leave. It does no I/O and reads no clock, and it
+// is not safe for concurrent use.
 type Line struct {
 	waiting []*Request
 	// nextLate is when the next request becomes late and moves behind the others; zero
--- a/relay/engine/batch.go
+++ b/relay/engine/batch.go
@@ -29,8 +29,9 @@
 // Batch is a discrete model of one engine. It admits waiting requests into slots, reads
 // prompts in chunks between the steps of the writing requests, and reports after each
 // pass which requests wrote: those that were writing before, and those whose prompt was
-// finished in the pass. A pass in which no request writes yet has one step. A Batch has
-// no side effects; the caller starts the next pass when the previous one has ended.
+// finished in the pass. A pass in which no request writes yet has one step. A Batch does
+// no I/O and reads no clock; the caller starts the next pass when the previous one has
+// ended.
 //
 // If the memory for requests is declared as well, the newest request is put back when
 // memory runs out, and is read again later.
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine models an engine that generates tokens in passes. Each pass reads
 // prompts of admitted requests and runs a few decoding steps for all requests whose
-// prompt has been read. The model has no side effects; it predicts times from the
-// figures that operators declare for an engine.
+// prompt has been read. The model does no I/O and reads no clock; it predicts
+// times from the figures that operators declare for an engine.
 package engine
 
 import (
