--- a/relay/admit/limit.go
+++ b/relay/admit/limit.go
@@ -14,9 +14,9 @@
 	initialLimit         = 4               // if the engine reports no slots
 	decreaseFactor       = 0.8             // applied at a sign of overload
 	decreaseInterval     = time.Second / 4 // further signs within it are ignored
-	slowFirstTokenFactor = 2.5             // a first token slower than this times the best is a sign of overload,
-	slowFirstTokenMargin = 50.0            // if it is also at least this many milliseconds slower
-	maxQueuedRatio       = 0.25            // queued requests per running one above which the queue is a sign of overload
+	slowFirstTokenFactor = 2.5             // first token slower than this times the best: sign of overload
+	slowFirstTokenMargin = 50.0            // only if also slower by this many milliseconds
+	maxQueuedRatio       = 0.25            // more queued requests per running one: sign of overload
 	firstTokenSmoothing  = 0.2             // weight of a new first-token sample
 )
 
@@ -47,9 +47,9 @@
 // Current returns the limit, in requests.
 func (l *Limit) Current() int { return int(l.limit) }
 
-// RecordFirstToken records the time from dispatch to the first token. The best time never
-// increases: if it followed the usual time, a queue caused by this limit itself would
-// be taken for the host's normal speed.
+// RecordFirstToken records the time from dispatch to the first token. The best time
+// never increases: if it followed the usual time, a queue caused by this limit itself
+// would be taken for the host's normal speed.
 func (l *Limit) RecordFirstToken(now time.Time, took time.Duration) {
 	if !l.useFirstToken {
 		return
@@ -77,7 +77,8 @@
 // RecordRefusal records a refusal for lack of capacity.
 func (l *Limit) RecordRefusal(now time.Time) { l.decrease(now) }
 
-// RecordAnswer records a complete answer. inFlight is the number of other requests in progress.
+// RecordAnswer records a complete answer and raises the limit if all of it was used and
+// it was not lowered just before. inFlight is the number of other requests in progress.
 func (l *Limit) RecordAnswer(now time.Time, inFlight int) {
 	limited := inFlight+1 >= int(l.limit)
 	recent := now.Sub(l.lastDecrease) < decreaseInterval
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -57,8 +57,8 @@
 	return pass/2 + pass + ReadTime(spec, prompt)
 }
 
-// CompletionInterval returns the mean time between the ends of two requests at an engine whose slots
-// are all taken.
+// CompletionInterval returns the mean time between the ends of two requests at an engine
+// whose slots are all taken.
 func CompletionInterval(spec *catalog.Engine) time.Duration {
 	if spec.Slots <= 0 || spec.UsualAnswer <= 0 {
 		return 0
--- a/relay/engine/engine_test.go
+++ b/relay/engine/engine_test.go
@@ -23,8 +23,8 @@
 		{"reading 1000 tokens", engine.ReadTime(spec, 1000), 53090 * time.Microsecond},
 		{"a pass of one writer", engine.WriteTime(spec, 1, 1000), 44660 * time.Microsecond},
 		{"a pass of 16 writers", engine.WriteTime(spec, 16, 16000), 49270 * time.Microsecond},
-		{"the usual pass of 16", engine.UsualPassTime(spec, 16), 93900 * time.Microsecond},
-		{"the gap between ends", engine.CompletionInterval(spec), 110300 * time.Microsecond},
+		{"an average pass of 16", engine.UsualPassTime(spec, 16), 93900 * time.Microsecond},
+		{"the interval between completions", engine.CompletionInterval(spec), 110300 * time.Microsecond},
 	} {
 		if diff := test.got - test.want; diff < -time.Millisecond || diff > time.Millisecond {
 			t.Errorf("%s: got %v, want %v", test.name, test.got, test.want)
--- a/relay/route/shift.go
+++ b/relay/route/shift.go
@@ -6,7 +6,7 @@
 // Roll is the state of one model's rollout to its target version.
 type Roll struct {
 	Target    string            // version in the document
-	WhenWhole bool              // the document's shift: callers switch only once every replica serves the target
+	WhenWhole bool              // switch callers only once all replicas serve it (the document's shift)
 	Serving   map[string]string // version served, by host
 	Whole     bool              // every planned replica serves the target
 }
--- a/relay/route/sim_test.go
+++ b/relay/route/sim_test.go
@@ -34,15 +34,15 @@
 }
 
 const (
-	simSlots          = 8
-	simCacheSize      = 24
-	simTokens         = 16
-	simPrefill        = 60 * time.Millisecond
-	simCachedPrefill  = 10 * time.Millisecond
-	simGap            = 10 * time.Millisecond
-	simReportAge      = 2 * time.Second
-	simReportInterval = 500 * time.Millisecond
-	simPrefixes       = 160
+	simSlots          = 8                      // per host
+	simCacheSize      = 24                     // cached prefixes per host
+	simTokens         = 16                     // per answer
+	simPrefill        = 60 * time.Millisecond  // time to the first token with a cold prefix
+	simCachedPrefill  = 10 * time.Millisecond  // time to the first token with a cached prefix
+	simGap            = 10 * time.Millisecond  // between tokens
+	simReportAge      = 2 * time.Second        // of the reports that entries see
+	simReportInterval = 500 * time.Millisecond // between a host's reports
+	simPrefixes       = 160                    // distinct prefixes
 )
 
 var simStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
@@ -59,11 +59,13 @@
 	return s
 }
 
+// simEvent is a function call scheduled on the virtual clock.
 type simEvent struct {
 	at time.Time
 	do func()
 }
 
+// simEvents is a heap of events ordered by time.
 type simEvents []simEvent
 
 func (e simEvents) Len() int           { return len(e) }
@@ -77,12 +79,13 @@
 	return last
 }
 
+// after schedules a function call.
 func (s *sim) after(wait time.Duration, do func()) {
 	heap.Push(&s.events, simEvent{s.now.Add(wait), do})
 }
 
-// report makes a report of each host and updates the entries with those made simLag
-// ago.
+// report makes a report of each host and updates the entries with the reports made
+// simReportAge ago.
 func (s *sim) report() {
 	var seen []Host
 	for _, host := range s.hosts {
@@ -173,6 +176,7 @@
 
 func (s *sim) hitRatio() float64 { return float64(s.hits) / float64(s.arrived) }
 
+// firstTokenQuantile returns a quantile of the time to the first token.
 func (s *sim) firstTokenQuantile(quantile float64) time.Duration {
 	slices.Sort(s.firstTokenTimes)
 	return s.firstTokenTimes[int(quantile*float64(len(s.firstTokenTimes)-1))]
--- a/relay/route/table.go
+++ b/relay/route/table.go
@@ -41,6 +41,7 @@
 	return max(h.inFlight, h.Running+h.Queued+h.inFlight-h.inFlightAtReport)
 }
 
+// slots returns the host's slots, or a default if it does not report them.
 func (h *hostState) slots() int {
 	if h.Slots > 0 {
 		return h.Slots
