--- a/relay/retry/window_test.go
+++ b/relay/retry/window_test.go
@@ -11,7 +11,7 @@
 
 // The repeats allowed in any window are at most the ratio of the requests in that window
 // and the one before, plus the slack.
-func TestRepeatsStayWithinRatio(t *testing.T) {
+func TestRepeatsStayWithinTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span, ratio, slack = 10 * time.Second, 0.2, 5.0
 		window := retry.NewWindow(span)
