--- a/relay/budget/budget.go
+++ b/relay/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget keeps one process within its share of the calls that the
-// platform's key-value service takes from the whole fleet, and counts them.
+// Package budget limits one process's calls to the platform's key-value service to its
+// share of what the service accepts from the whole fleet, and counts the calls.
 package budget
 
 import (
@@ -14,59 +14,59 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// The share of one process where its settings name none: a ninth of the 2000
-// reads and 300 writes that the service takes in a second.
+// The default share of one process: a ninth of the 2000 reads and 300 writes per
+// second that the service accepts.
 const (
 	DefaultReadsPerSecond  = 2000.0 / 9
 	DefaultWritesPerSecond = 300.0 / 9
 )
 
-// startSpread is the time over which processes that start at the same moment
-// spread their first calls.
-const startSpread = 500 * time.Millisecond
+// maxStartDelay is the interval over which processes that start at the same time spread
+// their first calls.
+const maxStartDelay = 500 * time.Millisecond
 
-// burstFraction is the part of a second's share that may go out at once; the
-// rest is what comes back in a second. A submission of a document makes a few
-// writes in a row, which should not wait even where the share is small; what
-// is sustained is less in exchange.
+// burstFraction is the part of a second's share that may be used at once; the rest is
+// refilled over the second. Submitting a document makes a few writes in a row, which
+// should not have to wait even if the share is small. In return the sustained rate is
+// lower.
 const burstFraction = 0.4
 
-// minWait keeps rounding errors from making the timer spin.
+// minWait prevents rounding errors from causing a busy loop of timers.
 const minWait = time.Millisecond
 
-// Options configure a Budget.
+// Options configures a Budget.
 type Options struct {
 	// Role labels the counters, for example "entry".
 	Role string
-	// ReadsPerSecond and WritesPerSecond are the most calls that go out in any
-	// second; 0 stands for the default.
+	// ReadsPerSecond and WritesPerSecond are the maximum numbers of calls in any second;
+	// 0 stands for the default.
 	ReadsPerSecond, WritesPerSecond float64
 	Clock                           clockwork.Clock
-	// Jitter returns a random number in [0,1); nil stands for math/rand/v2.
+	// Jitter returns a random number in [0,1); nil stands for rand.Float64.
 	Jitter func() float64
 }
 
-// Budget holds back calls over the process's share. Reads and writes have a
-// lane each, with its own lock.
+// Budget delays calls that exceed the process's share. Reads and writes are scheduled
+// separately, each with its own lock.
 type Budget struct {
 	role   string
-	reads  *lane
-	writes *lane
+	reads  *scheduler
+	writes *scheduler
 }
 
-// New makes a Budget. Its first calls wait a random moment of up to half a
-// second, so that a fleet that restarts as one does not call as one.
+// New returns a Budget. Its first calls are delayed by a random time of up to
+// maxStartDelay, so that processes that restart together do not call at the same time.
 func New(opts Options) *Budget {
 	jitter := opts.Jitter
 	if jitter == nil {
 		jitter = rand.Float64
 	}
 	now := opts.Clock.Now()
-	opensAt := now.Add(time.Duration(jitter() * float64(startSpread)))
+	notBefore := now.Add(time.Duration(jitter() * float64(maxStartDelay)))
 	return &Budget{
 		role:   opts.Role,
-		reads:  newLane(opts.Clock, newQueue(orDefault(opts.ReadsPerSecond, DefaultReadsPerSecond), opensAt)),
-		writes: newLane(opts.Clock, newQueue(orDefault(opts.WritesPerSecond, DefaultWritesPerSecond), opensAt)),
+		reads:  newScheduler(opts.Clock, newQueue(orDefault(opts.ReadsPerSecond, DefaultReadsPerSecond), notBefore)),
+		writes: newScheduler(opts.Clock, newQueue(orDefault(opts.WritesPerSecond, DefaultWritesPerSecond), notBefore)),
 	}
 }
 
@@ -77,14 +77,14 @@
 	return value
 }
 
-// Wait returns nil once the call may go out. Kind Exhausted: the context ended
-// first or too many calls wait already.
+// Wait blocks until the call may be made. It returns an error of kind Exhausted if the
+// context ends first or too many calls are waiting.
 func (b *Budget) Wait(ctx context.Context, call Call) error {
-	lane := b.reads
+	scheduler := b.reads
 	if call.Kind.Writes() {
-		lane = b.writes
+		scheduler = b.writes
 	}
-	if err := lane.wait(ctx, call.rank()); err != nil {
+	if err := scheduler.wait(ctx, call.priority()); err != nil {
 		count(b.role, "refused", call)
 		return err
 	}
@@ -92,78 +92,82 @@
 	return nil
 }
 
-// lane hands out the grants of one queue.
-type lane struct {
+// scheduler grants the calls of one queue as their turn comes.
+type scheduler struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
-	queue   *queue
-	ready   map[uint64]chan struct{} // closed when the ticket is granted
-	last    uint64                   // the highest ticket handed out
-	pending bool                     // a timer that will pump is running
+	mu         sync.Mutex
+	queue      *queue
+	granted    map[uint64]chan struct{} // by ticket; closed when the call is granted
+	lastTicket uint64                   // highest ticket issued
+	timerSet   bool                     // a timer that will call grantDue is running
 }
 
-func newLane(clock clockwork.Clock, queue *queue) *lane {
-	return &lane{clock: clock, queue: queue, ready: map[uint64]chan struct{}{}}
+func newScheduler(clock clockwork.Clock, queue *queue) *scheduler {
+	return &scheduler{clock: clock, queue: queue, granted: map[uint64]chan struct{}{}}
 }
 
-func (l *lane) wait(ctx context.Context, rank priority) error {
-	ticket, ready, err := l.ask(rank)
+// wait blocks until the call is granted or the context ends.
+func (s *scheduler) wait(ctx context.Context, level priority) error {
+	ticket, granted, err := s.enqueue(level)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-ready:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		l.cancel(ticket)
+		s.cancel(ticket)
 		return failure.Wrap(ctx.Err(), failure.Exhausted, "the call waited too long for the key-value service's budget",
 			"try again later; if it persists, raise kvReadsPerSecond and kvWritesPerSecond in the settings")
 	}
 }
 
-func (l *lane) ask(rank priority) (uint64, <-chan struct{}, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.last++
-	if err := l.queue.add(l.last, rank); err != nil {
+// enqueue adds a call to the queue. The returned channel is closed when it is granted.
+func (s *scheduler) enqueue(level priority) (uint64, <-chan struct{}, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastTicket++
+	if err := s.queue.add(s.lastTicket, level); err != nil {
 		return 0, nil, err
 	}
-	ready := make(chan struct{})
-	l.ready[l.last] = ready
-	ticket := l.last
-	l.pump()
-	return ticket, ready, nil
+	granted := make(chan struct{})
+	s.granted[s.lastTicket] = granted
+	ticket := s.lastTicket
+	s.grantDue()
+	return ticket, granted, nil
 }
 
-func (l *lane) cancel(ticket uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.queue.remove(ticket)
-	delete(l.ready, ticket)
+// cancel removes a call whose caller gave up.
+func (s *scheduler) cancel(ticket uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queue.remove(ticket)
+	delete(s.granted, ticket)
 }
 
-// pump grants what is due and sets the timer for the rest; l.mu is held.
-func (l *lane) pump() {
-	granted, next := l.queue.pump(l.clock.Now())
-	for _, ticket := range granted {
-		close(l.ready[ticket])
-		delete(l.ready, ticket)
+// grantDue grants the calls whose turn has come and sets a timer for the next one. The
+// caller holds s.mu.
+func (s *scheduler) grantDue() {
+	tickets, next := s.queue.grantDue(s.clock.Now())
+	for _, ticket := range tickets {
+		close(s.granted[ticket])
+		delete(s.granted, ticket)
 	}
-	if next == 0 || l.pending {
+	if next == 0 || s.timerSet {
 		return
 	}
-	l.pending = true
-	l.clock.AfterFunc(next, func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.pending = false
-		l.pump()
+	s.timerSet = true
+	s.clock.AfterFunc(next, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.timerSet = false
+		s.grantDue()
 	})
 }
 
-// counters holds the calls of this process by role, verdict, kind and key
-// prefix: "entry.sent.swap.document".
+// counters counts the calls of this process by role, result, kind and key prefix, for
+// example "entry.sent.swap.document".
 var counters = expvar.NewMap("kvBudget")
 
 func count(role, verdict string, call Call) {
--- a/relay/budget/budget_test.go
+++ b/relay/budget/budget_test.go
@@ -14,24 +14,23 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// The service's rates and the entries of one deployment.
+// The service's rates, and the number of entries of a deployment.
 const (
 	serviceReads  = 2000
 	serviceWrites = 300
-	entries       = 9
+	entryCount    = 9
 )
 
-// TestFleetRestartsAtOnce: all entries restart at one moment, each with more to
-// ask than its share. The symptom of a broken budget would be a second in which
-// the service gets more than it takes and refuses keep-alives.
-func TestFleetRestartsAtOnce(t *testing.T) {
+// If all entries restart at once, each with more calls than its share, the service must
+// not get more calls in any second than it accepts, or it refuses keep-alives.
+func TestFleetRestartStaysWithinServiceLimits(t *testing.T) {
 	for _, kind := range []Kind{Get, Swap} {
 		limit := serviceReads
 		if kind.Writes() {
 			limit = serviceWrites
 		}
 		synctest.Test(t, func(t *testing.T) {
-			sent := flood(t, kind)
+			sent := saturate(t, kind)
 			got := busiestSecond(sent)
 			t.Logf("%s: %d in the busiest second, %d in 5 s", kind, got, len(sent))
 			if got > limit {
@@ -44,16 +43,16 @@
 	}
 }
 
-// flood starts a fleet of budgets, lets each ask without end for five seconds
-// and returns when the calls went out.
-func flood(t *testing.T, kind Kind) []time.Time {
+// saturate starts a fleet of budgets, makes calls on each as fast as possible for five
+// seconds and returns when the calls were made.
+func saturate(t *testing.T, kind Kind) []time.Time {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	var mu sync.Mutex
 	var sent []time.Time
 	var callers sync.WaitGroup
-	for range entries {
+	for range entryCount {
 		limit := New(Options{Role: "test", Clock: clockwork.NewRealClock()})
 		for range 100 {
 			callers.Go(func() {
@@ -69,7 +68,7 @@
 	return sent
 }
 
-// busiestSecond returns the most events within any second.
+// busiestSecond returns the largest number of events within any second.
 func busiestSecond(sent []time.Time) int {
 	slices.SortFunc(sent, time.Time.Compare)
 	most, first := 0, 0
@@ -82,9 +81,8 @@
 	return most
 }
 
-// TestUrgentGoesFirst: a keep-alive that waits behind a crowd of claims costs
-// the lease.
-func TestUrgentGoesFirst(t *testing.T) {
+// A keep-alive that waits behind many claims would lose the lease.
+func TestUrgentCallsGoFirst(t *testing.T) {
 	now := time.Now()
 	queue := newQueue(4, now)
 	for ticket := range uint64(3) {
@@ -92,11 +90,11 @@
 	}
 	add(t, queue, 10, Call{Kind: KeepAlive})
 	add(t, queue, 11, Call{Kind: Swap, Key: "document/root"})
-	got, _ := queue.pump(now.Add(time.Hour))
+	got, _ := queue.grantDue(now.Add(time.Hour))
 	if want := []uint64{10}; !slices.Equal(got, want) {
 		t.Errorf("got tickets %v first, want %v", got, want)
 	}
-	got, _ = queue.pump(now.Add(2 * time.Hour))
+	got, _ = queue.grantDue(now.Add(2 * time.Hour))
 	if want := []uint64{11}; !slices.Equal(got, want) {
 		t.Errorf("got tickets %v next, want %v", got, want)
 	}
@@ -104,13 +102,13 @@
 
 func add(t *testing.T, queue *queue, ticket uint64, call Call) {
 	t.Helper()
-	if err := queue.add(ticket, call.rank()); err != nil {
+	if err := queue.add(ticket, call.priority()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestWaitIsBounded: during an outage callers pile up; those beyond the bound
-// learn it at once, and those whose context ends leave nothing behind.
+// Callers pile up during an outage. Those beyond the bound must be refused at once, and
+// those whose context ends must leave nothing behind.
 func TestWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := New(Options{Role: "test", WritesPerSecond: 0.001, Clock: clockwork.NewRealClock()})
@@ -122,18 +120,17 @@
 		}
 		synctest.Wait()
 		if got := failure.KindOf(limit.Wait(t.Context(), Call{Kind: Swap})); got != failure.Exhausted {
-			t.Errorf("got kind %s beyond the bound, want %s", got, failure.Exhausted)
+			t.Errorf("got kind %s beyond the limit, want %s", got, failure.Exhausted)
 		}
 		callers.Wait()
-		if got := limit.writes.queue.length() + len(limit.writes.ready); got != 0 {
-			t.Errorf("got %d waiting after all gave up, want 0", got)
+		if got := limit.writes.queue.length() + len(limit.writes.granted); got != 0 {
+			t.Errorf("got %d calls waiting after all gave up, want 0", got)
 		}
 	})
 }
 
-// TestAnySecondWithinShare: whatever the pattern of calls, no second holds more
-// than the share.
-func TestAnySecondWithinShare(t *testing.T) {
+// No second may contain more calls than the share, whatever the pattern of calls.
+func TestAnySecondStaysWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(2, 300).Draw(t, "share")
 		now := time.Now()
@@ -141,8 +138,8 @@
 		var sent []time.Time
 		for ticket := range uint64(rapid.IntRange(1, 400).Draw(t, "calls")) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "gapMillis")) * time.Millisecond)
-			_ = queue.add(ticket, ordinary) // a full queue is part of the pattern
-			granted, _ := queue.pump(now)
+			_ = queue.add(ticket, normal) // a full queue is part of the pattern
+			granted, _ := queue.grantDue(now)
 			for range granted {
 				sent = append(sent, now)
 			}
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine models a model engine that works in passes: each pass reads
-// prompts that were admitted and runs a few token steps for all requests that
-// write. The model is pure; it predicts times from what operators declare of an
-// engine.
+// Package engine models an engine that generates tokens in passes. Each pass reads
+// prompts of admitted requests and runs a few decoding steps for all requests whose
+// prompt has been read. The model does no I/O and reads no clock; it predicts
+// times from the figures that operators declare for an engine.
 package engine
 
 import (
@@ -15,57 +15,56 @@
 	pairsPerMillion   = 1e6
 )
 
-// Read returns the time to read a prompt.
-func Read(spec *catalog.Engine, prompt int) time.Duration {
+// ReadTime returns the time to read a prompt of the given number of tokens.
+func ReadTime(spec *catalog.Engine, prompt int) time.Duration {
 	if spec.ReadPerSecond <= 0 {
 		return 0
 	}
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2
-	return time.Duration(tokens/spec.ReadPerSecond*float64(time.Second)) + inMillis(spec.PairMillis*pairs/pairsPerMillion)
+	return time.Duration(tokens/spec.ReadPerSecond*float64(time.Second)) + fromMillis(spec.PairMillis*pairs/pairsPerMillion)
 }
 
-// Write returns the time of the token steps of one pass with so many writers
-// and so much context in all, tokens.
-func Write(spec *catalog.Engine, writers, context int) time.Duration {
-	return time.Duration(max(1, spec.Stride)) * step(spec, writers, context)
+// WriteTime returns the time of the decoding steps of one pass, with the given number of
+// writing requests and total tokens of context.
+func WriteTime(spec *catalog.Engine, writers, context int) time.Duration {
+	return time.Duration(max(1, spec.Stride)) * stepTime(spec, writers, context)
 }
 
-// step returns the time of one token step.
-func step(spec *catalog.Engine, writers, context int) time.Duration {
-	return inMillis(spec.StepMillis + spec.PerSeqMillis*float64(writers) + spec.ContextMillis*float64(context)/tokensPerThousand)
+// stepTime returns the time of one decoding step.
+func stepTime(spec *catalog.Engine, writers, context int) time.Duration {
+	return fromMillis(spec.StepMillis + spec.PerSeqMillis*float64(writers) + spec.ContextMillis*float64(context)/tokensPerThousand)
 }
 
-// UsualPass returns the time of a pass in the long run with so many requests in
-// progress: each writes a stride of tokens a pass, and new prompts come as
-// others end.
-func UsualPass(spec *catalog.Engine, running int) time.Duration {
+// UsualPassTime returns the average time of a pass with the given number of requests in
+// progress. Each writes Stride tokens per pass, and new prompts replace requests that
+// end.
+func UsualPassTime(spec *catalog.Engine, running int) time.Duration {
 	context := running * (spec.UsualPrompt + spec.UsualAnswer/2)
-	write := Write(spec, running, context)
+	writeTime := WriteTime(spec, running, context)
 	if spec.UsualAnswer <= 0 {
-		return write
+		return writeTime
 	}
 	ending := float64(running) * float64(max(1, spec.Stride)) / float64(spec.UsualAnswer)
-	return write + time.Duration(ending*float64(Read(spec, spec.UsualPrompt)))
+	return writeTime + time.Duration(ending*float64(ReadTime(spec, spec.UsualPrompt)))
 }
 
-// FirstEvent returns the expected time from dispatch to the first event of a
-// request with the prompt, where so many others are in progress: what is left
-// of the pass that runs, the reading, and the steps of the pass that it begins
-// with.
+// FirstEvent returns the expected time from dispatch to the first event of a request,
+// with the given number of other requests in progress: the rest of the pass in progress,
+// reading the prompt, and the steps of the pass in which the request starts writing.
 func FirstEvent(spec *catalog.Engine, running, prompt int) time.Duration {
-	pass := UsualPass(spec, running)
-	return pass/2 + pass + Read(spec, prompt)
+	pass := UsualPassTime(spec, running)
+	return pass/2 + pass + ReadTime(spec, prompt)
 }
 
-// Gap returns the mean time between two requests' ends at an engine with all
-// slots taken.
-func Gap(spec *catalog.Engine) time.Duration {
+// CompletionInterval returns the mean time between the ends of two requests at an engine
+// whose slots are all taken.
+func CompletionInterval(spec *catalog.Engine) time.Duration {
 	if spec.Slots <= 0 || spec.UsualAnswer <= 0 {
 		return 0
 	}
 	passes := float64(spec.UsualAnswer) / float64(max(1, spec.Stride))
-	return time.Duration(float64(UsualPass(spec, spec.Slots)) * passes / float64(spec.Slots))
+	return time.Duration(float64(UsualPassTime(spec, spec.Slots)) * passes / float64(spec.Slots))
 }
 
-func inMillis(count float64) time.Duration { return time.Duration(count * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/relay/engine/engine_test.go
+++ b/relay/engine/engine_test.go
@@ -8,26 +8,26 @@
 	"comfreyrelay.example/relay/engine"
 )
 
-// spec is an engine as the users' sheets describe it.
+// spec is an engine as declared in the users' data sheets.
 var spec = &catalog.Engine{
 	Slots: 16, Stride: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227,
 	ReadPerSecond: 19100, PairMillis: 1.47, ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94,
 }
 
-// TestTimesOfTheSheet compares with figures worked out by hand from the sheet.
-func TestTimesOfTheSheet(t *testing.T) {
-	for _, one := range []struct {
+// The expected times were calculated by hand from the data sheet.
+func TestTimesMatchDeclaredFigures(t *testing.T) {
+	for _, test := range []struct {
 		name      string
 		got, want time.Duration
 	}{
-		{"reading 1000 tokens", engine.Read(spec, 1000), 53090 * time.Microsecond},
-		{"a pass of one writer", engine.Write(spec, 1, 1000), 44660 * time.Microsecond},
-		{"a pass of 16 writers", engine.Write(spec, 16, 16000), 49270 * time.Microsecond},
-		{"the usual pass of 16", engine.UsualPass(spec, 16), 93900 * time.Microsecond},
-		{"the gap between ends", engine.Gap(spec), 110300 * time.Microsecond},
+		{"reading 1000 tokens", engine.ReadTime(spec, 1000), 53090 * time.Microsecond},
+		{"a pass of one writer", engine.WriteTime(spec, 1, 1000), 44660 * time.Microsecond},
+		{"a pass of 16 writers", engine.WriteTime(spec, 16, 16000), 49270 * time.Microsecond},
+		{"an average pass of 16", engine.UsualPassTime(spec, 16), 93900 * time.Microsecond},
+		{"the interval between completions", engine.CompletionInterval(spec), 110300 * time.Microsecond},
 	} {
-		if diff := one.got - one.want; diff < -time.Millisecond || diff > time.Millisecond {
-			t.Errorf("%s: got %v, want %v", one.name, one.got, one.want)
+		if diff := test.got - test.want; diff < -time.Millisecond || diff > time.Millisecond {
+			t.Errorf("%s: got %v, want %v", test.name, test.got, test.want)
 		}
 	}
 }
@@ -36,12 +36,12 @@
 	idle, full := engine.FirstEvent(spec, 1, 500), engine.FirstEvent(spec, 16, 500)
 	long := engine.FirstEvent(spec, 16, 3000)
 	if idle >= full || full >= long {
-		t.Errorf("got %v, %v, %v, want them to grow", idle, full, long)
+		t.Errorf("got %v, %v, %v, want increasing times", idle, full, long)
 	}
 }
 
-func TestUndeclaredEnginesTakeNoTime(t *testing.T) {
+func TestUndeclaredEngineTakesNoTime(t *testing.T) {
 	if got := engine.FirstEvent(&catalog.Engine{}, 3, 1000); got != 0 {
-		t.Errorf("got %v of an engine that declares nothing, want 0", got)
+		t.Errorf("got %v for an engine without declared figures, want 0", got)
 	}
 }
--- a/relay/fence/fence_test.go
+++ b/relay/fence/fence_test.go
@@ -32,33 +32,33 @@
 	})
 }
 
-// Symptom: a host goes back to an older plan. Sequence: orders of several
-// planners, among them woken ones, arrive in any order, mixed with restarts of
-// the agent and lagging statuses of an engine that keeps the number. Cause: a
-// guard that forgets or compares numbers wrongly.
-func TestNeverObeysLower(t *testing.T) {
+// A host must not go back to an older plan when orders of several planners, some of
+// them resumed after a pause, arrive in any order, mixed with agent restarts and with
+// outdated reports of an engine that keeps its number. The guard could fail at this by
+// forgetting a number or by comparing numbers wrongly.
+func TestGuardNeverObeysOlderNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		guard := NewGuard()
-		engine := uint64(0) // fence that the engine keeps over restarts
-		obeyed := Number{}  // highest obeyed in this incarnation
+		engineFence := uint64(0) // fence that the engine keeps across agent restarts
+		obeyed := Number{}       // highest obeyed in this incarnation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"order", "order", "learn", "lag", "restart"}).Draw(t, "event") {
 			case "order":
-				order := NewNumber(rapid.Uint64Range(0, 5).Draw(t, "fence"), rapid.Uint32Range(0, 5).Draw(t, "plan"))
-				if guard.Admit(order) != Obey {
+				number := NewNumber(rapid.Uint64Range(0, 5).Draw(t, "fence"), rapid.Uint32Range(0, 5).Draw(t, "plan"))
+				if guard.Admit(number) != Obey {
 					continue
 				}
-				if order.Less(obeyed) || order.Fence() < engine {
-					t.Fatalf("obeyed %v after %v, engine at %d", order, obeyed, engine)
+				if number.Less(obeyed) || number.Fence() < engineFence {
+					t.Fatalf("obeyed %v after %v, engine at %d", number, obeyed, engineFence)
 				}
-				obeyed, engine = order, order.Fence()
+				obeyed, engineFence = number, number.Fence()
 			case "learn":
-				guard.Learn(engine)
+				guard.Learn(engineFence)
 			case "lag":
-				guard.Learn(rapid.Uint64Range(0, engine).Draw(t, "old"))
-				// A first status that is older than the engine's last order is
-				// what the engine itself guards against, not this package.
-				engine = max(guard.Highest().Fence(), obeyed.Fence())
+				guard.Learn(rapid.Uint64Range(0, engineFence).Draw(t, "old"))
+				// A first status report that is older than the engine's last order is
+				// the engine's to detect, not this package's.
+				engineFence = max(guard.Highest().Fence(), obeyed.Fence())
 			case "restart":
 				guard, obeyed = NewGuard(), Number{}
 			}
--- a/relay/retry/window.go
+++ b/relay/retry/window.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// windowParts is the buckets that a Window keeps its counts in.
-const windowParts = 10
+// windowBuckets is the number of buckets of a Window's counters.
+const windowBuckets = 10
 
-// Window bounds the sends beyond the first of each request over a sliding
-// window, as this process's part of a bound for all: a ratio of the requests
-// that this process took, and its part of a constant. It is safe for concurrent
-// use.
+// Window limits, over a sliding window, how often requests are sent again. The limit is
+// this process's share of a limit for all processes: a ratio of the requests that this
+// process received plus its share of a constant. It is safe for concurrent use.
 type Window struct {
 	span time.Duration
 
 	mu       sync.Mutex
-	at       time.Time // start of the newest bucket
-	requests [windowParts]int
-	repeats  [windowParts]int
+	newest   time.Time // start of the newest bucket
+	requests [windowBuckets]int
+	repeats  [windowBuckets]int
 }
 
-// NewWindow returns an empty Window.
+// NewWindow returns an empty Window of the given length.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
 // Request counts a new request.
@@ -32,13 +31,14 @@
 	w.requests[0]++
 }
 
-// Repeat counts one more send of a request and reports whether it may go out.
+// Repeat reports whether a request may be sent once more, and counts the repeat if so.
+// ratio is the number of repeats allowed per request, and slack is added to the total.
 func (w *Window) Repeat(now time.Time, ratio, slack float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
 	requests, repeats := 0, 0
-	for i := range windowParts {
+	for i := range windowBuckets {
 		requests += w.requests[i]
 		repeats += w.repeats[i]
 	}
@@ -49,18 +49,19 @@
 	return true
 }
 
+// advance drops the buckets that have left the window and starts new ones.
 func (w *Window) advance(now time.Time) {
-	part := w.span / windowParts
-	if w.at.IsZero() || now.Sub(w.at) >= w.span {
-		w.at = now
+	bucketSpan := w.span / windowBuckets
+	if w.newest.IsZero() || now.Sub(w.newest) >= w.span {
+		w.newest = now
 		clear(w.requests[:])
 		clear(w.repeats[:])
 		return
 	}
-	for now.Sub(w.at) >= part {
-		w.at = w.at.Add(part)
-		copy(w.requests[1:], w.requests[:windowParts-1])
-		copy(w.repeats[1:], w.repeats[:windowParts-1])
+	for now.Sub(w.newest) >= bucketSpan {
+		w.newest = w.newest.Add(bucketSpan)
+		copy(w.requests[1:], w.requests[:windowBuckets-1])
+		copy(w.repeats[1:], w.repeats[:windowBuckets-1])
 		w.requests[0], w.repeats[0] = 0, 0
 	}
 }
--- a/relay/retry/window_test.go
+++ b/relay/retry/window_test.go
@@ -9,8 +9,8 @@
 	"comfreyrelay.example/relay/retry"
 )
 
-// TestRepeatsStayWithinTheRatio: over any window, repeats let through are at most
-// the ratio of the requests of that window and the one before, and the slack.
+// The repeats allowed in any window are at most the ratio of the requests in that window
+// and the one before, plus the slack.
 func TestRepeatsStayWithinTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span, ratio, slack = 10 * time.Second, 0.2, 5.0
@@ -34,10 +34,10 @@
 		}
 		for _, end := range events {
 			requests, repeats := 0, 0
-			for _, one := range events {
-				switch since := end.at.Sub(one.at); {
+			for _, other := range events {
+				switch since := end.at.Sub(other.at); {
 				case since < 0 || since >= 2*span:
-				case !one.repeat:
+				case !other.repeat:
 					requests++
 				case since < span-span/10:
 					repeats++
@@ -50,11 +50,11 @@
 	})
 }
 
-func TestRepeatsComeBackWithTime(t *testing.T) {
+func TestRepeatsAreAllowedAgainAfterWindow(t *testing.T) {
 	window := retry.NewWindow(10 * time.Second)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	if !window.Repeat(now, 0.2, 1) || window.Repeat(now, 0.2, 1) {
-		t.Errorf("got another number than one repeat of a slack of one")
+		t.Errorf("got other than one repeat with a slack of one")
 	}
 	if !window.Repeat(now.Add(11*time.Second), 0.2, 1) {
 		t.Errorf("got no repeat after the window, want one")
--- a/relay/route/hints.go
+++ b/relay/route/hints.go
@@ -6,16 +6,16 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Bounds of the hints.
+// Bounds on prefix hints.
 const (
 	maxHintedPrefixes = 8192
 	hostsPerPrefix    = 4
-	placedHintAge     = time.Minute      // of our own placements
-	reportedHintAge   = 20 * time.Second // of the hosts' reports
+	placementHintTTL  = time.Minute      // for this entry's own attempts
+	reportHintTTL     = 20 * time.Second // for prefixes in hosts' reports
 )
 
-// hints remembers which hosts probably hold a prefix. Cache events come late
-// and with gaps, so a hint is no proof, and it expires.
+// hints records which hosts probably have a prefix cached. Cache events are late
+// and incomplete, so a hint may be wrong, and it expires.
 type hints struct {
 	byPrefix *simplelru.LRU[uint64, []hint]
 }
@@ -28,34 +28,35 @@
 func newHints() hints {
 	lru, err := simplelru.NewLRU[uint64, []hint](maxHintedPrefixes, nil)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // only possible for a size below 1
 	}
 	return hints{byPrefix: lru}
 }
 
-// add notes that the host probably holds the prefix until expires.
+// add records that the host probably has the prefix cached until expires. If too
+// many hosts are recorded for the prefix, the oldest entry is dropped.
 func (h hints) add(prefix uint64, host string, expires time.Time) {
-	known, _ := h.byPrefix.Get(prefix)
-	for i := range known {
-		if known[i].host == host {
-			if expires.After(known[i].expires) {
-				known[i].expires = expires
+	holders, _ := h.byPrefix.Get(prefix)
+	for i := range holders {
+		if holders[i].host == host {
+			if expires.After(holders[i].expires) {
+				holders[i].expires = expires
 			}
 			return
 		}
 	}
-	if len(known) >= hostsPerPrefix {
-		known = append(known[:0], known[1:]...)
+	if len(holders) >= hostsPerPrefix {
+		holders = append(holders[:0], holders[1:]...)
 	}
-	h.byPrefix.Add(prefix, append(known, hint{host, expires}))
+	h.byPrefix.Add(prefix, append(holders, hint{host, expires}))
 }
 
-// holders calls visit with the hosts that probably hold the prefix.
-func (h hints) holders(now time.Time, prefix uint64, visit func(host string)) {
-	known, _ := h.byPrefix.Get(prefix)
-	for _, each := range known {
-		if each.expires.After(now) {
-			visit(each.host)
+// forEachHolder calls visit for each host that probably has the prefix cached.
+func (h hints) forEachHolder(now time.Time, prefix uint64, visit func(host string)) {
+	holders, _ := h.byPrefix.Get(prefix)
+	for _, holder := range holders {
+		if holder.expires.After(now) {
+			visit(holder.host)
 		}
 	}
 }
--- a/relay/route/policy.go
+++ b/relay/route/policy.go
@@ -6,10 +6,10 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Policy is a way to choose among hosts with room.
+// Policy is a way to choose among hosts with capacity.
 type Policy string
 
-// The policies; all but Affinity are baselines for measurements.
+// The policies. All but Affinity are baselines for measurements.
 const (
 	Affinity      Policy = "affinity"
 	Random        Policy = "random"
@@ -17,7 +17,7 @@
 	LeastInFlight Policy = "leastInFlight"
 )
 
-// ParsePolicy reads a policy's name; empty means Affinity.
+// ParsePolicy parses the name of a policy; an empty name means Affinity.
 func ParsePolicy(name string) (Policy, error) {
 	switch policy := Policy(name); policy {
 	case "":
@@ -30,37 +30,41 @@
 	}
 }
 
-func (t *Table) byPolicy(now time.Time, ask Ask) *host {
+// pickByPolicy returns a host with capacity by the configured policy, or nil.
+func (t *Table) pickByPolicy(now time.Time, needs Ask) *hostState {
 	switch t.options.Policy {
 	case Random:
-		return t.firstOpen(now, ask, t.random.IntN(len(t.hosts)))
+		return t.firstAvailable(now, needs, t.random.IntN(len(t.hosts)))
 	case RoundRobin:
-		t.turn++
-		return t.firstOpen(now, ask, t.turn)
+		t.nextIndex++
+		return t.firstAvailable(now, needs, t.nextIndex)
 	case LeastInFlight:
-		return t.leastInFlight(now, ask)
+		return t.leastInFlight(now, needs)
 	default:
-		return t.best(now, ask)
+		return t.lowestCost(now, needs)
 	}
 }
 
-func (t *Table) firstOpen(now time.Time, ask Ask, start int) *host {
+// firstAvailable returns the first host with capacity, from index start on.
+func (t *Table) firstAvailable(now time.Time, needs Ask, start int) *hostState {
 	for n := range t.hosts {
-		each := t.hosts[(start+n)%len(t.hosts)]
-		if t.open(now, each, ask) {
-			return each
+		host := t.hosts[(start+n)%len(t.hosts)]
+		if t.available(now, host, needs) {
+			return host
 		}
 	}
 	return nil
 }
 
-func (t *Table) leastInFlight(now time.Time, ask Ask) *host {
-	var least *host
+// leastInFlight returns the available host with the fewest of this entry's own
+// attempts in progress, with ties broken at random.
+func (t *Table) leastInFlight(now time.Time, needs Ask) *hostState {
+	var least *hostState
 	start := t.random.IntN(len(t.hosts))
 	for n := range t.hosts {
-		each := t.hosts[(start+n)%len(t.hosts)]
-		if t.open(now, each, ask) && (least == nil || each.inFlight < least.inFlight) {
-			least = each
+		host := t.hosts[(start+n)%len(t.hosts)]
+		if t.available(now, host, needs) && (least == nil || host.inFlight < least.inFlight) {
+			least = host
 		}
 	}
 	return least
--- a/relay/route/shift.go
+++ b/relay/route/shift.go
@@ -1,84 +1,86 @@
 package route
 
-// maxOlder bounds the versions remembered from before the target.
-const maxOlder = 4
+// maxPreviousTargets bounds the former targets that are remembered.
+const maxPreviousTargets = 4
 
-// Roll is the state of one model's move to its target version.
+// Roll is the state of one model's rollout to its target version.
 type Roll struct {
-	Target    string            // the document's version
-	WhenWhole bool              // the document's shift: no caller before every replica is whole
+	Target    string            // version in the document
+	WhenWhole bool              // switch callers only once all replicas serve it (the document's shift)
 	Serving   map[string]string // version served, by host
 	Whole     bool              // every planned replica serves the target
 }
 
-// Shift decides which versions of one model callers may get. The zero value is
-// not ready; use NewShift. It is not safe for concurrent use.
+// Shift decides which versions of one model callers may get during a rollout. Use
+// NewShift to create one. It is not safe for concurrent use.
 type Shift struct {
-	target  string
-	whole   bool     // the target was whole once; stays so until the target moves
-	settled string   // the last version that was whole; empty if none
-	older   []string // targets before this one that hosts may still serve
+	target          string
+	complete        bool     // the rollout to the target was complete once; reset when the target changes
+	lastComplete    string   // the last version whose rollout was complete, or empty
+	previousTargets []string // earlier targets that hosts may still serve, newest first
 }
 
-// NewShift returns a Shift that knows no version.
+// NewShift returns a Shift without a target.
 func NewShift() *Shift { return &Shift{} }
 
-// Allowed returns the versions that may serve now.
+// Allowed returns the versions that may serve now, the preferred one first.
 //
-// The target is always intended. Older ones are until the target is whole: the
-// hosts that have not turned keep the customers served. A process that started
-// in the middle of a roll does not know what was intended before; it takes the
-// version that most hosts serve.
-func (s *Shift) Allowed(roll Roll) []string {
-	if roll.Target != s.target {
-		s.retarget(roll)
+// The target is always allowed, unless the shift waits for all replicas. Earlier
+// targets are allowed until the rollout is complete, so that hosts which have not
+// switched yet keep serving customers. A process that started during a rollout does
+// not know the earlier target; it assumes the version that most hosts serve.
+func (s *Shift) Allowed(rollout Roll) []string {
+	if rollout.Target != s.target {
+		s.setTarget(rollout)
 	}
-	s.whole = s.whole || roll.Whole
-	if s.whole {
-		s.settled = s.target
-		s.older = nil
+	s.complete = s.complete || rollout.Whole
+	if s.complete {
+		s.lastComplete = s.target
+		s.previousTargets = nil
 		return []string{s.target}
 	}
-	if roll.WhenWhole && s.settled != "" && serving(roll.Serving, s.settled) {
-		return []string{s.settled}
+	if rollout.WhenWhole && s.lastComplete != "" && isServed(rollout.Serving, s.lastComplete) {
+		return []string{s.lastComplete}
 	}
-	return append([]string{s.target}, s.older...)
+	return append([]string{s.target}, s.previousTargets...)
 }
 
-func (s *Shift) retarget(roll Roll) {
-	before := s.target
-	s.target, s.whole = roll.Target, false
-	if before == "" {
-		s.adopt(roll)
+// setTarget starts a rollout to a new target.
+func (s *Shift) setTarget(rollout Roll) {
+	previous := s.target
+	s.target, s.complete = rollout.Target, false
+	if previous == "" {
+		s.inferPreviousVersion(rollout)
 		return
 	}
-	s.older = append([]string{before}, s.older...)
-	s.older = s.older[:min(len(s.older), maxOlder)]
+	s.previousTargets = append([]string{previous}, s.previousTargets...)
+	s.previousTargets = s.previousTargets[:min(len(s.previousTargets), maxPreviousTargets)]
 }
 
-// adopt takes the version that most hosts serve beside the target as the one
-// from before.
-func (s *Shift) adopt(roll Roll) {
+// inferPreviousVersion takes the version, other than the target, that most hosts
+// serve as the previous target.
+func (s *Shift) inferPreviousVersion(rollout Roll) {
 	counts := make(map[string]int)
-	for _, version := range roll.Serving {
+	for _, version := range rollout.Serving {
 		counts[version]++
 	}
-	delete(counts, roll.Target)
-	best := ""
+	delete(counts, rollout.Target)
+	mostServed := ""
 	for version, count := range counts {
-		if best == "" || count > counts[best] || (count == counts[best] && version < best) {
-			best = version
+		if mostServed == "" || count > counts[mostServed] || (count == counts[mostServed] && version < mostServed) {
+			mostServed = version
 		}
 	}
-	if best != "" {
-		s.settled = best
-		s.older = []string{best}
+	if mostServed != "" {
+		s.lastComplete = mostServed
+		s.previousTargets = []string{mostServed}
 	}
 }
 
-func serving(hosts map[string]string, version string) bool {
-	for _, each := range hosts {
-		if each == version {
+// isServed reports whether any host serves the version.
+func isServed(hosts map[string]string, version string) bool {
+	for _, served := range hosts {
+		if served == version {
 			return true
 		}
 	}
--- a/relay/route/sim_test.go
+++ b/relay/route/sim_test.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// simHost is a host of the simulation: slots, a small prefix cache, and a
-// speed. It says what it holds and runs only in its reports.
+// simHost is a simulated host with slots, a small prefix cache and a speed. Entries
+// learn its load and cached prefixes only from its reports.
 type simHost struct {
 	id      string
 	gap     time.Duration // between tokens
-	fails   bool          // answers at once with an error
+	failing bool          // fails every request immediately
 	running int
-	cache   []uint64 // newest last
-	picked  int      // requests that it got
-	reports []Host   // newest last; entries see one that is old
+	cache   []uint64 // least recently used first
+	picked  int      // requests routed to it
+	reports []Host   // newest last; entries see an older one
 }
 
 // sim runs entries, each with its own Table, against hosts on a virtual clock.
 type sim struct {
-	now     time.Time
-	random  *rand.Rand
-	hosts   []*simHost
-	entries []*Table
-	events  simEvents
-	arrived int
-	hits    int
-	waits   []time.Duration // to the first token
-	busy    int             // requests that found no room
+	now             time.Time
+	random          *rand.Rand
+	hosts           []*simHost
+	entries         []*Table
+	events          simEvents
+	arrived         int
+	hits            int
+	firstTokenTimes []time.Duration // time to first token, by request
+	rejected        int             // requests for which no host had capacity
 }
 
 const (
-	simSlots    = 8
-	simCache    = 24
-	simTokens   = 16
-	simPrefill  = 60 * time.Millisecond
-	simCached   = 10 * time.Millisecond
-	simGap      = 10 * time.Millisecond
-	simLag      = 2 * time.Second
-	simInterval = 500 * time.Millisecond
-	simPrefixes = 160
+	simSlots          = 8                      // per host
+	simCacheSize      = 24                     // cached prefixes per host
+	simTokens         = 16                     // per answer
+	simPrefill        = 60 * time.Millisecond  // time to the first token with a cold prefix
+	simCachedPrefill  = 10 * time.Millisecond  // time to the first token with a cached prefix
+	simGap            = 10 * time.Millisecond  // between tokens
+	simReportAge      = 2 * time.Second        // of the reports that entries see
+	simReportInterval = 500 * time.Millisecond // between a host's reports
+	simPrefixes       = 160                    // distinct prefixes
 )
 
 var simStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
@@ -59,11 +59,13 @@
 	return s
 }
 
+// simEvent is a function call scheduled on the virtual clock.
 type simEvent struct {
 	at time.Time
 	do func()
 }
 
+// simEvents is a heap of events ordered by time.
 type simEvents []simEvent
 
 func (e simEvents) Len() int           { return len(e) }
@@ -77,11 +79,13 @@
 	return last
 }
 
+// after schedules a function call.
 func (s *sim) after(wait time.Duration, do func()) {
 	heap.Push(&s.events, simEvent{s.now.Add(wait), do})
 }
 
-// report makes the hosts' reports and shows the entries those of simLag ago.
+// report makes a report of each host and updates the entries with the reports made
+// simReportAge ago.
 func (s *sim) report() {
 	var seen []Host
 	for _, host := range s.hosts {
@@ -90,7 +94,7 @@
 			Running: host.running, Sequence: uint64(len(host.reports) + 1), SeenAt: s.now,
 			Prefixes: slices.Clone(host.cache),
 		})
-		old := max(0, len(host.reports)-1-int(simLag/simInterval))
+		old := max(0, len(host.reports)-1-int(simReportAge/simReportInterval))
 		seen = append(seen, host.reports[old])
 	}
 	for _, table := range s.entries {
@@ -98,7 +102,7 @@
 	}
 }
 
-// run lets requests arrive at a rate, in requests a second.
+// run simulates requests that arrive at the given rate per second.
 func (s *sim) run(rate float64, length time.Duration) {
 	end := s.now.Add(length)
 	var arrive, report func()
@@ -108,10 +112,10 @@
 	}
 	report = func() {
 		s.report()
-		s.after(simInterval, report)
+		s.after(simReportInterval, report)
 	}
 	s.after(0, arrive)
-	s.after(simInterval, report)
+	s.after(simReportInterval, report)
 	for s.events[0].at.Before(end) {
 		next := heap.Pop(&s.events).(simEvent)
 		s.now = next.at
@@ -120,7 +124,8 @@
 	s.events = nil
 }
 
-// request picks a host for a prompt; some prompts are much more common.
+// request routes a prompt with a random prefix. A few prefixes are much more common
+// than the rest.
 func (s *sim) request() {
 	s.arrived++
 	prefix := uint64(s.random.IntN(simPrefixes))
@@ -130,36 +135,37 @@
 	table := s.entries[s.random.IntN(len(s.entries))]
 	choice, reason := table.Pick(s.now, Ask{Prefix: prefix, Tokens: simTokens, Versions: []string{"v"}})
 	if reason != Chosen {
-		s.busy++
+		s.rejected++
 		return
 	}
 	host := s.hosts[slices.IndexFunc(s.hosts, func(h *simHost) bool { return h.id == choice.Host.ID })]
 	host.picked++
-	if host.fails {
+	if host.failing {
 		s.after(time.Millisecond, func() { table.Finish(s.now, choice, Result{End: EndFailed}) })
 		return
 	}
-	first := s.firstToken(host, prefix)
+	untilFirst := s.firstToken(host, prefix)
 	host.running++
-	s.waits = append(s.waits, first)
-	took := first + simTokens*host.gap
+	s.firstTokenTimes = append(s.firstTokenTimes, untilFirst)
+	took := untilFirst + simTokens*host.gap
 	s.after(took, func() {
 		host.running--
 		table.Load(s.now, host.id, host.running, 0)
-		table.Finish(s.now, choice, Result{End: EndAnswered, FirstToken: first, TokenGap: host.gap, Took: took})
+		table.Finish(s.now, choice, Result{End: EndAnswered, FirstToken: untilFirst, TokenGap: host.gap, Took: took})
 	})
 }
 
-// firstToken uses the host's cache and its slots: beyond them requests wait.
+// firstToken returns the time to the first token and updates the host's cache.
+// Requests beyond the slots wait.
 func (s *sim) firstToken(host *simHost, prefix uint64) time.Duration {
 	first := simPrefill
 	if at := slices.Index(host.cache, prefix); at >= 0 {
-		first = simCached
+		first = simCachedPrefill
 		s.hits++
 		host.cache = slices.Delete(host.cache, at, at+1)
 	}
 	host.cache = append(host.cache, prefix)
-	if len(host.cache) > simCache {
+	if len(host.cache) > simCacheSize {
 		host.cache = host.cache[1:]
 	}
 	if over := host.running + 1 - simSlots; over > 0 {
@@ -170,7 +176,8 @@
 
 func (s *sim) hitRatio() float64 { return float64(s.hits) / float64(s.arrived) }
 
-func (s *sim) wait(quantile float64) time.Duration {
-	slices.Sort(s.waits)
-	return s.waits[int(quantile*float64(len(s.waits)-1))]
+// firstTokenQuantile returns a quantile of the time to the first token.
+func (s *sim) firstTokenQuantile(quantile float64) time.Duration {
+	slices.Sort(s.firstTokenTimes)
+	return s.firstTokenTimes[int(quantile*float64(len(s.firstTokenTimes)-1))]
 }
