--- a/agent/internal/orders/decide.go
+++ b/agent/internal/orders/decide.go
@@ -11,14 +11,14 @@
 
 // The actions.
 const (
-	// Stay: nothing for now.
-	Stay Action = iota
+	// NoAction: nothing for now.
+	NoAction Action = iota
 	// Serve: open the gate for what the engine has.
 	Serve
 	// Resume: give up a drain that has changed nothing yet.
 	Resume
-	// Shut: stop letting attempts in at once, the engine has something else.
-	Shut
+	// CloseGate: stop letting attempts in at once, the engine has something else.
+	CloseGate
 	// Drain: let nothing in and finish what runs.
 	Drain
 	// Load: order the wanted version.
@@ -34,106 +34,106 @@
 	return [...]string{"stay", "serve", "resume", "shut", "drain", "load", "unload", "setRole"}[a]
 }
 
-// Situation is everything that the decision depends on.
-type Situation struct {
-	// Want is what the plan assigns to this host; empty: nothing.
-	Want gate.Loaded
-	// Have is what the engine said it has; it counts while HaveKnown is set.
-	Have      gate.Loaded
-	HaveKnown bool
+// DecisionInputs is everything that the decision depends on.
+type DecisionInputs struct {
+	// Desired is what the plan assigns to this host; empty: nothing.
+	Desired gate.Loaded
+	// Actual is what the engine said it has; it counts while HaveKnown is set.
+	Actual      gate.Loaded
+	ActualKnown bool
 	// Pending: an order was given and not confirmed yet.
 	Pending bool
-	// Whole: all bytes of Want are verified and on this host.
-	Whole bool
+	// WeightsComplete: all bytes of Want are verified and on this host.
+	WeightsComplete bool
 	// MaySwitch is the answer of MaySwitch.
 	MaySwitch bool
-	// Switching: the gate was drained in order to load Want.
-	Switching bool
-	// Unwanted: the plan has assigned nothing for long enough.
-	Unwanted bool
-	// Backoff: the last order failed a moment ago.
-	Backoff bool
+	// DrainedForDesired: the gate was drained in order to load Want.
+	DrainedForDesired bool
+	// Unassigned: the plan has assigned nothing for long enough.
+	Unassigned bool
+	// InBackoff: the last order failed a moment ago.
+	InBackoff bool
 	// Verdict is what the fence says to an order of the plan in force.
 	Verdict fence.Verdict
-	// Phase and Open are the gate's.
-	Phase drain.Phase
-	Open  gate.Loaded
+	// GatePhase and Open are the gate's.
+	GatePhase   drain.Phase
+	GateContent gate.Loaded
 }
 
 // Decide returns the next action. Weights change only behind a gate that is
 // drained, and the gate opens only for what the engine confirmed.
-func Decide(now Situation) Action {
-	if !now.HaveKnown || now.Pending {
-		return Stay
+func Decide(in DecisionInputs) Action {
+	if !in.ActualKnown || in.Pending {
+		return NoAction
 	}
-	if now.Phase == drain.Open && !now.Open.Equal(now.Have) {
-		return Shut
+	if in.GatePhase == drain.Open && !in.GateContent.Equal(in.Actual) {
+		return CloseGate
 	}
 	switch {
-	case now.Want.Empty():
-		return decideUnwanted(now)
-	case now.Have.Equal(now.Want):
-		return decideArrived(now)
+	case in.Desired.Empty():
+		return decideUnassigned(in)
+	case in.Actual.Equal(in.Desired):
+		return decideUpToDate(in)
 	}
-	return decideSwitch(now)
+	return decideSwitch(in)
 }
 
-func (s Situation) mayOrder() bool { return s.Verdict == fence.Obey && !s.Backoff }
+func (in DecisionInputs) mayOrder() bool { return in.Verdict == fence.Obey && !in.InBackoff }
 
-// keep goes on serving what the engine has.
-func (s Situation) keep() Action {
+// keepServing goes on serving what the engine has.
+func (in DecisionInputs) keepServing() Action {
 	switch {
-	case s.Have.Empty():
-		return Stay
-	case s.Phase == drain.Drained:
+	case in.Actual.Empty():
+		return NoAction
+	case in.GatePhase == drain.Drained:
 		return Serve
-	case s.Phase == drain.Draining && s.Open.Equal(s.Have):
+	case in.GatePhase == drain.Draining && in.GateContent.Equal(in.Actual):
 		return Resume
 	}
-	return Stay
+	return NoAction
 }
 
-func decideUnwanted(now Situation) Action {
-	if now.Have.Empty() || !now.Unwanted || !now.mayOrder() {
-		return now.keep()
+func decideUnassigned(in DecisionInputs) Action {
+	if in.Actual.Empty() || !in.Unassigned || !in.mayOrder() {
+		return in.keepServing()
 	}
-	switch now.Phase {
+	switch in.GatePhase {
 	case drain.Open:
 		return Drain
 	case drain.Drained:
 		return Unload
 	case drain.Draining, drain.Cancelling:
 	}
-	return Stay
+	return NoAction
 }
 
-func decideArrived(now Situation) Action {
-	if now.Phase != drain.Open {
-		return now.keep()
+func decideUpToDate(in DecisionInputs) Action {
+	if in.GatePhase != drain.Open {
+		return in.keepServing()
 	}
-	if now.Want.Role != "" && now.Have.Role != now.Want.Role && now.mayOrder() {
+	if in.Desired.Role != "" && in.Actual.Role != in.Desired.Role && in.mayOrder() {
 		return SetRole
 	}
-	return Stay
+	return NoAction
 }
 
 // decideSwitch goes to the wanted version, once all of it is there.
 //
 // Rule WHOLE of spec/gate.pml.
-func decideSwitch(now Situation) Action {
-	if !now.Whole || !now.mayOrder() {
-		return now.keep()
+func decideSwitch(in DecisionInputs) Action {
+	if !in.WeightsComplete || !in.mayOrder() {
+		return in.keepServing()
 	}
-	mayGo := now.Have.Empty() || now.MaySwitch || now.Switching
-	if !mayGo {
-		return now.keep()
+	maySwitch := in.Actual.Empty() || in.MaySwitch || in.DrainedForDesired
+	if !maySwitch {
+		return in.keepServing()
 	}
-	switch now.Phase {
+	switch in.GatePhase {
 	case drain.Open:
 		return Drain
 	case drain.Drained:
 		return Load
 	case drain.Draining, drain.Cancelling:
 	}
-	return Stay
+	return NoAction
 }
--- a/agent/internal/orders/fence_test.go
+++ b/agent/internal/orders/fence_test.go
@@ -12,16 +12,16 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// started returns a runner whose agent started and was answered by the entries just now,
+// newSyncedRunner returns a runner whose agent started and was answered by the entries just now,
 // beside an engine that reports no fencing number.
-func started(clock clockwork.Clock, have, want gate.Loaded) *Runner {
+func newSyncedRunner(clock clockwork.Clock, actual, desired gate.Loaded) *Runner {
 	r := New(Config{Clock: clock, Self: &wire.Node{Id: "h1"}})
 	r.guard.Learn(0)
-	r.synced, r.have, r.haveKnown, r.want = clock.Now(), have, true, want
+	r.syncedAt, r.actual, r.actualKnown, r.desired = clock.Now(), actual, true, desired
 	return r
 }
 
-func snapshotOf(version string) *view.Snapshot {
+func snapshotWithVersion(version string) *view.Snapshot {
 	return &view.Snapshot{
 		Plan:     &wire.Plan{PlanRevision: 4, Fence: 9},
 		Document: &wire.Document{Models: []*wire.Model{{Name: "parcel", Version: version}}},
@@ -34,22 +34,22 @@
 // that obeys the first plan it meets.
 func TestStartedAgentWaitsForNewerPlan(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := started(clock, loadedText("v2"), loadedText("v1"))
-	lagging := snapshotOf("v1")
-	clock.Advance(settleAfter - time.Millisecond)
-	if got, want := r.verdict(lagging), fence.Wait; got != want {
+	r := newSyncedRunner(clock, parseContent("v2"), parseContent("v1"))
+	lagging := snapshotWithVersion("v1")
+	clock.Advance(newerPlanWait - time.Millisecond)
+	if got, want := r.fenceVerdict(lagging), fence.Wait; got != want {
 		t.Errorf("got %v just after the start, want %v", got, want)
 	}
 	clock.Advance(time.Millisecond)
-	if got, want := r.verdict(lagging), fence.Obey; got != want {
+	if got, want := r.fenceVerdict(lagging), fence.Obey; got != want {
 		t.Errorf("got %v once no newer plan came, want %v", got, want)
 	}
-	if got, want := started(clock, gate.Loaded{}, loadedText("v1")).verdict(lagging), fence.Obey; got != want {
+	if got, want := newSyncedRunner(clock, gate.Loaded{}, parseContent("v1")).fenceVerdict(lagging), fence.Obey; got != want {
 		t.Errorf("got %v beside an empty engine, want %v", got, want)
 	}
-	r = started(clock, loadedText("v2"), loadedText("v1"))
+	r = newSyncedRunner(clock, parseContent("v2"), parseContent("v1"))
 	r.guard.Admit(fence.NewNumber(9, 3))
-	if got, want := r.verdict(lagging), fence.Obey; got != want {
+	if got, want := r.fenceVerdict(lagging), fence.Obey; got != want {
 		t.Errorf("got %v from an agent that obeyed a plan itself, want %v", got, want)
 	}
 }
@@ -70,9 +70,9 @@
 		{"", "v1", "v2", fence.Obey},
 	} {
 		clock := clockwork.NewFakeClock()
-		r := started(clock, loadedText(tc.have), loadedText(tc.want))
-		clock.Advance(settleAfter)
-		if got := r.verdict(snapshotOf(tc.document)); got != tc.verdict {
+		r := newSyncedRunner(clock, parseContent(tc.have), parseContent(tc.want))
+		clock.Advance(newerPlanWait)
+		if got := r.fenceVerdict(snapshotWithVersion(tc.document)); got != tc.verdict {
 			t.Errorf("have %q, plan %q, document %q: got %v, want %v", tc.have, tc.want, tc.document, got, tc.verdict)
 		}
 	}
--- a/agent/internal/orders/orders_test.go
+++ b/agent/internal/orders/orders_test.go
@@ -16,44 +16,44 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-func TestDecideScripts(t *testing.T) {
+func TestDecide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide.txt", func(t *testing.T, d *datadriven.TestData) string {
-		now := Situation{HaveKnown: true, Verdict: fence.Obey, Phase: drain.Drained}
-		var want, have, open, phase string
-		d.MaybeScanArgs(t, "want", &want)
-		d.MaybeScanArgs(t, "have", &have)
-		d.MaybeScanArgs(t, "open", &open)
+		in := DecisionInputs{ActualKnown: true, Verdict: fence.Obey, GatePhase: drain.Drained}
+		var desired, actual, gateContent, phase string
+		d.MaybeScanArgs(t, "want", &desired)
+		d.MaybeScanArgs(t, "have", &actual)
+		d.MaybeScanArgs(t, "open", &gateContent)
 		d.MaybeScanArgs(t, "phase", &phase)
-		now.Want, now.Have, now.Open = loadedText(want), loadedText(have), loadedText(open)
-		now.Phase = phaseNamed(phase)
-		now.HaveKnown = !d.HasArg("blind")
-		now.Pending = d.HasArg("pending")
-		now.Whole = d.HasArg("whole")
-		now.MaySwitch = d.HasArg("may")
-		now.Switching = d.HasArg("switching")
-		now.Unwanted = d.HasArg("unwanted")
-		now.Backoff = d.HasArg("backoff")
+		in.Desired, in.Actual, in.GateContent = parseContent(desired), parseContent(actual), parseContent(gateContent)
+		in.GatePhase = parsePhase(phase)
+		in.ActualKnown = !d.HasArg("blind")
+		in.Pending = d.HasArg("pending")
+		in.WeightsComplete = d.HasArg("whole")
+		in.MaySwitch = d.HasArg("may")
+		in.DrainedForDesired = d.HasArg("switching")
+		in.Unassigned = d.HasArg("unwanted")
+		in.InBackoff = d.HasArg("backoff")
 		if d.HasArg("stale") {
-			now.Verdict = fence.Refuse
+			in.Verdict = fence.Refuse
 		}
-		return fmt.Sprintln(Decide(now))
+		return fmt.Sprintln(Decide(in))
 	})
 }
 
-// loadedText reads "v1" or "v1+a1".
-func loadedText(text string) gate.Loaded {
+// parseContent reads "v1" or "v1+a1".
+func parseContent(text string) gate.Loaded {
 	if text == "" {
 		return gate.Loaded{}
 	}
 	version, adapter, _ := strings.Cut(text, "+")
-	loaded := gate.Loaded{Model: "parcel", Version: version, Adapters: map[string]string{}}
+	content := gate.Loaded{Model: "parcel", Version: version, Adapters: map[string]string{}}
 	if adapter != "" {
-		loaded.Adapters["at"] = adapter
+		content.Adapters["at"] = adapter
 	}
-	return loaded
+	return content
 }
 
-func phaseNamed(name string) drain.Phase {
+func parsePhase(name string) drain.Phase {
 	for _, phase := range []drain.Phase{drain.Open, drain.Draining, drain.Cancelling} {
 		if phase.String() == name {
 			return phase
@@ -65,51 +65,51 @@
 // Symptom: an answer from mixed or unwanted weights. Sequence: any situation
 // whatever. Cause: an order with the gate open, for bytes that are not whole, or
 // in the name of an old plan; a gate opened for what was not confirmed.
-func TestDecideNeverHarms(t *testing.T) {
+func TestDecideSafety(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string) gate.Loaded {
-			return loadedText(rapid.SampledFrom([]string{"", "v1", "v2", "v2+a1"}).Draw(t, name))
+			return parseContent(rapid.SampledFrom([]string{"", "v1", "v2", "v2+a1"}).Draw(t, name))
 		}
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-		now := Situation{
-			Want: pick("want"), Have: pick("have"), Open: pick("open"),
-			HaveKnown: flag("known"), Pending: flag("pending"), Whole: flag("whole"),
-			MaySwitch: flag("may"), Switching: flag("switching"), Unwanted: flag("unwanted"), Backoff: flag("backoff"),
-			Verdict: rapid.SampledFrom([]fence.Verdict{fence.Wait, fence.Obey, fence.Refuse}).Draw(t, "verdict"),
-			Phase:   rapid.SampledFrom([]drain.Phase{drain.Open, drain.Draining, drain.Cancelling, drain.Drained}).Draw(t, "phase"),
+		in := DecisionInputs{
+			Desired: pick("want"), Actual: pick("have"), GateContent: pick("open"),
+			ActualKnown: flag("known"), Pending: flag("pending"), WeightsComplete: flag("whole"),
+			MaySwitch: flag("may"), DrainedForDesired: flag("switching"), Unassigned: flag("unwanted"), InBackoff: flag("backoff"),
+			Verdict:   rapid.SampledFrom([]fence.Verdict{fence.Wait, fence.Obey, fence.Refuse}).Draw(t, "verdict"),
+			GatePhase: rapid.SampledFrom([]drain.Phase{drain.Open, drain.Draining, drain.Cancelling, drain.Drained}).Draw(t, "phase"),
 		}
-		action := Decide(now)
-		if (now.Pending || !now.HaveKnown) && action != Stay {
+		action := Decide(in)
+		if (in.Pending || !in.ActualKnown) && action != NoAction {
 			t.Fatalf("%v while nothing is known", action)
 		}
 		switch action {
 		case Load, Unload:
-			if now.Phase != drain.Drained || now.Verdict != fence.Obey {
-				t.Fatalf("%v in phase %v with verdict %v", action, now.Phase, now.Verdict)
+			if in.GatePhase != drain.Drained || in.Verdict != fence.Obey {
+				t.Fatalf("%v in phase %v with verdict %v", action, in.GatePhase, in.Verdict)
 			}
-			if action == Load && !now.Whole {
+			if action == Load && !in.WeightsComplete {
 				t.Fatal("load of a version that is not whole")
 			}
 		case Serve:
-			if now.Have.Empty() || now.Phase != drain.Drained {
-				t.Fatalf("serves %q in phase %v", now.Have.Version, now.Phase)
+			if in.Actual.Empty() || in.GatePhase != drain.Drained {
+				t.Fatalf("serves %q in phase %v", in.Actual.Version, in.GatePhase)
 			}
 		case Resume:
-			if !now.Open.Equal(now.Have) {
-				t.Fatalf("resumes %q while the engine has %q", now.Open.Version, now.Have.Version)
+			if !in.GateContent.Equal(in.Actual) {
+				t.Fatalf("resumes %q while the engine has %q", in.GateContent.Version, in.Actual.Version)
 			}
 		case Drain:
-			if !now.Whole && !now.Unwanted {
+			if !in.WeightsComplete && !in.Unassigned {
 				t.Fatal("drains for a version that is not whole")
 			}
-		case Stay, Shut, SetRole:
+		case NoAction, CloseGate, SetRole:
 		}
 	})
 }
 
-func TestWavesScripts(t *testing.T) {
+func TestMaySwitch(t *testing.T) {
 	datadriven.RunTest(t, "testdata/waves.txt", func(t *testing.T, d *datadriven.TestData) string {
-		in := Waves{Plan: &wire.Plan{}, WhenWhole: d.HasArg("whenWhole"), AbsentLost: d.HasArg("absentLost")}
+		in := SwitchInputs{Plan: &wire.Plan{}, RequireComplete: d.HasArg("whenWhole"), TreatAbsentAsLost: d.HasArg("absentLost")}
 		var self string
 		d.ScanArgs(t, "self", &self)
 		d.MaybeScanArgs(t, "max", &in.MaxUnavailable)
@@ -164,7 +164,7 @@
 // Symptom: more hosts of a failure domain are out than the document allows.
 // Sequence: hosts turn one after another, each deciding on the same reports.
 // Cause: two hosts of one wave that both think it is their turn.
-func TestWavesNeverExceedUnavailable(t *testing.T) {
+func TestMaySwitchKeepsMaxUnavailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "hosts")
 		allowed := rapid.IntRange(1, 3).Draw(t, "max")
@@ -187,20 +187,20 @@
 			report := &wire.HostReport{Node: &wire.Node{Id: fmt.Sprintf("h%d", i)}, Versions: []*wire.VersionState{version}}
 			hosts[i] = view.NewHost(report, time.Time{}, false, false)
 		}
-		out, going := 0, 0
+		unavailable, switching := 0, 0
 		for i, self := range plan.GetAssignments() {
 			if states[i] == "out" {
-				out++
+				unavailable++
 			}
 			if states[i] != "old" {
 				continue
 			}
-			if may, _ := MaySwitch(Waves{Plan: plan, Self: self, Hosts: hosts, MaxUnavailable: allowed}); may {
-				going++
+			if may, _ := MaySwitch(SwitchInputs{Plan: plan, Self: self, Hosts: hosts, MaxUnavailable: allowed}); may {
+				switching++
 			}
 		}
-		if going > 0 && out+going > max(allowed, out) {
-			t.Fatalf("%d hosts go while %d are out, want at most %d", going, out, allowed)
+		if switching > 0 && unavailable+switching > max(allowed, unavailable) {
+			t.Fatalf("%d hosts go while %d are out, want at most %d", switching, unavailable, allowed)
 		}
 		pending := 0
 		for _, state := range states {
@@ -208,7 +208,7 @@
 				pending++
 			}
 		}
-		if pending > 0 && out == 0 && going == 0 {
+		if pending > 0 && unavailable == 0 && switching == 0 {
 			t.Fatalf("%d hosts are still to turn, none is out and none may go", pending)
 		}
 	})
--- a/agent/internal/orders/rollout.go
+++ b/agent/internal/orders/rollout.go
@@ -19,8 +19,8 @@
 	stateFailed   = "failed"
 )
 
-// Waves is what the decision to leave an old version depends on.
-type Waves struct {
+// SwitchInputs is what the decision to leave an old version depends on.
+type SwitchInputs struct {
 	Plan *wire.Plan
 	// Self is this host's assignment in the plan.
 	Self *wire.Assignment
@@ -28,32 +28,32 @@
 	Hosts []view.Host
 	// MaxUnavailable bounds the hosts out at once; 0 stands for 1.
 	MaxUnavailable int
-	// WhenWhole: no host turns before the version is whole on all.
-	WhenWhole bool
-	// AbsentLost: this process has listened for long enough to take
+	// RequireComplete: no host turns before the version is whole on all.
+	RequireComplete bool
+	// TreatAbsentAsLost: this process has listened for long enough to take
 	// a host without any report for lost.
-	AbsentLost bool
+	TreatAbsentAsLost bool
 }
 
 // MaySwitch reports whether this host may stop serving the old version now, or
 // why not.
-func MaySwitch(in Waves) (may bool, holdUp string) {
+func MaySwitch(in SwitchInputs) (may bool, holdUp string) {
 	ahead := 0
 	for _, other := range in.Plan.GetAssignments() {
-		if !sameRoll(in.Self, other) || other.GetHost() == in.Self.GetHost() {
+		if !sameRollout(in.Self, other) || other.GetHost() == in.Self.GetHost() {
 			continue
 		}
-		host, known := find(in.Hosts, other.GetHost())
-		if gone(host, known, in.AbsentLost) || serving(host, other) {
+		host, reported := findHost(in.Hosts, other.GetHost())
+		if lostOrLeaving(host, reported, in.TreatAbsentAsLost) || servesAssigned(host, other) {
 			continue
 		}
 		if other.GetWave() < in.Self.GetWave() {
 			return false, fmt.Sprintf("waits for host %s of wave %d", other.GetHost(), other.GetWave())
 		}
-		if in.WhenWhole && !whole(host, other) {
+		if in.RequireComplete && !hasAllWeights(host, other) {
 			return false, fmt.Sprintf("waits until the version is whole on host %s", other.GetHost())
 		}
-		if goesBefore(host, other, in.Self) {
+		if switchesBefore(host, other, in.Self) {
 			ahead++
 		}
 	}
@@ -63,37 +63,37 @@
 	return true, ""
 }
 
-// sameRoll reports whether the other host turns to the same version in the same
+// sameRollout reports whether the other host turns to the same version in the same
 // failure domain.
-func sameRoll(self, other *wire.Assignment) bool {
+func sameRollout(self, other *wire.Assignment) bool {
 	return other.GetModel() == self.GetModel() &&
 		other.GetVersion() == self.GetVersion() &&
 		other.GetFailureDomain() == self.GetFailureDomain()
 }
 
-func find(hosts []view.Host, id string) (view.Host, bool) {
-	at := slices.IndexFunc(hosts, func(host view.Host) bool {
+func findHost(hosts []view.Host, id string) (view.Host, bool) {
+	index := slices.IndexFunc(hosts, func(host view.Host) bool {
 		return host.Report().GetNode().GetId() == id
 	})
-	if at < 0 {
+	if index < 0 {
 		return view.Host{}, false
 	}
-	return hosts[at], true
+	return hosts[index], true
 }
 
-func gone(host view.Host, known, absentLost bool) bool {
-	if !known {
-		return absentLost
+func lostOrLeaving(host view.Host, reported, treatAbsentAsLost bool) bool {
+	if !reported {
+		return treatAbsentAsLost
 	}
 	return host.Lost() || host.Leaving()
 }
 
-// goesBefore ranks the hosts of one wave that are still to turn, so that two
+// switchesBefore ranks the hosts of one wave that are still to turn, so that two
 // that decide on reports of different age do not both go: those that are out
 // already, whatever their wave, then by id. Hosts that serve nothing of the
 // model are not out by turning.
-func goesBefore(host view.Host, other, self *wire.Assignment) bool {
-	if isOut(host, other) {
+func switchesBefore(host view.Host, other, self *wire.Assignment) bool {
+	if isSwitching(host, other) {
 		return true
 	}
 	if other.GetWave() != self.GetWave() {
@@ -102,20 +102,20 @@
 	return servesModel(host, other.GetModel()) && other.GetHost() < self.GetHost()
 }
 
-func serving(host view.Host, want *wire.Assignment) bool {
+func servesAssigned(host view.Host, assignment *wire.Assignment) bool {
 	for _, state := range host.Report().GetVersions() {
-		if state.GetVersion() == want.GetVersion() && state.GetModel() == want.GetModel() &&
-			state.GetState() == stateServing && sameAdapters(state.GetAdapters(), want.GetAdapters()) {
+		if state.GetVersion() == assignment.GetVersion() && state.GetModel() == assignment.GetModel() &&
+			state.GetState() == stateServing && sameAdapters(state.GetAdapters(), assignment.GetAdapters()) {
 			return true
 		}
 	}
 	return false
 }
 
-// whole reports whether the host has all bytes of the version, in use or not.
-func whole(host view.Host, want *wire.Assignment) bool {
+// hasAllWeights reports whether the host has all bytes of the version, in use or not.
+func hasAllWeights(host view.Host, assignment *wire.Assignment) bool {
 	for _, state := range host.Report().GetVersions() {
-		if state.GetVersion() != want.GetVersion() {
+		if state.GetVersion() != assignment.GetVersion() {
 			continue
 		}
 		switch state.GetState() {
@@ -126,9 +126,9 @@
 	return false
 }
 
-func isOut(host view.Host, want *wire.Assignment) bool {
+func isSwitching(host view.Host, assignment *wire.Assignment) bool {
 	for _, state := range host.Report().GetVersions() {
-		if state.GetModel() != want.GetModel() {
+		if state.GetModel() != assignment.GetModel() {
 			continue
 		}
 		if state.GetState() == stateLoading || state.GetState() == stateDraining {
--- a/agent/internal/orders/runner.go
+++ b/agent/internal/orders/runner.go
@@ -29,33 +29,33 @@
 	// confirmTimeout is how long after the reply to an order the status may
 	// lag before the order counts as dropped.
 	confirmTimeout = 3 * time.Second
-	// failedBackoff keeps an order that fails from being repeated at once.
-	failedBackoff = time.Second
-	// unwantedAfter is how long a plan must leave a host out before the engine
+	// failureBackoff keeps an order that fails from being repeated at once.
+	failureBackoff = time.Second
+	// unassignedGrace is how long a plan must leave a host out before the engine
 	// gives up its weights: a planner that missed one report must not cost a
 	// whole model's bytes.
-	unwantedAfter = 30 * time.Second
-	// absentAfter is how long other hosts have to report.
-	absentAfter = 10 * time.Second
-	// settleAfter is how long an agent that started beside a loaded engine waits
+	unassignedGrace = 30 * time.Second
+	// absentLostAfter is how long other hosts have to report.
+	absentLostAfter = 10 * time.Second
+	// newerPlanWait is how long an agent that started beside a loaded engine waits
 	// for a newer plan before it orders anything: an entry receives another one's news
 	// within an exchange of 5 seconds.
-	settleAfter = 6 * time.Second
+	newerPlanWait = 6 * time.Second
 	// refetchPause is how long nothing is targeted after the engine said that a
 	// chunk is missing or wrong: an engine that restarted has lost the bytes
 	// that the weights manager believes to be there. It drops them meanwhile
 	// and fetches them anew afterwards.
 	refetchPause = 2 * time.Second
-	// unreachableAfter is the number of failed polls after which nothing is
+	// failedPollLimit is the number of failed polls after which nothing is
 	// known of the engine's content.
-	unreachableAfter = 3
-	// differsAfter is the number of polls that must contradict a confirmed
+	failedPollLimit = 3
+	// mismatchLimit is the number of polls that must contradict a confirmed
 	// content: one may come from before the order.
-	differsAfter = 2
+	mismatchLimit = 2
 )
 
 // holdUpStale is what a report says where the fence refuses the plan.
-const holdUpStale = "the plan known here is older than one that was obeyed before"
+const holdUpStalePlan = "the plan known here is older than one that was obeyed before"
 
 // Runner is driven by Run; its accessors are safe for concurrent use.
 type Runner struct {
@@ -65,24 +65,24 @@
 	mu     sync.Mutex
 	guard  *fence.Guard
 	status *engine.Status // newest; nil before the first
-	// have is what the engine was confirmed to have; valid while haveKnown.
-	have      gate.Loaded
-	haveKnown bool
-	pending   *order // nil unless an order is out or unconfirmed
-	want      gate.Loaded
-	wantPlan  *wire.Assignment // nil: nothing is assigned
-	switching gate.Loaded      // what the gate was drained for; empty: nothing
-	holdUp    string
-	failed    string // why the last order failed; empty after a good one
-	backoff   time.Time
-	refetch   time.Time // until when nothing is targeted
-	unwanted  time.Time // since when nothing is assigned; zero: something is
-	synced    time.Time // first seen synced; zero: not yet
-	failures  int       // polls in a row that failed
-	differing int       // polls in a row that contradicted have
-	suspect   bool      // the gate saw a contradiction
-	targets   string    // last ones given to weights, as text
-	reported  string    // last states passed to Changed, as text
+	// actual is what the engine was confirmed to have; valid while haveKnown.
+	actual             gate.Loaded
+	actualKnown        bool
+	pending            *pendingOrder // nil unless an order is out or unconfirmed
+	desired            gate.Loaded
+	desiredAssignment  *wire.Assignment // nil: nothing is assigned
+	drainedFor         gate.Loaded      // what the gate was drained for; empty: nothing
+	holdUp             string
+	lastOrderError     string // why the last order failed; empty after a good one
+	backoffUntil       time.Time
+	noTargetsUntil     time.Time // until when nothing is targeted
+	unassignedSince    time.Time // since when nothing is assigned; zero: something is
+	syncedAt           time.Time // first seen synced; zero: not yet
+	failedPolls        int       // polls in a row that failed
+	mismatchedPolls    int       // polls in a row that contradicted have
+	recheck            bool      // the gate saw a contradiction
+	lastTargets        string    // last ones given to weights, as text
+	lastReportedStates string    // last states passed to Changed, as text
 }
 
 // New returns a Runner.
@@ -93,7 +93,7 @@
 // Suspect makes the runner look at the engine at once.
 func (r *Runner) Suspect() {
 	r.mu.Lock()
-	r.suspect = true
+	r.recheck = true
 	r.mu.Unlock()
 	r.Wake()
 }
@@ -115,7 +115,7 @@
 	defer ticker.Stop()
 	var polled time.Time
 	for ctx.Err() == nil {
-		if now := r.cfg.Clock.Now(); now.Sub(polled) >= statusInterval || r.takeSuspect() {
+		if now := r.cfg.Clock.Now(); now.Sub(polled) >= statusInterval || r.takeRecheck() {
 			polled = now
 			r.poll(ctx)
 		}
@@ -132,15 +132,15 @@
 	return nil
 }
 
-func (r *Runner) takeSuspect() bool {
+func (r *Runner) takeRecheck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	suspect := r.suspect
-	r.suspect = false
-	if suspect {
-		r.differing = differsAfter
+	recheck := r.recheck
+	r.recheck = false
+	if recheck {
+		r.mismatchedPolls = mismatchLimit
 	}
-	return suspect
+	return recheck
 }
 
 // runService opens the gate as soon as the service listens. It stays open: a
@@ -151,7 +151,7 @@
 	for {
 		err := r.cfg.Engine.Reach(ctx)
 		r.mu.Lock()
-		r.haveKnown = err == nil
+		r.actualKnown = err == nil
 		r.mu.Unlock()
 		if err == nil && r.cfg.Gate.State().Phase() == drain.Drained {
 			r.cfg.Gate.Open(gate.Loaded{})
@@ -167,41 +167,41 @@
 // Step decides once and acts.
 func (r *Runner) Step(ctx context.Context) {
 	snap, _ := r.cfg.View.Load()
-	r.aim(snap)
-	now := r.situation(snap)
-	r.act(ctx, snap, Decide(now))
+	r.updateDesired(snap)
+	inputs := r.decisionInputs(snap)
+	r.execute(ctx, snap, Decide(inputs))
 	r.notifyChanges()
 }
 
-// aim takes the assignment from the plan and has its weights fetched.
-func (r *Runner) aim(snap *view.Snapshot) {
-	assignment := r.assignment(snap)
+// updateDesired takes the assignment from the plan and has its weights fetched.
+func (r *Runner) updateDesired(snap *view.Snapshot) {
+	assignment := r.currentAssignment(snap)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Clock.Now()
-	if r.synced.IsZero() && r.cfg.Synced() {
-		r.synced = now
+	if r.syncedAt.IsZero() && r.cfg.Synced() {
+		r.syncedAt = now
 	}
-	r.want, r.wantPlan = loadedOf(assignment), assignment
+	r.desired, r.desiredAssignment = contentOfAssignment(assignment), assignment
 	switch {
 	case assignment != nil:
-		r.unwanted = time.Time{}
-	case r.unwanted.IsZero():
-		r.unwanted = now
+		r.unassignedSince = time.Time{}
+	case r.unassignedSince.IsZero():
+		r.unassignedSince = now
 	}
-	if !r.switching.Equal(r.want) {
-		r.switching = gate.Loaded{}
+	if !r.drainedFor.Equal(r.desired) {
+		r.drainedFor = gate.Loaded{}
 	}
-	r.fetch(snap)
+	r.updateTargets(snap)
 }
 
-// assignment returns this host's part of the plan, else what Placement gives;
+// currentAssignment returns this host's part of the plan, else what Placement gives;
 // nil: nothing. Placement is asked in any case, so that it notices the plan
 // taking over.
-func (r *Runner) assignment(snap *view.Snapshot) *wire.Assignment {
+func (r *Runner) currentAssignment(snap *view.Snapshot) *wire.Assignment {
 	var placed *wire.Assignment
 	if r.cfg.Placement != nil {
-		placed = r.cfg.Placement(snap, r.own())
+		placed = r.cfg.Placement(snap, r.ownReport())
 	}
 	for _, assignment := range snap.Plan.GetAssignments() {
 		if assignment.GetHost() == r.cfg.Self.GetId() {
@@ -211,94 +211,94 @@
 	return placed
 }
 
-func (r *Runner) own() *wire.HostReport {
+func (r *Runner) ownReport() *wire.HostReport {
 	return &wire.HostReport{Node: r.cfg.Self, Leaving: r.cfg.Gate.State().Leaving(), Versions: r.States()}
 }
 
-func loadedOf(assignment *wire.Assignment) gate.Loaded {
+func contentOfAssignment(assignment *wire.Assignment) gate.Loaded {
 	if assignment == nil {
 		return gate.Loaded{}
 	}
-	loaded := gate.Loaded{
+	content := gate.Loaded{
 		Model:    assignment.GetModel(),
 		Version:  assignment.GetVersion(),
 		Adapters: map[string]string{},
 		Role:     assignment.GetRole(),
 	}
 	for _, adapter := range assignment.GetAdapters() {
-		loaded.Adapters[adapter.GetName()] = adapter.GetVersion()
+		content.Adapters[adapter.GetName()] = adapter.GetVersion()
 	}
-	return loaded
+	return content
 }
 
-// fetch passes what is wanted to the weights manager, if that changed.
-func (r *Runner) fetch(snap *view.Snapshot) {
+// updateTargets passes what is wanted to the weights manager, if that changed.
+func (r *Runner) updateTargets(snap *view.Snapshot) {
 	var targets []weights.Target
-	if !r.cfg.Clock.Now().Before(r.refetch) {
-		for _, version := range versionsOf(r.want) {
+	if !r.cfg.Clock.Now().Before(r.noTargetsUntil) {
+		for _, version := range versionsOf(r.desired) {
 			targets = append(targets, weights.Target{Version: version, Priority: 1})
 		}
 	}
 	policy := weights.Policy{
 		Objective:    snap.Document.GetObjective(),
 		OriginCopies: int(snap.Document.GetOriginCopies()),
-		Keep:         r.inUse(),
+		Keep:         r.versionsInUse(),
 	}
-	text := targetsText(targets, policy)
-	if text == r.targets || r.synced.IsZero() {
+	description := describeTargets(targets, policy)
+	if description == r.lastTargets || r.syncedAt.IsZero() {
 		return
 	}
-	r.targets = text
+	r.lastTargets = description
 	r.cfg.Weights.SetTargets(targets, policy)
 }
 
-// inUse lists the versions that the engine has or may have.
-func (r *Runner) inUse() []string {
-	versions := versionsOf(r.have)
+// versionsInUse lists the versions that the engine has or may have.
+func (r *Runner) versionsInUse() []string {
+	versions := versionsOf(r.actual)
 	if r.pending != nil {
-		versions = append(versions, versionsOf(r.pending.loaded)...)
+		versions = append(versions, versionsOf(r.pending.content)...)
 	}
 	return versions
 }
 
-// act carries the decision out.
-func (r *Runner) act(ctx context.Context, snap *view.Snapshot, action Action) {
+// execute carries the decision out.
+func (r *Runner) execute(ctx context.Context, snap *view.Snapshot, action Action) {
 	switch action {
-	case Stay:
+	case NoAction:
 		return
 	case Serve:
-		r.serve()
+		r.openGate()
 	case Resume:
 		r.cfg.Gate.Abandon()
-	case Shut:
+	case CloseGate:
 		r.cfg.Gate.Drain(0)
 	case Drain:
 		r.startDrain(snap)
 	case Load, Unload, SetRole:
-		r.give(ctx, snap, action)
+		r.issueOrder(ctx, snap, action)
 	}
 	r.cfg.Counters.Add("action."+action.String(), 1)
 }
 
-// serve opens the gate for what the engine confirmed.
+// openGate opens the gate for what the engine confirmed.
 //
 // Rule CONFIRM of spec/gate.pml.
-func (r *Runner) serve() {
+func (r *Runner) openGate() {
 	r.mu.Lock()
-	have := r.have
-	r.switching = gate.Loaded{}
+	actual := r.actual
+	r.drainedFor = gate.Loaded{}
 	r.mu.Unlock()
-	if r.cfg.Gate.Open(have) {
-		r.cfg.Log.Info("serving", "model", have.Model, "version", have.Version, "adapters", len(have.Adapters))
+	if r.cfg.Gate.Open(actual) {
+		r.cfg.Log.Info("serving", "model", actual.Model, "version", actual.Version, "adapters", len(actual.Adapters))
 	}
 }
 
 func (r *Runner) startDrain(snap *view.Snapshot) {
 	limit := document.DrainTimeout(snap.Document)
 	r.mu.Lock()
-	r.switching = r.want
-	want := r.want
+	r.drainedFor = r.desired
+	desired := r.desired
 	r.mu.Unlock()
 	r.cfg.Gate.Drain(limit)
-	r.cfg.Log.Info("draining before a load", "model", want.Model, "version", want.Version, "limit", limit)
+	r.cfg.Log.Info("draining before a load", "model", desired.Model, "version", desired.Version, "limit", limit)
 }
--- a/agent/internal/orders/status.go
+++ b/agent/internal/orders/status.go
@@ -19,73 +19,73 @@
 	// An order that is replied to while the status is on its way makes that
 	// status one of before: it must not settle the order.
 	r.mu.Lock()
-	asked := r.pending
-	settled := asked != nil && !asked.replied.IsZero()
+	pendingBefore := r.pending
+	repliedBefore := pendingBefore != nil && !pendingBefore.repliedAt.IsZero()
 	r.mu.Unlock()
 	status, err := r.cfg.Engine.Status(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.pollFailed()
+		r.recordPollFailure()
 		return
 	}
-	r.failures = 0
+	r.failedPolls = 0
 	r.status = status
 	r.guard.Learn(status.Fence)
 	r.cfg.Gate.SetSlots(int(status.Slots))
-	if r.pending != asked || (asked != nil && !settled) {
+	if r.pending != pendingBefore || (pendingBefore != nil && !repliedBefore) {
 		return
 	}
-	r.take(contentOf(status))
+	r.reconcileContent(contentOfStatus(status))
 }
 
-func (r *Runner) pollFailed() {
-	r.failures++
-	if r.failures == unreachableAfter {
+func (r *Runner) recordPollFailure() {
+	r.failedPolls++
+	if r.failedPolls == failedPollLimit {
 		r.cfg.Log.Warn("the engine does not answer")
-		r.haveKnown = false
-		r.differing = 0
+		r.actualKnown = false
+		r.mismatchedPolls = 0
 	}
 }
 
-// take judges what the engine says it has.
-func (r *Runner) take(content gate.Loaded) {
+// reconcileContent judges what the engine says it has.
+func (r *Runner) reconcileContent(content gate.Loaded) {
 	if r.pending != nil {
-		if !r.confirm(content, r.cfg.Clock.Now()) {
+		if !r.settlePending(content, r.cfg.Clock.Now()) {
 			return
 		}
-		r.have, r.haveKnown, r.differing = content, true, 0
+		r.actual, r.actualKnown, r.mismatchedPolls = content, true, 0
 		return
 	}
-	if !r.haveKnown {
-		r.have, r.haveKnown, r.differing = content, true, 0
+	if !r.actualKnown {
+		r.actual, r.actualKnown, r.mismatchedPolls = content, true, 0
 		return
 	}
-	if r.have.Equal(content) {
-		r.have.Role = content.Role
-		r.differing = 0
+	if r.actual.Equal(content) {
+		r.actual.Role = content.Role
+		r.mismatchedPolls = 0
 		return
 	}
-	r.differing++
-	if r.differing < differsAfter {
+	r.mismatchedPolls++
+	if r.mismatchedPolls < mismatchLimit {
 		return
 	}
 	r.cfg.Counters.Add("contentLost", 1)
-	r.cfg.Log.Warn("the engine has something else than it confirmed", "was", r.have.Version, "is", content.Version)
-	r.have, r.differing = content, 0
+	r.cfg.Log.Warn("the engine has something else than it confirmed", "was", r.actual.Version, "is", content.Version)
+	r.actual, r.mismatchedPolls = content, 0
 }
 
-func contentOf(status *engine.Status) gate.Loaded {
-	loaded := gate.Loaded{
+func contentOfStatus(status *engine.Status) gate.Loaded {
+	content := gate.Loaded{
 		Model:    status.Model,
 		Version:  status.Version,
 		Adapters: map[string]string{},
 		Role:     status.Role,
 	}
 	for _, adapter := range status.Adapters {
-		loaded.Adapters[adapter.Name] = adapter.Version
+		content.Adapters[adapter.Name] = adapter.Version
 	}
-	return loaded
+	return content
 }
 
 // Status returns the engine's newest status; nil before the first.
@@ -107,9 +107,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cfg.Service != "" {
-		return r.haveKnown
+		return r.actualKnown
 	}
-	return r.status != nil && r.failures < unreachableAfter
+	return r.status != nil && r.failedPolls < failedPollLimit
 }
 
 // States returns the versions of this host for its report: what is served or
@@ -119,25 +119,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var states []*wire.VersionState
-	if served := r.servedState(state); served != nil {
+	if served := r.actualState(state); served != nil {
 		states = append(states, served)
 	}
-	if !r.want.Empty() && (len(states) == 0 || !r.have.Equal(r.want)) {
-		states = append(states, r.wantedState())
+	if !r.desired.Empty() && (len(states) == 0 || !r.actual.Equal(r.desired)) {
+		states = append(states, r.desiredState())
 	}
 	return states
 }
 
-// servedState describes what the engine has; nil: nothing that is known.
-func (r *Runner) servedState(state gate.State) *wire.VersionState {
-	if !r.haveKnown || r.have.Empty() {
+// actualState describes what the engine has; nil: nothing that is known.
+func (r *Runner) actualState(state gate.State) *wire.VersionState {
+	if !r.actualKnown || r.actual.Empty() {
 		return nil
 	}
-	out := r.versionState(r.have)
+	out := r.versionState(r.actual)
 	switch {
 	case r.pending != nil && r.pending.action != SetRole:
 		return nil
-	case state.Phase() == drain.Open && state.Loaded().Equal(r.have):
+	case state.Phase() == drain.Open && state.Loaded().Equal(r.actual):
 		out.State = stateServing
 	case state.Phase() == drain.Draining || state.Phase() == drain.Cancelling:
 		out.State = stateDraining
@@ -147,14 +147,14 @@
 	return out
 }
 
-func (r *Runner) wantedState() *wire.VersionState {
-	out := r.versionState(r.want)
+func (r *Runner) desiredState() *wire.VersionState {
+	out := r.versionState(r.desired)
 	loading := r.pending != nil && r.pending.action == Load
 	switch {
-	case loading && r.pending.loaded.Equal(r.want):
+	case loading && r.pending.content.Equal(r.desired):
 		out.State = stateLoading
-	case out.State == stateWhole && r.failed != "":
-		out.State, out.HoldUp = stateFailed, r.failed
+	case out.State == stateWhole && r.lastOrderError != "":
+		out.State, out.HoldUp = stateFailed, r.lastOrderError
 	case out.State == stateWhole:
 		out.HoldUp = r.holdUp
 	}
@@ -162,20 +162,20 @@
 }
 
 // versionState sums the progress of the base and its adapters.
-func (r *Runner) versionState(loaded gate.Loaded) *wire.VersionState {
-	out := &wire.VersionState{Model: loaded.Model, Version: loaded.Version, State: stateWhole}
-	for _, name := range adapterNames(loaded) {
+func (r *Runner) versionState(content gate.Loaded) *wire.VersionState {
+	out := &wire.VersionState{Model: content.Model, Version: content.Version, State: stateWhole}
+	for _, name := range adapterNames(content) {
 		out.Adapters = append(out.Adapters, &wire.Adapter{
 			Name:        name,
-			Version:     loaded.Adapters[name],
-			BaseVersion: loaded.Version,
+			Version:     content.Adapters[name],
+			BaseVersion: content.Version,
 		})
 	}
-	for _, version := range versionsOf(loaded) {
+	for _, version := range versionsOf(content) {
 		progress := r.cfg.Weights.State(version)
 		out.ChunksHave += uint32(progress.Have)
 		out.ChunksTotal += uint32(progress.Total)
-		out.State = lesserState(out.State, progress.Phase)
+		out.State = lessCompleteState(out.State, progress.Phase)
 		if out.HoldUp == "" {
 			out.HoldUp = progress.HoldUp
 		}
@@ -183,35 +183,35 @@
 	return out
 }
 
-// lesserState returns the state that is further from being whole.
-func lesserState(have, other string) string {
+// lessCompleteState returns the state that is further from being whole.
+func lessCompleteState(state, other string) string {
 	rank := map[string]int{
 		stateWhole:       0,
 		weights.Fetching: 1,
 		weights.Absent:   2,
 		weights.Failed:   3,
 	}
-	if rank[other] > rank[have] {
+	if rank[other] > rank[state] {
 		return other
 	}
-	return have
+	return state
 }
 
 // notifyChanges calls Changed where the states differ from those reported last.
 func (r *Runner) notifyChanges() {
-	var text strings.Builder
+	var summary strings.Builder
 	for _, state := range r.States() {
-		fmt.Fprintf(&text, "%s/%s;", state.GetVersion(), state.GetState())
+		fmt.Fprintf(&summary, "%s/%s;", state.GetVersion(), state.GetState())
 	}
 	r.mu.Lock()
-	changed := text.String() != r.reported
-	r.reported = text.String()
+	changed := summary.String() != r.lastReportedStates
+	r.lastReportedStates = summary.String()
 	r.mu.Unlock()
 	if changed {
 		r.cfg.Changed()
 	}
 }
 
-func targetsText(targets []weights.Target, policy weights.Policy) string {
+func describeTargets(targets []weights.Target, policy weights.Policy) string {
 	return fmt.Sprint(targets, policy)
 }
--- a/spec/gate.pml
+++ b/spec/gate.pml
@@ -6,9 +6,9 @@
  *   WHOLE    a load is ordered only when every chunk is kept
  *            (orders.decideSwitch)
  *   DRAIN    a load is ordered only when nothing runs, and none is let in
- *            (orders.Runner.give)
+ *            (orders.Runner.issueOrder)
  *   CONFIRM  the gate opens only for the version the engine says it has
- *            (orders.Runner.serve)
+ *            (orders.Runner.openGate)
  *   INTENDED a request for another version than the open one is refused
  *            (gate.Gate.serves)
  */
