--- a/agent/internal/orders/config.go
+++ b/agent/internal/orders/config.go
@@ -13,27 +13,28 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Progress is how far the host is with one version's bytes.
+// Progress is the fetch progress of one version on this host.
 type Progress struct {
-	// Phase is one of the weights package's phases.
+	// Phase is one of the phases of package weights.
 	Phase string
-	// Have of Total chunks are verified and on the host; Total is 0 while the
-	// manifest is unknown.
+	// Have is how many of the Total chunks are verified and stored on the host.
+	// Total is 0 while the manifest is unknown.
 	Have, Total int
-	// HoldUp says why it stands still; empty otherwise.
+	// HoldUp is the reason why the fetch makes no progress; empty if it does.
 	HoldUp string
 }
 
-// Weights is what the runner needs of the weights manager.
+// Weights holds the functions of the weights manager that a Runner uses.
 type Weights struct {
 	SetTargets func(targets []weights.Target, policy weights.Policy)
 	State      func(version string) Progress
 	Manifest   func(version string) *wire.Manifest
-	// Changed receives after each change of a State.
+	// Changed delivers a value after a version's state changes; several changes
+	// may share one value.
 	Changed <-chan struct{}
 }
 
-// FromManager returns the manager's functions.
+// FromManager returns the functions of the given weights manager.
 func FromManager(manager *weights.Manager) Weights {
 	return Weights{
 		SetTargets: manager.SetTargets,
@@ -46,7 +47,7 @@
 	}
 }
 
-// Config holds what a Runner needs from its process.
+// Config holds the settings and dependencies of a Runner.
 type Config struct {
 	Self  *wire.Node
 	Clock clockwork.Clock
@@ -54,17 +55,20 @@
 	View  *view.Holder
 	// Synced reports whether the entries have answered since the start.
 	Synced func() bool
-	// Service is set for plain services, which take no orders.
+	// Service is the name of a plain service, which takes no orders; empty for
+	// an engine.
 	Service  string
 	Engine   *engine.Client
 	Gate     *gate.Gate
 	Weights  Weights
 	Counters *expvar.Map
-	// Invariants records broken rules.
+	// Invariants records violated invariants.
 	Invariants *gate.Invariants
-	// Changed is called when States changed; it does not block.
+	// Changed is called after the result of Runner.States changed. It must not
+	// block.
 	Changed func()
-	// Placement, if set, is called for each step, and may assign something to a
-	// host that the plan leaves out. Own is the host's present state.
+	// Placement, if set, is called in each step and may return an assignment,
+	// which is used if the plan has none for this host. The argument own is the
+	// host's present state.
 	Placement func(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment
 }
--- a/agent/internal/orders/decide.go
+++ b/agent/internal/orders/decide.go
@@ -6,62 +6,70 @@
 	"comfreyrelay.example/relay/fence"
 )
 
-// Action is the next thing to do at the engine or the gate.
+// Action is a step that brings the engine or the gate closer to the plan. Its
+// String is part of the name of the counter "action.<name>".
 type Action int
 
 // The actions.
 const (
-	// NoAction: nothing for now.
+	// NoAction changes nothing in this step; its String is "stay".
 	NoAction Action = iota
-	// Serve: open the gate for what the engine has.
+	// Serve opens the gate for the engine's actual content.
 	Serve
-	// Resume: give up a drain that has changed nothing yet.
+	// Resume abandons a drain and reopens the gate; the engine is unchanged.
 	Resume
-	// CloseGate: stop letting attempts in at once, the engine has something else.
+	// CloseGate stops admitting attempts and cancels running ones at once,
+	// because the engine's content is not what the gate is open for. Its String
+	// is "shut".
 	CloseGate
-	// Drain: let nothing in and finish what runs.
+	// Drain stops admitting attempts and lets running ones finish.
 	Drain
-	// Load: order the wanted version.
+	// Load orders the engine to load the desired content.
 	Load
-	// Unload: order the engine to give up what it has.
+	// Unload orders the engine to unload its content.
 	Unload
-	// SetRole: order the wanted role.
+	// SetRole orders the engine to take the desired role.
 	SetRole
 )
 
-// String returns the action's name.
+// String returns the action's name in metrics.
 func (a Action) String() string {
 	return [...]string{"stay", "serve", "resume", "shut", "drain", "load", "unload", "setRole"}[a]
 }
 
-// DecisionInputs is everything that the decision depends on.
+// DecisionInputs holds everything that Decide depends on.
 type DecisionInputs struct {
-	// Desired is what the plan assigns to this host; empty: nothing.
+	// Desired is the content assigned to this host; empty if there is none.
 	Desired gate.Loaded
-	// Actual is what the engine said it has; it counts while HaveKnown is set.
+	// Actual is the content that the engine reported; valid while ActualKnown.
 	Actual      gate.Loaded
 	ActualKnown bool
-	// Pending: an order was given and not confirmed yet.
+	// Pending is set while an order is issued but not confirmed.
 	Pending bool
-	// WeightsComplete: all bytes of Want are verified and on this host.
+	// WeightsComplete is set once all chunks of Desired are verified and stored
+	// on this host.
 	WeightsComplete bool
-	// MaySwitch is the answer of MaySwitch.
+	// MaySwitch is the result of the function MaySwitch: the rollout lets this
+	// host stop serving its present version.
 	MaySwitch bool
-	// DrainedForDesired: the gate was drained in order to load Want.
+	// DrainedForDesired is set once a gate drain was started to load Desired.
 	DrainedForDesired bool
-	// Unassigned: the plan has assigned nothing for long enough.
+	// Unassigned is set once the entries have answered and the host has had no
+	// assignment for unassignedGrace.
 	Unassigned bool
-	// InBackoff: the last order failed a moment ago.
+	// InBackoff is set for failureBackoff after a failed order.
 	InBackoff bool
-	// Verdict is what the fence says to an order of the plan in force.
+	// Verdict says whether an order from the plan in force may be issued.
 	Verdict fence.Verdict
-	// GatePhase and Open are the gate's.
+	// GatePhase is the gate's drain phase, and GateContent is what the gate was
+	// last opened for.
 	GatePhase   drain.Phase
 	GateContent gate.Loaded
 }
 
-// Decide returns the next action. Weights change only behind a gate that is
-// drained, and the gate opens only for what the engine confirmed.
+// Decide returns the next action. The engine's weights change only while the
+// gate is drained, and the gate opens only for content that the engine
+// confirmed.
 func Decide(in DecisionInputs) Action {
 	if !in.ActualKnown || in.Pending {
 		return NoAction
@@ -78,9 +86,11 @@
 	return decideSwitch(in)
 }
 
+// mayOrder reports whether an order may be issued now.
 func (in DecisionInputs) mayOrder() bool { return in.Verdict == fence.Obey && !in.InBackoff }
 
-// keepServing goes on serving what the engine has.
+// keepServing returns the action that keeps or resumes serving the engine's
+// actual content.
 func (in DecisionInputs) keepServing() Action {
 	switch {
 	case in.Actual.Empty():
@@ -93,6 +103,8 @@
 	return NoAction
 }
 
+// decideUnassigned handles a host without an assignment: once Unassigned is set,
+// it drains the gate and unloads the engine.
 func decideUnassigned(in DecisionInputs) Action {
 	if in.Actual.Empty() || !in.Unassigned || !in.mayOrder() {
 		return in.keepServing()
@@ -107,6 +119,8 @@
 	return NoAction
 }
 
+// decideUpToDate handles an engine that has the desired weights: it opens the gate
+// and sets the role where it differs.
 func decideUpToDate(in DecisionInputs) Action {
 	if in.GatePhase != drain.Open {
 		return in.keepServing()
@@ -117,7 +131,9 @@
 	return NoAction
 }
 
-// decideSwitch goes to the wanted version, once all of it is there.
+// decideSwitch handles an engine that has other weights than desired: once all
+// chunks are on the host and the rollout permits it, it drains the gate and loads
+// the desired content. Until then the host serves what it has.
 //
 // Rule WHOLE of spec/gate.pml.
 func decideSwitch(in DecisionInputs) Action {
--- a/agent/internal/orders/fence_test.go
+++ b/agent/internal/orders/fence_test.go
@@ -12,8 +12,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// newSyncedRunner returns a runner whose agent started and was answered by the entries just now,
-// beside an engine that reports no fencing number.
+// newSyncedRunner returns a Runner of an agent that has just started and been
+// answered by the entries. Its engine reports no fencing number.
 func newSyncedRunner(clock clockwork.Clock, actual, desired gate.Loaded) *Runner {
 	r := New(Config{Clock: clock, Self: &wire.Node{Id: "h1"}})
 	r.guard.Learn(0)
@@ -21,6 +21,7 @@
 	return r
 }
 
+// snapshotWithVersion returns a snapshot whose document names the given version.
 func snapshotWithVersion(version string) *view.Snapshot {
 	return &view.Snapshot{
 		Plan:     &wire.Plan{PlanRevision: 4, Fence: 9},
@@ -28,35 +29,35 @@
 	}
 }
 
-// Symptom: a host goes back to an older version for a moment. Sequence: the
-// agent restarts beside an engine that reports no fencing number; the entries
-// that it asks lag, and the newer plan comes a little later. Cause: an agent
-// that obeys the first plan it meets.
+// Guards against a host that briefly returns to an older version because its agent
+// obeys the first plan it receives. This happens when the agent restarts, its
+// engine reports no fencing number, and the entries that it asks lag, so that the
+// newer plan arrives a little later.
 func TestStartedAgentWaitsForNewerPlan(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newSyncedRunner(clock, parseContent("v2"), parseContent("v1"))
 	lagging := snapshotWithVersion("v1")
 	clock.Advance(newerPlanWait - time.Millisecond)
 	if got, want := r.fenceVerdict(lagging), fence.Wait; got != want {
-		t.Errorf("got %v just after the start, want %v", got, want)
+		t.Errorf("got %v before newerPlanWait passed, want %v", got, want)
 	}
 	clock.Advance(time.Millisecond)
 	if got, want := r.fenceVerdict(lagging), fence.Obey; got != want {
-		t.Errorf("got %v once no newer plan came, want %v", got, want)
+		t.Errorf("got %v after newerPlanWait without a newer plan, want %v", got, want)
 	}
 	if got, want := newSyncedRunner(clock, gate.Loaded{}, parseContent("v1")).fenceVerdict(lagging), fence.Obey; got != want {
-		t.Errorf("got %v beside an empty engine, want %v", got, want)
+		t.Errorf("got %v with an empty engine, want %v", got, want)
 	}
 	r = newSyncedRunner(clock, parseContent("v2"), parseContent("v1"))
 	r.guard.Admit(fence.NewNumber(9, 3))
 	if got, want := r.fenceVerdict(lagging), fence.Obey; got != want {
-		t.Errorf("got %v from an agent that obeyed a plan itself, want %v", got, want)
+		t.Errorf("got %v from an agent that has already obeyed a plan, want %v", got, want)
 	}
 }
 
-// Symptom: a host goes back to an older version. Sequence: the plan that an
-// agent receives is older than the one that its engine obeyed; the document is
-// not. Cause: plans compared by their numbers alone.
+// Guards against a host that returns to an older version because plans are
+// compared by their numbers alone. This happens when the agent receives an older
+// plan than its engine obeyed, together with an up-to-date document.
 func TestPlanOlderThanDocumentIsRefused(t *testing.T) {
 	for _, tc := range []struct {
 		have, want, document string
@@ -64,9 +65,9 @@
 	}{
 		{"v2", "v1", "v2", fence.Refuse},
 		{"v1", "v2", "v2", fence.Obey},
-		{"v1", "v2", "v3", fence.Obey}, // A roll that the next document overtook.
+		{"v1", "v2", "v3", fence.Obey}, // The document already names a version after v2.
 		{"v2", "v2", "v2", fence.Obey},
-		{"v2+a1", "v1", "v2", fence.Obey}, // It has an adapter that the document lacks.
+		{"v2+a1", "v1", "v2", fence.Obey}, // The engine has an adapter that the document does not name.
 		{"", "v1", "v2", fence.Obey},
 	} {
 		clock := clockwork.NewFakeClock()
--- a/agent/internal/orders/inputs.go
+++ b/agent/internal/orders/inputs.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// decisionInputs gathers what the decision depends on.
+// decisionInputs collects the inputs of Decide and updates holdUp.
 func (r *Runner) decisionInputs(snap *view.Snapshot) DecisionInputs {
 	state := r.cfg.Gate.State()
 	r.mu.Lock()
@@ -38,10 +38,11 @@
 	}
 }
 
-// fenceVerdict keeps orders back until the entries answered: a process that starts
-// must not obey the first plan that comes by. Engines report the fence at best,
-// never the plan's revision, so that of two plans of one planner this process
-// can't infer from the number which the engine obeyed before; see package fence.
+// fenceVerdict reports whether orders from the plan in force may be issued. It
+// withholds them until the entries have answered, so that a starting agent does
+// not obey the first plan it receives. Engines report at most the fence, never
+// the plan's revision, so after a restart this process cannot tell from the
+// number which of two plans of one planner the engine obeyed; see package fence.
 func (r *Runner) fenceVerdict(snap *view.Snapshot) fence.Verdict {
 	if r.syncedAt.IsZero() || snap.Plan == nil {
 		return fence.Wait
@@ -56,9 +57,10 @@
 	return r.guard.Judge(fencingNumberOf(snap.Plan))
 }
 
-// planOutdated reports whether the engine has what the document in force names and
-// the plan something else of the same model. Versions come into a plan from the
-// document alone: the plan is older than the one that was obeyed.
+// planOutdated reports whether the engine already has the content that the
+// document in force names while the plan assigns different content of the same
+// model. Plans take their versions from the document only, so such a plan is
+// older than the one that was obeyed.
 func (r *Runner) planOutdated(snap *view.Snapshot) bool {
 	if r.actual.Empty() || r.actual.Model != r.desired.Model || r.actual.Equal(r.desired) {
 		return false
@@ -71,15 +73,18 @@
 	return false
 }
 
-// documentContent is what the document wants of a host that serves the model.
+// documentContent returns the content that the document names for the model.
 func documentContent(model *wire.Model) gate.Loaded {
 	return contentOfAssignment(&wire.Assignment{Model: model.GetName(), Version: model.GetVersion(), Adapters: model.GetAdapters()})
 }
 
+// fencingNumberOf returns the fencing number of orders from the plan.
 func fencingNumberOf(plan *wire.Plan) fence.Number {
 	return fence.NewNumber(plan.GetFence(), plan.GetPlanRevision())
 }
 
+// maySwitch reports whether this host may stop serving its present version, or
+// why not. It is always true while there is no version to leave.
 func (r *Runner) maySwitch(snap *view.Snapshot, now time.Time) (bool, string) {
 	if r.desiredAssignment == nil || r.actual.Empty() || r.actual.Equal(r.desired) {
 		return true, ""
@@ -99,6 +104,8 @@
 	return MaySwitch(in)
 }
 
+// weightsComplete reports whether all chunks of the base version and its adapters
+// are verified and stored on this host.
 func (r *Runner) weightsComplete(content gate.Loaded) bool {
 	for _, version := range versionsOf(content) {
 		if r.cfg.Weights.State(version).Phase != weights.Whole {
--- a/agent/internal/orders/order.go
+++ b/agent/internal/orders/order.go
@@ -14,16 +14,18 @@
 	"comfreyrelay.example/relay/view"
 )
 
-// pendingOrder is one order that was given.
+// pendingOrder is an order that was issued and is not settled yet.
 type pendingOrder struct {
 	action  Action
-	content gate.Loaded // what the engine should have afterwards
+	content gate.Loaded // what the engine has once the order is applied
 	number  fence.Number
-	// repliedAt is when the engine accepted it; zero while the call runs.
+	// repliedAt is when the engine's reply arrived; zero while the call runs.
 	repliedAt time.Time
 }
 
-// issueOrder orders something in the name of the plan in force.
+// issueOrder sends the engine an order with the fencing number of the plan in
+// force. It issues none if the guard refuses the number, a manifest is missing,
+// or the gate is not drained for a change of weights.
 //
 // Rule DRAIN of spec/gate.pml.
 func (r *Runner) issueOrder(ctx context.Context, snap *view.Snapshot, action Action) {
@@ -52,6 +54,7 @@
 	go r.sendOrder(ctx, pending, engineOrder)
 }
 
+// expectedContent returns the engine's content after the order is applied.
 func (r *Runner) expectedContent(action Action) gate.Loaded {
 	switch action {
 	case Load:
@@ -64,7 +67,8 @@
 	return gate.Loaded{}
 }
 
-// buildOrder makes the call; ok is false where a manifest is not at hand.
+// buildOrder returns the order to send; ok is false if a manifest is not known
+// yet.
 func (r *Runner) buildOrder(action Action, number fence.Number) (engineOrder *engine.Order, ok bool) {
 	engineOrder = &engine.Order{Fence: number.Fence()}
 	switch action {
@@ -92,6 +96,8 @@
 	return engineOrder, true
 }
 
+// chunkHashes returns the hex-encoded chunk hashes of a version; false while its
+// manifest is unknown.
 func (r *Runner) chunkHashes(version string) ([]string, bool) {
 	manifest := r.cfg.Weights.Manifest(version)
 	if manifest == nil {
@@ -104,7 +110,7 @@
 	return encoded, true
 }
 
-// sendOrder does the call and takes its result.
+// sendOrder sends the order to the engine and records the result.
 func (r *Runner) sendOrder(ctx context.Context, pending *pendingOrder, engineOrder *engine.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -132,15 +138,16 @@
 	case failure.Unavailable:
 		r.pending = nil
 	default:
-		// It may have taken effect: only the engine's status shows.
+		// The order may have taken effect; only the engine's status shows it.
 		r.actualKnown = false
 		r.mismatchedPolls = 0
 		r.pending = nil
 	}
 }
 
-// settlePending compares the engine's status with the pending order, and returns
-// whether the order is settled.
+// settlePending compares the engine's content with what the pending order should
+// produce. It reports whether the order is settled: confirmed, or dropped because
+// the engine did not apply it within confirmTimeout.
 func (r *Runner) settlePending(content gate.Loaded, now time.Time) bool {
 	pending := r.pending
 	if pending.repliedAt.IsZero() {
@@ -155,14 +162,15 @@
 	if now.Sub(pending.repliedAt) < confirmTimeout {
 		return false
 	}
-	// The engine said yes and did nothing; without a repetition the host would
-	// stand empty for ever.
+	// The engine accepted the order but did not apply it. If the order were not
+	// issued again, the host would stay without weights forever.
 	r.pending = nil
 	r.cfg.Counters.Add("ordersDropped", 1)
-	r.cfg.Log.Warn("order was dropped by the engine", "version", pending.content.Version, "fence", pending.number.String())
+	r.cfg.Log.Warn("engine accepted the order but did not apply it", "version", pending.content.Version, "fence", pending.number.String())
 	return true
 }
 
+// adapterNames lists the names of the adapters in sorted order.
 func adapterNames(content gate.Loaded) []string {
 	names := make([]string, 0, len(content.Adapters))
 	for name := range content.Adapters {
@@ -172,7 +180,7 @@
 	return names
 }
 
-// versionsOf lists the base version and those of the adapters.
+// versionsOf lists the base version and the versions of the adapters.
 func versionsOf(content gate.Loaded) []string {
 	if content.Empty() {
 		return nil
--- a/agent/internal/orders/orders_test.go
+++ b/agent/internal/orders/orders_test.go
@@ -40,7 +40,8 @@
 	})
 }
 
-// parseContent reads "v1" or "v1+a1".
+// parseContent parses "v1" or "v1+a1" (version and adapter version); empty text
+// means no content.
 func parseContent(text string) gate.Loaded {
 	if text == "" {
 		return gate.Loaded{}
@@ -53,6 +54,7 @@
 	return content
 }
 
+// parsePhase returns the phase of the given name, or Drained for any other text.
 func parsePhase(name string) drain.Phase {
 	for _, phase := range []drain.Phase{drain.Open, drain.Draining, drain.Cancelling} {
 		if phase.String() == name {
@@ -62,9 +64,10 @@
 	return drain.Drained
 }
 
-// Symptom: an answer from mixed or unwanted weights. Sequence: any situation
-// whatever. Cause: an order with the gate open, for bytes that are not whole, or
-// in the name of an old plan; a gate opened for what was not confirmed.
+// Guards against answers from mixed or unwanted weights, for arbitrary inputs. They
+// would come from an order that is issued while the gate is open, for incomplete
+// weights or from an outdated plan, or from a gate that opens for unconfirmed
+// content.
 func TestDecideSafety(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string) gate.Loaded {
@@ -80,27 +83,27 @@
 		}
 		action := Decide(in)
 		if (in.Pending || !in.ActualKnown) && action != NoAction {
-			t.Fatalf("%v while nothing is known", action)
+			t.Fatalf("got %v while an order is pending or the content is unknown, want no action", action)
 		}
 		switch action {
 		case Load, Unload:
 			if in.GatePhase != drain.Drained || in.Verdict != fence.Obey {
-				t.Fatalf("%v in phase %v with verdict %v", action, in.GatePhase, in.Verdict)
+				t.Fatalf("got %v in gate phase %v with verdict %v, want drained and obey", action, in.GatePhase, in.Verdict)
 			}
 			if action == Load && !in.WeightsComplete {
-				t.Fatal("load of a version that is not whole")
+				t.Fatal("got a load of incomplete weights")
 			}
 		case Serve:
 			if in.Actual.Empty() || in.GatePhase != drain.Drained {
-				t.Fatalf("serves %q in phase %v", in.Actual.Version, in.GatePhase)
+				t.Fatalf("got serve for %q in gate phase %v, want content and a drained gate", in.Actual.Version, in.GatePhase)
 			}
 		case Resume:
 			if !in.GateContent.Equal(in.Actual) {
-				t.Fatalf("resumes %q while the engine has %q", in.GateContent.Version, in.Actual.Version)
+				t.Fatalf("got resume for %q while the engine has %q", in.GateContent.Version, in.Actual.Version)
 			}
 		case Drain:
 			if !in.WeightsComplete && !in.Unassigned {
-				t.Fatal("drains for a version that is not whole")
+				t.Fatal("got a drain for incomplete weights")
 			}
 		case NoAction, CloseGate, SetRole:
 		}
@@ -131,8 +134,9 @@
 	})
 }
 
-// parseHost reads "<id> <wave> <version>=<state>... [lost|leaving|absent]
-// [domain=<name>]"; everyone is to turn to v2.
+// parseHost parses "<id> <wave> <version>=<state>... [lost|leaving|absent]
+// [domain=<name>]". Every host is assigned v2. The host is nil if it is absent,
+// that is, without a report.
 func parseHost(line string) (*wire.Assignment, *view.Host) {
 	words := strings.Fields(line)
 	assignment := &wire.Assignment{Host: words[0], Model: "parcel", Version: "v2", FailureDomain: "d1"}
@@ -161,16 +165,17 @@
 	return assignment, &host
 }
 
-// Symptom: more hosts of a failure domain are out than the document allows.
-// Sequence: hosts turn one after another, each deciding on the same reports.
-// Cause: two hosts of one wave that both think it is their turn.
+// Guards against more hosts of a failure domain being out of service than the
+// document allows. Hosts decide one after another on the same reports, and two of
+// one wave could both conclude that they may switch. Also checks that a rollout
+// never stalls.
 func TestMaySwitchKeepsMaxUnavailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "hosts")
 		allowed := rapid.IntRange(1, 3).Draw(t, "max")
 		plan := &wire.Plan{}
 		hosts := make([]view.Host, count)
-		states := make([]string, count) // of the roll to v2
+		states := make([]string, count) // progress of the switch to v2: old, out or new
 		for i := range count {
 			plan.Assignments = append(plan.Assignments, &wire.Assignment{
 				Host: fmt.Sprintf("h%d", i), Model: "parcel", Version: "v2", FailureDomain: "d1",
@@ -200,7 +205,7 @@
 			}
 		}
 		if switching > 0 && unavailable+switching > max(allowed, unavailable) {
-			t.Fatalf("%d hosts go while %d are out, want at most %d", switching, unavailable, allowed)
+			t.Fatalf("%d hosts may switch while %d are out of service, want at most %d", switching, unavailable, allowed)
 		}
 		pending := 0
 		for _, state := range states {
@@ -209,7 +214,7 @@
 			}
 		}
 		if pending > 0 && unavailable == 0 && switching == 0 {
-			t.Fatalf("%d hosts are still to turn, none is out and none may go", pending)
+			t.Fatalf("%d hosts have yet to switch, but none is switching and none may switch", pending)
 		}
 	})
 }
--- a/agent/internal/orders/runner.go
+++ b/agent/internal/orders/runner.go
@@ -1,6 +1,13 @@
-// Package orders brings the engine of this host to what the plan assigns: it
-// has the weights fetched, drains the gate, orders the load with a fencing
-// number, and opens the gate once the engine confirms what it has.
+// Package orders reconciles the engine of this host with the plan. It has the
+// assigned weights fetched, drains the gate, orders the engine to load them, and
+// opens the gate once the engine's status confirms the load.
+//
+// An order is a command to the engine: load, unload or set the role. It carries
+// a fencing number, so that a planner whose lease lapsed cannot change weights.
+//
+// Content means the model, version, adapters and role of an engine
+// (gate.Loaded). Desired content comes from the plan; actual content comes from
+// the engine's status.
 package orders
 
 import (
@@ -19,78 +26,85 @@
 )
 
 const (
-	// stepInterval is how often the runner decides without being woken.
+	// stepInterval is the time between reconciliation steps when nothing wakes
+	// the runner.
 	stepInterval = 200 * time.Millisecond
-	// statusInterval is how often the engine is asked for its state.
+	// statusInterval is the time between polls of the engine's status.
 	statusInterval = 500 * time.Millisecond
 	statusTimeout  = 2 * time.Second
-	// orderTimeout bounds one order: a large model loads for minutes.
+	// orderTimeout limits one order; a large model takes minutes to load.
 	orderTimeout = 10 * time.Minute
-	// confirmTimeout is how long after the reply to an order the status may
-	// lag before the order counts as dropped.
+	// confirmTimeout is how long the status may lag behind the reply to an
+	// order before the order counts as dropped.
 	confirmTimeout = 3 * time.Second
-	// failureBackoff keeps an order that fails from being repeated at once.
+	// failureBackoff delays the next order after a failed one.
 	failureBackoff = time.Second
-	// unassignedGrace is how long a plan must leave a host out before the engine
-	// gives up its weights: a planner that missed one report must not cost a
-	// whole model's bytes.
+	// unassignedGrace is how long the host must be without an assignment before
+	// the engine unloads its weights. A planner that missed one report of this
+	// host must not cause a whole model to be transferred again.
 	unassignedGrace = 30 * time.Second
-	// absentLostAfter is how long other hosts have to report.
+	// absentLostAfter is how long after the first contact with the entries a
+	// host without any report counts as lost.
 	absentLostAfter = 10 * time.Second
-	// newerPlanWait is how long an agent that started beside a loaded engine waits
-	// for a newer plan before it orders anything: an entry receives another one's news
-	// within an exchange of 5 seconds.
+	// newerPlanWait is how long a restarted agent whose engine has weights loaded
+	// waits for a newer plan before its first order. An entry learns another
+	// entry's news within one exchange, which takes up to 5 seconds.
 	newerPlanWait = 6 * time.Second
-	// refetchPause is how long nothing is targeted after the engine said that a
-	// chunk is missing or wrong: an engine that restarted has lost the bytes
-	// that the weights manager believes to be there. It drops them meanwhile
-	// and fetches them anew afterwards.
+	// refetchPause is how long the weights manager gets no targets after the
+	// engine reported a missing or wrong chunk. A restarted engine has lost
+	// chunks that the weights manager still counts as present. During the pause
+	// the manager drops them, and afterwards it fetches them again.
 	refetchPause = 2 * time.Second
-	// failedPollLimit is the number of failed polls after which nothing is
-	// known of the engine's content.
+	// failedPollLimit is the number of consecutive failed polls after which the
+	// engine's content counts as unknown.
 	failedPollLimit = 3
-	// mismatchLimit is the number of polls that must contradict a confirmed
-	// content: one may come from before the order.
+	// mismatchLimit is the number of consecutive polls that must contradict the
+	// confirmed content before it is replaced. A single one may show the state
+	// before the order.
 	mismatchLimit = 2
 )
 
-// holdUpStale is what a report says where the fence refuses the plan.
-const holdUpStalePlan = "the plan known here is older than one that was obeyed before"
+// holdUpStalePlan is the reported reason for a delay when the plan is refused as
+// outdated.
+const holdUpStalePlan = "the known plan is older than one that was already applied"
 
-// Runner is driven by Run; its accessors are safe for concurrent use.
+// Runner runs the reconciliation loop for the engine of this host. Run drives it;
+// the other exported methods except Step are safe for concurrent use.
 type Runner struct {
 	cfg  Config
 	wake chan struct{}
 
 	mu     sync.Mutex
 	guard  *fence.Guard
-	status *engine.Status // newest; nil before the first
-	// actual is what the engine was confirmed to have; valid while haveKnown.
+	status *engine.Status // latest status; nil before the first
+	// actual is the content that the engine confirmed; valid while actualKnown.
 	actual             gate.Loaded
 	actualKnown        bool
-	pending            *pendingOrder // nil unless an order is out or unconfirmed
+	pending            *pendingOrder // order that runs or is unconfirmed; nil if none
 	desired            gate.Loaded
-	desiredAssignment  *wire.Assignment // nil: nothing is assigned
-	drainedFor         gate.Loaded      // what the gate was drained for; empty: nothing
-	holdUp             string
-	lastOrderError     string // why the last order failed; empty after a good one
-	backoffUntil       time.Time
-	noTargetsUntil     time.Time // until when nothing is targeted
-	unassignedSince    time.Time // since when nothing is assigned; zero: something is
-	syncedAt           time.Time // first seen synced; zero: not yet
-	failedPolls        int       // polls in a row that failed
-	mismatchedPolls    int       // polls in a row that contradicted have
-	recheck            bool      // the gate saw a contradiction
-	lastTargets        string    // last ones given to weights, as text
-	lastReportedStates string    // last states passed to Changed, as text
+	desiredAssignment  *wire.Assignment // nil if nothing is assigned
+	drainedFor         gate.Loaded      // content that the gate drain was started for; empty if none
+	holdUp             string           // why the switch is delayed; empty if it is not
+	lastOrderError     string           // error of the last order; empty after a success
+	backoffUntil       time.Time        // no order is issued before this time
+	noTargetsUntil     time.Time        // the weights manager gets no targets before this time
+	unassignedSince    time.Time        // zero while something is assigned
+	syncedAt           time.Time        // when the entries were first known to have answered; zero before
+	failedPolls        int              // consecutive polls that failed
+	mismatchedPolls    int              // consecutive polls that contradicted actual
+	recheck            bool             // the gate asked for an immediate poll
+	lastTargets        string           // targets and policy last passed to the weights manager, as text
+	lastReportedStates string           // version states at the last call of Changed, as text
 }
 
-// New returns a Runner.
+// New returns a Runner that starts with Run.
 func New(cfg Config) *Runner {
 	return &Runner{cfg: cfg, wake: make(chan struct{}, 1), guard: fence.NewGuard()}
 }
 
-// Suspect makes the runner look at the engine at once.
+// Suspect makes the runner poll the engine's status at once. The gate calls it
+// when the endpoint's replies contradict the confirmed content; a single poll
+// that also contradicts it is then enough to replace it.
 func (r *Runner) Suspect() {
 	r.mu.Lock()
 	r.recheck = true
@@ -98,7 +112,7 @@
 	r.Wake()
 }
 
-// Wake makes the runner decide at once.
+// Wake makes the runner take its next step at once.
 func (r *Runner) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -106,7 +120,8 @@
 	}
 }
 
-// Run drives the engine until ctx ends.
+// Run polls the engine and reconciles it with the plan until ctx ends. For a
+// plain service it only opens the gate.
 func (r *Runner) Run(ctx context.Context) error {
 	if r.cfg.Service != "" {
 		return r.runService(ctx)
@@ -132,6 +147,8 @@
 	return nil
 }
 
+// takeRecheck returns and clears the request for an immediate poll. If there was
+// one, the next mismatch replaces the confirmed content.
 func (r *Runner) takeRecheck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,8 +160,9 @@
 	return recheck
 }
 
-// runService opens the gate as soon as the service listens. It stays open: a
-// service that is gone refuses connections, which proves that nothing ran.
+// runService opens the gate as soon as the service accepts connections. The gate
+// stays open when the service stops, because a refused connection proves that
+// the call did not run.
 func (r *Runner) runService(ctx context.Context) error {
 	ticker := r.cfg.Clock.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -164,7 +182,8 @@
 	}
 }
 
-// Step decides once and acts.
+// Step runs one reconciliation step: it reads the plan, decides on the next
+// action and executes it.
 func (r *Runner) Step(ctx context.Context) {
 	snap, _ := r.cfg.View.Load()
 	r.updateDesired(snap)
@@ -173,7 +192,8 @@
 	r.notifyChanges()
 }
 
-// updateDesired takes the assignment from the plan and has its weights fetched.
+// updateDesired sets the desired content from the current assignment and has the
+// weights manager fetch it.
 func (r *Runner) updateDesired(snap *view.Snapshot) {
 	assignment := r.currentAssignment(snap)
 	r.mu.Lock()
@@ -195,9 +215,9 @@
 	r.updateTargets(snap)
 }
 
-// currentAssignment returns this host's part of the plan, else what Placement gives;
-// nil: nothing. Placement is asked in any case, so that it notices the plan
-// taking over.
+// currentAssignment returns this host's assignment in the plan, or else the one
+// from Placement, or nil. Placement is called in either case, so that it notices
+// when the plan takes over.
 func (r *Runner) currentAssignment(snap *view.Snapshot) *wire.Assignment {
 	var placed *wire.Assignment
 	if r.cfg.Placement != nil {
@@ -211,10 +231,13 @@
 	return placed
 }
 
+// ownReport returns the part of this host's report that Placement needs.
 func (r *Runner) ownReport() *wire.HostReport {
 	return &wire.HostReport{Node: r.cfg.Self, Leaving: r.cfg.Gate.State().Leaving(), Versions: r.States()}
 }
 
+// contentOfAssignment returns the content that an assignment asks for; empty for
+// nil.
 func contentOfAssignment(assignment *wire.Assignment) gate.Loaded {
 	if assignment == nil {
 		return gate.Loaded{}
@@ -231,7 +254,8 @@
 	return content
 }
 
-// updateTargets passes what is wanted to the weights manager, if that changed.
+// updateTargets passes the desired versions and the fetch policy to the weights
+// manager if either has changed.
 func (r *Runner) updateTargets(snap *view.Snapshot) {
 	var targets []weights.Target
 	if !r.cfg.Clock.Now().Before(r.noTargetsUntil) {
@@ -252,7 +276,7 @@
 	r.cfg.Weights.SetTargets(targets, policy)
 }
 
-// versionsInUse lists the versions that the engine has or may have.
+// versionsInUse lists the versions that the engine has loaded or may be loading.
 func (r *Runner) versionsInUse() []string {
 	versions := versionsOf(r.actual)
 	if r.pending != nil {
@@ -261,7 +285,7 @@
 	return versions
 }
 
-// execute carries the decision out.
+// execute carries out the action and counts it.
 func (r *Runner) execute(ctx context.Context, snap *view.Snapshot, action Action) {
 	switch action {
 	case NoAction:
@@ -280,7 +304,7 @@
 	r.cfg.Counters.Add("action."+action.String(), 1)
 }
 
-// openGate opens the gate for what the engine confirmed.
+// openGate opens the gate for the content that the engine confirmed.
 //
 // Rule CONFIRM of spec/gate.pml.
 func (r *Runner) openGate() {
@@ -293,6 +317,8 @@
 	}
 }
 
+// startDrain starts to drain the gate, within the document's time limit, so that
+// the weights can be loaded or unloaded.
 func (r *Runner) startDrain(snap *view.Snapshot) {
 	limit := document.DrainTimeout(snap.Document)
 	r.mu.Lock()
@@ -300,5 +326,5 @@
 	desired := r.desired
 	r.mu.Unlock()
 	r.cfg.Gate.Drain(limit)
-	r.cfg.Log.Info("draining before a load", "model", desired.Model, "version", desired.Version, "limit", limit)
+	r.cfg.Log.Info("draining the gate before a load or unload", "model", desired.Model, "version", desired.Version, "limit", limit)
 }
--- a/agent/internal/orders/status.go
+++ b/agent/internal/orders/status.go
@@ -12,12 +12,12 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// poll asks the engine for its status and takes what it says.
+// poll requests the engine's status and updates the actual content from it.
 func (r *Runner) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	// An order that is replied to while the status is on its way makes that
-	// status one of before: it must not settle the order.
+	// If the reply to an order arrives during the status request, the status may
+	// show the state before the order, so it must not settle the order.
 	r.mu.Lock()
 	pendingBefore := r.pending
 	repliedBefore := pendingBefore != nil && !pendingBefore.repliedAt.IsZero()
@@ -39,16 +39,20 @@
 	r.reconcileContent(contentOfStatus(status))
 }
 
+// recordPollFailure counts a failed poll. At failedPollLimit the engine's content
+// counts as unknown.
 func (r *Runner) recordPollFailure() {
 	r.failedPolls++
 	if r.failedPolls == failedPollLimit {
-		r.cfg.Log.Warn("the engine does not answer")
+		r.cfg.Log.Warn("engine does not respond to status requests")
 		r.actualKnown = false
 		r.mismatchedPolls = 0
 	}
 }
 
-// reconcileContent judges what the engine says it has.
+// reconcileContent settles the pending order, if any, and updates the actual
+// content from a status. A status that contradicts the confirmed content replaces
+// it only after mismatchLimit consecutive polls.
 func (r *Runner) reconcileContent(content gate.Loaded) {
 	if r.pending != nil {
 		if !r.settlePending(content, r.cfg.Clock.Now()) {
@@ -71,10 +75,11 @@
 		return
 	}
 	r.cfg.Counters.Add("contentLost", 1)
-	r.cfg.Log.Warn("the engine has something else than it confirmed", "was", r.actual.Version, "is", content.Version)
+	r.cfg.Log.Warn("engine content differs from the confirmed content", "was", r.actual.Version, "is", content.Version)
 	r.actual, r.mismatchedPolls = content, 0
 }
 
+// contentOfStatus returns the content that a status reports.
 func contentOfStatus(status *engine.Status) gate.Loaded {
 	content := gate.Loaded{
 		Model:    status.Model,
@@ -88,21 +93,22 @@
 	return content
 }
 
-// Status returns the engine's newest status; nil before the first.
+// Status returns the engine's latest status; nil before the first.
 func (r *Runner) Status() *engine.Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.status
 }
 
-// Fence returns the highest fencing number obeyed.
+// Fence returns the highest fencing number that was obeyed or that the engine
+// reported.
 func (r *Runner) Fence() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.guard.Highest().Fence()
 }
 
-// Answers reports whether the endpoint answered lately.
+// Answers reports whether the endpoint responded to recent polls.
 func (r *Runner) Answers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,8 +118,8 @@
 	return r.status != nil && r.failedPolls < failedPollLimit
 }
 
-// States returns the versions of this host for its report: what is served or
-// was, then what is wanted.
+// States returns the version states for the host's report: first the version that
+// the engine has, then the desired one if it differs.
 func (r *Runner) States() []*wire.VersionState {
 	state := r.cfg.Gate.State()
 	r.mu.Lock()
@@ -128,7 +134,8 @@
 	return states
 }
 
-// actualState describes what the engine has; nil: nothing that is known.
+// actualState returns the state of the version that the engine has. It is nil if
+// that is unknown or empty, or while an order changes the weights.
 func (r *Runner) actualState(state gate.State) *wire.VersionState {
 	if !r.actualKnown || r.actual.Empty() {
 		return nil
@@ -147,6 +154,8 @@
 	return out
 }
 
+// desiredState returns the state of the desired version: how far its weights are
+// fetched, whether it is loading, and what holds it up.
 func (r *Runner) desiredState() *wire.VersionState {
 	out := r.versionState(r.desired)
 	loading := r.pending != nil && r.pending.action == Load
@@ -161,7 +170,8 @@
 	return out
 }
 
-// versionState sums the progress of the base and its adapters.
+// versionState returns the fetch progress of a version, summed over the base and
+// its adapters. Its state is that of the least complete of them.
 func (r *Runner) versionState(content gate.Loaded) *wire.VersionState {
 	out := &wire.VersionState{Model: content.Model, Version: content.Version, State: stateWhole}
 	for _, name := range adapterNames(content) {
@@ -183,7 +193,7 @@
 	return out
 }
 
-// lessCompleteState returns the state that is further from being whole.
+// lessCompleteState returns the state that is further from complete.
 func lessCompleteState(state, other string) string {
 	rank := map[string]int{
 		stateWhole:       0,
@@ -197,7 +207,8 @@
 	return state
 }
 
-// notifyChanges calls Changed where the states differ from those reported last.
+// notifyChanges calls Changed if a version or its state changed since the last
+// call.
 func (r *Runner) notifyChanges() {
 	var summary strings.Builder
 	for _, state := range r.States() {
@@ -212,6 +223,7 @@
 	}
 }
 
+// describeTargets returns the targets and policy as text, to detect changes.
 func describeTargets(targets []weights.Target, policy weights.Policy) string {
 	return fmt.Sprint(targets, policy)
 }
