--- a/agent/internal/orders/decide.go
+++ b/agent/internal/orders/decide.go
@@ -6,134 +6,150 @@
 	"comfreyrelay.example/relay/fence"
 )
 
-// Action is the next thing to do at the engine or the gate.
+// Action is a step that brings the engine or the gate closer to the plan. Its
+// String is part of the name of the counter "action.<name>".
 type Action int
 
 // The actions.
 const (
-	// Stay: nothing for now.
-	Stay Action = iota
-	// Serve: open the gate for what the engine has.
+	// NoAction changes nothing in this step; its String is "stay".
+	NoAction Action = iota
+	// Serve opens the gate for the engine's actual content.
 	Serve
-	// Resume: give up a drain that has changed nothing yet.
+	// Resume abandons a drain and reopens the gate; the engine is unchanged.
 	Resume
-	// Shut: stop letting attempts in at once, the engine has something else.
-	Shut
-	// Drain: let nothing in and finish what runs.
+	// CloseGate stops admitting attempts and cancels running ones at once,
+	// because the engine's content is not what the gate is open for. Its String
+	// is "shut".
+	CloseGate
+	// Drain stops admitting attempts and lets running ones finish.
 	Drain
-	// Load: order the wanted version.
+	// Load orders the engine to load the desired content.
 	Load
-	// Unload: order the engine to give up what it has.
+	// Unload orders the engine to unload its content.
 	Unload
-	// SetRole: order the wanted role.
+	// SetRole orders the engine to take the desired role.
 	SetRole
 )
 
-// String returns the action's name.
+// String returns the action's name in metrics.
 func (a Action) String() string {
 	return [...]string{"stay", "serve", "resume", "shut", "drain", "load", "unload", "setRole"}[a]
 }
 
-// Situation is everything that the decision depends on.
-type Situation struct {
-	// Want is what the plan assigns to this host; empty: nothing.
-	Want gate.Loaded
-	// Have is what the engine said it has; it counts while HaveKnown is set.
-	Have      gate.Loaded
-	HaveKnown bool
-	// Pending: an order was given and not confirmed yet.
+// DecisionInputs holds everything that Decide depends on.
+type DecisionInputs struct {
+	// Desired is the content assigned to this host; empty if there is none.
+	Desired gate.Loaded
+	// Actual is the content that the engine reported; valid while ActualKnown.
+	Actual      gate.Loaded
+	ActualKnown bool
+	// Pending is set while an order is issued but not confirmed.
 	Pending bool
-	// Whole: all bytes of Want are verified and on this host.
-	Whole bool
-	// MaySwitch is the answer of MaySwitch.
+	// WeightsComplete is set once all chunks of Desired are verified and stored
+	// on this host.
+	WeightsComplete bool
+	// MaySwitch is the result of the function MaySwitch: the rollout lets this
+	// host stop serving its present version.
 	MaySwitch bool
-	// Switching: the gate was drained in order to load Want.
-	Switching bool
-	// Unwanted: the plan has assigned nothing for long enough.
-	Unwanted bool
-	// Backoff: the last order failed a moment ago.
-	Backoff bool
-	// Verdict is what the fence says to an order of the plan in force.
+	// DrainedForDesired is set once a gate drain was started to load Desired.
+	DrainedForDesired bool
+	// Unassigned is set once the entries have answered and the host has had no
+	// assignment for unassignedGrace.
+	Unassigned bool
+	// InBackoff is set for failureBackoff after a failed order.
+	InBackoff bool
+	// Verdict says whether an order from the plan in force may be issued.
 	Verdict fence.Verdict
-	// Phase and Open are the gate's.
-	Phase drain.Phase
-	Open  gate.Loaded
+	// GatePhase is the gate's drain phase, and GateContent is what the gate was
+	// last opened for.
+	GatePhase   drain.Phase
+	GateContent gate.Loaded
 }
 
-// Decide returns the next action. Weights change only behind a gate that is
-// drained, and the gate opens only for what the engine confirmed.
-func Decide(now Situation) Action {
-	if !now.HaveKnown || now.Pending {
-		return Stay
+// Decide returns the next action. The engine's weights change only while the
+// gate is drained, and the gate opens only for content that the engine
+// confirmed.
+func Decide(in DecisionInputs) Action {
+	if !in.ActualKnown || in.Pending {
+		return NoAction
 	}
-	if now.Phase == drain.Open && !now.Open.Equal(now.Have) {
-		return Shut
+	if in.GatePhase == drain.Open && !in.GateContent.Equal(in.Actual) {
+		return CloseGate
 	}
 	switch {
-	case now.Want.Empty():
-		return decideUnwanted(now)
-	case now.Have.Equal(now.Want):
-		return decideArrived(now)
+	case in.Desired.Empty():
+		return decideUnassigned(in)
+	case in.Actual.Equal(in.Desired):
+		return decideUpToDate(in)
 	}
-	return decideSwitch(now)
+	return decideSwitch(in)
 }
 
-func (s Situation) mayOrder() bool { return s.Verdict == fence.Obey && !s.Backoff }
+// mayOrder reports whether an order may be issued now.
+func (in DecisionInputs) mayOrder() bool { return in.Verdict == fence.Obey && !in.InBackoff }
 
-// keep goes on serving what the engine has.
-func (s Situation) keep() Action {
+// keepServing returns the action that keeps or resumes serving the engine's
+// actual content.
+func (in DecisionInputs) keepServing() Action {
 	switch {
-	case s.Have.Empty():
-		return Stay
-	case s.Phase == drain.Drained:
+	case in.Actual.Empty():
+		return NoAction
+	case in.GatePhase == drain.Drained:
 		return Serve
-	case s.Phase == drain.Draining && s.Open.Equal(s.Have):
+	case in.GatePhase == drain.Draining && in.GateContent.Equal(in.Actual):
 		return Resume
 	}
-	return Stay
+	return NoAction
 }
 
-func decideUnwanted(now Situation) Action {
-	if now.Have.Empty() || !now.Unwanted || !now.mayOrder() {
-		return now.keep()
+// decideUnassigned handles a host without an assignment: once Unassigned is set,
+// it drains the gate and unloads the engine.
+func decideUnassigned(in DecisionInputs) Action {
+	if in.Actual.Empty() || !in.Unassigned || !in.mayOrder() {
+		return in.keepServing()
 	}
-	switch now.Phase {
+	switch in.GatePhase {
 	case drain.Open:
 		return Drain
 	case drain.Drained:
 		return Unload
 	case drain.Draining, drain.Cancelling:
 	}
-	return Stay
+	return NoAction
 }
 
-func decideArrived(now Situation) Action {
-	if now.Phase != drain.Open {
-		return now.keep()
+// decideUpToDate handles an engine that has the desired weights: it opens the gate
+// and sets the role where it differs.
+func decideUpToDate(in DecisionInputs) Action {
+	if in.GatePhase != drain.Open {
+		return in.keepServing()
 	}
-	if now.Want.Role != "" && now.Have.Role != now.Want.Role && now.mayOrder() {
+	if in.Desired.Role != "" && in.Actual.Role != in.Desired.Role && in.mayOrder() {
 		return SetRole
 	}
-	return Stay
+	return NoAction
 }
 
-// decideSwitch goes to the wanted version, once all of it is there.
+// decideSwitch handles an engine that has other weights than desired: once all
+// chunks are on the host and the rollout permits it, it drains the gate and loads
+// the desired content. Until then the host serves what it has.
 //
 // Rule WHOLE of spec/gate.pml.
-func decideSwitch(now Situation) Action {
-	if !now.Whole || !now.mayOrder() {
-		return now.keep()
+func decideSwitch(in DecisionInputs) Action {
+	if !in.WeightsComplete || !in.mayOrder() {
+		return in.keepServing()
 	}
-	mayGo := now.Have.Empty() || now.MaySwitch || now.Switching
-	if !mayGo {
-		return now.keep()
+	maySwitch := in.Actual.Empty() || in.MaySwitch || in.DrainedForDesired
+	if !maySwitch {
+		return in.keepServing()
 	}
-	switch now.Phase {
+	switch in.GatePhase {
 	case drain.Open:
 		return Drain
 	case drain.Drained:
 		return Load
 	case drain.Draining, drain.Cancelling:
 	}
-	return Stay
+	return NoAction
 }
--- a/agent/internal/orders/orders_test.go
+++ b/agent/internal/orders/orders_test.go
@@ -16,44 +16,46 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-func TestDecideScripts(t *testing.T) {
+func TestDecide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide.txt", func(t *testing.T, d *datadriven.TestData) string {
-		now := Situation{HaveKnown: true, Verdict: fence.Obey, Phase: drain.Drained}
-		var want, have, open, phase string
-		d.MaybeScanArgs(t, "want", &want)
-		d.MaybeScanArgs(t, "have", &have)
-		d.MaybeScanArgs(t, "open", &open)
+		in := DecisionInputs{ActualKnown: true, Verdict: fence.Obey, GatePhase: drain.Drained}
+		var desired, actual, gateContent, phase string
+		d.MaybeScanArgs(t, "want", &desired)
+		d.MaybeScanArgs(t, "have", &actual)
+		d.MaybeScanArgs(t, "open", &gateContent)
 		d.MaybeScanArgs(t, "phase", &phase)
-		now.Want, now.Have, now.Open = loadedText(want), loadedText(have), loadedText(open)
-		now.Phase = phaseNamed(phase)
-		now.HaveKnown = !d.HasArg("blind")
-		now.Pending = d.HasArg("pending")
-		now.Whole = d.HasArg("whole")
-		now.MaySwitch = d.HasArg("may")
-		now.Switching = d.HasArg("switching")
-		now.Unwanted = d.HasArg("unwanted")
-		now.Backoff = d.HasArg("backoff")
+		in.Desired, in.Actual, in.GateContent = parseContent(desired), parseContent(actual), parseContent(gateContent)
+		in.GatePhase = parsePhase(phase)
+		in.ActualKnown = !d.HasArg("blind")
+		in.Pending = d.HasArg("pending")
+		in.WeightsComplete = d.HasArg("whole")
+		in.MaySwitch = d.HasArg("may")
+		in.DrainedForDesired = d.HasArg("switching")
+		in.Unassigned = d.HasArg("unwanted")
+		in.InBackoff = d.HasArg("backoff")
 		if d.HasArg("stale") {
-			now.Verdict = fence.Refuse
+			in.Verdict = fence.Refuse
 		}
-		return fmt.Sprintln(Decide(now))
+		return fmt.Sprintln(Decide(in))
 	})
 }
 
-// loadedText reads "v1" or "v1+a1".
-func loadedText(text string) gate.Loaded {
+// parseContent parses "v1" or "v1+a1" (version and adapter version); empty text
+// means no content.
+func parseContent(text string) gate.Loaded {
 	if text == "" {
 		return gate.Loaded{}
 	}
 	version, adapter, _ := strings.Cut(text, "+")
-	loaded := gate.Loaded{Model: "parcel", Version: version, Adapters: map[string]string{}}
+	content := gate.Loaded{Model: "parcel", Version: version, Adapters: map[string]string{}}
 	if adapter != "" {
-		loaded.Adapters["at"] = adapter
+		content.Adapters["at"] = adapter
 	}
-	return loaded
+	return content
 }
 
-func phaseNamed(name string) drain.Phase {
+// parsePhase returns the phase of the given name, or Drained for any other text.
+func parsePhase(name string) drain.Phase {
 	for _, phase := range []drain.Phase{drain.Open, drain.Draining, drain.Cancelling} {
 		if phase.String() == name {
 			return phase
@@ -62,54 +64,55 @@
 	return drain.Drained
 }
 
-// Symptom: an answer from mixed or unwanted weights. Sequence: any situation
-// whatever. Cause: an order with the gate open, for bytes that are not whole, or
-// in the name of an old plan; a gate opened for what was not confirmed.
-func TestDecideNeverHarms(t *testing.T) {
+// Guards against answers from mixed or unwanted weights, for arbitrary inputs. They
+// would come from an order that is issued while the gate is open, for incomplete
+// weights or from an outdated plan, or from a gate that opens for unconfirmed
+// content.
+func TestDecideSafety(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string) gate.Loaded {
-			return loadedText(rapid.SampledFrom([]string{"", "v1", "v2", "v2+a1"}).Draw(t, name))
+			return parseContent(rapid.SampledFrom([]string{"", "v1", "v2", "v2+a1"}).Draw(t, name))
 		}
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-		now := Situation{
-			Want: pick("want"), Have: pick("have"), Open: pick("open"),
-			HaveKnown: flag("known"), Pending: flag("pending"), Whole: flag("whole"),
-			MaySwitch: flag("may"), Switching: flag("switching"), Unwanted: flag("unwanted"), Backoff: flag("backoff"),
-			Verdict: rapid.SampledFrom([]fence.Verdict{fence.Wait, fence.Obey, fence.Refuse}).Draw(t, "verdict"),
-			Phase:   rapid.SampledFrom([]drain.Phase{drain.Open, drain.Draining, drain.Cancelling, drain.Drained}).Draw(t, "phase"),
+		in := DecisionInputs{
+			Desired: pick("want"), Actual: pick("have"), GateContent: pick("open"),
+			ActualKnown: flag("known"), Pending: flag("pending"), WeightsComplete: flag("whole"),
+			MaySwitch: flag("may"), DrainedForDesired: flag("switching"), Unassigned: flag("unwanted"), InBackoff: flag("backoff"),
+			Verdict:   rapid.SampledFrom([]fence.Verdict{fence.Wait, fence.Obey, fence.Refuse}).Draw(t, "verdict"),
+			GatePhase: rapid.SampledFrom([]drain.Phase{drain.Open, drain.Draining, drain.Cancelling, drain.Drained}).Draw(t, "phase"),
 		}
-		action := Decide(now)
-		if (now.Pending || !now.HaveKnown) && action != Stay {
-			t.Fatalf("%v while nothing is known", action)
+		action := Decide(in)
+		if (in.Pending || !in.ActualKnown) && action != NoAction {
+			t.Fatalf("got %v while an order is pending or the content is unknown, want no action", action)
 		}
 		switch action {
 		case Load, Unload:
-			if now.Phase != drain.Drained || now.Verdict != fence.Obey {
-				t.Fatalf("%v in phase %v with verdict %v", action, now.Phase, now.Verdict)
+			if in.GatePhase != drain.Drained || in.Verdict != fence.Obey {
+				t.Fatalf("got %v in gate phase %v with verdict %v, want drained and obey", action, in.GatePhase, in.Verdict)
 			}
-			if action == Load && !now.Whole {
-				t.Fatal("load of a version that is not whole")
+			if action == Load && !in.WeightsComplete {
+				t.Fatal("got a load of incomplete weights")
 			}
 		case Serve:
-			if now.Have.Empty() || now.Phase != drain.Drained {
-				t.Fatalf("serves %q in phase %v", now.Have.Version, now.Phase)
+			if in.Actual.Empty() || in.GatePhase != drain.Drained {
+				t.Fatalf("got serve for %q in gate phase %v, want content and a drained gate", in.Actual.Version, in.GatePhase)
 			}
 		case Resume:
-			if !now.Open.Equal(now.Have) {
-				t.Fatalf("resumes %q while the engine has %q", now.Open.Version, now.Have.Version)
+			if !in.GateContent.Equal(in.Actual) {
+				t.Fatalf("got resume for %q while the engine has %q", in.GateContent.Version, in.Actual.Version)
 			}
 		case Drain:
-			if !now.Whole && !now.Unwanted {
-				t.Fatal("drains for a version that is not whole")
+			if !in.WeightsComplete && !in.Unassigned {
+				t.Fatal("got a drain for incomplete weights")
 			}
-		case Stay, Shut, SetRole:
+		case NoAction, CloseGate, SetRole:
 		}
 	})
 }
 
-func TestWavesScripts(t *testing.T) {
+func TestMaySwitch(t *testing.T) {
 	datadriven.RunTest(t, "testdata/waves.txt", func(t *testing.T, d *datadriven.TestData) string {
-		in := Waves{Plan: &wire.Plan{}, WhenWhole: d.HasArg("whenWhole"), AbsentLost: d.HasArg("absentLost")}
+		in := SwitchInputs{Plan: &wire.Plan{}, RequireComplete: d.HasArg("whenWhole"), TreatAbsentAsLost: d.HasArg("absentLost")}
 		var self string
 		d.ScanArgs(t, "self", &self)
 		d.MaybeScanArgs(t, "max", &in.MaxUnavailable)
@@ -131,8 +134,9 @@
 	})
 }
 
-// parseHost reads "<id> <wave> <version>=<state>... [lost|leaving|absent]
-// [domain=<name>]"; everyone is to turn to v2.
+// parseHost parses "<id> <wave> <version>=<state>... [lost|leaving|absent]
+// [domain=<name>]". Every host is assigned v2. The host is nil if it is absent,
+// that is, without a report.
 func parseHost(line string) (*wire.Assignment, *view.Host) {
 	words := strings.Fields(line)
 	assignment := &wire.Assignment{Host: words[0], Model: "parcel", Version: "v2", FailureDomain: "d1"}
@@ -161,16 +165,17 @@
 	return assignment, &host
 }
 
-// Symptom: more hosts of a failure domain are out than the document allows.
-// Sequence: hosts turn one after another, each deciding on the same reports.
-// Cause: two hosts of one wave that both think it is their turn.
-func TestWavesNeverExceedUnavailable(t *testing.T) {
+// Guards against more hosts of a failure domain being out of service than the
+// document allows. Hosts decide one after another on the same reports, and two of
+// one wave could both conclude that they may switch. Also checks that a rollout
+// never stalls.
+func TestMaySwitchKeepsMaxUnavailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "hosts")
 		allowed := rapid.IntRange(1, 3).Draw(t, "max")
 		plan := &wire.Plan{}
 		hosts := make([]view.Host, count)
-		states := make([]string, count) // of the roll to v2
+		states := make([]string, count) // progress of the switch to v2: old, out or new
 		for i := range count {
 			plan.Assignments = append(plan.Assignments, &wire.Assignment{
 				Host: fmt.Sprintf("h%d", i), Model: "parcel", Version: "v2", FailureDomain: "d1",
@@ -187,20 +192,20 @@
 			report := &wire.HostReport{Node: &wire.Node{Id: fmt.Sprintf("h%d", i)}, Versions: []*wire.VersionState{version}}
 			hosts[i] = view.NewHost(report, time.Time{}, false, false)
 		}
-		out, going := 0, 0
+		unavailable, switching := 0, 0
 		for i, self := range plan.GetAssignments() {
 			if states[i] == "out" {
-				out++
+				unavailable++
 			}
 			if states[i] != "old" {
 				continue
 			}
-			if may, _ := MaySwitch(Waves{Plan: plan, Self: self, Hosts: hosts, MaxUnavailable: allowed}); may {
-				going++
+			if may, _ := MaySwitch(SwitchInputs{Plan: plan, Self: self, Hosts: hosts, MaxUnavailable: allowed}); may {
+				switching++
 			}
 		}
-		if going > 0 && out+going > max(allowed, out) {
-			t.Fatalf("%d hosts go while %d are out, want at most %d", going, out, allowed)
+		if switching > 0 && unavailable+switching > max(allowed, unavailable) {
+			t.Fatalf("%d hosts may switch while %d are out of service, want at most %d", switching, unavailable, allowed)
 		}
 		pending := 0
 		for _, state := range states {
@@ -208,8 +213,8 @@
 				pending++
 			}
 		}
-		if pending > 0 && out == 0 && going == 0 {
-			t.Fatalf("%d hosts are still to turn, none is out and none may go", pending)
+		if pending > 0 && unavailable == 0 && switching == 0 {
+			t.Fatalf("%d hosts have yet to switch, but none is switching and none may switch", pending)
 		}
 	})
 }
--- a/agent/internal/orders/runner.go
+++ b/agent/internal/orders/runner.go
@@ -1,6 +1,13 @@
-// Package orders brings the engine of this host to what the plan assigns: it
-// has the weights fetched, drains the gate, orders the load with a fencing
-// number, and opens the gate once the engine confirms what it has.
+// Package orders reconciles the engine of this host with the plan. It has the
+// assigned weights fetched, drains the gate, orders the engine to load them, and
+// opens the gate once the engine's status confirms the load.
+//
+// An order is a command to the engine: load, unload or set the role. It carries
+// a fencing number, so that a planner whose lease lapsed cannot change weights.
+//
+// Content means the model, version, adapters and role of an engine
+// (gate.Loaded). Desired content comes from the plan; actual content comes from
+// the engine's status.
 package orders
 
 import (
@@ -19,86 +26,93 @@
 )
 
 const (
-	// stepInterval is how often the runner decides without being woken.
+	// stepInterval is the time between reconciliation steps when nothing wakes
+	// the runner.
 	stepInterval = 200 * time.Millisecond
-	// statusInterval is how often the engine is asked for its state.
+	// statusInterval is the time between polls of the engine's status.
 	statusInterval = 500 * time.Millisecond
 	statusTimeout  = 2 * time.Second
-	// orderTimeout bounds one order: a large model loads for minutes.
+	// orderTimeout limits one order; a large model takes minutes to load.
 	orderTimeout = 10 * time.Minute
-	// confirmTimeout is how long after the reply to an order the status may
-	// lag before the order counts as dropped.
+	// confirmTimeout is how long the status may lag behind the reply to an
+	// order before the order counts as dropped.
 	confirmTimeout = 3 * time.Second
-	// failedBackoff keeps an order that fails from being repeated at once.
-	failedBackoff = time.Second
-	// unwantedAfter is how long a plan must leave a host out before the engine
-	// gives up its weights: a planner that missed one report must not cost a
-	// whole model's bytes.
-	unwantedAfter = 30 * time.Second
-	// absentAfter is how long other hosts have to report.
-	absentAfter = 10 * time.Second
-	// settleAfter is how long an agent that started beside a loaded engine waits
-	// for a newer plan before it orders anything: an entry receives another one's news
-	// within an exchange of 5 seconds.
-	settleAfter = 6 * time.Second
-	// refetchPause is how long nothing is targeted after the engine said that a
-	// chunk is missing or wrong: an engine that restarted has lost the bytes
-	// that the weights manager believes to be there. It drops them meanwhile
-	// and fetches them anew afterwards.
+	// failureBackoff delays the next order after a failed one.
+	failureBackoff = time.Second
+	// unassignedGrace is how long the host must be without an assignment before
+	// the engine unloads its weights. A planner that missed one report of this
+	// host must not cause a whole model to be transferred again.
+	unassignedGrace = 30 * time.Second
+	// absentLostAfter is how long after the first contact with the entries a
+	// host without any report counts as lost.
+	absentLostAfter = 10 * time.Second
+	// newerPlanWait is how long a restarted agent whose engine has weights loaded
+	// waits for a newer plan before its first order. An entry learns another
+	// entry's news within one exchange, which takes up to 5 seconds.
+	newerPlanWait = 6 * time.Second
+	// refetchPause is how long the weights manager gets no targets after the
+	// engine reported a missing or wrong chunk. A restarted engine has lost
+	// chunks that the weights manager still counts as present. During the pause
+	// the manager drops them, and afterwards it fetches them again.
 	refetchPause = 2 * time.Second
-	// unreachableAfter is the number of failed polls after which nothing is
-	// known of the engine's content.
-	unreachableAfter = 3
-	// differsAfter is the number of polls that must contradict a confirmed
-	// content: one may come from before the order.
-	differsAfter = 2
+	// failedPollLimit is the number of consecutive failed polls after which the
+	// engine's content counts as unknown.
+	failedPollLimit = 3
+	// mismatchLimit is the number of consecutive polls that must contradict the
+	// confirmed content before it is replaced. A single one may show the state
+	// before the order.
+	mismatchLimit = 2
 )
 
-// holdUpStale is what a report says where the fence refuses the plan.
-const holdUpStale = "the plan known here is older than one that was obeyed before"
+// holdUpStalePlan is the reported reason for a delay when the plan is refused as
+// outdated.
+const holdUpStalePlan = "the known plan is older than one that was already applied"
 
-// Runner is driven by Run; its accessors are safe for concurrent use.
+// Runner runs the reconciliation loop for the engine of this host. Run drives it;
+// the other exported methods except Step are safe for concurrent use.
 type Runner struct {
 	cfg  Config
 	wake chan struct{}
 
 	mu     sync.Mutex
 	guard  *fence.Guard
-	status *engine.Status // newest; nil before the first
-	// have is what the engine was confirmed to have; valid while haveKnown.
-	have      gate.Loaded
-	haveKnown bool
-	pending   *order // nil unless an order is out or unconfirmed
-	want      gate.Loaded
-	wantPlan  *wire.Assignment // nil: nothing is assigned
-	switching gate.Loaded      // what the gate was drained for; empty: nothing
-	holdUp    string
-	failed    string // why the last order failed; empty after a good one
-	backoff   time.Time
-	refetch   time.Time // until when nothing is targeted
-	unwanted  time.Time // since when nothing is assigned; zero: something is
-	synced    time.Time // first seen synced; zero: not yet
-	failures  int       // polls in a row that failed
-	differing int       // polls in a row that contradicted have
-	suspect   bool      // the gate saw a contradiction
-	targets   string    // last ones given to weights, as text
-	reported  string    // last states passed to Changed, as text
+	status *engine.Status // latest status; nil before the first
+	// actual is the content that the engine confirmed; valid while actualKnown.
+	actual             gate.Loaded
+	actualKnown        bool
+	pending            *pendingOrder // order that runs or is unconfirmed; nil if none
+	desired            gate.Loaded
+	desiredAssignment  *wire.Assignment // nil if nothing is assigned
+	drainedFor         gate.Loaded      // content that the gate drain was started for; empty if none
+	holdUp             string           // why the switch is delayed; empty if it is not
+	lastOrderError     string           // error of the last order; empty after a success
+	backoffUntil       time.Time        // no order is issued before this time
+	noTargetsUntil     time.Time        // the weights manager gets no targets before this time
+	unassignedSince    time.Time        // zero while something is assigned
+	syncedAt           time.Time        // when the entries were first known to have answered; zero before
+	failedPolls        int              // consecutive polls that failed
+	mismatchedPolls    int              // consecutive polls that contradicted actual
+	recheck            bool             // the gate asked for an immediate poll
+	lastTargets        string           // targets and policy last passed to the weights manager, as text
+	lastReportedStates string           // version states at the last call of Changed, as text
 }
 
-// New returns a Runner.
+// New returns a Runner that starts with Run.
 func New(cfg Config) *Runner {
 	return &Runner{cfg: cfg, wake: make(chan struct{}, 1), guard: fence.NewGuard()}
 }
 
-// Suspect makes the runner look at the engine at once.
+// Suspect makes the runner poll the engine's status at once. The gate calls it
+// when the endpoint's replies contradict the confirmed content; a single poll
+// that also contradicts it is then enough to replace it.
 func (r *Runner) Suspect() {
 	r.mu.Lock()
-	r.suspect = true
+	r.recheck = true
 	r.mu.Unlock()
 	r.Wake()
 }
 
-// Wake makes the runner decide at once.
+// Wake makes the runner take its next step at once.
 func (r *Runner) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -106,7 +120,8 @@
 	}
 }
 
-// Run drives the engine until ctx ends.
+// Run polls the engine and reconciles it with the plan until ctx ends. For a
+// plain service it only opens the gate.
 func (r *Runner) Run(ctx context.Context) error {
 	if r.cfg.Service != "" {
 		return r.runService(ctx)
@@ -115,7 +130,7 @@
 	defer ticker.Stop()
 	var polled time.Time
 	for ctx.Err() == nil {
-		if now := r.cfg.Clock.Now(); now.Sub(polled) >= statusInterval || r.takeSuspect() {
+		if now := r.cfg.Clock.Now(); now.Sub(polled) >= statusInterval || r.takeRecheck() {
 			polled = now
 			r.poll(ctx)
 		}
@@ -132,26 +147,29 @@
 	return nil
 }
 
-func (r *Runner) takeSuspect() bool {
+// takeRecheck returns and clears the request for an immediate poll. If there was
+// one, the next mismatch replaces the confirmed content.
+func (r *Runner) takeRecheck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	suspect := r.suspect
-	r.suspect = false
-	if suspect {
-		r.differing = differsAfter
+	recheck := r.recheck
+	r.recheck = false
+	if recheck {
+		r.mismatchedPolls = mismatchLimit
 	}
-	return suspect
+	return recheck
 }
 
-// runService opens the gate as soon as the service listens. It stays open: a
-// service that is gone refuses connections, which proves that nothing ran.
+// runService opens the gate as soon as the service accepts connections. The gate
+// stays open when the service stops, because a refused connection proves that
+// the call did not run.
 func (r *Runner) runService(ctx context.Context) error {
 	ticker := r.cfg.Clock.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
 		err := r.cfg.Engine.Reach(ctx)
 		r.mu.Lock()
-		r.haveKnown = err == nil
+		r.actualKnown = err == nil
 		r.mu.Unlock()
 		if err == nil && r.cfg.Gate.State().Phase() == drain.Drained {
 			r.cfg.Gate.Open(gate.Loaded{})
@@ -164,44 +182,46 @@
 	}
 }
 
-// Step decides once and acts.
+// Step runs one reconciliation step: it reads the plan, decides on the next
+// action and executes it.
 func (r *Runner) Step(ctx context.Context) {
 	snap, _ := r.cfg.View.Load()
-	r.aim(snap)
-	now := r.situation(snap)
-	r.act(ctx, snap, Decide(now))
+	r.updateDesired(snap)
+	inputs := r.decisionInputs(snap)
+	r.execute(ctx, snap, Decide(inputs))
 	r.notifyChanges()
 }
 
-// aim takes the assignment from the plan and has its weights fetched.
-func (r *Runner) aim(snap *view.Snapshot) {
-	assignment := r.assignment(snap)
+// updateDesired sets the desired content from the current assignment and has the
+// weights manager fetch it.
+func (r *Runner) updateDesired(snap *view.Snapshot) {
+	assignment := r.currentAssignment(snap)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Clock.Now()
-	if r.synced.IsZero() && r.cfg.Synced() {
-		r.synced = now
+	if r.syncedAt.IsZero() && r.cfg.Synced() {
+		r.syncedAt = now
 	}
-	r.want, r.wantPlan = loadedOf(assignment), assignment
+	r.desired, r.desiredAssignment = contentOfAssignment(assignment), assignment
 	switch {
 	case assignment != nil:
-		r.unwanted = time.Time{}
-	case r.unwanted.IsZero():
-		r.unwanted = now
+		r.unassignedSince = time.Time{}
+	case r.unassignedSince.IsZero():
+		r.unassignedSince = now
 	}
-	if !r.switching.Equal(r.want) {
-		r.switching = gate.Loaded{}
+	if !r.drainedFor.Equal(r.desired) {
+		r.drainedFor = gate.Loaded{}
 	}
-	r.fetch(snap)
+	r.updateTargets(snap)
 }
 
-// assignment returns this host's part of the plan, else what Placement gives;
-// nil: nothing. Placement is asked in any case, so that it notices the plan
-// taking over.
-func (r *Runner) assignment(snap *view.Snapshot) *wire.Assignment {
+// currentAssignment returns this host's assignment in the plan, or else the one
+// from Placement, or nil. Placement is called in either case, so that it notices
+// when the plan takes over.
+func (r *Runner) currentAssignment(snap *view.Snapshot) *wire.Assignment {
 	var placed *wire.Assignment
 	if r.cfg.Placement != nil {
-		placed = r.cfg.Placement(snap, r.own())
+		placed = r.cfg.Placement(snap, r.ownReport())
 	}
 	for _, assignment := range snap.Plan.GetAssignments() {
 		if assignment.GetHost() == r.cfg.Self.GetId() {
@@ -211,94 +231,100 @@
 	return placed
 }
 
-func (r *Runner) own() *wire.HostReport {
+// ownReport returns the part of this host's report that Placement needs.
+func (r *Runner) ownReport() *wire.HostReport {
 	return &wire.HostReport{Node: r.cfg.Self, Leaving: r.cfg.Gate.State().Leaving(), Versions: r.States()}
 }
 
-func loadedOf(assignment *wire.Assignment) gate.Loaded {
+// contentOfAssignment returns the content that an assignment asks for; empty for
+// nil.
+func contentOfAssignment(assignment *wire.Assignment) gate.Loaded {
 	if assignment == nil {
 		return gate.Loaded{}
 	}
-	loaded := gate.Loaded{
+	content := gate.Loaded{
 		Model:    assignment.GetModel(),
 		Version:  assignment.GetVersion(),
 		Adapters: map[string]string{},
 		Role:     assignment.GetRole(),
 	}
 	for _, adapter := range assignment.GetAdapters() {
-		loaded.Adapters[adapter.GetName()] = adapter.GetVersion()
+		content.Adapters[adapter.GetName()] = adapter.GetVersion()
 	}
-	return loaded
+	return content
 }
 
-// fetch passes what is wanted to the weights manager, if that changed.
-func (r *Runner) fetch(snap *view.Snapshot) {
+// updateTargets passes the desired versions and the fetch policy to the weights
+// manager if either has changed.
+func (r *Runner) updateTargets(snap *view.Snapshot) {
 	var targets []weights.Target
-	if !r.cfg.Clock.Now().Before(r.refetch) {
-		for _, version := range versionsOf(r.want) {
+	if !r.cfg.Clock.Now().Before(r.noTargetsUntil) {
+		for _, version := range versionsOf(r.desired) {
 			targets = append(targets, weights.Target{Version: version, Priority: 1})
 		}
 	}
 	policy := weights.Policy{
 		Objective:    snap.Document.GetObjective(),
 		OriginCopies: int(snap.Document.GetOriginCopies()),
-		Keep:         r.inUse(),
+		Keep:         r.versionsInUse(),
 	}
-	text := targetsText(targets, policy)
-	if text == r.targets || r.synced.IsZero() {
+	description := describeTargets(targets, policy)
+	if description == r.lastTargets || r.syncedAt.IsZero() {
 		return
 	}
-	r.targets = text
+	r.lastTargets = description
 	r.cfg.Weights.SetTargets(targets, policy)
 }
 
-// inUse lists the versions that the engine has or may have.
-func (r *Runner) inUse() []string {
-	versions := versionsOf(r.have)
+// versionsInUse lists the versions that the engine has loaded or may be loading.
+func (r *Runner) versionsInUse() []string {
+	versions := versionsOf(r.actual)
 	if r.pending != nil {
-		versions = append(versions, versionsOf(r.pending.loaded)...)
+		versions = append(versions, versionsOf(r.pending.content)...)
 	}
 	return versions
 }
 
-// act carries the decision out.
-func (r *Runner) act(ctx context.Context, snap *view.Snapshot, action Action) {
+// execute carries out the action and counts it.
+func (r *Runner) execute(ctx context.Context, snap *view.Snapshot, action Action) {
 	switch action {
-	case Stay:
+	case NoAction:
 		return
 	case Serve:
-		r.serve()
+		r.openGate()
 	case Resume:
 		r.cfg.Gate.Abandon()
-	case Shut:
+	case CloseGate:
 		r.cfg.Gate.Drain(0)
 	case Drain:
 		r.startDrain(snap)
 	case Load, Unload, SetRole:
-		r.give(ctx, snap, action)
+		r.issueOrder(ctx, snap, action)
 	}
 	r.cfg.Counters.Add("action."+action.String(), 1)
 }
 
-// serve opens the gate for what the engine confirmed.
+// openGate opens the gate for the content that the engine confirmed.
 //
 // Rule CONFIRM of spec/gate.pml.
-func (r *Runner) serve() {
+func (r *Runner) openGate() {
 	r.mu.Lock()
-	have := r.have
-	r.switching = gate.Loaded{}
+	actual := r.actual
+	r.drainedFor = gate.Loaded{}
 	r.mu.Unlock()
-	if r.cfg.Gate.Open(have) {
-		r.cfg.Log.Info("serving", "model", have.Model, "version", have.Version, "adapters", len(have.Adapters))
+	if r.cfg.Gate.Open(actual) {
+		r.cfg.Log.Info("serving", "model", actual.Model, "version", actual.Version, "adapters", len(actual.Adapters))
 	}
 }
 
+// startDrain starts to drain the gate, within the document's time limit, so that
+// the weights can be loaded or unloaded.
 func (r *Runner) startDrain(snap *view.Snapshot) {
 	limit := document.DrainTimeout(snap.Document)
 	r.mu.Lock()
-	r.switching = r.want
-	want := r.want
+	r.drainedFor = r.desired
+	desired := r.desired
 	r.mu.Unlock()
 	r.cfg.Gate.Drain(limit)
-	r.cfg.Log.Info("draining before a load", "model", want.Model, "version", want.Version, "limit", limit)
+	r.cfg.Log.Info("draining the gate before a load or unload", "model", desired.Model, "version", desired.Version, "limit", limit)
 }
