--- a/relay/once/table.go
+++ b/relay/once/table.go
@@ -126,7 +126,7 @@
 //   - a nonce that was settled before its claim arrived is not granted: its
 //     claimant has given up and would neither run nor settle it.
 //
-// Implements rule ONEGRANT of spec/once.pml.
+// Rule ONEGRANT of spec/once.pml.
 func (t *Table) Claim(now time.Time, claim Claim) Verdict {
 	t.advance(now)
 	created := claim.Key.Made()
--- a/spec/once.pml
+++ b/spec/once.pml
@@ -16,7 +16,7 @@
  *   ONCEONLY    an attempt that comes again is not run again
  *               (attempt.Memory.Begin)
  *   REFUSED     a refused attempt that comes again is refused again
- *               (attempt.request.known)
+ *               (attempt.request.verdictFor)
  *   OTHER       a cancel met by another incarnation proves nothing
  *               (gate.Gate.Cancel)
  *
