--- a/agent/internal/weights/faults_test.go
+++ b/agent/internal/weights/faults_test.go
@@ -8,20 +8,20 @@
 // one is half there, version two is wanted, then one again, at once. Cause
 // guarded against: chunks dropped or fetched for targets that are no longer the
 // newest.
-func TestVersionChangesWhileItMovesAndBack(t *testing.T) {
+func TestTargetSwitchedDuringTransferAndBack(t *testing.T) {
 	flt := newFleet(t, 4)
-	first, second := randomData(1, 128), randomData(2, 128)
-	one, two := flt.origin.publish(t, first), flt.origin.publish(t, second)
-	flt.setTargets(one)
+	firstData, secondData := randomData(1, 128), randomData(2, 128)
+	firstVersion, secondVersion := flt.origin.publish(t, firstData), flt.origin.publish(t, secondData)
+	flt.setTargets(firstVersion)
 	host := flt.hosts[0]
-	await(t, "chunk of the first version", func() bool { return host.mgr.State(one).Have() > 10 })
-	flt.setTargets(two)
-	await(t, "chunk of the second version", func() bool { return host.mgr.State(two).Have() > 10 })
-	flt.setTargets(one)
-	flt.awaitWhole(one)
+	await(t, "chunk of the first version", func() bool { return host.mgr.State(firstVersion).Have() > 10 })
+	flt.setTargets(secondVersion)
+	await(t, "chunk of the second version", func() bool { return host.mgr.State(secondVersion).Have() > 10 })
+	flt.setTargets(firstVersion)
+	flt.awaitWhole(firstVersion)
 	for _, host := range flt.hosts {
-		host.store.check(t, first)
-		if got := host.mgr.State(two).Phase(); got != Absent {
+		host.store.requireData(t, firstData)
+		if got := host.mgr.State(secondVersion).Phase(); got != Absent {
 			t.Errorf("got %s for the version that is no target, want %s", got, Absent)
 		}
 		await(t, "drop of the other version", func() bool {
@@ -34,7 +34,7 @@
 // Symptom: the fleet stands still. Sequence: a host that holds chunks takes
 // requests and answers none, without closing a connection. Cause guarded
 // against: a request that is waited for without end.
-func TestOneHostStallsWithoutClosing(t *testing.T) {
+func TestStalledHostDoesNotBlockFleet(t *testing.T) {
 	flt := newFleet(t, 5)
 	data := randomData(1, 96)
 	version := flt.origin.publish(t, data)
@@ -45,14 +45,14 @@
 	flt.hosts = flt.hosts[:4]
 	flt.awaitWhole(version)
 	for _, host := range flt.hosts {
-		host.store.check(t, data)
+		host.store.requireData(t, data)
 	}
 }
 
 // Symptom: hosts wait for one that is gone. Sequence: a host dies while it
 // sends and stays in the list of peers. Cause guarded against: a dead owner
 // whose chunks nobody draws.
-func TestOneHostDiesAndStaysListed(t *testing.T) {
+func TestDeadHostInPeerListDoesNotBlockFleet(t *testing.T) {
 	flt := newFleet(t, 5)
 	data := randomData(1, 96)
 	version := flt.origin.publish(t, data)
@@ -63,30 +63,30 @@
 	flt.hosts = flt.hosts[:4]
 	flt.awaitWhole(version)
 	for _, host := range flt.hosts {
-		host.store.check(t, data)
+		host.store.requireData(t, data)
 	}
 }
 
 // Symptom: a host reports chunks that its store lost. Sequence: whole, then the
 // store loses one chunk's bytes, then a new host asks for it. Cause guarded
 // against: corrupt bytes passed on, or a loss that nobody notices.
-func TestStoreLosesAChunk(t *testing.T) {
+func TestCorruptStoredChunkIsNotServed(t *testing.T) {
 	flt := newFleet(t, 1)
 	data := randomData(1, 16)
 	version := flt.origin.publish(t, data)
 	flt.setTargets(version)
 	flt.awaitWhole(version)
-	old := flt.hosts[0]
-	old.store.mu.Lock()
-	for hash := range old.store.chunks {
-		old.store.chunks[hash][0] ^= 1
+	corruptHost := flt.hosts[0]
+	corruptHost.store.mu.Lock()
+	for hash := range corruptHost.store.chunks {
+		corruptHost.store.chunks[hash][0] ^= 1
 		break
 	}
-	old.store.mu.Unlock()
+	corruptHost.store.mu.Unlock()
 	host := flt.add("host-new", &memoryStore{chunks: map[string][]byte{}}, nil)
 	host.setTargets(version)
 	flt.awaitWhole(version)
 	for _, host := range flt.hosts {
-		host.store.check(t, data)
+		host.store.requireData(t, data)
 	}
 }
--- a/agent/internal/weights/fetch.go
+++ b/agent/internal/weights/fetch.go
@@ -26,10 +26,10 @@
 func (e *fetchError) Error() string { return e.err.Error() }
 func (e *fetchError) Unwrap() error { return e.err }
 
-func broken(err error) *fetchError { return &fetchError{cause: burst.Broken, err: err} }
+func sourceError(err error) *fetchError { return &fetchError{cause: burst.Broken, err: err} }
 
 // fetch moves one chunk from its source to the host's store and notifies the core.
-func (t *transfer) fetch(ctx context.Context, cancel context.CancelFunc, key fetchKey) {
+func (t *transfer) fetchChunk(ctx context.Context, cancel context.CancelFunc, key fetchKey) {
 	defer cancel()
 	err := t.fetchAndKeep(ctx, key)
 	if ctx.Err() != nil {
@@ -41,28 +41,28 @@
 	delete(t.fetches, key)
 	if err != nil {
 		t.core.Failed(t.now(), key.chunk, key.source, err.cause, err.retryAfter)
-		t.noteProblem(key, err)
+		t.recordProblem(key, err)
 	} else {
 		t.core.Arrived(t.now(), key.chunk, key.source)
-		t.advanced, t.problem = t.now(), ""
+		t.lastProgress, t.problem = t.now(), ""
 	}
 	t.mu.Unlock()
 	if err == nil {
-		t.mgr.shareHold(hash)
-		t.mgr.noteChange()
+		t.mgr.markHeldInAll(hash)
+		t.mgr.notifyChange()
 	}
 	signal(t.wake)
 }
 
 // shareHold notifies every version that names the chunk.
-func (m *Manager) shareHold(hash chunkHash) {
+func (m *Manager) markHeldInAll(hash chunkHash) {
 	for _, trans := range m.allTransfers() {
-		trans.hold(hash)
+		trans.markHeld(hash)
 	}
 }
 
 // noteProblem remembers what operators should see; t.mu is held.
-func (t *transfer) noteProblem(key fetchKey, err *fetchError) {
+func (t *transfer) recordProblem(key fetchKey, err *fetchError) {
 	from := "host " + key.source
 	if key.source == burst.Origin {
 		from = "the origin"
@@ -78,12 +78,12 @@
 //
 // Rule VERIFY of spec/gate.pml.
 func (t *transfer) fetchAndKeep(ctx context.Context, key fetchKey) *fetchError {
-	room := int64(t.man.GetChunkBytes())
-	if err := t.mgr.window.Acquire(ctx, room); err != nil {
-		return broken(err)
+	size := int64(t.man.GetChunkBytes())
+	if err := t.mgr.window.Acquire(ctx, size); err != nil {
+		return sourceError(err)
 	}
-	defer t.mgr.window.Release(room)
-	data, err := t.receive(ctx, key)
+	defer t.mgr.window.Release(size)
+	data, err := t.download(ctx, key)
 	if err != nil {
 		return err
 	}
@@ -95,16 +95,16 @@
 	if err := t.mgr.store.put(ctx, hash, data); err != nil {
 		// Without a pause a store that refuses would make the fleet send the
 		// chunk over and over.
-		_ = t.mgr.sleep(ctx, storeRetry)
+		_ = t.mgr.sleep(ctx, storeRetryDelay)
 		return &fetchError{cause: burst.Dropped, err: err}
 	}
 	return nil
 }
 
-func (t *transfer) receive(ctx context.Context, key fetchKey) ([]byte, *fetchError) {
+func (t *transfer) download(ctx context.Context, key fetchKey) ([]byte, *fetchError) {
 	size := manifest.ChunkSize(t.man, key.chunk)
 	if key.source == burst.Origin {
-		data, err := t.drawChunk(ctx, key.chunk, size)
+		data, err := t.chunkFromOrigin(ctx, key.chunk, size)
 		t.mgr.originBytes.Add(uint64(len(data)))
 		return data, err
 	}
@@ -114,20 +114,20 @@
 }
 
 // drawChunk asks the origin for one chunk.
-func (t *transfer) drawChunk(ctx context.Context, chunk, size int) ([]byte, *fetchError) {
-	draw := t.mgr.cfg.Source.Chunk
-	if draw == nil {
-		return t.mgr.fromOrigin(ctx, "/chunks/"+hex.EncodeToString(t.man.GetChunkHashes()[chunk]), size)
+func (t *transfer) chunkFromOrigin(ctx context.Context, chunk, size int) ([]byte, *fetchError) {
+	fetchChunk := t.mgr.cfg.Source.Chunk
+	if fetchChunk == nil {
+		return t.mgr.downloadFromOrigin(ctx, "/chunks/"+hex.EncodeToString(t.man.GetChunkHashes()[chunk]), size)
 	}
-	data, err := draw(ctx, t.version, chunk, size)
+	data, err := fetchChunk(ctx, t.version, chunk, size)
 	if failure.KindOf(err) == failure.Exhausted && err != nil {
 		return nil, &fetchError{cause: burst.Busy, err: err}
 	}
 	if err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
 	if err := t.mgr.link.Wait(ctx, link.Down, len(data)); err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
 	return data, nil
 }
@@ -139,7 +139,7 @@
 		From: t.mgr.cfg.Self, Version: t.version, Index: uint32(index),
 		Chunks: report.Held, Drawn: report.Drawn, UploadQueue: uint32(report.Queue),
 	}
-	return t.mgr.fromPeer(ctx, id, req, size, func(first *wire.ChunkData) {
+	return t.mgr.requestFromPeer(ctx, id, req, size, func(first *wire.ChunkData) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		t.core.Answered(t.now(), id, burst.Report{
@@ -150,31 +150,31 @@
 
 // fromPeer asks a peer for one chunk, or for the manifest; answered gets the
 // first message.
-func (m *Manager) fromPeer(ctx context.Context, id string, req *wire.ChunkRequest, limit int,
-	answered func(first *wire.ChunkData)) ([]byte, *fetchError) {
+func (m *Manager) requestFromPeer(ctx context.Context, id string, req *wire.ChunkRequest, limit int,
+	onFirst func(first *wire.ChunkData)) ([]byte, *fetchError) {
 	client, err := m.client(ctx, id)
 	if err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := client.Chunk(ctx, req)
 	if err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
 	defer func() { _ = stream.Close() }()
 	first, err := stream.Recv()
 	if err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
-	answered(first)
-	if refused := refusedByPeer(first, limit); refused != nil {
-		return nil, refused
+	onFirst(first)
+	if refusal := peerRefusal(first, limit); refusal != nil {
+		return nil, refusal
 	}
 	return m.readPieces(ctx, stream, first, int(first.GetSize()))
 }
 
-func refusedByPeer(first *wire.ChunkData, limit int) *fetchError {
+func peerRefusal(first *wire.ChunkData, limit int) *fetchError {
 	switch size := int(first.GetSize()); {
 	case first.GetRetryAfterMillis() > 0:
 		wait := time.Duration(first.GetRetryAfterMillis()) * time.Millisecond
@@ -196,32 +196,32 @@
 		}
 		data = append(data, piece.GetData()...)
 		if err := m.link.Wait(ctx, link.Down, len(piece.GetData())); err != nil {
-			return data, broken(err)
+			return data, sourceError(err)
 		}
 		if len(data) == size {
 			return data, nil
 		}
 		next, err := stream.Recv()
 		if err != nil {
-			return data, broken(err)
+			return data, sourceError(err)
 		}
 		piece = next
 	}
 }
 
 // fromOrigin reads one object of the origin at the pace of the downlink.
-func (m *Manager) fromOrigin(ctx context.Context, path string, limit int) ([]byte, *fetchError) {
+func (m *Manager) downloadFromOrigin(ctx context.Context, path string, limit int) ([]byte, *fetchError) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, m.cfg.OriginURL+path, nil)
 	if err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
 	resp, err := m.http.Do(req)
 	if err != nil {
-		return nil, broken(err)
+		return nil, sourceError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusedByOrigin(resp)
+		return nil, originRefusal(resp)
 	}
 	return m.readBody(ctx, resp.Body, limit)
 }
@@ -229,7 +229,7 @@
 // maxRetryAfter bounds the pause that the origin can ask for.
 const maxRetryAfter = time.Minute
 
-func refusedByOrigin(resp *http.Response) *fetchError {
+func originRefusal(resp *http.Response) *fetchError {
 	err := &fetchError{cause: burst.Broken, err: failure.New(failure.Unavailable,
 		"the origin answered "+resp.Status, "check the origin and that it holds the version")}
 	if resp.StatusCode == http.StatusTooManyRequests {
@@ -245,20 +245,20 @@
 func (m *Manager) readBody(ctx context.Context, body io.Reader, limit int) ([]byte, *fetchError) {
 	data := make([]byte, 0, limit)
 	for {
-		room := data[len(data):min(cap(data), len(data)+link.PieceBytes)]
-		if len(room) == 0 {
+		buf := data[len(data):min(cap(data), len(data)+link.PieceBytes)]
+		if len(buf) == 0 {
 			return data, nil
 		}
-		n, err := body.Read(room)
+		n, err := body.Read(buf)
 		data = data[:len(data)+n]
 		if waitErr := m.link.Wait(ctx, link.Down, n); waitErr != nil {
-			return data, broken(waitErr)
+			return data, sourceError(waitErr)
 		}
 		if errors.Is(err, io.EOF) {
 			return data, nil
 		}
 		if err != nil {
-			return data, broken(err)
+			return data, sourceError(err)
 		}
 	}
 }
--- a/agent/internal/weights/fleet_test.go
+++ b/agent/internal/weights/fleet_test.go
@@ -88,7 +88,7 @@
 }
 
 // chunkBytes returns the bytes of chunks that were sent.
-func (o *testOrigin) chunkBytes() int {
+func (o *testOrigin) chunkBytesSent() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	total := 0
@@ -141,7 +141,7 @@
 }
 
 // check compares the store with a whole version.
-func (s *memoryStore) check(t *testing.T, data []byte) {
+func (s *memoryStore) requireData(t *testing.T, data []byte) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,9 +188,9 @@
 }
 
 func (s tamperingStream) Send(data *wire.ChunkData) error {
-	dup := &wire.ChunkData{Size: data.GetSize(), Data: bytes.Clone(data.GetData()), RetryAfterMillis: data.GetRetryAfterMillis()}
-	s.tamper(dup)
-	return s.DRPCHost_ChunkStream.Send(dup)
+	copied := &wire.ChunkData{Size: data.GetSize(), Data: bytes.Clone(data.GetData()), RetryAfterMillis: data.GetRetryAfterMillis()}
+	s.tamper(copied)
+	return s.DRPCHost_ChunkStream.Send(copied)
 }
 
 type fleet struct {
@@ -198,7 +198,7 @@
 	origin *testOrigin
 	mu     sync.Mutex
 	hosts  []*testHost
-	nodes  []*wire.Node // those that are listed
+	listed []*wire.Node // those that are listed
 }
 
 func newFleet(t *testing.T, hosts int) *fleet {
@@ -209,13 +209,13 @@
 	return flt
 }
 
-func (f *fleet) listed() []*wire.Node {
+func (f *fleet) peers() []*wire.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*wire.Node(nil), f.nodes...)
+	return append([]*wire.Node(nil), f.listed...)
 }
 
-func (f *fleet) add(id string, kept *memoryStore, tamper func(*wire.ChunkData)) *testHost {
+func (f *fleet) add(id string, store *memoryStore, tamper func(*wire.ChunkData)) *testHost {
 	f.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,13 +227,13 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	pool := peer.NewPool(nil)
-	host := &testHost{node: node, store: kept, tamper: tamper}
+	host := &testHost{node: node, store: store, tamper: tamper}
 	host.mgr = New(Config{
-		Self: node, Clock: clockwork.NewRealClock(), Log: log, Peers: f.listed,
+		Self: node, Clock: clockwork.NewRealClock(), Log: log, Peers: f.peers,
 		Dial:      func(ctx context.Context, address string) drpc.Conn { return pool.Conn(ctx, address) },
 		OriginURL: f.origin.server.URL, Link: &wire.LinkSettings{Up: 8 << 20, Down: 8 << 20},
-		PutChunk: kept.put, GetChunk: kept.get, DropChunk: kept.drop, HeldChunks: kept.held,
-		Broken: func(rule string) { panic(rule) },
+		PutChunk: store.put, GetChunk: store.get, DropChunk: store.drop, HeldChunks: store.held,
+		OnInvariantViolation: func(rule string) { panic(rule) },
 	})
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterHost(mux, host); err != nil {
@@ -252,7 +252,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts = append(f.hosts, host)
-	f.nodes = append(f.nodes, node)
+	f.listed = append(f.listed, node)
 	return host
 }
 
--- a/agent/internal/weights/manager.go
+++ b/agent/internal/weights/manager.go
@@ -32,7 +32,7 @@
 	// minWindowBytes lets one chunk come in while another goes out.
 	minWindowBytes = 2 * manifest.MaxChunkBytes
 	// slowInterval is how often the suffering of live requests is looked at.
-	slowInterval = 250 * time.Millisecond
+	linkUpdateInterval = 250 * time.Millisecond
 )
 
 // Config holds what a Manager needs from its process.
@@ -88,7 +88,7 @@
 	LinkShares func() (up, down float64)
 	// Broken is called with an invariant that does not hold, once a rule and
 	// version; nil logs it.
-	Broken func(rule string)
+	OnInvariantViolation func(rule string)
 }
 
 // Source is another origin than the one at Config.OriginURL, and how its
@@ -107,22 +107,22 @@
 
 // Manager moves weights for one host. It is safe for concurrent use.
 type Manager struct {
-	cfg     Config
-	link    *link.Link
-	http    *http.Client
-	store   *store
-	uploads *uploads
-	window  *semaphore.Weighted // bytes of chunks in memory
-	size    int64               // of the window, bytes
-	changed chan struct{}       // buffered by one: a change not yet seen
-	wake    chan struct{}       // buffered by one: targets not yet applied
+	cfg         Config
+	link        *link.Link
+	http        *http.Client
+	store       *store
+	uploads     *uploadQueue
+	window      *semaphore.Weighted // bytes of chunks in memory
+	windowBytes int64               // of the window, bytes
+	changed     chan struct{}       // buffered by one: a change not yet seen
+	wake        chan struct{}       // buffered by one: targets not yet applied
 
-	mu        sync.RWMutex // guards the fields below
-	targets   []Target
-	policy    Policy
-	transfers map[string]*transfer // by version: targets and kept ones
-	listed    map[string]string    // control address by peer id, as newly listed
-	addresses map[string]string    // the same as callers stated, at most maxAddresses
+	mu              sync.RWMutex // guards the fields below
+	targets         []Target
+	policy          Policy
+	transfers       map[string]*transfer // by version: targets and kept ones
+	peerAddresses   map[string]string    // control address by peer id, as newly listed
+	callerAddresses map[string]string    // the same as callers stated, at most maxAddresses
 
 	originBytes, peerBytes, sentBytes atomic.Uint64
 }
@@ -139,10 +139,10 @@
 		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
 	}
 	if cfg.Fetches == nil {
-		cfg.Fetches = func() int { return maxFetches }
+		cfg.Fetches = func() int { return defaultMaxFetches }
 	}
 	if cfg.MaxBackoff <= 0 {
-		cfg.MaxBackoff = maxOriginRetry
+		cfg.MaxBackoff = maxOriginBackoff
 	}
 	if cfg.ReadBack == nil {
 		cfg.ReadBack = cfg.GetChunk
@@ -151,25 +151,25 @@
 		cfg.Source.Decode, cfg.Source.Verify = manifest.Decode, manifest.Verify
 	}
 	return &Manager{
-		cfg:       cfg,
-		link:      link.New(cfg.Link, cfg.Clock),
-		http:      client,
-		store:     newStore(cfg),
-		uploads:   newUploads(),
-		window:    semaphore.NewWeighted(window),
-		size:      window,
-		changed:   make(chan struct{}, 1),
-		wake:      make(chan struct{}, 1),
-		transfers: map[string]*transfer{},
-		addresses: map[string]string{},
+		cfg:             cfg,
+		link:            link.New(cfg.Link, cfg.Clock),
+		http:            client,
+		store:           newStore(cfg),
+		uploads:         newUploadQueue(),
+		window:          semaphore.NewWeighted(window),
+		windowBytes:     window,
+		changed:         make(chan struct{}, 1),
+		wake:            make(chan struct{}, 1),
+		transfers:       map[string]*transfer{},
+		callerAddresses: map[string]string{},
 	}
 }
 
 // broken reports an invariant of a version's core that does not hold.
-func (m *Manager) broken(version, rule string) {
+func (m *Manager) reportViolation(version, rule string) {
 	m.cfg.Log.Error("invariant broke", "rule", rule, "version", version)
-	if m.cfg.Broken != nil {
-		m.cfg.Broken(rule)
+	if m.cfg.OnInvariantViolation != nil {
+		m.cfg.OnInvariantViolation(rule)
 	}
 }
 
@@ -178,12 +178,12 @@
 
 // Run moves weights until ctx is done.
 func (m *Manager) Run(ctx context.Context) error {
-	if err := m.loadStore(ctx); err != nil {
+	if err := m.registerStoredChunks(ctx); err != nil {
 		return err
 	}
-	go m.followTokens(ctx)
+	go m.updateLinkShares(ctx)
 	for {
-		m.apply(ctx)
+		m.applyTargets(ctx)
 		m.dropUnneeded(ctx)
 		select {
 		case <-ctx.Done():
@@ -195,25 +195,25 @@
 }
 
 // loadStore asks the host what it kept, until it answers.
-func (m *Manager) loadStore(ctx context.Context) error {
+func (m *Manager) registerStoredChunks(ctx context.Context) error {
 	for {
-		err := m.store.load(ctx)
+		err := m.store.registerStored(ctx)
 		if err == nil {
 			return nil
 		}
 		m.cfg.Log.Warn("the host's store does not answer", "error", err)
-		if err := m.sleep(ctx, storeRetry); err != nil {
+		if err := m.sleep(ctx, storeRetryDelay); err != nil {
 			return err
 		}
 	}
 }
 
 // followTokens makes transfers shrink while live requests suffer.
-func (m *Manager) followTokens(ctx context.Context) {
+func (m *Manager) updateLinkShares(ctx context.Context) {
 	if m.cfg.TokensSlow == nil && m.cfg.LinkShares == nil {
 		return
 	}
-	for m.sleep(ctx, slowInterval) == nil {
+	for m.sleep(ctx, linkUpdateInterval) == nil {
 		if m.cfg.LinkShares == nil {
 			m.link.SetSlow(m.cfg.TokensSlow())
 			continue
@@ -260,7 +260,7 @@
 // Changed receives after each change of a State; changes may fall together.
 func (m *Manager) Changed() <-chan struct{} { return m.changed }
 
-func (m *Manager) noteChange() { signal(m.changed) }
+func (m *Manager) notifyChange() { signal(m.changed) }
 
 // signal fills a channel that is buffered by one.
 func signal(channel chan struct{}) {
@@ -286,7 +286,7 @@
 			return bad, err
 		}
 		bad++
-		m.shareLoss(chunkHash(hash))
+		m.markLostInAll(chunkHash(hash))
 	}
 	return bad, nil
 }
--- a/agent/internal/weights/manager_test.go
+++ b/agent/internal/weights/manager_test.go
@@ -10,16 +10,16 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-func TestFleetBecomesWhole(t *testing.T) {
+func TestFleetFetchesWholeVersion(t *testing.T) {
 	flt := newFleet(t, 8)
 	data := randomData(1, 64)
 	version := flt.origin.publish(t, data)
 	flt.setTargets(version)
 	flt.awaitWhole(version)
 	for _, host := range flt.hosts {
-		host.store.check(t, data)
+		host.store.requireData(t, data)
 	}
-	got := float64(flt.origin.chunkBytes()) / float64(len(data))
+	got := float64(flt.origin.chunkBytesSent()) / float64(len(data))
 	t.Logf("copies=%.3f", got)
 	if want := 1.3; got > want {
 		t.Errorf("got %.3f copies from the origin, want at most %.2f", got, want)
@@ -29,27 +29,27 @@
 // Symptom: a fleet draws a version again although half of it is on the hosts.
 // Sequence: version one is whole, version two shares half its chunks. Cause
 // guarded against: chunks kept by version rather than by hash.
-func TestChunksInCommonAreKept(t *testing.T) {
+func TestSharedChunksAreReused(t *testing.T) {
 	flt := newFleet(t, 3)
-	first := randomData(1, 32)
-	second := append(append([]byte(nil), first[:16*testChunkBytes]...), randomData(2, 16)...)
-	one, two := flt.origin.publish(t, first), flt.origin.publish(t, second)
-	flt.setTargets(one)
-	flt.awaitWhole(one)
-	before := flt.origin.chunkBytes()
-	flt.setTargets(two)
-	flt.awaitWhole(two)
-	drawn := flt.origin.chunkBytes() - before
-	if want := 20 * testChunkBytes; drawn > want {
-		t.Errorf("got %d bytes drawn for the second version, want at most %d", drawn, want)
+	firstData := randomData(1, 32)
+	secondData := append(append([]byte(nil), firstData[:16*testChunkBytes]...), randomData(2, 16)...)
+	firstVersion, secondVersion := flt.origin.publish(t, firstData), flt.origin.publish(t, secondData)
+	flt.setTargets(firstVersion)
+	flt.awaitWhole(firstVersion)
+	before := flt.origin.chunkBytesSent()
+	flt.setTargets(secondVersion)
+	flt.awaitWhole(secondVersion)
+	fetched := flt.origin.chunkBytesSent() - before
+	if want := 20 * testChunkBytes; fetched > want {
+		t.Errorf("got %d bytes drawn for the second version, want at most %d", fetched, want)
 	}
 	for _, host := range flt.hosts {
-		host.store.check(t, second)
+		host.store.requireData(t, secondData)
 		await(t, "drop of what is not needed", func() bool {
 			held, _ := host.store.held(t.Context())
 			return len(held) == 32
 		})
-		if got := host.mgr.State(one).Phase(); got != Absent {
+		if got := host.mgr.State(firstVersion).Phase(); got != Absent {
 			t.Errorf("got %s for the version that left, want %s", got, Absent)
 		}
 	}
@@ -57,18 +57,18 @@
 
 func TestKeptVersionStaysWhole(t *testing.T) {
 	flt := newFleet(t, 2)
-	first, second := randomData(1, 16), randomData(2, 16)
-	one, two := flt.origin.publish(t, first), flt.origin.publish(t, second)
-	flt.setTargets(one)
-	flt.awaitWhole(one)
+	firstData, secondData := randomData(1, 16), randomData(2, 16)
+	firstVersion, secondVersion := flt.origin.publish(t, firstData), flt.origin.publish(t, secondData)
+	flt.setTargets(firstVersion)
+	flt.awaitWhole(firstVersion)
 	for _, host := range flt.hosts {
-		host.mgr.SetTargets([]Target{{Version: two}}, Policy{Keep: []string{one}})
+		host.mgr.SetTargets([]Target{{Version: secondVersion}}, Policy{Keep: []string{firstVersion}})
 	}
-	flt.awaitWhole(two)
+	flt.awaitWhole(secondVersion)
 	for _, host := range flt.hosts {
-		host.store.check(t, first)
-		host.store.check(t, second)
-		if got := host.mgr.State(one).Phase(); got != Whole {
+		host.store.requireData(t, firstData)
+		host.store.requireData(t, secondData)
+		if got := host.mgr.State(firstVersion).Phase(); got != Whole {
 			t.Errorf("got %s for the kept version, want %s", got, Whole)
 		}
 	}
@@ -77,7 +77,7 @@
 // Symptom: a host would serve weights that nobody published. Sequence: the
 // origin answers another manifest under the version's name, later the right
 // one. Cause guarded against: a manifest taken without its hash checked.
-func TestManifestThatDoesNotMatchFailsUntilPublished(t *testing.T) {
+func TestMismatchedManifestFailsUntilOriginServesRightOne(t *testing.T) {
 	flt := newFleet(t, 2)
 	data := randomData(1, 8)
 	version := flt.origin.publish(t, data)
@@ -103,23 +103,23 @@
 // Symptom: corrupt weights on a host after a restart of its agent. Sequence:
 // whole, the agent stops, the host's memory loses one chunk's bytes, the agent
 // starts. Cause guarded against: trust in bytes kept by an earlier process.
-func TestRestartVerifiesWhatTheHostKept(t *testing.T) {
+func TestRestartVerifiesStoredChunks(t *testing.T) {
 	flt := newFleet(t, 2)
 	data := randomData(1, 16)
 	version := flt.origin.publish(t, data)
 	flt.setTargets(version)
 	flt.awaitWhole(version)
-	old := flt.hosts[0]
-	old.stop()
-	flt.hosts, flt.nodes = flt.hosts[1:], flt.nodes[1:]
-	for hash := range old.store.chunks {
-		old.store.chunks[hash][0] ^= 1
+	oldHost := flt.hosts[0]
+	oldHost.stop()
+	flt.hosts, flt.listed = flt.hosts[1:], flt.listed[1:]
+	for hash := range oldHost.store.chunks {
+		oldHost.store.chunks[hash][0] ^= 1
 		break
 	}
-	host := flt.add(old.node.GetId(), old.store, nil)
+	host := flt.add(oldHost.node.GetId(), oldHost.store, nil)
 	host.setTargets(version)
 	flt.awaitWhole(version)
-	host.store.check(t, data)
+	host.store.requireData(t, data)
 	origin, peers, _ := host.mgr.Counters()
 	if got, want := int(origin+peers), 3*testChunkBytes; got > want {
 		t.Errorf("got %d bytes fetched after the restart, want at most %d", got, want)
@@ -129,7 +129,7 @@
 // Symptom: a fleet stands still or passes corrupt weights on. Sequence: one
 // host corrupts every chunk that it sends. Cause guarded against: bytes kept
 // or passed on before they were verified, a corrupt source asked for ever.
-func TestOneHostCorruptsAllItSends(t *testing.T) {
+func TestFleetCompletesDespiteCorruptingPeer(t *testing.T) {
 	flt := newFleet(t, 4)
 	flt.add("host-corrupt", &memoryStore{chunks: map[string][]byte{}}, func(piece *wire.ChunkData) {
 		if len(piece.Data) > 0 {
@@ -141,14 +141,14 @@
 	flt.setTargets(version)
 	flt.awaitWhole(version)
 	for _, host := range flt.hosts {
-		host.store.check(t, data)
+		host.store.requireData(t, data)
 	}
 }
 
 // Symptom: the origin is overrun when it comes back. Sequence: it refuses
 // everything over its rate for the first requests, then answers. Cause guarded
 // against: requests repeated without heed to Retry-After.
-func TestOriginRefusesOverItsRate(t *testing.T) {
+func TestFleetCompletesAfterOriginRateLimit(t *testing.T) {
 	flt := newFleet(t, 3)
 	data := randomData(1, 16)
 	version := flt.origin.publish(t, data)
@@ -165,6 +165,6 @@
 	flt.setTargets(version)
 	flt.awaitWhole(version)
 	for _, host := range flt.hosts {
-		host.store.check(t, data)
+		host.store.requireData(t, data)
 	}
 }
--- a/agent/internal/weights/manifests.go
+++ b/agent/internal/weights/manifests.go
@@ -18,83 +18,83 @@
 	maxManifestBytes = 2<<20 + 64<<10
 	// manifestOwners draw the manifest from the origin; the others ask them
 	// and one another, so that the origin does not send one to each host.
-	manifestOwners = 3
+	manifestOwnerCount = 3
 	// manifestPatience is how long the others wait before they ask the origin.
-	manifestPatience = 3 * time.Second
-	manifestTimeout  = 2 * time.Second
-	manifestRetry    = 75 * time.Millisecond
+	manifestOriginDelay    = 3 * time.Second
+	manifestRequestTimeout = 2 * time.Second
+	manifestRetryDelay     = 75 * time.Millisecond
 	// manifestHold is how long a host that fetches the manifest itself lets
 	// another wait for it: as long as that one waits, so that the other has it as
 	// soon as this one.
-	manifestHold = manifestTimeout
+	manifestWaitTimeout = manifestRequestTimeout
 	// manifestAsks is how many peers a host asks at once. Those that have no manifest
 	// ask others in turn, so that it comes from whoever has it over all who wait, at
 	// once; with one each, few chains of hosts that wait lead there, and one host
 	// that answers nothing ends a chain.
-	manifestAsks = 3
+	parallelManifestRequests = 3
 	// originRetry and maxOriginRetry bound the pause after the origin failed,
 	// the latter where the configuration does not say.
-	originRetry    = 500 * time.Millisecond
-	maxOriginRetry = 15 * time.Second
+	initialOriginBackoff = 500 * time.Millisecond
+	maxOriginBackoff     = 15 * time.Second
 )
 
 // fetchManifest gets the manifest from a peer or the origin and checks it
 // against the version, until that succeeds or ctx is done.
 func (t *transfer) fetchManifest(ctx context.Context) error {
-	began := t.now()
-	pause := min(originRetry, t.mgr.cfg.MaxBackoff/2)
-	nextDraw := began
+	startedAt := t.now()
+	backoff := min(initialOriginBackoff, t.mgr.cfg.MaxBackoff/2)
+	nextOriginAttempt := startedAt
 	for {
-		if t.drawsManifest(began) && !t.now().Before(nextDraw) {
-			if t.manifestFromOrigin(ctx) == nil {
+		if t.mayAskOriginForManifest(startedAt) && !t.now().Before(nextOriginAttempt) {
+			if t.fetchManifestFromOrigin(ctx) == nil {
 				return nil
 			}
-			nextDraw = t.now().Add(pause + rand.N(pause))
+			nextOriginAttempt = t.now().Add(backoff + rand.N(backoff))
 			// All hosts wait for a manifest, and few draw it: they ask more often than
 			// those who draw chunks.
-			pause = min(2*pause, t.mgr.cfg.MaxBackoff/2)
+			backoff = min(2*backoff, t.mgr.cfg.MaxBackoff/2)
 		}
-		patience := manifestTimeout
-		if t.drawsManifest(began) {
-			patience = min(patience, max(manifestRetry, nextDraw.Sub(t.now())))
+		timeout := manifestRequestTimeout
+		if t.mayAskOriginForManifest(startedAt) {
+			timeout = min(timeout, max(manifestRetryDelay, nextOriginAttempt.Sub(t.now())))
 		}
-		if t.manifestFromPeers(ctx, patience) == nil {
+		if t.fetchManifestFromPeers(ctx, timeout) == nil {
 			return nil
 		}
-		if err := t.mgr.sleep(ctx, manifestRetry+rand.N(manifestRetry)); err != nil {
+		if err := t.mgr.sleep(ctx, manifestRetryDelay+rand.N(manifestRetryDelay)); err != nil {
 			return err
 		}
 	}
 }
 
 // manifestKey is what hosts are ranked for by their right to draw the manifest.
-func (t *transfer) manifestKey() string { return "manifest/" + t.version }
+func (t *transfer) manifestRankKey() string { return "manifest/" + t.version }
 
 // peerIDs returns the ids of the other hosts.
 func (t *transfer) peerIDs() []string {
 	peers := t.mgr.peers()
 	ids := make([]string, 0, len(peers))
-	for _, pee := range peers {
-		ids = append(ids, pee.ID)
+	for _, p := range peers {
+		ids = append(ids, p.ID)
 	}
 	return ids
 }
 
 // drawsManifest reports whether this host may ask the origin: an owner at once,
 // the others by rank after a while, so that they do not come together.
-func (t *transfer) drawsManifest(began time.Time) bool {
-	rank := rendezvous.Rank(t.manifestKey(), t.mgr.cfg.Self.GetId(), t.peerIDs())
-	if rank < manifestOwners {
+func (t *transfer) mayAskOriginForManifest(startedAt time.Time) bool {
+	rank := rendezvous.Rank(t.manifestRankKey(), t.mgr.cfg.Self.GetId(), t.peerIDs())
+	if rank < manifestOwnerCount {
 		return true
 	}
-	wait := manifestPatience * time.Duration(rank) / manifestOwners
-	return t.now().Sub(began) >= wait
+	wait := manifestOriginDelay * time.Duration(rank) / manifestOwnerCount
+	return t.now().Sub(startedAt) >= wait
 }
 
-func (t *transfer) manifestFromOrigin(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, manifestTimeout)
+func (t *transfer) fetchManifestFromOrigin(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, manifestRequestTimeout)
 	defer cancel()
-	encoded, err := t.drawManifest(ctx)
+	encoded, err := t.downloadManifest(ctx)
 	if err != nil {
 		t.setProblem("the manifest cannot be drawn from the origin: " + err.Error())
 		return err
@@ -103,11 +103,11 @@
 	return t.acceptManifest(encoded)
 }
 
-func (t *transfer) drawManifest(ctx context.Context) ([]byte, error) {
-	if draw := t.mgr.cfg.Source.Manifest; draw != nil {
-		return draw(ctx, t.version)
+func (t *transfer) downloadManifest(ctx context.Context) ([]byte, error) {
+	if fetchManifest := t.mgr.cfg.Source.Manifest; fetchManifest != nil {
+		return fetchManifest(ctx, t.version)
 	}
-	encoded, err := t.mgr.fromOrigin(ctx, "/manifests/"+t.version, maxManifestBytes)
+	encoded, err := t.mgr.downloadFromOrigin(ctx, "/manifests/"+t.version, maxManifestBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -118,40 +118,40 @@
 func (t *transfer) acceptManifest(encoded []byte) error {
 	man, err := t.mgr.cfg.Source.Decode(encoded, t.version)
 	if err == nil {
-		t.begin(man, encoded)
-		t.mgr.noteChange()
+		t.startCore(man, encoded)
+		t.mgr.notifyChange()
 		return nil
 	}
 	t.mgr.cfg.Log.Warn("a manifest was refused", "version", t.version, "error", err)
 	t.mu.Lock()
 	t.failed, t.problem = true, err.Error()
 	t.mu.Unlock()
-	t.mgr.noteChange()
+	t.mgr.notifyChange()
 	return err
 }
 
 // manifestFromPeers asks a few peers at once, others as these fail, until one sends the
 // manifest or patience ends. A peer may let this host wait: one that draws the manifest itself
 // has no longer patience than until its next draw.
-func (t *transfer) manifestFromPeers(ctx context.Context, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (t *transfer) fetchManifestFromPeers(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var asks sync.WaitGroup
-	defer asks.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	defer cancel()
-	found := make(chan *manifestFound, manifestAsks)
-	for i := range manifestAsks {
-		asks.Go(func() {
-			if one := t.seekManifest(ctx, i == 0); one != nil {
-				found <- one
+	results := make(chan *verifiedManifest, parallelManifestRequests)
+	for i := range parallelManifestRequests {
+		workers.Go(func() {
+			if result := t.askPeersForManifest(ctx, i == 0); result != nil {
+				results <- result
 			}
 		})
 	}
 	select {
-	case one := <-found:
-		t.mgr.peerBytes.Add(uint64(len(one.encoded)))
-		t.begin(one.man, one.encoded)
-		t.mgr.noteChange()
+	case result := <-results:
+		t.mgr.peerBytes.Add(uint64(len(result.encoded)))
+		t.startCore(result.man, result.encoded)
+		t.mgr.notifyChange()
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -159,31 +159,31 @@
 }
 
 // manifestFound is a manifest that is the version's.
-type manifestFound struct {
+type verifiedManifest struct {
 	man     *wire.Manifest
 	encoded []byte
 }
 
 // seekManifest asks one peer after the other until ctx is done, every second time an owner if
 // it is to; nil: none sent the manifest.
-func (t *transfer) seekManifest(ctx context.Context, owners bool) *manifestFound {
+func (t *transfer) askPeersForManifest(ctx context.Context, preferOwners bool) *verifiedManifest {
 	for {
-		if id := t.manifestPeer(owners && rand.IntN(2) == 0); id != "" {
-			if found := t.askManifest(ctx, id); found != nil {
+		if id := t.pickManifestPeer(preferOwners && rand.IntN(2) == 0); id != "" {
+			if found := t.requestManifest(ctx, id); found != nil {
 				return found
 			}
 		}
-		if t.mgr.sleep(ctx, manifestRetry+rand.N(manifestRetry)) != nil {
+		if t.mgr.sleep(ctx, manifestRetryDelay+rand.N(manifestRetryDelay)) != nil {
 			return nil
 		}
 	}
 }
 
 // manifestPeer returns a peer to ask, an owner if one is wanted; none where no peer is known.
-func (t *transfer) manifestPeer(owner bool) string {
+func (t *transfer) pickManifestPeer(ownersOnly bool) string {
 	peers := t.peerIDs()
-	if owner {
-		peers = rendezvous.Top(t.manifestKey(), peers, manifestOwners)
+	if ownersOnly {
+		peers = rendezvous.Top(t.manifestRankKey(), peers, manifestOwnerCount)
 	}
 	if len(peers) == 0 {
 		return ""
@@ -192,9 +192,9 @@
 }
 
 // askManifest asks one peer; nil: it sent none that is the version's.
-func (t *transfer) askManifest(ctx context.Context, id string) *manifestFound {
+func (t *transfer) requestManifest(ctx context.Context, id string) *verifiedManifest {
 	req := &wire.ChunkRequest{From: t.mgr.cfg.Self, Version: t.version, Index: manifestIndex}
-	encoded, fetchErr := t.mgr.fromPeer(ctx, id, req, maxManifestBytes, func(*wire.ChunkData) {})
+	encoded, fetchErr := t.mgr.requestFromPeer(ctx, id, req, maxManifestBytes, func(*wire.ChunkData) {})
 	if fetchErr != nil {
 		t.mgr.cfg.Log.Debug("a peer sent no manifest", "version", t.version, "peer", id, "error", fetchErr)
 		return nil
@@ -204,16 +204,16 @@
 		t.mgr.cfg.Log.Warn("a peer sent a wrong manifest", "version", t.version, "peer", id, "error", err)
 		return nil
 	}
-	return &manifestFound{man: man, encoded: encoded}
+	return &verifiedManifest{man: man, encoded: encoded}
 }
 
 // awaitManifest returns the manifest's bytes for a peer, which may wait a little
 // for them; nil where they did not come.
 func (t *transfer) awaitManifest(ctx context.Context) []byte {
 	select {
-	case <-t.known:
+	case <-t.manifestKnown:
 	case <-ctx.Done():
-	case <-t.mgr.cfg.Clock.After(manifestHold):
+	case <-t.mgr.cfg.Clock.After(manifestWaitTimeout):
 	}
 	return t.encodedManifest()
 }
--- a/agent/internal/weights/manifests_test.go
+++ b/agent/internal/weights/manifests_test.go
@@ -22,7 +22,7 @@
 // all hosts learn of it at once; two draw its manifest from the origin; the others
 // ask them too early, learn that they have none, and ask others that have none
 // either. Cause: a host that will have the manifest shortly said that it lacks it.
-func TestManifestIsWaitedForWhereItIsOnItsWay(t *testing.T) {
+func TestAwaitManifestReturnsItOnArrival(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	trans := newTransfer(&Manager{cfg: Config{Clock: clock}}, "v", Policy{})
 	got := make(chan []byte, 1)
@@ -32,14 +32,14 @@
 	}
 	trans.mu.Lock()
 	trans.encoded = []byte("manifest")
-	close(trans.known)
+	close(trans.manifestKnown)
 	trans.mu.Unlock()
 	if text := string(<-got); text != "manifest" {
 		t.Errorf("got %q, want the manifest that came meanwhile", text)
 	}
 }
 
-func TestManifestThatDoesNotComeIsNotWaitedForLong(t *testing.T) {
+func TestAwaitManifestTimesOut(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	trans := newTransfer(&Manager{cfg: Config{Clock: clock}}, "v", Policy{})
 	got := make(chan []byte, 1)
@@ -47,7 +47,7 @@
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	clock.Advance(manifestHold)
+	clock.Advance(manifestWaitTimeout)
 	select {
 	case text := <-got:
 		if text != nil {
@@ -59,17 +59,17 @@
 }
 
 // slowHost counts those who ask it for a manifest and answers once it is released.
-type slowHost struct {
+type blockingHost struct {
 	wire.DRPCHostUnimplementedServer
-	active  atomic.Int32
-	asked   chan int // how many were waiting then
-	release chan struct{}
-	encoded []byte
+	active    atomic.Int32
+	requested chan int // how many were waiting then
+	release   chan struct{}
+	encoded   []byte
 }
 
-func (h *slowHost) Chunk(_ *wire.ChunkRequest, stream wire.DRPCHost_ChunkStream) error {
+func (h *blockingHost) Chunk(_ *wire.ChunkRequest, stream wire.DRPCHost_ChunkStream) error {
 	defer h.active.Add(-1)
-	h.asked <- int(h.active.Add(1))
+	h.requested <- int(h.active.Add(1))
 	select {
 	case <-h.release:
 	case <-stream.Context().Done():
@@ -82,45 +82,45 @@
 // after the first few did. Sequence: 88 hosts start together; three draw the manifest; each of
 // the others asks one host, waits there in vain, and asks the next. Cause: one ask at a time
 // ends at a host that has the manifest only by the third or fourth.
-func TestSeveralPeersAreAskedForAManifestAtOnce(t *testing.T) {
+func TestManifestIsRequestedFromSeveralPeersInParallel(t *testing.T) {
 	flt := newFleet(t, 0)
 	version := flt.origin.publish(t, randomData(1, 4))
-	slow := &slowHost{asked: make(chan int, 64), release: make(chan struct{}), encoded: flt.origin.objects["/manifests/"+version]}
+	blocking := &blockingHost{requested: make(chan int, 64), release: make(chan struct{}), encoded: flt.origin.objects["/manifests/"+version]}
 	// Only the manifest's owners draw it, and the origin serves nobody.
 	flt.origin.setFault(func(_ string, writer http.ResponseWriter) bool {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterHost(mux, slow); err != nil {
+	if err := wire.DRPCRegisterHost(mux, blocking); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 2 * manifestOwners {
+	for i := range 2 * manifestOwnerCount {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() { _ = peer.Serve(t.Context(), lis, nil, mux, slog.New(slog.DiscardHandler)) }()
-		flt.nodes = append(flt.nodes, &wire.Node{
+		flt.listed = append(flt.listed, &wire.Node{
 			Id: fmt.Sprint("slow-", i), Role: peer.RoleAgent, Region: "zona-uno", ControlAddress: lis.Addr().String(),
 		})
 	}
 	var ids []string
-	for _, node := range flt.nodes {
+	for _, node := range flt.listed {
 		ids = append(ids, node.GetId())
 	}
 	id := "host"
-	for rendezvous.Rank("manifest/"+version, id, ids) < manifestOwners {
+	for rendezvous.Rank("manifest/"+version, id, ids) < manifestOwnerCount {
 		id += "x"
 	}
 	host := flt.add(id, &memoryStore{chunks: map[string][]byte{}}, nil)
 	host.setTargets(version)
-	most := 0
-	for range manifestAsks {
-		most = max(most, <-slow.asked)
+	maxActive := 0
+	for range parallelManifestRequests {
+		maxActive = max(maxActive, <-blocking.requested)
 	}
-	close(slow.release)
-	if got, want := most, manifestAsks; got != want {
+	close(blocking.release)
+	if got, want := maxActive, parallelManifestRequests; got != want {
 		t.Errorf("got %d peers asked at once, want %d", got, want)
 	}
 	await(t, "the manifest is known", func() bool { return host.mgr.Manifest(version) != nil })
--- a/agent/internal/weights/peers.go
+++ b/agent/internal/weights/peers.go
@@ -18,19 +18,19 @@
 // peers returns the other agents known now, in the order of their ids, and
 // notes where they listen.
 func (m *Manager) peers() []burst.Peer {
-	var list []burst.Peer
+	var peers []burst.Peer
 	addresses := map[string]string{}
 	for _, node := range m.cfg.Peers() {
 		if node.GetId() != m.cfg.Self.GetId() {
-			list = append(list, peerOf(node))
+			peers = append(peers, peerOf(node))
 			addresses[node.GetId()] = node.GetControlAddress()
 		}
 	}
-	slices.SortFunc(list, func(left, right burst.Peer) int { return cmp.Compare(left.ID, right.ID) })
+	slices.SortFunc(peers, func(left, right burst.Peer) int { return cmp.Compare(left.ID, right.ID) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.listed = addresses
-	return list
+	m.peerAddresses = addresses
+	return peers
 }
 
 // address returns where a peer listens: the list of peers knows, or else the
@@ -38,10 +38,10 @@
 func (m *Manager) address(id string) string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if address := m.listed[id]; address != "" {
+	if address := m.peerAddresses[id]; address != "" {
 		return address
 	}
-	return m.addresses[id]
+	return m.callerAddresses[id]
 }
 
 func (m *Manager) client(ctx context.Context, id string) (wire.DRPCHostClient, error) {
@@ -54,10 +54,10 @@
 }
 
 // exchange swaps reports with a peer.
-func (t *transfer) exchange(ctx context.Context, id string, report burst.Report) {
+func (t *transfer) exchangeReports(ctx context.Context, id string, report burst.Report) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := t.callHave(ctx, id, report)
+	reply, err := t.sendReport(ctx, id, report)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
@@ -71,7 +71,7 @@
 	signal(t.wake)
 }
 
-func (t *transfer) callHave(ctx context.Context, id string, report burst.Report) (*wire.HaveReply, error) {
+func (t *transfer) sendReport(ctx context.Context, id string, report burst.Report) (*wire.HaveReply, error) {
 	client, err := t.mgr.client(ctx, id)
 	if err != nil {
 		return nil, err
@@ -87,15 +87,15 @@
 // without bitmaps says that this host takes no part in the version.
 func (m *Manager) Have(ctx context.Context, req *wire.HaveRequest) (*wire.HaveReply, error) {
 	from := req.GetFrom()
-	if err := checkCaller(ctx, from); err != nil {
+	if err := verifyCaller(ctx, from); err != nil {
 		return nil, err
 	}
 	trans := m.transfer(req.GetVersion())
 	if trans == nil {
 		return &wire.HaveReply{}, nil
 	}
-	m.noteAddress(from)
-	report, ok := trans.observe(from, req)
+	m.recordAddress(from)
+	report, ok := trans.handleReport(from, req)
 	if !ok {
 		return &wire.HaveReply{}, nil
 	}
@@ -106,7 +106,7 @@
 }
 
 // checkCaller refuses a caller that names a host other than its certificate's.
-func checkCaller(ctx context.Context, from *wire.Node) error {
+func verifyCaller(ctx context.Context, from *wire.Node) error {
 	if caller, known := peer.CallerOf(ctx); known && caller.Node() != from.GetId() {
 		return failure.New(failure.Unauthorized, "the caller's certificate names another host",
 			"give the agent the certificate of its own host")
@@ -115,19 +115,19 @@
 }
 
 // maxAddresses bounds the callers remembered beside the list of peers.
-const maxAddresses = 4096
+const maxCallerAddresses = 4096
 
-func (m *Manager) noteAddress(from *wire.Node) {
+func (m *Manager) recordAddress(from *wire.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.addresses[from.GetId()] == "" && len(m.addresses) >= maxAddresses {
+	if m.callerAddresses[from.GetId()] == "" && len(m.callerAddresses) >= maxCallerAddresses {
 		return
 	}
-	m.addresses[from.GetId()] = from.GetControlAddress()
+	m.callerAddresses[from.GetId()] = from.GetControlAddress()
 }
 
-func (t *transfer) observe(from *wire.Node, req *wire.HaveRequest) (burst.Report, bool) {
-	load := t.mgr.uploads.load()
+func (t *transfer) handleReport(from *wire.Node, req *wire.HaveRequest) (burst.Report, bool) {
+	load := t.mgr.uploads.pending()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.core == nil {
@@ -144,7 +144,7 @@
 
 // report returns what to send a peer along with a request or an answer.
 func (t *transfer) report() burst.Report {
-	load := t.mgr.uploads.load()
+	load := t.mgr.uploads.pending()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.SetUploads(load)
--- a/agent/internal/weights/serve.go
+++ b/agent/internal/weights/serve.go
@@ -15,12 +15,12 @@
 
 // sendStall is the time without progress after which an upload's connection is
 // closed: a receiver that stalls without closing would hold a slot for ever.
-const sendStall = 10 * time.Second
+const sendStallTimeout = 10 * time.Second
 
 // Chunk sends one chunk to a peer, paced by the uplink: wire.Host's Chunk.
 func (m *Manager) Chunk(req *wire.ChunkRequest, stream wire.DRPCHost_ChunkStream) error {
 	ctx := stream.Context()
-	if err := checkCaller(ctx, req.GetFrom()); err != nil {
+	if err := verifyCaller(ctx, req.GetFrom()); err != nil {
 		return err
 	}
 	trans := m.transfer(req.GetVersion())
@@ -30,27 +30,27 @@
 	if req.GetIndex() == manifestIndex {
 		return m.send(stream, &wire.ChunkData{}, trans.awaitManifest(ctx))
 	}
-	trans.observeRequest(req)
+	trans.handleRequestReport(req)
 	hash, ok := trans.heldHash(req.GetIndex())
 	if !ok {
 		return stream.Send(&wire.ChunkData{})
 	}
-	retryAfter, err := m.uploads.acquire(ctx, trans.turnOf(req.GetFrom().GetId()))
+	retryAfter, err := m.uploads.acquire(ctx, trans.uploadRank(req.GetFrom().GetId()))
 	if err != nil {
 		return err
 	}
 	if retryAfter > 0 {
-		first := trans.firstPiece()
-		first.RetryAfterMillis = uint32(max(1, retryAfter.Milliseconds()))
-		return stream.Send(first)
+		reply := trans.newReply()
+		reply.RetryAfterMillis = uint32(max(1, retryAfter.Milliseconds()))
+		return stream.Send(reply)
 	}
-	began := m.cfg.Clock.Now()
-	defer func() { m.uploads.release(m.cfg.Clock.Since(began)) }()
+	startedAt := m.cfg.Clock.Now()
+	defer func() { m.uploads.release(m.cfg.Clock.Since(startedAt)) }()
 	return m.sendChunk(ctx, stream, trans, hash)
 }
 
 // observeRequest takes over what a request reports of its sender.
-func (t *transfer) observeRequest(req *wire.ChunkRequest) {
+func (t *transfer) handleRequestReport(req *wire.ChunkRequest) {
 	if len(req.GetChunks()) == 0 {
 		return
 	}
@@ -65,27 +65,27 @@
 }
 
 // firstPiece returns an answer that bears this host's report.
-func (t *transfer) firstPiece() *wire.ChunkData {
+func (t *transfer) newReply() *wire.ChunkData {
 	report := t.report()
 	return &wire.ChunkData{Chunks: report.Held, Drawn: report.Drawn, UploadQueue: uint32(report.Queue)}
 }
 
 func (m *Manager) sendChunk(ctx context.Context, stream wire.DRPCHost_ChunkStream, trans *transfer, hash chunkHash) error {
-	room := int64(trans.manifest().GetChunkBytes())
-	if err := m.window.Acquire(ctx, room); err != nil {
+	size := int64(trans.manifest().GetChunkBytes())
+	if err := m.window.Acquire(ctx, size); err != nil {
 		return err
 	}
-	defer m.window.Release(room)
+	defer m.window.Release(size)
 	data, err := m.store.get(ctx, hash)
 	if err == nil {
-		return m.send(stream, trans.firstPiece(), data)
+		return m.send(stream, trans.newReply(), data)
 	}
 	if ctx.Err() != nil {
 		return err
 	}
 	m.cfg.Log.Warn("a kept chunk cannot be read", "version", trans.version, "error", err)
 	if kind := failure.KindOf(err); kind == failure.Corrupt || kind == failure.NotFound {
-		m.shareLoss(hash)
+		m.markLostInAll(hash)
 	}
 	return stream.Send(&wire.ChunkData{})
 }
@@ -116,7 +116,7 @@
 func (m *Manager) sendPiece(stream wire.DRPCHost_ChunkStream, piece *wire.ChunkData) error {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if conn, isConn := transport.(net.Conn); ok && isConn {
-		watchdog := m.cfg.Clock.AfterFunc(sendStall, func() { _ = conn.Close() })
+		watchdog := m.cfg.Clock.AfterFunc(sendStallTimeout, func() { _ = conn.Close() })
 		defer watchdog.Stop()
 	}
 	return stream.Send(piece)
@@ -133,7 +133,7 @@
 }
 
 // turnOf returns the place of a peer's request among those that wait.
-func (t *transfer) turnOf(id string) int {
+func (t *transfer) uploadRank(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.core.Turn(id)
@@ -142,18 +142,18 @@
 // Lost notes that the host no longer has a chunk: its store laid another one over it.
 func (m *Manager) Lost(hash []byte) {
 	m.store.forget(chunkHash(hash))
-	m.shareLoss(chunkHash(hash))
+	m.markLostInAll(chunkHash(hash))
 }
 
 // shareLoss notifies every version that the host no longer has the chunk.
-func (m *Manager) shareLoss(hash chunkHash) {
+func (m *Manager) markLostInAll(hash chunkHash) {
 	for _, trans := range m.allTransfers() {
-		trans.lose(hash)
+		trans.markLost(hash)
 	}
-	m.noteChange()
+	m.notifyChange()
 }
 
-func (t *transfer) lose(hash chunkHash) {
+func (t *transfer) markLost(hash chunkHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, chunk := range t.chunks[hash] {
--- a/agent/internal/weights/state.go
+++ b/agent/internal/weights/state.go
@@ -10,11 +10,11 @@
 
 // State is how far the host is with one version.
 type State struct {
-	phase  string // Absent, Fetching, Whole or Failed
-	have   int    // chunks verified and kept, at most total
-	total  int    // 0 while the manifest is unknown
-	drawn  int    // chunks that left the origin, as far as known
-	holdUp string // why it stands still; empty otherwise
+	phase       string // Absent, Fetching, Whole or Failed
+	have        int    // chunks verified and kept, at most total
+	total       int    // 0 while the manifest is unknown
+	drawn       int    // chunks that left the origin, as far as known
+	stallReason string // why it stands still; empty otherwise
 }
 
 // Phase returns Absent, Fetching, Whole or Failed. Whole means that the
@@ -31,4 +31,4 @@
 func (s State) Drawn() int { return s.drawn }
 
 // HoldUp returns why the version stands still; empty otherwise.
-func (s State) HoldUp() string { return s.holdUp }
+func (s State) HoldUp() string { return s.stallReason }
--- a/agent/internal/weights/store.go
+++ b/agent/internal/weights/store.go
@@ -11,7 +11,7 @@
 )
 
 // storeRetry is the pause after the host's store failed.
-const storeRetry = time.Second
+const storeRetryDelay = time.Second
 
 // chunkHash is the hash of a chunk, BLAKE3 unless Config.Source says otherwise.
 type chunkHash [manifest.HashBytes]byte
@@ -31,7 +31,7 @@
 }
 
 // load learns what an earlier process left.
-func (s *store) load(ctx context.Context) error {
+func (s *store) registerStored(ctx context.Context) error {
 	hashes, err := s.cfg.HeldChunks(ctx)
 	if err != nil {
 		return err
@@ -90,8 +90,8 @@
 	return s.read(ctx, hash, s.cfg.ReadBack)
 }
 
-func (s *store) read(ctx context.Context, hash chunkHash, from func(context.Context, []byte) ([]byte, error)) ([]byte, error) {
-	data, err := from(ctx, hash[:])
+func (s *store) read(ctx context.Context, hash chunkHash, readChunk func(context.Context, []byte) ([]byte, error)) ([]byte, error) {
+	data, err := readChunk(ctx, hash[:])
 	if err != nil {
 		return nil, err
 	}
--- a/agent/internal/weights/targets.go
+++ b/agent/internal/weights/targets.go
@@ -41,17 +41,17 @@
 }
 
 // apply starts and stops transfers as the newest targets say.
-func (m *Manager) apply(ctx context.Context) {
+func (m *Manager) applyTargets(ctx context.Context) {
 	m.mu.Lock()
 	wanted := map[string]Target{}
 	for _, target := range m.targets {
 		wanted[target.Version] = target
 	}
-	var stopped []*transfer
+	var removed []*transfer
 	for version, trans := range m.transfers {
 		if _, ok := wanted[version]; !ok && !slices.Contains(m.policy.Keep, version) {
 			delete(m.transfers, version)
-			stopped = append(stopped, trans)
+			removed = append(removed, trans)
 		}
 	}
 	for _, version := range m.policy.Keep {
@@ -63,10 +63,10 @@
 		m.ensureTransfer(ctx, target, false)
 	}
 	m.mu.Unlock()
-	for _, trans := range stopped {
+	for _, trans := range removed {
 		trans.stop()
 	}
-	m.noteChange()
+	m.notifyChange()
 }
 
 // ensureTransfer starts or adapts a transfer; m.mu is held. A passive one keeps
@@ -75,11 +75,11 @@
 	trans := m.transfers[target.Version]
 	if trans == nil {
 		trans = newTransfer(m, target.Version, m.policy)
-		trans.pullFrom = target.PullFrom
+		trans.pullNotBefore = target.PullFrom
 		m.transfers[target.Version] = trans
 		trans.start(ctx)
 	}
-	trans.adapt(target.Priority, passive, m.policy)
+	trans.update(target.Priority, passive, m.policy)
 }
 
 // dropUnneeded forgets chunks that no transfer's manifest names. While one
@@ -125,11 +125,11 @@
 // outranked reports whether a target of higher priority still makes progress, and
 // whether the origin sends it yet. Once it does not, the origin is free for the next one:
 // it stood idle for the second in which the last chunks of a version spread.
-func (m *Manager) outranked(priority int) (outranked, draws bool) {
+func (m *Manager) higherPriorityActive(priority int) (active, originBusy bool) {
 	for _, trans := range m.allTransfers() {
-		if rank, drawing := trans.advancing(); rank > priority {
-			outranked, draws = true, draws || drawing
+		if other, busy := trans.activePriority(); other > priority {
+			active, originBusy = true, originBusy || busy
 		}
 	}
-	return outranked, draws
+	return active, originBusy
 }
--- a/agent/internal/weights/transfer.go
+++ b/agent/internal/weights/transfer.go
@@ -13,44 +13,44 @@
 const (
 	// tickInterval is the longest time between two decisions while fetching,
 	// wholeTick once whole.
-	tickInterval = 50 * time.Millisecond
-	wholeTick    = 250 * time.Millisecond
+	decisionInterval      = 50 * time.Millisecond
+	wholeDecisionInterval = 250 * time.Millisecond
 	// peersInterval is how often the list of peers is read.
-	peersInterval = time.Second
+	peerListInterval = time.Second
 	// standstill is the time without a chunk after which a hold-up shows.
-	standstill = 5 * time.Second
+	stallTimeout = 5 * time.Second
 	// maxFetches is how many chunks of one version are requested at once where
 	// the configuration does not say.
-	maxFetches = 6
+	defaultMaxFetches = 6
 )
 
 // transfer moves one version. Its goroutine alone runs the loop; events come
 // from the goroutines of fetches and from served calls.
 type transfer struct {
-	mgr     *Manager
-	version string
-	wake    chan struct{} // buffered by one: events not yet decided on
-	cancel  context.CancelFunc
-	work    sync.WaitGroup // the loop and its fetches
-	peersAt time.Time      // when the list of peers was read; the loop's own
-	known   chan struct{}  // closed once the manifest is verified
+	mgr           *Manager
+	version       string
+	wake          chan struct{} // buffered by one: events not yet decided on
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup // the loop and its fetches
+	peersReadAt   time.Time      // when the list of peers was read; the loop's own
+	manifestKnown chan struct{}  // closed once the manifest is verified
 
-	mu         sync.Mutex // guards the fields below
-	core       *burst.Core
-	man        *wire.Manifest      // nil until verified against the version
-	encoded    []byte              // the manifest as it was hashed
-	chunks     map[chunkHash][]int // indexes by hash: equal chunks are fetched once
-	priority   int
-	pullFrom   time.Time // fetches from peers wait until then
-	passive    bool      // keeps and serves, fetches no chunks
-	policy     Policy
-	failed     bool      // the origin's manifest does not match the version
-	problem    string    // newest reason for a failed fetch
-	advanced   time.Time // newest chunk kept, or the start
-	began      time.Time
-	manifestAt time.Time // when the manifest was verified
-	logged     bool      // logged as whole
-	fetches    map[fetchKey]context.CancelFunc
+	mu              sync.Mutex // guards the fields below
+	core            *burst.Core
+	man             *wire.Manifest      // nil until verified against the version
+	encoded         []byte              // the manifest as it was hashed
+	chunks          map[chunkHash][]int // indexes by hash: equal chunks are fetched once
+	priority        int
+	pullNotBefore   time.Time // fetches from peers wait until then
+	passive         bool      // keeps and serves, fetches no chunks
+	policy          Policy
+	failed          bool      // the origin's manifest does not match the version
+	problem         string    // newest reason for a failed fetch
+	lastProgress    time.Time // newest chunk kept, or the start
+	startedAt       time.Time
+	manifestKnownAt time.Time // when the manifest was verified
+	wholeLogged     bool      // logged as whole
+	fetches         map[fetchKey]context.CancelFunc
 }
 
 type fetchKey struct {
@@ -61,26 +61,26 @@
 func newTransfer(mgr *Manager, version string, policy Policy) *transfer {
 	return &transfer{
 		mgr: mgr, version: version, policy: policy,
-		wake:     make(chan struct{}, 1),
-		known:    make(chan struct{}),
-		fetches:  map[fetchKey]context.CancelFunc{},
-		advanced: mgr.cfg.Clock.Now(),
-		began:    mgr.cfg.Clock.Now(),
+		wake:          make(chan struct{}, 1),
+		manifestKnown: make(chan struct{}),
+		fetches:       map[fetchKey]context.CancelFunc{},
+		lastProgress:  mgr.cfg.Clock.Now(),
+		startedAt:     mgr.cfg.Clock.Now(),
 	}
 }
 
 func (t *transfer) start(ctx context.Context) {
 	ctx, t.cancel = context.WithCancel(ctx)
-	t.work.Go(func() { t.run(ctx) })
+	t.wg.Go(func() { t.run(ctx) })
 }
 
 func (t *transfer) stop() {
 	t.cancel()
-	t.work.Wait()
+	t.wg.Wait()
 }
 
 // adapt takes over what the newest targets say of the version.
-func (t *transfer) adapt(priority int, passive bool, policy Policy) {
+func (t *transfer) update(priority int, passive bool, policy Policy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if passive && !t.passive && t.core != nil {
@@ -99,16 +99,16 @@
 	if err := t.fetchManifest(ctx); err != nil {
 		return
 	}
-	if err := t.recall(ctx); err != nil {
+	if err := t.restoreStoredChunks(ctx); err != nil {
 		return
 	}
 	// What earlier targets left may be dropped now that the chunks are known.
 	signal(t.mgr.wake)
 	for ctx.Err() == nil {
 		t.step(ctx)
-		wait := tickInterval
+		wait := decisionInterval
 		if t.whole() {
-			wait = wholeTick
+			wait = wholeDecisionInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -120,12 +120,12 @@
 
 // maxFetches returns how many chunks may be requested at once now.
 func (t *transfer) maxFetches(man *wire.Manifest) int {
-	room := t.mgr.size / 2 / int64(max(1, man.GetChunkBytes()))
-	return int(max(1, min(room, int64(t.mgr.cfg.Fetches()))))
+	fitting := t.mgr.windowBytes / 2 / int64(max(1, man.GetChunkBytes()))
+	return int(max(1, min(fitting, int64(t.mgr.cfg.Fetches()))))
 }
 
 // begin sets the core up once the manifest is verified.
-func (t *transfer) begin(man *wire.Manifest, encoded []byte) {
+func (t *transfer) startCore(man *wire.Manifest, encoded []byte) {
 	chunks := map[chunkHash][]int{}
 	for i, hash := range man.GetChunkHashes() {
 		chunks[chunkHash(hash)] = append(chunks[chunkHash(hash)], i)
@@ -145,22 +145,22 @@
 		OriginCopies: t.policy.OriginCopies,
 		MaxFetches:   t.maxFetches(man),
 		Seed:         rendezvous.Seed(self.GetIncarnation()),
-		Broken:       t.brokenOnce(),
+		Broken:       t.violationReporter(),
 	})
-	core.SetPullFrom(t.pullFrom)
+	core.SetPullFrom(t.pullNotBefore)
 	t.man, t.encoded, t.core, t.chunks = man, encoded, core, chunks
 	t.failed, t.problem = false, ""
-	t.manifestAt = t.now()
-	close(t.known)
+	t.manifestKnownAt = t.now()
+	close(t.manifestKnown)
 }
 
 // brokenOnce returns a function that reports each broken rule once.
-func (t *transfer) brokenOnce() func(rule string) {
-	logged := map[string]bool{}
+func (t *transfer) violationReporter() func(rule string) {
+	reported := map[string]bool{}
 	return func(rule string) {
-		if !logged[rule] {
-			logged[rule] = true
-			t.mgr.broken(t.version, rule)
+		if !reported[rule] {
+			reported[rule] = true
+			t.mgr.reportViolation(t.version, rule)
 		}
 	}
 }
@@ -168,16 +168,16 @@
 // recall takes over the chunks that the host has already, from another version
 // or from before a restart. Bytes that this process did not keep itself are
 // verified first.
-func (t *transfer) recall(ctx context.Context) error {
+func (t *transfer) restoreStoredChunks(ctx context.Context) error {
 	for hash := range t.chunks {
 		kept, verified := t.mgr.store.lookUp(hash)
 		if !kept {
 			continue
 		}
-		if !verified && t.verifyKept(ctx, hash) != nil {
+		if !verified && t.verifyStored(ctx, hash) != nil {
 			continue
 		}
-		t.hold(hash)
+		t.markHeld(hash)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -185,18 +185,18 @@
 	return nil
 }
 
-func (t *transfer) verifyKept(ctx context.Context, hash chunkHash) error {
-	room := int64(t.man.GetChunkBytes())
-	if err := t.mgr.window.Acquire(ctx, room); err != nil {
+func (t *transfer) verifyStored(ctx context.Context, hash chunkHash) error {
+	size := int64(t.man.GetChunkBytes())
+	if err := t.mgr.window.Acquire(ctx, size); err != nil {
 		return err
 	}
-	defer t.mgr.window.Release(room)
+	defer t.mgr.window.Release(size)
 	_, err := t.mgr.store.get(ctx, hash)
 	return err
 }
 
 // hold notes a kept chunk, wherever the version names it.
-func (t *transfer) hold(hash chunkHash) {
+func (t *transfer) markHeld(hash chunkHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, chunk := range t.chunks[hash] {
@@ -209,35 +209,35 @@
 
 // step lets the core decide and does what it says.
 func (t *transfer) step(ctx context.Context) {
-	outranked, draws := t.mgr.outranked(t.rank())
-	load := t.mgr.uploads.load()
+	outranked, originBusy := t.mgr.higherPriorityActive(t.currentPriority())
+	load := t.mgr.uploads.pending()
 	now := t.now()
 	// The list is read before t.mu is taken: the Manager takes its own lock
 	// first and t.mu second.
-	refresh := now.Sub(t.peersAt) >= peersInterval
-	var list []burst.Peer
+	refresh := now.Sub(t.peersReadAt) >= peerListInterval
+	var peers []burst.Peer
 	if refresh {
-		t.peersAt = now
-		list = t.mgr.peers()
+		t.peersReadAt = now
+		peers = t.mgr.peers()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if refresh {
-		t.core.SetPeers(now, list)
+		t.core.SetPeers(now, peers)
 	}
 	t.core.SetUploads(load)
-	t.core.SetPaused(t.passive || outranked && draws)
-	t.core.SetPullFrom(t.pullFrom)
+	t.core.SetPaused(t.passive || outranked && originBusy)
+	t.core.SetPullFrom(t.pullNotBefore)
 	if outranked {
 		// The links between hosts are for the other version.
-		t.core.SetPullFrom(later(t.pullFrom, now.Add(tickInterval)))
+		t.core.SetPullFrom(later(t.pullNotBefore, now.Add(decisionInterval)))
 	}
 	t.core.SetMaxFetches(t.maxFetches(t.man))
 	for _, act := range t.core.Decide(now) {
 		t.perform(ctx, act)
 	}
-	if t.core.Whole() && !t.logged {
-		t.logged = true
+	if t.core.Whole() && !t.wholeLogged {
+		t.wholeLogged = true
 		t.logWhole(now)
 	}
 }
@@ -246,19 +246,19 @@
 func (t *transfer) logWhole(now time.Time) {
 	stats := t.core.Stats()
 	t.mgr.cfg.Log.Info("version whole", "version", t.version, "chunks", t.core.Held(),
-		"seconds", t.sinceBegan(now), "manifestSeconds", t.sinceBegan(t.manifestAt),
-		"firstSeconds", t.sinceBegan(stats.FirstHeld), "drawnSeconds", t.sinceBegan(stats.AllDrawn),
+		"seconds", t.secondsSinceStart(now), "manifestSeconds", t.secondsSinceStart(t.manifestKnownAt),
+		"firstSeconds", t.secondsSinceStart(stats.FirstHeld), "drawnSeconds", t.secondsSinceStart(stats.AllDrawn),
 		"draws", stats.Draws, "drawsAgain", stats.DrawsAgain, "pulls", stats.Pulls, "farPulls", stats.FarPulls, "busy", stats.Busy,
 		"timedOut", stats.TimedOut, "corrupt", stats.Corrupt, "broken", stats.Broken, "exchanges", stats.Exchanges)
 }
 
 // sinceBegan returns the seconds from the transfer's begin to a moment; 0 where it
 // never came.
-func (t *transfer) sinceBegan(at time.Time) float64 {
-	if at.IsZero() {
+func (t *transfer) secondsSinceStart(moment time.Time) float64 {
+	if moment.IsZero() {
 		return 0
 	}
-	return at.Sub(t.began).Seconds()
+	return moment.Sub(t.startedAt).Seconds()
 }
 
 // perform does one action; t.mu is held.
@@ -268,7 +268,7 @@
 	case burst.Fetch:
 		fetchCtx, cancel := context.WithCancel(ctx)
 		t.fetches[key] = cancel
-		t.work.Go(func() { t.fetch(fetchCtx, cancel, key) })
+		t.wg.Go(func() { t.fetchChunk(fetchCtx, cancel, key) })
 	case burst.Cancel:
 		if cancel := t.fetches[key]; cancel != nil {
 			cancel()
@@ -276,11 +276,11 @@
 		}
 	case burst.Exchange:
 		report := t.core.Report()
-		t.work.Go(func() { t.exchange(ctx, act.Source, report) })
+		t.wg.Go(func() { t.exchangeReports(ctx, act.Source, report) })
 	}
 }
 
-func (t *transfer) rank() int {
+func (t *transfer) currentPriority() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.priority
@@ -288,10 +288,10 @@
 
 // advancing returns the priority of a target that gains chunks, -1 for others, and
 // whether some of its chunks have not left the origin yet.
-func (t *transfer) advancing() (priority int, draws bool) {
+func (t *transfer) activePriority() (priority int, originBusy bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.passive || t.failed || t.holdUp() != "" || (t.core != nil && t.core.Whole()) {
+	if t.passive || t.failed || t.stallReason() != "" || (t.core != nil && t.core.Whole()) {
 		return -1, false
 	}
 	return t.priority, t.core == nil || t.core.Drawn() < len(t.man.GetChunkHashes())
@@ -320,23 +320,23 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.failed {
-		return State{phase: Failed, holdUp: t.problem}
+		return State{phase: Failed, stallReason: t.problem}
 	}
 	if t.core == nil {
-		return State{phase: Fetching, holdUp: t.holdUp()}
+		return State{phase: Fetching, stallReason: t.stallReason()}
 	}
 	st := State{phase: Fetching, have: t.core.Held(), total: len(t.man.GetChunkHashes()), drawn: t.core.Drawn()}
 	if t.core.Whole() {
 		st.phase = Whole
 		return st
 	}
-	st.holdUp = t.holdUp()
+	st.stallReason = t.stallReason()
 	return st
 }
 
 // holdUp returns why nothing came for a while; t.mu is held.
-func (t *transfer) holdUp() string {
-	if t.passive || t.now().Sub(t.advanced) < standstill {
+func (t *transfer) stallReason() string {
+	if t.passive || t.now().Sub(t.lastProgress) < stallTimeout {
 		return ""
 	}
 	if t.problem == "" {
