--- a/agent/internal/weights/faults_test.go
+++ b/agent/internal/weights/faults_test.go
@@ -4,10 +4,9 @@
 	"testing"
 )
 
-// Symptom: mixed or missing weights after a change of mind. Sequence: version
-// one is half there, version two is wanted, then one again, at once. Cause
-// guarded against: chunks dropped or fetched for targets that are no longer the
-// newest.
+// Guards against chunks that are dropped or fetched for targets that are no longer the
+// latest, which leaves mixed or missing weights. The target changes from the first
+// version to the second and straight back while each is half fetched.
 func TestTargetSwitchedDuringTransferAndBack(t *testing.T) {
 	flt := newFleet(t, 4)
 	firstData, secondData := randomData(1, 128), randomData(2, 128)
@@ -22,7 +21,7 @@
 	for _, host := range flt.hosts {
 		host.store.requireData(t, firstData)
 		if got := host.mgr.State(secondVersion).Phase(); got != Absent {
-			t.Errorf("got %s for the version that is no target, want %s", got, Absent)
+			t.Errorf("got %s for the version that is not a target, want %s", got, Absent)
 		}
 		await(t, "drop of the other version", func() bool {
 			held, _ := host.store.held(t.Context())
@@ -31,9 +30,8 @@
 	}
 }
 
-// Symptom: the fleet stands still. Sequence: a host that holds chunks takes
-// requests and answers none, without closing a connection. Cause guarded
-// against: a request that is waited for without end.
+// Guards against requests without a time limit, which stall the fleet: a host that holds
+// chunks accepts requests but neither answers nor closes the connection.
 func TestStalledHostDoesNotBlockFleet(t *testing.T) {
 	flt := newFleet(t, 5)
 	data := randomData(1, 96)
@@ -49,9 +47,9 @@
 	}
 }
 
-// Symptom: hosts wait for one that is gone. Sequence: a host dies while it
-// sends and stays in the list of peers. Cause guarded against: a dead owner
-// whose chunks nobody draws.
+// Guards against chunks that nobody fetches from the origin because their owner is dead,
+// so that the other hosts wait for it. The host dies while it sends and stays in the list
+// of peers.
 func TestDeadHostInPeerListDoesNotBlockFleet(t *testing.T) {
 	flt := newFleet(t, 5)
 	data := randomData(1, 96)
@@ -67,9 +65,9 @@
 	}
 }
 
-// Symptom: a host reports chunks that its store lost. Sequence: whole, then the
-// store loses one chunk's bytes, then a new host asks for it. Cause guarded
-// against: corrupt bytes passed on, or a loss that nobody notices.
+// Guards against corrupt bytes that are passed on, and against a loss that goes
+// unnoticed, so that a host keeps reporting the chunk. The store of a host with a complete
+// version corrupts one chunk, then a new host requests it.
 func TestCorruptStoredChunkIsNotServed(t *testing.T) {
 	flt := newFleet(t, 1)
 	data := randomData(1, 16)
--- a/agent/internal/weights/fetch.go
+++ b/agent/internal/weights/fetch.go
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// fetchError says to the core why a fetch failed.
+// fetchError is a failed fetch with the cause that is reported to burst.Core.
 type fetchError struct {
 	cause      burst.Cause
 	retryAfter time.Duration
@@ -26,14 +26,16 @@
 func (e *fetchError) Error() string { return e.err.Error() }
 func (e *fetchError) Unwrap() error { return e.err }
 
+// sourceError wraps a failed connection or an error answered by a source.
 func sourceError(err error) *fetchError { return &fetchError{cause: burst.Broken, err: err} }
 
-// fetch moves one chunk from its source to the host's store and notifies the core.
+// fetchChunk fetches one chunk into the host's store and reports the result to the
+// core.
 func (t *transfer) fetchChunk(ctx context.Context, cancel context.CancelFunc, key fetchKey) {
 	defer cancel()
 	err := t.fetchAndKeep(ctx, key)
 	if ctx.Err() != nil {
-		// The core gave it up, or the transfer ends.
+		// The core cancelled the fetch, or the transfer was stopped.
 		return
 	}
 	hash := chunkHash(t.man.GetChunkHashes()[key.chunk])
@@ -54,14 +56,15 @@
 	signal(t.wake)
 }
 
-// shareHold notifies every version that names the chunk.
+// markHeldInAll marks the chunk as held in every version that contains it.
 func (m *Manager) markHeldInAll(hash chunkHash) {
 	for _, trans := range m.allTransfers() {
 		trans.markHeld(hash)
 	}
 }
 
-// noteProblem remembers what operators should see; t.mu is held.
+// recordProblem records a failed fetch for State.HoldUp, unless a peer was merely
+// busy. t.mu must be held.
 func (t *transfer) recordProblem(key fetchKey, err *fetchError) {
 	from := "host " + key.source
 	if key.source == burst.Origin {
@@ -70,11 +73,11 @@
 	if err.cause == burst.Busy && key.source != burst.Origin {
 		return
 	}
-	t.problem = "a chunk from " + from + " failed: " + err.Error()
-	t.mgr.cfg.Log.Debug("a chunk failed", "version", t.version, "chunk", key.chunk, "from", from, "error", err)
+	t.problem = "fetching a chunk from " + from + " failed: " + err.Error()
+	t.mgr.cfg.Log.Debug("fetching a chunk failed", "version", t.version, "chunk", key.chunk, "from", from, "error", err)
 }
 
-// fetchAndKeep fetches one chunk and keeps it if it is what its hash names.
+// fetchAndKeep fetches one chunk and stores it if its bytes match its hash.
 //
 // Rule VERIFY of spec/gate.pml.
 func (t *transfer) fetchAndKeep(ctx context.Context, key fetchKey) *fetchError {
@@ -93,14 +96,15 @@
 			"the bytes do not match the chunk's hash", "it is fetched from another source")}
 	}
 	if err := t.mgr.store.put(ctx, hash, data); err != nil {
-		// Without a pause a store that refuses would make the fleet send the
-		// chunk over and over.
+		// Without a pause, a store that refuses the chunk would make the fleet send
+		// it over and over.
 		_ = t.mgr.sleep(ctx, storeRetryDelay)
 		return &fetchError{cause: burst.Dropped, err: err}
 	}
 	return nil
 }
 
+// download receives one chunk from the origin or a peer and counts its bytes.
 func (t *transfer) download(ctx context.Context, key fetchKey) ([]byte, *fetchError) {
 	size := manifest.ChunkSize(t.man, key.chunk)
 	if key.source == burst.Origin {
@@ -113,7 +117,7 @@
 	return data, err
 }
 
-// drawChunk asks the origin for one chunk.
+// chunkFromOrigin requests one chunk from Config.Source or the HTTP origin.
 func (t *transfer) chunkFromOrigin(ctx context.Context, chunk, size int) ([]byte, *fetchError) {
 	fetchChunk := t.mgr.cfg.Source.Chunk
 	if fetchChunk == nil {
@@ -132,7 +136,8 @@
 	return data, nil
 }
 
-// chunkFromPeer asks a peer for one chunk and takes over what it reports.
+// chunkFromPeer requests one chunk from a peer. Request and answer also carry the
+// hosts' reports of their chunks.
 func (t *transfer) chunkFromPeer(ctx context.Context, id string, index, size int) ([]byte, *fetchError) {
 	report := t.report()
 	req := &wire.ChunkRequest{
@@ -148,8 +153,8 @@
 	})
 }
 
-// fromPeer asks a peer for one chunk, or for the manifest; answered gets the
-// first message.
+// requestFromPeer requests one chunk or the manifest from a peer and passes the first
+// message of the answer to onFirst.
 func (m *Manager) requestFromPeer(ctx context.Context, id string, req *wire.ChunkRequest, limit int,
 	onFirst func(first *wire.ChunkData)) ([]byte, *fetchError) {
 	client, err := m.client(ctx, id)
@@ -174,20 +179,21 @@
 	return m.readPieces(ctx, stream, first, int(first.GetSize()))
 }
 
+// peerRefusal returns why a peer's first message starts no chunk; nil if it does.
 func peerRefusal(first *wire.ChunkData, limit int) *fetchError {
 	switch size := int(first.GetSize()); {
 	case first.GetRetryAfterMillis() > 0:
 		wait := time.Duration(first.GetRetryAfterMillis()) * time.Millisecond
 		return &fetchError{cause: burst.Busy, retryAfter: wait, err: errors.New("the host is busy")}
 	case size == 0:
-		return &fetchError{cause: burst.Lacks, err: errors.New("the host lacks the chunk")}
+		return &fetchError{cause: burst.Lacks, err: errors.New("the host does not have the chunk")}
 	case size > limit:
 		return &fetchError{cause: burst.Corrupt, err: errors.New("the chunk is larger than the manifest says")}
 	}
 	return nil
 }
 
-// readPieces reads a chunk's bytes at the pace of the downlink.
+// readPieces receives a chunk's bytes at the rate of the downlink.
 func (m *Manager) readPieces(ctx context.Context, stream wire.DRPCHost_ChunkClient, piece *wire.ChunkData, size int) ([]byte, *fetchError) {
 	data := make([]byte, 0, size)
 	for {
@@ -209,7 +215,8 @@
 	}
 }
 
-// fromOrigin reads one object of the origin at the pace of the downlink.
+// downloadFromOrigin downloads one object from the HTTP origin at the rate of the
+// downlink.
 func (m *Manager) downloadFromOrigin(ctx context.Context, path string, limit int) ([]byte, *fetchError) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, m.cfg.OriginURL+path, nil)
 	if err != nil {
@@ -226,9 +233,10 @@
 	return m.readBody(ctx, resp.Body, limit)
 }
 
-// maxRetryAfter bounds the pause that the origin can ask for.
+// maxRetryAfter bounds the pause that the origin can request by Retry-After.
 const maxRetryAfter = time.Minute
 
+// originRefusal converts a response other than 200 OK to an error; 429 means busy.
 func originRefusal(resp *http.Response) *fetchError {
 	err := &fetchError{cause: burst.Broken, err: failure.New(failure.Unavailable,
 		"the origin answered "+resp.Status, "check the origin and that it holds the version")}
@@ -242,6 +250,7 @@
 	return err
 }
 
+// readBody reads at most limit bytes of a body at the rate of the downlink.
 func (m *Manager) readBody(ctx context.Context, body io.Reader, limit int) ([]byte, *fetchError) {
 	data := make([]byte, 0, limit)
 	for {
--- a/agent/internal/weights/fleet_test.go
+++ b/agent/internal/weights/fleet_test.go
@@ -28,7 +28,7 @@
 
 const testChunkBytes = 16 << 10
 
-// testOrigin serves manifests and chunks over HTTP and counts the bytes.
+// testOrigin serves manifests and chunks over HTTP and counts the bytes sent.
 type testOrigin struct {
 	mu      sync.Mutex
 	objects map[string][]byte // by path
@@ -62,13 +62,15 @@
 	o.mu.Unlock()
 }
 
+// setFault sets a handler that runs before each answer and returns whether it has
+// answered the request; nil removes it.
 func (o *testOrigin) setFault(fault func(path string, writer http.ResponseWriter) bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.fault = fault
 }
 
-// publish stores the data as a version.
+// publish makes the origin serve the data as a version and returns the version's name.
 func (o *testOrigin) publish(t *testing.T, data []byte) string {
 	t.Helper()
 	man := manifest.Build("parcel", manifest.KindBase, "", testChunkBytes, data)
@@ -87,7 +89,7 @@
 	return version
 }
 
-// chunkBytes returns the bytes of chunks that were sent.
+// chunkBytesSent returns how many bytes of chunks the origin has sent.
 func (o *testOrigin) chunkBytesSent() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,7 +102,7 @@
 	return total
 }
 
-// memoryStore is the host's store.
+// memoryStore is a host's chunk store in memory.
 type memoryStore struct {
 	mu     sync.Mutex
 	chunks map[string][]byte
@@ -140,7 +142,7 @@
 	return all, nil
 }
 
-// check compares the store with a whole version.
+// requireData fails the test unless the store holds all chunks of the data.
 func (s *memoryStore) requireData(t *testing.T, data []byte) {
 	t.Helper()
 	s.mu.Lock()
@@ -154,15 +156,15 @@
 	}
 }
 
-// testHost is one Manager behind a drpc listener.
+// testHost is a Manager behind a DRPC listener.
 type testHost struct {
 	wire.DRPCHostUnimplementedServer
 	node  *wire.Node
 	mgr   *Manager
 	store *memoryStore
-	// tamper changes the chunks that the host sends; nil leaves them.
+	// tamper modifies the chunks that the host sends; nil leaves them unchanged.
 	tamper func(data *wire.ChunkData)
-	// stalled makes the host take requests for chunks and answer none.
+	// stalled makes the host accept requests for chunks and answer none.
 	stalled atomic.Bool
 	stop    context.CancelFunc
 }
@@ -182,6 +184,7 @@
 	return h.mgr.Have(ctx, req)
 }
 
+// tamperingStream modifies each message before it is sent.
 type tamperingStream struct {
 	wire.DRPCHost_ChunkStream
 	tamper func(data *wire.ChunkData)
@@ -193,12 +196,13 @@
 	return s.DRPCHost_ChunkStream.Send(copied)
 }
 
+// fleet is a set of test hosts with one origin.
 type fleet struct {
 	t      *testing.T
 	origin *testOrigin
 	mu     sync.Mutex
 	hosts  []*testHost
-	listed []*wire.Node // those that are listed
+	listed []*wire.Node // nodes in the list of peers
 }
 
 func newFleet(t *testing.T, hosts int) *fleet {
@@ -215,6 +219,7 @@
 	return append([]*wire.Node(nil), f.listed...)
 }
 
+// add starts a host and adds it to the list of peers.
 func (f *fleet) add(id string, store *memoryStore, tamper func(*wire.ChunkData)) *testHost {
 	f.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -270,13 +275,13 @@
 	h.mgr.SetTargets(targets, Policy{Objective: "time", OriginCopies: 1})
 }
 
-// await polls until the condition holds; the limit only ends a broken test.
+// await polls until the condition holds and fails the test after 30 s.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	limit := time.Now().Add(30 * time.Second)
 	for !holds() {
 		if time.Now().After(limit) {
-			t.Fatalf("got no %s in time, want it", what)
+			t.Fatalf("timeout while waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/agent/internal/weights/manager.go
+++ b/agent/internal/weights/manager.go
@@ -1,9 +1,10 @@
-// Package weights brings versions of weights onto the host: it fetches their
-// chunks from peers and the origin, verifies them and passes them to the host's
-// store through a bounded window of memory.
+// Package weights downloads versions of model weights to the host: it fetches
+// their chunks from peers and the origin, verifies them and writes them to the
+// host's store. The bytes of chunks in memory are bounded.
 //
-// One transfer a version: a goroutine that feeds a burst.Core with events and
-// does what it decides. Filters of one chunk: fetch, verify, keep.
+// Each version has one transfer: a goroutine that passes events to a burst.Core
+// and performs the actions that it decides on. Each chunk is fetched, verified
+// and then stored.
 package weights
 
 import (
@@ -25,87 +26,91 @@
 )
 
 const (
-	// maxWindowBytes bounds the chunks in memory at once.
+	// maxWindowBytes bounds the bytes of chunks in memory at once.
 	maxWindowBytes = 64 << 20
-	// defaultWindowBytes is the window where the settings name none.
+	// defaultWindowBytes is the window size if the settings give none.
 	defaultWindowBytes = 32 << 20
-	// minWindowBytes lets one chunk come in while another goes out.
+	// minWindowBytes lets the host receive one chunk while it sends another.
 	minWindowBytes = 2 * manifest.MaxChunkBytes
-	// slowInterval is how often the suffering of live requests is looked at.
+	// linkUpdateInterval is how often the link's shares are adapted to how much
+	// live requests are slowed down.
 	linkUpdateInterval = 250 * time.Millisecond
 )
 
-// Config holds what a Manager needs from its process.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	Self  *wire.Node
 	Clock clockwork.Clock
 	Log   *slog.Logger
-	// Peers returns the agents known now, in any order, without lost ones.
+	// Peers returns the agents known at present, in any order, without those
+	// that are considered lost.
 	Peers func() []*wire.Node
-	// Dial returns a connection to the control address of a peer.
+	// Dial returns a connection to a peer's control address.
 	Dial func(ctx context.Context, address string) drpc.Conn
-	// OriginURL is the base address of the origin of weights.
+	// OriginURL is the base URL of the server that publishes the weights.
 	OriginURL string
 	// Source replaces the origin at OriginURL where its fields are set.
 	Source Source
-	// HTTP is used for the origin alone; nil means a client of its own.
+	// HTTP is used for requests to the origin only; nil means a new client.
 	HTTP *http.Client
 	Link *wire.LinkSettings
-	// WindowBytes bounds the chunks in memory; 0 means 32 MiB; 4 to 64 MiB
-	// are possible.
+	// WindowBytes bounds the bytes of chunks in memory, from 4 to 64 MiB; 0
+	// means 32 MiB.
 	WindowBytes uint64
-	// Fetches returns the bound for the chunks of one version requested at once;
-	// nil stands for 6. What is on its way waits before this host's link, and so
-	// do the bytes of live requests behind it.
+	// Fetches returns how many chunks of one version may be requested at once;
+	// nil means 6. Requested chunks queue up in front of this host's link and
+	// delay the bytes of live requests that queue behind them.
 	Fetches func() int
-	// DrawWindow is the chunks that the fleet draws at once; 0: as burst does.
+	// DrawWindow is how many chunks the fleet fetches from the origin at once; 0
+	// means the default of package burst.
 	DrawWindow int
-	// MaxBackoff bounds the pause after the origin failed; 0 stands for 15 s.
+	// MaxBackoff bounds the pause after a failed request to the origin; 0 means
+	// 15 s.
 	MaxBackoff time.Duration
-	// DearRegions keeps bytes between regions few.
+	// DearRegions keeps the traffic between regions low.
 	DearRegions bool
-	// Strategy is one of the burst package's strategies; empty means swarm.
+	// Strategy is one of package burst's strategies; empty means swarm.
 	Strategy string
 
-	// PutChunk keeps verified bytes on the host under their hash.
+	// PutChunk stores verified bytes on the host under their hash.
 	PutChunk func(ctx context.Context, hash, data []byte) error
-	// GetChunk reads kept bytes back; an error of kind failure.NotFound says
-	// that the host no longer has them.
+	// GetChunk reads stored bytes; an error of kind failure.NotFound means that
+	// the host no longer has them.
 	GetChunk func(ctx context.Context, hash []byte) ([]byte, error)
-	// ReadBack is GetChunk as the host would use the bytes now, where GetChunk may
-	// answer from elsewhere; nil stands for GetChunk.
+	// ReadBack reads the bytes from where the host would use them, for stores
+	// whose GetChunk may return them from another place; nil means GetChunk.
 	ReadBack func(ctx context.Context, hash []byte) ([]byte, error)
-	// DropChunk forgets kept bytes.
+	// DropChunk deletes stored bytes.
 	DropChunk func(ctx context.Context, hash []byte) error
-	// HeldChunks lists the hashes kept; their bytes are verified again before
-	// a Manager trusts them.
+	// HeldChunks lists the hashes of the stored chunks. The Manager verifies
+	// their bytes again before it uses them.
 	HeldChunks func(ctx context.Context) ([][]byte, error)
-	// TokensSlow returns 0 to 1: how much live requests suffer; nil means
-	// that they don't.
+	// TokensSlow returns how much live requests are slowed down, from 0 to 1;
+	// nil means not at all.
 	TokensSlow func() float64
-	// LinkShares returns the parts of the link, up and down, that transfers may
-	// take; it goes before TokensSlow.
+	// LinkShares returns the shares of the link, up and down, that transfers may
+	// use. If set, TokensSlow is ignored.
 	LinkShares func() (up, down float64)
-	// Broken is called with an invariant that does not hold, once a rule and
-	// version; nil logs it.
+	// OnInvariantViolation is called, besides the log entry, with the rule of an
+	// invariant that does not hold, once for each rule and version; may be nil.
 	OnInvariantViolation func(rule string)
 }
 
-// Source is another origin than the one at Config.OriginURL, and how its
-// versions are named and checked. Either all fields are set or none.
+// Source replaces the HTTP origin at Config.OriginURL and defines how its
+// versions are named and verified. Either all fields are set or none.
 type Source struct {
-	// Manifest returns a version's encoded manifest, which Decode takes.
+	// Manifest returns a version's encoded manifest, as Decode expects it.
 	Manifest func(ctx context.Context, version string) ([]byte, error)
 	// Chunk returns a chunk of at most limit bytes. An error of kind
-	// failure.Exhausted asks to come back later.
+	// failure.Exhausted means that the source is busy: retry later.
 	Chunk func(ctx context.Context, version string, index, limit int) ([]byte, error)
-	// Decode reads an encoded manifest if it is the version's.
+	// Decode decodes a manifest and returns an error if it is not the version's.
 	Decode func(encoded []byte, version string) (*wire.Manifest, error)
-	// Verify reports whether the bytes are the chunk that the hash names.
+	// Verify reports whether the chunk's bytes match the hash.
 	Verify func(chunk, hash []byte) bool
 }
 
-// Manager moves weights for one host. It is safe for concurrent use.
+// Manager transfers weights for one host. It is safe for concurrent use.
 type Manager struct {
 	cfg         Config
 	link        *link.Link
@@ -113,21 +118,21 @@
 	store       *store
 	uploads     *uploadQueue
 	window      *semaphore.Weighted // bytes of chunks in memory
-	windowBytes int64               // of the window, bytes
-	changed     chan struct{}       // buffered by one: a change not yet seen
-	wake        chan struct{}       // buffered by one: targets not yet applied
+	windowBytes int64               // size of window
+	changed     chan struct{}       // capacity 1: signals a change of a State
+	wake        chan struct{}       // capacity 1: signals targets that are not applied yet
 
 	mu              sync.RWMutex // guards the fields below
 	targets         []Target
 	policy          Policy
-	transfers       map[string]*transfer // by version: targets and kept ones
-	peerAddresses   map[string]string    // control address by peer id, as newly listed
-	callerAddresses map[string]string    // the same as callers stated, at most maxAddresses
+	transfers       map[string]*transfer // by version: targets and those in policy.Keep
+	peerAddresses   map[string]string    // control address by peer id, from the latest list of peers
+	callerAddresses map[string]string    // the same as stated by callers, at most maxCallerAddresses
 
 	originBytes, peerBytes, sentBytes atomic.Uint64
 }
 
-// New returns a Manager; Run makes it work.
+// New returns a Manager; Run starts its work.
 func New(cfg Config) *Manager {
 	window := int64(min(cfg.WindowBytes, maxWindowBytes))
 	if window == 0 {
@@ -165,7 +170,8 @@
 	}
 }
 
-// broken reports an invariant of a version's core that does not hold.
+// reportViolation logs an invariant of a version's burst.Core that does not hold
+// and passes it to Config.OnInvariantViolation.
 func (m *Manager) reportViolation(version, rule string) {
 	m.cfg.Log.Error("invariant broke", "rule", rule, "version", version)
 	if m.cfg.OnInvariantViolation != nil {
@@ -173,10 +179,11 @@
 	}
 }
 
-// Link returns the pacing of the host's link, for the bytes of live requests.
+// Link returns the rate limiter of the host's link, so that the bytes of live
+// requests can be counted as well.
 func (m *Manager) Link() *link.Link { return m.link }
 
-// Run moves weights until ctx is done.
+// Run applies the targets and transfers their chunks until ctx is done.
 func (m *Manager) Run(ctx context.Context) error {
 	if err := m.registerStoredChunks(ctx); err != nil {
 		return err
@@ -194,21 +201,23 @@
 	}
 }
 
-// loadStore asks the host what it kept, until it answers.
+// registerStoredChunks asks the host which chunks it has stored and retries until
+// it answers.
 func (m *Manager) registerStoredChunks(ctx context.Context) error {
 	for {
 		err := m.store.registerStored(ctx)
 		if err == nil {
 			return nil
 		}
-		m.cfg.Log.Warn("the host's store does not answer", "error", err)
+		m.cfg.Log.Warn("listing the chunks in the host's store failed", "error", err)
 		if err := m.sleep(ctx, storeRetryDelay); err != nil {
 			return err
 		}
 	}
 }
 
-// followTokens makes transfers shrink while live requests suffer.
+// updateLinkShares lowers the link's share for transfers while live requests are
+// slowed down.
 func (m *Manager) updateLinkShares(ctx context.Context) {
 	if m.cfg.TokensSlow == nil && m.cfg.LinkShares == nil {
 		return
@@ -224,6 +233,7 @@
 	}
 }
 
+// sleep waits, or returns an error once ctx is done.
 func (m *Manager) sleep(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -233,7 +243,7 @@
 	}
 }
 
-// State returns how far the host is with the version.
+// State returns the progress of a version on this host.
 func (m *Manager) State(version string) State {
 	trans := m.transfer(version)
 	if trans == nil {
@@ -242,7 +252,8 @@
 	return trans.state()
 }
 
-// Manifest returns the verified manifest of a target; nil while unknown.
+// Manifest returns the verified manifest of a target or kept version; nil while
+// unknown.
 func (m *Manager) Manifest(version string) *wire.Manifest {
 	trans := m.transfer(version)
 	if trans == nil {
@@ -257,12 +268,13 @@
 	return m.transfers[version]
 }
 
-// Changed receives after each change of a State; changes may fall together.
+// Changed returns a channel that receives after a change of a State. Changes in quick
+// succession may be signalled only once.
 func (m *Manager) Changed() <-chan struct{} { return m.changed }
 
 func (m *Manager) notifyChange() { signal(m.changed) }
 
-// signal fills a channel that is buffered by one.
+// signal sends to a channel of capacity 1 unless it is full.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -270,14 +282,14 @@
 	}
 }
 
-// Counters returns the bytes of chunks received from the origin and from
-// peers, and those sent to peers, since the start.
+// Counters returns the bytes received from the origin and from peers and those
+// sent to peers since the start.
 func (m *Manager) Counters() (originBytes, peerBytes, sentBytes uint64) {
 	return m.originBytes.Load(), m.peerBytes.Load(), m.sentBytes.Load()
 }
 
-// Recheck reads back every kept chunk of a version and returns how many were
-// not what their hash names; those are fetched again.
+// Recheck reads back and verifies every chunk of a version. It returns how many are
+// corrupt or missing; these are fetched again.
 func (m *Manager) Recheck(ctx context.Context, version string) (bad int, err error) {
 	for _, hash := range m.Manifest(version).GetChunkHashes() {
 		if _, err := m.store.readBack(ctx, chunkHash(hash)); err == nil {
--- a/agent/internal/weights/manager_test.go
+++ b/agent/internal/weights/manager_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// Symptom: a fleet draws a version again although half of it is on the hosts.
-// Sequence: version one is whole, version two shares half its chunks. Cause
-// guarded against: chunks kept by version rather than by hash.
+// Guards against chunks stored by version instead of by hash: then the fleet fetches a
+// version completely from the origin although it shares half of its chunks with the
+// version that the hosts already have.
 func TestSharedChunksAreReused(t *testing.T) {
 	flt := newFleet(t, 3)
 	firstData := randomData(1, 32)
@@ -41,16 +41,16 @@
 	flt.awaitWhole(secondVersion)
 	fetched := flt.origin.chunkBytesSent() - before
 	if want := 20 * testChunkBytes; fetched > want {
-		t.Errorf("got %d bytes drawn for the second version, want at most %d", fetched, want)
+		t.Errorf("got %d bytes from the origin for the second version, want at most %d", fetched, want)
 	}
 	for _, host := range flt.hosts {
 		host.store.requireData(t, secondData)
-		await(t, "drop of what is not needed", func() bool {
+		await(t, "drop of unneeded chunks", func() bool {
 			held, _ := host.store.held(t.Context())
 			return len(held) == 32
 		})
 		if got := host.mgr.State(firstVersion).Phase(); got != Absent {
-			t.Errorf("got %s for the version that left, want %s", got, Absent)
+			t.Errorf("got %s for the version that is not a target any more, want %s", got, Absent)
 		}
 	}
 }
@@ -74,9 +74,9 @@
 	}
 }
 
-// Symptom: a host would serve weights that nobody published. Sequence: the
-// origin answers another manifest under the version's name, later the right
-// one. Cause guarded against: a manifest taken without its hash checked.
+// Guards against a manifest that is accepted without a check of its hash, so that a host
+// serves weights that nobody published. The origin first answers with another manifest
+// under the version's name, later with the right one.
 func TestMismatchedManifestFailsUntilOriginServesRightOne(t *testing.T) {
 	flt := newFleet(t, 2)
 	data := randomData(1, 8)
@@ -93,16 +93,16 @@
 	for _, host := range flt.hosts {
 		await(t, "failed state", func() bool { return host.mgr.State(version).Phase() == Failed })
 		if got := host.mgr.State(version).HoldUp(); !strings.Contains(got, "does not match") {
-			t.Errorf("got hold-up %q, want the reason", got)
+			t.Errorf("got reason %q, want the mismatch", got)
 		}
 	}
 	flt.origin.setFault(nil)
 	flt.awaitWhole(version)
 }
 
-// Symptom: corrupt weights on a host after a restart of its agent. Sequence:
-// whole, the agent stops, the host's memory loses one chunk's bytes, the agent
-// starts. Cause guarded against: trust in bytes kept by an earlier process.
+// Guards against stored chunks of an earlier process that are used without verification,
+// so that a host has corrupt weights after a restart of its agent. One chunk in the host's
+// memory is corrupted between the stop and the start of the agent.
 func TestRestartVerifiesStoredChunks(t *testing.T) {
 	flt := newFleet(t, 2)
 	data := randomData(1, 16)
@@ -126,9 +126,9 @@
 	}
 }
 
-// Symptom: a fleet stands still or passes corrupt weights on. Sequence: one
-// host corrupts every chunk that it sends. Cause guarded against: bytes kept
-// or passed on before they were verified, a corrupt source asked for ever.
+// Guards against bytes that are stored or passed on before they are verified, and against
+// endless requests to a corrupt source, which stall the fleet. One host corrupts every
+// chunk that it sends.
 func TestFleetCompletesDespiteCorruptingPeer(t *testing.T) {
 	flt := newFleet(t, 4)
 	flt.add("host-corrupt", &memoryStore{chunks: map[string][]byte{}}, func(piece *wire.ChunkData) {
@@ -145,9 +145,8 @@
 	}
 }
 
-// Symptom: the origin is overrun when it comes back. Sequence: it refuses
-// everything over its rate for the first requests, then answers. Cause guarded
-// against: requests repeated without heed to Retry-After.
+// Guards against retries that ignore Retry-After, which overload an origin that has just
+// recovered. The origin answers the first requests with 429, later ones normally.
 func TestFleetCompletesAfterOriginRateLimit(t *testing.T) {
 	flt := newFleet(t, 3)
 	data := randomData(1, 16)
--- a/agent/internal/weights/manifests.go
+++ b/agent/internal/weights/manifests.go
@@ -12,34 +12,37 @@
 )
 
 const (
-	// manifestIndex in a ChunkRequest asks for the encoded manifest.
+	// manifestIndex as the index of a ChunkRequest requests the encoded manifest.
 	manifestIndex = math.MaxUint32
-	// maxManifestBytes bounds a manifest: 65,536 chunks and some.
+	// maxManifestBytes bounds an encoded manifest: 65,536 chunk hashes of 32 bytes
+	// and 64 KiB for the rest.
 	maxManifestBytes = 2<<20 + 64<<10
-	// manifestOwners draw the manifest from the origin; the others ask them
-	// and one another, so that the origin does not send one to each host.
+	// manifestOwnerCount is how many hosts, the owners, fetch the manifest from the
+	// origin without delay. The others ask them and one another, so that the origin does not send
+	// the manifest to each host.
 	manifestOwnerCount = 3
-	// manifestPatience is how long the others wait before they ask the origin.
+	// manifestOriginDelay scales, by rank, how long the other hosts wait before they
+	// ask the origin as well.
 	manifestOriginDelay    = 3 * time.Second
 	manifestRequestTimeout = 2 * time.Second
 	manifestRetryDelay     = 75 * time.Millisecond
-	// manifestHold is how long a host that fetches the manifest itself lets
-	// another wait for it: as long as that one waits, so that the other has it as
-	// soon as this one.
+	// manifestWaitTimeout is how long a host that has no manifest yet keeps a peer's
+	// request for it open. It equals the peer's own timeout, so that the peer gets
+	// the manifest as soon as this host has it.
 	manifestWaitTimeout = manifestRequestTimeout
-	// manifestAsks is how many peers a host asks at once. Those that have no manifest
-	// ask others in turn, so that it comes from whoever has it over all who wait, at
-	// once; with one each, few chains of hosts that wait lead there, and one host
-	// that answers nothing ends a chain.
+	// parallelManifestRequests is how many peers a host asks at once. Peers without
+	// the manifest ask others in turn, so it reaches all waiting hosts at once through
+	// chains of open requests. With one request for each host, few chains lead to a
+	// host that has the manifest, and one host that does not answer breaks a chain.
 	parallelManifestRequests = 3
-	// originRetry and maxOriginRetry bound the pause after the origin failed,
-	// the latter where the configuration does not say.
+	// initialOriginBackoff is the first pause after a failed request to the origin,
+	// without jitter; maxOriginBackoff bounds the pause if Config.MaxBackoff is not set.
 	initialOriginBackoff = 500 * time.Millisecond
 	maxOriginBackoff     = 15 * time.Second
 )
 
-// fetchManifest gets the manifest from a peer or the origin and checks it
-// against the version, until that succeeds or ctx is done.
+// fetchManifest fetches the manifest from a peer or the origin and verifies it
+// against the version. It retries until that succeeds or ctx is done.
 func (t *transfer) fetchManifest(ctx context.Context) error {
 	startedAt := t.now()
 	backoff := min(initialOriginBackoff, t.mgr.cfg.MaxBackoff/2)
@@ -50,8 +53,8 @@
 				return nil
 			}
 			nextOriginAttempt = t.now().Add(backoff + rand.N(backoff))
-			// All hosts wait for a manifest, and few draw it: they ask more often than
-			// those who draw chunks.
+			// All hosts wait for the manifest and few request it from the origin, so
+			// these retry more often than for chunks, with half the maximum backoff.
 			backoff = min(2*backoff, t.mgr.cfg.MaxBackoff/2)
 		}
 		timeout := manifestRequestTimeout
@@ -67,10 +70,11 @@
 	}
 }
 
-// manifestKey is what hosts are ranked for by their right to draw the manifest.
+// manifestRankKey is the rendezvous key that ranks the hosts for fetching the manifest
+// from the origin.
 func (t *transfer) manifestRankKey() string { return "manifest/" + t.version }
 
-// peerIDs returns the ids of the other hosts.
+// peerIDs returns the ids of the other known hosts.
 func (t *transfer) peerIDs() []string {
 	peers := t.mgr.peers()
 	ids := make([]string, 0, len(peers))
@@ -80,8 +84,9 @@
 	return ids
 }
 
-// drawsManifest reports whether this host may ask the origin: an owner at once,
-// the others by rank after a while, so that they do not come together.
+// mayAskOriginForManifest reports whether this host may ask the origin: the owners
+// at once, the others after a delay that grows with their
+// rank, so that they do not all ask at the same time.
 func (t *transfer) mayAskOriginForManifest(startedAt time.Time) bool {
 	rank := rendezvous.Rank(t.manifestRankKey(), t.mgr.cfg.Self.GetId(), t.peerIDs())
 	if rank < manifestOwnerCount {
@@ -91,6 +96,8 @@
 	return t.now().Sub(startedAt) >= wait
 }
 
+// fetchManifestFromOrigin fetches the manifest from the origin and starts the core
+// with it.
 func (t *transfer) fetchManifestFromOrigin(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, manifestRequestTimeout)
 	defer cancel()
@@ -103,6 +110,7 @@
 	return t.acceptManifest(encoded)
 }
 
+// downloadManifest downloads the encoded manifest from Config.Source or the HTTP origin.
 func (t *transfer) downloadManifest(ctx context.Context) ([]byte, error) {
 	if fetchManifest := t.mgr.cfg.Source.Manifest; fetchManifest != nil {
 		return fetchManifest(ctx, t.version)
@@ -114,7 +122,8 @@
 	return encoded, nil
 }
 
-// acceptManifest begins the transfer if the bytes are the version's manifest.
+// acceptManifest starts the core if the origin's bytes are the version's manifest;
+// otherwise the version is marked as failed.
 func (t *transfer) acceptManifest(encoded []byte) error {
 	man, err := t.mgr.cfg.Source.Decode(encoded, t.version)
 	if err == nil {
@@ -122,7 +131,7 @@
 		t.mgr.notifyChange()
 		return nil
 	}
-	t.mgr.cfg.Log.Warn("a manifest was refused", "version", t.version, "error", err)
+	t.mgr.cfg.Log.Warn("the manifest from the origin was rejected", "version", t.version, "error", err)
 	t.mu.Lock()
 	t.failed, t.problem = true, err.Error()
 	t.mu.Unlock()
@@ -130,9 +139,9 @@
 	return err
 }
 
-// manifestFromPeers asks a few peers at once, others as these fail, until one sends the
-// manifest or patience ends. A peer may let this host wait: one that draws the manifest itself
-// has no longer patience than until its next draw.
+// fetchManifestFromPeers asks several peers at once, and others when these fail, until
+// one sends the manifest or the timeout expires. A peer may keep the request open, so a
+// host that may ask the origin passes a timeout that ends with its next attempt there.
 func (t *transfer) fetchManifestFromPeers(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -158,14 +167,14 @@
 	}
 }
 
-// manifestFound is a manifest that is the version's.
+// verifiedManifest is a manifest that matches the version, decoded and encoded.
 type verifiedManifest struct {
 	man     *wire.Manifest
 	encoded []byte
 }
 
-// seekManifest asks one peer after the other until ctx is done, every second time an owner if
-// it is to; nil: none sent the manifest.
+// askPeersForManifest asks one peer after the other until one sends the manifest; nil
+// once ctx is done. With preferOwners it asks an owner in half of the cases.
 func (t *transfer) askPeersForManifest(ctx context.Context, preferOwners bool) *verifiedManifest {
 	for {
 		if id := t.pickManifestPeer(preferOwners && rand.IntN(2) == 0); id != "" {
@@ -179,7 +188,8 @@
 	}
 }
 
-// manifestPeer returns a peer to ask, an owner if one is wanted; none where no peer is known.
+// pickManifestPeer returns the id of a random peer, or of a random owner; empty if no
+// peer is known.
 func (t *transfer) pickManifestPeer(ownersOnly bool) string {
 	peers := t.peerIDs()
 	if ownersOnly {
@@ -191,7 +201,8 @@
 	return peers[rand.IntN(len(peers))]
 }
 
-// askManifest asks one peer; nil: it sent none that is the version's.
+// requestManifest asks one peer for the manifest; nil if it sends none that matches the
+// version.
 func (t *transfer) requestManifest(ctx context.Context, id string) *verifiedManifest {
 	req := &wire.ChunkRequest{From: t.mgr.cfg.Self, Version: t.version, Index: manifestIndex}
 	encoded, fetchErr := t.mgr.requestFromPeer(ctx, id, req, maxManifestBytes, func(*wire.ChunkData) {})
@@ -201,14 +212,14 @@
 	}
 	man, err := t.mgr.cfg.Source.Decode(encoded, t.version)
 	if err != nil {
-		t.mgr.cfg.Log.Warn("a peer sent a wrong manifest", "version", t.version, "peer", id, "error", err)
+		t.mgr.cfg.Log.Warn("a peer sent a manifest that does not match the version", "version", t.version, "peer", id, "error", err)
 		return nil
 	}
 	return &verifiedManifest{man: man, encoded: encoded}
 }
 
-// awaitManifest returns the manifest's bytes for a peer, which may wait a little
-// for them; nil where they did not come.
+// awaitManifest returns the encoded manifest for a peer, after waiting for it up to
+// manifestWaitTimeout; nil if it is still unknown then.
 func (t *transfer) awaitManifest(ctx context.Context) []byte {
 	select {
 	case <-t.manifestKnown:
@@ -218,7 +229,7 @@
 	return t.encodedManifest()
 }
 
-// encodedManifest returns the manifest's bytes for a peer; nil while unknown.
+// encodedManifest returns the encoded manifest; nil while unknown.
 func (t *transfer) encodedManifest() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/internal/weights/manifests_test.go
+++ b/agent/internal/weights/manifests_test.go
@@ -18,10 +18,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Symptom: hosts begin to fetch a version a second after it was named. Sequence:
-// all hosts learn of it at once; two draw its manifest from the origin; the others
-// ask them too early, learn that they have none, and ask others that have none
-// either. Cause: a host that will have the manifest shortly said that it lacks it.
+// Guards against a host that answers that it has no manifest although it will have it
+// shortly. All hosts learn of a version at once and two fetch its manifest from the origin;
+// the others asked those two too early, then asked hosts without the manifest, and began
+// to fetch the version a second late.
 func TestAwaitManifestReturnsItOnArrival(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	trans := newTransfer(&Manager{cfg: Config{Clock: clock}}, "v", Policy{})
@@ -35,7 +35,7 @@
 	close(trans.manifestKnown)
 	trans.mu.Unlock()
 	if text := string(<-got); text != "manifest" {
-		t.Errorf("got %q, want the manifest that came meanwhile", text)
+		t.Errorf("got %q, want the manifest that arrived meanwhile", text)
 	}
 }
 
@@ -54,15 +54,15 @@
 			t.Errorf("got %q, want nothing", text)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("still waits after manifestHold")
+		t.Error("still waits after manifestWaitTimeout")
 	}
 }
 
-// slowHost counts those who ask it for a manifest and answers once it is released.
+// blockingHost counts concurrent requests for a manifest and answers them when released.
 type blockingHost struct {
 	wire.DRPCHostUnimplementedServer
 	active    atomic.Int32
-	requested chan int // how many were waiting then
+	requested chan int // requests waiting, including the new one
 	release   chan struct{}
 	encoded   []byte
 }
@@ -78,15 +78,16 @@
 	return stream.Send(&wire.ChunkData{Size: uint32(len(h.encoded)), Data: h.encoded})
 }
 
-// Symptom: after all hosts lost power, engines get weights that lie beside them 1.5 to 3.4 s
-// after the first few did. Sequence: 88 hosts start together; three draw the manifest; each of
-// the others asks one host, waits there in vain, and asks the next. Cause: one ask at a time
-// ends at a host that has the manifest only by the third or fourth.
+// Guards against requesting the manifest from one peer at a time. After a power loss 88
+// hosts started together and three fetched the manifest from the origin. Each of the others
+// asked one host, waited there in vain and reached a host with the manifest only at the
+// third or fourth request, so that engines got weights already stored on their own host
+// 1.5 to 3.4 s after the first few engines.
 func TestManifestIsRequestedFromSeveralPeersInParallel(t *testing.T) {
 	flt := newFleet(t, 0)
 	version := flt.origin.publish(t, randomData(1, 4))
 	blocking := &blockingHost{requested: make(chan int, 64), release: make(chan struct{}), encoded: flt.origin.objects["/manifests/"+version]}
-	// Only the manifest's owners draw it, and the origin serves nobody.
+	// The origin refuses all requests, and the new host is not an owner of the manifest.
 	flt.origin.setFault(func(_ string, writer http.ResponseWriter) bool {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return true
--- a/agent/internal/weights/peers.go
+++ b/agent/internal/weights/peers.go
@@ -12,11 +12,11 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// exchangeTimeout bounds one swap of reports; its messages are small.
+// exchangeTimeout bounds one exchange of reports, whose messages are small.
 const exchangeTimeout = 2 * time.Second
 
-// peers returns the other agents known now, in the order of their ids, and
-// notes where they listen.
+// peers returns the other agents known at present, sorted by id, and records their
+// addresses.
 func (m *Manager) peers() []burst.Peer {
 	var peers []burst.Peer
 	addresses := map[string]string{}
@@ -33,8 +33,8 @@
 	return peers
 }
 
-// address returns where a peer listens: the list of peers knows, or else the
-// peer stated when it called.
+// address returns a peer's control address from the list of peers, or else the one
+// that the peer stated when it called; empty if unknown.
 func (m *Manager) address(id string) string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -44,16 +44,17 @@
 	return m.callerAddresses[id]
 }
 
+// client returns a client for a peer's host service.
 func (m *Manager) client(ctx context.Context, id string) (wire.DRPCHostClient, error) {
 	address := m.address(id)
 	if address == "" {
 		return nil, failure.New(failure.NotFound, "the address of host "+id+" is unknown",
-			"wait until the list of hosts names it")
+			"wait until the list of hosts contains it")
 	}
 	return wire.NewDRPCHostClient(m.cfg.Dial(ctx, address)), nil
 }
 
-// exchange swaps reports with a peer.
+// exchangeReports sends a report to a peer and passes the peer's own to the core.
 func (t *transfer) exchangeReports(ctx context.Context, id string, report burst.Report) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -71,6 +72,7 @@
 	signal(t.wake)
 }
 
+// sendReport calls a peer's Have with this host's report.
 func (t *transfer) sendReport(ctx context.Context, id string, report burst.Report) (*wire.HaveReply, error) {
 	client, err := t.mgr.client(ctx, id)
 	if err != nil {
@@ -83,8 +85,9 @@
 	})
 }
 
-// Have swaps knowledge of held chunks with a peer: wire.Host's Have. A reply
-// without bitmaps says that this host takes no part in the version.
+// Have takes a peer's report of its chunks and replies with this host's. It implements
+// wire.Host. A reply without bitmaps means that this host does not take part in the
+// transfer of the version.
 func (m *Manager) Have(ctx context.Context, req *wire.HaveRequest) (*wire.HaveReply, error) {
 	from := req.GetFrom()
 	if err := verifyCaller(ctx, from); err != nil {
@@ -105,7 +108,7 @@
 	}, nil
 }
 
-// checkCaller refuses a caller that names a host other than its certificate's.
+// verifyCaller rejects a caller whose message names another host than its certificate.
 func verifyCaller(ctx context.Context, from *wire.Node) error {
 	if caller, known := peer.CallerOf(ctx); known && caller.Node() != from.GetId() {
 		return failure.New(failure.Unauthorized, "the caller's certificate names another host",
@@ -114,9 +117,11 @@
 	return nil
 }
 
-// maxAddresses bounds the callers remembered beside the list of peers.
+// maxCallerAddresses bounds the addresses recorded from callers.
 const maxCallerAddresses = 4096
 
+// recordAddress records the control address that a caller stated, up to
+// maxCallerAddresses callers.
 func (m *Manager) recordAddress(from *wire.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,6 +131,8 @@
 	m.callerAddresses[from.GetId()] = from.GetControlAddress()
 }
 
+// handleReport passes a peer's report to the core and returns this host's; false while
+// the manifest is unknown.
 func (t *transfer) handleReport(from *wire.Node, req *wire.HaveRequest) (burst.Report, bool) {
 	load := t.mgr.uploads.pending()
 	t.mu.Lock()
@@ -142,7 +149,7 @@
 	return t.core.Report(), true
 }
 
-// report returns what to send a peer along with a request or an answer.
+// report returns this host's report, which is sent along with requests and answers.
 func (t *transfer) report() burst.Report {
 	load := t.mgr.uploads.pending()
 	t.mu.Lock()
--- a/agent/internal/weights/serve.go
+++ b/agent/internal/weights/serve.go
@@ -13,11 +13,12 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// sendStall is the time without progress after which an upload's connection is
-// closed: a receiver that stalls without closing would hold a slot for ever.
+// sendStallTimeout is the time without progress after which an upload's connection is
+// closed. A receiver that stalls without closing it would occupy a slot for ever.
 const sendStallTimeout = 10 * time.Second
 
-// Chunk sends one chunk to a peer, paced by the uplink: wire.Host's Chunk.
+// Chunk sends one chunk, or the manifest, to a peer at the rate of the uplink. It
+// implements wire.Host.
 func (m *Manager) Chunk(req *wire.ChunkRequest, stream wire.DRPCHost_ChunkStream) error {
 	ctx := stream.Context()
 	if err := verifyCaller(ctx, req.GetFrom()); err != nil {
@@ -49,7 +50,7 @@
 	return m.sendChunk(ctx, stream, trans, hash)
 }
 
-// observeRequest takes over what a request reports of its sender.
+// handleRequestReport passes the report in a peer's request to the core.
 func (t *transfer) handleRequestReport(req *wire.ChunkRequest) {
 	if len(req.GetChunks()) == 0 {
 		return
@@ -64,12 +65,14 @@
 	})
 }
 
-// firstPiece returns an answer that bears this host's report.
+// newReply returns the first message of an answer, with this host's report.
 func (t *transfer) newReply() *wire.ChunkData {
 	report := t.report()
 	return &wire.ChunkData{Chunks: report.Held, Drawn: report.Drawn, UploadQueue: uint32(report.Queue)}
 }
 
+// sendChunk sends a stored chunk, or an empty answer if it cannot be read. A corrupt
+// or missing chunk is marked as lost.
 func (m *Manager) sendChunk(ctx context.Context, stream wire.DRPCHost_ChunkStream, trans *transfer, hash chunkHash) error {
 	size := int64(trans.manifest().GetChunkBytes())
 	if err := m.window.Acquire(ctx, size); err != nil {
@@ -83,15 +86,15 @@
 	if ctx.Err() != nil {
 		return err
 	}
-	m.cfg.Log.Warn("a kept chunk cannot be read", "version", trans.version, "error", err)
+	m.cfg.Log.Warn("reading a stored chunk failed", "version", trans.version, "error", err)
 	if kind := failure.KindOf(err); kind == failure.Corrupt || kind == failure.NotFound {
 		m.markLostInAll(hash)
 	}
 	return stream.Send(&wire.ChunkData{})
 }
 
-// send streams data in small pieces at the pace of the uplink; no data means
-// that this host lacks it.
+// send streams data in small pieces at the rate of the uplink. Empty data tells the
+// peer that this host does not have it.
 func (m *Manager) send(stream wire.DRPCHost_ChunkStream, piece *wire.ChunkData, data []byte) error {
 	piece.Size = uint32(len(data))
 	if len(data) == 0 {
@@ -113,6 +116,8 @@
 	return nil
 }
 
+// sendPiece sends one message and closes the connection if that takes longer than
+// sendStallTimeout.
 func (m *Manager) sendPiece(stream wire.DRPCHost_ChunkStream, piece *wire.ChunkData) error {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if conn, isConn := transport.(net.Conn); ok && isConn {
@@ -122,7 +127,8 @@
 	return stream.Send(piece)
 }
 
-// heldHash returns the hash of a chunk that the host holds.
+// heldHash returns the hash of the chunk at an index; false if the host does not
+// hold it.
 func (t *transfer) heldHash(index uint32) (chunkHash, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,20 +138,21 @@
 	return chunkHash(t.man.GetChunkHashes()[index]), true
 }
 
-// turnOf returns the place of a peer's request among those that wait.
+// uploadRank returns the rank of a peer's request in the upload queue.
 func (t *transfer) uploadRank(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.core.Turn(id)
 }
 
-// Lost notes that the host no longer has a chunk: its store laid another one over it.
+// Lost records that the host no longer has a chunk because its store has overwritten
+// it with another one.
 func (m *Manager) Lost(hash []byte) {
 	m.store.forget(chunkHash(hash))
 	m.markLostInAll(chunkHash(hash))
 }
 
-// shareLoss notifies every version that the host no longer has the chunk.
+// markLostInAll marks the chunk as lost in every version that contains it.
 func (m *Manager) markLostInAll(hash chunkHash) {
 	for _, trans := range m.allTransfers() {
 		trans.markLost(hash)
@@ -153,6 +160,7 @@
 	m.notifyChange()
 }
 
+// markLost marks a chunk as lost at each index where the version contains it.
 func (t *transfer) markLost(hash chunkHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/internal/weights/state.go
+++ b/agent/internal/weights/state.go
@@ -1,6 +1,6 @@
 package weights
 
-// Phases of a version on one host, as wire.VersionState names them.
+// Phases of a version on one host, with the names in wire.VersionState.
 const (
 	Absent   = "absent"
 	Fetching = "fetching"
@@ -8,27 +8,30 @@
 	Failed   = "failed"
 )
 
-// State is how far the host is with one version.
+// State describes the progress of one version on this host.
 type State struct {
 	phase       string // Absent, Fetching, Whole or Failed
-	have        int    // chunks verified and kept, at most total
+	have        int    // chunks verified and stored, at most total
 	total       int    // 0 while the manifest is unknown
-	drawn       int    // chunks that left the origin, as far as known
-	stallReason string // why it stands still; empty otherwise
+	drawn       int    // chunks that some host fetched from the origin, as far as known
+	stallReason string // why there is no progress; empty otherwise
 }
 
 // Phase returns Absent, Fetching, Whole or Failed. Whole means that the
-// manifest matched the version and every chunk was verified and kept.
+// manifest matched the version and every chunk was verified and stored.
 func (s State) Phase() string { return s.phase }
 
-// Have returns the chunks kept.
+// Have returns the number of stored chunks.
 func (s State) Have() int { return s.have }
 
-// Total returns the chunks of the version; 0 while its manifest is unknown.
+// Total returns the number of chunks of the version; 0 while its manifest is
+// unknown.
 func (s State) Total() int { return s.total }
 
-// Drawn returns the chunks that left the origin, as far as this host knows.
+// Drawn returns how many chunks were fetched from the origin by any host, as far as
+// this host knows.
 func (s State) Drawn() int { return s.drawn }
 
-// HoldUp returns why the version stands still; empty otherwise.
+// HoldUp returns the reason why the version makes no progress; empty if it does or
+// if it is complete.
 func (s State) HoldUp() string { return s.stallReason }
--- a/agent/internal/weights/store.go
+++ b/agent/internal/weights/store.go
@@ -10,27 +10,27 @@
 	"comfreyrelay.example/relay/manifest"
 )
 
-// storeRetry is the pause after the host's store failed.
+// storeRetryDelay is the pause after a failed access to the host's store.
 const storeRetryDelay = time.Second
 
 // chunkHash is the hash of a chunk, BLAKE3 unless Config.Source says otherwise.
 type chunkHash [manifest.HashBytes]byte
 
-// store knows what the host keeps. Its bytes are trusted only once this
-// process verified them.
+// store tracks which chunks the host has stored. A chunk is used only after this
+// process has verified its bytes.
 type store struct {
 	cfg Config
 	log *slog.Logger
 
 	mu       sync.Mutex
-	verified map[chunkHash]bool // false: kept before this process started, not yet verified
+	verified map[chunkHash]bool // false: stored before this process started, not yet verified
 }
 
 func newStore(cfg Config) *store {
 	return &store{cfg: cfg, log: cfg.Log, verified: map[chunkHash]bool{}}
 }
 
-// load learns what an earlier process left.
+// registerStored records the chunks stored by an earlier process as unverified.
 func (s *store) registerStored(ctx context.Context) error {
 	hashes, err := s.cfg.HeldChunks(ctx)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// list returns all hashes kept, verified or not.
+// list returns the hashes of all stored chunks, verified or not.
 func (s *store) list() []chunkHash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,6 +60,7 @@
 	return all
 }
 
+// lookUp reports whether a chunk is stored and whether this process has verified it.
 func (s *store) lookUp(hash chunkHash) (kept, verified bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +68,7 @@
 	return kept, verified
 }
 
-// put keeps bytes that were verified.
+// put stores bytes that were verified.
 func (s *store) put(ctx context.Context, hash chunkHash, data []byte) error {
 	if err := s.cfg.PutChunk(ctx, hash[:], data); err != nil {
 		return err
@@ -78,18 +79,19 @@
 	return nil
 }
 
-// get reads bytes back and verifies them again, because the host's memory is
-// not this process's: a corrupt chunk would spread to every peer that asks. One
-// that fails is dropped, so that it is fetched anew.
+// get reads a chunk and verifies it again, because the host's memory is outside this
+// process: a chunk corrupted there would spread to every peer that requests it. A
+// corrupt chunk is dropped so that it is fetched again.
 func (s *store) get(ctx context.Context, hash chunkHash) ([]byte, error) {
 	return s.read(ctx, hash, s.cfg.GetChunk)
 }
 
-// readBack is get for bytes as the host would use them now.
+// readBack is like get, but reads with Config.ReadBack.
 func (s *store) readBack(ctx context.Context, hash chunkHash) ([]byte, error) {
 	return s.read(ctx, hash, s.cfg.ReadBack)
 }
 
+// read reads a chunk with the given function, verifies it and drops it if it is corrupt.
 func (s *store) read(ctx context.Context, hash chunkHash, readChunk func(context.Context, []byte) ([]byte, error)) ([]byte, error) {
 	data, err := readChunk(ctx, hash[:])
 	if err != nil {
@@ -106,16 +108,17 @@
 	return data, nil
 }
 
-// forget notes that a chunk is not kept any more.
+// forget records that a chunk is no longer stored.
 func (s *store) forget(hash chunkHash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.verified, hash)
 }
 
+// drop deletes a chunk from the host's store. After an error it stays recorded.
 func (s *store) drop(ctx context.Context, hash chunkHash) {
 	if err := s.cfg.DropChunk(ctx, hash[:]); err != nil {
-		s.log.Debug("a chunk could not be dropped", "error", err)
+		s.log.Debug("dropping a chunk failed", "error", err)
 		return
 	}
 	s.mu.Lock()
--- a/agent/internal/weights/targets.go
+++ b/agent/internal/weights/targets.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Target is a version that should become whole on this host.
+// Target is a version that this host should have completely.
 type Target struct {
 	Version string
-	// Larger is fetched first.
+	// Priority orders the targets: the highest is fetched first.
 	Priority int
-	// PullFrom puts off fetches from peers, so that other hosts are whole
-	// first; the zero time puts off nothing.
+	// PullFrom is the time before which nothing is fetched from peers, so that
+	// other hosts complete the version first; zero means no delay.
 	PullFrom time.Time
 }
 
-// Policy is how the document wants versions to be moved.
+// Policy holds the document's settings for the transfer of versions.
 type Policy struct {
 	// Objective is "time" or "originBytes".
 	Objective string
-	// OriginCopies bounds the copies that the origin may send with objective
-	// time, 1 to 4.
+	// OriginCopies bounds how many copies the origin may send with objective
+	// "time", from 1 to 4.
 	OriginCopies int
-	// Keep lists versions whose chunks stay although they are no targets,
+	// Keep lists versions that are not targets but whose chunks stay stored
 	// because the engine still uses them.
 	Keep []string
 }
 
-// SetTargets says which versions the host should hold. The newest call wins:
-// chunks in common are kept, the others are dropped unless policy.Keep names
-// their version.
+// SetTargets sets the versions that the host should have, in place of those of
+// earlier calls. Chunks that a new target shares with an earlier one stay stored;
+// the others are dropped unless their version is in policy.Keep.
 func (m *Manager) SetTargets(targets []Target, policy Policy) {
 	m.mu.Lock()
 	m.targets = slices.Clone(targets)
@@ -40,7 +40,8 @@
 	signal(m.wake)
 }
 
-// apply starts and stops transfers as the newest targets say.
+// applyTargets starts, updates and stops transfers according to the latest
+// targets.
 func (m *Manager) applyTargets(ctx context.Context) {
 	m.mu.Lock()
 	wanted := map[string]Target{}
@@ -69,8 +70,8 @@
 	m.notifyChange()
 }
 
-// ensureTransfer starts or adapts a transfer; m.mu is held. A passive one keeps
-// and serves what the host has and fetches nothing but its manifest.
+// ensureTransfer starts or updates a transfer. A passive one serves the stored
+// chunks and fetches nothing but the manifest. m.mu must be held.
 func (m *Manager) ensureTransfer(ctx context.Context, target Target, passive bool) {
 	trans := m.transfers[target.Version]
 	if trans == nil {
@@ -82,8 +83,9 @@
 	trans.update(target.Priority, passive, m.policy)
 }
 
-// dropUnneeded forgets chunks that no transfer's manifest names. While one
-// manifest is unknown nothing is dropped: its chunks may be among them.
+// dropUnneeded drops stored chunks that no transfer's manifest lists. While any
+// manifest is unknown it drops nothing, since that manifest may list them. It ends
+// early when new targets are set.
 func (m *Manager) dropUnneeded(ctx context.Context) {
 	needed := map[chunkHash]bool{}
 	for _, trans := range m.allTransfers() {
@@ -122,9 +124,10 @@
 	}
 }
 
-// outranked reports whether a target of higher priority still makes progress, and
-// whether the origin sends it yet. Once it does not, the origin is free for the next one:
-// it stood idle for the second in which the last chunks of a version spread.
+// higherPriorityActive reports whether a target of higher priority still makes
+// progress, and whether the origin still sends chunks of it. Once the origin has sent
+// them all, the next target may use it: otherwise it was idle for the second in which
+// the last chunks spread among the hosts.
 func (m *Manager) higherPriorityActive(priority int) (active, originBusy bool) {
 	for _, trans := range m.allTransfers() {
 		if other, busy := trans.activePriority(); other > priority {
--- a/agent/internal/weights/transfer.go
+++ b/agent/internal/weights/transfer.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	// tickInterval is the longest time between two decisions while fetching,
-	// wholeTick once whole.
+	// decisionInterval is the longest time between two decisions of the core while
+	// the version is fetched, wholeDecisionInterval once it is complete.
 	decisionInterval      = 50 * time.Millisecond
 	wholeDecisionInterval = 250 * time.Millisecond
-	// peersInterval is how often the list of peers is read.
+	// peerListInterval is how often the list of peers is read.
 	peerListInterval = time.Second
-	// standstill is the time without a chunk after which a hold-up shows.
+	// stallTimeout is the time without a new chunk after which State.HoldUp gives a
+	// reason.
 	stallTimeout = 5 * time.Second
-	// maxFetches is how many chunks of one version are requested at once where
-	// the configuration does not say.
+	// defaultMaxFetches is how many chunks of one version are requested at once if
+	// Config.Fetches is nil.
 	defaultMaxFetches = 6
 )
 
-// transfer moves one version. Its goroutine alone runs the loop; events come
-// from the goroutines of fetches and from served calls.
+// transfer fetches and serves one version. One goroutine runs the loop in run; events
+// come from the goroutines of fetches and from peers' calls.
 type transfer struct {
 	mgr           *Manager
 	version       string
-	wake          chan struct{} // buffered by one: events not yet decided on
+	wake          chan struct{} // capacity 1: signals events for the next decision
 	cancel        context.CancelFunc
-	wg            sync.WaitGroup // the loop and its fetches
-	peersReadAt   time.Time      // when the list of peers was read; the loop's own
+	wg            sync.WaitGroup // the loop, its fetches and exchanges
+	peersReadAt   time.Time      // when the list of peers was read; used by the loop only
 	manifestKnown chan struct{}  // closed once the manifest is verified
 
 	mu              sync.Mutex // guards the fields below
 	core            *burst.Core
 	man             *wire.Manifest      // nil until verified against the version
-	encoded         []byte              // the manifest as it was hashed
-	chunks          map[chunkHash][]int // indexes by hash: equal chunks are fetched once
+	encoded         []byte              // the encoded manifest, exactly the bytes that were hashed
+	chunks          map[chunkHash][]int // indexes by hash, since equal chunks are fetched once
 	priority        int
-	pullNotBefore   time.Time // fetches from peers wait until then
-	passive         bool      // keeps and serves, fetches no chunks
+	pullNotBefore   time.Time // no fetches from peers before this time
+	passive         bool      // serves stored chunks, fetches none
 	policy          Policy
 	failed          bool      // the origin's manifest does not match the version
-	problem         string    // newest reason for a failed fetch
-	lastProgress    time.Time // newest chunk kept, or the start
+	problem         string    // reason of the latest failed fetch
+	lastProgress    time.Time // when the latest chunk was stored, or the start
 	startedAt       time.Time
 	manifestKnownAt time.Time // when the manifest was verified
-	wholeLogged     bool      // logged as whole
+	wholeLogged     bool      // completion was logged
 	fetches         map[fetchKey]context.CancelFunc
 }
 
+// fetchKey identifies a fetch in progress.
 type fetchKey struct {
 	chunk  int
 	source string // id of a peer, or burst.Origin
@@ -69,17 +71,20 @@
 	}
 }
 
+// start runs the loop in a goroutine of its own.
 func (t *transfer) start(ctx context.Context) {
 	ctx, t.cancel = context.WithCancel(ctx)
 	t.wg.Go(func() { t.run(ctx) })
 }
 
+// stop ends the loop and all fetches and waits for them.
 func (t *transfer) stop() {
 	t.cancel()
 	t.wg.Wait()
 }
 
-// adapt takes over what the newest targets say of the version.
+// update applies the latest targets' settings for the version. What is being fetched
+// is cancelled if the transfer becomes passive.
 func (t *transfer) update(priority int, passive bool, policy Policy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,6 +100,8 @@
 
 func (t *transfer) now() time.Time { return t.mgr.cfg.Clock.Now() }
 
+// run fetches the manifest, restores stored chunks and then performs the core's
+// decisions until ctx is done.
 func (t *transfer) run(ctx context.Context) {
 	if err := t.fetchManifest(ctx); err != nil {
 		return
@@ -102,7 +109,8 @@
 	if err := t.restoreStoredChunks(ctx); err != nil {
 		return
 	}
-	// What earlier targets left may be dropped now that the chunks are known.
+	// The Manager can drop chunks of earlier targets now that this version's chunks
+	// are known.
 	signal(t.mgr.wake)
 	for ctx.Err() == nil {
 		t.step(ctx)
@@ -118,13 +126,14 @@
 	}
 }
 
-// maxFetches returns how many chunks may be requested at once now.
+// maxFetches returns how many chunks may be requested at once at present. Together
+// they take up at most half of the memory window.
 func (t *transfer) maxFetches(man *wire.Manifest) int {
 	fitting := t.mgr.windowBytes / 2 / int64(max(1, man.GetChunkBytes()))
 	return int(max(1, min(fitting, int64(t.mgr.cfg.Fetches()))))
 }
 
-// begin sets the core up once the manifest is verified.
+// startCore creates the core for the verified manifest.
 func (t *transfer) startCore(man *wire.Manifest, encoded []byte) {
 	chunks := map[chunkHash][]int{}
 	for i, hash := range man.GetChunkHashes() {
@@ -154,7 +163,7 @@
 	close(t.manifestKnown)
 }
 
-// brokenOnce returns a function that reports each broken rule once.
+// violationReporter returns a function that reports each violated rule once.
 func (t *transfer) violationReporter() func(rule string) {
 	reported := map[string]bool{}
 	return func(rule string) {
@@ -165,8 +174,8 @@
 	}
 }
 
-// recall takes over the chunks that the host has already, from another version
-// or from before a restart. Bytes that this process did not keep itself are
+// restoreStoredChunks marks chunks as held that the host has already, from another
+// version or from before a restart. Bytes that this process has not verified yet are
 // verified first.
 func (t *transfer) restoreStoredChunks(ctx context.Context) error {
 	for hash := range t.chunks {
@@ -185,6 +194,7 @@
 	return nil
 }
 
+// verifyStored reads back and verifies a stored chunk.
 func (t *transfer) verifyStored(ctx context.Context, hash chunkHash) error {
 	size := int64(t.man.GetChunkBytes())
 	if err := t.mgr.window.Acquire(ctx, size); err != nil {
@@ -195,7 +205,7 @@
 	return err
 }
 
-// hold notes a kept chunk, wherever the version names it.
+// markHeld marks a stored chunk as held at each index where the version contains it.
 func (t *transfer) markHeld(hash chunkHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,13 +217,13 @@
 	}
 }
 
-// step lets the core decide and does what it says.
+// step passes the current state to the core and performs the actions that it decides on.
 func (t *transfer) step(ctx context.Context) {
 	outranked, originBusy := t.mgr.higherPriorityActive(t.currentPriority())
 	load := t.mgr.uploads.pending()
 	now := t.now()
-	// The list is read before t.mu is taken: the Manager takes its own lock
-	// first and t.mu second.
+	// The list is read before t.mu is locked, because the Manager locks its own
+	// mutex first and t.mu second.
 	refresh := now.Sub(t.peersReadAt) >= peerListInterval
 	var peers []burst.Peer
 	if refresh {
@@ -229,7 +239,7 @@
 	t.core.SetPaused(t.passive || outranked && originBusy)
 	t.core.SetPullFrom(t.pullNotBefore)
 	if outranked {
-		// The links between hosts are for the other version.
+		// The version of higher priority has the links between hosts to itself.
 		t.core.SetPullFrom(later(t.pullNotBefore, now.Add(decisionInterval)))
 	}
 	t.core.SetMaxFetches(t.maxFetches(t.man))
@@ -242,7 +252,7 @@
 	}
 }
 
-// logWhole logs how the version came; t.mu is held.
+// logWhole logs the statistics of a completed version. t.mu must be held.
 func (t *transfer) logWhole(now time.Time) {
 	stats := t.core.Stats()
 	t.mgr.cfg.Log.Info("version whole", "version", t.version, "chunks", t.core.Held(),
@@ -252,8 +262,8 @@
 		"timedOut", stats.TimedOut, "corrupt", stats.Corrupt, "broken", stats.Broken, "exchanges", stats.Exchanges)
 }
 
-// sinceBegan returns the seconds from the transfer's begin to a moment; 0 where it
-// never came.
+// secondsSinceStart returns the seconds from the transfer's start to a moment; 0 if the
+// moment is zero because the event did not occur.
 func (t *transfer) secondsSinceStart(moment time.Time) float64 {
 	if moment.IsZero() {
 		return 0
@@ -261,7 +271,7 @@
 	return moment.Sub(t.startedAt).Seconds()
 }
 
-// perform does one action; t.mu is held.
+// perform starts or cancels what an action of the core asks for. t.mu must be held.
 func (t *transfer) perform(ctx context.Context, act burst.Action) {
 	key := fetchKey{chunk: act.Chunk, source: act.Source}
 	switch act.Kind {
@@ -286,8 +296,9 @@
 	return t.priority
 }
 
-// advancing returns the priority of a target that gains chunks, -1 for others, and
-// whether some of its chunks have not left the origin yet.
+// activePriority returns the priority of a target that makes progress, or -1 if it is
+// passive, failed, stalled or complete. originBusy reports whether some of its chunks
+// have not been fetched from the origin yet.
 func (t *transfer) activePriority() (priority int, originBusy bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -297,6 +308,7 @@
 	return t.priority, t.core == nil || t.core.Drawn() < len(t.man.GetChunkHashes())
 }
 
+// later returns the later of two times.
 func later(left, right time.Time) time.Time {
 	if left.After(right) {
 		return left
@@ -334,13 +346,14 @@
 	return st
 }
 
-// holdUp returns why nothing came for a while; t.mu is held.
+// stallReason returns why no chunk was stored for stallTimeout; empty if one was or if
+// the transfer is passive. t.mu must be held.
 func (t *transfer) stallReason() string {
 	if t.passive || t.now().Sub(t.lastProgress) < stallTimeout {
 		return ""
 	}
 	if t.problem == "" {
-		return "no peer offers the missing chunks and their owners have not drawn them yet; check that the origin answers"
+		return "no peer offers the missing chunks and their owners have not fetched them from the origin yet; check that the origin answers"
 	}
 	return t.problem
 }
--- a/agent/internal/weights/uploads.go
+++ b/agent/internal/weights/uploads.go
@@ -9,23 +9,24 @@
 	"comfreyrelay.example/relay/burst"
 )
 
-// uploads lets requests of peers wait for a slot, in the order of burst's Turn.
+// uploadQueue makes peers' requests for chunks wait for an upload slot, in the order
+// of burst.Core's Turn.
 type uploadQueue struct {
 	mu        sync.Mutex
 	admission burst.Uploads
-	waiting   []queuedUpload // in the order of their arrival
+	waiting   []queuedUpload // in order of arrival
 }
 
-// upload is a request that waits.
+// queuedUpload is a request that waits for a slot.
 type queuedUpload struct {
 	granted chan struct{} // closed when the request gets a slot
-	rank    int           // the lowest goes first
+	rank    int           // the lowest is served first
 }
 
 func newUploadQueue() *uploadQueue { return &uploadQueue{} }
 
-// acquire waits for a slot for a request that has its turn in the order of burst's
-// Turn. While too many wait it returns at once with the time after which to ask again.
+// acquire waits for a slot; rank comes from burst.Core's Turn. If too many requests
+// wait already, it returns at once with the time after which the peer should retry.
 func (u *uploadQueue) acquire(ctx context.Context, rank int) (retryAfter time.Duration, err error) {
 	granted := make(chan struct{})
 	u.mu.Lock()
@@ -46,7 +47,8 @@
 	}
 }
 
-// abandon takes a request out that no longer wants its slot.
+// cancel removes a request whose caller has gone, or frees its slot if it was just
+// granted.
 func (u *uploadQueue) cancel(granted chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,7 +63,7 @@
 	u.startNext()
 }
 
-// startNext gives free slots to those that wait; u.mu is held.
+// startNext grants free slots to waiting requests. u.mu must be held.
 func (u *uploadQueue) startNext() {
 	for len(u.waiting) > 0 && u.admission.Start() {
 		next := 0
@@ -75,7 +77,7 @@
 	}
 }
 
-// release frees a slot after the time that its upload took.
+// release frees the slot of an upload that took the given time.
 func (u *uploadQueue) release(took time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,7 +85,7 @@
 	u.startNext()
 }
 
-// load returns the uploads in progress and waiting.
+// pending returns the number of uploads in progress and waiting.
 func (u *uploadQueue) pending() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
