--- a/agent/internal/weights/fleet_test.go
+++ b/agent/internal/weights/fleet_test.go
@@ -38,10 +38,10 @@
 }
 
 func newTestOrigin(t *testing.T) *testOrigin {
-	org := &testOrigin{objects: map[string][]byte{}, sent: map[string]int{}}
-	org.server = httptest.NewServer(org)
-	t.Cleanup(org.server.Close)
-	return org
+	origin := &testOrigin{objects: map[string][]byte{}, sent: map[string]int{}}
+	origin.server = httptest.NewServer(origin)
+	t.Cleanup(origin.server.Close)
+	return origin
 }
 
 func (o *testOrigin) ServeHTTP(writer http.ResponseWriter, req *http.Request) {
@@ -196,8 +196,8 @@
 	return s.DRPCHost_ChunkStream.Send(copied)
 }
 
-// fleet is a set of test hosts with one origin.
-type fleet struct {
+// testFleet is a set of test hosts with one origin.
+type testFleet struct {
 	t      *testing.T
 	origin *testOrigin
 	mu     sync.Mutex
@@ -205,22 +205,22 @@
 	listed []*wire.Node // nodes in the list of peers
 }
 
-func newFleet(t *testing.T, hosts int) *fleet {
-	flt := &fleet{t: t, origin: newTestOrigin(t)}
+func newTestFleet(t *testing.T, hosts int) *testFleet {
+	fleet := &testFleet{t: t, origin: newTestOrigin(t)}
 	for i := range hosts {
-		flt.add(fmt.Sprintf("host-%02d", i), &memoryStore{chunks: map[string][]byte{}}, nil)
+		fleet.add(fmt.Sprintf("host-%02d", i), &memoryStore{chunks: map[string][]byte{}}, nil)
 	}
-	return flt
+	return fleet
 }
 
-func (f *fleet) peers() []*wire.Node {
+func (f *testFleet) peers() []*wire.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*wire.Node(nil), f.listed...)
 }
 
 // add starts a host and adds it to the list of peers.
-func (f *fleet) add(id string, store *memoryStore, tamper func(*wire.ChunkData)) *testHost {
+func (f *testFleet) add(id string, store *memoryStore, tamper func(*wire.ChunkData)) *testHost {
 	f.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -261,7 +261,7 @@
 	return host
 }
 
-func (f *fleet) setTargets(versions ...string) {
+func (f *testFleet) setTargets(versions ...string) {
 	for _, host := range f.hosts {
 		host.setTargets(versions...)
 	}
@@ -287,7 +287,7 @@
 	}
 }
 
-func (f *fleet) awaitWhole(version string) {
+func (f *testFleet) awaitWhole(version string) {
 	f.t.Helper()
 	for _, host := range f.hosts {
 		await(f.t, host.node.GetId()+" whole", func() bool { return host.mgr.State(version).Phase() == Whole })
--- a/agent/internal/weights/manager_test.go
+++ b/agent/internal/weights/manager_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestFleetFetchesWholeVersion(t *testing.T) {
-	flt := newFleet(t, 8)
+	fleet := newTestFleet(t, 8)
 	data := randomData(1, 64)
-	version := flt.origin.publish(t, data)
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	for _, host := range flt.hosts {
+	version := fleet.origin.publish(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	for _, host := range fleet.hosts {
 		host.store.requireData(t, data)
 	}
-	got := float64(flt.origin.chunkBytesSent()) / float64(len(data))
+	got := float64(fleet.origin.chunkBytesSent()) / float64(len(data))
 	t.Logf("copies=%.3f", got)
 	if want := 1.3; got > want {
 		t.Errorf("got %.3f copies from the origin, want at most %.2f", got, want)
@@ -30,20 +30,20 @@
 // version completely from the origin although it shares half of its chunks with the
 // version that the hosts already have.
 func TestSharedChunksAreReused(t *testing.T) {
-	flt := newFleet(t, 3)
+	fleet := newTestFleet(t, 3)
 	firstData := randomData(1, 32)
 	secondData := append(append([]byte(nil), firstData[:16*testChunkBytes]...), randomData(2, 16)...)
-	firstVersion, secondVersion := flt.origin.publish(t, firstData), flt.origin.publish(t, secondData)
-	flt.setTargets(firstVersion)
-	flt.awaitWhole(firstVersion)
-	before := flt.origin.chunkBytesSent()
-	flt.setTargets(secondVersion)
-	flt.awaitWhole(secondVersion)
-	fetched := flt.origin.chunkBytesSent() - before
+	firstVersion, secondVersion := fleet.origin.publish(t, firstData), fleet.origin.publish(t, secondData)
+	fleet.setTargets(firstVersion)
+	fleet.awaitWhole(firstVersion)
+	before := fleet.origin.chunkBytesSent()
+	fleet.setTargets(secondVersion)
+	fleet.awaitWhole(secondVersion)
+	fetched := fleet.origin.chunkBytesSent() - before
 	if want := 20 * testChunkBytes; fetched > want {
 		t.Errorf("got %d bytes from the origin for the second version, want at most %d", fetched, want)
 	}
-	for _, host := range flt.hosts {
+	for _, host := range fleet.hosts {
 		host.store.requireData(t, secondData)
 		await(t, "drop of unneeded chunks", func() bool {
 			held, _ := host.store.held(t.Context())
@@ -56,16 +56,16 @@
 }
 
 func TestKeptVersionStaysWhole(t *testing.T) {
-	flt := newFleet(t, 2)
+	fleet := newTestFleet(t, 2)
 	firstData, secondData := randomData(1, 16), randomData(2, 16)
-	firstVersion, secondVersion := flt.origin.publish(t, firstData), flt.origin.publish(t, secondData)
-	flt.setTargets(firstVersion)
-	flt.awaitWhole(firstVersion)
-	for _, host := range flt.hosts {
+	firstVersion, secondVersion := fleet.origin.publish(t, firstData), fleet.origin.publish(t, secondData)
+	fleet.setTargets(firstVersion)
+	fleet.awaitWhole(firstVersion)
+	for _, host := range fleet.hosts {
 		host.mgr.SetTargets([]Target{{Version: secondVersion}}, Policy{Keep: []string{firstVersion}})
 	}
-	flt.awaitWhole(secondVersion)
-	for _, host := range flt.hosts {
+	fleet.awaitWhole(secondVersion)
+	for _, host := range fleet.hosts {
 		host.store.requireData(t, firstData)
 		host.store.requireData(t, secondData)
 		if got := host.mgr.State(firstVersion).Phase(); got != Whole {
@@ -78,10 +78,10 @@
 // serves weights that nobody published. The origin first answers with another manifest
 // under the version's name, later with the right one.
 func TestMismatchedManifestFailsUntilOriginServesRightOne(t *testing.T) {
-	flt := newFleet(t, 2)
+	fleet := newTestFleet(t, 2)
 	data := randomData(1, 8)
-	version := flt.origin.publish(t, data)
-	flt.origin.setFault(func(path string, writer http.ResponseWriter) bool {
+	version := fleet.origin.publish(t, data)
+	fleet.origin.setFault(func(path string, writer http.ResponseWriter) bool {
 		if !strings.HasPrefix(path, "/manifests/") {
 			return false
 		}
@@ -89,36 +89,36 @@
 		_, _ = writer.Write(encoded)
 		return true
 	})
-	flt.setTargets(version)
-	for _, host := range flt.hosts {
+	fleet.setTargets(version)
+	for _, host := range fleet.hosts {
 		await(t, "failed state", func() bool { return host.mgr.State(version).Phase() == Failed })
 		if got := host.mgr.State(version).HoldUp(); !strings.Contains(got, "does not match") {
 			t.Errorf("got reason %q, want the mismatch", got)
 		}
 	}
-	flt.origin.setFault(nil)
-	flt.awaitWhole(version)
+	fleet.origin.setFault(nil)
+	fleet.awaitWhole(version)
 }
 
 // Guards against stored chunks of an earlier process that are used without verification,
 // so that a host has corrupt weights after a restart of its agent. One chunk in the host's
 // memory is corrupted between the stop and the start of the agent.
 func TestRestartVerifiesStoredChunks(t *testing.T) {
-	flt := newFleet(t, 2)
+	fleet := newTestFleet(t, 2)
 	data := randomData(1, 16)
-	version := flt.origin.publish(t, data)
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	oldHost := flt.hosts[0]
+	version := fleet.origin.publish(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	oldHost := fleet.hosts[0]
 	oldHost.stop()
-	flt.hosts, flt.listed = flt.hosts[1:], flt.listed[1:]
+	fleet.hosts, fleet.listed = fleet.hosts[1:], fleet.listed[1:]
 	for hash := range oldHost.store.chunks {
 		oldHost.store.chunks[hash][0] ^= 1
 		break
 	}
-	host := flt.add(oldHost.node.GetId(), oldHost.store, nil)
+	host := fleet.add(oldHost.node.GetId(), oldHost.store, nil)
 	host.setTargets(version)
-	flt.awaitWhole(version)
+	fleet.awaitWhole(version)
 	host.store.requireData(t, data)
 	origin, peers, _ := host.mgr.Counters()
 	if got, want := int(origin+peers), 3*testChunkBytes; got > want {
@@ -130,17 +130,17 @@
 // endless requests to a corrupt source, which stall the fleet. One host corrupts every
 // chunk that it sends.
 func TestFleetCompletesDespiteCorruptingPeer(t *testing.T) {
-	flt := newFleet(t, 4)
-	flt.add("host-corrupt", &memoryStore{chunks: map[string][]byte{}}, func(piece *wire.ChunkData) {
+	fleet := newTestFleet(t, 4)
+	fleet.add("host-corrupt", &memoryStore{chunks: map[string][]byte{}}, func(piece *wire.ChunkData) {
 		if len(piece.Data) > 0 {
 			piece.Data[0] ^= 1
 		}
 	})
 	data := randomData(1, 48)
-	version := flt.origin.publish(t, data)
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	for _, host := range flt.hosts {
+	version := fleet.origin.publish(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	for _, host := range fleet.hosts {
 		host.store.requireData(t, data)
 	}
 }
@@ -148,11 +148,11 @@
 // Guards against retries that ignore Retry-After, which overload an origin that has just
 // recovered. The origin answers the first requests with 429, later ones normally.
 func TestFleetCompletesAfterOriginRateLimit(t *testing.T) {
-	flt := newFleet(t, 3)
+	fleet := newTestFleet(t, 3)
 	data := randomData(1, 16)
-	version := flt.origin.publish(t, data)
+	version := fleet.origin.publish(t, data)
 	var refused atomic.Int32
-	flt.origin.setFault(func(path string, writer http.ResponseWriter) bool {
+	fleet.origin.setFault(func(path string, writer http.ResponseWriter) bool {
 		if refused.Load() >= 6 || !strings.HasPrefix(path, "/chunks/") {
 			return false
 		}
@@ -161,9 +161,9 @@
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return true
 	})
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	for _, host := range flt.hosts {
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	for _, host := range fleet.hosts {
 		host.store.requireData(t, data)
 	}
 }
--- a/agent/internal/weights/manifests_test.go
+++ b/agent/internal/weights/manifests_test.go
@@ -84,11 +84,11 @@
 // third or fourth request, so that engines got weights already stored on their own host
 // 1.5 to 3.4 s after the first few engines.
 func TestManifestIsRequestedFromSeveralPeersInParallel(t *testing.T) {
-	flt := newFleet(t, 0)
-	version := flt.origin.publish(t, randomData(1, 4))
-	blocking := &blockingHost{requested: make(chan int, 64), release: make(chan struct{}), encoded: flt.origin.objects["/manifests/"+version]}
+	fleet := newTestFleet(t, 0)
+	version := fleet.origin.publish(t, randomData(1, 4))
+	blocking := &blockingHost{requested: make(chan int, 64), release: make(chan struct{}), encoded: fleet.origin.objects["/manifests/"+version]}
 	// The origin refuses all requests, and the new host is not an owner of the manifest.
-	flt.origin.setFault(func(_ string, writer http.ResponseWriter) bool {
+	fleet.origin.setFault(func(_ string, writer http.ResponseWriter) bool {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
@@ -102,19 +102,19 @@
 			t.Fatal(err)
 		}
 		go func() { _ = peer.Serve(t.Context(), lis, nil, mux, slog.New(slog.DiscardHandler)) }()
-		flt.listed = append(flt.listed, &wire.Node{
+		fleet.listed = append(fleet.listed, &wire.Node{
 			Id: fmt.Sprint("slow-", i), Role: peer.RoleAgent, Region: "zona-uno", ControlAddress: lis.Addr().String(),
 		})
 	}
 	var ids []string
-	for _, node := range flt.listed {
+	for _, node := range fleet.listed {
 		ids = append(ids, node.GetId())
 	}
 	id := "host"
 	for rendezvous.Rank("manifest/"+version, id, ids) < manifestOwnerCount {
 		id += "x"
 	}
-	host := flt.add(id, &memoryStore{chunks: map[string][]byte{}}, nil)
+	host := fleet.add(id, &memoryStore{chunks: map[string][]byte{}}, nil)
 	host.setTargets(version)
 	maxActive := 0
 	for range parallelManifestRequests {
