--- a/agent/internal/weights/manifests.go
+++ b/agent/internal/weights/manifests.go
@@ -18,8 +18,8 @@
 	// and 64 KiB for the rest.
 	maxManifestBytes = 2<<20 + 64<<10
 	// manifestOwnerCount is how many hosts, the owners, fetch the manifest from the
-	// origin without delay. The others ask them and one another, so that the origin does not send
-	// the manifest to each host.
+	// origin without delay. The others ask them and one another, so that the origin
+	// does not send the manifest to each host.
 	manifestOwnerCount = 3
 	// manifestOriginDelay scales, by rank, how long the other hosts wait before they
 	// ask the origin as well.
@@ -84,9 +84,9 @@
 	return ids
 }
 
-// mayAskOriginForManifest reports whether this host may ask the origin: the owners
-// at once, the others after a delay that grows with their
-// rank, so that they do not all ask at the same time.
+// mayAskOriginForManifest reports whether this host may ask the origin: the owners at
+// once, the others after a delay that grows with their rank, so that they do not all
+// ask at the same time.
 func (t *transfer) mayAskOriginForManifest(startedAt time.Time) bool {
 	rank := rendezvous.Rank(t.manifestRankKey(), t.mgr.cfg.Self.GetId(), t.peerIDs())
 	if rank < manifestOwnerCount {
