--- a/agent/internal/weights/fleet_test.go
+++ b/agent/internal/weights/fleet_test.go
@@ -275,7 +275,8 @@
 	h.mgr.SetTargets(targets, Policy{Objective: "time", OriginCopies: 1})
 }
 
-// await polls until the condition holds and fails the test after 30 s.
+// await polls until the condition holds. The limit of 30 s only ends a broken test; it is
+// not a bound on the speed of transfers.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	limit := time.Now().Add(30 * time.Second)
