--- a/agent/internal/weights/fleet_test.go
+++ b/agent/internal/weights/fleet_test.go
@@ -28,7 +28,7 @@
 
 const testChunkBytes = 16 << 10
 
-// testOrigin serves manifests and chunks over HTTP and counts the bytes.
+// testOrigin serves manifests and chunks over HTTP and counts the bytes sent.
 type testOrigin struct {
 	mu      sync.Mutex
 	objects map[string][]byte // by path
@@ -38,10 +38,10 @@
 }
 
 func newTestOrigin(t *testing.T) *testOrigin {
-	org := &testOrigin{objects: map[string][]byte{}, sent: map[string]int{}}
-	org.server = httptest.NewServer(org)
-	t.Cleanup(org.server.Close)
-	return org
+	origin := &testOrigin{objects: map[string][]byte{}, sent: map[string]int{}}
+	origin.server = httptest.NewServer(origin)
+	t.Cleanup(origin.server.Close)
+	return origin
 }
 
 func (o *testOrigin) ServeHTTP(writer http.ResponseWriter, req *http.Request) {
@@ -62,13 +62,15 @@
 	o.mu.Unlock()
 }
 
+// setFault sets a handler that runs before each answer and returns whether it has
+// answered the request; nil removes it.
 func (o *testOrigin) setFault(fault func(path string, writer http.ResponseWriter) bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.fault = fault
 }
 
-// publish stores the data as a version.
+// publish makes the origin serve the data as a version and returns the version's name.
 func (o *testOrigin) publish(t *testing.T, data []byte) string {
 	t.Helper()
 	man := manifest.Build("parcel", manifest.KindBase, "", testChunkBytes, data)
@@ -87,8 +89,8 @@
 	return version
 }
 
-// chunkBytes returns the bytes of chunks that were sent.
-func (o *testOrigin) chunkBytes() int {
+// chunkBytesSent returns how many bytes of chunks the origin has sent.
+func (o *testOrigin) chunkBytesSent() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	total := 0
@@ -100,7 +102,7 @@
 	return total
 }
 
-// memoryStore is the host's store.
+// memoryStore is a host's chunk store in memory.
 type memoryStore struct {
 	mu     sync.Mutex
 	chunks map[string][]byte
@@ -140,8 +142,8 @@
 	return all, nil
 }
 
-// check compares the store with a whole version.
-func (s *memoryStore) check(t *testing.T, data []byte) {
+// requireData fails the test unless the store holds all chunks of the data.
+func (s *memoryStore) requireData(t *testing.T, data []byte) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,15 +156,15 @@
 	}
 }
 
-// testHost is one Manager behind a drpc listener.
+// testHost is a Manager behind a DRPC listener.
 type testHost struct {
 	wire.DRPCHostUnimplementedServer
 	node  *wire.Node
 	mgr   *Manager
 	store *memoryStore
-	// tamper changes the chunks that the host sends; nil leaves them.
+	// tamper modifies the chunks that the host sends; nil leaves them unchanged.
 	tamper func(data *wire.ChunkData)
-	// stalled makes the host take requests for chunks and answer none.
+	// stalled makes the host accept requests for chunks and answer none.
 	stalled atomic.Bool
 	stop    context.CancelFunc
 }
@@ -182,40 +184,43 @@
 	return h.mgr.Have(ctx, req)
 }
 
+// tamperingStream modifies each message before it is sent.
 type tamperingStream struct {
 	wire.DRPCHost_ChunkStream
 	tamper func(data *wire.ChunkData)
 }
 
 func (s tamperingStream) Send(data *wire.ChunkData) error {
-	dup := &wire.ChunkData{Size: data.GetSize(), Data: bytes.Clone(data.GetData()), RetryAfterMillis: data.GetRetryAfterMillis()}
-	s.tamper(dup)
-	return s.DRPCHost_ChunkStream.Send(dup)
+	copied := &wire.ChunkData{Size: data.GetSize(), Data: bytes.Clone(data.GetData()), RetryAfterMillis: data.GetRetryAfterMillis()}
+	s.tamper(copied)
+	return s.DRPCHost_ChunkStream.Send(copied)
 }
 
-type fleet struct {
+// testFleet is a set of test hosts with one origin.
+type testFleet struct {
 	t      *testing.T
 	origin *testOrigin
 	mu     sync.Mutex
 	hosts  []*testHost
-	nodes  []*wire.Node // those that are listed
+	listed []*wire.Node // nodes in the list of peers
 }
 
-func newFleet(t *testing.T, hosts int) *fleet {
-	flt := &fleet{t: t, origin: newTestOrigin(t)}
+func newTestFleet(t *testing.T, hosts int) *testFleet {
+	fleet := &testFleet{t: t, origin: newTestOrigin(t)}
 	for i := range hosts {
-		flt.add(fmt.Sprintf("host-%02d", i), &memoryStore{chunks: map[string][]byte{}}, nil)
+		fleet.add(fmt.Sprintf("host-%02d", i), &memoryStore{chunks: map[string][]byte{}}, nil)
 	}
-	return flt
+	return fleet
 }
 
-func (f *fleet) listed() []*wire.Node {
+func (f *testFleet) peers() []*wire.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*wire.Node(nil), f.nodes...)
+	return append([]*wire.Node(nil), f.listed...)
 }
 
-func (f *fleet) add(id string, kept *memoryStore, tamper func(*wire.ChunkData)) *testHost {
+// add starts a host and adds it to the list of peers.
+func (f *testFleet) add(id string, store *memoryStore, tamper func(*wire.ChunkData)) *testHost {
 	f.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,13 +232,13 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	pool := peer.NewPool(nil)
-	host := &testHost{node: node, store: kept, tamper: tamper}
+	host := &testHost{node: node, store: store, tamper: tamper}
 	host.mgr = New(Config{
-		Self: node, Clock: clockwork.NewRealClock(), Log: log, Peers: f.listed,
+		Self: node, Clock: clockwork.NewRealClock(), Log: log, Peers: f.peers,
 		Dial:      func(ctx context.Context, address string) drpc.Conn { return pool.Conn(ctx, address) },
 		OriginURL: f.origin.server.URL, Link: &wire.LinkSettings{Up: 8 << 20, Down: 8 << 20},
-		PutChunk: kept.put, GetChunk: kept.get, DropChunk: kept.drop, HeldChunks: kept.held,
-		Broken: func(rule string) { panic(rule) },
+		PutChunk: store.put, GetChunk: store.get, DropChunk: store.drop, HeldChunks: store.held,
+		OnInvariantViolation: func(rule string) { panic(rule) },
 	})
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterHost(mux, host); err != nil {
@@ -252,11 +257,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts = append(f.hosts, host)
-	f.nodes = append(f.nodes, node)
+	f.listed = append(f.listed, node)
 	return host
 }
 
-func (f *fleet) setTargets(versions ...string) {
+func (f *testFleet) setTargets(versions ...string) {
 	for _, host := range f.hosts {
 		host.setTargets(versions...)
 	}
@@ -270,19 +275,20 @@
 	h.mgr.SetTargets(targets, Policy{Objective: "time", OriginCopies: 1})
 }
 
-// await polls until the condition holds; the limit only ends a broken test.
+// await polls until the condition holds. The limit of 30 s only ends a broken test; it is
+// not a bound on the speed of transfers.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	limit := time.Now().Add(30 * time.Second)
 	for !holds() {
 		if time.Now().After(limit) {
-			t.Fatalf("got no %s in time, want it", what)
+			t.Fatalf("timeout while waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (f *fleet) awaitWhole(version string) {
+func (f *testFleet) awaitWhole(version string) {
 	f.t.Helper()
 	for _, host := range f.hosts {
 		await(f.t, host.node.GetId()+" whole", func() bool { return host.mgr.State(version).Phase() == Whole })
--- a/agent/internal/weights/manager_test.go
+++ b/agent/internal/weights/manager_test.go
@@ -10,78 +10,78 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-func TestFleetBecomesWhole(t *testing.T) {
-	flt := newFleet(t, 8)
+func TestFleetFetchesWholeVersion(t *testing.T) {
+	fleet := newTestFleet(t, 8)
 	data := randomData(1, 64)
-	version := flt.origin.publish(t, data)
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	for _, host := range flt.hosts {
-		host.store.check(t, data)
+	version := fleet.origin.publish(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	for _, host := range fleet.hosts {
+		host.store.requireData(t, data)
 	}
-	got := float64(flt.origin.chunkBytes()) / float64(len(data))
+	got := float64(fleet.origin.chunkBytesSent()) / float64(len(data))
 	t.Logf("copies=%.3f", got)
 	if want := 1.3; got > want {
 		t.Errorf("got %.3f copies from the origin, want at most %.2f", got, want)
 	}
 }
 
-// Symptom: a fleet draws a version again although half of it is on the hosts.
-// Sequence: version one is whole, version two shares half its chunks. Cause
-// guarded against: chunks kept by version rather than by hash.
-func TestChunksInCommonAreKept(t *testing.T) {
-	flt := newFleet(t, 3)
-	first := randomData(1, 32)
-	second := append(append([]byte(nil), first[:16*testChunkBytes]...), randomData(2, 16)...)
-	one, two := flt.origin.publish(t, first), flt.origin.publish(t, second)
-	flt.setTargets(one)
-	flt.awaitWhole(one)
-	before := flt.origin.chunkBytes()
-	flt.setTargets(two)
-	flt.awaitWhole(two)
-	drawn := flt.origin.chunkBytes() - before
-	if want := 20 * testChunkBytes; drawn > want {
-		t.Errorf("got %d bytes drawn for the second version, want at most %d", drawn, want)
+// Guards against chunks stored by version instead of by hash: then the fleet fetches a
+// version completely from the origin although it shares half of its chunks with the
+// version that the hosts already have.
+func TestSharedChunksAreReused(t *testing.T) {
+	fleet := newTestFleet(t, 3)
+	firstData := randomData(1, 32)
+	secondData := append(append([]byte(nil), firstData[:16*testChunkBytes]...), randomData(2, 16)...)
+	firstVersion, secondVersion := fleet.origin.publish(t, firstData), fleet.origin.publish(t, secondData)
+	fleet.setTargets(firstVersion)
+	fleet.awaitWhole(firstVersion)
+	before := fleet.origin.chunkBytesSent()
+	fleet.setTargets(secondVersion)
+	fleet.awaitWhole(secondVersion)
+	fetched := fleet.origin.chunkBytesSent() - before
+	if want := 20 * testChunkBytes; fetched > want {
+		t.Errorf("got %d bytes from the origin for the second version, want at most %d", fetched, want)
 	}
-	for _, host := range flt.hosts {
-		host.store.check(t, second)
-		await(t, "drop of what is not needed", func() bool {
+	for _, host := range fleet.hosts {
+		host.store.requireData(t, secondData)
+		await(t, "drop of unneeded chunks", func() bool {
 			held, _ := host.store.held(t.Context())
 			return len(held) == 32
 		})
-		if got := host.mgr.State(one).Phase(); got != Absent {
-			t.Errorf("got %s for the version that left, want %s", got, Absent)
+		if got := host.mgr.State(firstVersion).Phase(); got != Absent {
+			t.Errorf("got %s for the version that is not a target any more, want %s", got, Absent)
 		}
 	}
 }
 
 func TestKeptVersionStaysWhole(t *testing.T) {
-	flt := newFleet(t, 2)
-	first, second := randomData(1, 16), randomData(2, 16)
-	one, two := flt.origin.publish(t, first), flt.origin.publish(t, second)
-	flt.setTargets(one)
-	flt.awaitWhole(one)
-	for _, host := range flt.hosts {
-		host.mgr.SetTargets([]Target{{Version: two}}, Policy{Keep: []string{one}})
+	fleet := newTestFleet(t, 2)
+	firstData, secondData := randomData(1, 16), randomData(2, 16)
+	firstVersion, secondVersion := fleet.origin.publish(t, firstData), fleet.origin.publish(t, secondData)
+	fleet.setTargets(firstVersion)
+	fleet.awaitWhole(firstVersion)
+	for _, host := range fleet.hosts {
+		host.mgr.SetTargets([]Target{{Version: secondVersion}}, Policy{Keep: []string{firstVersion}})
 	}
-	flt.awaitWhole(two)
-	for _, host := range flt.hosts {
-		host.store.check(t, first)
-		host.store.check(t, second)
-		if got := host.mgr.State(one).Phase(); got != Whole {
+	fleet.awaitWhole(secondVersion)
+	for _, host := range fleet.hosts {
+		host.store.requireData(t, firstData)
+		host.store.requireData(t, secondData)
+		if got := host.mgr.State(firstVersion).Phase(); got != Whole {
 			t.Errorf("got %s for the kept version, want %s", got, Whole)
 		}
 	}
 }
 
-// Symptom: a host would serve weights that nobody published. Sequence: the
-// origin answers another manifest under the version's name, later the right
-// one. Cause guarded against: a manifest taken without its hash checked.
-func TestManifestThatDoesNotMatchFailsUntilPublished(t *testing.T) {
-	flt := newFleet(t, 2)
+// Guards against a manifest that is accepted without a check of its hash, so that a host
+// serves weights that nobody published. The origin first answers with another manifest
+// under the version's name, later with the right one.
+func TestMismatchedManifestFailsUntilOriginServesRightOne(t *testing.T) {
+	fleet := newTestFleet(t, 2)
 	data := randomData(1, 8)
-	version := flt.origin.publish(t, data)
-	flt.origin.setFault(func(path string, writer http.ResponseWriter) bool {
+	version := fleet.origin.publish(t, data)
+	fleet.origin.setFault(func(path string, writer http.ResponseWriter) bool {
 		if !strings.HasPrefix(path, "/manifests/") {
 			return false
 		}
@@ -89,71 +89,70 @@
 		_, _ = writer.Write(encoded)
 		return true
 	})
-	flt.setTargets(version)
-	for _, host := range flt.hosts {
+	fleet.setTargets(version)
+	for _, host := range fleet.hosts {
 		await(t, "failed state", func() bool { return host.mgr.State(version).Phase() == Failed })
 		if got := host.mgr.State(version).HoldUp(); !strings.Contains(got, "does not match") {
-			t.Errorf("got hold-up %q, want the reason", got)
+			t.Errorf("got reason %q, want the mismatch", got)
 		}
 	}
-	flt.origin.setFault(nil)
-	flt.awaitWhole(version)
+	fleet.origin.setFault(nil)
+	fleet.awaitWhole(version)
 }
 
-// Symptom: corrupt weights on a host after a restart of its agent. Sequence:
-// whole, the agent stops, the host's memory loses one chunk's bytes, the agent
-// starts. Cause guarded against: trust in bytes kept by an earlier process.
-func TestRestartVerifiesWhatTheHostKept(t *testing.T) {
-	flt := newFleet(t, 2)
+// Guards against stored chunks of an earlier process that are used without verification,
+// so that a host has corrupt weights after a restart of its agent. One chunk in the host's
+// memory is corrupted between the stop and the start of the agent.
+func TestRestartVerifiesStoredChunks(t *testing.T) {
+	fleet := newTestFleet(t, 2)
 	data := randomData(1, 16)
-	version := flt.origin.publish(t, data)
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	old := flt.hosts[0]
-	old.stop()
-	flt.hosts, flt.nodes = flt.hosts[1:], flt.nodes[1:]
-	for hash := range old.store.chunks {
-		old.store.chunks[hash][0] ^= 1
+	version := fleet.origin.publish(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	oldHost := fleet.hosts[0]
+	oldHost.stop()
+	fleet.hosts, fleet.listed = fleet.hosts[1:], fleet.listed[1:]
+	for hash := range oldHost.store.chunks {
+		oldHost.store.chunks[hash][0] ^= 1
 		break
 	}
-	host := flt.add(old.node.GetId(), old.store, nil)
+	host := fleet.add(oldHost.node.GetId(), oldHost.store, nil)
 	host.setTargets(version)
-	flt.awaitWhole(version)
-	host.store.check(t, data)
+	fleet.awaitWhole(version)
+	host.store.requireData(t, data)
 	origin, peers, _ := host.mgr.Counters()
 	if got, want := int(origin+peers), 3*testChunkBytes; got > want {
 		t.Errorf("got %d bytes fetched after the restart, want at most %d", got, want)
 	}
 }
 
-// Symptom: a fleet stands still or passes corrupt weights on. Sequence: one
-// host corrupts every chunk that it sends. Cause guarded against: bytes kept
-// or passed on before they were verified, a corrupt source asked for ever.
-func TestOneHostCorruptsAllItSends(t *testing.T) {
-	flt := newFleet(t, 4)
-	flt.add("host-corrupt", &memoryStore{chunks: map[string][]byte{}}, func(piece *wire.ChunkData) {
+// Guards against bytes that are stored or passed on before they are verified, and against
+// endless requests to a corrupt source, which stall the fleet. One host corrupts every
+// chunk that it sends.
+func TestFleetCompletesDespiteCorruptingPeer(t *testing.T) {
+	fleet := newTestFleet(t, 4)
+	fleet.add("host-corrupt", &memoryStore{chunks: map[string][]byte{}}, func(piece *wire.ChunkData) {
 		if len(piece.Data) > 0 {
 			piece.Data[0] ^= 1
 		}
 	})
 	data := randomData(1, 48)
-	version := flt.origin.publish(t, data)
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	for _, host := range flt.hosts {
-		host.store.check(t, data)
+	version := fleet.origin.publish(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	for _, host := range fleet.hosts {
+		host.store.requireData(t, data)
 	}
 }
 
-// Symptom: the origin is overrun when it comes back. Sequence: it refuses
-// everything over its rate for the first requests, then answers. Cause guarded
-// against: requests repeated without heed to Retry-After.
-func TestOriginRefusesOverItsRate(t *testing.T) {
-	flt := newFleet(t, 3)
+// Guards against retries that ignore Retry-After, which overload an origin that has just
+// recovered. The origin answers the first requests with 429, later ones normally.
+func TestFleetCompletesAfterOriginRateLimit(t *testing.T) {
+	fleet := newTestFleet(t, 3)
 	data := randomData(1, 16)
-	version := flt.origin.publish(t, data)
+	version := fleet.origin.publish(t, data)
 	var refused atomic.Int32
-	flt.origin.setFault(func(path string, writer http.ResponseWriter) bool {
+	fleet.origin.setFault(func(path string, writer http.ResponseWriter) bool {
 		if refused.Load() >= 6 || !strings.HasPrefix(path, "/chunks/") {
 			return false
 		}
@@ -162,9 +161,9 @@
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return true
 	})
-	flt.setTargets(version)
-	flt.awaitWhole(version)
-	for _, host := range flt.hosts {
-		host.store.check(t, data)
+	fleet.setTargets(version)
+	fleet.awaitWhole(version)
+	for _, host := range fleet.hosts {
+		host.store.requireData(t, data)
 	}
 }
--- a/agent/internal/weights/peers.go
+++ b/agent/internal/weights/peers.go
@@ -12,52 +12,53 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// exchangeTimeout bounds one swap of reports; its messages are small.
+// exchangeTimeout bounds one exchange of reports, whose messages are small.
 const exchangeTimeout = 2 * time.Second
 
-// peers returns the other agents known now, in the order of their ids, and
-// notes where they listen.
+// peers returns the other agents known at present, sorted by id, and records their
+// addresses.
 func (m *Manager) peers() []burst.Peer {
-	var list []burst.Peer
+	var peers []burst.Peer
 	addresses := map[string]string{}
 	for _, node := range m.cfg.Peers() {
 		if node.GetId() != m.cfg.Self.GetId() {
-			list = append(list, peerOf(node))
+			peers = append(peers, peerOf(node))
 			addresses[node.GetId()] = node.GetControlAddress()
 		}
 	}
-	slices.SortFunc(list, func(left, right burst.Peer) int { return cmp.Compare(left.ID, right.ID) })
+	slices.SortFunc(peers, func(left, right burst.Peer) int { return cmp.Compare(left.ID, right.ID) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.listed = addresses
-	return list
+	m.peerAddresses = addresses
+	return peers
 }
 
-// address returns where a peer listens: the list of peers knows, or else the
-// peer stated when it called.
+// address returns a peer's control address from the list of peers, or else the one
+// that the peer stated when it called; empty if unknown.
 func (m *Manager) address(id string) string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if address := m.listed[id]; address != "" {
+	if address := m.peerAddresses[id]; address != "" {
 		return address
 	}
-	return m.addresses[id]
+	return m.callerAddresses[id]
 }
 
+// client returns a client for a peer's host service.
 func (m *Manager) client(ctx context.Context, id string) (wire.DRPCHostClient, error) {
 	address := m.address(id)
 	if address == "" {
 		return nil, failure.New(failure.NotFound, "the address of host "+id+" is unknown",
-			"wait until the list of hosts names it")
+			"wait until the list of hosts contains it")
 	}
 	return wire.NewDRPCHostClient(m.cfg.Dial(ctx, address)), nil
 }
 
-// exchange swaps reports with a peer.
-func (t *transfer) exchange(ctx context.Context, id string, report burst.Report) {
+// exchangeReports sends a report to a peer and passes the peer's own to the core.
+func (t *transfer) exchangeReports(ctx context.Context, id string, report burst.Report) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := t.callHave(ctx, id, report)
+	reply, err := t.sendReport(ctx, id, report)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
@@ -71,7 +72,8 @@
 	signal(t.wake)
 }
 
-func (t *transfer) callHave(ctx context.Context, id string, report burst.Report) (*wire.HaveReply, error) {
+// sendReport calls a peer's Have with this host's report.
+func (t *transfer) sendReport(ctx context.Context, id string, report burst.Report) (*wire.HaveReply, error) {
 	client, err := t.mgr.client(ctx, id)
 	if err != nil {
 		return nil, err
@@ -83,19 +85,20 @@
 	})
 }
 
-// Have swaps knowledge of held chunks with a peer: wire.Host's Have. A reply
-// without bitmaps says that this host takes no part in the version.
+// Have takes a peer's report of its chunks and replies with this host's. It implements
+// wire.Host. A reply without bitmaps means that this host does not take part in the
+// transfer of the version.
 func (m *Manager) Have(ctx context.Context, req *wire.HaveRequest) (*wire.HaveReply, error) {
 	from := req.GetFrom()
-	if err := checkCaller(ctx, from); err != nil {
+	if err := verifyCaller(ctx, from); err != nil {
 		return nil, err
 	}
 	trans := m.transfer(req.GetVersion())
 	if trans == nil {
 		return &wire.HaveReply{}, nil
 	}
-	m.noteAddress(from)
-	report, ok := trans.observe(from, req)
+	m.recordAddress(from)
+	report, ok := trans.handleReport(from, req)
 	if !ok {
 		return &wire.HaveReply{}, nil
 	}
@@ -105,8 +108,8 @@
 	}, nil
 }
 
-// checkCaller refuses a caller that names a host other than its certificate's.
-func checkCaller(ctx context.Context, from *wire.Node) error {
+// verifyCaller rejects a caller whose message names another host than its certificate.
+func verifyCaller(ctx context.Context, from *wire.Node) error {
 	if caller, known := peer.CallerOf(ctx); known && caller.Node() != from.GetId() {
 		return failure.New(failure.Unauthorized, "the caller's certificate names another host",
 			"give the agent the certificate of its own host")
@@ -114,20 +117,24 @@
 	return nil
 }
 
-// maxAddresses bounds the callers remembered beside the list of peers.
-const maxAddresses = 4096
+// maxCallerAddresses bounds the addresses recorded from callers.
+const maxCallerAddresses = 4096
 
-func (m *Manager) noteAddress(from *wire.Node) {
+// recordAddress records the control address that a caller stated, up to
+// maxCallerAddresses callers.
+func (m *Manager) recordAddress(from *wire.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.addresses[from.GetId()] == "" && len(m.addresses) >= maxAddresses {
+	if m.callerAddresses[from.GetId()] == "" && len(m.callerAddresses) >= maxCallerAddresses {
 		return
 	}
-	m.addresses[from.GetId()] = from.GetControlAddress()
+	m.callerAddresses[from.GetId()] = from.GetControlAddress()
 }
 
-func (t *transfer) observe(from *wire.Node, req *wire.HaveRequest) (burst.Report, bool) {
-	load := t.mgr.uploads.load()
+// handleReport passes a peer's report to the core and returns this host's; false while
+// the manifest is unknown.
+func (t *transfer) handleReport(from *wire.Node, req *wire.HaveRequest) (burst.Report, bool) {
+	load := t.mgr.uploads.pending()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.core == nil {
@@ -142,9 +149,9 @@
 	return t.core.Report(), true
 }
 
-// report returns what to send a peer along with a request or an answer.
+// report returns this host's report, which is sent along with requests and answers.
 func (t *transfer) report() burst.Report {
-	load := t.mgr.uploads.load()
+	load := t.mgr.uploads.pending()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.SetUploads(load)
