--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -151,7 +151,7 @@
 
 // prepare reads a request and finds its route and customer.
 //
-// It implements rule ORDER of spec/freshness.pml.
+// Rule ORDER of spec/freshness.pml.
 func (g *Gateway) prepare(x *exchange, r *http.Request) *refusal {
 	req, err := g.cfg.Wire.Read(r)
 	if err != nil {
@@ -183,7 +183,7 @@
 // configuration that is known to be current. If it may be out of date, the caller is asked to
 // retry.
 //
-// It implements rule LIMIT of spec/freshness.pml.
+// Rule LIMIT of spec/freshness.pml.
 func (g *Gateway) route(x *exchange) *refusal {
 	bounds := g.cfg.Bounds()
 	age, known := x.configAge, x.ageKnown
