--- a/relay/once/authority.go
+++ b/relay/once/authority.go
@@ -60,7 +60,7 @@
 // Claim decides a claim; see Table.Claim. For an owner that this process does
 // not answer for it returns Moved or NotOwner.
 //
-// Implements rule OWNER of spec/once.pml.
+// Rule OWNER of spec/once.pml.
 func (a *Authority) Claim(now time.Time, claim Claim) Verdict {
 	st, successor := a.find(claim.Key.owner)
 	if st != nil {
