--- a/agent/internal/gate/admission.go
+++ b/agent/internal/gate/admission.go
@@ -28,80 +28,80 @@
 func (l Loaded) Empty() bool { return l.Version == "" }
 
 // door lets attempts in while the endpoint serves what they ask for.
-type door struct {
+type admission struct {
 	mu     sync.Mutex
-	lane   *drain.Lane
+	drain  *drain.Lane
 	loaded Loaded // confirmed by the endpoint whenever the lane is open
 	// leaving: the process shuts down or the host is taken out.
 	leaving bool
 	// exiting is set with the shutdown of the process and never taken back.
-	exiting bool
+	shuttingDown bool
 }
 
 // enter counts an attempt in and returns what is loaded, or says why not.
-func (d *door) enter() (Loaded, refusal) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.leaving || d.exiting {
-		return Loaded{}, refuse(reasonLeaving, leavingRetry)
+func (a *admission) enter() (Loaded, refusal) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.leaving || a.shuttingDown {
+		return Loaded{}, newRefusal(reasonLeaving, leavingRetryAfter)
 	}
-	if !d.lane.Enter() {
-		return Loaded{}, refuse(reasonDraining, drainingRetry)
+	if !a.drain.Enter() {
+		return Loaded{}, newRefusal(reasonDraining, drainingRetryAfter)
 	}
-	return d.loaded, refusal{}
+	return a.loaded, refusal{}
 }
 
-func (d *door) leave() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.lane.Leave()
+func (a *admission) leave() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.drain.Leave()
 }
 
 // open serves new weights. It reports false while work on the former ones still
 // runs.
-func (d *door) open(loaded Loaded) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lane.Phase() == drain.Open {
-		return d.loaded.Equal(loaded)
+func (a *admission) open(loaded Loaded) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.drain.Phase() == drain.Open {
+		return a.loaded.Equal(loaded)
 	}
-	if d.exiting || !d.lane.Reopen() {
+	if a.shuttingDown || !a.drain.Reopen() {
 		return false
 	}
-	d.loaded = loaded
+	a.loaded = loaded
 	return true
 }
 
-func (d *door) begin(now time.Time, limit time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lane.Begin(now, limit)
+func (a *admission) beginDrain(now time.Time, limit time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.drain.Begin(now, limit)
 }
 
-func (d *door) abandon() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (a *admission) abandonDrain() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	// Without the first condition the deadline of a shutdown would be lifted.
-	return !d.exiting && d.lane.Phase() != drain.Drained && d.lane.Abandon()
+	return !a.shuttingDown && a.drain.Phase() != drain.Drained && a.drain.Abandon()
 }
 
-func (d *door) tick(now time.Time) (cancel bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.lane.Tick(now)
+func (a *admission) tick(now time.Time) (cancel bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.drain.Tick(now)
 }
 
-func (d *door) setLeaving(leaving bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leaving = leaving
+func (a *admission) setLeaving(leaving bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.leaving = leaving
 }
 
-func (d *door) exit(now time.Time, limit time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.exiting = true
-	d.lane.Begin(now, limit)
+func (a *admission) shutDown(now time.Time, limit time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.shuttingDown = true
+	a.drain.Begin(now, limit)
 }
 
 // State is the gate as others see it.
@@ -124,13 +124,13 @@
 // Running returns the attempts at the endpoint.
 func (s State) Running() int { return s.running }
 
-func (d *door) state() State {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (a *admission) state() State {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	return State{
-		phase:   d.lane.Phase(),
-		loaded:  d.loaded,
-		leaving: d.leaving || d.exiting,
-		running: d.lane.Running(),
+		phase:   a.drain.Phase(),
+		loaded:  a.loaded,
+		leaving: a.leaving || a.shuttingDown,
+		running: a.drain.Running(),
 	}
 }
--- a/agent/internal/gate/attempt.go
+++ b/agent/internal/gate/attempt.go
@@ -17,65 +17,65 @@
 )
 
 // run is one attempt that was let in.
-type run struct {
-	gate   *Gate
-	att    *wire.Attempt
-	key    runKey
-	ctx    context.Context // ends with the deadline, the caller or a cancel
-	stop   context.CancelFunc
-	loaded Loaded // what was confirmed when it was let in
-	rules  *rules
+type activeAttempt struct {
+	gate    *Gate
+	request *wire.Attempt
+	key     attemptKey
+	ctx     context.Context // ends with the deadline, the caller or a cancel
+	cancel  context.CancelFunc
+	loaded  Loaded // what was confirmed when it was let in
+	rules   *attemptRules
 	// overloaded: the endpoint refused it or was late.
-	overloaded atomic.Bool
-	finished   atomic.Bool // finish has happened
+	endpointOverloaded atomic.Bool
+	finished           atomic.Bool // finish has happened
 }
 
 // admit judges an attempt. Where it lets it in, the caller ends it with finish.
 // Every refusal that a second delivery could meet differently is remembered.
-func (g *Gate) admit(ctx context.Context, att *wire.Attempt) (*run, refusal) {
+func (g *Gate) admit(ctx context.Context, att *wire.Attempt) (*activeAttempt, refusal) {
 	if att.GetIncarnation() != g.cfg.Self.GetIncarnation() {
-		return nil, refuse(reasonIncarnation, loadRetry)
+		return nil, newRefusal(reasonOtherIncarnation, notLoadedRetryAfter)
 	}
-	if !wellFormed(att) {
-		return nil, refuse(reasonInvalid, 0)
+	if !isValid(att) {
+		return nil, newRefusal(reasonInvalid, 0)
 	}
-	rules, _ := g.rules.load()
-	left := rules.deadline(att)
-	out := &run{gate: g, att: att, rules: rules}
-	out.key = runKey{id: attempt.ParseID(att.GetRequestId()), number: att.GetAttempt()}
-	out.ctx, out.stop = withDeadline(ctx, g.cfg.Clock, left)
-	verdict, broken := g.memory.begin(out.key, att.GetRepeatable(), out.stop)
-	g.cfg.Invariants.Check(broken == "", "beginOnce", "request", att.GetRequestId(), "cause", broken)
+	rules, _ := g.rules.current()
+	timeLeft := rules.timeLimit(att)
+	active := &activeAttempt{gate: g, request: att, rules: rules}
+	active.key = attemptKey{id: attempt.ParseID(att.GetRequestId()), number: att.GetAttempt()}
+	active.ctx, active.cancel = withDeadline(ctx, g.cfg.Clock, timeLeft)
+	verdict, violated := g.attempts.begin(active.key, att.GetRepeatable(), active.cancel)
+	g.cfg.Invariants.Check(violated == "", "beginOnce", "request", att.GetRequestId(), "cause", violated)
 	if verdict != attempt.Begin {
-		out.stop()
-		return nil, verdictRefusal(verdict)
+		active.cancel()
+		return nil, refusalForVerdict(verdict)
 	}
-	if reason := g.enter(out, left); !reason.none() {
-		out.forget()
+	if reason := g.reservePlaces(active, timeLeft); !reason.isZero() {
+		active.abort()
 		return nil, reason
 	}
-	return out, refusal{}
+	return active, refusal{}
 }
 
-func wellFormed(att *wire.Attempt) bool {
+func isValid(att *wire.Attempt) bool {
 	id := att.GetRequestId()
 	return id != "" && len(id) <= maxIDBytes && len(att.GetPrompt()) <= maxPromptBytes
 }
 
-func verdictRefusal(verdict attempt.Verdict) refusal {
+func refusalForVerdict(verdict attempt.Verdict) refusal {
 	switch verdict {
 	case attempt.Duplicate:
-		return refusal{reason: reasonDuplicate, unproved: true}
+		return refusal{reason: reasonDuplicate, mayHaveRun: true}
 	case attempt.RefusedBefore:
-		return refuse(reasonDuplicate, 0)
+		return newRefusal(reasonDuplicate, 0)
 	case attempt.Tombstone:
-		return refuse(reasonTombstone, 0)
+		return newRefusal(reasonCancelled, 0)
 	case attempt.BegunBefore:
-		return refuse(reasonBegunBefore, 0)
+		return newRefusal(reasonBegunBefore, 0)
 	case attempt.Full:
-		return refuse(reasonFull, fullRetry)
+		return newRefusal(reasonMemoryFull, memoryFullRetryAfter)
 	case attempt.Overfull:
-		return refusal{reason: reasonFull, retry: fullRetry, unproved: true}
+		return refusal{reason: reasonMemoryFull, retryAfter: memoryFullRetryAfter, mayHaveRun: true}
 	case attempt.Begin:
 	}
 	return refusal{}
@@ -83,30 +83,30 @@
 
 // enter checks what may change while the process runs, and takes a place at the
 // door and at the endpoint.
-func (g *Gate) enter(out *run, left time.Duration) refusal {
-	loaded, closed := g.door.enter()
-	if !closed.none() {
+func (g *Gate) reservePlaces(active *activeAttempt, timeLeft time.Duration) refusal {
+	loaded, closed := g.admission.enter()
+	if !closed.isZero() {
 		return closed
 	}
-	out.loaded = loaded
-	reason := g.fits(out, left)
-	if reason.none() && !g.capacity.acquire() {
-		reason = refuse(reasonBusy, busyRetry)
+	active.loaded = loaded
+	refused := g.checkPermitted(active, timeLeft)
+	if refused.isZero() && !g.limiter.acquire() {
+		refused = newRefusal(reasonBusy, busyRetryAfter)
 	}
-	if !reason.none() {
-		g.cfg.Invariants.Check(g.door.leave(), "laneCount")
+	if !refused.isZero() {
+		g.cfg.Invariants.Check(g.admission.leave(), "laneCount")
 	}
-	return reason
+	return refused
 }
 
-func (g *Gate) fits(out *run, left time.Duration) refusal {
+func (g *Gate) checkPermitted(active *activeAttempt, timeLeft time.Duration) refusal {
 	switch {
-	case !g.serves(out.loaded, out.att):
-		return refuse(reasonNotLoaded, loadRetry)
-	case !out.rules.allows(out.att):
-		return refuse(reasonCustomer, 0)
-	case left <= 0 || out.ctx.Err() != nil:
-		return refuse(reasonDeadline, 0)
+	case !g.serves(active.loaded, active.request):
+		return newRefusal(reasonNotLoaded, notLoadedRetryAfter)
+	case !active.rules.allowsCustomer(active.request):
+		return newRefusal(reasonNotAllowed, 0)
+	case timeLeft <= 0 || active.ctx.Err() != nil:
+		return newRefusal(reasonDeadline, 0)
 	}
 	return refusal{}
 }
@@ -129,20 +129,20 @@
 }
 
 // forget undoes begin for an attempt that never reached the endpoint.
-func (r *run) forget() {
-	r.finished.Store(true)
-	r.stop()
-	r.gate.cfg.Invariants.Check(r.gate.memory.end(r.key, false), "endWithoutBegin")
+func (a *activeAttempt) abort() {
+	a.finished.Store(true)
+	a.cancel()
+	a.gate.cfg.Invariants.Check(a.gate.attempts.end(a.key, false), "endWithoutBegin")
 }
 
 // finish gives the places back; with ran false the endpoint proved that it did
 // not run the attempt. Later calls do nothing.
-func (r *run) finish(ran bool) {
-	if !r.finished.CompareAndSwap(false, true) {
+func (a *activeAttempt) finish(ran bool) {
+	if !a.finished.CompareAndSwap(false, true) {
 		return
 	}
-	r.stop()
-	r.gate.capacity.release(r.overloaded.Load())
-	r.gate.cfg.Invariants.Check(r.gate.memory.end(r.key, ran), "endWithoutBegin")
-	r.gate.cfg.Invariants.Check(r.gate.door.leave(), "laneCount")
+	a.cancel()
+	a.gate.limiter.release(a.endpointOverloaded.Load())
+	a.gate.cfg.Invariants.Check(a.gate.attempts.end(a.key, ran), "endWithoutBegin")
+	a.gate.cfg.Invariants.Check(a.gate.admission.leave(), "laneCount")
 }
--- a/agent/internal/gate/attempts.go
+++ b/agent/internal/gate/attempts.go
@@ -10,59 +10,59 @@
 
 const (
 	// memoryShards spreads the attempts over locks.
-	memoryShards = 16
+	attemptShards = 16
 	// retention outlasts the longest deadline, and TCP's last retransmission
 	// of a delivery that hangs in the network.
-	retention = 20 * time.Minute
+	attemptRetention = 20 * time.Minute
 	// rememberedRequests bounds all shards together; about 250 bytes each.
-	rememberedRequests = 1 << 18
+	maxRequests = 1 << 18
 )
 
 // memory is the agent's memory of attempts, in shards by request.
-type memory struct {
-	shards [memoryShards]memoryShard
+type attemptStore struct {
+	shards [attemptShards]attemptShard
 }
 
-type memoryShard struct {
+type attemptShard struct {
 	mu       sync.Mutex
 	attempts *attempt.Memory
 	// cancels stops what runs; one for each attempt in state Running.
-	cancels map[runKey]context.CancelFunc
+	cancels map[attemptKey]context.CancelFunc
 }
 
-type runKey struct {
+type attemptKey struct {
 	id     attempt.ID
 	number uint32
 }
 
-func newMemory(now time.Time) *memory {
-	mem := &memory{}
-	limits := attempt.Limits{Retention: retention, Requests: rememberedRequests / memoryShards}
-	for i := range mem.shards {
-		mem.shards[i].attempts = attempt.NewMemory(limits, now)
-		mem.shards[i].cancels = map[runKey]context.CancelFunc{}
+func newAttemptStore(now time.Time) *attemptStore {
+	store := &attemptStore{}
+	limits := attempt.Limits{Retention: attemptRetention, Requests: maxRequests / attemptShards}
+	for i := range store.shards {
+		store.shards[i].attempts = attempt.NewMemory(limits, now)
+		store.shards[i].cancels = map[attemptKey]context.CancelFunc{}
 	}
-	return mem
+	return store
 }
 
 // shard picks by the last byte: in a UUIDv7 the first ones are the time.
-func (m *memory) shard(id attempt.ID) *memoryShard {
-	return &m.shards[id[len(id)-1]%memoryShards]
+func (s *attemptStore) shard(id attempt.ID) *attemptShard {
+	return &s.shards[id[len(id)-1]%attemptShards]
 }
 
-func (m *memory) step(now time.Time) {
-	for i := range m.shards {
-		shard := &m.shards[i]
+func (s *attemptStore) advance(now time.Time) {
+	for i := range s.shards {
+		shard := &s.shards[i]
 		shard.mu.Lock()
 		shard.attempts.Step(now)
 		shard.mu.Unlock()
 	}
 }
 
-func (m *memory) len() int {
+func (s *attemptStore) len() int {
 	total := 0
-	for i := range m.shards {
-		shard := &m.shards[i]
+	for i := range s.shards {
+		shard := &s.shards[i]
 		shard.mu.Lock()
 		total += shard.attempts.Len()
 		shard.mu.Unlock()
@@ -72,8 +72,8 @@
 
 // begin judges a delivery; where it may begin, cancel stops it later. broken
 // names an invariant that no longer holds.
-func (m *memory) begin(key runKey, repeatable bool, cancel context.CancelFunc) (verdict attempt.Verdict, broken string) {
-	shard := m.shard(key.id)
+func (s *attemptStore) begin(key attemptKey, repeatable bool, cancel context.CancelFunc) (verdict attempt.Verdict, violated string) {
+	shard := s.shard(key.id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	verdict = shard.attempts.Begin(key.id, key.number, repeatable)
@@ -83,8 +83,8 @@
 	return verdict, shard.attempts.Check(key.id)
 }
 
-func (m *memory) end(key runKey, ran bool) bool {
-	shard := m.shard(key.id)
+func (s *attemptStore) end(key attemptKey, ran bool) bool {
+	shard := s.shard(key.id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	delete(shard.cancels, key)
@@ -92,33 +92,33 @@
 }
 
 // cancel leaves a tombstone, or stops what runs.
-func (m *memory) cancel(key runKey) (state attempt.State, stored bool) {
-	shard := m.shard(key.id)
+func (s *attemptStore) cancel(key attemptKey) (state attempt.State, recorded bool) {
+	shard := s.shard(key.id)
 	shard.mu.Lock()
-	state, stored = shard.attempts.Cancel(key.id, key.number)
-	stop := shard.cancels[key]
+	state, recorded = shard.attempts.Cancel(key.id, key.number)
+	cancel := shard.cancels[key]
 	shard.mu.Unlock()
-	if stop != nil {
-		stop()
+	if cancel != nil {
+		cancel()
 	}
-	return state, stored
+	return state, recorded
 }
 
 // cancelAll stops everything that runs.
-func (m *memory) cancelAll() {
-	for i := range m.shards {
-		for _, stop := range m.shards[i].stops() {
-			stop()
+func (s *attemptStore) cancelAll() {
+	for i := range s.shards {
+		for _, cancel := range s.shards[i].cancelFuncs() {
+			cancel()
 		}
 	}
 }
 
-func (s *memoryShard) stops() []context.CancelFunc {
+func (s *attemptShard) cancelFuncs() []context.CancelFunc {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stops := make([]context.CancelFunc, 0, len(s.cancels))
-	for _, stop := range s.cancels {
-		stops = append(stops, stop)
+	cancels := make([]context.CancelFunc, 0, len(s.cancels))
+	for _, cancel := range s.cancels {
+		cancels = append(cancels, cancel)
 	}
-	return stops
+	return cancels
 }
--- a/agent/internal/gate/call.go
+++ b/agent/internal/gate/call.go
@@ -13,44 +13,44 @@
 const bodyFrameBytes = 256 << 10
 
 // call forwards an attempt to the plain service or the bridge.
-func (g *Gate) call(run *run, out *reply) error {
-	att := run.att
+func (g *Gate) call(active *activeAttempt, reply *replyStream) error {
+	att := active.request
 	// A caller that stopped reading must not hold up a drain; see watch.
-	release := context.AfterFunc(run.ctx, func() { run.finish(true) })
-	defer release()
-	body, err := g.cfg.Engine.Call(run.ctx, att.GetRequestId(), att.GetBody(), !att.GetRepeatable())
+	stopWatching := context.AfterFunc(active.ctx, func() { active.finish(true) })
+	defer stopWatching()
+	body, err := g.cfg.Engine.Call(active.ctx, att.GetRequestId(), att.GetBody(), !att.GetRepeatable())
 	if err != nil {
-		return g.callFailed(run, out, err)
+		return g.replyCallError(active, reply, err)
 	}
-	if out.begin("") != nil {
+	if reply.sendBegin("") != nil {
 		return nil
 	}
 	for start := 0; start < len(body); start += bodyFrameBytes {
-		piece := body[start:min(start+bodyFrameBytes, len(body))]
-		if out.frame(&wire.Frame{Kind: frameBody, Body: piece}) != nil {
+		chunk := body[start:min(start+bodyFrameBytes, len(body))]
+		if reply.sendFrame(&wire.Frame{Kind: frameBody, Body: chunk}) != nil {
 			return nil
 		}
 	}
 	sum := blake3.Sum256(body)
-	return out.end("", sum[:])
+	return reply.sendEnd("", sum[:])
 }
 
 // callFailed answers a call without a result. A refusal proves that the call
 // was not run only where the endpoint class promises that.
-func (g *Gate) callFailed(run *run, out *reply, err error) error {
+func (g *Gate) replyCallError(active *activeAttempt, reply *replyStream, err error) error {
 	kind := failure.KindOf(err)
 	if kind == failure.Exhausted {
-		run.overloaded.Store(true)
+		active.endpointOverloaded.Store(true)
 	}
 	switch {
 	case kind == failure.Unavailable:
-		run.finish(false)
-		return out.refuse(refuse(reasonUnreachable, reachRetry))
-	case kind == failure.Exhausted && run.rules.class.GetRefusesBeforeRun():
-		run.finish(false)
-		return out.refuse(refuse(reasonBusy, busyRetry))
+		active.finish(false)
+		return reply.sendRefused(newRefusal(reasonUnreachable, unreachableRetryAfter))
+	case kind == failure.Exhausted && active.rules.endpointClass.GetRefusesBeforeRun():
+		active.finish(false)
+		return reply.sendRefused(newRefusal(reasonBusy, busyRetryAfter))
 	}
-	reason := run.why(reasonEndpoint)
-	run.finish(true)
-	return out.broken(reason)
+	reason := active.breakReason(reasonEndpointFailed)
+	active.finish(true)
+	return reply.sendBroken(reason)
 }
--- a/agent/internal/gate/deadline.go
+++ b/agent/internal/gate/deadline.go
@@ -10,9 +10,9 @@
 
 // withDeadline ends the context after left by the clock given; its cause is
 // then context.DeadlineExceeded.
-func withDeadline(ctx context.Context, clock clockwork.Clock, left time.Duration) (context.Context, context.CancelFunc) {
+func withDeadline(ctx context.Context, clock clockwork.Clock, timeLeft time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := clock.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
+	timer := clock.AfterFunc(timeLeft, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
 		timer.Stop()
 		cancel(context.Canceled)
@@ -20,6 +20,6 @@
 }
 
 // late reports whether the context ended by its deadline.
-func late(ctx context.Context) bool {
+func deadlineExceeded(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
--- a/agent/internal/gate/errors.go
+++ b/agent/internal/gate/errors.go
@@ -6,5 +6,5 @@
 	errOtherNode = failure.New(failure.Unauthorized, "the caller's certificate names another node than the message",
 		"set node.id to the certificate's common name")
 	errMemoryFull = failure.New(failure.Exhausted, "the memory of attempts is full, so the attempt may still begin",
-		"treat the outcome as unknown").WithRetryAfter(fullRetry)
+		"treat the outcome as unknown").WithRetryAfter(memoryFullRetryAfter)
 )
--- a/agent/internal/gate/fuzz_test.go
+++ b/agent/internal/gate/fuzz_test.go
@@ -12,11 +12,11 @@
 // comes, exactly one last frame answers it, and nothing stays in use.
 func FuzzAttempt(f *testing.F) {
 	seeds := []*wire.Attempt{
-		attemptOf("r1", nil),
-		attemptOf("r1", func(att *wire.Attempt) { att.Incarnation = "" }),
-		attemptOf("r1", func(att *wire.Attempt) { att.DeadlineMillis = 1<<32 - 1 }),
-		attemptOf("r1", func(att *wire.Attempt) { att.Service = "labels" }),
-		attemptOf("r1", func(att *wire.Attempt) { att.ResumeTokens = []string{"", "\n"} }),
+		newAttempt("r1", nil),
+		newAttempt("r1", func(att *wire.Attempt) { att.Incarnation = "" }),
+		newAttempt("r1", func(att *wire.Attempt) { att.DeadlineMillis = 1<<32 - 1 }),
+		newAttempt("r1", func(att *wire.Attempt) { att.Service = "labels" }),
+		newAttempt("r1", func(att *wire.Attempt) { att.ResumeTokens = []string{"", "\n"} }),
 		{},
 	}
 	for _, seed := range seeds {
@@ -31,17 +31,17 @@
 		if proto.Unmarshal(encoded, att) != nil {
 			return
 		}
-		b := newBench(t, nil)
-		out := newCaller(t.Context())
-		if err := b.gate.Run(att, out); err != nil {
+		gf := newGateFixture(t, nil)
+		stream := newFakeCaller(t.Context())
+		if err := gf.gate.Run(att, stream); err != nil {
 			t.Fatalf("Run failed: %v", err)
 		}
-		for i, frame := range out.frames {
+		for i, frame := range stream.frames {
 			last := frame.GetKind() == frameEnd || frame.GetKind() == frameRefused || frame.GetKind() == frameBroken
-			if want := i == len(out.frames)-1; last != want {
-				t.Fatalf("got frame %d of %d of kind %s", i, len(out.frames), frame.GetKind())
+			if want := i == len(stream.frames)-1; last != want {
+				t.Fatalf("got frame %d of %d of kind %s", i, len(stream.frames), frame.GetKind())
 			}
 		}
-		b.settled()
+		gf.checkNothingInUse()
 	})
 }
--- a/agent/internal/gate/gate.go
+++ b/agent/internal/gate/gate.go
@@ -47,67 +47,67 @@
 
 // Gate is safe for concurrent use.
 type Gate struct {
-	cfg      Config
-	rules    rulebook
-	memory   *memory
-	door     door
-	capacity *capacity
-	gaps     gaps
+	cfg       Config
+	rules     ruleCache
+	attempts  *attemptStore
+	admission admission
+	limiter   *concurrencyLimiter
+	tokenGaps tokenGapStats
 }
 
 // New returns a Gate that is shut until Open.
 func New(cfg Config) *Gate {
 	return &Gate{
-		cfg:      cfg,
-		rules:    rulebook{holder: cfg.View, endpoint: cfg.Endpoint},
-		memory:   newMemory(cfg.Clock.Now()),
-		door:     door{lane: drain.NewLane(drain.Drained)},
-		capacity: newCapacity(),
+		cfg:       cfg,
+		rules:     ruleCache{holder: cfg.View, endpoint: cfg.Endpoint},
+		attempts:  newAttemptStore(cfg.Clock.Now()),
+		admission: admission{drain: drain.NewLane(drain.Drained)},
+		limiter:   newConcurrencyLimiter(),
 	}
 }
 
 // Open serves what the endpoint was confirmed to have loaded. It reports false
 // while attempts on former weights still run.
-func (g *Gate) Open(loaded Loaded) bool { return g.door.open(loaded) }
+func (g *Gate) Open(loaded Loaded) bool { return g.admission.open(loaded) }
 
 // Drain lets nothing in and cancels what still runs after limit.
-func (g *Gate) Drain(limit time.Duration) { g.door.begin(g.cfg.Clock.Now(), limit) }
+func (g *Gate) Drain(limit time.Duration) { g.admission.beginDrain(g.cfg.Clock.Now(), limit) }
 
 // Abandon ends a drain before anything was changed at the endpoint. It reports
 // false where the drain is over or past its deadline.
-func (g *Gate) Abandon() bool { return g.door.abandon() }
+func (g *Gate) Abandon() bool { return g.admission.abandonDrain() }
 
 // SetLeaving refuses all new attempts, or takes that back.
-func (g *Gate) SetLeaving(leaving bool) { g.door.setLeaving(leaving) }
+func (g *Gate) SetLeaving(leaving bool) { g.admission.setLeaving(leaving) }
 
 // Exit refuses all new attempts for good and cancels what still runs after
 // limit.
-func (g *Gate) Exit(limit time.Duration) { g.door.exit(g.cfg.Clock.Now(), limit) }
+func (g *Gate) Exit(limit time.Duration) { g.admission.shutDown(g.cfg.Clock.Now(), limit) }
 
 // Stop cancels everything that runs, now.
-func (g *Gate) Stop() { g.memory.cancelAll() }
+func (g *Gate) Stop() { g.attempts.cancelAll() }
 
 // State returns the state of the gate.
-func (g *Gate) State() State { return g.door.state() }
+func (g *Gate) State() State { return g.admission.state() }
 
 // SetSlots takes the engine's own count of requests that it runs at once.
-func (g *Gate) SetSlots(slots int) { g.capacity.setSlots(slots) }
+func (g *Gate) SetSlots(slots int) { g.limiter.setSlots(slots) }
 
 // TokenGap returns the median time between tokens; 0 while unknown.
-func (g *Gate) TokenGap() time.Duration { return g.gaps.last() }
+func (g *Gate) TokenGap() time.Duration { return g.tokenGaps.lastMedian() }
 
 // TokensSlow returns 0 to 1: how much slower tokens flow than at their recent
 // best.
-func (g *Gate) TokensSlow() float64 { return g.gaps.slow() }
+func (g *Gate) TokensSlow() float64 { return g.tokenGaps.slowdown() }
 
 // Remembered returns how many requests the memory of attempts holds.
-func (g *Gate) Remembered() int { return g.memory.len() }
+func (g *Gate) Remembered() int { return g.attempts.len() }
 
 // Work moves drains and the memory on until ctx ends.
 func (g *Gate) Work(ctx context.Context) error {
 	ticker := g.cfg.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
-	lastGap := g.cfg.Clock.Now()
+	lastGapUpdate := g.cfg.Clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -116,49 +116,49 @@
 		}
 		now := g.cfg.Clock.Now()
 		g.Tick(now)
-		if now.Sub(lastGap) >= time.Second {
-			g.gaps.read(now)
-			lastGap = now
+		if now.Sub(lastGapUpdate) >= time.Second {
+			g.tokenGaps.update(now)
+			lastGapUpdate = now
 		}
 	}
 }
 
 // Tick moves drains and the memory on.
 func (g *Gate) Tick(now time.Time) {
-	g.memory.step(now)
-	if g.door.tick(now) {
-		g.cfg.Log.Warn("drain deadline passed, running attempts are stopped", "running", g.door.state().running)
-		g.memory.cancelAll()
+	g.attempts.advance(now)
+	if g.admission.tick(now) {
+		g.cfg.Log.Warn("drain deadline passed, running attempts are stopped", "running", g.admission.state().running)
+		g.attempts.cancelAll()
 	}
 }
 
 // Run executes one attempt: wire.Host's Run.
 func (g *Gate) Run(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
-	if err := g.identify(stream.Context(), att.GetFrom()); err != nil {
+	if err := g.authorize(stream.Context(), att.GetFrom()); err != nil {
 		return err
 	}
 	g.cfg.Observe(att.GetFrom(), att.GetKnown())
-	reply := &reply{gate: g, att: att, send: stream.Send}
-	run, refusal := g.admit(stream.Context(), att)
-	if !refusal.none() {
-		return reply.refuse(refusal)
+	reply := &replyStream{gate: g, att: att, send: stream.Send}
+	active, refused := g.admit(stream.Context(), att)
+	if !refused.isZero() {
+		return reply.sendRefused(refused)
 	}
-	defer run.finish(true)
+	defer active.finish(true)
 	if att.GetService() != "" {
-		return g.call(run, reply)
+		return g.call(active, reply)
 	}
-	return g.generate(run, reply)
+	return g.generate(active, reply)
 }
 
 // identify accepts calls of entries alone. One entry's certificate does not
 // speak for another.
-func (g *Gate) identify(ctx context.Context, from *wire.Node) error {
+func (g *Gate) authorize(ctx context.Context, from *wire.Node) error {
 	if err := peer.Require(ctx, g.cfg.Secure, peer.RoleEntry); err != nil {
 		g.cfg.Counters.Add("unauthorized", 1)
 		return err
 	}
-	caller, known := peer.CallerOf(ctx)
-	if known && caller.Node() != from.GetId() {
+	caller, authenticated := peer.CallerOf(ctx)
+	if authenticated && caller.Node() != from.GetId() {
 		g.cfg.Counters.Add("unauthorized", 1)
 		return errOtherNode
 	}
@@ -169,15 +169,15 @@
 //
 // Rule OTHER of spec/once.pml.
 func (g *Gate) Cancel(ctx context.Context, req *wire.CancelRequest) (*wire.CancelReply, error) {
-	if err := g.identify(ctx, req.GetFrom()); err != nil {
+	if err := g.authorize(ctx, req.GetFrom()); err != nil {
 		return nil, err
 	}
 	if req.GetIncarnation() != g.cfg.Self.GetIncarnation() {
 		return &wire.CancelReply{State: "otherIncarnation"}, nil
 	}
-	key := runKey{id: attempt.ParseID(req.GetRequestId()), number: req.GetAttempt()}
-	state, stored := g.memory.cancel(key)
-	if !stored {
+	key := attemptKey{id: attempt.ParseID(req.GetRequestId()), number: req.GetAttempt()}
+	state, recorded := g.attempts.cancel(key)
+	if !recorded {
 		return nil, errMemoryFull
 	}
 	g.cfg.Counters.Add("cancelled", 1)
--- a/agent/internal/gate/gate_test.go
+++ b/agent/internal/gate/gate_test.go
@@ -35,23 +35,23 @@
 
 // fakeEngine answers by functions that a test replaces.
 type fakeEngine struct {
-	mu       sync.Mutex
-	ran      map[string]int // generations and calls begun, by request
-	stopped  []string       // requests cancelled
-	generate func(w http.ResponseWriter, r *http.Request, emit func(kind string, body any))
-	call     http.HandlerFunc
+	mu           sync.Mutex
+	runs         map[string]int // generations and calls begun, by request
+	cancelledIDs []string       // requests cancelled
+	generate     func(w http.ResponseWriter, r *http.Request, emit func(kind string, body any))
+	call         http.HandlerFunc
 }
 
-func (f *fakeEngine) begun(id string) int {
+func (f *fakeEngine) runCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ran[id]
+	return f.runs[id]
 }
 
 func (f *fakeEngine) cancelled(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Contains(f.stopped, id)
+	return slices.Contains(f.cancelledIDs, id)
 }
 
 func (f *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -60,9 +60,9 @@
 	f.mu.Lock()
 	switch r.URL.Path {
 	case "/cancel":
-		f.stopped = append(f.stopped, body.RequestID)
+		f.cancelledIDs = append(f.cancelledIDs, body.RequestID)
 	default:
-		f.ran[body.RequestID]++
+		f.runs[body.RequestID]++
 	}
 	f.mu.Unlock()
 	switch r.URL.Path {
@@ -78,7 +78,7 @@
 }
 
 // answer emits a whole answer of the version.
-func answer(version string, tokens ...string) func(http.ResponseWriter, *http.Request, func(string, any)) {
+func streamAnswer(version string, tokens ...string) func(http.ResponseWriter, *http.Request, func(string, any)) {
 	return func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 		emit("begin", map[string]any{"version": version})
 		for i, token := range tokens {
@@ -89,31 +89,31 @@
 }
 
 // caller is the entry's end of one attempt.
-type caller struct {
+type fakeCaller struct {
 	drpc.Stream
 	ctx context.Context
 
 	mu     sync.Mutex
 	frames []*wire.Frame
 	// deaf, if set, is the kind of frame at which the connection breaks.
-	deaf string
+	failOnKind string
 	// block, if set, is received from before each frame: a slow caller.
-	block chan struct{}
+	unblock chan struct{}
 }
 
-func newCaller(ctx context.Context) *caller {
-	return &caller{ctx: ctx}
+func newFakeCaller(ctx context.Context) *fakeCaller {
+	return &fakeCaller{ctx: ctx}
 }
 
-func (c *caller) Context() context.Context { return c.ctx }
+func (c *fakeCaller) Context() context.Context { return c.ctx }
 
-func (c *caller) Send(frame *wire.Frame) error {
-	if c.deaf != "" && frame.GetKind() == c.deaf {
+func (c *fakeCaller) Send(frame *wire.Frame) error {
+	if c.failOnKind != "" && frame.GetKind() == c.failOnKind {
 		return context.Canceled
 	}
-	if c.block != nil {
+	if c.unblock != nil {
 		select {
-		case <-c.block:
+		case <-c.unblock:
 		case <-c.ctx.Done():
 			return c.ctx.Err()
 		}
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (c *caller) kinds() string {
+func (c *fakeCaller) frameKinds() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var kinds []string
@@ -141,26 +141,26 @@
 	return strings.Join(kinds, " ")
 }
 
-func (c *caller) last() *wire.Frame {
+func (c *fakeCaller) lastFrame() *wire.Frame {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.frames[len(c.frames)-1]
 }
 
-type bench struct {
-	t       *testing.T
-	gate    *Gate
-	engine  *fakeEngine
-	clock   *clockwork.FakeClock
-	suspect int
-	failed  *expvar.Int
+type gateFixture struct {
+	t                *testing.T
+	gate             *Gate
+	engine           *fakeEngine
+	clock            *clockwork.FakeClock
+	suspectCalls     int
+	brokenInvariants *expvar.Int
 }
 
-func newBench(t *testing.T, change func(*Config)) *bench {
+func newGateFixture(t *testing.T, configure func(*Config)) *gateFixture {
 	t.Helper()
-	out := &bench{t: t, clock: clockwork.NewFakeClock(), failed: new(expvar.Int)}
-	out.engine = &fakeEngine{ran: map[string]int{}, generate: answer(testVersion, "a", "b")}
-	server := httptest.NewServer(out.engine)
+	fixture := &gateFixture{t: t, clock: clockwork.NewFakeClock(), brokenInvariants: new(expvar.Int)}
+	fixture.engine = &fakeEngine{runs: map[string]int{}, generate: streamAnswer(testVersion, "a", "b")}
+	server := httptest.NewServer(fixture.engine)
 	t.Cleanup(server.Close)
 	holder := view.NewHolder()
 	holder.Store(&view.Snapshot{Revision: 3, Document: &wire.Document{
@@ -170,25 +170,25 @@
 	}})
 	cfg := Config{
 		Self:       &wire.Node{Id: "h1", Incarnation: testIncarnation},
-		Clock:      out.clock,
+		Clock:      fixture.clock,
 		Log:        slog.New(slog.DiscardHandler),
 		Endpoint:   testClass,
 		Engine:     engine.New(server.URL),
 		View:       holder,
-		Suspect:    func() { out.suspect++ },
+		Suspect:    func() { fixture.suspectCalls++ },
 		Observe:    func(*wire.Node, *wire.Known) {},
-		Invariants: &Invariants{Log: slog.Default(), Failures: out.failed, Panic: true},
+		Invariants: &Invariants{Log: slog.Default(), Failures: fixture.brokenInvariants, Panic: true},
 		Counters:   new(expvar.Map).Init(),
 	}
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
-	out.gate = New(cfg)
-	out.gate.Open(Loaded{Model: testModel, Version: testVersion, Adapters: map[string]string{"at": "a1"}})
-	return out
+	fixture.gate = New(cfg)
+	fixture.gate.Open(Loaded{Model: testModel, Version: testVersion, Adapters: map[string]string{"at": "a1"}})
+	return fixture
 }
 
-func attemptOf(id string, change func(*wire.Attempt)) *wire.Attempt {
+func newAttempt(id string, modify func(*wire.Attempt)) *wire.Attempt {
 	att := &wire.Attempt{
 		RequestId:      id,
 		Attempt:        1,
@@ -199,43 +199,43 @@
 		DeadlineMillis: 5000,
 		MaxTokens:      8,
 	}
-	if change != nil {
-		change(att)
+	if modify != nil {
+		modify(att)
 	}
 	return att
 }
 
 // run executes an attempt to its end.
-func (b *bench) run(att *wire.Attempt) *caller {
-	b.t.Helper()
-	out := newCaller(b.t.Context())
-	if err := b.gate.Run(att, out); err != nil {
-		b.t.Fatalf("Run failed: %v", err)
+func (gf *gateFixture) run(att *wire.Attempt) *fakeCaller {
+	gf.t.Helper()
+	stream := newFakeCaller(gf.t.Context())
+	if err := gf.gate.Run(att, stream); err != nil {
+		gf.t.Fatalf("Run failed: %v", err)
 	}
-	return out
+	return stream
 }
 
-func (b *bench) settled() {
-	b.t.Helper()
-	if got := b.gate.State().Running(); got != 0 {
-		b.t.Errorf("got %d running after the end, want 0", got)
+func (gf *gateFixture) checkNothingInUse() {
+	gf.t.Helper()
+	if got := gf.gate.State().Running(); got != 0 {
+		gf.t.Errorf("got %d running after the end, want 0", got)
 	}
-	if got, _ := b.gate.capacity.inUse(); got != 0 {
-		b.t.Errorf("got %d places in use after the end, want 0", got)
+	if got, _ := gf.gate.limiter.inUse(); got != 0 {
+		gf.t.Errorf("got %d places in use after the end, want 0", got)
 	}
-	if got := b.failed.Value(); got != 0 {
-		b.t.Errorf("got %d broken invariants, want 0", got)
+	if got := gf.brokenInvariants.Value(); got != 0 {
+		gf.t.Errorf("got %d broken invariants, want 0", got)
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
-	b := newBench(t, nil)
-	got := b.run(attemptOf("r1", nil))
-	if want := "begin tokens end"; got.kinds() != want {
-		t.Fatalf("got frames %q, want %q", got.kinds(), want)
+func TestCompleteAnswer(t *testing.T) {
+	gf := newGateFixture(t, nil)
+	got := gf.run(newAttempt("r1", nil))
+	if want := "begin tokens end"; got.frameKinds() != want {
+		t.Fatalf("got frames %q, want %q", got.frameKinds(), want)
 	}
 	sum := blake3.Sum256([]byte("a\nb"))
-	if got, want := hex.EncodeToString(got.last().GetDigest()), hex.EncodeToString(sum[:]); got != want {
+	if got, want := hex.EncodeToString(got.lastFrame().GetDigest()), hex.EncodeToString(sum[:]); got != want {
 		t.Errorf("got digest %s, want %s", got, want)
 	}
 	for i, frame := range got.frames {
@@ -243,22 +243,22 @@
 			t.Errorf("frame %d: got sequence %d", i, frame.GetSequence())
 		}
 	}
-	b.settled()
+	gf.checkNothingInUse()
 }
 
 // Symptom: an answer that was resumed on another host is taken for cut short.
 // Sequence: two tokens were relayed, the host died, the rest comes from here.
 // Cause: a digest or a count over the new tokens alone.
 func TestResumedAnswer(t *testing.T) {
-	b := newBench(t, nil)
-	b.engine.generate = func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
+	gf := newGateFixture(t, nil)
+	gf.engine.generate = func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 		emit("begin", map[string]any{"version": testVersion})
 		emit("token", map[string]any{"i": 2, "text": "c"})
 		emit("end", map[string]any{"version": testVersion, "count": 3})
 	}
-	got := b.run(attemptOf("r1", func(att *wire.Attempt) { att.ResumeTokens = []string{"a", "b"} }))
+	got := gf.run(newAttempt("r1", func(att *wire.Attempt) { att.ResumeTokens = []string{"a", "b"} }))
 	sum := blake3.Sum256([]byte("a\nb\nc"))
-	if got, want := hex.EncodeToString(got.last().GetDigest()), hex.EncodeToString(sum[:]); got != want {
+	if got, want := hex.EncodeToString(got.lastFrame().GetDigest()), hex.EncodeToString(sum[:]); got != want {
 		t.Errorf("got digest %s, want %s", got, want)
 	}
 }
@@ -268,37 +268,37 @@
 	for _, tc := range []struct {
 		name   string
 		change func(*wire.Attempt)
-		before func(*bench)
+		before func(*gateFixture)
 		want   string
 	}{
-		{"other incarnation", func(att *wire.Attempt) { att.Incarnation = "inc-0" }, nil, reasonIncarnation},
-		{"no incarnation", func(att *wire.Attempt) { att.Incarnation = "" }, nil, reasonIncarnation},
+		{"other incarnation", func(att *wire.Attempt) { att.Incarnation = "inc-0" }, nil, reasonOtherIncarnation},
+		{"no incarnation", func(att *wire.Attempt) { att.Incarnation = "" }, nil, reasonOtherIncarnation},
 		{"no id", func(att *wire.Attempt) { att.RequestId = "" }, nil, reasonInvalid},
 		{"other version", func(att *wire.Attempt) { att.Version = "v2" }, nil, reasonNotLoaded},
 		{"other model", func(att *wire.Attempt) { att.Model = "coat" }, nil, reasonNotLoaded},
 		{"unknown adapter", func(att *wire.Attempt) { att.Adapter = "de" }, nil, reasonNotLoaded},
 		{"service at an engine", func(att *wire.Attempt) { att.Service = "labels" }, nil, reasonNotLoaded},
-		{"other customer", func(att *wire.Attempt) { att.Customer = "nobody" }, nil, reasonCustomer},
+		{"other customer", func(att *wire.Attempt) { att.Customer = "nobody" }, nil, reasonNotAllowed},
 		{"deadline passed", func(att *wire.Attempt) { att.DeadlineMillis = 0 }, nil, reasonDeadline},
-		{"leaving", nil, func(b *bench) { b.gate.SetLeaving(true) }, reasonLeaving},
-		{"exiting", nil, func(b *bench) { b.gate.Exit(time.Second) }, reasonLeaving},
-		{"draining", nil, func(b *bench) { b.gate.Drain(time.Second) }, reasonDraining},
-		{"busy", nil, func(b *bench) { b.gate.capacity.limit = 0 }, reasonBusy},
+		{"leaving", nil, func(gf *gateFixture) { gf.gate.SetLeaving(true) }, reasonLeaving},
+		{"exiting", nil, func(gf *gateFixture) { gf.gate.Exit(time.Second) }, reasonLeaving},
+		{"draining", nil, func(gf *gateFixture) { gf.gate.Drain(time.Second) }, reasonDraining},
+		{"busy", nil, func(gf *gateFixture) { gf.gate.limiter.limit = 0 }, reasonBusy},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			gf := newGateFixture(t, nil)
 			if tc.before != nil {
-				tc.before(b)
+				tc.before(gf)
 			}
-			att := attemptOf("r1", tc.change)
-			got := b.run(att)
-			if want := "refused:" + tc.want; got.kinds() != want {
-				t.Errorf("got frames %q, want %q", got.kinds(), want)
+			att := newAttempt("r1", tc.change)
+			got := gf.run(att)
+			if want := "refused:" + tc.want; got.frameKinds() != want {
+				t.Errorf("got frames %q, want %q", got.frameKinds(), want)
 			}
-			if got := b.engine.begun("r1"); got != 0 {
+			if got := gf.engine.runCount("r1"); got != 0 {
 				t.Errorf("the engine saw the attempt %d times, want 0", got)
 			}
-			b.settled()
+			gf.checkNothingInUse()
 		})
 	}
 }
@@ -306,16 +306,16 @@
 // Symptom: a request called not run runs afterwards. Sequence: the host drains
 // and refuses an attempt; it opens again; a second delivery of the same attempt
 // arrives. Cause: a refusal that is not remembered.
-func TestRefusalStands(t *testing.T) {
-	b := newBench(t, nil)
-	b.gate.Drain(time.Second)
-	b.run(attemptOf("r1", nil))
-	b.gate.Open(Loaded{Model: testModel, Version: testVersion})
-	got := b.run(attemptOf("r1", nil))
-	if want := "refused:" + reasonDuplicate; got.kinds() != want {
-		t.Errorf("got frames %q, want %q", got.kinds(), want)
-	}
-	if got := b.engine.begun("r1"); got != 0 {
+func TestRefusalIsRemembered(t *testing.T) {
+	gf := newGateFixture(t, nil)
+	gf.gate.Drain(time.Second)
+	gf.run(newAttempt("r1", nil))
+	gf.gate.Open(Loaded{Model: testModel, Version: testVersion})
+	got := gf.run(newAttempt("r1", nil))
+	if want := "refused:" + reasonDuplicate; got.frameKinds() != want {
+		t.Errorf("got frames %q, want %q", got.frameKinds(), want)
+	}
+	if got := gf.engine.runCount("r1"); got != 0 {
 		t.Errorf("the engine saw the attempt %d times, want 0", got)
 	}
 }
@@ -323,14 +323,14 @@
 // Symptom: an answer that ran is called not run. Sequence: the network delivers
 // an attempt twice; the caller reads the second reply. Cause: a duplicate
 // answered as refused, which means proved not run.
-func TestDuplicateIsNoProof(t *testing.T) {
-	b := newBench(t, nil)
-	b.run(attemptOf("r1", nil))
-	got := b.run(attemptOf("r1", nil))
-	if want := "broken:" + reasonDuplicate; got.kinds() != want {
-		t.Errorf("got frames %q, want %q", got.kinds(), want)
-	}
-	if got := b.engine.begun("r1"); got != 1 {
+func TestDuplicateIsNotRefused(t *testing.T) {
+	gf := newGateFixture(t, nil)
+	gf.run(newAttempt("r1", nil))
+	got := gf.run(newAttempt("r1", nil))
+	if want := "broken:" + reasonDuplicate; got.frameKinds() != want {
+		t.Errorf("got frames %q, want %q", got.frameKinds(), want)
+	}
+	if got := gf.engine.runCount("r1"); got != 1 {
 		t.Errorf("the engine ran the request %d times, want 1", got)
 	}
 }
@@ -338,26 +338,26 @@
 // Symptom: a cancelled request runs. Sequence: the cancel overtakes the attempt.
 // Cause: no tombstone.
 func TestCancelBeforeDelivery(t *testing.T) {
-	b := newBench(t, nil)
-	reply, err := b.gate.Cancel(t.Context(), &wire.CancelRequest{RequestId: "r1", Attempt: 1, Incarnation: testIncarnation})
+	gf := newGateFixture(t, nil)
+	reply, err := gf.gate.Cancel(t.Context(), &wire.CancelRequest{RequestId: "r1", Attempt: 1, Incarnation: testIncarnation})
 	if err != nil || reply.GetState() != "neverBegun" {
 		t.Fatalf("got %v, %v, want neverBegun", reply, err)
 	}
-	got := b.run(attemptOf("r1", nil))
-	if want := "refused:" + reasonTombstone; got.kinds() != want {
-		t.Errorf("got frames %q, want %q", got.kinds(), want)
+	got := gf.run(newAttempt("r1", nil))
+	if want := "refused:" + reasonCancelled; got.frameKinds() != want {
+		t.Errorf("got frames %q, want %q", got.frameKinds(), want)
 	}
 }
 
 func TestCancelStates(t *testing.T) {
-	b := newBench(t, nil)
-	b.run(attemptOf("r1", nil))
+	gf := newGateFixture(t, nil)
+	gf.run(newAttempt("r1", nil))
 	for _, tc := range []struct{ id, incarnation, want string }{
 		{"r1", testIncarnation, "ended"},
 		{"r2", testIncarnation, "neverBegun"},
 		{"r1", "inc-0", "otherIncarnation"},
 	} {
-		reply, err := b.gate.Cancel(t.Context(), &wire.CancelRequest{RequestId: tc.id, Attempt: 1, Incarnation: tc.incarnation})
+		reply, err := gf.gate.Cancel(t.Context(), &wire.CancelRequest{RequestId: tc.id, Attempt: 1, Incarnation: tc.incarnation})
 		if err != nil || reply.GetState() != tc.want {
 			t.Errorf("cancel of %s: got %v, %v, want %s", tc.id, reply, err, tc.want)
 		}
@@ -374,49 +374,49 @@
 		suspects int
 	}{
 		// The engine was restarted with older weights behind the agent's back.
-		{"other version at the start", answer("v0", "a"), "broken:" + reasonVersion, 1},
+		{"other version at the start", streamAnswer("v0", "a"), "broken:" + reasonVersionChanged, 1},
 		// Weights changed in the middle of an answer: the tokens are mixed.
 		{"other version at the end", func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 			emit("begin", map[string]any{"version": testVersion})
 			emit("token", map[string]any{"i": 0, "text": "a"})
 			emit("end", map[string]any{"version": "v2", "count": 1})
-		}, "begin tokens broken:" + reasonVersion, 1},
+		}, "begin tokens broken:" + reasonVersionChanged, 1},
 		// The connection breaks after a token: an answer cut short.
 		{"no end", func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 			emit("begin", map[string]any{"version": testVersion})
 			emit("token", map[string]any{"i": 0, "text": "a"})
-		}, "begin tokens broken:" + reasonStream, 0},
+		}, "begin tokens broken:" + reasonStreamBroken, 0},
 		{"a token is missing", func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 			emit("begin", map[string]any{"version": testVersion})
 			emit("token", map[string]any{"i": 1, "text": "b"})
 			emit("end", map[string]any{"version": testVersion, "count": 2})
-		}, "begin broken:" + reasonStream, 0},
+		}, "begin broken:" + reasonStreamBroken, 0},
 		{"wrong count", func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 			emit("begin", map[string]any{"version": testVersion})
 			emit("end", map[string]any{"version": testVersion, "count": 2})
-		}, "begin broken:" + reasonStream, 0},
+		}, "begin broken:" + reasonStreamBroken, 0},
 		{"server error", func(w http.ResponseWriter, _ *http.Request, _ func(string, any)) {
 			w.WriteHeader(http.StatusInternalServerError)
-		}, "broken:" + reasonEndpoint, 0},
+		}, "broken:" + reasonEndpointFailed, 0},
 		{"redirect", func(w http.ResponseWriter, _ *http.Request, _ func(string, any)) {
 			w.Header().Set("Location", "/generate")
 			w.WriteHeader(http.StatusTemporaryRedirect)
-		}, "broken:" + reasonEndpoint, 0},
+		}, "broken:" + reasonEndpointFailed, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, nil)
-			b.engine.generate = tc.generate
-			got := b.run(attemptOf("r1", nil))
-			if got.kinds() != tc.want {
-				t.Errorf("got frames %q, want %q", got.kinds(), tc.want)
+			gf := newGateFixture(t, nil)
+			gf.engine.generate = tc.generate
+			got := gf.run(newAttempt("r1", nil))
+			if got.frameKinds() != tc.want {
+				t.Errorf("got frames %q, want %q", got.frameKinds(), tc.want)
 			}
-			if b.suspect != tc.suspects {
-				t.Errorf("got %d suspicions, want %d", b.suspect, tc.suspects)
+			if gf.suspectCalls != tc.suspects {
+				t.Errorf("got %d suspicions, want %d", gf.suspectCalls, tc.suspects)
 			}
-			if got := b.engine.begun("r1"); got != 1 {
+			if got := gf.engine.runCount("r1"); got != 1 {
 				t.Errorf("the engine saw the request %d times, want 1", got)
 			}
-			b.settled()
+			gf.checkNothingInUse()
 		})
 	}
 }
@@ -431,37 +431,37 @@
 		{http.StatusServiceUnavailable, reasonBusy},
 		{http.StatusConflict, reasonNotLoaded},
 	} {
-		b := newBench(t, nil)
-		b.engine.generate = func(w http.ResponseWriter, _ *http.Request, _ func(string, any)) { w.WriteHeader(tc.status) }
-		got := b.run(attemptOf("r1", nil))
-		if want := "refused:" + tc.want; got.kinds() != want {
-			t.Errorf("status %d: got frames %q, want %q", tc.status, got.kinds(), want)
+		gf := newGateFixture(t, nil)
+		gf.engine.generate = func(w http.ResponseWriter, _ *http.Request, _ func(string, any)) { w.WriteHeader(tc.status) }
+		got := gf.run(newAttempt("r1", nil))
+		if want := "refused:" + tc.want; got.frameKinds() != want {
+			t.Errorf("status %d: got frames %q, want %q", tc.status, got.frameKinds(), want)
 		}
-		b.engine.generate = answer(testVersion, "a")
-		got = b.run(attemptOf("r1", func(att *wire.Attempt) { att.Attempt = 2 }))
-		if want := "begin tokens end"; got.kinds() != want {
-			t.Errorf("status %d, second attempt: got frames %q, want %q", tc.status, got.kinds(), want)
+		gf.engine.generate = streamAnswer(testVersion, "a")
+		got = gf.run(newAttempt("r1", func(att *wire.Attempt) { att.Attempt = 2 }))
+		if want := "begin tokens end"; got.frameKinds() != want {
+			t.Errorf("status %d, second attempt: got frames %q, want %q", tc.status, got.frameKinds(), want)
 		}
-		b.settled()
+		gf.checkNothingInUse()
 	}
 }
 
 func TestUnreachableEngineProvesNothingRan(t *testing.T) {
-	b := newBench(t, func(cfg *Config) {
+	gf := newGateFixture(t, func(cfg *Config) {
 		server := httptest.NewServer(nil)
 		cfg.Engine = engine.New(server.URL)
 		server.Close()
 	})
-	got := b.run(attemptOf("r1", nil))
-	if want := "refused:" + reasonUnreachable; got.kinds() != want {
-		t.Errorf("got frames %q, want %q", got.kinds(), want)
+	got := gf.run(newAttempt("r1", nil))
+	if want := "refused:" + reasonUnreachable; got.frameKinds() != want {
+		t.Errorf("got frames %q, want %q", got.frameKinds(), want)
 	}
 }
 
 // streaming makes the engine send tokens until the test lets it go.
-func (b *bench) streaming() (started chan struct{}, finish chan struct{}) {
+func (gf *gateFixture) streamUntilReleased() (started chan struct{}, finish chan struct{}) {
 	started, finish = make(chan struct{}), make(chan struct{})
-	b.engine.generate = func(_ http.ResponseWriter, r *http.Request, emit func(string, any)) {
+	gf.engine.generate = func(_ http.ResponseWriter, r *http.Request, emit func(string, any)) {
 		emit("begin", map[string]any{"version": testVersion})
 		emit("token", map[string]any{"i": 0, "text": "a"})
 		close(started)
@@ -475,82 +475,82 @@
 }
 
 // start runs an attempt in the background.
-func (b *bench) start(ctx context.Context, att *wire.Attempt) (*caller, chan struct{}) {
-	out, done := newCaller(ctx), make(chan struct{})
+func (gf *gateFixture) runInBackground(ctx context.Context, att *wire.Attempt) (*fakeCaller, chan struct{}) {
+	stream, done := newFakeCaller(ctx), make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = b.gate.Run(att, out)
+		_ = gf.gate.Run(att, stream)
 	}()
-	return out, done
+	return stream, done
 }
 
 // Symptom: a host that leaves cuts off an answer. Sequence: the drain begins in
 // mid-stream. Cause: the drain does not wait.
 func TestDrainWaitsForStream(t *testing.T) {
-	b := newBench(t, nil)
-	started, finish := b.streaming()
-	got, done := b.start(t.Context(), attemptOf("r1", nil))
+	gf := newGateFixture(t, nil)
+	started, finish := gf.streamUntilReleased()
+	got, done := gf.runInBackground(t.Context(), newAttempt("r1", nil))
 	<-started
-	b.gate.Drain(time.Minute)
-	b.gate.Tick(b.clock.Now().Add(59 * time.Second))
-	if got, want := b.gate.State().Phase(), drain.Draining; got != want {
+	gf.gate.Drain(time.Minute)
+	gf.gate.Tick(gf.clock.Now().Add(59 * time.Second))
+	if got, want := gf.gate.State().Phase(), drain.Draining; got != want {
 		t.Errorf("got phase %v, want %v", got, want)
 	}
 	close(finish)
 	<-done
-	if want := "begin tokens end"; got.kinds() != want {
-		t.Errorf("got frames %q, want %q", got.kinds(), want)
+	if want := "begin tokens end"; got.frameKinds() != want {
+		t.Errorf("got frames %q, want %q", got.frameKinds(), want)
 	}
-	if got, want := b.gate.State().Phase(), drain.Drained; got != want {
+	if got, want := gf.gate.State().Phase(), drain.Drained; got != want {
 		t.Errorf("got phase %v, want %v", got, want)
 	}
-	b.settled()
+	gf.checkNothingInUse()
 }
 
 // Symptom: a drain never ends, or a cut answer passes for whole. Sequence: a
 // stream outlasts the drain's limit. Cause: the limit does not cancel, or the
 // cancel ends the stream with an end frame.
-func TestDrainDeadlineBreaksStream(t *testing.T) {
-	b := newBench(t, nil)
-	started, _ := b.streaming()
-	got, done := b.start(t.Context(), attemptOf("r1", nil))
+func TestDrainDeadlineStopsStream(t *testing.T) {
+	gf := newGateFixture(t, nil)
+	started, _ := gf.streamUntilReleased()
+	got, done := gf.runInBackground(t.Context(), newAttempt("r1", nil))
 	<-started
-	b.gate.Drain(time.Minute)
-	b.gate.Tick(b.clock.Now().Add(time.Minute))
+	gf.gate.Drain(time.Minute)
+	gf.gate.Tick(gf.clock.Now().Add(time.Minute))
 	<-done
-	if want := "broken:" + reasonCancelled; !strings.HasSuffix(got.kinds(), want) {
-		t.Errorf("got frames %q, want %q at the end", got.kinds(), want)
+	if want := "broken:" + reasonStopped; !strings.HasSuffix(got.frameKinds(), want) {
+		t.Errorf("got frames %q, want %q at the end", got.frameKinds(), want)
 	}
-	eventually(t, func() bool { return b.gate.State().Phase() == drain.Drained })
-	eventually(t, func() bool { return b.engine.cancelled("r1") })
+	waitUntil(t, func() bool { return gf.gate.State().Phase() == drain.Drained })
+	waitUntil(t, func() bool { return gf.engine.cancelled("r1") })
 }
 
 // Symptom: an engine works for callers who have gone. Sequence: the entry drops
 // the stream. Cause: the cancel does not reach the engine.
-func TestCallerGone(t *testing.T) {
-	b := newBench(t, nil)
-	started, _ := b.streaming()
+func TestCallerDisconnects(t *testing.T) {
+	gf := newGateFixture(t, nil)
+	started, _ := gf.streamUntilReleased()
 	ctx, cancel := context.WithCancel(t.Context())
-	_, done := b.start(ctx, attemptOf("r1", nil))
+	_, done := gf.runInBackground(ctx, newAttempt("r1", nil))
 	<-started
 	cancel()
 	<-done
-	eventually(t, func() bool { return b.engine.cancelled("r1") && b.gate.State().Running() == 0 })
+	waitUntil(t, func() bool { return gf.engine.cancelled("r1") && gf.gate.State().Running() == 0 })
 }
 
 // Symptom: an invariant breaks, two last frames for one attempt. Sequence: the
 // entry dies while the agent sends a frame. Cause: a failed send taken for a
 // reason to send another frame.
-func TestCallerGoneAtAnyFrame(t *testing.T) {
+func TestCallerDisconnectsAtAnyFrame(t *testing.T) {
 	for _, kind := range []string{frameBegin, frameTokens, frameEnd, frameBroken} {
-		b := newBench(t, nil)
+		gf := newGateFixture(t, nil)
 		if kind == frameBroken {
-			b.engine.generate = answer("v0", "a")
+			gf.engine.generate = streamAnswer("v0", "a")
 		}
-		out := newCaller(t.Context())
-		out.deaf = kind
-		_ = b.gate.Run(attemptOf("r1", nil), out)
-		b.settled()
+		stream := newFakeCaller(t.Context())
+		stream.failOnKind = kind
+		_ = gf.gate.Run(newAttempt("r1", nil), stream)
+		gf.checkNothingInUse()
 	}
 }
 
@@ -558,27 +558,27 @@
 // the caller stops reading without closing; the deadline passes. Cause: the
 // places are given back only when the send returns.
 func TestCallerThatStopsReading(t *testing.T) {
-	b := newBench(t, nil)
-	started, _ := b.streaming()
-	out := newCaller(t.Context())
-	out.block = make(chan struct{}) // never received from
-	go func() { _ = b.gate.Run(attemptOf("r1", nil), out) }()
+	gf := newGateFixture(t, nil)
+	started, _ := gf.streamUntilReleased()
+	stream := newFakeCaller(t.Context())
+	stream.unblock = make(chan struct{}) // never received from
+	go func() { _ = gf.gate.Run(newAttempt("r1", nil), stream) }()
 	<-started
-	if err := b.clock.BlockUntilContext(t.Context(), 1); err != nil {
+	if err := gf.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	b.clock.Advance(5 * time.Second)
-	eventually(t, func() bool { return b.gate.State().Running() == 0 && b.engine.cancelled("r1") })
+	gf.clock.Advance(5 * time.Second)
+	waitUntil(t, func() bool { return gf.gate.State().Running() == 0 && gf.engine.cancelled("r1") })
 }
 
 // Symptom: a slow caller makes the agent hold a whole answer in memory.
 // Sequence: the engine is fast, the caller reads nothing. Cause: an unbounded
 // buffer between them.
 func TestBackPressure(t *testing.T) {
-	b := newBench(t, nil)
+	gf := newGateFixture(t, nil)
 	const total = 20000
 	emitted := make(chan int, total)
-	b.engine.generate = func(_ http.ResponseWriter, r *http.Request, emit func(string, any)) {
+	gf.engine.generate = func(_ http.ResponseWriter, r *http.Request, emit func(string, any)) {
 		emit("begin", map[string]any{"version": testVersion})
 		text := strings.Repeat("x", 1000)
 		for i := range total {
@@ -590,28 +590,28 @@
 		}
 		emit("end", map[string]any{"version": testVersion, "count": total})
 	}
-	out := newCaller(t.Context())
-	out.block = make(chan struct{})
+	stream := newFakeCaller(t.Context())
+	stream.unblock = make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = b.gate.Run(attemptOf("r1", nil), out)
+		_ = gf.gate.Run(newAttempt("r1", nil), stream)
 	}()
 	stalled := func() bool {
 		before := len(emitted)
 		time.Sleep(200 * time.Millisecond)
 		return before > 0 && len(emitted) == before
 	}
-	eventually(t, stalled)
+	waitUntil(t, stalled)
 	if got := len(emitted); got >= total {
 		t.Errorf("the engine emitted all %d tokens to a caller that reads nothing", got)
 	}
-	close(out.block)
+	close(stream.unblock)
 	<-done
-	if want := "begin tokens end"; out.kinds() != want {
-		t.Errorf("got frames %q, want %q", out.kinds(), want)
+	if want := "begin tokens end"; stream.frameKinds() != want {
+		t.Errorf("got frames %q, want %q", stream.frameKinds(), want)
 	}
-	if got := len(out.frames); got >= total {
+	if got := len(stream.frames); got >= total {
 		t.Errorf("got %d frames for %d tokens, want batches", got, total)
 	}
 }
@@ -626,42 +626,42 @@
 		want   string
 	}{
 		{testClass, http.StatusServiceUnavailable, "refused:" + reasonBusy},
-		{"vague", http.StatusServiceUnavailable, "broken:" + reasonEndpoint},
-		{"unknown", http.StatusServiceUnavailable, "broken:" + reasonEndpoint},
-		{testClass, http.StatusConflict, "broken:" + reasonEndpoint},
-		{testClass, http.StatusInternalServerError, "broken:" + reasonEndpoint},
+		{"vague", http.StatusServiceUnavailable, "broken:" + reasonEndpointFailed},
+		{"unknown", http.StatusServiceUnavailable, "broken:" + reasonEndpointFailed},
+		{testClass, http.StatusConflict, "broken:" + reasonEndpointFailed},
+		{testClass, http.StatusInternalServerError, "broken:" + reasonEndpointFailed},
 	} {
-		b := newBench(t, func(cfg *Config) { cfg.Service, cfg.Endpoint = "labels", tc.class })
-		b.engine.call = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(tc.status) }
-		got := b.run(attemptOf("r1", func(att *wire.Attempt) { att.Service, att.Model, att.Version = "labels", "", "" }))
-		if got.kinds() != tc.want {
-			t.Errorf("%s, %d: got frames %q, want %q", tc.class, tc.status, got.kinds(), tc.want)
+		gf := newGateFixture(t, func(cfg *Config) { cfg.Service, cfg.Endpoint = "labels", tc.class })
+		gf.engine.call = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(tc.status) }
+		got := gf.run(newAttempt("r1", func(att *wire.Attempt) { att.Service, att.Model, att.Version = "labels", "", "" }))
+		if got.frameKinds() != tc.want {
+			t.Errorf("%s, %d: got frames %q, want %q", tc.class, tc.status, got.frameKinds(), tc.want)
 		}
-		b.settled()
+		gf.checkNothingInUse()
 	}
 }
 
 func TestServiceAnswer(t *testing.T) {
-	b := newBench(t, func(cfg *Config) { cfg.Service = "labels" })
+	gf := newGateFixture(t, func(cfg *Config) { cfg.Service = "labels" })
 	body := []byte(strings.Repeat("label ", bodyFrameBytes/4))
-	b.engine.call = func(w http.ResponseWriter, _ *http.Request) {
+	gf.engine.call = func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(map[string][]byte{"body": body})
 	}
-	got := b.run(attemptOf("r1", func(att *wire.Attempt) { att.Service = "labels" }))
-	if want := "begin body end"; got.kinds() != want {
-		t.Fatalf("got frames %q, want %q", got.kinds(), want)
+	got := gf.run(newAttempt("r1", func(att *wire.Attempt) { att.Service = "labels" }))
+	if want := "begin body end"; got.frameKinds() != want {
+		t.Fatalf("got frames %q, want %q", got.frameKinds(), want)
 	}
 	sum := blake3.Sum256(body)
-	if got, want := hex.EncodeToString(got.last().GetDigest()), hex.EncodeToString(sum[:]); got != want {
+	if got, want := hex.EncodeToString(got.lastFrame().GetDigest()), hex.EncodeToString(sum[:]); got != want {
 		t.Errorf("got digest %s, want %s", got, want)
 	}
 }
 
 // eventually waits for what another goroutine is about to do.
-func eventually(t *testing.T, holds func() bool) {
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 500 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/agent/internal/gate/generate.go
+++ b/agent/internal/gate/generate.go
@@ -14,15 +14,15 @@
 const tokensBuffered = 64
 
 // generate forwards an attempt to the engine.
-func (g *Gate) generate(run *run, out *reply) error {
-	att := run.att
-	fits := g.cfg.Invariants.Check(g.serves(run.loaded, att), "confirmedVersion",
-		"request", att.GetRequestId(), "version", att.GetVersion(), "loaded", run.loaded.Version)
-	if !fits {
-		run.finish(false)
-		return out.refuse(refuse(reasonNotLoaded, loadRetry))
-	}
-	stream, err := g.cfg.Engine.Generate(run.ctx, &engine.Generate{
+func (g *Gate) generate(active *activeAttempt, reply *replyStream) error {
+	att := active.request
+	versionConfirmed := g.cfg.Invariants.Check(g.serves(active.loaded, att), "confirmedVersion",
+		"request", att.GetRequestId(), "version", att.GetVersion(), "loaded", active.loaded.Version)
+	if !versionConfirmed {
+		active.finish(false)
+		return reply.sendRefused(newRefusal(reasonNotLoaded, notLoadedRetryAfter))
+	}
+	stream, err := g.cfg.Engine.Generate(active.ctx, &engine.Generate{
 		RequestID:    att.GetRequestId(),
 		Model:        att.GetModel(),
 		Adapter:      att.GetAdapter(),
@@ -32,101 +32,101 @@
 		ResumeTokens: att.GetResumeTokens(),
 	}, !att.GetRepeatable())
 	if err != nil {
-		return g.notStarted(run, out, err)
+		return g.replyGenerateError(active, reply, err)
 	}
-	release := g.watch(run, stream)
-	reason := g.relay(run, out, stream)
-	unwatched := release()
+	stopWatching := g.releaseOnDone(active, stream)
+	reason := g.relayStream(active, reply, stream)
+	notTriggered := stopWatching()
 	stream.Close()
 	if reason == "" {
 		return nil
 	}
-	if unwatched {
-		g.stopEngine(run)
+	if notTriggered {
+		g.cancelAtEngine(active)
 	}
-	run.finish(true)
-	if out.closed { // the end frame did not get out: the caller has gone
+	active.finish(true)
+	if reply.lastSent { // the end frame did not get out: the caller has gone
 		return nil
 	}
-	return out.broken(reason)
+	return reply.sendBroken(reason)
 }
 
 // watch frees the endpoint as soon as the attempt's time is over. The goroutine
 // that relays may hang in a send to a caller that stopped reading; without this
 // it would hold the engine's slot and every drain until TCP gives up. The
 // returned function ends the watch and reports whether it had not yet acted.
-func (g *Gate) watch(run *run, stream *engine.Stream) func() bool {
-	return context.AfterFunc(run.ctx, func() {
-		if run.finished.Load() {
+func (g *Gate) releaseOnDone(active *activeAttempt, stream *engine.Stream) func() bool {
+	return context.AfterFunc(active.ctx, func() {
+		if active.finished.Load() {
 			return
 		}
-		if late(run.ctx) {
-			run.overloaded.Store(true)
+		if deadlineExceeded(active.ctx) {
+			active.endpointOverloaded.Store(true)
 		}
 		stream.Close()
-		g.stopEngine(run)
-		run.finish(true)
+		g.cancelAtEngine(active)
+		active.finish(true)
 	})
 }
 
-func (g *Gate) stopEngine(run *run) {
-	if err := g.cfg.Engine.Cancel(run.att.GetRequestId()); err != nil {
-		g.cfg.Log.Debug("engine not asked to stop", "request", run.att.GetRequestId(), "error", err)
+func (g *Gate) cancelAtEngine(active *activeAttempt) {
+	if err := g.cfg.Engine.Cancel(active.request.GetRequestId()); err != nil {
+		g.cfg.Log.Debug("engine not asked to stop", "request", active.request.GetRequestId(), "error", err)
 	}
 }
 
 // notStarted answers an attempt that the engine did not take.
-func (g *Gate) notStarted(run *run, out *reply, err error) error {
+func (g *Gate) replyGenerateError(active *activeAttempt, reply *replyStream, err error) error {
 	switch failure.KindOf(err) {
 	case failure.Unavailable:
-		run.finish(false)
+		active.finish(false)
 		g.cfg.Suspect()
-		return out.refuse(refuse(reasonUnreachable, reachRetry))
+		return reply.sendRefused(newRefusal(reasonUnreachable, unreachableRetryAfter))
 	case failure.NotFound:
-		run.finish(false)
+		active.finish(false)
 		g.cfg.Suspect()
-		return out.refuse(refuse(reasonNotLoaded, loadRetry))
+		return reply.sendRefused(newRefusal(reasonNotLoaded, notLoadedRetryAfter))
 	case failure.Exhausted:
-		run.overloaded.Store(true)
-		run.finish(false)
-		return out.refuse(refuse(reasonBusy, busyRetry))
+		active.endpointOverloaded.Store(true)
+		active.finish(false)
+		return reply.sendRefused(newRefusal(reasonBusy, busyRetryAfter))
 	default:
-		reason := run.why(reasonEndpoint)
-		g.stopEngine(run)
-		run.finish(true)
-		return out.broken(reason)
+		reason := active.breakReason(reasonEndpointFailed)
+		g.cancelAtEngine(active)
+		active.finish(true)
+		return reply.sendBroken(reason)
 	}
 }
 
 // why prefers the end of the attempt's time over its symptom.
-func (r *run) why(symptom string) string {
+func (a *activeAttempt) breakReason(fallback string) string {
 	switch {
-	case r.ctx.Err() == nil:
-		return symptom
-	case late(r.ctx):
+	case a.ctx.Err() == nil:
+		return fallback
+	case deadlineExceeded(a.ctx):
 		return reasonDeadline
 	}
-	return reasonCancelled
+	return reasonStopped
 }
 
 // relay passes the engine's events on and returns why it broke off; empty means
 // that the whole answer was sent.
-func (g *Gate) relay(run *run, out *reply, stream *engine.Stream) string {
+func (g *Gate) relayStream(active *activeAttempt, reply *replyStream, stream *engine.Stream) string {
 	first, err := stream.Next()
 	if err != nil || first.Kind != engine.EventBegin {
-		return run.why(reasonStream)
+		return active.breakReason(reasonStreamBroken)
 	}
-	if first.Version != run.att.GetVersion() {
-		return g.versionChanged(run, first.Version)
+	if first.Version != active.request.GetVersion() {
+		return g.reportVersionChange(active, first.Version)
 	}
-	if out.begin(first.Version) != nil {
-		return reasonCancelled
+	if reply.sendBegin(first.Version) != nil {
+		return reasonStopped
 	}
 	events := make(chan engine.Event, tokensBuffered)
 	done := make(chan struct{})
 	defer close(done)
 	go readAhead(stream, events, done)
-	return g.relayTokens(run, out, events)
+	return g.relayTokens(active, reply, events)
 }
 
 // readAhead reads events until the stream breaks or done closes, and closes the
@@ -149,41 +149,41 @@
 	}
 }
 
-func (g *Gate) relayTokens(run *run, out *reply, events <-chan engine.Event) string {
-	sum := newDigest(run.att.GetResumeTokens())
-	var last time.Time // of the batch before; zero before the first
+func (g *Gate) relayTokens(active *activeAttempt, reply *replyStream, events <-chan engine.Event) string {
+	digest := newTokenDigest(active.request.GetResumeTokens())
+	var lastBatch time.Time // of the batch before; zero before the first
 	for event := range events {
 		batch := make([]string, 0, 1)
 		for more := true; more && event.Kind == engine.EventToken; {
-			if event.I != sum.count {
-				return reasonStream
+			if event.I != digest.count {
+				return reasonStreamBroken
 			}
-			sum.add(event.Text)
+			digest.add(event.Text)
 			batch = append(batch, event.Text)
-			event, more = next(events)
+			event, more = pollEvent(events)
 		}
 		if len(batch) > 0 {
 			now := g.cfg.Clock.Now()
-			if !last.IsZero() {
-				g.gaps.add(now, now.Sub(last)/time.Duration(len(batch)))
+			if !lastBatch.IsZero() {
+				g.tokenGaps.add(now, now.Sub(lastBatch)/time.Duration(len(batch)))
 			}
-			last = now
-			if out.frame(&wire.Frame{Kind: frameTokens, Tokens: batch}) != nil {
-				return reasonCancelled
+			lastBatch = now
+			if reply.sendFrame(&wire.Frame{Kind: frameTokens, Tokens: batch}) != nil {
+				return reasonStopped
 			}
 		}
 		switch event.Kind {
 		case engine.EventEnd:
-			return g.relayEnd(run, out, event, sum)
+			return g.relayEnd(active, reply, event, digest)
 		case engine.EventBegin:
-			return reasonStream
+			return reasonStreamBroken
 		}
 	}
-	return run.why(reasonStream)
+	return active.breakReason(reasonStreamBroken)
 }
 
 // next returns an event that is there already.
-func next(events <-chan engine.Event) (event engine.Event, ok bool) {
+func pollEvent(events <-chan engine.Event) (event engine.Event, ok bool) {
 	select {
 	case event, ok = <-events:
 		return event, ok
@@ -192,23 +192,23 @@
 	}
 }
 
-func (g *Gate) relayEnd(run *run, out *reply, event engine.Event, sum *digest) string {
-	if event.Version != run.att.GetVersion() {
-		return g.versionChanged(run, event.Version)
+func (g *Gate) relayEnd(active *activeAttempt, reply *replyStream, event engine.Event, digest *tokenDigest) string {
+	if event.Version != active.request.GetVersion() {
+		return g.reportVersionChange(active, event.Version)
 	}
-	if event.Count != sum.count {
-		return reasonStream
+	if event.Count != digest.count {
+		return reasonStreamBroken
 	}
-	if out.end(event.Version, sum.sum()) != nil {
-		return reasonCancelled
+	if reply.sendEnd(event.Version, digest.sum()) != nil {
+		return reasonStopped
 	}
 	return ""
 }
 
 // versionChanged answers an engine that used other weights than it confirmed.
-func (g *Gate) versionChanged(run *run, got string) string {
+func (g *Gate) reportVersionChange(active *activeAttempt, got string) string {
 	g.cfg.Log.Error("engine used another version than it confirmed",
-		"request", run.att.GetRequestId(), "want", run.att.GetVersion(), "got", got)
+		"request", active.request.GetRequestId(), "want", active.request.GetVersion(), "got", got)
 	g.cfg.Suspect()
-	return reasonVersion
+	return reasonVersionChanged
 }
--- a/agent/internal/gate/refusal.go
+++ b/agent/internal/gate/refusal.go
@@ -4,46 +4,46 @@
 
 // Reasons of refused and broken frames.
 const (
-	reasonIncarnation = "otherIncarnation"
-	reasonInvalid     = "invalid"
-	reasonTombstone   = "cancelled"
-	reasonDuplicate   = "duplicate"
-	reasonBegunBefore = "begunBefore"
-	reasonFull        = "memoryFull"
-	reasonLeaving     = "leaving"
-	reasonDraining    = "draining"
-	reasonNotLoaded   = "notLoaded"
-	reasonCustomer    = "notAllowed"
-	reasonDeadline    = "deadline"
-	reasonBusy        = "busy"
-	reasonUnreachable = "endpointUnreachable"
-	reasonVersion     = "versionChanged"
-	reasonStream      = "streamBroken"
-	reasonCancelled   = "stopped"
-	reasonEndpoint    = "endpointFailed"
+	reasonOtherIncarnation = "otherIncarnation"
+	reasonInvalid          = "invalid"
+	reasonCancelled        = "cancelled"
+	reasonDuplicate        = "duplicate"
+	reasonBegunBefore      = "begunBefore"
+	reasonMemoryFull       = "memoryFull"
+	reasonLeaving          = "leaving"
+	reasonDraining         = "draining"
+	reasonNotLoaded        = "notLoaded"
+	reasonNotAllowed       = "notAllowed"
+	reasonDeadline         = "deadline"
+	reasonBusy             = "busy"
+	reasonUnreachable      = "endpointUnreachable"
+	reasonVersionChanged   = "versionChanged"
+	reasonStreamBroken     = "streamBroken"
+	reasonStopped          = "stopped"
+	reasonEndpointFailed   = "endpointFailed"
 )
 
 // Waits advised with refusals.
 const (
-	leavingRetry  = 200 * time.Millisecond
-	drainingRetry = 500 * time.Millisecond
-	loadRetry     = 500 * time.Millisecond
-	busyRetry     = 100 * time.Millisecond
-	fullRetry     = 10 * time.Second
-	reachRetry    = time.Second
+	leavingRetryAfter     = 200 * time.Millisecond
+	drainingRetryAfter    = 500 * time.Millisecond
+	notLoadedRetryAfter   = 500 * time.Millisecond
+	busyRetryAfter        = 100 * time.Millisecond
+	memoryFullRetryAfter  = 10 * time.Second
+	unreachableRetryAfter = time.Second
 )
 
 // refusal says why an attempt was not let in; the zero refusal lets it in.
 type refusal struct {
-	reason string
-	retry  time.Duration
+	reason     string
+	retryAfter time.Duration
 	// unproved: the attempt may have run nevertheless: a second
 	// delivery of an attempt that runs must not be answered as not run.
-	unproved bool
+	mayHaveRun bool
 }
 
-func refuse(reason string, retry time.Duration) refusal {
-	return refusal{reason: reason, retry: retry}
+func newRefusal(reason string, retryAfter time.Duration) refusal {
+	return refusal{reason: reason, retryAfter: retryAfter}
 }
 
-func (r refusal) none() bool { return r.reason == "" }
+func (r refusal) isZero() bool { return r.reason == "" }
--- a/agent/internal/gate/rules.go
+++ b/agent/internal/gate/rules.go
@@ -10,56 +10,56 @@
 
 // longestDeadline bounds an attempt where the document sets no bound; it stays
 // below the retention of attempts.
-const longestDeadline = 10 * time.Minute
+const maxRequestTime = 10 * time.Minute
 
 // rules is what the document in force says about attempts, indexed.
-type rules struct {
+type attemptRules struct {
 	document *wire.Document
 	// allowed holds "model/<name>" and "service/<name>" to customers' names.
-	allowed     map[string]map[string]bool
-	class       *wire.EndpointClass // of this host's endpoint; nil if unknown
-	maxDeadline time.Duration       // above 0, at most longestDeadline
+	allowedCustomers map[string]map[string]bool
+	endpointClass    *wire.EndpointClass // of this host's endpoint; nil if unknown
+	maxDeadline      time.Duration       // above 0, at most longestDeadline
 }
 
 // rulebook keeps the index of the newest document.
-type rulebook struct {
+type ruleCache struct {
 	holder   *view.Holder
 	endpoint string
-	current  atomic.Pointer[rules]
+	cached   atomic.Pointer[attemptRules]
 }
 
 // load returns the rules and the revision they come from. While no document is
 // in force the rules allow nobody anything.
-func (b *rulebook) load() (*rules, uint32) {
-	snap, _ := b.holder.Load()
-	if cached := b.current.Load(); cached != nil && cached.document == snap.Document {
+func (c *ruleCache) current() (*attemptRules, uint32) {
+	snap, _ := c.holder.Load()
+	if cached := c.cached.Load(); cached != nil && cached.document == snap.Document {
 		return cached, snap.Revision
 	}
-	fresh := newRules(snap.Document, b.endpoint)
-	b.current.Store(fresh)
+	fresh := newAttemptRules(snap.Document, c.endpoint)
+	c.cached.Store(fresh)
 	return fresh, snap.Revision
 }
 
-func newRules(doc *wire.Document, endpoint string) *rules {
-	out := &rules{document: doc, allowed: map[string]map[string]bool{}, maxDeadline: longestDeadline}
+func newAttemptRules(doc *wire.Document, endpoint string) *attemptRules {
+	built := &attemptRules{document: doc, allowedCustomers: map[string]map[string]bool{}, maxDeadline: maxRequestTime}
 	for _, model := range doc.GetModels() {
-		out.allowed["model/"+model.GetName()] = nameSet(model.GetCustomers())
+		built.allowedCustomers["model/"+model.GetName()] = toSet(model.GetCustomers())
 	}
 	for _, service := range doc.GetServices() {
-		out.allowed["service/"+service.GetName()] = nameSet(service.GetCustomers())
+		built.allowedCustomers["service/"+service.GetName()] = toSet(service.GetCustomers())
 	}
 	for _, class := range doc.GetEndpoints() {
 		if class.GetName() == endpoint {
-			out.class = class
+			built.endpointClass = class
 		}
 	}
-	if limit := doc.GetDeadlines().GetMaxRequest().AsDuration(); limit > 0 && limit < longestDeadline {
-		out.maxDeadline = limit
+	if limit := doc.GetDeadlines().GetMaxRequest().AsDuration(); limit > 0 && limit < maxRequestTime {
+		built.maxDeadline = limit
 	}
-	return out
+	return built
 }
 
-func nameSet(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	set := make(map[string]bool, len(names))
 	for _, name := range names {
 		set[name] = true
@@ -68,15 +68,15 @@
 }
 
 // allows reports whether the customer may use what the attempt asks for.
-func (r *rules) allows(att *wire.Attempt) bool {
+func (r *attemptRules) allowsCustomer(att *wire.Attempt) bool {
 	if att.GetService() != "" {
-		return r.allowed["service/"+att.GetService()][att.GetCustomer()]
+		return r.allowedCustomers["service/"+att.GetService()][att.GetCustomer()]
 	}
-	return r.allowed["model/"+att.GetModel()][att.GetCustomer()]
+	return r.allowedCustomers["model/"+att.GetModel()][att.GetCustomer()]
 }
 
 // deadline returns the time that an attempt may take from now.
-func (r *rules) deadline(att *wire.Attempt) time.Duration {
-	left := time.Duration(att.GetDeadlineMillis()) * time.Millisecond
-	return min(left, r.maxDeadline)
+func (r *attemptRules) timeLimit(att *wire.Attempt) time.Duration {
+	requested := time.Duration(att.GetDeadlineMillis()) * time.Millisecond
+	return min(requested, r.maxDeadline)
 }
