--- a/agent/internal/gate/attempt.go
+++ b/agent/internal/gate/attempt.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// maxIDBytes bounds a request id.
-	maxIDBytes = 200
-	// maxPromptBytes bounds a prompt.
+	maxIDBytes     = 200
 	maxPromptBytes = 1 << 20
 )
 
-// run is one attempt that was let in.
+// activeAttempt is an attempt that was admitted and has not finished.
 type activeAttempt struct {
 	gate    *Gate
 	request *wire.Attempt
 	key     attemptKey
-	ctx     context.Context // ends with the deadline, the caller or a cancel
+	ctx     context.Context // done at the deadline, when the caller goes away, or on cancel
 	cancel  context.CancelFunc
-	loaded  Loaded // what was confirmed when it was let in
+	loaded  Loaded // what the endpoint had loaded at admission
 	rules   *attemptRules
-	// overloaded: the endpoint refused it or was late.
+	// endpointOverloaded is set when the endpoint refused the attempt or missed
+	// its deadline; it shrinks the concurrency limit.
 	endpointOverloaded atomic.Bool
-	finished           atomic.Bool // finish has happened
+	finished           atomic.Bool // set by finish and abort
 }
 
-// admit judges an attempt. Where it lets it in, the caller ends it with finish.
-// Every refusal that a second delivery could meet differently is remembered.
+// admit decides whether an attempt may run. The caller must call finish on an
+// admitted attempt. A refusal that depends on state that may change is recorded,
+// so that a second delivery of the attempt is refused as well.
 func (g *Gate) admit(ctx context.Context, att *wire.Attempt) (*activeAttempt, refusal) {
 	if att.GetIncarnation() != g.cfg.Self.GetIncarnation() {
 		return nil, newRefusal(reasonOtherIncarnation, notLoadedRetryAfter)
@@ -57,11 +57,15 @@
 	return active, refusal{}
 }
 
+// isValid checks the sizes of the request ID and the prompt.
 func isValid(att *wire.Attempt) bool {
 	id := att.GetRequestId()
 	return id != "" && len(id) <= maxIDBytes && len(att.GetPrompt()) <= maxPromptBytes
 }
 
+// refusalForVerdict returns the refusal for a verdict other than attempt.Begin.
+// A duplicate of an attempt that has begun, and an attempt that could not be
+// recorded, may have run.
 func refusalForVerdict(verdict attempt.Verdict) refusal {
 	switch verdict {
 	case attempt.Duplicate:
@@ -81,8 +85,8 @@
 	return refusal{}
 }
 
-// enter checks what may change while the process runs, and takes a place at the
-// door and at the endpoint.
+// reservePlaces checks the conditions that may change while the process runs. It
+// counts the attempt as running for drains and takes a slot of the endpoint.
 func (g *Gate) reservePlaces(active *activeAttempt, timeLeft time.Duration) refusal {
 	loaded, closed := g.admission.enter()
 	if !closed.isZero() {
@@ -99,6 +103,8 @@
 	return refused
 }
 
+// checkPermitted checks that the endpoint serves what the attempt asks for, that
+// the customer may use it, and that the deadline has not passed.
 func (g *Gate) checkPermitted(active *activeAttempt, timeLeft time.Duration) refusal {
 	switch {
 	case !g.serves(active.loaded, active.request):
@@ -111,7 +117,8 @@
 	return refusal{}
 }
 
-// serves reports whether what is loaded is exactly what the attempt asks for.
+// serves reports whether the endpoint serves exactly the service, or has loaded
+// exactly the model, version and adapter, that the attempt asks for.
 //
 // Rule INTENDED of spec/gate.pml.
 func (g *Gate) serves(loaded Loaded, att *wire.Attempt) bool {
@@ -128,15 +135,16 @@
 	return ok
 }
 
-// forget undoes begin for an attempt that never reached the endpoint.
+// abort records that the attempt was refused before it reached the endpoint.
 func (a *activeAttempt) abort() {
 	a.finished.Store(true)
 	a.cancel()
 	a.gate.cfg.Invariants.Check(a.gate.attempts.end(a.key, false), "endWithoutBegin")
 }
 
-// finish gives the places back; with ran false the endpoint proved that it did
-// not run the attempt. Later calls do nothing.
+// finish releases the attempt's slot and records its end. ran is false if the
+// endpoint proved that it did not run the attempt. Only the first call has an
+// effect.
 func (a *activeAttempt) finish(ran bool) {
 	if !a.finished.CompareAndSwap(false, true) {
 		return
--- a/agent/internal/gate/attempts.go
+++ b/agent/internal/gate/attempts.go
@@ -9,16 +9,19 @@
 )
 
 const (
-	// memoryShards spreads the attempts over locks.
+	// attemptShards is the number of shards, each with its own lock.
 	attemptShards = 16
-	// retention outlasts the longest deadline, and TCP's last retransmission
-	// of a delivery that hangs in the network.
+	// attemptRetention is how long an attempt is remembered. It is longer than
+	// the longest deadline, and longer than TCP retransmits a delivery that is
+	// stuck in the network.
 	attemptRetention = 20 * time.Minute
-	// rememberedRequests bounds all shards together; about 250 bytes each.
+	// maxRequests is the limit for all shards together. A request takes about
+	// 250 bytes.
 	maxRequests = 1 << 18
 )
 
-// memory is the agent's memory of attempts, in shards by request.
+// attemptStore records the attempts that this process has seen, so that none
+// runs twice. It is sharded by request ID.
 type attemptStore struct {
 	shards [attemptShards]attemptShard
 }
@@ -26,10 +29,11 @@
 type attemptShard struct {
 	mu       sync.Mutex
 	attempts *attempt.Memory
-	// cancels stops what runs; one for each attempt in state Running.
+	// cancels holds the cancel function of each attempt in state Running.
 	cancels map[attemptKey]context.CancelFunc
 }
 
+// attemptKey identifies one attempt of a request.
 type attemptKey struct {
 	id     attempt.ID
 	number uint32
@@ -45,11 +49,13 @@
 	return store
 }
 
-// shard picks by the last byte: in a UUIDv7 the first ones are the time.
+// shard selects a shard by the last byte of the ID. The first bytes of a UUIDv7
+// are a timestamp and would not spread the requests.
 func (s *attemptStore) shard(id attempt.ID) *attemptShard {
 	return &s.shards[id[len(id)-1]%attemptShards]
 }
 
+// advance removes the requests whose retention is over.
 func (s *attemptStore) advance(now time.Time) {
 	for i := range s.shards {
 		shard := &s.shards[i]
@@ -59,6 +65,7 @@
 	}
 }
 
+// len returns the number of recorded requests.
 func (s *attemptStore) len() int {
 	total := 0
 	for i := range s.shards {
@@ -70,8 +77,9 @@
 	return total
 }
 
-// begin judges a delivery; where it may begin, cancel stops it later. broken
-// names an invariant that no longer holds.
+// begin decides whether a delivered attempt may begin. If it may, the attempt is
+// recorded as running, together with its cancel function. violated describes a
+// violated invariant; it is empty if all hold.
 func (s *attemptStore) begin(key attemptKey, repeatable bool, cancel context.CancelFunc) (verdict attempt.Verdict, violated string) {
 	shard := s.shard(key.id)
 	shard.mu.Lock()
@@ -83,6 +91,8 @@
 	return verdict, shard.attempts.Check(key.id)
 }
 
+// end records the end of a running attempt. It reports false if the attempt was
+// not running. ran is false if the attempt is proved not to have run.
 func (s *attemptStore) end(key attemptKey, ran bool) bool {
 	shard := s.shard(key.id)
 	shard.mu.Lock()
@@ -91,7 +101,9 @@
 	return shard.attempts.End(key.id, key.number, ran)
 }
 
-// cancel leaves a tombstone, or stops what runs.
+// cancel stops the attempt if it runs, or records a tombstone so that it never
+// begins. recorded is false if the store is full; the attempt may then still
+// begin.
 func (s *attemptStore) cancel(key attemptKey) (state attempt.State, recorded bool) {
 	shard := s.shard(key.id)
 	shard.mu.Lock()
@@ -104,7 +116,7 @@
 	return state, recorded
 }
 
-// cancelAll stops everything that runs.
+// cancelAll stops all running attempts.
 func (s *attemptStore) cancelAll() {
 	for i := range s.shards {
 		for _, cancel := range s.shards[i].cancelFuncs() {
@@ -113,6 +125,8 @@
 	}
 }
 
+// cancelFuncs returns the cancel functions of all running attempts. They are
+// called without the lock.
 func (s *attemptShard) cancelFuncs() []context.CancelFunc {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/internal/gate/call.go
+++ b/agent/internal/gate/call.go
@@ -9,13 +9,15 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// bodyFrameBytes bounds the body in one frame.
+// bodyFrameBytes is the maximum body size in one frame.
 const bodyFrameBytes = 256 << 10
 
-// call forwards an attempt to the plain service or the bridge.
+// call forwards an attempt to the plain service or the mainframe bridge and sends
+// the answer back in frames.
 func (g *Gate) call(active *activeAttempt, reply *replyStream) error {
 	att := active.request
-	// A caller that stopped reading must not hold up a drain; see watch.
+	// A send to a caller that stopped reading may block. It must not delay a
+	// drain; see releaseOnDone.
 	stopWatching := context.AfterFunc(active.ctx, func() { active.finish(true) })
 	defer stopWatching()
 	body, err := g.cfg.Engine.Call(active.ctx, att.GetRequestId(), att.GetBody(), !att.GetRepeatable())
@@ -35,8 +37,9 @@
 	return reply.sendEnd("", sum[:])
 }
 
-// callFailed answers a call without a result. A refusal proves that the call
-// was not run only where the endpoint class promises that.
+// replyCallError sends the last frame for a call that returned an error. A
+// refusal by the service proves that the call did not run only if the endpoint
+// class says so.
 func (g *Gate) replyCallError(active *activeAttempt, reply *replyStream, err error) error {
 	kind := failure.KindOf(err)
 	if kind == failure.Exhausted {
--- a/agent/internal/gate/concurrency.go
+++ b/agent/internal/gate/concurrency.go
@@ -3,18 +3,20 @@
 import "sync"
 
 const (
-	// firstLimit is the concurrency before anything is known of the endpoint.
+	// initialLimit is the limit before the endpoint has reported its slots.
 	initialLimit = 32
-	// maxLimit is the concurrency that no endpoint is given more than.
+	// maxConcurrency is the upper bound for every endpoint.
 	maxConcurrency = 512
-	// overloadFactor is the share of the running work that is still let in
-	// after the endpoint showed that it had too much.
+	// overloadBackoff is the factor applied to the number of running attempts
+	// to get the new limit after the endpoint was overloaded.
 	overloadBackoff = 0.9
 )
 
-// capacity bounds the attempts at the endpoint. It starts from the slots that
-// the engine reports, shrinks when the endpoint refuses or is late, and grows
-// again by one for each full round of good answers.
+// concurrencyLimiter limits the attempts that run at the endpoint at once. It
+// starts from the slots that the engine reports, shrinks when the endpoint
+// refuses an attempt or misses a deadline, and grows by one for every limit
+// attempts that finish without overload (additive increase, multiplicative
+// decrease).
 type concurrencyLimiter struct {
 	mu      sync.Mutex
 	limit   float64 // at least 1, at most ceiling
@@ -26,10 +28,11 @@
 	return &concurrencyLimiter{limit: initialLimit, ceiling: maxConcurrency}
 }
 
-// setSlots takes the engine's own count; 0 means that it is unknown. Nothing
-// queues at the engine beyond it: entries do not see one another's newest
-// choices, so a queue here makes a request wait on a full host while another
-// host is idle. A refused one goes there at once.
+// setSlots sets the limit to the number of requests that the engine runs at once;
+// 0 means that the number is unknown. Attempts beyond it are refused, not queued:
+// entries do not see one another's latest routing decisions, so a request queued
+// here would wait on a full host while another host is idle. A refused request
+// is retried on another host at once.
 func (c *concurrencyLimiter) setSlots(slots int) {
 	if slots <= 0 {
 		return
@@ -43,6 +46,7 @@
 	c.ceiling, c.limit = ceiling, ceiling
 }
 
+// acquire takes a slot. It reports false if none is free.
 func (c *concurrencyLimiter) acquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,6 +57,7 @@
 	return true
 }
 
+// release returns a slot and adjusts the limit.
 func (c *concurrencyLimiter) release(overloaded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,6 +69,7 @@
 	c.running--
 }
 
+// inUse returns the number of running attempts and the current limit.
 func (c *concurrencyLimiter) inUse() (running, limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/internal/gate/deadline.go
+++ b/agent/internal/gate/deadline.go
@@ -8,8 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// withDeadline ends the context after left by the clock given; its cause is
-// then context.DeadlineExceeded.
+// withDeadline is like context.WithTimeout, but uses the given clock. When the time is
+// over, the cause of the context is context.DeadlineExceeded.
 func withDeadline(ctx context.Context, clock clockwork.Clock, timeLeft time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := clock.AfterFunc(timeLeft, func() { cancel(context.DeadlineExceeded) })
@@ -19,7 +19,7 @@
 	}
 }
 
-// late reports whether the context ended by its deadline.
+// deadlineExceeded reports whether the context ended by its deadline.
 func deadlineExceeded(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
--- a/agent/internal/gate/fuzz_test.go
+++ b/agent/internal/gate/fuzz_test.go
@@ -8,8 +8,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// FuzzAttempt feeds the gate with any bytes that an entry may send. Whatever
-// comes, exactly one last frame answers it, and nothing stays in use.
+// FuzzAttempt sends arbitrary attempts. The gate must answer each with exactly one
+// last frame and leave nothing in use.
 func FuzzAttempt(f *testing.F) {
 	seeds := []*wire.Attempt{
 		newAttempt("r1", nil),
--- a/agent/internal/gate/gate.go
+++ b/agent/internal/gate/gate.go
@@ -1,7 +1,9 @@
-// Package gate is the only way from the entries to the endpoint of this host.
-// It lets an attempt in if it is meant for this process and this version and
-// may still run, forwards it, and streams the answer back with proof of what
-// happened: "refused" means not run, "end" means whole, "broken" means neither.
+// Package gate controls the access of the entries to the endpoint of this host.
+// All requests to the endpoint go through it. It admits an attempt if it is meant
+// for this process and for the loaded version and may still run, forwards it to
+// the endpoint, and streams the answer back. The kind of the last frame says what
+// happened: "refused" means that the attempt did not run, "end" that the answer is
+// complete, and "broken" that neither is certain.
 package gate
 
 import (
@@ -20,32 +22,34 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// tickInterval is how often drains and the memory of attempts move on.
+// tickInterval is how often drain deadlines and the retention of recorded attempts
+// are checked.
 const tickInterval = 100 * time.Millisecond
 
-// Config holds what a Gate needs from its process.
+// Config holds the settings and dependencies of a Gate.
 type Config struct {
 	Self  *wire.Node
 	Clock clockwork.Clock
 	Log   *slog.Logger
-	// Secure: callers show certificates.
+	// Secure is set if callers authenticate with certificates.
 	Secure bool
-	// Endpoint is the name of the document's EndpointClass.
+	// Endpoint is the name of this endpoint's EndpointClass in the document.
 	Endpoint string
-	// Service is the plain service's name; empty for an engine.
+	// Service is the name of the plain service; it is empty for an engine.
 	Service string
 	Engine  *engine.Client
 	View    *view.Holder
-	// Suspect is called when the endpoint contradicts what it was confirmed to
-	// have loaded; it does not block.
+	// Suspect is called when the endpoint cannot be reached or behaves as if it
+	// had loaded something other than it confirmed. It must not block.
 	Suspect func()
-	// Observe receives the revisions that a caller knows; it does not block.
+	// Observe is called with the revisions that a caller knows. It must not block.
 	Observe    func(from *wire.Node, known *wire.Known)
 	Invariants *Invariants
 	Counters   *expvar.Map
 }
 
-// Gate is safe for concurrent use.
+// Gate admits attempts, forwards them to the endpoint and drains it. It is safe
+// for concurrent use.
 type Gate struct {
 	cfg       Config
 	rules     ruleCache
@@ -55,7 +59,7 @@
 	tokenGaps tokenGapStats
 }
 
-// New returns a Gate that is shut until Open.
+// New returns a Gate that refuses all attempts until Open is called.
 func New(cfg Config) *Gate {
 	return &Gate{
 		cfg:       cfg,
@@ -66,44 +70,49 @@
 	}
 }
 
-// Open serves what the endpoint was confirmed to have loaded. It reports false
-// while attempts on former weights still run.
+// Open starts to admit attempts for what the endpoint confirmed to have loaded. It
+// reports false while attempts on the previous weights still run, after Exit, or
+// if other weights are being served.
 func (g *Gate) Open(loaded Loaded) bool { return g.admission.open(loaded) }
 
-// Drain lets nothing in and cancels what still runs after limit.
+// Drain stops admitting attempts and cancels those that still run after limit.
 func (g *Gate) Drain(limit time.Duration) { g.admission.beginDrain(g.cfg.Clock.Now(), limit) }
 
-// Abandon ends a drain before anything was changed at the endpoint. It reports
-// false where the drain is over or past its deadline.
+// Abandon ends a drain and admits attempts again. It may only be called before
+// anything was changed at the endpoint. It reports false if the drain has finished
+// or is past its deadline, or after Exit.
 func (g *Gate) Abandon() bool { return g.admission.abandonDrain() }
 
-// SetLeaving refuses all new attempts, or takes that back.
+// SetLeaving sets whether all new attempts are refused because the host is taken
+// out of service.
 func (g *Gate) SetLeaving(leaving bool) { g.admission.setLeaving(leaving) }
 
-// Exit refuses all new attempts for good and cancels what still runs after
+// Exit refuses all new attempts permanently and cancels those that still run after
 // limit.
 func (g *Gate) Exit(limit time.Duration) { g.admission.shutDown(g.cfg.Clock.Now(), limit) }
 
-// Stop cancels everything that runs, now.
+// Stop cancels all running attempts immediately.
 func (g *Gate) Stop() { g.attempts.cancelAll() }
 
-// State returns the state of the gate.
+// State returns a snapshot of the admission state.
 func (g *Gate) State() State { return g.admission.state() }
 
-// SetSlots takes the engine's own count of requests that it runs at once.
+// SetSlots sets the number of requests that the engine runs at once, as reported by
+// the engine; 0 means unknown.
 func (g *Gate) SetSlots(slots int) { g.limiter.setSlots(slots) }
 
 // TokenGap returns the median time between tokens; 0 while unknown.
 func (g *Gate) TokenGap() time.Duration { return g.tokenGaps.lastMedian() }
 
-// TokensSlow returns 0 to 1: how much slower tokens flow than at their recent
-// best.
+// TokensSlow returns how much slower tokens arrive than at their recent best, from
+// 0 (not slower) to 1.
 func (g *Gate) TokensSlow() float64 { return g.tokenGaps.slowdown() }
 
-// Remembered returns how many requests the memory of attempts holds.
+// Remembered returns the number of requests whose attempts are recorded.
 func (g *Gate) Remembered() int { return g.attempts.len() }
 
-// Work moves drains and the memory on until ctx ends.
+// Work runs the periodic tasks until ctx is done: it calls Tick, and once a second
+// updates the token gap statistics.
 func (g *Gate) Work(ctx context.Context) error {
 	ticker := g.cfg.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -123,7 +132,8 @@
 	}
 }
 
-// Tick moves drains and the memory on.
+// Tick removes recorded attempts whose retention is over, and cancels all running
+// attempts when the drain deadline has passed.
 func (g *Gate) Tick(now time.Time) {
 	g.attempts.advance(now)
 	if g.admission.tick(now) {
@@ -132,7 +142,7 @@
 	}
 }
 
-// Run executes one attempt: wire.Host's Run.
+// Run implements Run of wire.Host: it executes one attempt and sends its frames.
 func (g *Gate) Run(att *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 	if err := g.authorize(stream.Context(), att.GetFrom()); err != nil {
 		return err
@@ -150,8 +160,8 @@
 	return g.generate(active, reply)
 }
 
-// identify accepts calls of entries alone. One entry's certificate does not
-// speak for another.
+// authorize accepts only calls from entries. An entry may not send messages in the
+// name of another node.
 func (g *Gate) authorize(ctx context.Context, from *wire.Node) error {
 	if err := peer.Require(ctx, g.cfg.Secure, peer.RoleEntry); err != nil {
 		g.cfg.Counters.Add("unauthorized", 1)
@@ -165,7 +175,9 @@
 	return nil
 }
 
-// Cancel leaves a tombstone or stops what runs: wire.Host's Cancel.
+// Cancel implements Cancel of wire.Host: it stops a running attempt, or records a
+// tombstone so that an attempt that has not begun never does. A cancel meant for
+// another incarnation proves nothing about the attempt.
 //
 // Rule OTHER of spec/once.pml.
 func (g *Gate) Cancel(ctx context.Context, req *wire.CancelRequest) (*wire.CancelReply, error) {
@@ -184,8 +196,8 @@
 	return &wire.CancelReply{State: cancelStates[state]}, nil
 }
 
-// cancelStates are the words of the wire. A refused attempt was proved unrun
-// and its number never begins again.
+// cancelStates maps the states to their values on the wire. A refused attempt counts
+// as never begun: it is proved not to have run, and its number never begins again.
 var cancelStates = map[attempt.State]string{
 	attempt.Buried:  "neverBegun",
 	attempt.Refused: "neverBegun",
--- a/agent/internal/gate/gate_test.go
+++ b/agent/internal/gate/gate_test.go
@@ -33,11 +33,11 @@
 	testClass       = "checked"
 )
 
-// fakeEngine answers by functions that a test replaces.
+// fakeEngine is an endpoint whose answers come from functions that a test replaces.
 type fakeEngine struct {
 	mu           sync.Mutex
-	runs         map[string]int // generations and calls begun, by request
-	cancelledIDs []string       // requests cancelled
+	runs         map[string]int // number of generations and calls begun, by request ID
+	cancelledIDs []string       // IDs of cancelled requests
 	generate     func(w http.ResponseWriter, r *http.Request, emit func(kind string, body any))
 	call         http.HandlerFunc
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// answer emits a whole answer of the version.
+// streamAnswer returns a generate function that emits a complete answer.
 func streamAnswer(version string, tokens ...string) func(http.ResponseWriter, *http.Request, func(string, any)) {
 	return func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 		emit("begin", map[string]any{"version": version})
@@ -88,16 +88,17 @@
 	}
 }
 
-// caller is the entry's end of one attempt.
+// fakeCaller is the entry's side of the stream of one attempt.
 type fakeCaller struct {
 	drpc.Stream
 	ctx context.Context
 
 	mu     sync.Mutex
 	frames []*wire.Frame
-	// deaf, if set, is the kind of frame at which the connection breaks.
+	// failOnKind, if set, is the kind of frame at which the connection breaks.
 	failOnKind string
-	// block, if set, is received from before each frame: a slow caller.
+	// unblock, if set, is received from before each frame, to simulate a slow
+	// caller.
 	unblock chan struct{}
 }
 
@@ -124,6 +125,8 @@
 	return nil
 }
 
+// frameKinds returns the kinds and reasons of the frames; equal neighbours are
+// merged.
 func (c *fakeCaller) frameKinds() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,6 +150,7 @@
 	return c.frames[len(c.frames)-1]
 }
 
+// gateFixture is a Gate in front of a fakeEngine, with a fake clock.
 type gateFixture struct {
 	t                *testing.T
 	gate             *Gate
@@ -188,6 +192,7 @@
 	return fixture
 }
 
+// newAttempt returns an attempt that is admitted, after modify has changed it.
 func newAttempt(id string, modify func(*wire.Attempt)) *wire.Attempt {
 	att := &wire.Attempt{
 		RequestId:      id,
@@ -205,7 +210,7 @@
 	return att
 }
 
-// run executes an attempt to its end.
+// run executes an attempt and returns when it has ended.
 func (gf *gateFixture) run(att *wire.Attempt) *fakeCaller {
 	gf.t.Helper()
 	stream := newFakeCaller(gf.t.Context())
@@ -215,13 +220,15 @@
 	return stream
 }
 
+// checkNothingInUse checks that no attempt runs, no slot is taken and no invariant
+// was violated.
 func (gf *gateFixture) checkNothingInUse() {
 	gf.t.Helper()
 	if got := gf.gate.State().Running(); got != 0 {
 		gf.t.Errorf("got %d running after the end, want 0", got)
 	}
 	if got, _ := gf.gate.limiter.inUse(); got != 0 {
-		gf.t.Errorf("got %d places in use after the end, want 0", got)
+		gf.t.Errorf("got %d slots in use after the end, want 0", got)
 	}
 	if got := gf.brokenInvariants.Value(); got != 0 {
 		gf.t.Errorf("got %d broken invariants, want 0", got)
@@ -246,9 +253,9 @@
 	gf.checkNothingInUse()
 }
 
-// Symptom: an answer that was resumed on another host is taken for cut short.
-// Sequence: two tokens were relayed, the host died, the rest comes from here.
-// Cause: a digest or a count over the new tokens alone.
+// Guards against an answer resumed on another host being treated as incomplete.
+// Two tokens were relayed by a host that died, and this host sends the rest; the
+// digest and the count must include the earlier tokens.
 func TestResumedAnswer(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	gf.engine.generate = func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
@@ -263,7 +270,7 @@
 	}
 }
 
-// Each line is an attempt that must not reach the engine.
+// Each case is an attempt that must not reach the engine.
 func TestRefusals(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -303,9 +310,9 @@
 	}
 }
 
-// Symptom: a request called not run runs afterwards. Sequence: the host drains
-// and refuses an attempt; it opens again; a second delivery of the same attempt
-// arrives. Cause: a refusal that is not remembered.
+// Guards against an attempt that runs after it was reported as not run. The host
+// drains and refuses the attempt, opens again, and receives a second delivery of
+// the same attempt. The refusal must have been recorded.
 func TestRefusalIsRemembered(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	gf.gate.Drain(time.Second)
@@ -320,9 +327,9 @@
 	}
 }
 
-// Symptom: an answer that ran is called not run. Sequence: the network delivers
-// an attempt twice; the caller reads the second reply. Cause: a duplicate
-// answered as refused, which means proved not run.
+// Guards against an attempt that ran being reported as not run. The network
+// delivers it twice and the caller reads the second reply, so a duplicate must not
+// be answered with a refused frame, which proves that the attempt did not run.
 func TestDuplicateIsNotRefused(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	gf.run(newAttempt("r1", nil))
@@ -335,8 +342,8 @@
 	}
 }
 
-// Symptom: a cancelled request runs. Sequence: the cancel overtakes the attempt.
-// Cause: no tombstone.
+// Guards against a cancelled request that runs because the cancel arrives before
+// the attempt and leaves no tombstone.
 func TestCancelBeforeDelivery(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	reply, err := gf.gate.Cancel(t.Context(), &wire.CancelRequest{RequestId: "r1", Attempt: 1, Incarnation: testIncarnation})
@@ -364,8 +371,8 @@
 	}
 }
 
-// Each line is an engine that fails after it began, or whose answer must not
-// pass for whole.
+// Each case is an engine that fails after it began, or whose answer must not be
+// treated as complete.
 func TestBrokenAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -373,15 +380,15 @@
 		want     string
 		suspects int
 	}{
-		// The engine was restarted with older weights behind the agent's back.
+		// The engine was restarted with older weights and the agent does not know.
 		{"other version at the start", streamAnswer("v0", "a"), "broken:" + reasonVersionChanged, 1},
-		// Weights changed in the middle of an answer: the tokens are mixed.
+		// The weights changed during the answer, so its tokens are of two versions.
 		{"other version at the end", func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 			emit("begin", map[string]any{"version": testVersion})
 			emit("token", map[string]any{"i": 0, "text": "a"})
 			emit("end", map[string]any{"version": "v2", "count": 1})
 		}, "begin tokens broken:" + reasonVersionChanged, 1},
-		// The connection breaks after a token: an answer cut short.
+		// The connection breaks after a token, so the answer is incomplete.
 		{"no end", func(_ http.ResponseWriter, _ *http.Request, emit func(string, any)) {
 			emit("begin", map[string]any{"version": testVersion})
 			emit("token", map[string]any{"i": 0, "text": "a"})
@@ -411,7 +418,7 @@
 				t.Errorf("got frames %q, want %q", got.frameKinds(), tc.want)
 			}
 			if gf.suspectCalls != tc.suspects {
-				t.Errorf("got %d suspicions, want %d", gf.suspectCalls, tc.suspects)
+				t.Errorf("got %d calls of Suspect, want %d", gf.suspectCalls, tc.suspects)
 			}
 			if got := gf.engine.runCount("r1"); got != 1 {
 				t.Errorf("the engine saw the request %d times, want 1", got)
@@ -421,8 +428,8 @@
 	}
 }
 
-// Each line is a refusal by the engine that proves that nothing ran, so that
-// another attempt may begin.
+// Each case is a refusal by the engine which proves that nothing ran, so another
+// attempt may begin.
 func TestEngineRefusals(t *testing.T) {
 	for _, tc := range []struct {
 		status int
@@ -458,7 +465,8 @@
 	}
 }
 
-// streaming makes the engine send tokens until the test lets it go.
+// streamUntilReleased makes the engine send a token and then wait until the test
+// closes finish or the request is cancelled. started is closed after the token.
 func (gf *gateFixture) streamUntilReleased() (started chan struct{}, finish chan struct{}) {
 	started, finish = make(chan struct{}), make(chan struct{})
 	gf.engine.generate = func(_ http.ResponseWriter, r *http.Request, emit func(string, any)) {
@@ -474,7 +482,8 @@
 	return started, finish
 }
 
-// start runs an attempt in the background.
+// runInBackground executes an attempt in a goroutine and closes the channel at its
+// end.
 func (gf *gateFixture) runInBackground(ctx context.Context, att *wire.Attempt) (*fakeCaller, chan struct{}) {
 	stream, done := newFakeCaller(ctx), make(chan struct{})
 	go func() {
@@ -484,8 +493,8 @@
 	return stream, done
 }
 
-// Symptom: a host that leaves cuts off an answer. Sequence: the drain begins in
-// mid-stream. Cause: the drain does not wait.
+// Guards against a leaving host cutting off an answer: a drain that begins during a
+// stream must wait for its end.
 func TestDrainWaitsForStream(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	started, finish := gf.streamUntilReleased()
@@ -507,9 +516,9 @@
 	gf.checkNothingInUse()
 }
 
-// Symptom: a drain never ends, or a cut answer passes for whole. Sequence: a
-// stream outlasts the drain's limit. Cause: the limit does not cancel, or the
-// cancel ends the stream with an end frame.
+// Guards against a drain that never ends and against an incomplete answer treated
+// as complete. When a stream runs longer than the drain's limit, it must be
+// cancelled, and its last frame must not be an end frame.
 func TestDrainDeadlineStopsStream(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	started, _ := gf.streamUntilReleased()
@@ -525,8 +534,8 @@
 	waitUntil(t, func() bool { return gf.engine.cancelled("r1") })
 }
 
-// Symptom: an engine works for callers who have gone. Sequence: the entry drops
-// the stream. Cause: the cancel does not reach the engine.
+// Guards against an engine that keeps working for a disconnected caller: when the
+// entry drops the stream, the cancel must reach the engine.
 func TestCallerDisconnects(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	started, _ := gf.streamUntilReleased()
@@ -538,9 +547,9 @@
 	waitUntil(t, func() bool { return gf.engine.cancelled("r1") && gf.gate.State().Running() == 0 })
 }
 
-// Symptom: an invariant breaks, two last frames for one attempt. Sequence: the
-// entry dies while the agent sends a frame. Cause: a failed send taken for a
-// reason to send another frame.
+// Guards against a second last frame for one attempt, which violates an invariant.
+// It is sent if the entry dies while the agent sends a frame, and the failed send
+// is answered with another frame.
 func TestCallerDisconnectsAtAnyFrame(t *testing.T) {
 	for _, kind := range []string{frameBegin, frameTokens, frameEnd, frameBroken} {
 		gf := newGateFixture(t, nil)
@@ -554,9 +563,9 @@
 	}
 }
 
-// Symptom: a stopped entry holds the engine's slot and every drain. Sequence:
-// the caller stops reading without closing; the deadline passes. Cause: the
-// places are given back only when the send returns.
+// Guards against a stopped entry that occupies the engine's slot and blocks every
+// drain. The caller stops reading without closing the stream, and the deadline
+// passes; the slot must be released although the send has not returned.
 func TestCallerThatStopsReading(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	started, _ := gf.streamUntilReleased()
@@ -571,9 +580,8 @@
 	waitUntil(t, func() bool { return gf.gate.State().Running() == 0 && gf.engine.cancelled("r1") })
 }
 
-// Symptom: a slow caller makes the agent hold a whole answer in memory.
-// Sequence: the engine is fast, the caller reads nothing. Cause: an unbounded
-// buffer between them.
+// Guards against an unbounded buffer between a fast engine and a caller that reads
+// nothing, which would keep the whole answer in the agent's memory.
 func TestBackPressure(t *testing.T) {
 	gf := newGateFixture(t, nil)
 	const total = 20000
@@ -616,9 +624,8 @@
 	}
 }
 
-// Symptom: a call that a bridge refused half way is called not run. Sequence:
-// the bridge answers 503 after it began. Cause: a 503 taken for proof although
-// the endpoint class does not promise it.
+// Guards against a call being reported as not run although the bridge answered 503
+// after it had begun. A 503 is proof only if the endpoint class promises that.
 func TestServiceRefusals(t *testing.T) {
 	for _, tc := range []struct {
 		class  string
@@ -657,7 +664,8 @@
 	}
 }
 
-// eventually waits for what another goroutine is about to do.
+// waitUntil waits up to five seconds for a condition that another goroutine makes
+// true.
 func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -666,5 +674,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it never came true")
+	t.Fatal("the condition did not become true in time")
 }
--- a/agent/internal/gate/generate.go
+++ b/agent/internal/gate/generate.go
@@ -9,11 +9,12 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// tokensBuffered bounds the tokens read ahead of a slow caller. When they are
-// full, the engine's stream is not read, and the engine waits.
+// tokensBuffered is the number of tokens read ahead of a slow caller. When the
+// buffer is full, the engine's stream is not read and back pressure reaches the
+// engine.
 const tokensBuffered = 64
 
-// generate forwards an attempt to the engine.
+// generate forwards an attempt to the engine and relays the answer.
 func (g *Gate) generate(active *activeAttempt, reply *replyStream) error {
 	att := active.request
 	versionConfirmed := g.cfg.Invariants.Check(g.serves(active.loaded, att), "confirmedVersion",
@@ -45,16 +46,17 @@
 		g.cancelAtEngine(active)
 	}
 	active.finish(true)
-	if reply.lastSent { // the end frame did not get out: the caller has gone
+	if reply.lastSent { // sending the end frame failed: the caller has disconnected
 		return nil
 	}
 	return reply.sendBroken(reason)
 }
 
-// watch frees the endpoint as soon as the attempt's time is over. The goroutine
-// that relays may hang in a send to a caller that stopped reading; without this
-// it would hold the engine's slot and every drain until TCP gives up. The
-// returned function ends the watch and reports whether it had not yet acted.
+// releaseOnDone cancels the request at the engine and releases the attempt's slot as soon as the
+// attempt's context is done. The goroutine that relays the answer may block in a
+// send to a caller that stopped reading; without releaseOnDone it would occupy the
+// engine's slot and block every drain until TCP times out. The returned function
+// disables this and reports whether it had not been triggered yet.
 func (g *Gate) releaseOnDone(active *activeAttempt, stream *engine.Stream) func() bool {
 	return context.AfterFunc(active.ctx, func() {
 		if active.finished.Load() {
@@ -69,13 +71,16 @@
 	})
 }
 
+// cancelAtEngine asks the engine to stop the request.
 func (g *Gate) cancelAtEngine(active *activeAttempt) {
 	if err := g.cfg.Engine.Cancel(active.request.GetRequestId()); err != nil {
-		g.cfg.Log.Debug("engine not asked to stop", "request", active.request.GetRequestId(), "error", err)
+		g.cfg.Log.Debug("cannot cancel the request at the engine", "request", active.request.GetRequestId(), "error", err)
 	}
 }
 
-// notStarted answers an attempt that the engine did not take.
+// replyGenerateError sends the last frame after the engine returned an error
+// instead of a stream. It sends a refused frame only if the error proves that the
+// request did not run.
 func (g *Gate) replyGenerateError(active *activeAttempt, reply *replyStream, err error) error {
 	switch failure.KindOf(err) {
 	case failure.Unavailable:
@@ -98,7 +103,8 @@
 	}
 }
 
-// why prefers the end of the attempt's time over its symptom.
+// breakReason returns why an attempt broke off. The end of its context is the
+// cause of later errors, so it takes precedence over fallback.
 func (a *activeAttempt) breakReason(fallback string) string {
 	switch {
 	case a.ctx.Err() == nil:
@@ -109,8 +115,8 @@
 	return reasonStopped
 }
 
-// relay passes the engine's events on and returns why it broke off; empty means
-// that the whole answer was sent.
+// relayStream sends the engine's events to the caller. It returns the reason if
+// the answer broke off, or an empty string if the complete answer was sent.
 func (g *Gate) relayStream(active *activeAttempt, reply *replyStream, stream *engine.Stream) string {
 	first, err := stream.Next()
 	if err != nil || first.Kind != engine.EventBegin {
@@ -129,8 +135,9 @@
 	return g.relayTokens(active, reply, events)
 }
 
-// readAhead reads events until the stream breaks or done closes, and closes the
-// channel. A stream that breaks has no end event.
+// readAhead sends events to the channel until the end event, a stream error or the
+// close of done, and then closes the channel. After a stream error there is no
+// end event.
 func readAhead(stream *engine.Stream, events chan<- engine.Event, done <-chan struct{}) {
 	defer close(events)
 	for {
@@ -149,9 +156,11 @@
 	}
 }
 
+// relayTokens sends the tokens that are available at once as one frame. It returns
+// like relayStream.
 func (g *Gate) relayTokens(active *activeAttempt, reply *replyStream, events <-chan engine.Event) string {
 	digest := newTokenDigest(active.request.GetResumeTokens())
-	var lastBatch time.Time // of the batch before; zero before the first
+	var lastBatch time.Time // when the previous batch was read; zero before the first
 	for event := range events {
 		batch := make([]string, 0, 1)
 		for more := true; more && event.Kind == engine.EventToken; {
@@ -182,7 +191,7 @@
 	return active.breakReason(reasonStreamBroken)
 }
 
-// next returns an event that is there already.
+// pollEvent returns the next event if one is available without waiting.
 func pollEvent(events <-chan engine.Event) (event engine.Event, ok bool) {
 	select {
 	case event, ok = <-events:
@@ -192,6 +201,8 @@
 	}
 }
 
+// relayEnd checks that the answer is complete and of the right version, and sends
+// the end frame. It returns like relayStream.
 func (g *Gate) relayEnd(active *activeAttempt, reply *replyStream, event engine.Event, digest *tokenDigest) string {
 	if event.Version != active.request.GetVersion() {
 		return g.reportVersionChange(active, event.Version)
@@ -205,7 +216,8 @@
 	return ""
 }
 
-// versionChanged answers an engine that used other weights than it confirmed.
+// reportVersionChange logs that the engine used another version than it confirmed,
+// and returns the reason.
 func (g *Gate) reportVersionChange(active *activeAttempt, got string) string {
 	g.cfg.Log.Error("engine used another version than it confirmed",
 		"request", active.request.GetRequestId(), "want", active.request.GetVersion(), "got", got)
--- a/agent/internal/gate/invariants.go
+++ b/agent/internal/gate/invariants.go
@@ -5,16 +5,16 @@
 	"log/slog"
 )
 
-// Invariants records rules that broke inside the process. None ever should.
+// Invariants records violations of internal invariants. Each violation is a bug.
 type Invariants struct {
 	Log *slog.Logger
 	// Failures is the expvar counter "invariantFailures".
 	Failures *expvar.Int
-	// Panic stops the process, in tests.
+	// Panic makes Check panic on a violation; it is set in tests.
 	Panic bool
 }
 
-// Check records that the rule broke unless ok is true.
+// Check returns ok. If ok is false, it counts and logs a violation of the rule.
 func (i *Invariants) Check(ok bool, rule string, attrs ...any) bool {
 	if ok {
 		return true
--- a/agent/internal/gate/refusal.go
+++ b/agent/internal/gate/refusal.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reasons of refused and broken frames.
+// Reasons in refused and broken frames.
 const (
 	reasonOtherIncarnation = "otherIncarnation"
 	reasonInvalid          = "invalid"
@@ -23,7 +23,7 @@
 	reasonEndpointFailed   = "endpointFailed"
 )
 
-// Waits advised with refusals.
+// Delays that a refusal advises the caller to wait before it retries.
 const (
 	leavingRetryAfter     = 200 * time.Millisecond
 	drainingRetryAfter    = 500 * time.Millisecond
@@ -33,12 +33,13 @@
 	unreachableRetryAfter = time.Second
 )
 
-// refusal says why an attempt was not let in; the zero refusal lets it in.
+// refusal says why an attempt was not admitted. The zero refusal means admitted.
 type refusal struct {
 	reason     string
 	retryAfter time.Duration
-	// unproved: the attempt may have run nevertheless: a second
-	// delivery of an attempt that runs must not be answered as not run.
+	// mayHaveRun is set if the attempt may have run nevertheless. The reply is
+	// then a broken frame, because a second delivery of a running attempt must
+	// not be answered as not run.
 	mayHaveRun bool
 }
 
--- a/agent/internal/gate/reply.go
+++ b/agent/internal/gate/reply.go
@@ -18,15 +18,16 @@
 	frameBroken  = "broken"
 )
 
-// reply sends the frames of one attempt. One goroutine uses it.
+// replyStream sends the frames of one attempt. It is not safe for concurrent use.
 type replyStream struct {
 	gate     *Gate
 	att      *wire.Attempt
 	send     func(*wire.Frame) error
-	sequence uint32 // of the next frame; no gaps
-	lastSent bool   // the last frame was sent
+	sequence uint32 // of the next frame; consecutive
+	lastSent bool   // sendLast was called; the send may have failed
 }
 
+// sendFrame numbers a frame and sends it.
 func (r *replyStream) sendFrame(frame *wire.Frame) error {
 	frame.RequestId = r.att.GetRequestId()
 	frame.Attempt = r.att.GetAttempt()
@@ -35,7 +36,7 @@
 	return r.send(frame)
 }
 
-// last sends the frame after which there is none.
+// sendLast sends the last frame of the attempt. There must be exactly one.
 func (r *replyStream) sendLast(frame *wire.Frame) error {
 	if !r.gate.cfg.Invariants.Check(!r.lastSent, "oneLastFrame", "request", r.att.GetRequestId()) {
 		return nil
@@ -47,8 +48,8 @@
 	return r.sendFrame(frame)
 }
 
-// refuse says that the attempt was not run, or that it may have been where the
-// refusal is no proof.
+// sendRefused sends a refused frame, which proves that the attempt did not run. If
+// the attempt may have run, it sends a broken frame instead.
 func (r *replyStream) sendRefused(refused refusal) error {
 	if refused.mayHaveRun {
 		return r.sendBroken(refused.reason)
@@ -62,6 +63,8 @@
 	})
 }
 
+// sendBroken sends a broken frame: the attempt may have run, and the answer is not
+// complete.
 func (r *replyStream) sendBroken(reason string) error {
 	r.gate.cfg.Counters.Add("broken."+reason, 1)
 	r.logOutcome("attempt broken", reason)
@@ -77,17 +80,21 @@
 	return r.sendFrame(&wire.Frame{Kind: frameBegin, Version: version, Running: uint32(running)})
 }
 
+// sendEnd sends the end frame, which marks the answer as complete. digest is the
+// BLAKE3 hash of the answer.
 func (r *replyStream) sendEnd(version string, digest []byte) error {
 	r.gate.cfg.Counters.Add("answered", 1)
 	return r.sendLast(&wire.Frame{Kind: frameEnd, Version: version, Digest: digest})
 }
 
-// digest is the BLAKE3 of all tokens joined by a newline.
+// tokenDigest computes the BLAKE3 hash of all tokens joined by newlines, and counts
+// them.
 type tokenDigest struct {
 	hash  *blake3.Hasher
 	count int
 }
 
+// newTokenDigest returns a digest of the tokens relayed before this attempt.
 func newTokenDigest(tokens []string) *tokenDigest {
 	digest := &tokenDigest{hash: blake3.New()}
 	for _, token := range tokens {
--- a/agent/internal/gate/rules.go
+++ b/agent/internal/gate/rules.go
@@ -8,28 +8,29 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// longestDeadline bounds an attempt where the document sets no bound; it stays
-// below the retention of attempts.
+// maxRequestTime limits the run time of an attempt if the document sets no lower
+// limit. It must be less than attemptRetention.
 const maxRequestTime = 10 * time.Minute
 
-// rules is what the document in force says about attempts, indexed.
+// attemptRules is an index of what the current document says about attempts.
 type attemptRules struct {
 	document *wire.Document
-	// allowed holds "model/<name>" and "service/<name>" to customers' names.
+	// allowedCustomers maps "model/<name>" and "service/<name>" to the set of
+	// customers' names.
 	allowedCustomers map[string]map[string]bool
 	endpointClass    *wire.EndpointClass // of this host's endpoint; nil if unknown
-	maxDeadline      time.Duration       // above 0, at most longestDeadline
+	maxDeadline      time.Duration       // above 0, at most maxRequestTime
 }
 
-// rulebook keeps the index of the newest document.
+// ruleCache caches the index of the current document.
 type ruleCache struct {
 	holder   *view.Holder
 	endpoint string
 	cached   atomic.Pointer[attemptRules]
 }
 
-// load returns the rules and the revision they come from. While no document is
-// in force the rules allow nobody anything.
+// current returns the rules and the revision of the document they come from. Without
+// a document the rules allow no customer anything.
 func (c *ruleCache) current() (*attemptRules, uint32) {
 	snap, _ := c.holder.Load()
 	if cached := c.cached.Load(); cached != nil && cached.document == snap.Document {
@@ -67,7 +68,8 @@
 	return set
 }
 
-// allows reports whether the customer may use what the attempt asks for.
+// allowsCustomer reports whether the customer may use the model or service that the
+// attempt asks for.
 func (r *attemptRules) allowsCustomer(att *wire.Attempt) bool {
 	if att.GetService() != "" {
 		return r.allowedCustomers["service/"+att.GetService()][att.GetCustomer()]
@@ -75,7 +77,7 @@
 	return r.allowedCustomers["model/"+att.GetModel()][att.GetCustomer()]
 }
 
-// deadline returns the time that an attempt may take from now.
+// timeLimit returns how long an attempt may run from now.
 func (r *attemptRules) timeLimit(att *wire.Attempt) time.Duration {
 	requested := time.Duration(att.GetDeadlineMillis()) * time.Millisecond
 	return min(requested, r.maxDeadline)
--- a/agent/internal/gate/token_gaps.go
+++ b/agent/internal/gate/token_gaps.go
@@ -7,36 +7,40 @@
 )
 
 const (
-	// gapSamples bounds the samples kept.
+	// maxGapSamples is the size of the ring buffer of samples.
 	maxGapSamples = 512
-	// gapWindow is how long a sample counts.
+	// gapWindow is the age up to which samples are used.
 	gapWindow = 3 * time.Second
-	// gapSamplesNeeded is how many make a median worth acting on.
+	// minGapSamples is the number of samples below which the median is treated
+	// as unknown.
 	minGapSamples = 20
-	// bestDecay lets the best median drift up, so that one lucky second does
-	// not count as the norm for ever: 1% for each reading, one a second.
+	// bestMedianDrift raises the best median by 1% with each update, which is
+	// once a second. Otherwise a single unusually fast second would stay the
+	// baseline forever.
 	bestMedianDrift = 1.01
-	// slowFrom and slowTo are the ratios of the median to the recent best at
-	// which tokens begin to count as slow and count as fully slow.
+	// slowdownStart and slowdownFull are the ratios of the current median to
+	// the best one at which the slowdown starts to rise above 0 and reaches 1.
 	slowdownStart = 1.25
 	slowdownFull  = 2.5
 )
 
+// gapSample is one measured time between tokens.
 type gapSample struct {
 	at     time.Time
 	length time.Duration
 }
 
-// gaps measures the time between tokens over all streams of the host.
+// tokenGapStats measures the time between tokens over all streams of the host.
 type tokenGapStats struct {
 	mu         sync.Mutex
 	samples    [maxGapSamples]gapSample
 	next       int
-	median     time.Duration // as of the last read; 0 with too few samples
+	median     time.Duration // as of the last update; 0 with too few samples
 	bestMedian time.Duration // recent best median; 0 while unknown
 	sorted     []time.Duration
 }
 
+// add records a sample and overwrites the oldest one.
 func (g *tokenGapStats) add(now time.Time, length time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,7 +48,7 @@
 	g.next = (g.next + 1) % maxGapSamples
 }
 
-// read computes the median anew; it is called once a second.
+// update recomputes the median. It is called once a second.
 func (g *tokenGapStats) update(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,13 +70,15 @@
 	}
 }
 
+// lastMedian returns the median of the last update; 0 while unknown.
 func (g *tokenGapStats) lastMedian() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.median
 }
 
-// slow returns 0 (tokens flow as at their recent best) to 1.
+// slowdown returns a value from 0 (tokens arrive as fast as at their recent best)
+// to 1 (slower by slowdownFull or more). It is 0 while unknown.
 func (g *tokenGapStats) slowdown() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/agent/internal/gate/token_gaps_test.go
+++ b/agent/internal/gate/token_gaps_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Symptom: transfers take the link while live requests crawl. Sequence: tokens
-// flow at 10 ms, then at 25 ms. Cause: slowness not measured against what the
-// host did lately.
+// Guards against weight transfers that use the full link while live requests are
+// slow. That happens if the token gap (here 25 ms after 10 ms) is not compared
+// with what the host achieved recently.
 func TestTokenSlowdown(t *testing.T) {
 	var stats tokenGapStats
 	now := time.Unix(1000, 0)
