--- a/agent/internal/engine/cache.go
+++ b/agent/internal/engine/cache.go
@@ -31,7 +31,7 @@
 		Events []CacheEvent `json:"events"`
 		Next   uint64       `json:"next"`
 	}
-	if err := c.get(ctx, "/cache/events?after="+strconv.FormatUint(after, 10), &reply); err != nil {
+	if err := c.getJSON(ctx, "/cache/events?after="+strconv.FormatUint(after, 10), &reply); err != nil {
 		return nil, after, err
 	}
 	return reply.Events, reply.Next, nil
--- a/agent/internal/engine/call.go
+++ b/agent/internal/engine/call.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-type callBody struct {
+type callMessage struct {
 	RequestID string `json:"requestId,omitempty"`
 	Body      []byte `json:"body"`
 }
@@ -19,17 +19,17 @@
 // Call runs one call of a plain service and returns the body of its answer.
 // Kind Exhausted: the service refused; whether that proves that it did not run
 // is a property of the document's endpoint class.
-func (c *Client) Call(ctx context.Context, requestID string, body []byte, once bool) ([]byte, error) {
-	res, err := c.post(ctx, c.client(once), "/call", callBody{RequestID: requestID, Body: body})
+func (c *Client) Call(ctx context.Context, requestID string, body []byte, atMostOnce bool) ([]byte, error) {
+	res, err := c.post(ctx, c.httpClient(atMostOnce), "/call", callMessage{RequestID: requestID, Body: body})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		drainReply(res)
+		discardBody(res)
 		return nil, callStatusError(res.StatusCode)
 	}
-	var reply callBody
+	var reply callMessage
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxReplyBytes)).Decode(&reply); err != nil {
 		return nil, failure.Wrap(err, failure.Ambiguous, "the service's answer was cut short or malformed",
 			"look at the service's log whether the call ran")
@@ -49,12 +49,12 @@
 
 // Reach reports whether something listens at the endpoint's address.
 func (c *Client) Reach(ctx context.Context) error {
-	base, err := url.Parse(c.base)
+	endpoint, err := url.Parse(c.baseURL)
 	if err != nil {
 		return failure.Wrap(err, failure.Invalid, "endpointUrl is not an address", "correct it")
 	}
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", base.Host)
+	conn, err := dialer.DialContext(ctx, "tcp", endpoint.Host)
 	if err != nil {
 		return transportError(err)
 	}
--- a/agent/internal/engine/client.go
+++ b/agent/internal/engine/client.go
@@ -32,21 +32,21 @@
 
 // Client calls the endpoint. It is safe for concurrent use.
 type Client struct {
-	base string // without a trailing slash
+	baseURL string // without a trailing slash
 	// kept reuses connections.
-	kept *http.Client
+	keepAlive *http.Client
 	// fresh dials for each call. On a kept connection that the endpoint closes
 	// at the same moment nobody knows whether the request was read; a
 	// failed dial proves that it was not.
-	fresh *http.Client
+	noReuse *http.Client
 }
 
 // New returns a Client of the endpoint at the base address "http://ip:port".
-func New(base string) *Client {
-	return &Client{base: base, kept: newHTTP(true), fresh: newHTTP(false)}
+func New(baseURL string) *Client {
+	return &Client{baseURL: baseURL, keepAlive: newHTTPClient(true), noReuse: newHTTPClient(false)}
 }
 
-func newHTTP(keepAlive bool) *http.Client {
+func newHTTPClient(keepAlive bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
 		Transport: &http.Transport{
@@ -64,18 +64,18 @@
 
 // Close closes the idle connections.
 func (c *Client) Close() {
-	c.kept.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.keepAlive.CloseIdleConnections()
+	c.noReuse.CloseIdleConnections()
 }
 
 // post sends a JSON body. The request has no GetBody and no Idempotency-Key
 // header, without which net/http never sends a POST again by itself.
 func (c *Client) post(ctx context.Context, client *http.Client, path string, body any) (*http.Response, error) {
-	text, err := json.Marshal(body)
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Invalid, "cannot encode the call", "report it")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(encoded))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Invalid, "the endpoint's address is wrong", "correct endpointUrl")
 	}
@@ -89,8 +89,8 @@
 }
 
 // get reads a JSON reply into out.
-func (c *Client) get(ctx context.Context, path string, out any) error {
-	body, err := c.read(ctx, http.MethodGet, path, nil)
+func (c *Client) getJSON(ctx context.Context, path string, out any) error {
+	body, err := c.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -102,18 +102,18 @@
 }
 
 // read does a call whose repetition is harmless and returns the reply's body.
-func (c *Client) read(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+func (c *Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Invalid, "the endpoint's address is wrong", "correct endpointUrl")
 	}
-	res, err := c.kept.Do(req)
+	res, err := c.keepAlive.Do(req)
 	if err != nil {
 		return nil, transportError(err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		drainReply(res)
+		discardBody(res)
 		return nil, statusError(res.StatusCode)
 	}
 	reply, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes+1))
@@ -127,21 +127,21 @@
 }
 
 // drainReply reads the rest of a short reply so that its connection is kept.
-func drainReply(res *http.Response) {
+func discardBody(res *http.Response) {
 	_, _ = io.CopyN(io.Discard, res.Body, 4<<10)
 }
 
 // transportError distinguishes a call that was never handed out from one that may have
 // been.
 func transportError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return failure.Wrap(err, failure.Unavailable, "the endpoint cannot be reached",
 			"start it, or correct endpointUrl")
 	}
-	var outer *url.Error
-	if errors.As(err, &outer) {
-		err = outer.Err
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) {
+		err = urlErr.Err
 	}
 	return failure.Wrap(err, failure.Ambiguous, "the connection to the endpoint broke",
 		"look at the endpoint's own log whether the call ran")
--- a/agent/internal/engine/client_test.go
+++ b/agent/internal/engine/client_test.go
@@ -39,15 +39,15 @@
 // Symptom: a request that is not repeatable runs twice. Sequence: the engine
 // reads it and closes the connection without an answer. Cause: an HTTP client
 // that sends again by itself.
-func TestNeverSendsTwice(t *testing.T) {
-	var seen atomic.Int32
+func TestNeverSendsRequestTwice(t *testing.T) {
+	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if r.URL.Path == "/status" {
 			_, _ = w.Write([]byte("{}"))
 			return
 		}
-		seen.Add(1)
+		requests.Add(1)
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			_ = conn.Close()
@@ -55,30 +55,30 @@
 	}))
 	defer server.Close()
 	client := New(server.URL)
-	for _, once := range []bool{true, false} {
-		seen.Store(0)
+	for _, atMostOnce := range []bool{true, false} {
+		requests.Store(0)
 		if _, err := client.Status(t.Context()); err != nil { // a kept connection to be reused
 			t.Fatal(err)
 		}
-		_, err := client.Generate(t.Context(), &Generate{RequestID: "r1"}, once)
+		_, err := client.Generate(t.Context(), &GenerateRequest{RequestID: "r1"}, atMostOnce)
 		if got, want := failure.KindOf(err), failure.Ambiguous; err == nil || got != want {
-			t.Errorf("once %v: got %v, want kind %s", once, err, want)
+			t.Errorf("once %v: got %v, want kind %s", atMostOnce, err, want)
 		}
-		if _, err := client.Call(t.Context(), "r2", nil, once); err == nil {
-			t.Errorf("once %v: got an answer of a broken call", once)
+		if _, err := client.Call(t.Context(), "r2", nil, atMostOnce); err == nil {
+			t.Errorf("once %v: got an answer of a broken call", atMostOnce)
 		}
-		if got, want := seen.Load(), int32(2); got != want {
-			t.Errorf("once %v: the endpoint saw %d requests, want %d", once, got, want)
+		if got, want := requests.Load(), int32(2); got != want {
+			t.Errorf("once %v: the endpoint saw %d requests, want %d", atMostOnce, got, want)
 		}
 	}
 }
 
 // Symptom: the same, by a redirect that repeats the body. Cause: a client that
 // follows 307 and 308.
-func TestFollowsNoRedirect(t *testing.T) {
-	var seen atomic.Int32
+func TestDoesNotFollowRedirect(t *testing.T) {
+	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		seen.Add(1)
+		requests.Add(1)
 		w.Header().Set("Location", "/again")
 		w.WriteHeader(http.StatusPermanentRedirect)
 	}))
@@ -87,7 +87,7 @@
 	if _, err := client.Call(t.Context(), "r1", nil, false); err == nil {
 		t.Error("got an answer from a redirect")
 	}
-	if got, want := seen.Load(), int32(1); got != want {
+	if got, want := requests.Load(), int32(1); got != want {
 		t.Errorf("the endpoint saw %d requests, want %d", got, want)
 	}
 }
--- a/agent/internal/engine/generate.go
+++ b/agent/internal/engine/generate.go
@@ -21,8 +21,8 @@
 	cancelTimeout = 2 * time.Second
 )
 
-// Generate is one request to the engine.
-type Generate struct {
+// GenerateRequest is one request to the engine.
+type GenerateRequest struct {
 	RequestID    string   `json:"requestId"`
 	Model        string   `json:"model"`
 	Adapter      string   `json:"adapter"`
@@ -45,8 +45,8 @@
 	Kind string `json:"-"`
 	// Version is set with begin and end.
 	Version string `json:"version"`
-	// I is a token's place in the whole answer, from 0.
-	I int `json:"i"`
+	// Index is a token's place in the whole answer, from 0.
+	Index int `json:"i"`
 	// Text is a token's text.
 	Text string `json:"text"`
 	// Count is set with end: all tokens of the answer.
@@ -61,13 +61,13 @@
 
 // Generate starts a request. With once set it uses a connection of its own, so
 // that a failed dial proves that the request was not run.
-func (c *Client) Generate(ctx context.Context, call *Generate, once bool) (*Stream, error) {
-	res, err := c.post(ctx, c.client(once), "/generate", call)
+func (c *Client) Generate(ctx context.Context, request *GenerateRequest, atMostOnce bool) (*Stream, error) {
+	res, err := c.post(ctx, c.httpClient(atMostOnce), "/generate", request)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
-		drainReply(res)
+		discardBody(res)
 		_ = res.Body.Close()
 		return nil, generateError(res.StatusCode)
 	}
@@ -83,11 +83,11 @@
 	return failure.New(failure.Ambiguous, "the engine answered "+http.StatusText(status), "look at the engine's log")
 }
 
-func (c *Client) client(once bool) *http.Client {
-	if once {
-		return c.fresh
+func (c *Client) httpClient(atMostOnce bool) *http.Client {
+	if atMostOnce {
+		return c.noReuse
 	}
-	return c.kept
+	return c.keepAlive
 }
 
 // NewStream reads an engine's event stream.
@@ -103,7 +103,7 @@
 func (s *Stream) Next() (Event, error) {
 	var kind, data string
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Event{}, err
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *Stream) line() (string, error) {
+func (s *Stream) readLine() (string, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		return "", failure.New(failure.Corrupt, "a line of the engine's stream is too long", "report it")
@@ -153,10 +153,10 @@
 func (c *Client) Cancel(requestID string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	res, err := c.post(ctx, c.kept, "/cancel", map[string]string{"requestId": requestID})
+	res, err := c.post(ctx, c.keepAlive, "/cancel", map[string]string{"requestId": requestID})
 	if err != nil {
 		return err
 	}
-	drainReply(res)
+	discardBody(res)
 	return res.Body.Close()
 }
--- a/agent/internal/engine/orders.go
+++ b/agent/internal/engine/orders.go
@@ -50,29 +50,29 @@
 // Status asks the engine for its state.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	status := &Status{}
-	return status, c.get(ctx, "/status", status)
+	return status, c.getJSON(ctx, "/status", status)
 }
 
 // Order gives an order. Kind Stale: the engine obeyed a newer fencing number,
 // which is returned. Kind Invalid: a chunk is missing or wrong there.
 func (c *Client) Order(ctx context.Context, order *Order) (current uint64, err error) {
-	res, err := c.post(ctx, c.kept, "/orders", order)
+	res, err := c.post(ctx, c.keepAlive, "/orders", order)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = res.Body.Close() }()
 	switch res.StatusCode {
 	case http.StatusOK:
-		drainReply(res)
+		discardBody(res)
 		return order.Fence, nil
 	case http.StatusConflict:
-		var refusal struct {
+		var reply struct {
 			Fence uint64 `json:"fence"`
 		}
-		_ = json.NewDecoder(io.LimitReader(res.Body, maxReplyBytes)).Decode(&refusal)
-		return refusal.Fence, failure.New(failure.Stale, "the engine obeyed a newer fencing number",
+		_ = json.NewDecoder(io.LimitReader(res.Body, maxReplyBytes)).Decode(&reply)
+		return reply.Fence, failure.New(failure.Stale, "the engine obeyed a newer fencing number",
 			"wait for the plan of the present lease-holder")
 	}
-	drainReply(res)
+	discardBody(res)
 	return 0, statusError(res.StatusCode)
 }
--- a/agent/internal/gate/generate.go
+++ b/agent/internal/gate/generate.go
@@ -23,7 +23,7 @@
 		active.finish(false)
 		return reply.sendRefused(newRefusal(reasonNotLoaded, notLoadedRetryAfter))
 	}
-	stream, err := g.cfg.Engine.Generate(active.ctx, &engine.Generate{
+	stream, err := g.cfg.Engine.Generate(active.ctx, &engine.GenerateRequest{
 		RequestID:    att.GetRequestId(),
 		Model:        att.GetModel(),
 		Adapter:      att.GetAdapter(),
@@ -164,7 +164,7 @@
 	for event := range events {
 		batch := make([]string, 0, 1)
 		for more := true; more && event.Kind == engine.EventToken; {
-			if event.I != digest.count {
+			if event.Index != digest.count {
 				return reasonStreamBroken
 			}
 			digest.add(event.Text)
