--- a/agent/internal/engine/chunks.go
+++ b/agent/internal/engine/chunks.go
@@ -8,18 +8,19 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// PutChunk keeps verified bytes on the host under their hash.
+// PutChunk stores a verified chunk on the host under its hash.
 func (c *Client) PutChunk(ctx context.Context, hash, data []byte) error {
 	_, err := c.do(ctx, http.MethodPut, chunkPath(hash), data)
 	return err
 }
 
-// GetChunk reads kept bytes back; kind NotFound where the host lacks them.
+// GetChunk returns a stored chunk. The error has kind NotFound if the host does not
+// have it.
 func (c *Client) GetChunk(ctx context.Context, hash []byte) ([]byte, error) {
 	return c.do(ctx, http.MethodGet, chunkPath(hash), nil)
 }
 
-// DropChunk forgets kept bytes; it is no error where there were none.
+// DropChunk deletes a stored chunk. It is not an error if the chunk does not exist.
 func (c *Client) DropChunk(ctx context.Context, hash []byte) error {
 	_, err := c.do(ctx, http.MethodDelete, chunkPath(hash), nil)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
@@ -28,7 +29,8 @@
 	return err
 }
 
-// HeldChunks lists the hashes kept on the host.
+// HeldChunks returns the hashes of the chunks stored on the host. Malformed hashes
+// are skipped.
 func (c *Client) HeldChunks(ctx context.Context) ([][]byte, error) {
 	var reply struct {
 		Hashes []string `json:"hashes"`
--- a/agent/internal/engine/client.go
+++ b/agent/internal/engine/client.go
@@ -1,10 +1,12 @@
-// Package engine speaks to the one endpoint of this host: a model engine, a
-// plain service or the mainframe bridge. No other package of the agent does.
+// Package engine is the HTTP client of the endpoint of this host: a model engine,
+// a plain service or the mainframe bridge. No other package of the agent calls the
+// endpoint.
 //
-// Errors are failure.Errors whose kind says what is proved of a request:
-// Unavailable (the endpoint was never reached), Exhausted (it refused before
-// running), NotFound (what was asked for is not loaded) prove that it did not
-// run; Ambiguous proves nothing.
+// Errors are failure.Errors whose kind says what is known about the request.
+// Unavailable (the endpoint was not reached), Exhausted (it refused the request
+// before running it) and NotFound (what was asked for is not loaded) prove that
+// the request did not run. Ambiguous proves nothing. For the exception of a plain
+// service see Call.
 package engine
 
 import (
@@ -22,26 +24,28 @@
 )
 
 const (
-	// dialTimeout bounds the connect to an endpoint on the same host.
+	// dialTimeout is the timeout for connecting to the endpoint, which is on the
+	// same host.
 	dialTimeout = time.Second
-	// maxReplyBytes bounds every reply that is read whole.
+	// maxReplyBytes is the maximum size of a reply that is not streamed.
 	maxReplyBytes = 4 << 20
-	// idleConns bounds the connections kept to the endpoint.
+	// idleConns is the maximum number of idle connections to the endpoint.
 	idleConns = 64
 )
 
 // Client calls the endpoint. It is safe for concurrent use.
 type Client struct {
 	baseURL string // without a trailing slash
-	// kept reuses connections.
+	// keepAlive reuses connections.
 	keepAlive *http.Client
-	// fresh dials for each call. On a kept connection that the endpoint closes
-	// at the same moment nobody knows whether the request was read; a
+	// noReuse dials for each call. If the endpoint closes a reused connection
+	// while a request is sent, it is unknown whether the request was read; a
 	// failed dial proves that it was not.
 	noReuse *http.Client
 }
 
-// New returns a Client of the endpoint at the base address "http://ip:port".
+// New returns a Client of the endpoint at baseURL, which has the form
+// "http://ip:port".
 func New(baseURL string) *Client {
 	return &Client{baseURL: baseURL, keepAlive: newHTTPClient(true), noReuse: newHTTPClient(false)}
 }
@@ -57,7 +61,7 @@
 			MaxIdleConnsPerHost: idleConns,
 			IdleConnTimeout:     30 * time.Second,
 		},
-		// A redirect would send the body a second time.
+		// Following a redirect would send the body a second time.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -68,8 +72,8 @@
 	c.noReuse.CloseIdleConnections()
 }
 
-// post sends a JSON body. The request has no GetBody and no Idempotency-Key
-// header, without which net/http never sends a POST again by itself.
+// post sends a JSON body. The request has neither GetBody nor an Idempotency-Key
+// header, so that net/http never sends the POST again on its own.
 func (c *Client) post(ctx context.Context, client *http.Client, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -77,7 +81,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(encoded))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the endpoint's address is wrong", "correct endpointUrl")
+		return nil, failure.Wrap(err, failure.Invalid, "the endpoint's address is invalid", "correct endpointUrl")
 	}
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
@@ -88,24 +92,24 @@
 	return res, nil
 }
 
-// get reads a JSON reply into out.
+// getJSON sends a GET request and decodes the JSON reply into out.
 func (c *Client) getJSON(ctx context.Context, path string, out any) error {
 	body, err := c.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return failure.Wrap(err, failure.Corrupt, "the endpoint's reply to "+path+" cannot be read",
+		return failure.Wrap(err, failure.Corrupt, "the endpoint's reply to "+path+" cannot be decoded",
 			"check that endpointUrl names the endpoint")
 	}
 	return nil
 }
 
-// read does a call whose repetition is harmless and returns the reply's body.
+// do sends an idempotent request and returns the body of the reply.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the endpoint's address is wrong", "correct endpointUrl")
+		return nil, failure.Wrap(err, failure.Invalid, "the endpoint's address is invalid", "correct endpointUrl")
 	}
 	res, err := c.keepAlive.Do(req)
 	if err != nil {
@@ -126,13 +130,13 @@
 	return reply, nil
 }
 
-// drainReply reads the rest of a short reply so that its connection is kept.
+// discardBody reads the rest of a short reply so that the connection can be reused.
 func discardBody(res *http.Response) {
 	_, _ = io.CopyN(io.Discard, res.Body, 4<<10)
 }
 
-// transportError distinguishes a call that was never handed out from one that may have
-// been.
+// transportError returns an error of kind Unavailable if the connection could not
+// be established, and of kind Ambiguous if the request may have been sent.
 func transportError(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -144,19 +148,20 @@
 		err = urlErr.Err
 	}
 	return failure.Wrap(err, failure.Ambiguous, "the connection to the endpoint broke",
-		"look at the endpoint's own log whether the call ran")
+		"check in the endpoint's own log whether the call ran")
 }
 
+// statusError maps an HTTP status other than 200 to an error.
 func statusError(status int) error {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return failure.New(failure.Exhausted, "the endpoint is over its queue", "try again later")
+		return failure.New(failure.Exhausted, "the endpoint's queue is full", "try again later")
 	case http.StatusNotFound:
-		return failure.New(failure.NotFound, "the endpoint does not have it", "load it first")
+		return failure.New(failure.NotFound, "the endpoint does not have what was asked for", "load it first")
 	case http.StatusConflict:
 		return failure.New(failure.NotFound, "the endpoint has something else loaded", "wait for the load")
 	case http.StatusUnprocessableEntity, http.StatusBadRequest:
-		return failure.New(failure.Invalid, "the endpoint found the call wrong", "look at the endpoint's log")
+		return failure.New(failure.Invalid, "the endpoint rejected the call as invalid", "look at the endpoint's log")
 	}
 	return failure.New(failure.Ambiguous, "the endpoint answered "+http.StatusText(status),
 		"look at the endpoint's log")
--- a/agent/internal/engine/client_test.go
+++ b/agent/internal/engine/client_test.go
@@ -12,6 +12,8 @@
 	"comfreyrelay.example/relay/failure"
 )
 
+// FuzzStream reads arbitrary event streams. A stream must end with an error other
+// than io.EOF, and only known kinds of events may be returned.
 func FuzzStream(f *testing.F) {
 	f.Add("event: begin\ndata: {\"version\":\"v\"}\n\nevent: token\ndata: {\"i\":0,\"text\":\"a\"}\n\nevent: end\ndata: {\"version\":\"v\",\"count\":1}\n\n")
 	f.Add("event: begin\r\ndata:{}\r\n\r\n")
@@ -24,7 +26,7 @@
 			event, err := stream.Next()
 			if err != nil {
 				if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-					t.Fatal("a stream that was cut ended like a whole one")
+					t.Fatal("an incomplete stream ended with io.EOF")
 				}
 				return
 			}
@@ -36,9 +38,9 @@
 	})
 }
 
-// Symptom: a request that is not repeatable runs twice. Sequence: the engine
-// reads it and closes the connection without an answer. Cause: an HTTP client
-// that sends again by itself.
+// Guards against a request that is not repeatable running twice. The engine reads it
+// and closes the connection without an answer, and the HTTP client must not retry
+// on its own.
 func TestNeverSendsRequestTwice(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -57,24 +59,24 @@
 	client := New(server.URL)
 	for _, atMostOnce := range []bool{true, false} {
 		requests.Store(0)
-		if _, err := client.Status(t.Context()); err != nil { // a kept connection to be reused
+		if _, err := client.Status(t.Context()); err != nil { // leaves an idle connection that may be reused
 			t.Fatal(err)
 		}
 		_, err := client.Generate(t.Context(), &GenerateRequest{RequestID: "r1"}, atMostOnce)
 		if got, want := failure.KindOf(err), failure.Ambiguous; err == nil || got != want {
-			t.Errorf("once %v: got %v, want kind %s", atMostOnce, err, want)
+			t.Errorf("atMostOnce %v: got %v, want kind %s", atMostOnce, err, want)
 		}
 		if _, err := client.Call(t.Context(), "r2", nil, atMostOnce); err == nil {
-			t.Errorf("once %v: got an answer of a broken call", atMostOnce)
+			t.Errorf("atMostOnce %v: got an answer of a broken call", atMostOnce)
 		}
 		if got, want := requests.Load(), int32(2); got != want {
-			t.Errorf("once %v: the endpoint saw %d requests, want %d", atMostOnce, got, want)
+			t.Errorf("atMostOnce %v: the endpoint saw %d requests, want %d", atMostOnce, got, want)
 		}
 	}
 }
 
-// Symptom: the same, by a redirect that repeats the body. Cause: a client that
-// follows 307 and 308.
+// Guards against a request running twice because the client follows a 307 or 308
+// redirect, which repeats the body.
 func TestDoesNotFollowRedirect(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/agent/internal/engine/generate.go
+++ b/agent/internal/engine/generate.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// maxEventLine bounds one line of the engine's event stream, bytes.
+	// maxEventLine is the maximum size in bytes of a line and of an event's data
+	// in the engine's event stream.
 	maxEventLine = 64 << 10
-	// cancelTimeout bounds the call that asks the engine to stop.
+	// cancelTimeout is the timeout of the call that cancels a request.
 	cancelTimeout = 2 * time.Second
 )
 
-// GenerateRequest is one request to the engine.
+// GenerateRequest asks the engine to generate an answer to a prompt.
 type GenerateRequest struct {
 	RequestID    string   `json:"requestId"`
 	Model        string   `json:"model"`
@@ -39,28 +40,29 @@
 	EventEnd   = "end"
 )
 
-// Event is one event of an answer.
+// Event is one event in the stream of an answer.
 type Event struct {
 	// Kind is EventBegin, EventToken or EventEnd.
 	Kind string `json:"-"`
-	// Version is set with begin and end.
+	// Version is the version of the weights in use. It is set with begin and end.
 	Version string `json:"version"`
-	// Index is a token's place in the whole answer, from 0.
+	// Index is the position of a token in the complete answer, from 0.
 	Index int `json:"i"`
 	// Text is a token's text.
 	Text string `json:"text"`
-	// Count is set with end: all tokens of the answer.
+	// Count is the number of tokens of the complete answer. It is set with end.
 	Count int `json:"count"`
 }
 
-// Stream is an answer while it runs.
+// Stream reads the events of an answer as the engine sends them.
 type Stream struct {
 	reader *bufio.Reader
 	body   io.Closer
 }
 
-// Generate starts a request. With once set it uses a connection of its own, so
-// that a failed dial proves that the request was not run.
+// Generate starts a request and returns the stream of its answer. If atMostOnce is
+// set, it uses a new connection, so that a failed dial proves that the request did
+// not run.
 func (c *Client) Generate(ctx context.Context, request *GenerateRequest, atMostOnce bool) (*Stream, error) {
 	res, err := c.post(ctx, c.httpClient(atMostOnce), "/generate", request)
 	if err != nil {
@@ -74,8 +76,8 @@
 	return NewStream(res.Body), nil
 }
 
-// generateError takes only the two refusals that engines promise as proof that
-// the request was not run.
+// generateError maps a status to an error. Engines guarantee only for 503 and 409
+// that the request did not run; every other status is Ambiguous.
 func generateError(status int) error {
 	if status == http.StatusServiceUnavailable || status == http.StatusConflict {
 		return statusError(status)
@@ -83,6 +85,8 @@
 	return failure.New(failure.Ambiguous, "the engine answered "+http.StatusText(status), "look at the engine's log")
 }
 
+// httpClient returns the client to use for a request. A request that must run at
+// most once gets a new connection.
 func (c *Client) httpClient(atMostOnce bool) *http.Client {
 	if atMostOnce {
 		return c.noReuse
@@ -90,16 +94,16 @@
 	return c.keepAlive
 }
 
-// NewStream reads an engine's event stream.
+// NewStream returns a Stream that reads an engine's server-sent events from body.
 func NewStream(body io.ReadCloser) *Stream {
 	return &Stream{reader: bufio.NewReaderSize(body, maxEventLine), body: body}
 }
 
-// Close gives the stream up.
+// Close closes the response body and releases the connection.
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Next returns the next event. Every error means that the answer is not whole;
-// a stream that ended without an end event is io.ErrUnexpectedEOF.
+// Next returns the next event. Every error means that the answer is incomplete; if
+// the stream ends without an end event, the error is io.ErrUnexpectedEOF.
 func (s *Stream) Next() (Event, error) {
 	var kind, data string
 	for {
@@ -121,6 +125,7 @@
 	}
 }
 
+// readLine returns the next line without its line break.
 func (s *Stream) readLine() (string, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -135,10 +140,11 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
+// parseEvent decodes an event and rejects unknown kinds.
 func parseEvent(kind, data string) (Event, error) {
 	event := Event{}
 	if err := json.Unmarshal([]byte(data), &event); err != nil {
-		return Event{}, failure.Wrap(err, failure.Corrupt, "an event of the engine cannot be read", "report it")
+		return Event{}, failure.Wrap(err, failure.Corrupt, "an event of the engine cannot be decoded", "report it")
 	}
 	switch kind {
 	case EventBegin, EventToken, EventEnd:
@@ -148,8 +154,8 @@
 	return Event{}, failure.New(failure.Corrupt, "the engine sent an unknown event "+strconv.Quote(kind), "report it")
 }
 
-// Cancel asks the engine to stop a request. It does not depend on the
-// request's own context, which has ended by then.
+// Cancel asks the engine to stop a request. It takes no context, because the context
+// of the request has usually ended by then.
 func (c *Client) Cancel(requestID string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/agent/internal/engine/orders.go
+++ b/agent/internal/engine/orders.go
@@ -9,21 +9,23 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Orders that an engine takes.
+// Kinds of orders to an engine.
 const (
 	Load   = "load"
 	Unload = "unload"
 	Role   = "role"
 )
 
-// Adapter names one adapter of an order or a status.
+// Adapter describes an adapter in an order or a status.
 type Adapter struct {
 	Name        string   `json:"name"`
 	Version     string   `json:"version"`
 	ChunkHashes []string `json:"chunkHashes,omitempty"`
 }
 
-// Order is one order to the engine.
+// Order tells the engine to load or unload weights or to change its role. Fence is
+// a fencing number: the engine rejects an order whose number is lower than that of
+// an order it has accepted.
 type Order struct {
 	Fence       uint64    `json:"fence"`
 	Order       string    `json:"order"`
@@ -34,7 +36,7 @@
 	Role        string    `json:"role,omitempty"`
 }
 
-// Status is what the engine says of itself; it lags.
+// Status is the engine's report of its own state, which may be out of date.
 type Status struct {
 	Model           string    `json:"model"`
 	Version         string    `json:"version"`
@@ -53,8 +55,10 @@
 	return status, c.getJSON(ctx, "/status", status)
 }
 
-// Order gives an order. Kind Stale: the engine obeyed a newer fencing number,
-// which is returned. Kind Invalid: a chunk is missing or wrong there.
+// Order sends an order. On success current is the fencing number of the order. The
+// error has kind Stale if the engine has accepted a newer fencing number, which is
+// then returned as current, and kind Invalid if the engine lacks a chunk or has a
+// wrong one.
 func (c *Client) Order(ctx context.Context, order *Order) (current uint64, err error) {
 	res, err := c.post(ctx, c.keepAlive, "/orders", order)
 	if err != nil {
@@ -70,8 +74,8 @@
 			Fence uint64 `json:"fence"`
 		}
 		_ = json.NewDecoder(io.LimitReader(res.Body, maxReplyBytes)).Decode(&reply)
-		return reply.Fence, failure.New(failure.Stale, "the engine obeyed a newer fencing number",
-			"wait for the plan of the present lease-holder")
+		return reply.Fence, failure.New(failure.Stale, "the engine has accepted a newer fencing number",
+			"wait for the plan of the current lease holder")
 	}
 	discardBody(res)
 	return 0, statusError(res.StatusCode)
