--- a/agent/internal/gate/gate.go
+++ b/agent/internal/gate/gate.go
@@ -1,9 +1,9 @@
 // Package gate controls the access of the entries to the endpoint of this host.
-// All requests to the endpoint go through it. It admits an attempt if it is meant
-// for this process and for the loaded version and may still run, forwards it to
-// the endpoint, and streams the answer back. The kind of the last frame says what
-// happened: "refused" means that the attempt did not run, "end" that the answer is
-// complete, and "broken" that neither is certain.
+// The entries have no other access to it. The package admits an attempt if it is
+// meant for this process and for the loaded version and may still run, forwards it
+// to the endpoint, and streams the answer back. The kind of the last frame says
+// what happened: "refused" proves that the attempt did not run, "end" that the
+// answer is complete, and "broken" proves neither.
 package gate
 
 import (
--- a/agent/internal/gate/rules.go
+++ b/agent/internal/gate/rules.go
@@ -41,6 +41,7 @@
 	return fresh, snap.Revision
 }
 
+// newAttemptRules indexes a document for the endpoint class with the given name.
 func newAttemptRules(doc *wire.Document, endpoint string) *attemptRules {
 	built := &attemptRules{document: doc, allowedCustomers: map[string]map[string]bool{}, maxDeadline: maxRequestTime}
 	for _, model := range doc.GetModels() {
