--- a/agent/internal/gate/deadline.go
+++ b/agent/internal/gate/deadline.go
@@ -8,18 +8,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// withDeadline ends the context after left by the clock given; its cause is
-// then context.DeadlineExceeded.
-func withDeadline(ctx context.Context, clock clockwork.Clock, left time.Duration) (context.Context, context.CancelFunc) {
+// withDeadline is like context.WithTimeout, but uses the given clock. When the time is
+// over, the cause of the context is context.DeadlineExceeded.
+func withDeadline(ctx context.Context, clock clockwork.Clock, timeLeft time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := clock.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
+	timer := clock.AfterFunc(timeLeft, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
 		timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// late reports whether the context ended by its deadline.
-func late(ctx context.Context) bool {
+// deadlineExceeded reports whether the context ended by its deadline.
+func deadlineExceeded(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
--- a/agent/internal/gate/refusal.go
+++ b/agent/internal/gate/refusal.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// Reasons of refused and broken frames.
+// Reasons in refused and broken frames.
 const (
-	reasonIncarnation = "otherIncarnation"
-	reasonInvalid     = "invalid"
-	reasonTombstone   = "cancelled"
-	reasonDuplicate   = "duplicate"
-	reasonBegunBefore = "begunBefore"
-	reasonFull        = "memoryFull"
-	reasonLeaving     = "leaving"
-	reasonDraining    = "draining"
-	reasonNotLoaded   = "notLoaded"
-	reasonCustomer    = "notAllowed"
-	reasonDeadline    = "deadline"
-	reasonBusy        = "busy"
-	reasonUnreachable = "endpointUnreachable"
-	reasonVersion     = "versionChanged"
-	reasonStream      = "streamBroken"
-	reasonCancelled   = "stopped"
-	reasonEndpoint    = "endpointFailed"
+	reasonOtherIncarnation = "otherIncarnation"
+	reasonInvalid          = "invalid"
+	reasonCancelled        = "cancelled"
+	reasonDuplicate        = "duplicate"
+	reasonBegunBefore      = "begunBefore"
+	reasonMemoryFull       = "memoryFull"
+	reasonLeaving          = "leaving"
+	reasonDraining         = "draining"
+	reasonNotLoaded        = "notLoaded"
+	reasonNotAllowed       = "notAllowed"
+	reasonDeadline         = "deadline"
+	reasonBusy             = "busy"
+	reasonUnreachable      = "endpointUnreachable"
+	reasonVersionChanged   = "versionChanged"
+	reasonStreamBroken     = "streamBroken"
+	reasonStopped          = "stopped"
+	reasonEndpointFailed   = "endpointFailed"
 )
 
-// Waits advised with refusals.
+// Delays that a refusal advises the caller to wait before it retries.
 const (
-	leavingRetry  = 200 * time.Millisecond
-	drainingRetry = 500 * time.Millisecond
-	loadRetry     = 500 * time.Millisecond
-	busyRetry     = 100 * time.Millisecond
-	fullRetry     = 10 * time.Second
-	reachRetry    = time.Second
+	leavingRetryAfter     = 200 * time.Millisecond
+	drainingRetryAfter    = 500 * time.Millisecond
+	notLoadedRetryAfter   = 500 * time.Millisecond
+	busyRetryAfter        = 100 * time.Millisecond
+	memoryFullRetryAfter  = 10 * time.Second
+	unreachableRetryAfter = time.Second
 )
 
-// refusal says why an attempt was not let in; the zero refusal lets it in.
+// refusal says why an attempt was not admitted. The zero refusal means admitted.
 type refusal struct {
-	reason string
-	retry  time.Duration
-	// unproved: the attempt may have run nevertheless: a second
-	// delivery of an attempt that runs must not be answered as not run.
-	unproved bool
+	reason     string
+	retryAfter time.Duration
+	// mayHaveRun is set if the attempt may have run nevertheless. The reply is
+	// then a broken frame, because a second delivery of a running attempt must
+	// not be answered as not run.
+	mayHaveRun bool
 }
 
-func refuse(reason string, retry time.Duration) refusal {
-	return refusal{reason: reason, retry: retry}
+func newRefusal(reason string, retryAfter time.Duration) refusal {
+	return refusal{reason: reason, retryAfter: retryAfter}
 }
 
-func (r refusal) none() bool { return r.reason == "" }
+func (r refusal) isZero() bool { return r.reason == "" }
