--- a/entry/internal/control/bytes_test.go
+++ b/entry/internal/control/bytes_test.go
@@ -18,15 +18,15 @@
 
 // tally counts the bytes of messages by kind and field, as their ends see them:
 // a message between two entries counts twice, one with an agent once.
-type tally struct {
+type byteCounter struct {
 	mu    sync.Mutex
 	bytes map[string]int // by "kind field"
 }
 
-func newTally() *tally { return &tally{bytes: map[string]int{}} }
+func newByteCounter() *byteCounter { return &byteCounter{bytes: map[string]int{}} }
 
 // add counts a message; a nil tally counts nothing.
-func (b *tally) add(kind string, ends int, msg proto.Message) {
+func (b *byteCounter) add(kind string, ends int, msg proto.Message) {
 	if b == nil {
 		return
 	}
@@ -36,7 +36,7 @@
 	fields.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		name := kind + " " + string(field.Name())
 		if name := string(field.Name()); name == "hosts" && field.IsList() {
-			b.addReports(kind, ends, value.List())
+			b.addHostReports(kind, ends, value.List())
 			return true
 		}
 		b.bytes[name] += ends * fieldSize(fields, field, value)
@@ -45,7 +45,7 @@
 }
 
 // addReports counts the fields of host reports.
-func (b *tally) addReports(kind string, ends int, reports protoreflect.List) {
+func (b *byteCounter) addHostReports(kind string, ends int, reports protoreflect.List) {
 	for i := range reports.Len() {
 		report := reports.Get(i).Message()
 		report.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -64,7 +64,7 @@
 }
 
 // sum returns the bytes of the kinds that begin with the prefix.
-func (b *tally) sum(prefix string) int {
+func (b *byteCounter) sum(prefix string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	total := 0
@@ -77,7 +77,7 @@
 }
 
 // table lists what takes most, in bytes a second for each of the entries.
-func (b *tally) table(seconds, entries int) string {
+func (b *byteCounter) table(seconds, entries int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	names := slices.SortedFunc(maps.Keys(b.bytes), func(a, c string) int { return cmp.Compare(b.bytes[c], b.bytes[a]) })
@@ -90,7 +90,7 @@
 
 // workingReport is a report as a host that serves makes it: its load moves with
 // each report, its prompt prefixes and counters do too.
-func workingReport(node *wire.Node, sequence uint64) *wire.HostReport {
+func busyReport(node *wire.Node, sequence uint64) *wire.HostReport {
 	report := &wire.HostReport{
 		Node: node, Sequence: sequence, Endpoint: "engine", EngineRole: "both", Slots: 16,
 		Running: uint32(4 + sequence*5%7), Queued: uint32(sequence % 3), TokensPerSecond: 470 + float64(sequence%9)/7,
@@ -108,18 +108,18 @@
 
 // TestWorkingBytes: what an entry sends and receives in a second while all its
 // hosts work. A report that goes whole to everybody each time would show here.
-func TestWorkingBytes(t *testing.T) {
+func TestControlBytesWithBusyHosts(t *testing.T) {
 	const seconds, entries, most = 60, 9, 23000
 	for _, agents := range []int{18, 200} {
 		for _, changes := range []bool{false, true} {
-			inFleet(t, 11, entries, agents, func(f *fleet) {
-				f.set(func(f *fleet) { f.working = true })
+			runFleet(t, 11, entries, agents, func(f *fleet) {
+				f.set(func(f *fleet) { f.busy = true })
 				time.Sleep(2 * time.Minute) // each has learned of all by then
-				bytes := newTally()
+				bytes := newByteCounter()
 				f.set(func(f *fleet) { f.bytes = bytes })
 				for i := range seconds {
 					if changes {
-						if _, err := f.submit(f.any(), i%10); err != nil {
+						if _, err := f.submit(f.randomEntry(), i%10); err != nil {
 							t.Fatal(err)
 						}
 					}
--- a/entry/internal/control/contender.go
+++ b/entry/internal/control/contender.go
@@ -17,9 +17,9 @@
 	// contenders is how many entries claim one lease. Each waiting one costs the
 	// service a watch, so that all of a large deployment may not; one alone would
 	// leave the lease free until the others notice that it is gone.
-	contenders = 3
+	maxContenders = 3
 	// contendInterval is how often an entry looks whether it should claim.
-	contendInterval = time.Second
+	eligibilityInterval = time.Second
 	// withdrawAfter is how long an entry keeps its claim after it is no longer
 	// among the contenders, so that a flapping view does not move the lease.
 	withdrawAfter = 15 * time.Second
@@ -36,10 +36,10 @@
 	// claim starts claiming the lease until ctx ends.
 	claim func(ctx context.Context, name string) *lease.Holder
 
-	mu     sync.Mutex
-	holder *lease.Holder // nil: not claiming
-	cancel context.CancelFunc
-	wanted time.Time // when this entry was last among the contenders
+	mu           sync.Mutex
+	holder       *lease.Holder // nil: not claiming
+	cancel       context.CancelFunc
+	lastEligible time.Time // when this entry was last among the contenders
 }
 
 // NewContender returns a Contender for the lease with the name; scope says
@@ -54,7 +54,7 @@
 func (c *Contender) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.step(ctx)
-		sleep(ctx, c.clock, contendInterval)
+		sleep(ctx, c.clock, eligibilityInterval)
 	}
 	c.mu.Lock()
 	holder := c.holder
@@ -70,14 +70,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if eligible {
-		c.wanted = now
+		c.lastEligible = now
 	}
 	switch {
 	case eligible && c.holder == nil:
 		child, cancel := context.WithCancel(ctx)
 		c.cancel = cancel
 		c.holder = c.claim(child, c.name)
-	case !eligible && c.holder != nil && now.Sub(c.wanted) > withdrawAfter:
+	case !eligible && c.holder != nil && now.Sub(c.lastEligible) > withdrawAfter:
 		c.cancel()
 		c.holder = nil
 	}
@@ -95,7 +95,7 @@
 			ids = append(ids, node.GetId())
 		}
 	}
-	for _, id := range rendezvous.Top(c.name, ids, contenders) {
+	for _, id := range rendezvous.Top(c.name, ids, maxContenders) {
 		if id == c.self.GetId() {
 			return true
 		}
--- a/entry/internal/control/control_test.go
+++ b/entry/internal/control/control_test.go
@@ -14,7 +14,7 @@
 )
 
 // inFleet runs a test on a fleet in fake time.
-func inFleet(t *testing.T, seed uint64, entries, agents int, test func(f *fleet)) {
+func runFleet(t *testing.T, seed uint64, entries, agents int, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -31,15 +31,15 @@
 
 // TestInForceEverywhereSoon: a revision accepted by one entry is in force on
 // all 9 entries and 200 agents within 2 s.
-func TestInForceEverywhereSoon(t *testing.T) {
-	inFleet(t, 1, 9, 200, func(f *fleet) {
+func TestRevisionReachesAllProcesses(t *testing.T) {
+	runFleet(t, 1, 9, 200, func(f *fleet) {
 		for i := range 30 {
-			if _, err := f.submit(f.any(), i%10); err != nil {
+			if _, err := f.submit(f.randomEntry(), i%10); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
 		}
-		f.expect("after 30 changes", 30)
+		f.expectRevision("after 30 changes", 30)
 		all := f.latencies()
 		p99 := all[len(all)*99/100]
 		t.Logf("%d adoptions: p50 %v p99 %v max %v", len(all), all[len(all)/2], p99, all[len(all)-1])
@@ -53,20 +53,20 @@
 // a second must not grow with the number of agents beyond those that report to
 // it: a cost that is a product of entries and agents would show here first.
 func TestControlBytes(t *testing.T) {
-	bytes := func() int64 { return counted("bytesIn") + counted("bytesOut") }
+	bytes := func() int64 { return counterValue("bytesIn") + counterValue("bytesOut") }
 	perEntry := map[int]float64{}
 	for _, agents := range []int{18, 50, 100, 200} {
-		inFleet(t, 11, 9, agents, func(f *fleet) {
+		runFleet(t, 11, 9, agents, func(f *fleet) {
 			const seconds = 30
-			before, agentsBefore := bytes(), counted("bytesIn.agent")+counted("bytesOut.agent")
+			before, agentsBefore := bytes(), counterValue("bytesIn.agent")+counterValue("bytesOut.agent")
 			for i := range seconds {
-				if _, err := f.submit(f.any(), i%10); err != nil {
+				if _, err := f.submit(f.randomEntry(), i%10); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
 			}
 			perEntry[agents] = float64(bytes()-before) / seconds / 9
-			share := float64(counted("bytesIn.agent")+counted("bytesOut.agent")-agentsBefore) / seconds / 9
+			share := float64(counterValue("bytesIn.agent")+counterValue("bytesOut.agent")-agentsBefore) / seconds / 9
 			t.Logf("%d agents: %.0f B/s an entry, both ways, of which %.0f with its agents", agents, perEntry[agents], share)
 		})
 	}
@@ -78,7 +78,7 @@
 }
 
 // counted returns one of the process's counters.
-func counted(name string) int64 {
+func counterValue(name string) int64 {
 	if counter, ok := counters.Get(name).(*expvar.Int); ok {
 		return counter.Value()
 	}
@@ -88,16 +88,16 @@
 // TestOutageOfAnHour: the service is down for an hour. Everybody keeps what is
 // in force, a new document gets a clear error at once, a process that starts
 // meanwhile learns the revision from its peers, and the return brings no herd.
-func TestOutageOfAnHour(t *testing.T) {
-	inFleet(t, 2, 4, 6, func(f *fleet) {
-		if _, err := f.submit(f.any(), 1); err != nil {
+func TestOneHourServiceOutage(t *testing.T) {
+	runFleet(t, 2, 4, 6, func(f *fleet) {
+		if _, err := f.submit(f.randomEntry(), 1); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
 		f.set(func(f *fleet) { f.down = true })
 		time.Sleep(20 * time.Minute)
 		began := time.Now()
-		if _, err := f.submit(f.any(), 2); failure.KindOf(err) != failure.Unavailable {
+		if _, err := f.submit(f.randomEntry(), 2); failure.KindOf(err) != failure.Unavailable {
 			t.Errorf("got %v for a document in the outage, want kind unavailable", err)
 		}
 		if took := time.Since(began); took > 5*time.Second {
@@ -105,30 +105,30 @@
 		}
 		f.kill("entry-03")
 		time.Sleep(10 * time.Second)
-		reborn := f.startEntry("entry-03", regionOf(3))
+		restarted := f.startEntry("entry-03", regionOf(3))
 		time.Sleep(5 * time.Second)
-		if got := reborn.deployment.Known().GetRevision(); got != 1 {
+		if got := restarted.deployment.Known().GetRevision(); got != 1 {
 			t.Errorf("got revision %d in a process started in the outage, want 1 from its peers", got)
 		}
-		if age, known := reborn.deployment.Age(); !known || age < 20*time.Minute {
+		if age, known := restarted.deployment.Age(); !known || age < 20*time.Minute {
 			t.Errorf("got age %v (known %t) in it, want what its peers know: over 20m", age, known)
 		}
 		time.Sleep(40 * time.Minute)
-		f.expect("after the outage", 1)
+		f.expectRevision("after the outage", 1)
 		back := time.Now()
 		f.set(func(f *fleet) { f.down, f.reads, f.writes = false, nil, nil })
 		time.Sleep(time.Minute)
-		reads, writes := f.most(back)
+		reads, writes := f.peakRates(back)
 		t.Logf("return: at most %d reads and %d writes in a second", reads, writes)
 		if reads > 60 || writes > 20 {
 			t.Errorf("got %d reads and %d writes in one second at the return, want at most 60 and 20 from 4 entries", reads, writes)
 		}
-		if _, err := f.submit(f.any(), 3); err != nil {
+		if _, err := f.submit(f.randomEntry(), 3); err != nil {
 			t.Errorf("got %v for a document after the outage, want it accepted", err)
 		}
 		time.Sleep(3 * time.Second)
-		f.expect("after the return", 2)
-		if age, _ := f.any().deployment.Age(); age > time.Minute {
+		f.expectRevision("after the return", 2)
+		if age, _ := f.randomEntry().deployment.Age(); age > time.Minute {
 			t.Errorf("got age %v after the return, want it confirmed", age)
 		}
 	})
@@ -138,15 +138,15 @@
 // Leases lapse, but a document is still accepted within an operator's patience
 // and in force everywhere soon after, since entries notify each other.
 func TestSlowService(t *testing.T) {
-	inFleet(t, 12, 9, 18, func(f *fleet) {
+	runFleet(t, 12, 9, 18, func(f *fleet) {
 		f.set(func(f *fleet) { f.slow = 2 * time.Second })
 		for i := range 20 {
-			if _, err := f.submit(f.any(), i); err != nil {
+			if _, err := f.submit(f.randomEntry(), i); err != nil {
 				t.Errorf("got %v with a slow service, want the document accepted", err)
 			}
 			time.Sleep(20 * time.Second)
 		}
-		f.expect("with a slow service", 20)
+		f.expectRevision("with a slow service", 20)
 		all := f.latencies()
 		t.Logf("%d adoptions: p50 %v p99 %v", len(all), all[len(all)/2], all[len(all)*99/100])
 		if p99 := all[len(all)*99/100]; p99 > 2*time.Second {
@@ -157,10 +157,10 @@
 
 // TestAllEntriesRestartInAnOutage: every entry is replaced while the service is
 // down. Only the agents still know the document; the entries learn it there.
-func TestAllEntriesRestartInAnOutage(t *testing.T) {
-	inFleet(t, 3, 9, 18, func(f *fleet) {
+func TestAllEntriesRestartDuringOutage(t *testing.T) {
+	runFleet(t, 3, 9, 18, func(f *fleet) {
 		for i := range 3 {
-			if _, err := f.submit(f.any(), i); err != nil {
+			if _, err := f.submit(f.randomEntry(), i); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
@@ -174,41 +174,41 @@
 			f.startEntry(fmt.Sprintf("entry-%02d", i), regionOf(i))
 		}
 		time.Sleep(15 * time.Second)
-		f.expect("after all entries restarted", 3)
+		f.expectRevision("after all entries restarted", 3)
 	})
 }
 
 // TestOneAgentIsNotBelieved: an agent offers a root that no other has, to an
 // entry that has a document. It must stay without effect.
-func TestOneAgentIsNotBelieved(t *testing.T) {
-	inFleet(t, 4, 2, 4, func(f *fleet) {
-		if _, err := f.submit(f.any(), 1); err != nil {
+func TestSingleAgentRootIsIgnored(t *testing.T) {
+	runFleet(t, 4, 2, 4, func(f *fleet) {
+		if _, err := f.submit(f.randomEntry(), 1); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		liar := f.agents["agent-000"]
-		req := liar.request()
-		root, err := f.any().docs.RootOf(f.ctx, 1)
+		agent := f.agents["agent-000"]
+		req := agent.request()
+		root, err := f.randomEntry().docs.RootOf(f.ctx, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		root.Revision = 9
 		req.Root, req.Known.Revision = root, 9
 		for _, part := range root.GetParts() {
-			req.Parts = append(req.Parts, liar.parts.Get(part.GetHash()))
+			req.Parts = append(req.Parts, agent.parts.Get(part.GetHash()))
 		}
 		if _, err := f.sync(f.ctx, "a", "entry-00", req); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		f.expect("after an agent's lie", 1)
+		f.expectRevision("after an agent's lie", 1)
 	})
 }
 
 // TestAgentSpeaksForItselfOnly: an agent's report on another host must have no
 // effect, or one bad agent could take the whole deployment out of service.
-func TestAgentSpeaksForItselfOnly(t *testing.T) {
-	inFleet(t, 8, 1, 2, func(f *fleet) {
+func TestAgentReportsOnlyItsOwnHost(t *testing.T) {
+	runFleet(t, 8, 1, 2, func(f *fleet) {
 		req := f.agents["agent-000"].request()
 		victim := f.agents["agent-001"].node
 		req.Hosts = append(req.Hosts, &wire.HostReport{Node: victim, Sequence: 1 << 40, Leaving: true})
@@ -216,7 +216,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		snap, _ := f.any().view.Load()
+		snap, _ := f.randomEntry().view.Load()
 		if host, known := findHost(snap, victim.GetId()); !known || host.Leaving() {
 			t.Errorf("got %s leaving %t (known %t) by another agent's word, want it usable", victim.GetId(), host.Leaving(), known)
 		}
@@ -225,9 +225,9 @@
 
 // TestStrangersAreRefused: a process that runs secure takes no call without a
 // certificate, whatever the message says of its sender.
-func TestStrangersAreRefused(t *testing.T) {
-	inFleet(t, 9, 1, 0, func(f *fleet) {
-		server := f.any().server
+func TestCallersWithoutCertificateAreRefused(t *testing.T) {
+	runFleet(t, 9, 1, 0, func(f *fleet) {
+		server := f.randomEntry().server
 		server.secure = true
 		from := &wire.Node{Id: "entry-00", Incarnation: "i1", Role: "entry"}
 		_, err := server.Sync(f.ctx, &wire.SyncRequest{From: from})
@@ -247,8 +247,8 @@
 
 // TestMemoryIsBounded: hosts that are gone for good leave nothing behind in the
 // table or in what is remembered of each neighbour.
-func TestMemoryIsBounded(t *testing.T) {
-	inFleet(t, 10, 3, 0, func(f *fleet) {
+func TestMemoryOfRemovedHostsIsFreed(t *testing.T) {
+	runFleet(t, 10, 3, 0, func(f *fleet) {
 		for i := range 100 {
 			f.startAgent(fmt.Sprintf("brief-%03d", i), "a")
 		}
@@ -258,10 +258,10 @@
 		}
 		time.Sleep(35 * time.Minute)
 		for _, m := range f.entries {
-			if got := m.deployment.hosts.Len(); got != 3 {
+			if got := m.deployment.members.Len(); got != 3 {
 				t.Errorf("got %d members known to %s, want the 3 entries", got, m.node.GetId())
 			}
-			if got := m.exchange.sessions.remembered(); got != 0 {
+			if got := m.exchange.sessions.rememberedHosts(); got != 0 {
 				t.Errorf("got %d hosts remembered for neighbours by %s, want 0", got, m.node.GetId())
 			}
 		}
@@ -270,25 +270,25 @@
 
 // TestDeafWatches: every watch goes on without reporting a change, which no
 // error shows. The slow reads of all entries find it.
-func TestDeafWatches(t *testing.T) {
-	inFleet(t, 5, 9, 18, func(f *fleet) {
-		f.set(func(f *fleet) { f.deafWatches = true })
+func TestSilentWatches(t *testing.T) {
+	runFleet(t, 5, 9, 18, func(f *fleet) {
+		f.set(func(f *fleet) { f.silentWatches = true })
 		time.Sleep(time.Minute)
-		m := f.any()
+		m := f.randomEntry()
 		if _, err := m.docs.Root(f.ctx); err != nil {
 			t.Fatal(err)
 		}
 		// The submitter dies before it notifies anybody: only the service knows.
 		dead := f.startEntry("entry-09", "a")
 		time.Sleep(5 * time.Second)
-		f.cutOffSubmit(dead)
+		f.submitThenCrash(dead)
 		time.Sleep(time.Minute)
-		f.expect("a minute after a change that no watch reported", 1)
+		f.expectRevision("a minute after a change that no watch reported", 1)
 	})
 }
 
 // cutOffSubmit has a process submit a document and die at once.
-func (f *fleet) cutOffSubmit(m *member) {
+func (f *fleet) submitThenCrash(m *member) {
 	docs := m.docs
 	f.kill(m.node.GetId())
 	m.docs = docs
@@ -300,23 +300,23 @@
 // TestCompactedHistory: the service forgets the changes that a watch asks for.
 // The watcher must read the keys and not take silence for calm.
 func TestCompactedHistory(t *testing.T) {
-	inFleet(t, 6, 9, 18, func(f *fleet) {
+	runFleet(t, 6, 9, 18, func(f *fleet) {
 		for i := range 5 {
-			if _, err := f.submit(f.any(), i); err != nil {
+			if _, err := f.submit(f.randomEntry(), i); err != nil {
 				t.Fatal(err)
 			}
 			f.service.Compact()
 			time.Sleep(2 * time.Second)
 		}
-		f.expect("with a history compacted after each change", 5)
+		f.expectRevision("with a history compacted after each change", 5)
 	})
 }
 
 // TestPartitionedRegion: one region is cut off from the others and from the
 // service. It keeps what it has, the others go on, and the heal brings it up.
 func TestPartitionedRegion(t *testing.T) {
-	inFleet(t, 7, 9, 18, func(f *fleet) {
-		if _, err := f.submit(f.any(), 1); err != nil {
+	runFleet(t, 7, 9, 18, func(f *fleet) {
+		if _, err := f.submit(f.randomEntry(), 1); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
@@ -336,7 +336,7 @@
 		}
 		f.set(func(f *fleet) { delete(f.cutOff, "c") })
 		time.Sleep(15 * time.Second)
-		f.expect("after the heal", 6)
+		f.expectRevision("after the heal", 6)
 	})
 }
 
@@ -346,10 +346,10 @@
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inFleet(t, seed, 9, 18, func(f *fleet) {
-				highest := disturb(f, rand.New(rand.NewPCG(seed, 99)))
+			runFleet(t, seed, 9, 18, func(f *fleet) {
+				highest := injectFaults(f, rand.New(rand.NewPCG(seed, 99)))
 				time.Sleep(2 * time.Minute)
-				f.expect("after the faults", highest())
+				f.expectRevision("after the faults", highest())
 			})
 		})
 	}
@@ -357,33 +357,33 @@
 
 // disturb lets things happen for some minutes, then ends all faults. It returns
 // a function that reads the newest revision from the service.
-func disturb(f *fleet, dice *rand.Rand) func() uint32 {
+func injectFaults(f *fleet, rng *rand.Rand) func() uint32 {
 	for range 40 {
-		switch dice.IntN(9) {
+		switch rng.IntN(9) {
 		case 0:
 			f.set(func(f *fleet) { f.down = !f.down })
 		case 1:
-			region := regions[dice.IntN(len(regions))]
+			region := regions[rng.IntN(len(regions))]
 			f.set(func(f *fleet) { f.cutOff[region] = !f.cutOff[region] })
 		case 2:
-			f.set(func(f *fleet) { f.deafWatches = !f.deafWatches })
+			f.set(func(f *fleet) { f.silentWatches = !f.silentWatches })
 		case 3:
 			f.service.Compact()
 		case 4:
-			i := dice.IntN(9)
+			i := rng.IntN(9)
 			id := fmt.Sprintf("entry-%02d", i)
 			f.kill(id)
-			time.Sleep(time.Duration(dice.IntN(3000)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
 			f.startEntry(id, regionOf(i))
 		default:
-			m, priority := f.any(), dice.IntN(10)
+			m, priority := f.randomEntry(), rng.IntN(10)
 			f.operators.Go(func() { _, _ = f.submit(m, priority) })
 		}
-		time.Sleep(time.Duration(dice.IntN(8000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(8000)) * time.Millisecond)
 	}
-	f.set(func(f *fleet) { f.down, f.deafWatches, f.cutOff = false, false, map[string]bool{} })
+	f.set(func(f *fleet) { f.down, f.silentWatches, f.cutOff = false, false, map[string]bool{} })
 	return func() uint32 {
-		root, err := f.any().docs.Root(f.ctx)
+		root, err := f.randomEntry().docs.Root(f.ctx)
 		if err != nil {
 			f.t.Fatal(err)
 		}
--- a/entry/internal/control/drains.go
+++ b/entry/internal/control/drains.go
@@ -28,7 +28,7 @@
 }
 
 // markAttempts bounds the tries against other writers and lost replies.
-const markAttempts = 4
+const maxMarkAttempts = 4
 
 // MarkDrain writes an operator's mark on a host. The mark is absolute, so a
 // write whose reply was lost is simply made again.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	for range markAttempts {
+	for range maxMarkAttempts {
 		entry, found, getErr := service.Get(ctx, DrainPrefix+host)
 		if getErr != nil {
 			return getErr
--- a/entry/internal/control/exchange.go
+++ b/entry/internal/control/exchange.go
@@ -19,7 +19,7 @@
 	reportBytesPerSecond = 3 << 10
 	reportBurst          = 64 << 10
 	// entryBytes bounds the reports of third entries in one message.
-	entryBytes = 4 << 10
+	maxEntryReportBytes = 4 << 10
 )
 
 // Exchange composes and takes in the messages between this entry and others.
@@ -28,22 +28,22 @@
 	self       *wire.Node
 	sessions   *sessions
 	// own returns this entry's report on itself.
-	own func() *wire.EntryReport
+	ownReport func() *wire.EntryReport
 
-	mu        sync.Mutex
-	allowance *spread.Allowance
-	basis     *view.Snapshot // that the candidates were made from
-	hosts     []spread.Candidate
-	atHome    []spread.Candidate // those of hosts that report here
+	mu            sync.Mutex
+	allowance     *spread.Allowance
+	candidateView *view.Snapshot // that the candidates were made from
+	hosts         []spread.Candidate
+	homeHosts     []spread.Candidate // those of hosts that report here
 }
 
 // NewExchange returns an Exchange; own returns this entry's newest report.
-func NewExchange(deployment *Deployment, own func() *wire.EntryReport) *Exchange {
+func NewExchange(deployment *Deployment, ownReport func() *wire.EntryReport) *Exchange {
 	return &Exchange{
 		deployment: deployment,
 		self:       deployment.self,
 		sessions:   newSessions(),
-		own:        own,
+		ownReport:  ownReport,
 		allowance:  spread.NewAllowance(reportBytesPerSecond, reportBurst, deployment.clock.Now()),
 	}
 }
@@ -54,25 +54,25 @@
 	snap, _ := x.deployment.view.Load()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.basis != snap {
-		x.prepare(snap)
+	if x.candidateView != snap {
+		x.rebuildCandidates(snap)
 	}
 	if spread.AllCallAll(len(snap.Entries)) {
-		return x.hosts, x.atHome
+		return x.hosts, x.homeHosts
 	}
 	return x.hosts, x.hosts
 }
 
 // prepare makes the candidates anew; the caller holds the lock.
-func (x *Exchange) prepare(snap *view.Snapshot) {
-	x.basis = snap
+func (x *Exchange) rebuildCandidates(snap *view.Snapshot) {
+	x.candidateView = snap
 	x.hosts = make([]spread.Candidate, 0, len(snap.Hosts))
-	x.atHome = nil
+	x.homeHosts = nil
 	for _, host := range snap.Hosts {
 		candidate := x.candidate(host)
 		x.hosts = append(x.hosts, candidate)
 		if candidate.Home {
-			x.atHome = append(x.atHome, candidate)
+			x.homeHosts = append(x.homeHosts, candidate)
 		}
 	}
 }
@@ -89,15 +89,15 @@
 }
 
 // hostsForEntry returns the host reports that another entry should receive.
-func (x *Exchange) hostsForEntry(with *session, now time.Time) []*wire.HostReport {
+func (x *Exchange) hostsForEntry(sess *session, now time.Time) []*wire.HostReport {
 	all, candidates := x.candidates()
 	x.mu.Lock()
 	left := x.allowance.Left(now)
 	x.mu.Unlock()
-	with.mu.Lock()
-	with.hosts.SetRefresh(refreshFor(with.node, len(all)))
-	chosen := with.hosts.Select(candidates, now, left)
-	with.mu.Unlock()
+	sess.mu.Lock()
+	sess.hosts.SetRefresh(refreshFor(sess.node, len(all)))
+	chosen := sess.hosts.Select(candidates, now, left)
+	sess.mu.Unlock()
 	x.mu.Lock()
 	x.allowance.Spend(reportSize(chosen))
 	x.mu.Unlock()
@@ -113,69 +113,69 @@
 }
 
 // hostsForAgent returns the host reports that an agent should receive.
-func (x *Exchange) hostsForAgent(with *session, now time.Time) []*wire.HostReport {
+func (x *Exchange) hostsForAgent(sess *session, now time.Time) []*wire.HostReport {
 	all, _ := x.candidates()
-	peers := spread.WeightPeers(with.node, all)
+	peers := spread.WeightPeers(sess.node, all)
 	near := make([]spread.Candidate, len(peers))
 	for i, peer := range peers {
 		peer.Home = false
-		peer.Nearness = spread.Nearness(with.node, peer.Report.GetNode())
+		peer.Nearness = spread.Nearness(sess.node, peer.Report.GetNode())
 		near[i] = peer
 	}
-	with.mu.Lock()
-	defer with.mu.Unlock()
-	with.hosts.SetRefresh(refreshFor(with.node, len(near)))
-	chosen := with.hosts.Select(near, now, with.agentCap.Left(now))
-	with.agentCap.Spend(reportSize(chosen))
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	sess.hosts.SetRefresh(refreshFor(sess.node, len(near)))
+	chosen := sess.hosts.Select(near, now, sess.agentAllowance.Left(now))
+	sess.agentAllowance.Spend(reportSize(chosen))
 	return chosen
 }
 
 // entriesFor returns the entry reports that a node should receive.
-func (x *Exchange) entriesFor(with *session, now time.Time) []*wire.EntryReport {
+func (x *Exchange) entriesFor(sess *session, now time.Time) []*wire.EntryReport {
 	snap, _ := x.deployment.view.Load()
-	with.mu.Lock()
-	defer with.mu.Unlock()
-	with.entries.SetRelay(relayFor(with.node, len(snap.Entries)))
-	if isAgent(with.node) {
-		return with.entries.SelectRare(x.own(), snap.Entries, with.node.GetId(), now, entryBytes)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	sess.entries.SetRelay(relayFor(sess.node, len(snap.Entries)))
+	if isAgent(sess.node) {
+		return sess.entries.SelectRare(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 	}
-	return with.entries.Select(x.own(), snap.Entries, with.node.GetId(), now, entryBytes)
+	return sess.entries.Select(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 }
 
 // hearHosts takes in reports that another entry passed on.
-func (x *Exchange) observeHosts(with *session, reports []*wire.HostReport) {
+func (x *Exchange) observeHosts(sess *session, reports []*wire.HostReport) {
 	now := x.deployment.clock.Now()
-	news, hurry := false, false
+	changed, urgent := false, false
 	for _, report := range reports {
-		report, whole := x.completed(with, report)
-		if !whole {
+		report, ok := x.completeReport(sess, report)
+		if !ok {
 			continue
 		}
-		with.mu.Lock()
-		with.hosts.Received(report, now)
-		with.mu.Unlock()
-		if x.deployment.hosts.ObserveHost(report, now) {
-			news = true
-			hurry = hurry || x.leaves(report)
+		sess.mu.Lock()
+		sess.hosts.Received(report, now)
+		sess.mu.Unlock()
+		if x.deployment.members.ObserveHost(report, now) {
+			changed = true
+			urgent = urgent || x.newlyLeaving(report)
 		}
 	}
-	x.stir(news, hurry)
+	x.requestViewUpdate(changed, urgent)
 }
 
 // completed returns a report made whole, or notes that the whole one must be
 // asked for.
-func (x *Exchange) completed(with *session, report *wire.HostReport) (*wire.HostReport, bool) {
-	whole, ok := x.deployment.hosts.Complete(report)
+func (x *Exchange) completeReport(sess *session, report *wire.HostReport) (*wire.HostReport, bool) {
+	whole, ok := x.deployment.members.Complete(report)
 	if !ok {
 		counters.Add("wholeWanted", 1)
-		with.want(report.GetNode().GetId())
+		sess.requestWhole(report.GetNode().GetId())
 	}
 	return whole, ok
 }
 
 // leaves reports whether a report is of a host that leaves, and the view
 // does not know it yet.
-func (x *Exchange) leaves(report *wire.HostReport) bool {
+func (x *Exchange) newlyLeaving(report *wire.HostReport) bool {
 	if !report.GetLeaving() {
 		return false
 	}
@@ -185,31 +185,31 @@
 }
 
 // hearEntries takes in reports of entries.
-func (x *Exchange) observeEntries(with *session, reports []*wire.EntryReport) {
+func (x *Exchange) observeEntries(sess *session, reports []*wire.EntryReport) {
 	now := x.deployment.clock.Now()
-	news, hurry := false, false
+	changed, urgent := false, false
 	for _, report := range reports {
 		id := report.GetNode().GetId()
 		if id == x.self.GetId() {
 			continue
 		}
-		report, whole := x.deployment.hosts.CompleteEntry(report)
-		if !whole {
-			with.want(id)
+		report, ok := x.deployment.members.CompleteEntry(report)
+		if !ok {
+			sess.requestWhole(id)
 			continue
 		}
-		with.mu.Lock()
-		with.entries.Received(report, now)
-		with.mu.Unlock()
-		if x.deployment.hosts.ObserveEntry(report, now) {
-			news = true
-			hurry = hurry || x.drains(report)
+		sess.mu.Lock()
+		sess.entries.Received(report, now)
+		sess.mu.Unlock()
+		if x.deployment.members.ObserveEntry(report, now) {
+			changed = true
+			urgent = urgent || x.newlyDraining(report)
 		}
 	}
-	x.stir(news, hurry)
+	x.requestViewUpdate(changed, urgent)
 }
 
-func (x *Exchange) drains(report *wire.EntryReport) bool {
+func (x *Exchange) newlyDraining(report *wire.EntryReport) bool {
 	if !report.GetDraining() {
 		return false
 	}
@@ -224,54 +224,54 @@
 
 // stir has the view built anew and, where a node leaves, that passed on once the
 // view shows it: messages are made from the view.
-func (x *Exchange) stir(news, hurry bool) {
-	if hurry {
-		x.deployment.hurry.Store(true)
+func (x *Exchange) requestViewUpdate(changed, urgent bool) {
+	if urgent {
+		x.deployment.urgentPending.Store(true)
 	}
-	if news {
-		x.deployment.touch()
+	if changed {
+		x.deployment.markDirty()
 	}
 }
 
 // request composes a call to another entry.
-func (x *Exchange) request(with *session, wait time.Duration) *wire.SyncRequest {
+func (x *Exchange) request(sess *session, wait time.Duration) *wire.SyncRequest {
 	now := x.deployment.clock.Now()
 	from := x.self
-	with.mu.Lock()
-	if with.knowsUs {
+	sess.mu.Lock()
+	if sess.knowsSelf {
 		from = membership.NameOnly(x.self)
 	}
-	with.mu.Unlock()
+	sess.mu.Unlock()
 	return &wire.SyncRequest{
 		From:       from,
 		Known:      x.deployment.Known(),
 		WaitMillis: uint32(wait.Milliseconds()),
 		KnownOnly:  wait > 0,
 		DeltaRoots: true,
-		Hosts:      x.hostsForEntry(with, now),
-		Entries:    x.entriesFor(with, now),
+		Hosts:      x.hostsForEntry(sess, now),
+		Entries:    x.entriesFor(sess, now),
 
-		WholeWanted: with.takeWanted(),
+		WholeWanted: sess.takeWanted(),
 	}
 }
 
 // reply composes the answer to a call.
-func (x *Exchange) reply(req *wire.SyncRequest, with *session) *wire.SyncReply {
+func (x *Exchange) reply(req *wire.SyncRequest, sess *session) *wire.SyncReply {
 	now := x.deployment.clock.Now()
 	// What else there is to say of the sender stands in its own report.
 	from := &wire.Node{Id: x.self.GetId()}
 	reply := &wire.SyncReply{
-		From: from, Known: x.deployment.Known(), Entries: x.entriesFor(with, now), WholeWanted: with.takeWanted(),
+		From: from, Known: x.deployment.Known(), Entries: x.entriesFor(sess, now), WholeWanted: sess.takeWanted(),
 	}
 	if !req.GetKnownOnly() {
-		reply.Root, reply.Plan, reply.Drains = x.deployment.lacking(req.GetKnown(), req.GetDeltaRoots())
+		reply.Root, reply.Plan, reply.Drains = x.deployment.updatesFor(req.GetKnown(), req.GetDeltaRoots())
 	}
 	if isAgent(req.GetFrom()) {
 		reply.Plan = planFor(reply.Plan, req.GetFrom().GetFailureDomain())
-		reply.Hosts = x.hostsForAgent(with, now)
+		reply.Hosts = x.hostsForAgent(sess, now)
 		return reply
 	}
-	reply.Hosts = x.hostsForEntry(with, now)
+	reply.Hosts = x.hostsForEntry(sess, now)
 	return reply
 }
 
@@ -290,23 +290,23 @@
 }
 
 // takeReply brings in what another entry answered.
-func (x *Exchange) takeReply(ctx context.Context, with *session, reply *wire.SyncReply, fetch Fetch) {
+func (x *Exchange) applyReply(ctx context.Context, sess *session, reply *wire.SyncReply, fetch Fetch) {
 	source := "entry " + reply.GetFrom().GetId()
-	with.observeWanted(reply.GetWholeWanted(), x.self.GetId())
+	sess.observeReplyWanted(reply.GetWholeWanted(), x.self.GetId())
 	x.deployment.OfferDrains(reply.GetDrains(), source)
 	if err := x.deployment.OfferRoot(ctx, reply.GetRoot(), source, fetch); err != nil {
 		x.deployment.log.Warn("document not assembled", "revision", reply.GetRoot().GetRevision(), "source", source, "error", err)
 	}
 	x.deployment.OfferPlan(reply.GetPlan(), source)
 	x.deployment.ObserveKnown(reply.GetKnown())
-	x.observeHosts(with, reply.GetHosts())
-	x.observeEntries(with, reply.GetEntries())
+	x.observeHosts(sess, reply.GetHosts())
+	x.observeEntries(sess, reply.GetEntries())
 }
 
 func isAgent(node *wire.Node) bool { return node.GetRole() == "agent" }
 
 // kindOf names the other side of a call in the counters.
-func kindOf(node *wire.Node) string {
+func peerKind(node *wire.Node) string {
 	if isAgent(node) {
 		return "agent"
 	}
--- a/entry/internal/control/fleet_test.go
+++ b/entry/internal/control/fleet_test.go
@@ -35,7 +35,7 @@
 const entryWait = 2 * time.Second
 
 // hop is the one-way time between two processes of the fleet.
-const hop = 2 * time.Millisecond
+const oneWayDelay = 2 * time.Millisecond
 
 // fleet is entries and agents in one process, with one service, in fake time.
 type fleet struct {
@@ -52,11 +52,11 @@
 	down   bool
 	cutOff map[string]bool
 	// deafWatches: watches report no change. slow is how long a call takes.
-	deafWatches bool
-	slow        time.Duration
+	silentWatches bool
+	slow          time.Duration
 	// working: hosts report as busy ones do. bytes counts messages; nil: none.
-	working   bool
-	bytes     *tally
+	busy      bool
+	bytes     *byteCounter
 	reads     []time.Time
 	writes    []time.Time
 	accepted  map[uint32]time.Time
@@ -84,7 +84,7 @@
 		entries: map[string]*member{}, agents: map[string]*fakeAgent{}, cutOff: map[string]bool{},
 		accepted: map[uint32]time.Time{}, inForce: map[uint32]map[string]time.Time{},
 	}
-	onBroken = func(rule string) { panic("invariant broke: " + rule) }
+	onInvariantViolation = func(rule string) { panic("invariant broke: " + rule) }
 	return f
 }
 
@@ -110,7 +110,7 @@
 	m := &member{fleet: f, stop: stop, view: view.NewHolder()}
 	m.node = node.Describe(&wire.NodeSettings{Id: id, Region: region, FailureDomain: region + "1", ControlAddress: id}, "entry", id)
 	parts := store.NewParts(1 << 20)
-	service := f.gate(region)
+	service := f.storeFor(region)
 	m.docs = store.New(service, parts, clock, log)
 	m.deployment = NewDeployment(m.node, parts, m.view, clock, log)
 	self := NewSelf(m.node, func() int { return 0 }, func() []*wire.Demand { return nil }, m.deployment.Known, m.deployment.HomeRevision)
@@ -135,7 +135,7 @@
 	f.entries[id] = m
 	f.mu.Unlock()
 	f.listHosts()
-	for _, run := range []func(context.Context){publisher.Run, syncer.Run, watcher.Run, m.watching.Run, m.follow} {
+	for _, run := range []func(context.Context){publisher.Run, syncer.Run, watcher.Run, m.watching.Run, m.trackRevisions} {
 		m.ended.Go(func() { run(ctx) })
 	}
 	return m
@@ -153,7 +153,7 @@
 	members := f.members()
 	f.mu.Unlock()
 	for _, m := range members {
-		m.deployment.hosts.ObserveList(list, time.Now())
+		m.deployment.members.ObserveList(list, time.Now())
 	}
 }
 
@@ -182,11 +182,11 @@
 }
 
 // follow notes when each revision came into force and that none ever falls.
-func (m *member) follow(ctx context.Context) {
-	m.fleet.follow(ctx, m.node.GetId()+"/"+m.node.GetIncarnation(), m.view)
+func (m *member) trackRevisions(ctx context.Context) {
+	m.fleet.trackRevisions(ctx, m.node.GetId()+"/"+m.node.GetIncarnation(), m.view)
 }
 
-func (f *fleet) follow(ctx context.Context, process string, holder *view.Holder) {
+func (f *fleet) trackRevisions(ctx context.Context, process string, holder *view.Holder) {
 	last := uint32(0)
 	for ctx.Err() == nil {
 		snap, changed := holder.Load()
@@ -195,7 +195,7 @@
 		}
 		if snap.Revision > last {
 			last = snap.Revision
-			f.note(process, last)
+			f.recordInForce(process, last)
 		}
 		select {
 		case <-changed:
@@ -204,7 +204,7 @@
 	}
 }
 
-func (f *fleet) note(process string, rev uint32) {
+func (f *fleet) recordInForce(process string, rev uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.inForce[rev] == nil {
@@ -214,8 +214,8 @@
 }
 
 // reach returns the entry where a process of the region can call it.
-func (f *fleet) reach(ctx context.Context, region, id string) (*member, error) {
-	time.Sleep(hop)
+func (f *fleet) connect(ctx context.Context, region, id string) (*member, error) {
+	time.Sleep(oneWayDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.entries[id]
@@ -230,39 +230,39 @@
 }
 
 func (f *fleet) sync(ctx context.Context, region, to string, req *wire.SyncRequest) (*wire.SyncReply, error) {
-	m, err := f.reach(ctx, region, to)
+	m, err := f.connect(ctx, region, to)
 	if err != nil {
 		return nil, err
 	}
-	kind, ends, bytes := f.counting(req.GetFrom())
+	kind, ends, bytes := f.countedAs(req.GetFrom())
 	bytes.add(kind+" request", ends, req)
 	reply, err := m.server.Sync(ctx, proto.CloneOf(req))
 	if err != nil {
 		return nil, err
 	}
 	bytes.add(kind+" reply", ends, reply)
-	if _, err := f.reach(ctx, region, to); err != nil {
+	if _, err := f.connect(ctx, region, to); err != nil {
 		return nil, err // cut off meanwhile: the reply is lost
 	}
 	return proto.CloneOf(reply), nil
 }
 
 func (f *fleet) parts(ctx context.Context, region, to string, req *wire.PartsRequest) (*wire.PartsReply, error) {
-	m, err := f.reach(ctx, region, to)
+	m, err := f.connect(ctx, region, to)
 	if err != nil {
 		return nil, err
 	}
-	kind, ends, bytes := f.counting(req.GetFrom())
+	kind, ends, bytes := f.countedAs(req.GetFrom())
 	bytes.add(kind+" parts request", ends, req)
 	reply, err := m.server.Parts(ctx, req)
 	bytes.add(kind+" parts reply", ends, reply)
-	time.Sleep(hop)
+	time.Sleep(oneWayDelay)
 	return reply, err
 }
 
 // counting returns how the messages of a call are counted: the caller's kind
 // and how many of its ends are entries.
-func (f *fleet) counting(from *wire.Node) (kind string, ends int, bytes *tally) {
+func (f *fleet) countedAs(from *wire.Node) (kind string, ends int, bytes *byteCounter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if isAgent(from) {
@@ -272,90 +272,90 @@
 }
 
 // gate is the service as processes of one region reach it.
-func (f *fleet) gate(region string) *kv.Store {
-	plain := f.service.Store()
-	open := func(write bool) error {
+func (f *fleet) storeFor(region string) *kv.Store {
+	backing := f.service.Store()
+	admit := func(write bool) error {
 		f.mu.Lock()
 		if write {
 			f.writes = append(f.writes, time.Now())
 		} else {
 			f.reads = append(f.reads, time.Now())
 		}
-		closed, slow := f.down || f.cutOff[region], f.slow
+		unavailable, slow := f.down || f.cutOff[region], f.slow
 		f.mu.Unlock()
 		time.Sleep(slow)
-		if closed {
+		if unavailable {
 			time.Sleep(300 * time.Millisecond)
 			return failure.New(failure.Unavailable, "the service is down", "wait")
 		}
-		time.Sleep(hop)
+		time.Sleep(oneWayDelay)
 		return nil
 	}
 	return &kv.Store{
 		Get: func(ctx context.Context, key string) (kv.Entry, bool, error) {
-			if err := open(false); err != nil {
+			if err := admit(false); err != nil {
 				return kv.Entry{}, false, err
 			}
-			return plain.Get(ctx, key)
+			return backing.Get(ctx, key)
 		},
 		List: func(ctx context.Context, prefix string) ([]kv.Entry, error) {
-			if err := open(false); err != nil {
+			if err := admit(false); err != nil {
 				return nil, err
 			}
-			return plain.List(ctx, prefix)
+			return backing.List(ctx, prefix)
 		},
 		Swap: func(ctx context.Context, key string, value []byte, at uint64, bound string) (uint64, error) {
-			if err := open(true); err != nil {
+			if err := admit(true); err != nil {
 				return 0, err
 			}
-			return plain.Swap(ctx, key, value, at, bound)
+			return backing.Swap(ctx, key, value, at, bound)
 		},
 		Delete: func(ctx context.Context, key string, at uint64) error {
-			if err := open(true); err != nil {
+			if err := admit(true); err != nil {
 				return err
 			}
-			return plain.Delete(ctx, key, at)
+			return backing.Delete(ctx, key, at)
 		},
 		Watch: func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]kv.Entry, uint64, error) {
-			if err := open(false); err != nil {
+			if err := admit(false); err != nil {
 				return nil, 0, err
 			}
-			return f.watch(ctx, plain, region, prefix, after, wait)
+			return f.watch(ctx, backing, region, prefix, after, wait)
 		},
 		Grant: func(ctx context.Context, ttl time.Duration) (string, error) {
-			if err := open(true); err != nil {
+			if err := admit(true); err != nil {
 				return "", err
 			}
-			return plain.Grant(ctx, ttl)
+			return backing.Grant(ctx, ttl)
 		},
 		KeepAlive: func(ctx context.Context, bound string) error {
-			if err := open(true); err != nil {
+			if err := admit(true); err != nil {
 				return err
 			}
-			return plain.KeepAlive(ctx, bound)
+			return backing.KeepAlive(ctx, bound)
 		},
 		Revoke: func(ctx context.Context, bound string) error {
-			if err := open(true); err != nil {
+			if err := admit(true); err != nil {
 				return err
 			}
-			return plain.Revoke(ctx, bound)
+			return backing.Revoke(ctx, bound)
 		},
 	}
 }
 
-func (f *fleet) watch(ctx context.Context, plain *kv.Store, region, prefix string, after uint64, wait time.Duration) ([]kv.Entry, uint64, error) {
+func (f *fleet) watch(ctx context.Context, backing *kv.Store, region, prefix string, after uint64, wait time.Duration) ([]kv.Entry, uint64, error) {
 	f.mu.Lock()
-	deaf := f.deafWatches
+	silent := f.silentWatches
 	f.mu.Unlock()
-	if deaf && after != kv.Latest {
+	if silent && after != kv.Latest {
 		sleep(ctx, clockwork.NewRealClock(), wait)
 		return nil, after, nil
 	}
-	changes, now, err := plain.Watch(ctx, prefix, after, wait)
+	changes, now, err := backing.Watch(ctx, prefix, after, wait)
 	f.mu.Lock()
-	closed := f.down || f.cutOff[region]
+	unavailable := f.down || f.cutOff[region]
 	f.mu.Unlock()
-	if closed {
+	if unavailable {
 		return nil, 0, failure.New(failure.Unavailable, "the connection broke", "watch again")
 	}
 	return changes, now, err
@@ -382,7 +382,7 @@
 }
 
 // any returns one of the entries.
-func (f *fleet) any() *member {
+func (f *fleet) randomEntry() *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	members := f.members()
@@ -410,7 +410,7 @@
 }
 
 // expect fails unless the revision is in force everywhere.
-func (f *fleet) expect(when string, want uint32) {
+func (f *fleet) expectRevision(when string, want uint32) {
 	f.t.Helper()
 	for id, got := range f.revisions() {
 		if got != want {
@@ -440,14 +440,14 @@
 
 // most returns the highest numbers of reads and writes in any second from
 // since on.
-func (f *fleet) most(since time.Time) (reads, writes int) {
+func (f *fleet) peakRates(since time.Time) (reads, writes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return most(f.reads, since), most(f.writes, since)
+	return peakPerSecond(f.reads, since), peakPerSecond(f.writes, since)
 }
 
 // most returns the highest number of calls in any second from since on.
-func most(calls []time.Time, since time.Time) int {
+func peakPerSecond(calls []time.Time, since time.Time) int {
 	highest, from := 0, 0
 	for i, at := range calls {
 		if at.Before(since) {
@@ -492,7 +492,7 @@
 	f.agents[id] = agent
 	f.mu.Unlock()
 	go agent.run(ctx)
-	go f.follow(ctx, id, agent.view)
+	go f.trackRevisions(ctx, id, agent.view)
 }
 
 func (a *fakeAgent) revision() uint32 {
@@ -503,7 +503,7 @@
 
 func (a *fakeAgent) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		home := a.choose()
+		home := a.chooseHome()
 		if home == "" || a.sync(ctx, home) != nil {
 			a.home = ""
 			time.Sleep(200 * time.Millisecond)
@@ -514,7 +514,7 @@
 }
 
 // choose returns an entry of the agent's own region while there is one.
-func (a *fakeAgent) choose() string {
+func (a *fakeAgent) chooseHome() string {
 	if a.home != "" {
 		return a.home
 	}
@@ -548,7 +548,7 @@
 	if slices.Contains(reply.GetWholeWanted(), a.node.GetId()) {
 		a.baseline.Drop()
 	}
-	a.hear(reply)
+	a.applyReports(reply)
 	a.known = reply.GetKnown().GetRevision()
 	reply.Root = revision.Expand(a.state.Root(), reply.GetRoot())
 	lacking := document.Missing(reply.GetRoot(), a.parts.Has)
@@ -567,7 +567,7 @@
 
 // receive takes the reports of other hosts, and asks for what it cannot make whole;
 // the caller holds the lock.
-func (a *fakeAgent) hear(reply *wire.SyncReply) {
+func (a *fakeAgent) applyReports(reply *wire.SyncReply) {
 	for _, report := range reply.GetHosts() {
 		whole, ok := a.table.Complete(report)
 		if !ok {
@@ -596,11 +596,11 @@
 // report returns what the agent says of its host.
 func (a *fakeAgent) report() *wire.HostReport {
 	a.fleet.mu.Lock()
-	working := a.fleet.working
+	working := a.fleet.busy
 	a.fleet.mu.Unlock()
 	report := &wire.HostReport{Node: a.node, Sequence: a.sequence}
 	if working {
-		report = workingReport(a.node, a.sequence)
+		report = busyReport(a.node, a.sequence)
 	}
 	report.Leaving = a.leaving.Load()
 	return report
--- a/entry/internal/control/fuzz_test.go
+++ b/entry/internal/control/fuzz_test.go
@@ -15,7 +15,7 @@
 )
 
 // lonely returns an entry that nobody calls but the fuzzer.
-func lonely() (*Server, *Exchange) {
+func newIsolatedEntry() (*Server, *Exchange) {
 	clock := clockwork.NewFakeClock()
 	self := &wire.Node{Id: "entry-0", Incarnation: "i1", Role: "entry"}
 	deployment := NewDeployment(self, store.NewParts(1<<20), view.NewHolder(), clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -52,7 +52,7 @@
 			return
 		}
 		req.WaitMillis = 0
-		server, _ := lonely()
+		server, _ := newIsolatedEntry()
 		if _, err := server.Sync(context.Background(), req); err == nil && server.deployment.Root() != nil {
 			t.Errorf("got a root in force from one message, want none")
 		}
@@ -71,12 +71,12 @@
 		if proto.Unmarshal(encoded, reply) != nil {
 			return
 		}
-		_, exchange := lonely()
-		with := exchange.sessions.of(&wire.Node{Id: "entry-1"}, exchange.deployment.clock.Now())
-		exchange.takeReply(context.Background(), with, reply, func(context.Context, []string) ([][]byte, error) { return nil, nil })
+		_, exchange := newIsolatedEntry()
+		with := exchange.sessions.forNode(&wire.Node{Id: "entry-1"}, exchange.deployment.clock.Now())
+		exchange.applyReply(context.Background(), with, reply, func(context.Context, []string) ([][]byte, error) { return nil, nil })
 		if root := exchange.deployment.Root(); root != nil {
 			t.Errorf("got %v in force without its parts", root)
 		}
-		NewPublisher(exchange.deployment, exchange.own).Build()
+		NewPublisher(exchange.deployment, exchange.ownReport).Build()
 	})
 }
--- a/entry/internal/control/hostlist.go
+++ b/entry/internal/control/hostlist.go
@@ -32,8 +32,8 @@
 			sleep(ctx, l.deployment.clock, jittered(listInterval/2))
 			continue
 		}
-		l.deployment.hosts.ObserveList(listed, l.deployment.clock.Now())
-		l.deployment.touch()
+		l.deployment.members.ObserveList(listed, l.deployment.clock.Now())
+		l.deployment.markDirty()
 		sleep(ctx, l.deployment.clock, jittered(2*listInterval))
 	}
 }
--- a/entry/internal/control/propagation_test.go
+++ b/entry/internal/control/propagation_test.go
@@ -9,7 +9,7 @@
 )
 
 // hostAt returns what an entry holds of a host.
-func hostAt(m *member, id string) (*wire.HostReport, bool) {
+func hostReport(m *member, id string) (*wire.HostReport, bool) {
 	snap, _ := m.view.Load()
 	host, known := findHost(snap, id)
 	return host.Report(), known
@@ -19,8 +19,8 @@
 // states. Sequence: hosts send amendments, the entry loses its memory, the
 // amendments go on. Cause: nobody sends the whole report again.
 func TestRestartedEntryAsksForWholeReports(t *testing.T) {
-	inFleet(t, 13, 9, 50, func(f *fleet) {
-		f.set(func(f *fleet) { f.working = true })
+	runFleet(t, 13, 9, 50, func(f *fleet) {
+		f.set(func(f *fleet) { f.busy = true })
 		time.Sleep(time.Minute)
 		for i := range 3 {
 			id := fmt.Sprintf("entry-%02d", i)
@@ -28,7 +28,7 @@
 			m := f.startEntry(id, regionOf(i))
 			time.Sleep(15 * time.Second)
 			for host := range f.agents {
-				report, known := hostAt(m, host)
+				report, known := hostReport(m, host)
 				if !known || len(report.GetVersions()) != 1 || report.GetNode().GetControlAddress() == "" || report.GetSlots() == 0 {
 					t.Errorf("got %v of %s (known %t) on the restarted %s, want the whole report", report, host, known, id)
 				}
@@ -39,16 +39,16 @@
 
 // Symptom: a host that leaves gets new work. Sequence: 200 busy hosts, of which
 // one says that it leaves. Cause: its report waits behind reports of load.
-func TestLeavingIsKnownSoon(t *testing.T) {
-	inFleet(t, 14, 9, 200, func(f *fleet) {
-		f.set(func(f *fleet) { f.working = true })
+func TestLeavingHostReachesAllEntries(t *testing.T) {
+	runFleet(t, 14, 9, 200, func(f *fleet) {
+		f.set(func(f *fleet) { f.busy = true })
 		time.Sleep(time.Minute)
 		longest := time.Duration(0)
 		for i := range 10 {
 			id := fmt.Sprintf("agent-%03d", 20*i)
 			f.set(func(f *fleet) { f.agents[id].leaving.Store(true) })
 			began := time.Now()
-			for !f.allKnow(id) && time.Since(began) < time.Minute {
+			for !f.allKnowLeaving(id) && time.Since(began) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			longest = max(longest, time.Since(began))
@@ -61,12 +61,12 @@
 }
 
 // allKnow reports whether all entries know that the host leaves.
-func (f *fleet) allKnow(id string) bool {
+func (f *fleet) allKnowLeaving(id string) bool {
 	f.mu.Lock()
 	members := f.members()
 	f.mu.Unlock()
 	for _, m := range members {
-		if report, known := hostAt(m, id); !known || !report.GetLeaving() {
+		if report, known := hostReport(m, id); !known || !report.GetLeaving() {
 			return false
 		}
 	}
@@ -76,9 +76,9 @@
 // Symptom: a host that died keeps getting work from entries that it does not
 // report to. Sequence: 200 busy hosts, one dies. Cause: the report that it is lost
 // waits, or an amendment hides it.
-func TestLossIsKnownSoon(t *testing.T) {
-	inFleet(t, 15, 9, 200, func(f *fleet) {
-		f.set(func(f *fleet) { f.working = true })
+func TestLostHostReachesAllEntries(t *testing.T) {
+	runFleet(t, 15, 9, 200, func(f *fleet) {
+		f.set(func(f *fleet) { f.busy = true })
 		time.Sleep(time.Minute)
 		f.agents["agent-100"].stop()
 		began := time.Now()
--- a/entry/internal/control/self.go
+++ b/entry/internal/control/self.go
@@ -15,16 +15,16 @@
 	demand   func() []*wire.Demand
 	known    func() *wire.Known
 	// home returns the lowest revision on the hosts that report here.
-	home     func() uint32
-	draining atomic.Bool
+	homeRevision func() uint32
+	draining     atomic.Bool
 
 	mu     sync.Mutex
 	latest *wire.EntryReport // its sequence grows with each report
 }
 
 // NewSelf returns a Self whose first report is made at once.
-func NewSelf(node *wire.Node, inFlight func() int, demand func() []*wire.Demand, known func() *wire.Known, home func() uint32) *Self {
-	self := &Self{node: node, inFlight: inFlight, demand: demand, known: known, home: home}
+func NewSelf(node *wire.Node, inFlight func() int, demand func() []*wire.Demand, known func() *wire.Known, homeRevision func() uint32) *Self {
+	self := &Self{node: node, inFlight: inFlight, demand: demand, known: known, homeRevision: homeRevision}
 	self.Make()
 	return self
 }
@@ -36,7 +36,7 @@
 	for _, customer := range demand {
 		rate += customer.GetRequestsPerSecond()
 	}
-	known, home := s.known(), s.home()
+	known, home := s.known(), s.homeRevision()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latest = &wire.EntryReport{
--- a/entry/internal/control/server.go
+++ b/entry/internal/control/server.go
@@ -59,7 +59,7 @@
 }
 
 // identify checks that the message's sender is who the certificate says.
-func (s *Server) identify(ctx context.Context, from *wire.Node, roles ...string) error {
+func (s *Server) authenticateSender(ctx context.Context, from *wire.Node, roles ...string) error {
 	if err := peer.Require(ctx, s.secure, roles...); err != nil {
 		return err
 	}
@@ -79,57 +79,57 @@
 
 // Sync swaps knowledge with an agent or another entry.
 func (s *Server) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
-	if err := s.identify(ctx, req.GetFrom(), peer.RoleEntry, peer.RoleAgent); err != nil {
+	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry, peer.RoleAgent); err != nil {
 		return nil, err
 	}
 	if len(req.GetHosts()) > maxReports || len(req.GetEntries()) > maxReports {
 		return nil, failure.New(failure.Invalid, "too many reports in one message", "send fewer")
 	}
 	counters.Add("syncServed", 1)
-	countMessage("bytesIn", kindOf(req.GetFrom()), req)
-	from, known := s.deployment.hosts.Describe(req.GetFrom())
+	countMessage("bytesIn", peerKind(req.GetFrom()), req)
+	from, known := s.deployment.members.Describe(req.GetFrom())
 	if !known {
-		return s.askWho(req), nil
+		return s.requestDescription(req), nil
 	}
 	req.From = from
-	with := s.exchange.sessions.of(from, s.deployment.clock.Now())
-	s.take(ctx, with, req)
-	if !with.wants() {
-		s.hold(ctx, req)
+	sess := s.exchange.sessions.forNode(from, s.deployment.clock.Now())
+	s.applyRequest(ctx, sess, req)
+	if !sess.hasWanted() {
+		s.waitForUpdate(ctx, req)
 	}
-	reply := s.exchange.reply(req, with)
-	countMessage("bytesOut", kindOf(req.GetFrom()), reply)
+	reply := s.exchange.reply(req, sess)
+	countMessage("bytesOut", peerKind(req.GetFrom()), reply)
 	return reply, nil
 }
 
 // askWho answers a caller that left its description out to a process that does
 // not know it (any more): without it the caller's share of the plan is unknown.
-func (s *Server) askWho(req *wire.SyncRequest) *wire.SyncReply {
+func (s *Server) requestDescription(req *wire.SyncRequest) *wire.SyncReply {
 	counters.Add("describeWanted", 1)
 	return &wire.SyncReply{
 		From: &wire.Node{Id: s.deployment.ID()}, Known: s.deployment.Known(), WholeWanted: []string{req.GetFrom().GetId()},
 	}
 }
 
-func (s *Server) take(ctx context.Context, with *session, req *wire.SyncRequest) {
+func (s *Server) applyRequest(ctx context.Context, sess *session, req *wire.SyncRequest) {
 	behind := s.deployment.ObserveKnown(req.GetKnown())
 	if isAgent(req.GetFrom()) {
-		s.takeAgent(ctx, with, req)
+		s.applyAgentRequest(ctx, sess, req)
 		return
 	}
-	with.loseWanted(req.GetWholeWanted())
-	s.exchange.observeHosts(with, req.GetHosts())
-	s.exchange.observeEntries(with, req.GetEntries())
+	sess.resendWhole(req.GetWholeWanted())
+	s.exchange.observeHosts(sess, req.GetHosts())
+	s.exchange.observeEntries(sess, req.GetEntries())
 	if behind {
 		s.pull(req.GetFrom())
 	}
 }
 
 // takeAgent takes an agent's report of its own host only.
-func (s *Server) takeAgent(ctx context.Context, with *session, req *wire.SyncRequest) {
+func (s *Server) applyAgentRequest(ctx context.Context, sess *session, req *wire.SyncRequest) {
 	now := s.deployment.clock.Now()
-	s.deployment.hosts.Touch(req.GetFrom(), now)
-	with.loseWanted(req.GetWholeWanted())
+	s.deployment.members.Touch(req.GetFrom(), now)
+	sess.resendWhole(req.GetWholeWanted())
 	for _, report := range req.GetHosts() {
 		if report.GetNode() == nil { // an amendment of the sender's own
 			report.Node = membership.NameOnly(req.GetFrom())
@@ -138,26 +138,26 @@
 		if report.GetNode().GetId() != req.GetFrom().GetId() {
 			continue
 		}
-		report, whole := s.exchange.completed(with, report)
-		if !whole {
+		report, ok := s.exchange.completeReport(sess, report)
+		if !ok {
 			continue
 		}
 		report.Home = s.exchange.self.GetId()
 		report.Lost = false
 		report.Revision = req.GetKnown().GetRevision()
 		report.PlanRevision = req.GetKnown().GetPlanRevision()
-		hurry := s.exchange.leaves(report)
-		s.exchange.stir(s.deployment.hosts.ObserveHost(report, now), hurry)
-		with.mu.Lock()
-		with.hosts.Received(report, now)
-		with.mu.Unlock()
+		urgent := s.exchange.newlyLeaving(report)
+		s.exchange.requestViewUpdate(s.deployment.members.ObserveHost(report, now), urgent)
+		sess.mu.Lock()
+		sess.hosts.Received(report, now)
+		sess.mu.Unlock()
 	}
-	s.takeOffer(ctx, req)
+	s.acceptAgentRoot(ctx, req)
 }
 
 // hold waits until there is something newer for the caller, at most as long as
 // it asked for.
-func (s *Server) hold(ctx context.Context, req *wire.SyncRequest) {
+func (s *Server) waitForUpdate(ctx context.Context, req *wire.SyncRequest) {
 	limit := maxHoldEntry
 	agent := isAgent(req.GetFrom())
 	if agent {
@@ -170,11 +170,11 @@
 	timer := s.deployment.clock.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changed, urgent := s.deployment.news()
+		changed, urgent := s.deployment.notifications()
 		if agent {
 			urgent = nil
 		}
-		if s.deployment.lacks(req.GetKnown()) {
+		if s.deployment.hasUpdatesFor(req.GetKnown()) {
 			return
 		}
 		select {
@@ -191,7 +191,7 @@
 
 // Parts serves document parts from the cache.
 func (s *Server) Parts(ctx context.Context, req *wire.PartsRequest) (*wire.PartsReply, error) {
-	if err := s.identify(ctx, req.GetFrom(), peer.RoleEntry, peer.RoleAgent); err != nil {
+	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry, peer.RoleAgent); err != nil {
 		return nil, err
 	}
 	if len(req.GetHashes()) > maxHashes {
@@ -213,7 +213,7 @@
 
 // Claim passes another entry's claim to the callers' API.
 func (s *Server) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	if err := s.identify(ctx, req.GetFrom(), peer.RoleEntry); err != nil {
+	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry); err != nil {
 		return nil, err
 	}
 	return s.delegate.Claim(ctx, req)
@@ -221,7 +221,7 @@
 
 // Settle passes another entry's outcome to the callers' API.
 func (s *Server) Settle(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
-	if err := s.identify(ctx, req.GetFrom(), peer.RoleEntry); err != nil {
+	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry); err != nil {
 		return nil, err
 	}
 	return s.delegate.Settle(ctx, req)
--- a/entry/internal/control/session.go
+++ b/entry/internal/control/session.go
@@ -17,14 +17,14 @@
 	// report is sent again to an entry and to an agent; with many hosts the age
 	// is the time for each host. Two refreshes fit into the silence that
 	// membership allows about a far host.
-	refreshEntry        = 10 * time.Second
-	refreshAgent        = 30 * time.Second
+	minRefreshEntry     = 10 * time.Second
+	minRefreshAgent     = 30 * time.Second
 	refreshEntryPerHost = 100 * time.Millisecond
 	refreshAgentPerHost = 300 * time.Millisecond
 	// relayEntries is the least age at which the report of a third entry is
 	// passed on again; with many entries the age is the time for each. Two fit
 	// into the silence that membership allows about an entry.
-	relayEntries  = 15 * time.Second
+	minRelayAge   = 15 * time.Second
 	relayPerEntry = 75 * time.Millisecond
 	// relayToAgent is the same towards agents, which only need to know which
 	// entries there are; two fit into the time after which an agent forgets an
@@ -39,21 +39,21 @@
 type session struct {
 	node *wire.Node // who it is and where; incarnation and addresses may be old
 
-	mu       sync.Mutex
-	hosts    *spread.Digest
-	entries  *spread.EntryDigest
-	agentCap *spread.Allowance // agents only; entries share the process's
+	mu             sync.Mutex
+	hosts          *spread.Digest
+	entries        *spread.EntryDigest
+	agentAllowance *spread.Allowance // agents only; entries share the process's
 	// wanted are the hosts and entries whose whole report is missing here; at most maxWanted.
 	wanted map[string]bool
 	// knowsUs: the node has this process's description.
-	knowsUs bool
+	knowsSelf bool
 }
 
 // maxWanted bounds the whole reports asked for in one message.
 const maxWanted = 512
 
 // want notes that the node should send the host's whole report.
-func (s *session) want(id string) {
+func (s *session) requestWhole(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.wanted) < maxWanted {
@@ -72,14 +72,14 @@
 }
 
 // wants reports whether there is something to ask for: a call is not held then.
-func (s *session) wants() bool {
+func (s *session) hasWanted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.wanted) > 0
 }
 
 // loseWanted takes the hosts that the node asks for.
-func (s *session) loseWanted(ids []string) {
+func (s *session) resendWhole(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range ids[:min(len(ids), maxWanted)] {
@@ -89,15 +89,15 @@
 }
 
 // hearWanted takes what the node asks for in an answer to this process.
-func (s *session) observeWanted(ids []string, self string) {
-	s.loseWanted(ids)
+func (s *session) observeReplyWanted(ids []string, self string) {
+	s.resendWhole(ids)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.knowsUs = !slices.Contains(ids, self)
+	s.knowsSelf = !slices.Contains(ids, self)
 }
 
 // visit is a session with what its owner needs to keep or end it.
-type visit struct {
+type trackedSession struct {
 	*session
 
 	incarnation string // empty while only called, never seen
@@ -107,19 +107,19 @@
 // sessions holds the session of each node that calls or is called.
 type sessions struct {
 	mu   sync.Mutex
-	byID map[string]*visit
+	byID map[string]*trackedSession
 }
 
-func newSessions() *sessions { return &sessions{byID: map[string]*visit{}} }
+func newSessions() *sessions { return &sessions{byID: map[string]*trackedSession{}} }
 
 // of returns the node's session; a new incarnation starts with an empty one,
 // since it remembers nothing of what was sent to the old one.
-func (s *sessions) of(node *wire.Node, now time.Time) *session {
+func (s *sessions) forNode(node *wire.Node, now time.Time) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	found := s.byID[node.GetId()]
 	if found == nil || restarted(found.incarnation, node.GetIncarnation()) {
-		found = &visit{session: newSession(node, now)}
+		found = &trackedSession{session: newSession(node, now)}
 		s.byID[node.GetId()] = found
 	}
 	if node.GetIncarnation() != "" {
@@ -135,9 +135,9 @@
 // node, in a deployment of the number of hosts.
 func refreshFor(node *wire.Node, hosts int) time.Duration {
 	if isAgent(node) {
-		return max(refreshAgent, time.Duration(hosts)*refreshAgentPerHost)
+		return max(minRefreshAgent, time.Duration(hosts)*refreshAgentPerHost)
 	}
-	return max(refreshEntry, time.Duration(hosts)*refreshEntryPerHost)
+	return max(minRefreshEntry, time.Duration(hosts)*refreshEntryPerHost)
 }
 
 // relayFor returns the age at which the report of a third entry is passed on to
@@ -146,16 +146,16 @@
 	if isAgent(node) {
 		return relayToAgent
 	}
-	return max(relayEntries, time.Duration(entries)*relayPerEntry)
+	return max(minRelayAge, time.Duration(entries)*relayPerEntry)
 }
 
 func newSession(node *wire.Node, now time.Time) *session {
 	return &session{
-		node:     node,
-		hosts:    spread.NewDigest(refreshFor(node, 0), !isAgent(node)),
-		entries:  spread.NewEntryDigest(relayFor(node, 0)),
-		agentCap: spread.NewAllowance(agentBytesPerSecond, agentBurst, now),
-		wanted:   map[string]bool{},
+		node:           node,
+		hosts:          spread.NewDigest(refreshFor(node, 0), !isAgent(node)),
+		entries:        spread.NewEntryDigest(relayFor(node, 0)),
+		agentAllowance: spread.NewAllowance(agentBytesPerSecond, agentBurst, now),
+		wanted:         map[string]bool{},
 	}
 }
 
@@ -164,27 +164,27 @@
 func (s *sessions) forget(known func(id string) bool) {
 	s.mu.Lock()
 	held := make([]*session, 0, len(s.byID))
-	for _, visit := range s.byID {
-		held = append(held, visit.session)
+	for _, tracked := range s.byID {
+		held = append(held, tracked.session)
 	}
 	s.mu.Unlock()
-	for _, one := range held {
-		one.mu.Lock()
-		one.hosts.Forget(known)
-		one.entries.Forget(known)
-		one.mu.Unlock()
+	for _, sess := range held {
+		sess.mu.Lock()
+		sess.hosts.Forget(known)
+		sess.entries.Forget(known)
+		sess.mu.Unlock()
 	}
 }
 
 // remembered returns the number of hosts remembered for all receivers.
-func (s *sessions) remembered() int {
+func (s *sessions) rememberedHosts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
-	for _, visit := range s.byID {
-		visit.mu.Lock()
-		count += visit.hosts.Len()
-		visit.mu.Unlock()
+	for _, tracked := range s.byID {
+		tracked.mu.Lock()
+		count += tracked.hosts.Len()
+		tracked.mu.Unlock()
 	}
 	return count
 }
--- a/entry/internal/control/syncer.go
+++ b/entry/internal/control/syncer.go
@@ -14,16 +14,16 @@
 
 const (
 	// chooseInterval is how often the neighbours are chosen anew.
-	chooseInterval = time.Second
+	neighbourInterval = time.Second
 	// forgetInterval is how often what is gone for good is forgotten.
 	forgetInterval = time.Minute
 	// callGrace is what a held call may take beyond its wait.
 	callGrace = 2 * time.Second
 	// retryLeast and retryMost bound the pause after a failed call.
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 5 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 	// pullPatience is how long one pull may take before another node is asked.
-	pullPatience = 300 * time.Millisecond
+	pullWait = 300 * time.Millisecond
 	// partsTimeout bounds one Parts call.
 	partsTimeout = 2 * time.Second
 )
@@ -40,13 +40,13 @@
 	wait     time.Duration
 	log      *slog.Logger
 
-	mu      sync.Mutex
-	running map[string]context.CancelFunc // by neighbour's id
-	pulling map[string]bool               // by id of the node asked
+	mu             sync.Mutex
+	neighbourCalls map[string]context.CancelFunc // by neighbour's id
+	pulling        map[string]bool               // by id of the node asked
 	// pulledAt is when the newest pull began, pulled closes when one ends.
 	pulledAt time.Time
 	pulled   chan struct{}
-	base     context.Context //nolint:containedctx // of Run, for pulls
+	runCtx   context.Context //nolint:containedctx // of Run, for pulls
 }
 
 // NewSyncer returns a Syncer that calls through the pool. wait is how long the
@@ -64,85 +64,85 @@
 		parts: func(ctx context.Context, node *wire.Node, req *wire.PartsRequest) (*wire.PartsReply, error) {
 			return client(ctx, node).Parts(ctx, req)
 		},
-		fallback: fallback,
-		wait:     wait,
-		log:      exchange.deployment.log,
-		running:  map[string]context.CancelFunc{},
-		pulling:  map[string]bool{},
-		pulled:   make(chan struct{}),
-		base:     context.Background(),
+		fallback:       fallback,
+		wait:           wait,
+		log:            exchange.deployment.log,
+		neighbourCalls: map[string]context.CancelFunc{},
+		pulling:        map[string]bool{},
+		pulled:         make(chan struct{}),
+		runCtx:         context.Background(),
 	}
 }
 
 // Run chooses neighbours and keeps a call to each until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	s.mu.Lock()
-	s.base = ctx
+	s.runCtx = ctx
 	s.mu.Unlock()
 	forgotAt := s.deployment.clock.Now()
 	for ctx.Err() == nil {
-		s.choose(ctx)
+		s.updateNeighbours(ctx)
 		now := s.deployment.clock.Now()
 		s.exchange.sessions.prune(now)
 		if now.Sub(forgotAt) >= forgetInterval {
 			forgotAt = now
-			s.deployment.hosts.Forget(now)
-			s.exchange.sessions.forget(s.deployment.hosts.Knows)
+			s.deployment.members.Forget(now)
+			s.exchange.sessions.forget(s.deployment.members.Knows)
 		}
-		sleep(ctx, s.deployment.clock, chooseInterval)
+		sleep(ctx, s.deployment.clock, neighbourInterval)
 	}
 }
 
 // choose starts and stops calls so that they match the neighbours.
-func (s *Syncer) choose(ctx context.Context) {
+func (s *Syncer) updateNeighbours(ctx context.Context) {
 	wanted := map[string]*wire.Node{}
-	for _, node := range spread.Neighbours(s.exchange.self, s.deployment.hosts.Reachable(s.deployment.clock.Now())) {
+	for _, node := range spread.Neighbours(s.exchange.self, s.deployment.members.Reachable(s.deployment.clock.Now())) {
 		wanted[node.GetId()+" "+node.GetControlAddress()] = node
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, cancel := range s.running {
+	for key, cancel := range s.neighbourCalls {
 		if wanted[key] == nil {
 			cancel()
-			delete(s.running, key)
+			delete(s.neighbourCalls, key)
 		}
 	}
 	for key, node := range wanted {
-		if s.running[key] == nil {
+		if s.neighbourCalls[key] == nil {
 			child, cancel := context.WithCancel(ctx)
-			s.running[key] = cancel
-			go s.keep(child, node)
+			s.neighbourCalls[key] = cancel
+			go s.syncLoop(child, node)
 		}
 	}
 }
 
 // keep calls one neighbour again and again.
-func (s *Syncer) keep(ctx context.Context, node *wire.Node) {
-	pause := retryLeast
+func (s *Syncer) syncLoop(ctx context.Context, node *wire.Node) {
+	pause := minRetryDelay
 	for ctx.Err() == nil {
 		began := s.deployment.clock.Now()
-		if err := s.once(ctx, node, s.wait); err != nil {
+		if err := s.syncOnce(ctx, node, s.wait); err != nil {
 			s.log.Debug("sync failed", "peer", node.GetId(), "error", err)
 			counters.Add("syncFailed", 1)
 			sleep(ctx, s.deployment.clock, jittered(pause))
-			pause = min(2*pause, retryMost)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
-		pause = retryLeast
+		pause = minRetryDelay
 		s.awaitPull(ctx)
 		// A neighbour that answers at once each time (it drains, or knows less
 		// than it says) must not turn this into a busy loop.
-		if rest := retryLeast/4 - s.deployment.clock.Since(began); rest > 0 {
+		if rest := minRetryDelay/4 - s.deployment.clock.Since(began); rest > 0 {
 			sleep(ctx, s.deployment.clock, rest)
 		}
 	}
 }
 
-func (s *Syncer) once(ctx context.Context, node *wire.Node, wait time.Duration) error {
+func (s *Syncer) syncOnce(ctx context.Context, node *wire.Node, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+callGrace)
 	defer cancel()
-	with := s.exchange.sessions.of(withoutIncarnation(node), s.deployment.clock.Now())
-	req := s.exchange.request(with, wait)
+	sess := s.exchange.sessions.forNode(withoutIncarnation(node), s.deployment.clock.Now())
+	req := s.exchange.request(sess, wait)
 	counters.Add("syncCalls", 1)
 	countMessage("bytesOut", "entry", req)
 	reply, err := s.call(ctx, node, req)
@@ -150,7 +150,7 @@
 		return err
 	}
 	countMessage("bytesIn", "entry", reply)
-	s.exchange.takeReply(ctx, with, reply, s.fetchFrom(node))
+	s.exchange.applyReply(ctx, sess, reply, s.fetchFrom(node))
 	if wait > 0 && s.deployment.ObserveKnown(reply.GetKnown()) {
 		s.Pull(node)
 	}
@@ -167,7 +167,7 @@
 	if !busy {
 		return
 	}
-	timer := s.deployment.clock.NewTimer(pullPatience)
+	timer := s.deployment.clock.NewTimer(pullWait)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -185,14 +185,14 @@
 func (s *Syncer) fetchFrom(node *wire.Node) Fetch {
 	return func(ctx context.Context, hashes []string) ([][]byte, error) {
 		contents := make([][]byte, len(hashes))
-		for s.fetchSome(ctx, node, hashes, contents) {
+		for s.fetchMissing(ctx, node, hashes, contents) {
 		}
-		lacking := indexesOfNil(contents)
-		if len(lacking) == 0 {
+		missing := missingIndexes(contents)
+		if len(missing) == 0 {
 			return contents, nil
 		}
-		rest := make([]string, len(lacking))
-		for i, at := range lacking {
+		rest := make([]string, len(missing))
+		for i, at := range missing {
 			rest[i] = hashes[at]
 		}
 		counters.Add("partsFromService", int64(len(rest)))
@@ -200,7 +200,7 @@
 		if err != nil {
 			return nil, err
 		}
-		for i, at := range lacking {
+		for i, at := range missing {
 			contents[at] = found[i]
 		}
 		return contents, nil
@@ -209,13 +209,13 @@
 
 // fetchSome makes one Parts call for what lacks and reports whether another
 // one may bring more.
-func (s *Syncer) fetchSome(ctx context.Context, node *wire.Node, hashes []string, contents [][]byte) bool {
-	lacking := indexesOfNil(contents)
-	if len(lacking) == 0 {
+func (s *Syncer) fetchMissing(ctx context.Context, node *wire.Node, hashes []string, contents [][]byte) bool {
+	missing := missingIndexes(contents)
+	if len(missing) == 0 {
 		return false
 	}
 	req := &wire.PartsRequest{From: s.exchange.self, Known: s.deployment.Known()}
-	for _, at := range lacking[:min(len(lacking), maxHashes)] {
+	for _, at := range missing[:min(len(missing), maxHashes)] {
 		req.Hashes = append(req.Hashes, hashes[at])
 	}
 	ctx, cancel := context.WithTimeout(ctx, partsTimeout)
@@ -229,14 +229,14 @@
 	progress := false
 	for i, content := range reply.GetParts() {
 		if i < len(req.Hashes) && len(content) > 0 {
-			contents[lacking[i]] = content
+			contents[missing[i]] = content
 			progress = true
 		}
 	}
 	return progress
 }
 
-func indexesOfNil(contents [][]byte) []int {
+func missingIndexes(contents [][]byte) []int {
 	var indexes []int
 	for i, content := range contents {
 		if content == nil {
@@ -252,8 +252,8 @@
 func (s *Syncer) Pull(node *wire.Node) {
 	now := s.deployment.clock.Now()
 	s.mu.Lock()
-	ctx := s.base
-	busy := len(s.pulling) > 0 && now.Sub(s.pulledAt) < pullPatience
+	ctx := s.runCtx
+	busy := len(s.pulling) > 0 && now.Sub(s.pulledAt) < pullWait
 	if busy || s.pulling[node.GetId()] || node.GetControlAddress() == "" || ctx.Err() != nil {
 		s.mu.Unlock()
 		return
@@ -265,7 +265,7 @@
 }
 
 func (s *Syncer) pull(ctx context.Context, node *wire.Node) {
-	if err := s.once(ctx, node, 0); err != nil {
+	if err := s.syncOnce(ctx, node, 0); err != nil {
 		s.log.Debug("pull failed", "peer", node.GetId(), "error", err)
 	}
 	s.mu.Lock()
--- a/entry/internal/control/watcher.go
+++ b/entry/internal/control/watcher.go
@@ -24,13 +24,13 @@
 	watchWait = 10 * time.Second
 	// holdCheck is how often a process that does not hold the lease looks
 	// whether it does.
-	holdCheck = 250 * time.Millisecond
+	leaseCheckInterval = 250 * time.Millisecond
 	// pollInterval is how often every entry reads the keys itself, watcher or
 	// not: the safety net under watches that lose a change.
 	pollInterval = 30 * time.Second
 	// backoffLeast and backoffMost bound the pause after the service failed.
-	backoffLeast = 250 * time.Millisecond
-	backoffMost  = 10 * time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 10 * time.Second
 )
 
 // Watcher learns from the service: by watches while this process holds its
@@ -59,7 +59,7 @@
 // poll reads all keys now and then, at random moments so that a fleet started
 // at once does not read as one.
 func (w *Watcher) poll(ctx context.Context) {
-	pause := backoffLeast
+	pause := minBackoff
 	for ctx.Err() == nil {
 		if err := w.ReadAll(ctx); err != nil {
 			w.deployment.log.Debug("service not read", "error", err)
@@ -68,7 +68,7 @@
 			pause = min(2*pause, pollInterval)
 			continue
 		}
-		pause = backoffLeast
+		pause = minBackoff
 		sleep(ctx, w.deployment.clock, jittered(2*pollInterval))
 	}
 }
@@ -91,10 +91,10 @@
 	if err != nil {
 		return err
 	}
-	return w.takeRoot(ctx, root, began)
+	return w.applyRoot(ctx, root, began)
 }
 
-func (w *Watcher) takeRoot(ctx context.Context, root *wire.Root, confirmedAt time.Time) error {
+func (w *Watcher) applyRoot(ctx context.Context, root *wire.Root, confirmedAt time.Time) error {
 	if root.GetRevision() < w.deployment.Root().GetRevision() {
 		// The service lost writes or was restored from an old backup. What is in
 		// force stays; operators must learn of it.
@@ -116,10 +116,10 @@
 	if err != nil || !found {
 		return err
 	}
-	return w.takePlan(entry.Value())
+	return w.applyPlan(entry.Value())
 }
 
-func (w *Watcher) takePlan(value []byte) error {
+func (w *Watcher) applyPlan(value []byte) error {
 	plan := &wire.Plan{}
 	if err := proto.Unmarshal(value, plan); err != nil {
 		return failure.Wrap(err, failure.Corrupt, "the stored plan cannot be read", "delete the key plan; the planner writes it anew")
@@ -150,17 +150,17 @@
 // watch follows the keys below one prefix while this process holds the lease;
 // read brings in their present state.
 func (w *Watcher) watch(ctx context.Context, prefix string, read func(context.Context) error) {
-	pause := backoffLeast
+	pause := minBackoff
 	after := uint64(kv.Latest)
 	for ctx.Err() == nil {
 		if !w.holding() {
 			after = kv.Latest
-			sleep(ctx, w.deployment.clock, holdCheck)
+			sleep(ctx, w.deployment.clock, leaseCheckInterval)
 			continue
 		}
 		next, err := w.watchOnce(ctx, prefix, after, read)
 		if err == nil {
-			pause, after = backoffLeast, next
+			pause, after = minBackoff, next
 			continue
 		}
 		// Compacted, broken or silent: begin anew with a read, which finds what
@@ -169,7 +169,7 @@
 		counters.Add("watchFailed", 1)
 		w.deployment.log.Debug("watch failed", "prefix", prefix, "error", err)
 		sleep(ctx, w.deployment.clock, jittered(pause))
-		pause = min(2*pause, backoffMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
@@ -194,22 +194,22 @@
 		return now, read(ctx)
 	}
 	if len(changes) == 0 {
-		w.confirmQuiet(prefix, began)
+		w.confirmUnchanged(prefix, began)
 		return now, nil
 	}
 	counters.Add("watchChanges", int64(len(changes)))
-	return now, w.take(ctx, prefix, changes, read)
+	return now, w.applyChanges(ctx, prefix, changes, read)
 }
 
 // confirmQuiet notes that the root did not change up to the end of a watch.
-func (w *Watcher) confirmQuiet(prefix string, began time.Time) {
+func (w *Watcher) confirmUnchanged(prefix string, began time.Time) {
 	if prefix == store.RootKey {
 		w.deployment.Confirm(w.deployment.Root().GetRevision(), began.Add(min(watchWait, w.deployment.clock.Since(began))))
 	}
 }
 
 // take brings in the last change of a key; drain marks are read as a whole.
-func (w *Watcher) take(ctx context.Context, prefix string, changes []kv.Entry, read func(context.Context) error) error {
+func (w *Watcher) applyChanges(ctx context.Context, prefix string, changes []kv.Entry, read func(context.Context) error) error {
 	last := changes[len(changes)-1]
 	if last.Deleted() {
 		return read(ctx)
@@ -220,9 +220,9 @@
 		if err != nil {
 			return err
 		}
-		return w.takeRoot(ctx, root, w.deployment.clock.Now())
+		return w.applyRoot(ctx, root, w.deployment.clock.Now())
 	case PlanKey:
-		return w.takePlan(last.Value())
+		return w.applyPlan(last.Value())
 	}
 	return read(ctx)
 }
