--- a/entry/internal/control/bytes_test.go
+++ b/entry/internal/control/bytes_test.go
@@ -16,8 +16,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// tally counts the bytes of messages by kind and field, as their ends see them:
-// a message between two entries counts twice, one with an agent once.
+// byteCounter counts the bytes of messages by kind and field, once for each end that
+// is an entry: twice between two entries, once between an entry and an agent.
 type byteCounter struct {
 	mu    sync.Mutex
 	bytes map[string]int // by "kind field"
@@ -25,7 +25,7 @@
 
 func newByteCounter() *byteCounter { return &byteCounter{bytes: map[string]int{}} }
 
-// add counts a message; a nil tally counts nothing.
+// add counts a message; a nil byteCounter counts nothing.
 func (b *byteCounter) add(kind string, ends int, msg proto.Message) {
 	if b == nil {
 		return
@@ -44,7 +44,7 @@
 	})
 }
 
-// addReports counts the fields of host reports.
+// addHostReports counts the fields of host reports separately.
 func (b *byteCounter) addHostReports(kind string, ends int, reports protoreflect.List) {
 	for i := range reports.Len() {
 		report := reports.Get(i).Message()
@@ -56,14 +56,14 @@
 	}
 }
 
-// fieldSize returns the encoded size of one field alone.
+// fieldSize returns the encoded size of a single field.
 func fieldSize(of protoreflect.Message, field protoreflect.FieldDescriptor, value protoreflect.Value) int {
 	alone := of.New()
 	alone.Set(field, value)
 	return proto.Size(alone.Interface())
 }
 
-// sum returns the bytes of the kinds that begin with the prefix.
+// sum returns the total bytes of the names with the prefix.
 func (b *byteCounter) sum(prefix string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,7 +76,7 @@
 	return total
 }
 
-// table lists what takes most, in bytes a second for each of the entries.
+// table lists the 24 largest fields, in bytes per second and entry.
 func (b *byteCounter) table(seconds, entries int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,8 +88,8 @@
 	return lines.String()
 }
 
-// workingReport is a report as a host that serves makes it: its load moves with
-// each report, its prompt prefixes and counters do too.
+// busyReport returns the report of a host that serves requests: its load, prompt
+// prefixes and counters change with each report.
 func busyReport(node *wire.Node, sequence uint64) *wire.HostReport {
 	report := &wire.HostReport{
 		Node: node, Sequence: sequence, Endpoint: "engine", EngineRole: "both", Slots: 16,
@@ -106,15 +106,16 @@
 	return report
 }
 
-// TestWorkingBytes: what an entry sends and receives in a second while all its
-// hosts work. A report that goes whole to everybody each time would show here.
+// TestControlBytesWithBusyHosts limits the bytes per second that an entry sends and
+// receives while all hosts are busy. It fails if whole reports are sent to every
+// node each time.
 func TestControlBytesWithBusyHosts(t *testing.T) {
 	const seconds, entries, most = 60, 9, 23000
 	for _, agents := range []int{18, 200} {
 		for _, changes := range []bool{false, true} {
 			runFleet(t, 11, entries, agents, func(f *fleet) {
 				f.set(func(f *fleet) { f.busy = true })
-				time.Sleep(2 * time.Minute) // each has learned of all by then
+				time.Sleep(2 * time.Minute) // by then every node knows all others
 				bytes := newByteCounter()
 				f.set(func(f *fleet) { f.bytes = bytes })
 				for i := range seconds {
@@ -128,7 +129,7 @@
 				f.set(func(f *fleet) { f.bytes = nil })
 				perEntry := float64(bytes.sum("")) / seconds / entries
 				perAgent := float64(bytes.sum("agent")) / seconds / float64(agents)
-				// Between two entries each message counts at both ends: half in, half out.
+				// A message between two entries counts at both ends: half in, half out.
 				in := (float64(bytes.sum("entry"))/2 + float64(bytes.sum("agent request")+bytes.sum("agent parts request"))) / seconds / entries
 				t.Logf("%d agents, changes %t: %.0f B/s an entry both ways (%.0f in, %.0f out), %.0f B/s an agent both ways%s",
 					agents, changes, perEntry, in, perEntry-in, perAgent, bytes.table(seconds, entries))
--- a/entry/internal/control/contender.go
+++ b/entry/internal/control/contender.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	// contenders is how many entries claim one lease. Each waiting one costs the
-	// service a watch, so that all of a large deployment may not; one alone would
-	// leave the lease free until the others notice that it is gone.
+	// maxContenders is how many entries compete for one lease. Each waiting entry
+	// costs the service a watch, so a large deployment cannot let all of them
+	// compete. With a single contender the lease would stay free until the other
+	// entries notice that it is gone.
 	maxContenders = 3
-	// contendInterval is how often an entry looks whether it should claim.
+	// eligibilityInterval is how often an entry checks whether it should compete.
 	eligibilityInterval = time.Second
-	// withdrawAfter is how long an entry keeps its claim after it is no longer
-	// among the contenders, so that a flapping view does not move the lease.
+	// withdrawAfter is how long an entry keeps competing after it stops being a
+	// contender, so that a flapping view does not move the lease.
 	withdrawAfter = 15 * time.Second
 )
 
-// Contender claims a lease while this entry is among its contenders.
+// Contender competes for a lease while this entry is one of the lease's contenders.
 type Contender struct {
 	name string
 	self *wire.Node
-	// scope leaves out entries that never claim this lease.
+	// scope reports whether an entry may hold this lease.
 	scope func(*wire.Node) bool
 	view  *view.Holder
 	clock clockwork.Clock
-	// claim starts claiming the lease until ctx ends.
+	// claim competes for the lease in the background until ctx ends.
 	claim func(ctx context.Context, name string) *lease.Holder
 
 	mu           sync.Mutex
-	holder       *lease.Holder // nil: not claiming
+	holder       *lease.Holder // nil while not competing
 	cancel       context.CancelFunc
-	lastEligible time.Time // when this entry was last among the contenders
+	lastEligible time.Time // when this entry was last a contender
 }
 
-// NewContender returns a Contender for the lease with the name; scope says
-// which entries may hold it.
+// NewContender returns a Contender for the named lease; scope reports whether an
+// entry may hold it.
 func NewContender(name string, deployment *Deployment, scope func(*wire.Node) bool,
 	claim func(ctx context.Context, name string) *lease.Holder) *Contender {
 	return &Contender{name: name, self: deployment.self, scope: scope, view: deployment.view, clock: deployment.clock, claim: claim}
 }
 
-// Run claims and withdraws until ctx ends, then waits until the lease is given
-// back.
+// Run competes for the lease and withdraws as the view changes until ctx ends,
+// then waits until the lease is released.
 func (c *Contender) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.step(ctx)
@@ -64,6 +65,7 @@
 	}
 }
 
+// step starts or stops competing according to the current view.
 func (c *Contender) step(ctx context.Context) {
 	eligible := c.eligible()
 	now := c.clock.Now()
@@ -83,9 +85,9 @@
 	}
 }
 
-// eligible reports whether this entry is among the contenders, as far as it
-// knows. Entries that know different things may be more than a few or, for a
-// moment, none; the service decides among them.
+// eligible reports whether this entry is a contender according to its own view.
+// Entries whose views differ may for a moment yield more than maxContenders
+// contenders or none; the service grants the lease to only one of them.
 func (c *Contender) eligible() bool {
 	snap, _ := c.view.Load()
 	ids := []string{c.self.GetId()}
--- a/entry/internal/control/control_test.go
+++ b/entry/internal/control/control_test.go
@@ -13,7 +13,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// inFleet runs a test on a fleet in fake time.
+// runFleet starts a fleet in fake time, waits until it has settled and runs the test.
 func runFleet(t *testing.T, seed uint64, entries, agents int, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -29,8 +29,8 @@
 	})
 }
 
-// TestInForceEverywhereSoon: a revision accepted by one entry is in force on
-// all 9 entries and 200 agents within 2 s.
+// TestRevisionReachesAllProcesses checks that a revision accepted by one entry is in
+// force on all 9 entries and 200 agents within 2 s at the 99th percentile.
 func TestRevisionReachesAllProcesses(t *testing.T) {
 	runFleet(t, 1, 9, 200, func(f *fleet) {
 		for i := range 30 {
@@ -49,9 +49,9 @@
 	})
 }
 
-// TestControlBytes: what an entry sends and receives in a second with one change
-// a second must not grow with the number of agents beyond those that report to
-// it: a cost that is a product of entries and agents would show here first.
+// TestControlBytes checks that the bytes per second of an entry, at one change per
+// second, grow only with the agents that report to it. It detects costs
+// proportional to the product of entries and agents.
 func TestControlBytes(t *testing.T) {
 	bytes := func() int64 { return counterValue("bytesIn") + counterValue("bytesOut") }
 	perEntry := map[int]float64{}
@@ -77,7 +77,7 @@
 	}
 }
 
-// counted returns one of the process's counters.
+// counterValue returns the value of one of this process's counters.
 func counterValue(name string) int64 {
 	if counter, ok := counters.Get(name).(*expvar.Int); ok {
 		return counter.Value()
@@ -85,9 +85,10 @@
 	return 0
 }
 
-// TestOutageOfAnHour: the service is down for an hour. Everybody keeps what is
-// in force, a new document gets a clear error at once, a process that starts
-// meanwhile learns the revision from its peers, and the return brings no herd.
+// TestOneHourServiceOutage checks an hour without the service: all processes keep
+// the revision in force, a new document fails promptly with a clear error, a process
+// started meanwhile gets the revision from its peers, and the recovery causes no
+// burst of calls.
 func TestOneHourServiceOutage(t *testing.T) {
 	runFleet(t, 2, 4, 6, func(f *fleet) {
 		if _, err := f.submit(f.randomEntry(), 1); err != nil {
@@ -119,24 +120,24 @@
 		f.set(func(f *fleet) { f.down, f.reads, f.writes = false, nil, nil })
 		time.Sleep(time.Minute)
 		reads, writes := f.peakRates(back)
-		t.Logf("return: at most %d reads and %d writes in a second", reads, writes)
+		t.Logf("recovery: at most %d reads and %d writes in a second", reads, writes)
 		if reads > 60 || writes > 20 {
-			t.Errorf("got %d reads and %d writes in one second at the return, want at most 60 and 20 from 4 entries", reads, writes)
+			t.Errorf("got %d reads and %d writes in one second at the recovery, want at most 60 and 20 from 4 entries", reads, writes)
 		}
 		if _, err := f.submit(f.randomEntry(), 3); err != nil {
 			t.Errorf("got %v for a document after the outage, want it accepted", err)
 		}
 		time.Sleep(3 * time.Second)
-		f.expectRevision("after the return", 2)
+		f.expectRevision("after the recovery", 2)
 		if age, _ := f.randomEntry().deployment.Age(); age > time.Minute {
-			t.Errorf("got age %v after the return, want it confirmed", age)
+			t.Errorf("got age %v after the recovery, want it confirmed", age)
 		}
 	})
 }
 
-// TestSlowService: each call of the service takes two seconds for ten minutes.
-// Leases lapse, but a document is still accepted within an operator's patience
-// and in force everywhere soon after, since entries notify each other.
+// TestSlowService checks ten minutes in which each call to the service takes two
+// seconds: leases expire, but documents are still accepted within the submission
+// timeout and are soon in force everywhere, since entries notify each other.
 func TestSlowService(t *testing.T) {
 	runFleet(t, 12, 9, 18, func(f *fleet) {
 		f.set(func(f *fleet) { f.slow = 2 * time.Second })
@@ -155,8 +156,8 @@
 	})
 }
 
-// TestAllEntriesRestartInAnOutage: every entry is replaced while the service is
-// down. Only the agents still know the document; the entries learn it there.
+// TestAllEntriesRestartDuringOutage checks that entries that all restart while the
+// service is down get the document from the agents, which alone still have it.
 func TestAllEntriesRestartDuringOutage(t *testing.T) {
 	runFleet(t, 3, 9, 18, func(f *fleet) {
 		for i := range 3 {
@@ -178,8 +179,8 @@
 	})
 }
 
-// TestOneAgentIsNotBelieved: an agent offers a root that no other has, to an
-// entry that has a document. It must stay without effect.
+// TestSingleAgentRootIsIgnored checks that a root offered by a single agent has no
+// effect on an entry that has a document.
 func TestSingleAgentRootIsIgnored(t *testing.T) {
 	runFleet(t, 4, 2, 4, func(f *fleet) {
 		if _, err := f.submit(f.randomEntry(), 1); err != nil {
@@ -201,12 +202,12 @@
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		f.expectRevision("after an agent's lie", 1)
+		f.expectRevision("after a false offer by an agent", 1)
 	})
 }
 
-// TestAgentSpeaksForItselfOnly: an agent's report on another host must have no
-// effect, or one bad agent could take the whole deployment out of service.
+// TestAgentReportsOnlyItsOwnHost checks that an agent's report on another host has no
+// effect; otherwise one faulty agent could take the whole deployment out of service.
 func TestAgentReportsOnlyItsOwnHost(t *testing.T) {
 	runFleet(t, 8, 1, 2, func(f *fleet) {
 		req := f.agents["agent-000"].request()
@@ -218,13 +219,13 @@
 		time.Sleep(time.Second)
 		snap, _ := f.randomEntry().view.Load()
 		if host, known := findHost(snap, victim.GetId()); !known || host.Leaving() {
-			t.Errorf("got %s leaving %t (known %t) by another agent's word, want it usable", victim.GetId(), host.Leaving(), known)
+			t.Errorf("got %s leaving %t (known %t) after another agent's report, want it usable", victim.GetId(), host.Leaving(), known)
 		}
 	})
 }
 
-// TestStrangersAreRefused: a process that runs secure takes no call without a
-// certificate, whatever the message says of its sender.
+// TestCallersWithoutCertificateAreRefused checks that a secure process rejects calls
+// without a certificate, whichever sender the message names.
 func TestCallersWithoutCertificateAreRefused(t *testing.T) {
 	runFleet(t, 9, 1, 0, func(f *fleet) {
 		server := f.randomEntry().server
@@ -245,8 +246,8 @@
 	})
 }
 
-// TestMemoryIsBounded: hosts that are gone for good leave nothing behind in the
-// table or in what is remembered of each neighbour.
+// TestMemoryOfRemovedHostsIsFreed checks that removed hosts leave no state in the
+// member table or in the sessions.
 func TestMemoryOfRemovedHostsIsFreed(t *testing.T) {
 	runFleet(t, 10, 3, 0, func(f *fleet) {
 		for i := range 100 {
@@ -268,8 +269,8 @@
 	})
 }
 
-// TestDeafWatches: every watch goes on without reporting a change, which no
-// error shows. The slow reads of all entries find it.
+// TestSilentWatches checks that polling finds a change when all watches stay open
+// without an error but report no changes.
 func TestSilentWatches(t *testing.T) {
 	runFleet(t, 5, 9, 18, func(f *fleet) {
 		f.set(func(f *fleet) { f.silentWatches = true })
@@ -278,7 +279,7 @@
 		if _, err := m.docs.Root(f.ctx); err != nil {
 			t.Fatal(err)
 		}
-		// The submitter dies before it notifies anybody: only the service knows.
+		// The submitter dies before it notifies any peer: only the service has the change.
 		dead := f.startEntry("entry-09", "a")
 		time.Sleep(5 * time.Second)
 		f.submitThenCrash(dead)
@@ -287,7 +288,8 @@
 	})
 }
 
-// cutOffSubmit has a process submit a document and die at once.
+// submitThenCrash submits a document through an entry that crashes before it can
+// notify its peers.
 func (f *fleet) submitThenCrash(m *member) {
 	docs := m.docs
 	f.kill(m.node.GetId())
@@ -297,8 +299,9 @@
 	}
 }
 
-// TestCompactedHistory: the service forgets the changes that a watch asks for.
-// The watcher must read the keys and not take silence for calm.
+// TestCompactedHistory checks that the watcher reads the keys when the service has
+// compacted the changes that a watch asks for, and does not treat the lack of
+// events as the lack of changes.
 func TestCompactedHistory(t *testing.T) {
 	runFleet(t, 6, 9, 18, func(f *fleet) {
 		for i := range 5 {
@@ -312,8 +315,8 @@
 	})
 }
 
-// TestPartitionedRegion: one region is cut off from the others and from the
-// service. It keeps what it has, the others go on, and the heal brings it up.
+// TestPartitionedRegion checks a region partitioned from the others and the service:
+// it keeps its revision, the others continue, and it catches up after the partition.
 func TestPartitionedRegion(t *testing.T) {
 	runFleet(t, 7, 9, 18, func(f *fleet) {
 		if _, err := f.submit(f.randomEntry(), 1); err != nil {
@@ -329,20 +332,20 @@
 			time.Sleep(time.Second)
 		}
 		if got := f.entries["entry-02"].deployment.Known().GetRevision(); got != 1 {
-			t.Errorf("got revision %d in the region cut off, want 1", got)
+			t.Errorf("got revision %d in the partitioned region, want 1", got)
 		}
 		if age, _ := f.entries["entry-02"].deployment.Age(); age < time.Minute {
-			t.Errorf("got age %v there, want it to say over 1m", age)
+			t.Errorf("got age %v in the partitioned region, want over 1m", age)
 		}
 		f.set(func(f *fleet) { delete(f.cutOff, "c") })
 		time.Sleep(15 * time.Second)
-		f.expectRevision("after the heal", 6)
+		f.expectRevision("after the partition", 6)
 	})
 }
 
-// TestRandomFaults: outages, cut regions, deaf watches, compactions, restarts
-// and operators in any order. No process ever steps back (the fleet panics
-// there), and once the faults end all have the newest revision.
+// TestRandomFaults injects outages, partitions, silent watches, compactions, restarts
+// and submissions in random order. No process may return to an older revision (the
+// fleet panics if one does), and after the faults all must have the newest revision.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -355,8 +358,8 @@
 	}
 }
 
-// disturb lets things happen for some minutes, then ends all faults. It returns
-// a function that reads the newest revision from the service.
+// injectFaults injects 40 random events over some minutes, then ends all faults. It
+// returns a function that reads the newest revision from the service.
 func injectFaults(f *fleet, rng *rand.Rand) func() uint32 {
 	for range 40 {
 		switch rng.IntN(9) {
--- a/entry/internal/control/deployment.go
+++ b/entry/internal/control/deployment.go
@@ -1,6 +1,6 @@
-// Package control keeps an entry's knowledge of the deployment: which document,
-// plan and drain marks are in force, which hosts and entries there are, and
-// how it passes between the key-value service, the entries and the agents.
+// Package control maintains an entry's state of the deployment: the document,
+// plan and drain marks in force and the known hosts and entries. It synchronizes
+// that state between the key-value service, the entries and the agents.
 package control
 
 import (
@@ -24,24 +24,25 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// counters count what this process did and which invariants broke.
+// counters holds the metrics of this package, violated invariants included.
 var counters = expvar.NewMap("control")
 
-// onBroken is called where an invariant broke; tests let it panic.
+// onInvariantViolation is called when an invariant is violated; tests make it panic.
 var onInvariantViolation = func(string) {}
 
-// assembleWait is how long one offer of a root waits for another that is being
-// assembled, so that several peers' offers do not fetch the same parts.
+// assembleWait is how long an offered root waits for another root's assembly to
+// finish, so that offers from several peers do not fetch the same parts.
 const assembleWait = 300 * time.Millisecond
 
-// recentRoots is how many revisions behind a process may be and still get the
-// difference in place of the whole root.
+// maxRecentRoots is how many revisions a process may lag behind and still be sent
+// a delta instead of the whole root.
 const maxRecentRoots = 32
 
-// Fetch gets parts by hash, in order; nil for those it lacks.
+// Fetch returns the parts with the hashes, in the same order; nil for each missing part.
 type Fetch func(ctx context.Context, hashes []string) ([][]byte, error)
 
-// Deployment is what one entry knows. Its methods are safe for concurrent use.
+// Deployment is one entry's state of the deployment. Its methods are safe for
+// concurrent use.
 type Deployment struct {
 	self    *wire.Node
 	clock   clockwork.Clock
@@ -50,19 +51,19 @@
 	view    *view.Holder
 	members *Members
 
-	assemblyToken chan struct{} // one token: who holds it assembles a root
-	dirty         chan struct{} // at most one signal: the view should be built anew
-	urgentPending atomic.Bool   // the next view shows a node that leaves
+	assemblyToken chan struct{} // semaphore of one: held while a root is assembled
+	dirty         chan struct{} // buffers one signal to rebuild the view
+	urgentPending atomic.Bool   // the next view shows a node as leaving
 
 	mu      sync.Mutex
 	state   revision.State
-	doc     *wire.Document        // of the root in force; nil for revision 0
-	recent  map[uint32]*wire.Root // at most recentRoots, to send differences from
-	changed chan struct{}         // closed and replaced when a revision moved
-	urgent  chan struct{}         // closed and replaced when a node leaves
+	doc     *wire.Document        // document of the root in force; nil at revision 0
+	recent  map[uint32]*wire.Root // base roots for deltas, at most maxRecentRoots
+	changed chan struct{}         // closed and replaced when a revision changes
+	urgent  chan struct{}         // closed and replaced when a node is leaving
 }
 
-// NewDeployment returns a Deployment that knows nothing yet.
+// NewDeployment returns an empty Deployment.
 func NewDeployment(self *wire.Node, parts *store.Parts, holder *view.Holder, clock clockwork.Clock, log *slog.Logger) *Deployment {
 	return &Deployment{
 		self:          self,
@@ -82,10 +83,10 @@
 // ID returns this entry's id.
 func (d *Deployment) ID() string { return d.self.GetId() }
 
-// Members returns the hosts and entries known.
+// Members returns the known hosts and entries.
 func (d *Deployment) Members() *Members { return d.members }
 
-// Known returns what messages to other processes bear.
+// Known returns the revisions in force and their age, as sent in every message.
 func (d *Deployment) Known() *wire.Known {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,16 +100,16 @@
 	return d.state.Root()
 }
 
-// InForce returns the document in force and its revision; nil and 0 where there
-// is none. It is ahead of the view by up to one build.
+// InForce returns the revision and the document in force, or 0 and nil if there
+// is none. It may be newer than the view until the next view is built.
 func (d *Deployment) InForce() (uint32, *wire.Document) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.Root().GetRevision(), d.doc
 }
 
-// Age returns how old the knowledge is; known is false where nobody ever
-// confirmed it.
+// Age returns the time since the state was last confirmed; known is false if it
+// never was.
 func (d *Deployment) Age() (age time.Duration, known bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +117,7 @@
 }
 
 // HomeRevision returns the lowest revision in force on the live hosts that
-// report to this entry; 0 where there are none.
+// report to this entry, or 0 if there are none.
 func (d *Deployment) HomeRevision() uint32 {
 	snap, _ := d.view.Load()
 	lowest, hasHost := uint32(0), false
@@ -132,7 +133,7 @@
 	return lowest
 }
 
-// touch marks the view as outdated.
+// markDirty requests a rebuild of the view.
 func (d *Deployment) markDirty() {
 	select {
 	case d.dirty <- struct{}{}:
@@ -140,14 +141,16 @@
 	}
 }
 
-// wakeLocked ends all calls that are held until a revision moves.
+// notifyChangeLocked wakes all calls that wait for a revision change. The caller
+// holds mu.
 func (d *Deployment) notifyChangeLocked() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Hurry ends the calls that entries hold, so that they learn at once of a node
-// that leaves. Agents' calls stay: with many agents that would be a storm.
+// Hurry ends the waiting calls of other entries, so that they learn at once that
+// a node is leaving. Calls of agents keep waiting: ending them all would cause a
+// burst of calls when there are many agents.
 func (d *Deployment) Hurry() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,15 +158,16 @@
 	d.urgent = make(chan struct{})
 }
 
-// news returns the channels that close at the next change and the next hurry.
+// notifications returns the channels that close at the next revision change and
+// the next call of Hurry.
 func (d *Deployment) notifications() (changed, urgent <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changed, d.urgent
 }
 
-// ObserveKnown takes over the confirmation that a message bears and reports
-// whether its sender knows something newer.
+// ObserveKnown applies the confirmation carried by a message and reports whether
+// the sender has something newer.
 func (d *Deployment) ObserveKnown(known *wire.Known) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,15 +175,15 @@
 	return d.state.Offers(known)
 }
 
-// Confirm notes that the service confirmed the revision at the moment.
+// Confirm records that the service confirmed the revision at the given time.
 func (d *Deployment) Confirm(rev uint32, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.state.Confirm(rev, at)
 }
 
-// OfferRoot takes a root from anyone: where it is newer, it fetches the parts
-// that lack, assembles the document and brings it into force.
+// OfferRoot accepts a root from any source. If the root is newer, OfferRoot fetches
+// the missing parts, assembles the document and puts it in force.
 func (d *Deployment) OfferRoot(ctx context.Context, root *wire.Root, source string, fetch Fetch) error {
 	root = revision.Expand(d.Root(), root)
 	if root == nil || !d.isNewerRoot(root, source) {
@@ -200,7 +204,8 @@
 	return nil
 }
 
-// wants judges a root before any part is fetched.
+// isNewerRoot reports whether the root is newer than the one in force, before any
+// part is fetched. Two different roots of one revision violate an invariant.
 func (d *Deployment) isNewerRoot(root *wire.Root, source string) bool {
 	d.mu.Lock()
 	verdict := d.state.JudgeRoot(root)
@@ -211,15 +216,15 @@
 	return verdict == revision.Newer
 }
 
-// broken counts and logs a broken invariant.
+// reportViolation counts and logs a violated invariant.
 func (d *Deployment) reportViolation(rule string, args ...any) {
 	counters.Add("broken."+rule, 1)
 	d.log.Error("invariant broke", append([]any{"rule", rule}, args...)...)
 	onInvariantViolation(rule)
 }
 
-// turn waits until no other root is being assembled, but not for long: the
-// other's source may hang.
+// acquireAssembly waits until no other root is being assembled. The wait is
+// limited to assembleWait because the source of the other root may hang.
 func (d *Deployment) acquireAssembly(ctx context.Context) (release func()) {
 	select {
 	case d.assemblyToken <- struct{}{}:
@@ -230,6 +235,8 @@
 	return func() {}
 }
 
+// assemble fetches the parts of the root that are not cached, stores them and joins
+// the document.
 func (d *Deployment) assemble(ctx context.Context, root *wire.Root, fetch Fetch) (*wire.Document, error) {
 	if len(root.GetParts()) == 0 || document.ContentHash(root.GetParts()) != root.GetAudit().GetContentHash() {
 		return nil, failure.New(failure.Corrupt, "a root does not match its content hash", "fetch it from another process")
@@ -255,6 +262,7 @@
 	})
 }
 
+// adoptRoot puts the root and its document in force if the root is still newer.
 func (d *Deployment) adoptRoot(root *wire.Root, doc *wire.Document, source string) {
 	d.mu.Lock()
 	adopted := d.state.AdoptRoot(root) == revision.Newer
@@ -272,7 +280,8 @@
 	d.markDirty()
 }
 
-// remember keeps the root to send differences from; the caller holds the lock.
+// rememberRoot keeps the root as a base for deltas and drops those too old. The
+// caller holds mu.
 func (d *Deployment) rememberRoot(root *wire.Root) {
 	d.recent[root.GetRevision()] = root
 	for old := range d.recent {
@@ -282,7 +291,7 @@
 	}
 }
 
-// OfferPlan takes a plan from anyone.
+// OfferPlan accepts a plan from any source and puts it in force if it is newer.
 func (d *Deployment) OfferPlan(plan *wire.Plan, source string) {
 	if plan == nil {
 		return
@@ -303,7 +312,8 @@
 	}
 }
 
-// OfferDrains takes the operators' marks from anyone.
+// OfferDrains accepts the operators' drain marks from any source and puts them in
+// force if they are newer.
 func (d *Deployment) OfferDrains(marks *wire.DrainMarks, source string) {
 	if marks == nil {
 		return
@@ -320,8 +330,8 @@
 	}
 }
 
-// lacking returns what a message's sender lacks, nil where it has it; the root
-// as a difference where the sender takes that.
+// updatesFor returns what the sender of a message is missing, nil for what it has.
+// The root is sent as a delta if the sender accepts deltas.
 func (d *Deployment) updatesFor(known *wire.Known, deltas bool) (root *wire.Root, plan *wire.Plan, drains *wire.DrainMarks) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -341,7 +351,7 @@
 	return root, plan, drains
 }
 
-// lacks reports whether a message's sender lacks anything.
+// hasUpdatesFor reports whether the sender of a message is missing anything.
 func (d *Deployment) hasUpdatesFor(known *wire.Known) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -349,15 +359,15 @@
 	return root || plan || drains
 }
 
-// countMessage adds a control message's bytes to the counter of its direction,
-// and to that of its direction and the kind of the other side.
+// countMessage adds the size of a control message to the byte counter of its
+// direction and to the counter of its direction and kind.
 func countMessage(direction, kind string, msg proto.Message) {
 	size := int64(proto.Size(msg))
 	counters.Add(direction, size)
 	counters.Add(direction+"."+kind, size)
 }
 
-// rootID names a root by its content, to compare offers of several agents.
+// rootID returns a hash of the root's content, to compare the offers of several agents.
 func rootID(root *wire.Root) string {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(root)
 	if err != nil {
--- a/entry/internal/control/drains.go
+++ b/entry/internal/control/drains.go
@@ -11,9 +11,9 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// DrainMark is the value of a key below "drain/". A host that is taken back
-// keeps its key with Drain false: deleting it would not move the revision that
-// orders the sets of marks.
+// DrainMark is the value of a key below "drain/". When a host is returned to
+// service, its key stays with Drain set to false: deleting the key would not
+// advance the revision that orders the sets of marks.
 type DrainMark struct {
 	Drain       bool      `json:"drain"`
 	Operator    string    `json:"operator"`
@@ -21,17 +21,17 @@
 	FromAddress string    `json:"fromAddress"`
 }
 
-// IsDrained reports whether the value of a drain key takes the host out.
+// IsDrained reports whether the value of a drain key takes the host out of service.
 func IsDrained(value []byte) bool {
 	mark := DrainMark{}
 	return json.Unmarshal(value, &mark) == nil && mark.Drain
 }
 
-// markAttempts bounds the tries against other writers and lost replies.
+// maxMarkAttempts limits the retries after conflicting writes and lost replies.
 const maxMarkAttempts = 4
 
-// MarkDrain writes an operator's mark on a host. The mark is absolute, so a
-// write whose reply was lost is simply made again.
+// MarkDrain stores an operator's drain mark for a host. Writing it is idempotent,
+// so a write whose reply was lost is retried.
 func MarkDrain(ctx context.Context, service *kv.Store, clock clockwork.Clock, host string, mark DrainMark) error {
 	mark.At = clock.Now().UTC()
 	value, err := json.Marshal(mark)
--- a/entry/internal/control/exchange.go
+++ b/entry/internal/control/exchange.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// reportBytesPerSecond and reportBurst bound the host reports that this
-	// process sends to all other entries together.
+	// reportBytesPerSecond and reportBurst limit the host reports that this
+	// process sends to all other entries combined.
 	reportBytesPerSecond = 3 << 10
 	reportBurst          = 64 << 10
-	// entryBytes bounds the reports of third entries in one message.
+	// maxEntryReportBytes limits the relayed reports of third entries in one message.
 	maxEntryReportBytes = 4 << 10
 )
 
-// Exchange composes and takes in the messages between this entry and others.
+// Exchange builds and applies the Sync messages between this entry and other nodes.
 type Exchange struct {
 	deployment *Deployment
 	self       *wire.Node
 	sessions   *sessions
-	// own returns this entry's report on itself.
+	// ownReport returns this entry's newest report on itself.
 	ownReport func() *wire.EntryReport
 
 	mu            sync.Mutex
 	allowance     *spread.Allowance
-	candidateView *view.Snapshot // that the candidates were made from
+	candidateView *view.Snapshot // view from which the candidates were built
 	hosts         []spread.Candidate
-	homeHosts     []spread.Candidate // those of hosts that report here
+	homeHosts     []spread.Candidate // subset of hosts that report to this entry
 }
 
-// NewExchange returns an Exchange; own returns this entry's newest report.
+// NewExchange returns an Exchange; ownReport returns this entry's newest report.
 func NewExchange(deployment *Deployment, ownReport func() *wire.EntryReport) *Exchange {
 	return &Exchange{
 		deployment: deployment,
@@ -48,8 +48,9 @@
 	}
 }
 
-// candidates returns the reports that could be sent, from the current view: all
-// of them, and those to pass on to entries.
+// candidates returns the host reports of the current view that can be sent: all
+// of them, and those to send to entries. In a deployment small enough that every
+// entry calls all others, entries are sent only the hosts that report here.
 func (x *Exchange) candidates() (all, forEntries []spread.Candidate) {
 	snap, _ := x.deployment.view.Load()
 	x.mu.Lock()
@@ -63,7 +64,7 @@
 	return x.hosts, x.hosts
 }
 
-// prepare makes the candidates anew; the caller holds the lock.
+// rebuildCandidates rebuilds the candidates from the view; the caller holds mu.
 func (x *Exchange) rebuildCandidates(snap *view.Snapshot) {
 	x.candidateView = snap
 	x.hosts = make([]spread.Candidate, 0, len(snap.Hosts))
@@ -77,18 +78,20 @@
 	}
 }
 
+// candidate returns the host's report with what spread needs to prioritize it.
 func (x *Exchange) candidate(host view.Host) spread.Candidate {
 	report := host.Report()
 	home := report.GetHome() == x.self.GetId()
 	if home && host.Lost() && !report.GetLost() {
-		// Only this entry knows that its host fell silent.
+		// The host reports to this entry, so no other entry can detect its silence.
 		report = spread.Copy(report)
 		report.Lost = true
 	}
 	return spread.Candidate{Report: report, SeenAt: host.SeenAt(), Home: home, Nearness: spread.Nearness(x.self, report.GetNode())}
 }
 
-// hostsForEntry returns the host reports that another entry should receive.
+// hostsForEntry selects the host reports to send to another entry, within the
+// process-wide allowance.
 func (x *Exchange) hostsForEntry(sess *session, now time.Time) []*wire.HostReport {
 	all, candidates := x.candidates()
 	x.mu.Lock()
@@ -112,7 +115,8 @@
 	return size
 }
 
-// hostsForAgent returns the host reports that an agent should receive.
+// hostsForAgent selects the host reports to send to an agent, within the agent's
+// allowance.
 func (x *Exchange) hostsForAgent(sess *session, now time.Time) []*wire.HostReport {
 	all, _ := x.candidates()
 	peers := spread.WeightPeers(sess.node, all)
@@ -130,7 +134,7 @@
 	return chosen
 }
 
-// entriesFor returns the entry reports that a node should receive.
+// entriesFor selects the entry reports to send to a node.
 func (x *Exchange) entriesFor(sess *session, now time.Time) []*wire.EntryReport {
 	snap, _ := x.deployment.view.Load()
 	sess.mu.Lock()
@@ -142,7 +146,7 @@
 	return sess.entries.Select(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 }
 
-// hearHosts takes in reports that another entry passed on.
+// observeHosts applies host reports relayed by another entry.
 func (x *Exchange) observeHosts(sess *session, reports []*wire.HostReport) {
 	now := x.deployment.clock.Now()
 	changed, urgent := false, false
@@ -162,8 +166,8 @@
 	x.requestViewUpdate(changed, urgent)
 }
 
-// completed returns a report made whole, or notes that the whole one must be
-// asked for.
+// completeReport merges a partial report with the stored one. If that is not
+// possible, it requests the whole report from the node and returns false.
 func (x *Exchange) completeReport(sess *session, report *wire.HostReport) (*wire.HostReport, bool) {
 	whole, ok := x.deployment.members.Complete(report)
 	if !ok {
@@ -173,8 +177,8 @@
 	return whole, ok
 }
 
-// leaves reports whether a report is of a host that leaves, and the view
-// does not know it yet.
+// newlyLeaving reports whether the report says that the host is leaving while the
+// view still shows it as staying.
 func (x *Exchange) newlyLeaving(report *wire.HostReport) bool {
 	if !report.GetLeaving() {
 		return false
@@ -184,7 +188,7 @@
 	return known && !host.Report().GetLeaving()
 }
 
-// hearEntries takes in reports of entries.
+// observeEntries applies entry reports received from another entry.
 func (x *Exchange) observeEntries(sess *session, reports []*wire.EntryReport) {
 	now := x.deployment.clock.Now()
 	changed, urgent := false, false
@@ -209,6 +213,8 @@
 	x.requestViewUpdate(changed, urgent)
 }
 
+// newlyDraining reports whether the report says that the entry is draining while
+// the view does not show it yet.
 func (x *Exchange) newlyDraining(report *wire.EntryReport) bool {
 	if !report.GetDraining() {
 		return false
@@ -222,8 +228,9 @@
 	return false
 }
 
-// stir has the view built anew and, where a node leaves, that passed on once the
-// view shows it: messages are made from the view.
+// requestViewUpdate requests a rebuild of the view if anything changed. If urgent,
+// other entries are notified once the view is built and not before, because
+// messages are built from the view.
 func (x *Exchange) requestViewUpdate(changed, urgent bool) {
 	if urgent {
 		x.deployment.urgentPending.Store(true)
@@ -233,7 +240,7 @@
 	}
 }
 
-// request composes a call to another entry.
+// request builds a Sync request to another entry.
 func (x *Exchange) request(sess *session, wait time.Duration) *wire.SyncRequest {
 	now := x.deployment.clock.Now()
 	from := x.self
@@ -255,10 +262,10 @@
 	}
 }
 
-// reply composes the answer to a call.
+// reply builds the reply to a Sync request.
 func (x *Exchange) reply(req *wire.SyncRequest, sess *session) *wire.SyncReply {
 	now := x.deployment.clock.Now()
-	// What else there is to say of the sender stands in its own report.
+	// The rest of this entry's description is in its own report.
 	from := &wire.Node{Id: x.self.GetId()}
 	reply := &wire.SyncReply{
 		From: from, Known: x.deployment.Known(), Entries: x.entriesFor(sess, now), WholeWanted: sess.takeWanted(),
@@ -275,7 +282,7 @@
 	return reply
 }
 
-// planFor returns the plan with one failure domain's assignments.
+// planFor returns the plan reduced to the assignments of one failure domain.
 func planFor(plan *wire.Plan, domain string) *wire.Plan {
 	if plan == nil {
 		return nil
@@ -289,13 +296,13 @@
 	return part
 }
 
-// takeReply brings in what another entry answered.
+// applyReply applies the reply of another entry.
 func (x *Exchange) applyReply(ctx context.Context, sess *session, reply *wire.SyncReply, fetch Fetch) {
 	source := "entry " + reply.GetFrom().GetId()
 	sess.observeReplyWanted(reply.GetWholeWanted(), x.self.GetId())
 	x.deployment.OfferDrains(reply.GetDrains(), source)
 	if err := x.deployment.OfferRoot(ctx, reply.GetRoot(), source, fetch); err != nil {
-		x.deployment.log.Warn("document not assembled", "revision", reply.GetRoot().GetRevision(), "source", source, "error", err)
+		x.deployment.log.Warn("cannot assemble document", "revision", reply.GetRoot().GetRevision(), "source", source, "error", err)
 	}
 	x.deployment.OfferPlan(reply.GetPlan(), source)
 	x.deployment.ObserveKnown(reply.GetKnown())
@@ -305,7 +312,7 @@
 
 func isAgent(node *wire.Node) bool { return node.GetRole() == "agent" }
 
-// kindOf names the other side of a call in the counters.
+// peerKind returns the counter label for the role of the other node.
 func peerKind(node *wire.Node) string {
 	if isAgent(node) {
 		return "agent"
--- a/entry/internal/control/fleet_test.go
+++ b/entry/internal/control/fleet_test.go
@@ -28,16 +28,17 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// agentWait is how long an agent lets its call be held, in milliseconds.
+// agentWait is how long the entry may hold an agent's call, in milliseconds.
 const agentWait = 1000
 
-// entryWait is the same for an entry. Both are the settings' defaults.
+// entryWait is how long an entry may hold another entry's call. Both constants are
+// the defaults of the settings.
 const entryWait = 2 * time.Second
 
-// hop is the one-way time between two processes of the fleet.
+// oneWayDelay is the one-way network delay between two processes of the fleet.
 const oneWayDelay = 2 * time.Millisecond
 
-// fleet is entries and agents in one process, with one service, in fake time.
+// fleet simulates entries, agents and the service in one process, in fake time.
 type fleet struct {
 	t       *testing.T
 	ctx     context.Context
@@ -47,14 +48,15 @@
 	mu      sync.Mutex
 	entries map[string]*member
 	agents  map[string]*fakeAgent
-	// down: the service answers nobody. cutOff: entries and agents of these
-	// regions reach only each other, and not the service.
+	// down makes the service unavailable to all. cutOff holds the partitioned
+	// regions: their entries and agents reach neither other regions nor the service.
 	down   bool
 	cutOff map[string]bool
-	// deafWatches: watches report no change. slow is how long a call takes.
+	// silentWatches makes watches report no changes. slow delays each call to the
+	// service.
 	silentWatches bool
 	slow          time.Duration
-	// working: hosts report as busy ones do. bytes counts messages; nil: none.
+	// busy makes agents send busyReport. bytes counts the messages unless nil.
 	busy      bool
 	bytes     *byteCounter
 	reads     []time.Time
@@ -64,7 +66,7 @@
 	operators sync.WaitGroup
 }
 
-// member is one entry process.
+// member is one entry process of the fleet.
 type member struct {
 	fleet      *fleet
 	node       *wire.Node
@@ -92,7 +94,7 @@
 
 func regionOf(i int) string { return regions[i%len(regions)] }
 
-// start runs count entries and agents more.
+// start starts the given numbers of entries and agents.
 func (f *fleet) start(entries, agents int) {
 	for i := range entries {
 		f.startEntry(fmt.Sprintf("entry-%02d", i), regionOf(i))
@@ -102,7 +104,7 @@
 	}
 }
 
-// startEntry starts an entry process, or starts it again as a new incarnation.
+// startEntry starts an entry process, or restarts it as a new incarnation.
 func (f *fleet) startEntry(id, region string) *member {
 	clock := clockwork.NewRealClock()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -141,7 +143,7 @@
 	return m
 }
 
-// listHosts gives every entry the platform's list.
+// listHosts delivers the platform's host list to every entry.
 func (f *fleet) listHosts() {
 	f.mu.Lock()
 	var list []membership.Listed
@@ -157,7 +159,7 @@
 	}
 }
 
-// members returns the entries by id; the caller holds the lock.
+// members returns the entries sorted by id; the caller holds mu.
 func (f *fleet) members() []*member {
 	var members []*member
 	for _, m := range f.entries {
@@ -172,7 +174,7 @@
 	return members
 }
 
-// kill ends a process as a crash does.
+// kill stops an entry process without a graceful shutdown.
 func (f *fleet) kill(id string) {
 	f.mu.Lock()
 	m := f.entries[id]
@@ -181,11 +183,13 @@
 	m.stop()
 }
 
-// follow notes when each revision came into force and that none ever falls.
+// trackRevisions records when each revision comes into force in the entry.
 func (m *member) trackRevisions(ctx context.Context) {
 	m.fleet.trackRevisions(ctx, m.node.GetId()+"/"+m.node.GetIncarnation(), m.view)
 }
 
+// trackRevisions records when each revision comes into force in the process, and
+// panics if the revision decreases.
 func (f *fleet) trackRevisions(ctx context.Context, process string, holder *view.Holder) {
 	last := uint32(0)
 	for ctx.Err() == nil {
@@ -204,6 +208,7 @@
 	}
 }
 
+// recordInForce records that the revision is now in force in the process.
 func (f *fleet) recordInForce(process string, rev uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,22 +218,23 @@
 	f.inForce[rev][process] = time.Now()
 }
 
-// reach returns the entry where a process of the region can call it.
+// connect returns the entry if a process of the region can reach it.
 func (f *fleet) connect(ctx context.Context, region, id string) (*member, error) {
 	time.Sleep(oneWayDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.entries[id]
 	if m == nil || ctx.Err() != nil {
-		return nil, failure.New(failure.Unavailable, "nobody listens there", "try another")
+		return nil, failure.New(failure.Unavailable, "no entry listens at this address", "try another")
 	}
 	other := m.node.GetRegion()
 	if other != region && (f.cutOff[region] || f.cutOff[other]) {
-		return nil, failure.New(failure.Unavailable, "the network is cut", "wait")
+		return nil, failure.New(failure.Unavailable, "the network is partitioned", "wait")
 	}
 	return m, nil
 }
 
+// sync delivers a Sync call from a process of the region to an entry.
 func (f *fleet) sync(ctx context.Context, region, to string, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	m, err := f.connect(ctx, region, to)
 	if err != nil {
@@ -242,11 +248,12 @@
 	}
 	bytes.add(kind+" reply", ends, reply)
 	if _, err := f.connect(ctx, region, to); err != nil {
-		return nil, err // cut off meanwhile: the reply is lost
+		return nil, err // partitioned in the meantime: the reply is lost
 	}
 	return proto.CloneOf(reply), nil
 }
 
+// parts delivers a Parts call from a process of the region to an entry.
 func (f *fleet) parts(ctx context.Context, region, to string, req *wire.PartsRequest) (*wire.PartsReply, error) {
 	m, err := f.connect(ctx, region, to)
 	if err != nil {
@@ -260,8 +267,8 @@
 	return reply, err
 }
 
-// counting returns how the messages of a call are counted: the caller's kind
-// and how many of its ends are entries.
+// countedAs returns how the messages of a call are counted: the caller's kind, how
+// many of the call's ends are entries, and the counter.
 func (f *fleet) countedAs(from *wire.Node) (kind string, ends int, bytes *byteCounter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -271,7 +278,8 @@
 	return "entry", 2, f.bytes
 }
 
-// gate is the service as processes of one region reach it.
+// storeFor returns the service as the processes of a region reach it, with the
+// faults of the fleet applied.
 func (f *fleet) storeFor(region string) *kv.Store {
 	backing := f.service.Store()
 	admit := func(write bool) error {
@@ -343,6 +351,7 @@
 	}
 }
 
+// watch delivers a watch of the service, with the faults of the fleet applied.
 func (f *fleet) watch(ctx context.Context, backing *kv.Store, region, prefix string, after uint64, wait time.Duration) ([]kv.Entry, uint64, error) {
 	f.mu.Lock()
 	silent := f.silentWatches
@@ -361,8 +370,8 @@
 	return changes, now, err
 }
 
-// submit has an operator change the document through the entry, and returns
-// the revision; 0 where it was refused.
+// submit submits a changed document through the entry as an operator and returns
+// the new revision, or 0 if it was rejected.
 func (f *fleet) submit(m *member, priority int) (uint32, error) {
 	doc := document.Example()
 	doc.Customers[0].Priority = uint32(priority)
@@ -381,7 +390,7 @@
 	return root.GetRevision(), m.deployment.OfferRoot(ctx, root, "operator", m.docs.Fetch)
 }
 
-// any returns one of the entries.
+// randomEntry returns a random entry.
 func (f *fleet) randomEntry() *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -389,13 +398,14 @@
 	return members[f.random.IntN(len(members))]
 }
 
+// set changes the state of the fleet while holding mu.
 func (f *fleet) set(change func(*fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// revisions returns what is in force in each process.
+// revisions returns the revision in force in each process.
 func (f *fleet) revisions() map[string]uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -409,7 +419,7 @@
 	return found
 }
 
-// expect fails unless the revision is in force everywhere.
+// expectRevision fails the test unless the revision is in force in every process.
 func (f *fleet) expectRevision(when string, want uint32) {
 	f.t.Helper()
 	for id, got := range f.revisions() {
@@ -419,8 +429,8 @@
 	}
 }
 
-// latencies returns, sorted, how long each process took to each revision that
-// was accepted while it ran.
+// latencies returns, sorted, the time from the acceptance of each revision until it
+// was in force in each process.
 func (f *fleet) latencies() []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -438,15 +448,15 @@
 	return all
 }
 
-// most returns the highest numbers of reads and writes in any second from
-// since on.
+// peakRates returns the highest numbers of reads and writes of the service in any
+// second from since on.
 func (f *fleet) peakRates(since time.Time) (reads, writes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return peakPerSecond(f.reads, since), peakPerSecond(f.writes, since)
 }
 
-// most returns the highest number of calls in any second from since on.
+// peakPerSecond returns the highest number of calls in any second from since on.
 func peakPerSecond(calls []time.Time, since time.Time) int {
 	highest, from := 0, 0
 	for i, at := range calls {
@@ -462,23 +472,23 @@
 	return highest
 }
 
-// fakeAgent syncs with its home entry as an agent does.
+// fakeAgent simulates the Sync calls of an agent with its home entry.
 type fakeAgent struct {
 	fleet *fleet
 	node  *wire.Node
 	view  *view.Holder
 	stop  context.CancelFunc
-	// leaving: its reports say so.
+	// leaving marks the agent's reports as leaving.
 	leaving atomic.Bool
 
 	mu           sync.Mutex
 	state        revision.State
 	parts        *store.Parts
-	known        uint32 // revision that the home knew in its last reply
+	known        uint32 // revision in the home entry's last reply
 	home         string
 	sequence     uint64
-	baseline     spread.Baseline // towards home
-	baselineHome string          // that the baseline is of
+	baseline     spread.Baseline // of the reports sent to baselineHome
+	baselineHome string          // entry that the baseline belongs to
 	table        *membership.Table
 	wanted       []string
 }
@@ -513,7 +523,8 @@
 	}
 }
 
-// choose returns an entry of the agent's own region while there is one.
+// chooseHome returns the agent's home entry. A new one is picked at random, from the
+// agent's own region if possible.
 func (a *fakeAgent) chooseHome() string {
 	if a.home != "" {
 		return a.home
@@ -565,8 +576,8 @@
 	return a.adopt(reply)
 }
 
-// receive takes the reports of other hosts, and asks for what it cannot make whole;
-// the caller holds the lock.
+// applyReports applies the reports of other hosts and requests the whole reports for
+// those it cannot complete; the caller holds mu.
 func (a *fakeAgent) applyReports(reply *wire.SyncReply) {
 	for _, report := range reply.GetHosts() {
 		whole, ok := a.table.Complete(report)
@@ -578,6 +589,7 @@
 	}
 }
 
+// adopt puts the reply's root in force and publishes the revision in the view.
 func (a *fakeAgent) adopt(reply *wire.SyncReply) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -593,7 +605,7 @@
 	return nil
 }
 
-// report returns what the agent says of its host.
+// report returns the agent's report on its host.
 func (a *fakeAgent) report() *wire.HostReport {
 	a.fleet.mu.Lock()
 	working := a.fleet.busy
--- a/entry/internal/control/fuzz_test.go
+++ b/entry/internal/control/fuzz_test.go
@@ -14,7 +14,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// lonely returns an entry that nobody calls but the fuzzer.
+// newIsolatedEntry returns an entry without peers that only the fuzzer calls.
 func newIsolatedEntry() (*Server, *Exchange) {
 	clock := clockwork.NewFakeClock()
 	self := &wire.Node{Id: "entry-0", Incarnation: "i1", Role: "entry"}
@@ -24,6 +24,7 @@
 	return NewServer(exchange, Delegate{}, false, func(*wire.Node) {}), exchange
 }
 
+// seed adds the encoded messages to the corpus.
 func seed(f *testing.F, messages ...proto.Message) {
 	f.Helper()
 	for _, message := range messages {
@@ -35,7 +36,8 @@
 	}
 }
 
-// FuzzSync: whatever arrives as a call, it is answered or refused.
+// FuzzSync checks that any request is answered or rejected, and that no single
+// message puts a root in force.
 func FuzzSync(f *testing.F) {
 	agent := &wire.Node{Id: "agent-0", Incarnation: "i1", Role: "agent", FailureDomain: "a"}
 	peer := &wire.Node{Id: "entry-1", Incarnation: "i1", Role: "entry", ControlAddress: "127.0.0.1:1"}
@@ -59,8 +61,8 @@
 	})
 }
 
-// FuzzReply: whatever another entry answers, nothing without its parts comes
-// into force.
+// FuzzReply checks that no reply of another entry puts a document in force without
+// its parts.
 func FuzzReply(f *testing.F) {
 	seed(f,
 		&wire.SyncReply{},
@@ -75,7 +77,7 @@
 		with := exchange.sessions.forNode(&wire.Node{Id: "entry-1"}, exchange.deployment.clock.Now())
 		exchange.applyReply(context.Background(), with, reply, func(context.Context, []string) ([][]byte, error) { return nil, nil })
 		if root := exchange.deployment.Root(); root != nil {
-			t.Errorf("got %v in force without its parts", root)
+			t.Errorf("got %v in force without its parts, want none", root)
 		}
 		NewPublisher(exchange.deployment, exchange.ownReport).Build()
 	})
--- a/entry/internal/control/members.go
+++ b/entry/internal/control/members.go
@@ -11,23 +11,23 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// shardCount is how many locks the members' state is spread over.
+// shardCount is the number of shards, each with its own lock.
 const shardCount = 16
 
-// memberShard is the part of the members whose ids hash to it.
+// memberShard holds the members whose ids hash to it.
 type memberShard struct {
 	mu    sync.Mutex
 	table *membership.Table
 }
 
-// Members is the table of hosts and entries, in shards by id. It is safe for
+// Members is the table of known hosts and entries, sharded by id. It is safe for
 // concurrent use.
 type Members struct {
 	self   string
 	shards [shardCount]memberShard
 }
 
-// NewMembers returns an empty table for the entry with the id.
+// NewMembers returns an empty table; self is this entry's id.
 func NewMembers(self string) *Members {
 	members := &Members{self: self}
 	for i := range members.shards {
@@ -36,45 +36,47 @@
 	return members
 }
 
+// shard returns the shard that holds the id.
 func (m *Members) shard(id string) *memberShard {
 	return &m.shards[xxhash.Sum64String(id)%shardCount]
 }
 
-// with runs f on one shard's table, under its lock.
+// with runs f on the shard's table while holding its lock.
 func (s *memberShard) with(f func(*membership.Table)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.table)
 }
 
+// each runs f on the table of each shard, one after another.
 func (m *Members) each(f func(*membership.Table)) {
 	for i := range m.shards {
 		m.shards[i].with(f)
 	}
 }
 
-// ObserveHost takes a host's report and returns whether it was news.
+// ObserveHost applies a host's report and reports whether it was newer than the stored one.
 func (m *Members) ObserveHost(report *wire.HostReport, now time.Time) (news bool) {
 	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { news = t.ObserveHost(report, now) })
 	return news
 }
 
-// Complete returns a report made whole from what is held; false where the whole
-// one must be asked for.
+// Complete merges a partial report with the stored one; ok is false if the whole
+// report must be requested.
 func (m *Members) Complete(report *wire.HostReport) (whole *wire.HostReport, ok bool) {
 	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { whole, ok = t.Complete(report) })
 	return whole, ok
 }
 
-// CompleteEntry returns a report with its entry's description; false where that
-// must be asked for.
+// CompleteEntry adds the stored description of the entry to its report; ok is
+// false if the description must be requested.
 func (m *Members) CompleteEntry(report *wire.EntryReport) (whole *wire.EntryReport, ok bool) {
 	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { whole, ok = t.CompleteEntry(report) })
 	return whole, ok
 }
 
-// Describe returns the whole description of a message's sender; false where it
-// left that out and it is not known.
+// Describe returns the full description of a message's sender; false if the
+// message omits the description and none is stored.
 func (m *Members) Describe(from *wire.Node) (*wire.Node, bool) {
 	if !membership.IsNameOnly(from) {
 		return from, true
@@ -84,18 +86,18 @@
 	return held, held != nil && held.GetRole() == from.GetRole()
 }
 
-// ObserveEntry takes an entry's report and returns whether it was news.
+// ObserveEntry applies an entry's report and reports whether it was newer than the stored one.
 func (m *Members) ObserveEntry(report *wire.EntryReport, now time.Time) (news bool) {
 	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { news = t.ObserveEntry(report, now) })
 	return news
 }
 
-// Touch notes a call of a process without a report.
+// Touch records the time of a call from the node, whether or not it has a report.
 func (m *Members) Touch(node *wire.Node, now time.Time) {
 	m.shard(node.GetId()).with(func(t *membership.Table) { t.Touch(node.GetId(), node.GetIncarnation(), now) })
 }
 
-// ObserveList takes the platform's list.
+// ObserveList applies the platform's host list. An empty list is ignored.
 func (m *Members) ObserveList(list []membership.Listed, now time.Time) {
 	if len(list) == 0 {
 		return
@@ -111,12 +113,13 @@
 	}
 }
 
-// Adjust moves the times last seen after this process stood still.
+// Adjust shifts the times at which members were last seen, after this process was
+// paused for the given time.
 func (m *Members) Adjust(jump time.Duration) {
 	m.each(func(t *membership.Table) { t.Adjust(jump) })
 }
 
-// Forget drops the members that were silent for long and are not listed.
+// Forget removes the members that have long been silent and are not listed.
 func (m *Members) Forget(now time.Time) {
 	m.each(func(t *membership.Table) { t.Forget(now) })
 }
@@ -127,14 +130,14 @@
 	return known
 }
 
-// Len returns the number of members known.
+// Len returns the number of known members.
 func (m *Members) Len() int {
 	count := 0
 	m.each(func(t *membership.Table) { count += t.Len() })
 	return count
 }
 
-// Entries returns the entries known, by id.
+// Entries returns the known entries, sorted by id.
 func (m *Members) Entries(now time.Time) []view.Peer {
 	count := 0
 	m.each(func(t *membership.Table) { count += t.EntryCount() })
@@ -144,7 +147,8 @@
 	return entries
 }
 
-// Hosts returns the hosts known, by id. entries are those of the same moment.
+// Hosts returns the known hosts, sorted by id. entries must be the result of
+// Entries for the same time.
 func (m *Members) Hosts(now time.Time, drains *wire.DrainMarks, entries []view.Peer) []view.Host {
 	out := membership.Outlook{Self: m.self, HostCount: m.Len(), Drained: map[string]bool{}, LostEntries: map[string]bool{}}
 	for _, id := range drains.GetHosts() {
@@ -161,14 +165,14 @@
 	return hosts
 }
 
-// Reachable returns the entries worth calling.
+// Reachable returns the entries that can be called.
 func (m *Members) Reachable(now time.Time) []*wire.Node {
 	var nodes []*wire.Node
 	m.each(func(t *membership.Table) { nodes = append(nodes, t.Reachable(now)...) })
 	return nodes
 }
 
-// EnginesByDomain counts the engine hosts known by failure domain.
+// EnginesByDomain returns the number of listed engine hosts per failure domain.
 func (m *Members) EnginesByDomain() map[string]int {
 	count := map[string]int{}
 	m.each(func(t *membership.Table) { t.ListedEngines(count) })
--- a/entry/internal/control/offer.go
+++ b/entry/internal/control/offer.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// offerPatience is how long an entry waits for a second agent to offer the
-	// same root before it believes a single one.
+	// singleOfferWait is how long an entry waits for a second agent to offer the
+	// same root before it accepts the root from a single agent.
 	singleOfferWait = 5 * time.Second
-	// maxOffers bounds the different roots remembered.
+	// maxOffers limits the number of different roots, and of agents per root, that
+	// are remembered.
 	maxOffers = 16
 )
 
-// agentOffer is one root that agents offered.
+// agentOffer records which agents offered a root and since when.
 type agentOffer struct {
 	agents map[string]bool
 	since  time.Time
 }
 
-// takeOffer lets an entry that was started in an outage learn the document from
-// agents. An agent's report of the document counts only while this entry has
-// none: one bad agent must not be able to put a document of its own in force.
+// acceptAgentRoot lets an entry that started during an outage of the service learn
+// the document from agents. An agent's root is considered only while this entry
+// has none, so that a faulty agent cannot replace the document in force.
 func (s *Server) acceptAgentRoot(ctx context.Context, req *wire.SyncRequest) {
 	root := req.GetRoot()
 	if root == nil || s.deployment.Root() != nil || len(req.GetParts()) != len(root.GetParts()) {
@@ -37,11 +38,13 @@
 		return selectParts(root, req.GetParts(), hashes), nil
 	})
 	if err != nil {
-		s.deployment.log.Warn("document of an agent not assembled", "source", source, "error", err)
+		s.deployment.log.Warn("cannot assemble document from agent", "source", source, "error", err)
 	}
 }
 
-// believes reports whether enough agents offered the root, or one did for long.
+// isCorroborated records the agent's offer and reports whether the root may be
+// accepted: two agents offered it, or it has been the only root on offer for
+// singleOfferWait.
 func (s *Server) isCorroborated(id, agent string) bool {
 	now := s.deployment.clock.Now()
 	s.mu.Lock()
@@ -60,7 +63,8 @@
 	return len(offer.agents) >= 2 || (len(s.offers) == 1 && now.Sub(offer.since) >= singleOfferWait)
 }
 
-// pick returns the contents of the hashes from parts in the root's order.
+// selectParts returns the contents for the hashes, in order. parts holds the contents
+// of the root's parts in the root's order.
 func selectParts(root *wire.Root, parts [][]byte, hashes []string) [][]byte {
 	byHash := map[string][]byte{}
 	for i, part := range root.GetParts() {
--- a/entry/internal/control/propagation_test.go
+++ b/entry/internal/control/propagation_test.go
@@ -8,16 +8,16 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// hostAt returns what an entry holds of a host.
+// hostReport returns the report of a host in an entry's view.
 func hostReport(m *member, id string) (*wire.HostReport, bool) {
 	snap, _ := m.view.Load()
 	host, known := findHost(snap, id)
 	return host.Report(), known
 }
 
-// Symptom: after an entry's restart it routes to nobody, or without the hosts'
-// states. Sequence: hosts send amendments, the entry loses its memory, the
-// amendments go on. Cause: nobody sends the whole report again.
+// A restarted entry must request whole reports. Otherwise hosts keep sending
+// partial reports on top of reports that the entry lost, and it routes no
+// requests or routes them without the hosts' states.
 func TestRestartedEntryAsksForWholeReports(t *testing.T) {
 	runFleet(t, 13, 9, 50, func(f *fleet) {
 		f.set(func(f *fleet) { f.busy = true })
@@ -37,8 +37,8 @@
 	})
 }
 
-// Symptom: a host that leaves gets new work. Sequence: 200 busy hosts, of which
-// one says that it leaves. Cause: its report waits behind reports of load.
+// A leaving host among 200 busy hosts must be known to all entries within 3 s.
+// It would get new work if its report were queued behind load reports.
 func TestLeavingHostReachesAllEntries(t *testing.T) {
 	runFleet(t, 14, 9, 200, func(f *fleet) {
 		f.set(func(f *fleet) { f.busy = true })
@@ -53,14 +53,14 @@
 			}
 			longest = max(longest, time.Since(began))
 		}
-		t.Logf("a leaving host is known on all entries after at most %v", longest)
+		t.Logf("a leaving host is known to all entries after at most %v", longest)
 		if longest > 3*time.Second {
 			t.Errorf("got %v until all entries know, want at most 3s", longest)
 		}
 	})
 }
 
-// allKnow reports whether all entries know that the host leaves.
+// allKnowLeaving reports whether the views of all entries show the host as leaving.
 func (f *fleet) allKnowLeaving(id string) bool {
 	f.mu.Lock()
 	members := f.members()
@@ -73,9 +73,9 @@
 	return true
 }
 
-// Symptom: a host that died keeps getting work from entries that it does not
-// report to. Sequence: 200 busy hosts, one dies. Cause: the report that it is lost
-// waits, or an amendment hides it.
+// When one of 200 busy hosts dies, all entries must treat it as lost within 10 s.
+// Entries that it does not report to would keep sending it work if the report of
+// the loss were delayed, or hidden by a partial report.
 func TestLostHostReachesAllEntries(t *testing.T) {
 	runFleet(t, 15, 9, 200, func(f *fleet) {
 		f.set(func(f *fleet) { f.busy = true })
@@ -88,12 +88,12 @@
 		took := time.Since(began)
 		t.Logf("a dead host is lost on all entries after %v", took)
 		if took > 10*time.Second {
-			t.Errorf("got %v until all entries take the host for lost, want at most 10s", took)
+			t.Errorf("got %v until all entries show the host as lost, want at most 10s", took)
 		}
 	})
 }
 
-// allLost reports whether all entries take the host for lost.
+// allLost reports whether the views of all entries show the host as lost.
 func (f *fleet) allLost(id string) bool {
 	f.mu.Lock()
 	members := f.members()
--- a/entry/internal/control/publisher.go
+++ b/entry/internal/control/publisher.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	// buildGap is the least time between two views.
+	// minBuildInterval is the minimum time between two builds of the view.
 	minBuildInterval = 50 * time.Millisecond
-	// buildShare keeps building to a small part of one core in large deployments:
-	// the gap is at least this many times what the last view took.
+	// buildIdleFactor limits the share of a core spent on building in large
+	// deployments: the pause is at least this many times as long as the last build.
 	buildIdleFactor = 50
-	// buildInterval is the most time between two views: silence is a change
-	// that nobody reports.
+	// maxBuildInterval is how long to wait for a change before building anyway,
+	// because a member that falls silent produces no event.
 	maxBuildInterval = 500 * time.Millisecond
-	// pauseLimit is the time without a view after which this process must have
-	// stood still itself.
+	// pauseThreshold is the time between two builds beyond which this process
+	// itself must have been paused.
 	pauseThreshold = 3 * time.Second
-	// heartbeat is how often this entry's own report is made anew.
+	// reportInterval is how often this entry makes a new report on itself.
 	reportInterval = 2 * time.Second
-	// newsGap is the least time between two own reports that hold new
-	// revisions.
+	// minReportInterval is the minimum time between two such reports when the
+	// revisions change.
 	minReportInterval = time.Second
 )
 
-// Publisher builds the views that the rest of the entry reads.
+// Publisher builds the snapshots of the view that the rest of the entry reads.
 type Publisher struct {
 	deployment *Deployment
 	makeReport func() *wire.EntryReport
-	// beatAt is when the own report was last made, published what it said: the
-	// document revisions here and on the hosts that report here.
+	// reportedAt is when the last own report was made. reportedRevisions are the
+	// document revisions it contained: the one of this entry and the lowest one
+	// of the hosts that report here.
 	reportedAt        time.Time
 	reportedRevisions [2]uint32
 }
 
-// NewPublisher returns a Publisher; own makes a new report on this entry.
+// NewPublisher returns a Publisher; makeReport makes a new report on this entry.
 func NewPublisher(deployment *Deployment, makeReport func() *wire.EntryReport) *Publisher {
 	return &Publisher{deployment: deployment, makeReport: makeReport}
 }
 
-// Run builds views until ctx ends.
+// Run builds views until ctx ends, on every change and at least periodically.
 func (p *Publisher) Run(ctx context.Context) {
 	clock := p.deployment.clock
 	last := clock.Now()
@@ -56,6 +57,7 @@
 	}
 }
 
+// waitForChange waits until the view is dirty, or at most maxBuildInterval.
 func (p *Publisher) waitForChange(ctx context.Context) {
 	timer := p.deployment.clock.NewTimer(maxBuildInterval)
 	defer timer.Stop()
@@ -66,20 +68,20 @@
 	}
 }
 
-// noticePause forgives the others the silence of a time in which this process
-// itself stood still.
+// compensatePause adjusts the times at which members were last seen if this process
+// was paused: members that seem silent for that time are not lost.
 func (p *Publisher) compensatePause(gap time.Duration) {
 	if gap > pauseThreshold {
-		p.deployment.log.Warn("this process stood still", "seconds", gap.Seconds())
+		p.deployment.log.Warn("process was paused", "seconds", gap.Seconds())
 		counters.Add("pauses", 1)
 		p.deployment.members.Adjust(gap)
 	}
 }
 
-// Wake has a view built soon.
+// Wake requests a rebuild of the view.
 func (p *Publisher) Wake() { p.deployment.markDirty() }
 
-// due reports whether the own report should be made anew, and notes that it is.
+// reportDue reports whether a new own report is due, and if so records it as made.
 func (p *Publisher) reportDue(now time.Time) bool {
 	revisions := [2]uint32{p.deployment.Root().GetRevision(), p.deployment.HomeRevision()}
 	since := now.Sub(p.reportedAt)
@@ -90,7 +92,7 @@
 	return true
 }
 
-// Build publishes one view.
+// Build builds and publishes one view.
 func (p *Publisher) Build() {
 	now := p.deployment.clock.Now()
 	urgent := p.deployment.urgentPending.Swap(false)
--- a/entry/internal/control/self.go
+++ b/entry/internal/control/self.go
@@ -7,29 +7,29 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Self makes this entry's reports on itself.
+// Self creates this entry's reports on itself.
 type Self struct {
 	node *wire.Node
-	// Load seams; they read the callers' API.
+	// inFlight and demand return the load of the callers' API; tests replace them.
 	inFlight func() int
 	demand   func() []*wire.Demand
 	known    func() *wire.Known
-	// home returns the lowest revision on the hosts that report here.
+	// homeRevision returns the lowest revision in force on the hosts that report here.
 	homeRevision func() uint32
 	draining     atomic.Bool
 
 	mu     sync.Mutex
-	latest *wire.EntryReport // its sequence grows with each report
+	latest *wire.EntryReport // each report increments the sequence
 }
 
-// NewSelf returns a Self whose first report is made at once.
+// NewSelf returns a Self that has already made its first report.
 func NewSelf(node *wire.Node, inFlight func() int, demand func() []*wire.Demand, known func() *wire.Known, homeRevision func() uint32) *Self {
 	self := &Self{node: node, inFlight: inFlight, demand: demand, known: known, homeRevision: homeRevision}
 	self.Make()
 	return self
 }
 
-// Make returns a new report.
+// Make creates a report from the current state, stores it as the latest and returns it.
 func (s *Self) Make() *wire.EntryReport {
 	demand := s.demand()
 	rate := 0.0
@@ -60,7 +60,8 @@
 	return s.latest
 }
 
-// Drain has all further reports say that callers should go elsewhere.
+// Drain marks this and all further reports as draining, so that callers go to
+// other entries.
 func (s *Self) Drain() {
 	s.draining.Store(true)
 	s.Make()
--- a/entry/internal/control/server.go
+++ b/entry/internal/control/server.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// maxHoldAgent bounds how long an agent's call is held: a silent agent is
-	// noticed by the calls that do not come.
+	// maxHoldAgent limits how long an agent's call is held. It must be short: a
+	// silent agent is detected by the absence of its calls.
 	maxHoldAgent = 2 * time.Second
-	// maxHoldEntry bounds how long an entry's call is held.
+	// maxHoldEntry limits how long an entry's call is held.
 	maxHoldEntry = 5 * time.Second
-	// maxPartsBytes bounds the parts in one reply, under a message's maximum.
+	// maxPartsBytes limits the parts in one reply; it is below the maximum message size.
 	maxPartsBytes = 2 << 20
-	// maxHashes bounds what one Parts call may ask for.
+	// maxHashes limits the hashes in one Parts call.
 	maxHashes = 512
-	// maxReports bounds what one Sync call may bear.
+	// maxReports limits the host reports, and the entry reports, in one Sync call.
 	maxReports = 20000
 )
 
-// Delegate answers the calls that belong to the callers' API.
+// Delegate handles the calls that belong to the callers' API.
 type Delegate struct {
 	Claim  func(context.Context, *wire.ClaimRequest) (*wire.ClaimReply, error)
 	Settle func(context.Context, *wire.SettleRequest) (*wire.SettleReply, error)
 }
 
-// Server is the Control service of an entry.
+// Server implements the Control service of an entry.
 type Server struct {
 	exchange   *Exchange
 	deployment *Deployment
 	delegate   Delegate
-	// secure: callers prove who they are.
+	// secure requires callers to authenticate with a certificate.
 	secure bool
-	// pull asks an entry that knows more; it returns at once.
+	// pull starts fetching from an entry that has something newer, without blocking.
 	pull func(node *wire.Node)
 
 	mu sync.Mutex
-	// offers counts the agents that offered a root to an entry without one.
+	// offers holds the roots that agents offered while this entry had none, by rootID.
 	offers map[string]*agentOffer
 }
 
-// NewServer returns the service.
+// NewServer returns a Server.
 func NewServer(exchange *Exchange, delegate Delegate, secure bool, pull func(*wire.Node)) *Server {
 	return &Server{
 		exchange:   exchange,
@@ -58,7 +58,8 @@
 	}
 }
 
-// identify checks that the message's sender is who the certificate says.
+// authenticateSender checks that the message names its sender and, if secure, that
+// the sender matches the certificate and has one of the roles.
 func (s *Server) authenticateSender(ctx context.Context, from *wire.Node, roles ...string) error {
 	if err := peer.Require(ctx, s.secure, roles...); err != nil {
 		return err
@@ -71,13 +72,14 @@
 	}
 	caller, _ := peer.CallerOf(ctx)
 	if caller.Node() != from.GetId() || caller.Role() != from.GetRole() {
-		return failure.New(failure.Unauthorized, "the message names another sender than the certificate",
+		return failure.New(failure.Unauthorized, "the sender named in the message does not match the certificate",
 			"give the process keys whose common name is its id")
 	}
 	return nil
 }
 
-// Sync swaps knowledge with an agent or another entry.
+// Sync exchanges state with an agent or another entry. It holds the call until
+// there is something newer for the caller, as long as the caller allows.
 func (s *Server) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry, peer.RoleAgent); err != nil {
 		return nil, err
@@ -102,8 +104,9 @@
 	return reply, nil
 }
 
-// askWho answers a caller that left its description out to a process that does
-// not know it (any more): without it the caller's share of the plan is unknown.
+// requestDescription replies to a caller that omitted its description although
+// this process does not have it, or no longer has it. Without the description,
+// the caller's part of the plan cannot be determined.
 func (s *Server) requestDescription(req *wire.SyncRequest) *wire.SyncReply {
 	counters.Add("describeWanted", 1)
 	return &wire.SyncReply{
@@ -111,6 +114,7 @@
 	}
 }
 
+// applyRequest applies the state carried by a Sync request.
 func (s *Server) applyRequest(ctx context.Context, sess *session, req *wire.SyncRequest) {
 	behind := s.deployment.ObserveKnown(req.GetKnown())
 	if isAgent(req.GetFrom()) {
@@ -125,13 +129,14 @@
 	}
 }
 
-// takeAgent takes an agent's report of its own host only.
+// applyAgentRequest applies an agent's request. Reports on hosts other than the
+// agent's own are ignored.
 func (s *Server) applyAgentRequest(ctx context.Context, sess *session, req *wire.SyncRequest) {
 	now := s.deployment.clock.Now()
 	s.deployment.members.Touch(req.GetFrom(), now)
 	sess.resendWhole(req.GetWholeWanted())
 	for _, report := range req.GetHosts() {
-		if report.GetNode() == nil { // an amendment of the sender's own
+		if report.GetNode() == nil { // a partial report on the sender itself
 			report.Node = membership.NameOnly(req.GetFrom())
 			report.Node.Role = ""
 		}
@@ -155,8 +160,8 @@
 	s.acceptAgentRoot(ctx, req)
 }
 
-// hold waits until there is something newer for the caller, at most as long as
-// it asked for.
+// waitForUpdate waits until there is something newer for the caller, at most as
+// long as the caller asked for.
 func (s *Server) waitForUpdate(ctx context.Context, req *wire.SyncRequest) {
 	limit := maxHoldEntry
 	agent := isAgent(req.GetFrom())
@@ -189,7 +194,7 @@
 	}
 }
 
-// Parts serves document parts from the cache.
+// Parts returns document parts from the cache, up to maxPartsBytes.
 func (s *Server) Parts(ctx context.Context, req *wire.PartsRequest) (*wire.PartsReply, error) {
 	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry, peer.RoleAgent); err != nil {
 		return nil, err
@@ -203,7 +208,7 @@
 	for i, hash := range req.GetHashes() {
 		content := s.deployment.parts.Get(hash)
 		if size += len(content); size > maxPartsBytes {
-			break // The caller asks again for those it did not get.
+			break // The caller requests the remaining parts in another call.
 		}
 		reply.Parts[i] = content
 	}
@@ -211,7 +216,7 @@
 	return reply, nil
 }
 
-// Claim passes another entry's claim to the callers' API.
+// Claim forwards another entry's claim to the callers' API.
 func (s *Server) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry); err != nil {
 		return nil, err
@@ -219,7 +224,7 @@
 	return s.delegate.Claim(ctx, req)
 }
 
-// Settle passes another entry's outcome to the callers' API.
+// Settle forwards the outcome reported by another entry to the callers' API.
 func (s *Server) Settle(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
 	if err := s.authenticateSender(ctx, req.GetFrom(), peer.RoleEntry); err != nil {
 		return nil, err
--- a/entry/internal/control/session.go
+++ b/entry/internal/control/session.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	// sessionTimeout ends the memory of a node that no longer calls.
+	// sessionTimeout is the time without calls after which a node's session is dropped.
 	sessionTimeout = 2 * time.Minute
-	// refreshEntry and refreshAgent are the least ages at which an unchanged
-	// report is sent again to an entry and to an agent; with many hosts the age
-	// is the time for each host. Two refreshes fit into the silence that
-	// membership allows about a far host.
+	// minRefreshEntry and minRefreshAgent are the minimum ages at which an
+	// unchanged host report is sent again to an entry and to an agent. With many
+	// hosts, the age is the per-host time multiplied by the number of hosts. Two
+	// refreshes fit into the silence that membership allows for a remote host.
 	minRefreshEntry     = 10 * time.Second
 	minRefreshAgent     = 30 * time.Second
 	refreshEntryPerHost = 100 * time.Millisecond
 	refreshAgentPerHost = 300 * time.Millisecond
-	// relayEntries is the least age at which the report of a third entry is
-	// passed on again; with many entries the age is the time for each. Two fit
-	// into the silence that membership allows about an entry.
+	// minRelayAge is the minimum age at which the report of a third entry is
+	// relayed again. With many entries, the age is relayPerEntry multiplied by the
+	// number of entries. Two relays fit into the silence that membership allows
+	// for an entry.
 	minRelayAge   = 15 * time.Second
 	relayPerEntry = 75 * time.Millisecond
-	// relayToAgent is the same towards agents, which only need to know which
-	// entries there are; two fit into the time after which an agent forgets an
-	// entry that the list lacks.
+	// relayToAgent is that age for agents, which only need to know which entries
+	// exist. Two relays fit into the time after which an agent forgets an entry
+	// that is not in the platform's list.
 	relayToAgent = 30 * time.Second
-	// agentBytesPerSecond and agentBurst bound the reports sent to one agent.
+	// agentBytesPerSecond and agentBurst limit the host reports sent to one agent.
 	agentBytesPerSecond = 1 << 10
 	agentBurst          = 64 << 10
 )
 
-// session remembers what was sent to one other node, by calls in either direction.
+// session tracks what was exchanged with one other node, in calls of either direction.
 type session struct {
-	node *wire.Node // who it is and where; incarnation and addresses may be old
+	node *wire.Node // identity and location; incarnation and addresses may be outdated
 
 	mu             sync.Mutex
 	hosts          *spread.Digest
 	entries        *spread.EntryDigest
-	agentAllowance *spread.Allowance // agents only; entries share the process's
-	// wanted are the hosts and entries whose whole report is missing here; at most maxWanted.
+	agentAllowance *spread.Allowance // used for agents only; entries share the allowance of the Exchange
+	// wanted holds the ids of hosts and entries whose whole report must be
+	// requested from the node; at most maxWanted.
 	wanted map[string]bool
-	// knowsUs: the node has this process's description.
+	// knowsSelf is true while the node has this process's description.
 	knowsSelf bool
 }
 
-// maxWanted bounds the whole reports asked for in one message.
+// maxWanted limits the whole reports requested in one message.
 const maxWanted = 512
 
-// want notes that the node should send the host's whole report.
+// requestWhole records that the node must send the whole report of the host or entry.
 func (s *session) requestWhole(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +63,8 @@
 	}
 }
 
-// takeWanted returns what to ask for in the next message, and forgets it: where
-// that message is lost the next amendment shows the lack again.
+// takeWanted returns the ids to request in the next message and clears them. If
+// that message is lost, the next partial report makes the gap visible again.
 func (s *session) takeWanted() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,14 +73,15 @@
 	return ids
 }
 
-// wants reports whether there is something to ask for: a call is not held then.
+// hasWanted reports whether there is anything to request; a call is not held then.
 func (s *session) hasWanted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.wanted) > 0
 }
 
-// loseWanted takes the hosts that the node asks for.
+// resendWhole marks the ids that the node requested, so that their whole reports are
+// sent next.
 func (s *session) resendWhole(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +91,8 @@
 	}
 }
 
-// hearWanted takes what the node asks for in an answer to this process.
+// observeReplyWanted applies the ids that the node requests in a reply. If they
+// include this process, the node does not have its description.
 func (s *session) observeReplyWanted(ids []string, self string) {
 	s.resendWhole(ids)
 	s.mu.Lock()
@@ -96,15 +100,15 @@
 	s.knowsSelf = !slices.Contains(ids, self)
 }
 
-// visit is a session with what its owner needs to keep or end it.
+// trackedSession is a session with the data that decides whether it is kept.
 type trackedSession struct {
 	*session
 
-	incarnation string // empty while only called, never seen
+	incarnation string // empty until the node's incarnation is known
 	seen        time.Time
 }
 
-// sessions holds the session of each node that calls or is called.
+// sessions holds one session for each node that calls or is called.
 type sessions struct {
 	mu   sync.Mutex
 	byID map[string]*trackedSession
@@ -112,8 +116,9 @@
 
 func newSessions() *sessions { return &sessions{byID: map[string]*trackedSession{}} }
 
-// of returns the node's session; a new incarnation starts with an empty one,
-// since it remembers nothing of what was sent to the old one.
+// forNode returns the node's session, and creates it if needed. A new incarnation
+// of the node gets an empty session, because it has nothing of what was sent to
+// the old one.
 func (s *sessions) forNode(node *wire.Node, now time.Time) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,10 +134,11 @@
 	return found.session
 }
 
+// restarted reports whether the incarnations are both known and differ.
 func restarted(held, seen string) bool { return held != "" && seen != "" && held != seen }
 
-// refreshFor returns the age at which an unchanged report is sent again to the
-// node, in a deployment of the number of hosts.
+// refreshFor returns the age at which an unchanged host report is sent again to
+// the node, in a deployment with the given number of hosts.
 func refreshFor(node *wire.Node, hosts int) time.Duration {
 	if isAgent(node) {
 		return max(minRefreshAgent, time.Duration(hosts)*refreshAgentPerHost)
@@ -140,8 +146,8 @@
 	return max(minRefreshEntry, time.Duration(hosts)*refreshEntryPerHost)
 }
 
-// relayFor returns the age at which the report of a third entry is passed on to
-// the node again, in a deployment of the number of entries.
+// relayFor returns the age at which the report of a third entry is relayed to the
+// node again, in a deployment with the given number of entries.
 func relayFor(node *wire.Node, entries int) time.Duration {
 	if isAgent(node) {
 		return relayToAgent
@@ -159,8 +165,8 @@
 	}
 }
 
-// forget drops what is remembered of hosts and entries that are no longer known:
-// without it, memory would grow with every host that ever was.
+// forget drops the state of hosts and entries that are no longer known. Without
+// it, memory would grow with every host that ever existed.
 func (s *sessions) forget(known func(id string) bool) {
 	s.mu.Lock()
 	held := make([]*session, 0, len(s.byID))
@@ -176,7 +182,7 @@
 	}
 }
 
-// remembered returns the number of hosts remembered for all receivers.
+// rememberedHosts returns the number of hosts tracked, summed over all sessions.
 func (s *sessions) rememberedHosts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +195,7 @@
 	return count
 }
 
-// prune ends the sessions of nodes that have not called for a while.
+// prune drops the sessions that were not used for longer than sessionTimeout.
 func (s *sessions) prune(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/internal/control/sleep.go
+++ b/entry/internal/control/sleep.go
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// sleep waits, or returns early when ctx ends.
+// sleep waits for the duration, or until ctx ends.
 func sleep(ctx context.Context, clock clockwork.Clock, wait time.Duration) {
 	timer := clock.NewTimer(wait)
 	defer timer.Stop()
--- a/entry/internal/control/syncer.go
+++ b/entry/internal/control/syncer.go
@@ -13,44 +13,45 @@
 )
 
 const (
-	// chooseInterval is how often the neighbours are chosen anew.
+	// neighbourInterval is how often the neighbours are selected.
 	neighbourInterval = time.Second
-	// forgetInterval is how often what is gone for good is forgotten.
+	// forgetInterval is how often the state of removed members is dropped.
 	forgetInterval = time.Minute
-	// callGrace is what a held call may take beyond its wait.
+	// callGrace is how long a held call may take beyond its wait.
 	callGrace = 2 * time.Second
-	// retryLeast and retryMost bound the pause after a failed call.
+	// minRetryDelay and maxRetryDelay limit the delay after a failed call.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
-	// pullPatience is how long one pull may take before another node is asked.
+	// pullWait is how long one pull may take before another node is asked.
 	pullWait = 300 * time.Millisecond
-	// partsTimeout bounds one Parts call.
+	// partsTimeout limits one Parts call.
 	partsTimeout = 2 * time.Second
 )
 
-// Syncer keeps calls to this entry's neighbours.
+// Syncer keeps a Sync call open to each of this entry's neighbours.
 type Syncer struct {
 	exchange   *Exchange
 	deployment *Deployment
-	// call makes one Sync call; parts one Parts call. Seams for tests.
+	// call makes one Sync call and parts one Parts call; tests replace them.
 	call  func(ctx context.Context, node *wire.Node, req *wire.SyncRequest) (*wire.SyncReply, error)
 	parts func(ctx context.Context, node *wire.Node, req *wire.PartsRequest) (*wire.PartsReply, error)
-	// fallback gets parts from the service.
+	// fallback fetches parts from the service.
 	fallback Fetch
 	wait     time.Duration
 	log      *slog.Logger
 
 	mu             sync.Mutex
-	neighbourCalls map[string]context.CancelFunc // by neighbour's id
+	neighbourCalls map[string]context.CancelFunc // by neighbour's id and address
 	pulling        map[string]bool               // by id of the node asked
-	// pulledAt is when the newest pull began, pulled closes when one ends.
+	// pulledAt is when the latest pull began. pulled is closed and replaced when a
+	// pull ends.
 	pulledAt time.Time
 	pulled   chan struct{}
 	runCtx   context.Context //nolint:containedctx // of Run, for pulls
 }
 
-// NewSyncer returns a Syncer that calls through the pool. wait is how long the
-// neighbours may hold a call.
+// NewSyncer returns a Syncer that calls through the connection pool. wait is how
+// long a neighbour may hold a call.
 func NewSyncer(exchange *Exchange, pool *peer.Pool, fallback Fetch, wait time.Duration) *Syncer {
 	client := func(ctx context.Context, node *wire.Node) wire.DRPCControlClient {
 		return wire.NewDRPCControlClient(pool.Conn(ctx, node.GetControlAddress()))
@@ -74,7 +75,8 @@
 	}
 }
 
-// Run chooses neighbours and keeps a call to each until ctx ends.
+// Run selects neighbours and keeps calling each of them until ctx ends. It also
+// drops unused sessions and removed members.
 func (s *Syncer) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.runCtx = ctx
@@ -93,7 +95,7 @@
 	}
 }
 
-// choose starts and stops calls so that they match the neighbours.
+// updateNeighbours selects the neighbours and starts and stops call loops to match.
 func (s *Syncer) updateNeighbours(ctx context.Context) {
 	wanted := map[string]*wire.Node{}
 	for _, node := range spread.Neighbours(s.exchange.self, s.deployment.members.Reachable(s.deployment.clock.Now())) {
@@ -116,7 +118,7 @@
 	}
 }
 
-// keep calls one neighbour again and again.
+// syncLoop calls one neighbour repeatedly until ctx ends.
 func (s *Syncer) syncLoop(ctx context.Context, node *wire.Node) {
 	pause := minRetryDelay
 	for ctx.Err() == nil {
@@ -130,14 +132,16 @@
 		}
 		pause = minRetryDelay
 		s.awaitPull(ctx)
-		// A neighbour that answers at once each time (it drains, or knows less
-		// than it says) must not turn this into a busy loop.
+		// A neighbour that always replies at once, because it is draining or has
+		// less than it claims, must not cause a busy loop.
 		if rest := minRetryDelay/4 - s.deployment.clock.Since(began); rest > 0 {
 			sleep(ctx, s.deployment.clock, rest)
 		}
 	}
 }
 
+// syncOnce makes one Sync call and applies the reply. If the reply to a held call
+// shows that the node has something newer, it starts a pull.
 func (s *Syncer) syncOnce(ctx context.Context, node *wire.Node, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+callGrace)
 	defer cancel()
@@ -157,8 +161,8 @@
 	return nil
 }
 
-// awaitPull waits while something newer is on its way: a held call that still
-// bears the old revision would end at once.
+// awaitPull waits, at most for pullWait, while a pull is running: a held call that
+// still carries the old revision would end at once.
 func (s *Syncer) awaitPull(ctx context.Context) {
 	s.mu.Lock()
 	done := s.pulled
@@ -176,12 +180,14 @@
 	}
 }
 
-// withoutIncarnation names a node whose incarnation the caller may not know.
+// withoutIncarnation returns the node's identity and location without its
+// incarnation, which the caller may not know.
 func withoutIncarnation(node *wire.Node) *wire.Node {
 	return &wire.Node{Id: node.GetId(), Role: node.GetRole(), FailureDomain: node.GetFailureDomain(), Region: node.GetRegion()}
 }
 
-// fetchFrom gets parts from the node, and what it lacks from the service.
+// fetchFrom returns a Fetch that gets parts from the node, and those the node does
+// not have from the service.
 func (s *Syncer) fetchFrom(node *wire.Node) Fetch {
 	return func(ctx context.Context, hashes []string) ([][]byte, error) {
 		contents := make([][]byte, len(hashes))
@@ -207,8 +213,8 @@
 	}
 }
 
-// fetchSome makes one Parts call for what lacks and reports whether another
-// one may bring more.
+// fetchMissing makes one Parts call for the contents still nil and reports whether
+// another call may return more.
 func (s *Syncer) fetchMissing(ctx context.Context, node *wire.Node, hashes []string, contents [][]byte) bool {
 	missing := missingIndexes(contents)
 	if len(missing) == 0 {
@@ -236,6 +242,7 @@
 	return progress
 }
 
+// missingIndexes returns the indexes of the nil contents.
 func missingIndexes(contents [][]byte) []int {
 	var indexes []int
 	for i, content := range contents {
@@ -246,9 +253,9 @@
 	return indexes
 }
 
-// Pull asks a node that knows something newer, at once. Several neighbours report
-// of the same news at the same moment: one of them is asked, and another only
-// where it takes long.
+// Pull starts a Sync call that is not held, to a node that has something newer.
+// Several neighbours announce the same change at the same time: only one of them is
+// asked, and another one only if the first takes longer than pullWait.
 func (s *Syncer) Pull(node *wire.Node) {
 	now := s.deployment.clock.Now()
 	s.mu.Lock()
@@ -264,6 +271,7 @@
 	go s.pull(ctx, node)
 }
 
+// pull makes the call and then wakes those that wait in awaitPull.
 func (s *Syncer) pull(ctx context.Context, node *wire.Node) {
 	if err := s.syncOnce(ctx, node, 0); err != nil {
 		s.log.Debug("pull failed", "peer", node.GetId(), "error", err)
@@ -275,7 +283,7 @@
 	s.pulled = make(chan struct{})
 }
 
-// jittered returns a random time between half the pause and all of it.
+// jittered returns a random duration between half the pause and the whole pause.
 func jittered(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause/2+1)
 }
--- a/entry/internal/control/watcher.go
+++ b/entry/internal/control/watcher.go
@@ -12,29 +12,31 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Keys in the service, beside the document's.
+// Keys in the service other than the document's: the plan and the drain marks.
 const (
 	PlanKey     = "plan"
 	DrainPrefix = "drain/"
 )
 
 const (
-	// watchWait is how long the service may hold a watch. A watch that says
-	// nothing for this long plus the client's grace has failed silently.
+	// watchWait is how long the service may hold a watch. A watch that does not
+	// return within this time plus the client's grace has failed silently.
 	watchWait = 10 * time.Second
-	// holdCheck is how often a process that does not hold the lease looks
-	// whether it does.
+	// leaseCheckInterval is how often a process that does not hold the lease
+	// checks whether it has acquired it.
 	leaseCheckInterval = 250 * time.Millisecond
-	// pollInterval is how often every entry reads the keys itself, watcher or
-	// not: the safety net under watches that lose a change.
+	// pollInterval is the minimum pause between two reads of all keys by an entry;
+	// jitter makes it up to twice as long. Every entry polls, whether it watches or
+	// not, in case a watch misses a change.
 	pollInterval = 30 * time.Second
-	// backoffLeast and backoffMost bound the pause after the service failed.
+	// minBackoff and maxBackoff limit the pause after a failure of the service.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 10 * time.Second
 )
 
-// Watcher learns from the service: by watches while this process holds its
-// failure domain's watch lease, and by rare reads always.
+// Watcher reads the root, plan and drain marks from the service: by watches while
+// this process holds its failure domain's watch lease, and always by infrequent
+// polling.
 type Watcher struct {
 	deployment *Deployment
 	docs       *store.Store
@@ -43,12 +45,12 @@
 	holding func() bool
 }
 
-// NewWatcher returns a Watcher.
+// NewWatcher returns a Watcher; holding reports whether this process should watch.
 func NewWatcher(deployment *Deployment, docs *store.Store, service *kv.Store, holding func() bool) *Watcher {
 	return &Watcher{deployment: deployment, docs: docs, service: service, holding: holding}
 }
 
-// Run watches and reads until ctx ends.
+// Run watches and polls until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	go w.watch(ctx, store.RootKey, w.ReadRoot)
 	go w.watch(ctx, PlanKey, w.ReadPlan)
@@ -56,8 +58,8 @@
 	w.poll(ctx)
 }
 
-// poll reads all keys now and then, at random moments so that a fleet started
-// at once does not read as one.
+// poll reads all keys periodically, with jitter so that entries started together
+// do not read at the same time.
 func (w *Watcher) poll(ctx context.Context) {
 	pause := minBackoff
 	for ctx.Err() == nil {
@@ -73,7 +75,7 @@
 	}
 }
 
-// ReadAll reads what is in force from the service.
+// ReadAll reads the root, the plan and the drain marks from the service.
 func (w *Watcher) ReadAll(ctx context.Context) error {
 	if err := w.ReadRoot(ctx); err != nil {
 		return err
@@ -84,7 +86,7 @@
 	return w.ReadDrains(ctx)
 }
 
-// ReadRoot reads the root and brings it into force where it is newer.
+// ReadRoot reads the root and puts it in force if it is newer.
 func (w *Watcher) ReadRoot(ctx context.Context) error {
 	began := w.deployment.clock.Now()
 	root, err := w.docs.Root(ctx)
@@ -94,10 +96,12 @@
 	return w.applyRoot(ctx, root, began)
 }
 
+// applyRoot puts a root read from the service in force if it is newer, and confirms
+// its revision.
 func (w *Watcher) applyRoot(ctx context.Context, root *wire.Root, confirmedAt time.Time) error {
 	if root.GetRevision() < w.deployment.Root().GetRevision() {
-		// The service lost writes or was restored from an old backup. What is in
-		// force stays; operators must learn of it.
+		// The service lost writes or was restored from an old backup. The root in
+		// force stays, and the operators are alerted.
 		counters.Add("serviceBehind", 1)
 		w.deployment.log.Error("the service is behind", "serviceRevision", root.GetRevision(),
 			"revision", w.deployment.Root().GetRevision(), "remedy", "restore document/ in the key-value service")
@@ -110,7 +114,7 @@
 	return nil
 }
 
-// ReadPlan reads the plan and brings it into force where it is newer.
+// ReadPlan reads the plan and puts it in force if it is newer.
 func (w *Watcher) ReadPlan(ctx context.Context) error {
 	entry, found, err := w.service.Get(ctx, PlanKey)
 	if err != nil || !found {
@@ -119,16 +123,17 @@
 	return w.applyPlan(entry.Value())
 }
 
+// applyPlan decodes a stored plan and puts it in force if it is newer.
 func (w *Watcher) applyPlan(value []byte) error {
 	plan := &wire.Plan{}
 	if err := proto.Unmarshal(value, plan); err != nil {
-		return failure.Wrap(err, failure.Corrupt, "the stored plan cannot be read", "delete the key plan; the planner writes it anew")
+		return failure.Wrap(err, failure.Corrupt, "the stored plan cannot be read", "delete the key plan; the planner then writes a new plan")
 	}
 	w.deployment.OfferPlan(plan, "service")
 	return nil
 }
 
-// ReadDrains reads the operators' drain marks.
+// ReadDrains reads the operators' drain marks and puts them in force if newer.
 func (w *Watcher) ReadDrains(ctx context.Context) error {
 	entries, err := w.service.List(ctx, DrainPrefix)
 	if err != nil {
@@ -147,8 +152,8 @@
 	return nil
 }
 
-// watch follows the keys below one prefix while this process holds the lease;
-// read brings in their present state.
+// watch watches the keys with the prefix while this process holds the lease; read
+// applies their current state.
 func (w *Watcher) watch(ctx context.Context, prefix string, read func(context.Context) error) {
 	pause := minBackoff
 	after := uint64(kv.Latest)
@@ -163,8 +168,8 @@
 			pause, after = minBackoff, next
 			continue
 		}
-		// Compacted, broken or silent: begin anew with a read, which finds what
-		// the watch did not report.
+		// The history was compacted, or the watch broke or stayed silent: start
+		// over with a read, which finds what the watch did not report.
 		after = kv.Latest
 		counters.Add("watchFailed", 1)
 		w.deployment.log.Debug("watch failed", "prefix", prefix, "error", err)
@@ -173,9 +178,9 @@
 	}
 }
 
-// watchOnce waits for one change and returns the revision to go on from. From
-// kv.Latest it learns the service's revision first and reads after that, so
-// that no change falls between the two.
+// watchOnce waits for one batch of changes, applies it and returns the revision to
+// continue from. If after is kv.Latest, it gets the service's revision first and
+// reads the keys afterwards, so that no change between the two is missed.
 func (w *Watcher) watchOnce(ctx context.Context, prefix string, after uint64, read func(context.Context) error) (uint64, error) {
 	if after == kv.Latest {
 		_, now, err := w.service.Watch(ctx, prefix, kv.Latest, 0)
@@ -190,7 +195,7 @@
 		return 0, err
 	}
 	if now < after {
-		// The service lost what it had reported: only a read shows its state.
+		// The service lost changes that it had reported: only a read shows its state.
 		return now, read(ctx)
 	}
 	if len(changes) == 0 {
@@ -201,14 +206,16 @@
 	return now, w.applyChanges(ctx, prefix, changes, read)
 }
 
-// confirmQuiet notes that the root did not change up to the end of a watch.
+// confirmUnchanged confirms the root's revision for the time until the watch ended
+// without a change.
 func (w *Watcher) confirmUnchanged(prefix string, began time.Time) {
 	if prefix == store.RootKey {
 		w.deployment.Confirm(w.deployment.Root().GetRevision(), began.Add(min(watchWait, w.deployment.clock.Since(began))))
 	}
 }
 
-// take brings in the last change of a key; drain marks are read as a whole.
+// applyChanges applies the last change of a key. Deletions and drain marks are
+// handled by a full read.
 func (w *Watcher) applyChanges(ctx context.Context, prefix string, changes []kv.Entry, read func(context.Context) error) error {
 	last := changes[len(changes)-1]
 	if last.Deleted() {
