--- a/entry/internal/control/members.go
+++ b/entry/internal/control/members.go
@@ -56,9 +56,9 @@
 }
 
 // ObserveHost applies a host's report and reports whether it was newer than the stored one.
-func (m *Members) ObserveHost(report *wire.HostReport, now time.Time) (news bool) {
-	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { news = t.ObserveHost(report, now) })
-	return news
+func (m *Members) ObserveHost(report *wire.HostReport, now time.Time) (newer bool) {
+	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { newer = t.ObserveHost(report, now) })
+	return newer
 }
 
 // Complete merges a partial report with the stored one; ok is false if the whole
@@ -87,9 +87,9 @@
 }
 
 // ObserveEntry applies an entry's report and reports whether it was newer than the stored one.
-func (m *Members) ObserveEntry(report *wire.EntryReport, now time.Time) (news bool) {
-	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { news = t.ObserveEntry(report, now) })
-	return news
+func (m *Members) ObserveEntry(report *wire.EntryReport, now time.Time) (newer bool) {
+	m.shard(report.GetNode().GetId()).with(func(t *membership.Table) { newer = t.ObserveEntry(report, now) })
+	return newer
 }
 
 // Touch records the time of a call from the node, whether or not it has a report.
