--- a/entry/internal/planner/planner.go
+++ b/entry/internal/planner/planner.go
@@ -24,12 +24,12 @@
 const (
 	// planGap is the least time between two plans: a burst of changes makes one
 	// plan and one write.
-	planGap = 200 * time.Millisecond
+	minPlanInterval = 200 * time.Millisecond
 	// planInterval is the most time between two looks: hosts' absences grow
 	// without an event.
-	planInterval = time.Second
+	maxPlanInterval = time.Second
 	// failurePause follows a failed write.
-	failurePause = time.Second
+	retryDelay = time.Second
 	// callTimeout bounds one call to the service.
 	callTimeout = 3 * time.Second
 )
@@ -57,8 +57,8 @@
 	// fence is that of the lease under which stored was read; 0: not read.
 	fence uint64
 	// stored is the plan in the service, as far as known, and its revision there.
-	stored   *wire.Plan
-	storedAt uint64
+	stored         *wire.Plan
+	storedRevision uint64
 	// observer remembers since when hosts are out of use.
 	observer *placement.Observer
 }
@@ -75,14 +75,14 @@
 func (p *Planner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, changed := p.cfg.View.Load()
-		pause := planGap
+		pause := minPlanInterval
 		if err := p.Step(ctx); err != nil {
 			counters.Add("failed", 1)
 			p.cfg.Log.Warn("plan not written", "error", err)
-			pause = failurePause
+			pause = retryDelay
 		}
 		p.sleep(ctx, pause, nil)
-		p.sleep(ctx, planInterval, changed)
+		p.sleep(ctx, maxPlanInterval, changed)
 	}
 }
 
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if p.fence != fence {
-		if err := p.takeCharge(ctx, fence); err != nil {
+		if err := p.loadStoredPlan(ctx, fence); err != nil {
 			return err
 		}
 	}
@@ -134,7 +134,7 @@
 
 // takeCharge reads the stored plan anew: the former holder may have written
 // one that this process never saw.
-func (p *Planner) takeCharge(ctx context.Context, fence uint64) error {
+func (p *Planner) loadStoredPlan(ctx context.Context, fence uint64) error {
 	entry, found, err := p.cfg.Service.Get(ctx, PlanKey)
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 		// growing in every process.
 		stored = known
 	}
-	p.fence, p.stored, p.storedAt = fence, stored, entry.Revision()
+	p.fence, p.stored, p.storedRevision = fence, stored, entry.Revision()
 	p.observer = placement.NewObserver()
 	p.cfg.Log.Info("planner in charge", "fence", fence, "planRevision", stored.GetPlanRevision())
 	return nil
@@ -178,12 +178,12 @@
 		p.fence = 0
 		return nil
 	}
-	revision, err := p.cfg.Service.Swap(ctx, PlanKey, value, p.storedAt, "")
+	revision, err := p.cfg.Service.Swap(ctx, PlanKey, value, p.storedRevision, "")
 	if err != nil {
 		p.fence = 0
 		return err
 	}
-	p.stored, p.storedAt = next, revision
+	p.stored, p.storedRevision = next, revision
 	counters.Add("written", 1)
 	p.cfg.Log.Info("plan written", "planRevision", next.GetPlanRevision(), "revision", next.GetRevision(),
 		"fence", next.GetFence(), "assignments", len(next.GetAssignments()))
--- a/entry/internal/planner/planner_test.go
+++ b/entry/internal/planner/planner_test.go
@@ -19,7 +19,7 @@
 )
 
 // desk is one planner with what it sees; two desks may share a service.
-type desk struct {
+type fixture struct {
 	clock   *clockwork.FakeClock
 	service *kv.Store
 	view    *view.Holder
@@ -28,34 +28,34 @@
 	offered []*wire.Plan
 }
 
-func newDesk(clock *clockwork.FakeClock, service *kv.Store, fence uint64) *desk {
-	d := &desk{clock: clock, service: service, view: view.NewHolder(), fence: fence}
-	d.planner = New(Config{
-		View:    d.view,
+func newFixture(clock *clockwork.FakeClock, service *kv.Store, fence uint64) *fixture {
+	f := &fixture{clock: clock, service: service, view: view.NewHolder(), fence: fence}
+	f.planner = New(Config{
+		View:    f.view,
 		Service: service,
-		Holding: func() (uint64, bool) { return d.fence, d.fence != 0 },
-		Offer:   func(plan *wire.Plan) { d.offered = append(d.offered, plan) },
+		Holding: func() (uint64, bool) { return f.fence, f.fence != 0 },
+		Offer:   func(plan *wire.Plan) { f.offered = append(f.offered, plan) },
 		Clock:   clock,
 		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	return d
+	return f
 }
 
 // see shows the planner a document of the revision and the hosts known.
-func (d *desk) see(revision uint32, hosts ...string) {
+func (f *fixture) setView(revision uint32, hosts ...string) {
 	doc := document.Example()
 	doc.Models = []*wire.Model{{Name: "parcel", Version: "v1", Replicas: []*wire.Replicas{{FailureDomain: "a", Count: 2}}}}
 	snap := &view.Snapshot{Revision: revision, Document: doc}
 	for _, id := range hosts {
 		report := &wire.HostReport{Node: &wire.Node{Id: id, FailureDomain: "a"}, Endpoint: "engine"}
-		snap.Hosts = append(snap.Hosts, view.NewHost(report, d.clock.Now(), false, false))
+		snap.Hosts = append(snap.Hosts, view.NewHost(report, f.clock.Now(), false, false))
 	}
-	d.view.Store(snap)
+	f.view.Store(snap)
 }
 
-func (d *desk) step(t *testing.T) {
+func (f *fixture) step(t *testing.T) {
 	t.Helper()
-	if err := d.planner.Step(context.Background()); err != nil {
+	if err := f.planner.Step(context.Background()); err != nil {
 		t.Fatalf("got %v, want a step without error", err)
 	}
 }
@@ -83,16 +83,16 @@
 
 func TestPlanIsWrittenOnceAndOffered(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := newDesk(clock, kv.NewMemory(clock), 5)
-	d.see(3, "a1", "a2", "a3")
+	f := newFixture(clock, kv.NewMemory(clock), 5)
+	f.setView(3, "a1", "a2", "a3")
 	for range 3 {
-		d.step(t)
+		f.step(t)
 	}
-	plan := storedPlan(t, d.service)
+	plan := storedPlan(t, f.service)
 	if plan.GetPlanRevision() != 1 || plan.GetRevision() != 3 || plan.GetFence() != 5 || len(plan.GetAssignments()) != 2 {
 		t.Errorf("got plan %v, want revision 1 of document 3 under fence 5 with 2 hosts", plan)
 	}
-	if got := len(d.offered); got != 1 {
+	if got := len(f.offered); got != 1 {
 		t.Errorf("got %d plans offered, want 1", got)
 	}
 }
@@ -101,16 +101,16 @@
 // one that loses it between computing and writing must not write.
 func TestNotInChargeWritesNothing(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := newDesk(clock, kv.NewMemory(clock), 0)
-	d.see(1, "a1", "a2")
-	d.step(t)
-	looks := 0
-	d.planner.cfg.Holding = func() (uint64, bool) {
-		looks++
-		return 5, looks == 1
-	}
-	d.step(t)
-	if _, found, _ := d.service.Get(context.Background(), PlanKey); found {
+	f := newFixture(clock, kv.NewMemory(clock), 0)
+	f.setView(1, "a1", "a2")
+	f.step(t)
+	calls := 0
+	f.planner.cfg.Holding = func() (uint64, bool) {
+		calls++
+		return 5, calls == 1
+	}
+	f.step(t)
+	if _, found, _ := f.service.Get(context.Background(), PlanKey); found {
 		t.Errorf("got a plan written by a process that was not in charge, want none")
 	}
 }
@@ -118,18 +118,18 @@
 // TestPausedHolderDoesNoHarm: a holder is paused past its lease, another plans,
 // the first wakes and still believes. Its swap must fail and it must see the
 // higher fence.
-func TestPausedHolderDoesNoHarm(t *testing.T) {
+func TestPausedHolderCannotOverwritePlan(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := kv.NewMemory(clock)
-	first, second := newDesk(clock, service, 5), newDesk(clock, service, 9)
-	first.see(1, "a1", "a2")
+	first, second := newFixture(clock, service, 5), newFixture(clock, service, 9)
+	first.setView(1, "a1", "a2")
 	first.step(t)
-	second.see(2, "a2", "a3", "a4")
+	second.setView(2, "a2", "a3", "a4")
 	second.step(t)
 	clock.Advance(time.Minute)
 	second.step(t)
 	written := storedPlan(t, service)
-	first.see(1, "a1", "a3")
+	first.setView(1, "a1", "a3")
 	clock.Advance(time.Minute)
 	_ = first.planner.Step(context.Background())
 	clock.Advance(time.Minute)
@@ -146,13 +146,13 @@
 
 // TestNewHolderKnowsFewHosts: a planner that just started has not learned of the
 // hosts in the stored plan. It must not take them for gone.
-func TestNewHolderKnowsFewHosts(t *testing.T) {
+func TestNewHolderKeepsUnseenHosts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := kv.NewMemory(clock)
-	first, second := newDesk(clock, service, 5), newDesk(clock, service, 9)
-	first.see(1, "a1", "a2")
+	first, second := newFixture(clock, service, 5), newFixture(clock, service, 9)
+	first.setView(1, "a1", "a2")
 	first.step(t)
-	second.see(1, "a7", "a8")
+	second.setView(1, "a7", "a8")
 	second.step(t)
 	clock.Advance(20 * time.Second)
 	second.step(t)
@@ -168,30 +168,30 @@
 
 // TestLostReplyOfAPlan: the swap took effect and its reply was lost. The next
 // step reads the stored plan and goes on from it.
-func TestLostReplyOfAPlan(t *testing.T) {
+func TestLostSwapReply(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := kv.NewMemory(clock)
-	plain, lose := service.Swap, true
+	swap, loseReply := service.Swap, true
 	service.Swap = func(ctx context.Context, key string, value []byte, at uint64, lease string) (uint64, error) {
-		revision, err := plain(ctx, key, value, at, lease)
-		if lose && err == nil {
-			lose = false
+		revision, err := swap(ctx, key, value, at, lease)
+		if loseReply && err == nil {
+			loseReply = false
 			return 0, failure.New(failure.Ambiguous, "the reply was lost", "read again")
 		}
 		return revision, err
 	}
-	d := newDesk(clock, service, 5)
-	d.see(1, "a1", "a2")
-	if err := d.planner.Step(context.Background()); failure.KindOf(err) != failure.Ambiguous {
+	f := newFixture(clock, service, 5)
+	f.setView(1, "a1", "a2")
+	if err := f.planner.Step(context.Background()); failure.KindOf(err) != failure.Ambiguous {
 		t.Fatalf("got %v, want kind ambiguous", err)
 	}
-	d.step(t)
+	f.step(t)
 	if got := storedPlan(t, service).GetPlanRevision(); got != 1 {
 		t.Errorf("got plan revision %d, want the one that was written", got)
 	}
-	d.see(2, "a1", "a2")
-	d.step(t)
-	if got := fmt.Sprint(d.planner.stored.GetPlanRevision()); got != "1" {
+	f.setView(2, "a1", "a2")
+	f.step(t)
+	if got := fmt.Sprint(f.planner.stored.GetPlanRevision()); got != "1" {
 		t.Errorf("got plan revision %s, want 1: nothing changed", got)
 	}
 }
@@ -199,25 +199,25 @@
 // TestServiceLosesThePlan: the service was restored without the newest plan.
 // The next one must have a higher revision than the one in force, or processes
 // would take it for old.
-func TestServiceLosesThePlan(t *testing.T) {
+func TestPlanRevisionGrowsAfterServiceLosesPlan(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := newDesk(clock, kv.NewMemory(clock), 5)
-	d.see(1, "a1", "a2")
-	before, _ := d.view.Load()
+	f := newFixture(clock, kv.NewMemory(clock), 5)
+	f.setView(1, "a1", "a2")
+	before, _ := f.view.Load()
 	next := *before
 	next.PlanRevision, next.Plan = 8, &wire.Plan{PlanRevision: 8, Fence: 4}
-	d.view.Store(&next)
-	d.step(t)
-	if got := storedPlan(t, d.service).GetPlanRevision(); got != 9 {
+	f.view.Store(&next)
+	f.step(t)
+	if got := storedPlan(t, f.service).GetPlanRevision(); got != 9 {
 		t.Errorf("got plan revision %d, want 9", got)
 	}
 }
 
-func TestServicesHostsAreLeftOut(t *testing.T) {
+func TestServiceHostsGetNoAssignments(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := newDesk(clock, kv.NewMemory(clock), 5)
-	d.see(1, "a1")
-	before, _ := d.view.Load()
+	f := newFixture(clock, kv.NewMemory(clock), 5)
+	f.setView(1, "a1")
+	before, _ := f.view.Load()
 	next := *before
 	for _, report := range []*wire.HostReport{
 		{Node: &wire.Node{Id: "s1", FailureDomain: "a"}, Service: "notices"},
@@ -225,9 +225,9 @@
 	} {
 		next.Hosts = append(next.Hosts, view.NewHost(report, clock.Now(), false, false))
 	}
-	d.view.Store(&next)
-	d.step(t)
-	if got, want := hostsOf(storedPlan(t, d.service)), "a1 "; got != want {
+	f.view.Store(&next)
+	f.step(t)
+	if got, want := hostsOf(storedPlan(t, f.service)), "a1 "; got != want {
 		t.Errorf("got hosts %q, want %q", got, want)
 	}
 }
