--- a/entry/internal/planner/planner.go
+++ b/entry/internal/planner/planner.go
@@ -1,5 +1,5 @@
-// Package planner computes the plan while this process holds the planner's
-// lease, and swaps it into the key-value service.
+// Package planner computes the plan while this process holds the planner lease and
+// stores it in the key-value service by compare-and-swap.
 package planner
 
 import (
@@ -18,48 +18,50 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// PlanKey is the plan's key in the service.
+// PlanKey is the key of the plan in the service.
 const PlanKey = "plan"
 
 const (
-	// planGap is the least time between two plans: a burst of changes makes one
-	// plan and one write.
+	// minPlanInterval is the minimum time between two plans, so that a burst of
+	// changes causes one plan and one write.
 	minPlanInterval = 200 * time.Millisecond
-	// planInterval is the most time between two looks: hosts' absences grow
-	// without an event.
+	// maxPlanInterval is how long to wait for a change before planning anyway,
+	// because a host that stays absent produces no event.
 	maxPlanInterval = time.Second
-	// failurePause follows a failed write.
+	// retryDelay is the pause after a failed step.
 	retryDelay = time.Second
-	// callTimeout bounds one call to the service.
+	// callTimeout limits one Step with all its calls to the service.
 	callTimeout = 3 * time.Second
 )
 
 var counters = expvar.NewMap("planner")
 
-// Config is what a Planner needs.
+// Config holds the dependencies and limits of a Planner.
 type Config struct {
 	View    *view.Holder
 	Service *kv.Store
-	// Holding returns the fencing number while this process is in charge.
+	// Holding returns the fencing number while this process holds the planner lease.
 	Holding func() (fence uint64, ok bool)
-	// Offer brings a plan into force here, without waiting for a watch.
+	// Offer puts a plan in force in this process without waiting for a watch.
 	Offer func(plan *wire.Plan)
 	Clock clockwork.Clock
 	Log   *slog.Logger
-	// Limits of placement; zero stands for the default.
+	// Limits of the placement; the zero value selects the defaults.
 	Limits placement.Limits
 }
 
-// Planner is one process's planner, in charge or not. It is not safe for
-// concurrent use.
+// Planner computes and stores plans. It is idle while this process does not hold
+// the planner lease. It is not safe for concurrent use.
 type Planner struct {
 	cfg Config
-	// fence is that of the lease under which stored was read; 0: not read.
+	// fence is the fencing number under which stored was read, or 0 if it must be
+	// read again.
 	fence uint64
-	// stored is the plan in the service, as far as known, and its revision there.
+	// stored is the last known plan in the service, and storedRevision its revision
+	// there.
 	stored         *wire.Plan
 	storedRevision uint64
-	// observer remembers since when hosts are out of use.
+	// observer tracks since when hosts have been out of use.
 	observer *placement.Observer
 }
 
@@ -71,7 +73,7 @@
 	return &Planner{cfg: cfg, observer: placement.NewObserver()}
 }
 
-// Run plans until ctx ends.
+// Run plans on every change and at least periodically until ctx ends.
 func (p *Planner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, changed := p.cfg.View.Load()
@@ -86,6 +88,7 @@
 	}
 }
 
+// sleep waits for the duration, or until early is closed or ctx ends.
 func (p *Planner) sleep(ctx context.Context, wait time.Duration, early <-chan struct{}) {
 	timer := p.cfg.Clock.NewTimer(wait)
 	defer timer.Stop()
@@ -96,8 +99,8 @@
 	}
 }
 
-// Step computes the plan once and writes it where it changed. It does nothing
-// where this process is not in charge.
+// Step computes the plan once and writes it if it changed. It does nothing while
+// this process does not hold the lease.
 func (p *Planner) Step(ctx context.Context) error {
 	fence, ok := p.cfg.Holding()
 	if !ok {
@@ -116,7 +119,7 @@
 		return nil
 	}
 	if p.stored.GetRevision() > snap.Revision {
-		return nil // An older holder knew a newer document; this process soon will.
+		return nil // A previous lease holder planned for a newer document, which will reach this process soon.
 	}
 	next := placement.Next(placement.Input{
 		Document: snap.Document,
@@ -132,8 +135,9 @@
 	return p.write(ctx, next)
 }
 
-// takeCharge reads the stored plan anew: the former holder may have written
-// one that this process never saw.
+// loadStoredPlan reads the stored plan after this process has acquired the lease or
+// lost track of the plan: the previous holder may have written one that this process
+// never saw.
 func (p *Planner) loadStoredPlan(ctx context.Context, fence uint64) error {
 	entry, found, err := p.cfg.Service.Get(ctx, PlanKey)
 	if err != nil {
@@ -141,38 +145,38 @@
 	}
 	stored := &wire.Plan{}
 	if err := proto.Unmarshal(entry.Value(), stored); err != nil {
-		return failure.Wrap(err, failure.Corrupt, "the stored plan cannot be read", "delete the key plan; the planner writes it anew")
+		return failure.Wrap(err, failure.Corrupt, "the stored plan cannot be read", "delete the key plan; the planner then writes a new plan")
 	}
 	if stored.GetFence() > fence {
-		return failure.New(failure.Stale, "a holder with a higher fencing number has planned",
-			"nothing to do: this process is no longer in charge")
+		return failure.New(failure.Stale, "a lease holder with a higher fencing number has already written a plan",
+			"no action needed: this process no longer holds the planner lease")
 	}
 	if !found {
 		stored = nil
 	}
 	snap, _ := p.cfg.View.Load()
 	if known := snap.Plan; known.GetPlanRevision() > stored.GetPlanRevision() {
-		// The service lost the newest plan; going on from it keeps plan revisions
-		// growing in every process.
+		// The service lost the newest plan. Continuing from the known plan keeps
+		// plan revisions increasing in every process.
 		stored = known
 	}
 	p.fence, p.stored, p.storedRevision = fence, stored, entry.Revision()
 	p.observer = placement.NewObserver()
-	p.cfg.Log.Info("planner in charge", "fence", fence, "planRevision", stored.GetPlanRevision())
+	p.cfg.Log.Info("planner loaded stored plan", "fence", fence, "planRevision", stored.GetPlanRevision())
 	return nil
 }
 
-// write swaps the plan in. A lost reply or a conflict makes the next step read
-// the stored plan again, which settles it.
+// write stores the plan by compare-and-swap. After a conflict or a lost reply, the
+// next step reads the stored plan again and continues from it.
 //
 // Rule PLANCAS of spec/lease.pml.
 func (p *Planner) write(ctx context.Context, next *wire.Plan) error {
 	value, err := proto.Marshal(next)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "a plan cannot be encoded", "report this")
+		return failure.Wrap(err, failure.Internal, "cannot encode the plan", "report this")
 	}
 	if len(value) > kv.MaxValueBytes {
-		return failure.New(failure.Exhausted, "the plan is larger than the service's largest value", "spread the models over more deployments")
+		return failure.New(failure.Exhausted, "the plan exceeds the maximum value size of the key-value service", "spread the models over more deployments")
 	}
 	if _, ok := p.cfg.Holding(); !ok {
 		p.fence = 0
--- a/entry/internal/planner/planner_test.go
+++ b/entry/internal/planner/planner_test.go
@@ -18,13 +18,13 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// desk is one planner with what it sees; two desks may share a service.
+// fixture is a planner with its view and lease; two fixtures may share a service.
 type fixture struct {
 	clock   *clockwork.FakeClock
 	service *kv.Store
 	view    *view.Holder
 	planner *Planner
-	fence   uint64 // 0: not in charge
+	fence   uint64 // 0 while the lease is not held
 	offered []*wire.Plan
 }
 
@@ -41,7 +41,7 @@
 	return f
 }
 
-// see shows the planner a document of the revision and the hosts known.
+// setView sets the planner's view to a document with the revision and the hosts.
 func (f *fixture) setView(revision uint32, hosts ...string) {
 	doc := document.Example()
 	doc.Models = []*wire.Model{{Name: "parcel", Version: "v1", Replicas: []*wire.Replicas{{FailureDomain: "a", Count: 2}}}}
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestNotInChargeWritesNothing: a process without the lease must not plan, and
-// one that loses it between computing and writing must not write.
+// TestNotInChargeWritesNothing checks that a process without the lease does not plan,
+// and that one that loses the lease between computing and writing does not write.
 func TestNotInChargeWritesNothing(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	f := newFixture(clock, kv.NewMemory(clock), 0)
@@ -111,13 +111,13 @@
 	}
 	f.step(t)
 	if _, found, _ := f.service.Get(context.Background(), PlanKey); found {
-		t.Errorf("got a plan written by a process that was not in charge, want none")
+		t.Errorf("got a plan written by a process that does not hold the lease, want none")
 	}
 }
 
-// TestPausedHolderDoesNoHarm: a holder is paused past its lease, another plans,
-// the first wakes and still believes. Its swap must fail and it must see the
-// higher fence.
+// TestPausedHolderCannotOverwritePlan checks a holder that is paused past the expiry of
+// its lease, while another one plans, and that resumes without noticing the expiry.
+// Its swap must fail, and it must then see the higher fencing number.
 func TestPausedHolderCannotOverwritePlan(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := kv.NewMemory(clock)
@@ -137,15 +137,15 @@
 		t.Errorf("got %v, want kind conflict for a swap over a plan it never saw", err)
 	}
 	if got := storedPlan(t, service); !proto.Equal(got, written) {
-		t.Errorf("got plan %v after the paused holder woke, want %v", got, written)
+		t.Errorf("got plan %v after the paused holder resumed, want %v", got, written)
 	}
 	if err := first.planner.Step(context.Background()); failure.KindOf(err) != failure.Stale {
 		t.Errorf("got %v, want kind stale for the smaller fence", err)
 	}
 }
 
-// TestNewHolderKnowsFewHosts: a planner that just started has not learned of the
-// hosts in the stored plan. It must not take them for gone.
+// TestNewHolderKeepsUnseenHosts checks that a planner that has just started, and has
+// no reports of the hosts in the stored plan yet, does not treat them as lost at once.
 func TestNewHolderKeepsUnseenHosts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := kv.NewMemory(clock)
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestLostReplyOfAPlan: the swap took effect and its reply was lost. The next
-// step reads the stored plan and goes on from it.
+// TestLostSwapReply checks that after a swap that took effect but whose reply was
+// lost, the next step reads the stored plan and continues from it.
 func TestLostSwapReply(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := kv.NewMemory(clock)
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestServiceLosesThePlan: the service was restored without the newest plan.
-// The next one must have a higher revision than the one in force, or processes
-// would take it for old.
+// TestPlanRevisionGrowsAfterServiceLosesPlan checks that after the service was restored
+// without the newest plan, the next plan has a higher revision than the one in force.
+// Otherwise processes would ignore it as outdated.
 func TestPlanRevisionGrowsAfterServiceLosesPlan(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	f := newFixture(clock, kv.NewMemory(clock), 5)
