--- a/entry/internal/control/self.go
+++ b/entry/internal/control/self.go
@@ -10,7 +10,7 @@
 // Self creates this entry's reports on itself.
 type Self struct {
 	node *wire.Node
-	// inFlight and demand return the load of the callers' API; tests replace them.
+	// inFlight and demand return the load of the callers' API; tests pass stubs.
 	inFlight func() int
 	demand   func() []*wire.Demand
 	known    func() *wire.Known
--- a/entry/internal/control/session.go
+++ b/entry/internal/control/session.go
@@ -16,7 +16,8 @@
 	// minRefreshEntry and minRefreshAgent are the minimum ages at which an
 	// unchanged host report is sent again to an entry and to an agent. With many
 	// hosts, the age is the per-host time multiplied by the number of hosts. Two
-	// refreshes fit into the silence that membership allows for a remote host.
+	// refreshes fit into the silence that membership allows for a host that
+	// reports to another entry.
 	minRefreshEntry     = 10 * time.Second
 	minRefreshAgent     = 30 * time.Second
 	refreshEntryPerHost = 100 * time.Millisecond
