--- a/entry/internal/planner/planner_test.go
+++ b/entry/internal/planner/planner_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestNotInChargeWritesNothing checks that a process without the lease does not plan,
+// TestWithoutLeaseWritesNothing checks that a process without the lease does not plan,
 // and that one that loses the lease between computing and writing does not write.
-func TestNotInChargeWritesNothing(t *testing.T) {
+func TestWithoutLeaseWritesNothing(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	f := newFixture(clock, kv.NewMemory(clock), 0)
 	f.setView(1, "a1", "a2")
