--- a/entry/internal/control/bytes_test.go
+++ b/entry/internal/control/bytes_test.go
@@ -16,17 +16,17 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// tally counts the bytes of messages by kind and field, as their ends see them:
-// a message between two entries counts twice, one with an agent once.
-type tally struct {
+// byteCounter counts the bytes of messages by kind and field, once for each end that
+// is an entry: twice between two entries, once between an entry and an agent.
+type byteCounter struct {
 	mu    sync.Mutex
 	bytes map[string]int // by "kind field"
 }
 
-func newTally() *tally { return &tally{bytes: map[string]int{}} }
+func newByteCounter() *byteCounter { return &byteCounter{bytes: map[string]int{}} }
 
-// add counts a message; a nil tally counts nothing.
-func (b *tally) add(kind string, ends int, msg proto.Message) {
+// add counts a message; a nil byteCounter counts nothing.
+func (b *byteCounter) add(kind string, ends int, msg proto.Message) {
 	if b == nil {
 		return
 	}
@@ -36,7 +36,7 @@
 	fields.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		name := kind + " " + string(field.Name())
 		if name := string(field.Name()); name == "hosts" && field.IsList() {
-			b.addReports(kind, ends, value.List())
+			b.addHostReports(kind, ends, value.List())
 			return true
 		}
 		b.bytes[name] += ends * fieldSize(fields, field, value)
@@ -44,8 +44,8 @@
 	})
 }
 
-// addReports counts the fields of host reports.
-func (b *tally) addReports(kind string, ends int, reports protoreflect.List) {
+// addHostReports counts the fields of host reports separately.
+func (b *byteCounter) addHostReports(kind string, ends int, reports protoreflect.List) {
 	for i := range reports.Len() {
 		report := reports.Get(i).Message()
 		report.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -56,15 +56,15 @@
 	}
 }
 
-// fieldSize returns the encoded size of one field alone.
+// fieldSize returns the encoded size of a single field.
 func fieldSize(of protoreflect.Message, field protoreflect.FieldDescriptor, value protoreflect.Value) int {
 	alone := of.New()
 	alone.Set(field, value)
 	return proto.Size(alone.Interface())
 }
 
-// sum returns the bytes of the kinds that begin with the prefix.
-func (b *tally) sum(prefix string) int {
+// sum returns the total bytes of the names with the prefix.
+func (b *byteCounter) sum(prefix string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	total := 0
@@ -76,8 +76,8 @@
 	return total
 }
 
-// table lists what takes most, in bytes a second for each of the entries.
-func (b *tally) table(seconds, entries int) string {
+// table lists the 24 largest fields, in bytes per second and entry.
+func (b *byteCounter) table(seconds, entries int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	names := slices.SortedFunc(maps.Keys(b.bytes), func(a, c string) int { return cmp.Compare(b.bytes[c], b.bytes[a]) })
@@ -88,9 +88,9 @@
 	return lines.String()
 }
 
-// workingReport is a report as a host that serves makes it: its load moves with
-// each report, its prompt prefixes and counters do too.
-func workingReport(node *wire.Node, sequence uint64) *wire.HostReport {
+// busyReport returns the report of a host that serves requests: its load, prompt
+// prefixes and counters change with each report.
+func busyReport(node *wire.Node, sequence uint64) *wire.HostReport {
 	report := &wire.HostReport{
 		Node: node, Sequence: sequence, Endpoint: "engine", EngineRole: "both", Slots: 16,
 		Running: uint32(4 + sequence*5%7), Queued: uint32(sequence % 3), TokensPerSecond: 470 + float64(sequence%9)/7,
@@ -106,20 +106,21 @@
 	return report
 }
 
-// TestWorkingBytes: what an entry sends and receives in a second while all its
-// hosts work. A report that goes whole to everybody each time would show here.
-func TestWorkingBytes(t *testing.T) {
+// TestControlBytesWithBusyHosts limits the bytes per second that an entry sends and
+// receives while all hosts are busy. It fails if whole reports are sent to every
+// node each time.
+func TestControlBytesWithBusyHosts(t *testing.T) {
 	const seconds, entries, most = 60, 9, 23000
 	for _, agents := range []int{18, 200} {
 		for _, changes := range []bool{false, true} {
-			inFleet(t, 11, entries, agents, func(f *fleet) {
-				f.set(func(f *fleet) { f.working = true })
-				time.Sleep(2 * time.Minute) // each has learned of all by then
-				bytes := newTally()
+			runFleet(t, 11, entries, agents, func(f *fleet) {
+				f.set(func(f *fleet) { f.busy = true })
+				time.Sleep(2 * time.Minute) // by then every node knows all others
+				bytes := newByteCounter()
 				f.set(func(f *fleet) { f.bytes = bytes })
 				for i := range seconds {
 					if changes {
-						if _, err := f.submit(f.any(), i%10); err != nil {
+						if _, err := f.submit(f.randomEntry(), i%10); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -128,7 +129,7 @@
 				f.set(func(f *fleet) { f.bytes = nil })
 				perEntry := float64(bytes.sum("")) / seconds / entries
 				perAgent := float64(bytes.sum("agent")) / seconds / float64(agents)
-				// Between two entries each message counts at both ends: half in, half out.
+				// A message between two entries counts at both ends: half in, half out.
 				in := (float64(bytes.sum("entry"))/2 + float64(bytes.sum("agent request")+bytes.sum("agent parts request"))) / seconds / entries
 				t.Logf("%d agents, changes %t: %.0f B/s an entry both ways (%.0f in, %.0f out), %.0f B/s an agent both ways%s",
 					agents, changes, perEntry, in, perEntry-in, perAgent, bytes.table(seconds, entries))
--- a/entry/internal/control/exchange.go
+++ b/entry/internal/control/exchange.go
@@ -14,90 +14,93 @@
 )
 
 const (
-	// reportBytesPerSecond and reportBurst bound the host reports that this
-	// process sends to all other entries together.
+	// reportBytesPerSecond and reportBurst limit the host reports that this
+	// process sends to all other entries combined.
 	reportBytesPerSecond = 3 << 10
 	reportBurst          = 64 << 10
-	// entryBytes bounds the reports of third entries in one message.
-	entryBytes = 4 << 10
+	// maxEntryReportBytes limits the relayed reports of third entries in one message.
+	maxEntryReportBytes = 4 << 10
 )
 
-// Exchange composes and takes in the messages between this entry and others.
+// Exchange builds and applies the Sync messages between this entry and other nodes.
 type Exchange struct {
 	deployment *Deployment
 	self       *wire.Node
 	sessions   *sessions
-	// own returns this entry's report on itself.
-	own func() *wire.EntryReport
+	// ownReport returns this entry's newest report on itself.
+	ownReport func() *wire.EntryReport
 
-	mu        sync.Mutex
-	allowance *spread.Allowance
-	basis     *view.Snapshot // that the candidates were made from
-	hosts     []spread.Candidate
-	atHome    []spread.Candidate // those of hosts that report here
+	mu            sync.Mutex
+	allowance     *spread.Allowance
+	candidateView *view.Snapshot // view from which the candidates were built
+	hosts         []spread.Candidate
+	homeHosts     []spread.Candidate // subset of hosts that report to this entry
 }
 
-// NewExchange returns an Exchange; own returns this entry's newest report.
-func NewExchange(deployment *Deployment, own func() *wire.EntryReport) *Exchange {
+// NewExchange returns an Exchange; ownReport returns this entry's newest report.
+func NewExchange(deployment *Deployment, ownReport func() *wire.EntryReport) *Exchange {
 	return &Exchange{
 		deployment: deployment,
 		self:       deployment.self,
 		sessions:   newSessions(),
-		own:        own,
+		ownReport:  ownReport,
 		allowance:  spread.NewAllowance(reportBytesPerSecond, reportBurst, deployment.clock.Now()),
 	}
 }
 
-// candidates returns the reports that could be sent, from the current view: all
-// of them, and those to pass on to entries.
+// candidates returns the host reports of the current view that can be sent: all
+// of them, and those to send to entries. In a deployment small enough that every
+// entry calls all others, entries are sent only the hosts that report here.
 func (x *Exchange) candidates() (all, forEntries []spread.Candidate) {
 	snap, _ := x.deployment.view.Load()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.basis != snap {
-		x.prepare(snap)
+	if x.candidateView != snap {
+		x.rebuildCandidates(snap)
 	}
 	if spread.AllCallAll(len(snap.Entries)) {
-		return x.hosts, x.atHome
+		return x.hosts, x.homeHosts
 	}
 	return x.hosts, x.hosts
 }
 
-// prepare makes the candidates anew; the caller holds the lock.
-func (x *Exchange) prepare(snap *view.Snapshot) {
-	x.basis = snap
+// rebuildCandidates rebuilds the candidates from the view; the caller holds mu.
+func (x *Exchange) rebuildCandidates(snap *view.Snapshot) {
+	x.candidateView = snap
 	x.hosts = make([]spread.Candidate, 0, len(snap.Hosts))
-	x.atHome = nil
+	x.homeHosts = nil
 	for _, host := range snap.Hosts {
 		candidate := x.candidate(host)
 		x.hosts = append(x.hosts, candidate)
 		if candidate.Home {
-			x.atHome = append(x.atHome, candidate)
+			x.homeHosts = append(x.homeHosts, candidate)
 		}
 	}
 }
 
+// candidate returns the host's report with what spread needs to prioritize it.
 func (x *Exchange) candidate(host view.Host) spread.Candidate {
 	report := host.Report()
 	home := report.GetHome() == x.self.GetId()
 	if home && host.Lost() && !report.GetLost() {
-		// Only this entry knows that its host fell silent.
+		// The host reports to this entry, so no other entry can detect its silence.
 		report = spread.Copy(report)
 		report.Lost = true
 	}
 	return spread.Candidate{Report: report, SeenAt: host.SeenAt(), Home: home, Nearness: spread.Nearness(x.self, report.GetNode())}
 }
 
-// hostsForEntry returns the host reports that another entry should receive.
-func (x *Exchange) hostsForEntry(with *session, now time.Time) []*wire.HostReport {
+// hostsForEntry selects the host reports to send to another entry, within the
+// process-wide allowance.
+func (x *Exchange) hostsForEntry(sess *session, now time.Time) []*wire.HostReport {
 	all, candidates := x.candidates()
 	x.mu.Lock()
 	left := x.allowance.Left(now)
 	x.mu.Unlock()
-	with.mu.Lock()
-	with.hosts.SetRefresh(refreshFor(with.node, len(all)))
-	chosen := with.hosts.Select(candidates, now, left)
-	with.mu.Unlock()
+	sess.mu.Lock()
+	sess.hosts.SetRefresh(refreshFor(sess.node, len(all)))
+	chosen := sess.hosts.Select(candidates, now, left)
+	sess.mu.Unlock()
 	x.mu.Lock()
 	x.allowance.Spend(reportSize(chosen))
 	x.mu.Unlock()
@@ -112,70 +115,71 @@
 	return size
 }
 
-// hostsForAgent returns the host reports that an agent should receive.
-func (x *Exchange) hostsForAgent(with *session, now time.Time) []*wire.HostReport {
+// hostsForAgent selects the host reports to send to an agent, within the agent's
+// allowance.
+func (x *Exchange) hostsForAgent(sess *session, now time.Time) []*wire.HostReport {
 	all, _ := x.candidates()
-	peers := spread.WeightPeers(with.node, all)
+	peers := spread.WeightPeers(sess.node, all)
 	near := make([]spread.Candidate, len(peers))
 	for i, peer := range peers {
 		peer.Home = false
-		peer.Nearness = spread.Nearness(with.node, peer.Report.GetNode())
+		peer.Nearness = spread.Nearness(sess.node, peer.Report.GetNode())
 		near[i] = peer
 	}
-	with.mu.Lock()
-	defer with.mu.Unlock()
-	with.hosts.SetRefresh(refreshFor(with.node, len(near)))
-	chosen := with.hosts.Select(near, now, with.agentCap.Left(now))
-	with.agentCap.Spend(reportSize(chosen))
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	sess.hosts.SetRefresh(refreshFor(sess.node, len(near)))
+	chosen := sess.hosts.Select(near, now, sess.agentAllowance.Left(now))
+	sess.agentAllowance.Spend(reportSize(chosen))
 	return chosen
 }
 
-// entriesFor returns the entry reports that a node should receive.
-func (x *Exchange) entriesFor(with *session, now time.Time) []*wire.EntryReport {
+// entriesFor selects the entry reports to send to a node.
+func (x *Exchange) entriesFor(sess *session, now time.Time) []*wire.EntryReport {
 	snap, _ := x.deployment.view.Load()
-	with.mu.Lock()
-	defer with.mu.Unlock()
-	with.entries.SetRelay(relayFor(with.node, len(snap.Entries)))
-	if isAgent(with.node) {
-		return with.entries.SelectRare(x.own(), snap.Entries, with.node.GetId(), now, entryBytes)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	sess.entries.SetRelay(relayFor(sess.node, len(snap.Entries)))
+	if isAgent(sess.node) {
+		return sess.entries.SelectRare(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 	}
-	return with.entries.Select(x.own(), snap.Entries, with.node.GetId(), now, entryBytes)
+	return sess.entries.Select(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 }
 
-// hearHosts takes in reports that another entry passed on.
-func (x *Exchange) observeHosts(with *session, reports []*wire.HostReport) {
+// observeHosts applies host reports relayed by another entry.
+func (x *Exchange) observeHosts(sess *session, reports []*wire.HostReport) {
 	now := x.deployment.clock.Now()
-	news, hurry := false, false
+	changed, urgent := false, false
 	for _, report := range reports {
-		report, whole := x.completed(with, report)
-		if !whole {
+		report, ok := x.completeReport(sess, report)
+		if !ok {
 			continue
 		}
-		with.mu.Lock()
-		with.hosts.Received(report, now)
-		with.mu.Unlock()
-		if x.deployment.hosts.ObserveHost(report, now) {
-			news = true
-			hurry = hurry || x.leaves(report)
+		sess.mu.Lock()
+		sess.hosts.Received(report, now)
+		sess.mu.Unlock()
+		if x.deployment.members.ObserveHost(report, now) {
+			changed = true
+			urgent = urgent || x.newlyLeaving(report)
 		}
 	}
-	x.stir(news, hurry)
+	x.requestViewUpdate(changed, urgent)
 }
 
-// completed returns a report made whole, or notes that the whole one must be
-// asked for.
-func (x *Exchange) completed(with *session, report *wire.HostReport) (*wire.HostReport, bool) {
-	whole, ok := x.deployment.hosts.Complete(report)
+// completeReport merges a partial report with the stored one. If that is not
+// possible, it requests the whole report from the node and returns false.
+func (x *Exchange) completeReport(sess *session, report *wire.HostReport) (*wire.HostReport, bool) {
+	whole, ok := x.deployment.members.Complete(report)
 	if !ok {
 		counters.Add("wholeWanted", 1)
-		with.want(report.GetNode().GetId())
+		sess.requestWhole(report.GetNode().GetId())
 	}
 	return whole, ok
 }
 
-// leaves reports whether a report is of a host that leaves, and the view
-// does not know it yet.
-func (x *Exchange) leaves(report *wire.HostReport) bool {
+// newlyLeaving reports whether the report says that the host is leaving while the
+// view still shows it as staying.
+func (x *Exchange) newlyLeaving(report *wire.HostReport) bool {
 	if !report.GetLeaving() {
 		return false
 	}
@@ -184,32 +188,34 @@
 	return known && !host.Report().GetLeaving()
 }
 
-// hearEntries takes in reports of entries.
-func (x *Exchange) observeEntries(with *session, reports []*wire.EntryReport) {
+// observeEntries applies entry reports received from another entry.
+func (x *Exchange) observeEntries(sess *session, reports []*wire.EntryReport) {
 	now := x.deployment.clock.Now()
-	news, hurry := false, false
+	changed, urgent := false, false
 	for _, report := range reports {
 		id := report.GetNode().GetId()
 		if id == x.self.GetId() {
 			continue
 		}
-		report, whole := x.deployment.hosts.CompleteEntry(report)
-		if !whole {
-			with.want(id)
+		report, ok := x.deployment.members.CompleteEntry(report)
+		if !ok {
+			sess.requestWhole(id)
 			continue
 		}
-		with.mu.Lock()
-		with.entries.Received(report, now)
-		with.mu.Unlock()
-		if x.deployment.hosts.ObserveEntry(report, now) {
-			news = true
-			hurry = hurry || x.drains(report)
+		sess.mu.Lock()
+		sess.entries.Received(report, now)
+		sess.mu.Unlock()
+		if x.deployment.members.ObserveEntry(report, now) {
+			changed = true
+			urgent = urgent || x.newlyDraining(report)
 		}
 	}
-	x.stir(news, hurry)
+	x.requestViewUpdate(changed, urgent)
 }
 
-func (x *Exchange) drains(report *wire.EntryReport) bool {
+// newlyDraining reports whether the report says that the entry is draining while
+// the view does not show it yet.
+func (x *Exchange) newlyDraining(report *wire.EntryReport) bool {
 	if !report.GetDraining() {
 		return false
 	}
@@ -222,60 +228,61 @@
 	return false
 }
 
-// stir has the view built anew and, where a node leaves, that passed on once the
-// view shows it: messages are made from the view.
-func (x *Exchange) stir(news, hurry bool) {
-	if hurry {
-		x.deployment.hurry.Store(true)
+// requestViewUpdate requests a rebuild of the view if anything changed. If urgent,
+// other entries are notified once the view is built and not before, because
+// messages are built from the view.
+func (x *Exchange) requestViewUpdate(changed, urgent bool) {
+	if urgent {
+		x.deployment.urgentPending.Store(true)
 	}
-	if news {
-		x.deployment.touch()
+	if changed {
+		x.deployment.markDirty()
 	}
 }
 
-// request composes a call to another entry.
-func (x *Exchange) request(with *session, wait time.Duration) *wire.SyncRequest {
+// request builds a Sync request to another entry.
+func (x *Exchange) request(sess *session, wait time.Duration) *wire.SyncRequest {
 	now := x.deployment.clock.Now()
 	from := x.self
-	with.mu.Lock()
-	if with.knowsUs {
+	sess.mu.Lock()
+	if sess.knowsSelf {
 		from = membership.NameOnly(x.self)
 	}
-	with.mu.Unlock()
+	sess.mu.Unlock()
 	return &wire.SyncRequest{
 		From:       from,
 		Known:      x.deployment.Known(),
 		WaitMillis: uint32(wait.Milliseconds()),
 		KnownOnly:  wait > 0,
 		DeltaRoots: true,
-		Hosts:      x.hostsForEntry(with, now),
-		Entries:    x.entriesFor(with, now),
+		Hosts:      x.hostsForEntry(sess, now),
+		Entries:    x.entriesFor(sess, now),
 
-		WholeWanted: with.takeWanted(),
+		WholeWanted: sess.takeWanted(),
 	}
 }
 
-// reply composes the answer to a call.
-func (x *Exchange) reply(req *wire.SyncRequest, with *session) *wire.SyncReply {
+// reply builds the reply to a Sync request.
+func (x *Exchange) reply(req *wire.SyncRequest, sess *session) *wire.SyncReply {
 	now := x.deployment.clock.Now()
-	// What else there is to say of the sender stands in its own report.
+	// The rest of this entry's description is in its own report.
 	from := &wire.Node{Id: x.self.GetId()}
 	reply := &wire.SyncReply{
-		From: from, Known: x.deployment.Known(), Entries: x.entriesFor(with, now), WholeWanted: with.takeWanted(),
+		From: from, Known: x.deployment.Known(), Entries: x.entriesFor(sess, now), WholeWanted: sess.takeWanted(),
 	}
 	if !req.GetKnownOnly() {
-		reply.Root, reply.Plan, reply.Drains = x.deployment.lacking(req.GetKnown(), req.GetDeltaRoots())
+		reply.Root, reply.Plan, reply.Drains = x.deployment.updatesFor(req.GetKnown(), req.GetDeltaRoots())
 	}
 	if isAgent(req.GetFrom()) {
 		reply.Plan = planFor(reply.Plan, req.GetFrom().GetFailureDomain())
-		reply.Hosts = x.hostsForAgent(with, now)
+		reply.Hosts = x.hostsForAgent(sess, now)
 		return reply
 	}
-	reply.Hosts = x.hostsForEntry(with, now)
+	reply.Hosts = x.hostsForEntry(sess, now)
 	return reply
 }
 
-// planFor returns the plan with one failure domain's assignments.
+// planFor returns the plan reduced to the assignments of one failure domain.
 func planFor(plan *wire.Plan, domain string) *wire.Plan {
 	if plan == nil {
 		return nil
@@ -289,24 +296,24 @@
 	return part
 }
 
-// takeReply brings in what another entry answered.
-func (x *Exchange) takeReply(ctx context.Context, with *session, reply *wire.SyncReply, fetch Fetch) {
+// applyReply applies the reply of another entry.
+func (x *Exchange) applyReply(ctx context.Context, sess *session, reply *wire.SyncReply, fetch Fetch) {
 	source := "entry " + reply.GetFrom().GetId()
-	with.observeWanted(reply.GetWholeWanted(), x.self.GetId())
+	sess.observeReplyWanted(reply.GetWholeWanted(), x.self.GetId())
 	x.deployment.OfferDrains(reply.GetDrains(), source)
 	if err := x.deployment.OfferRoot(ctx, reply.GetRoot(), source, fetch); err != nil {
-		x.deployment.log.Warn("document not assembled", "revision", reply.GetRoot().GetRevision(), "source", source, "error", err)
+		x.deployment.log.Warn("cannot assemble document", "revision", reply.GetRoot().GetRevision(), "source", source, "error", err)
 	}
 	x.deployment.OfferPlan(reply.GetPlan(), source)
 	x.deployment.ObserveKnown(reply.GetKnown())
-	x.observeHosts(with, reply.GetHosts())
-	x.observeEntries(with, reply.GetEntries())
+	x.observeHosts(sess, reply.GetHosts())
+	x.observeEntries(sess, reply.GetEntries())
 }
 
 func isAgent(node *wire.Node) bool { return node.GetRole() == "agent" }
 
-// kindOf names the other side of a call in the counters.
-func kindOf(node *wire.Node) string {
+// peerKind returns the counter label for the role of the other node.
+func peerKind(node *wire.Node) string {
 	if isAgent(node) {
 		return "agent"
 	}
