--- a/entry/internal/store/audit.go
+++ b/entry/internal/store/audit.go
@@ -22,28 +22,28 @@
 // Audit returns the records from the given revision on, oldest first, at most
 // limit of them.
 func (s *Store) Audit(ctx context.Context, from uint32, limit int) ([]*wire.Audit, error) {
-	held, err := s.readRoot(ctx)
+	current, err := s.readRoot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	from = max(1, from)
 	var records []*wire.Audit
-	for revision := from; revision < held.root.GetRevision() && len(records) < min(limit, maxAuditPage); revision++ {
+	for revision := from; revision < current.root.GetRevision() && len(records) < min(limit, maxAuditPage); revision++ {
 		root, err := s.RootOf(ctx, revision)
 		if err != nil {
 			return nil, err
 		}
 		records = append(records, root.GetAudit())
 	}
-	if len(records) < min(limit, maxAuditPage) && held.root.GetRevision() >= from {
-		records = append(records, held.root.GetAudit())
+	if len(records) < min(limit, maxAuditPage) && current.root.GetRevision() >= from {
+		records = append(records, current.root.GetAudit())
 	}
 	return records, nil
 }
 
 // record writes the root under its own key of the trail. The root key's next
 // swap would otherwise overwrite the only copy of its audit record.
-func (s *Store) record(ctx context.Context, root *wire.Root) error {
+func (s *Store) writeRecord(ctx context.Context, root *wire.Root) error {
 	value, err := proto.Marshal(root)
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "a root cannot be encoded", "report this")
@@ -67,7 +67,7 @@
 	if _, found, err := s.kv.Get(ctx, auditKey(root.GetRevision())); err != nil || found {
 		return err
 	}
-	return s.record(ctx, root)
+	return s.writeRecord(ctx, root)
 }
 
 // confirmRecord settles a write of the trail whose reply was lost.
@@ -86,16 +86,16 @@
 // Repair writes the record of the root in force where its submitter died
 // before it could.
 func (s *Store) Repair(ctx context.Context) error {
-	held, err := s.readRoot(ctx)
+	current, err := s.readRoot(ctx)
 	if err != nil {
 		return err
 	}
-	return s.ensureRecord(ctx, held.root)
+	return s.ensureRecord(ctx, current.root)
 }
 
 // bounded keeps the first changes of a long diff; the whole one can be computed
 // from the parts.
-func bounded(changes []*wire.Change) []*wire.Change {
+func truncateDiff(changes []*wire.Change) []*wire.Change {
 	size := 0
 	for i, change := range changes {
 		size += proto.Size(change) + changeOverhead
--- a/entry/internal/store/collect.go
+++ b/entry/internal/store/collect.go
@@ -22,8 +22,8 @@
 
 // garbage is an unreferenced part as it was first seen.
 type garbage struct {
-	revision uint64 // of the key in the service; a touched part has another
-	seen     time.Time
+	revision  uint64 // of the key in the service; a touched part has another
+	firstSeen time.Time
 }
 
 // Collector deletes parts that no kept revision names. One lease-holder runs
@@ -35,50 +35,50 @@
 // swap, starts anew and touches its parts, and a touched part survives, since
 // the delete names the revision of the part that was marked.
 type Collector struct {
-	store  *Store
-	marked map[string]garbage         // by hash
-	names  map[uint32]map[string]bool // hashes by kept revision
+	store      *Store
+	marked     map[string]garbage         // by hash
+	referenced map[uint32]map[string]bool // hashes by kept revision
 }
 
 // NewCollector returns a Collector that has marked nothing.
 func NewCollector(store *Store) *Collector {
-	return &Collector{store: store, marked: map[string]garbage{}, names: map[uint32]map[string]bool{}}
+	return &Collector{store: store, marked: map[string]garbage{}, referenced: map[uint32]map[string]bool{}}
 }
 
 // Pass marks new garbage, deletes what was marked long enough ago and returns
 // the number of parts deleted.
 func (c *Collector) Pass(ctx context.Context) (int, error) {
-	held, err := c.store.readRoot(ctx)
-	if err != nil || held.root == nil {
+	current, err := c.store.readRoot(ctx)
+	if err != nil || current.root == nil {
 		return 0, err
 	}
-	if err := c.readKept(ctx, held.root); err != nil {
+	if err := c.loadKeptRevisions(ctx, current.root); err != nil {
 		return 0, err
 	}
-	due, err := c.mark(ctx)
-	if err != nil || len(due) == 0 {
+	expired, err := c.mark(ctx)
+	if err != nil || len(expired) == 0 {
 		return 0, err
 	}
-	if err := c.renew(ctx, held); err != nil {
+	if err := c.touchRoot(ctx, current); err != nil {
 		return 0, err
 	}
-	return c.delete(ctx, due)
+	return c.delete(ctx, expired)
 }
 
 // readKept learns the parts of the kept revisions; a root never changes, so
 // each is read once.
-func (c *Collector) readKept(ctx context.Context, newest *wire.Root) error {
+func (c *Collector) loadKeptRevisions(ctx context.Context, newest *wire.Root) error {
 	oldest := uint32(1)
 	if newest.GetRevision() > KeptRevisions {
 		oldest = newest.GetRevision() - KeptRevisions + 1
 	}
-	for revision := range c.names {
+	for revision := range c.referenced {
 		if revision < oldest {
-			delete(c.names, revision)
+			delete(c.referenced, revision)
 		}
 	}
 	for revision := oldest; revision <= newest.GetRevision(); revision++ {
-		if c.names[revision] != nil {
+		if c.referenced[revision] != nil {
 			continue
 		}
 		root := newest
@@ -88,7 +88,7 @@
 				return err
 			}
 		}
-		c.names[revision] = hashesOf(root)
+		c.referenced[revision] = hashesOf(root)
 	}
 	return nil
 }
@@ -101,8 +101,8 @@
 	return hashes
 }
 
-func (c *Collector) named(hash string) bool {
-	for _, hashes := range c.names {
+func (c *Collector) isReferenced(hash string) bool {
+	for _, hashes := range c.referenced {
 		if hashes[hash] {
 			return true
 		}
@@ -113,50 +113,50 @@
 // mark lists all parts and returns those whose grace is over.
 func (c *Collector) mark(ctx context.Context) (map[string]garbage, error) {
 	now := c.store.clock.Now()
-	still, due := map[string]garbage{}, map[string]garbage{}
+	marked, expired := map[string]garbage{}, map[string]garbage{}
 	for shard := range listShards {
 		parts, err := c.store.kv.List(ctx, fmt.Sprintf("%s%x", PartsPrefix, shard))
 		if err != nil {
 			return nil, err
 		}
 		for _, part := range parts {
-			c.judge(part, now, still, due)
+			c.markPart(part, now, marked, expired)
 		}
 	}
-	c.marked = still
-	return due, nil
+	c.marked = marked
+	return expired, nil
 }
 
-func (c *Collector) judge(part kv.Entry, now time.Time, still, due map[string]garbage) {
+func (c *Collector) markPart(part kv.Entry, now time.Time, marked, expired map[string]garbage) {
 	hash := part.Key()[len(PartsPrefix):]
-	if c.named(hash) {
+	if c.isReferenced(hash) {
 		return
 	}
-	seen, known := c.marked[hash]
-	if !known || seen.revision != part.Revision() {
-		seen = garbage{revision: part.Revision(), seen: now}
+	candidate, known := c.marked[hash]
+	if !known || candidate.revision != part.Revision() {
+		candidate = garbage{revision: part.Revision(), firstSeen: now}
 	}
-	still[hash] = seen
-	if now.Sub(seen.seen) >= collectGrace {
-		due[hash] = seen
+	marked[hash] = candidate
+	if now.Sub(candidate.firstSeen) >= collectGrace {
+		expired[hash] = candidate
 	}
 }
 
 // renew writes the root key as it is: its revision in the service moves, and
 // the condition proves that the root is the one whose parts were spared.
-func (c *Collector) renew(ctx context.Context, held heldRoot) error {
-	value, err := proto.Marshal(held.root)
+func (c *Collector) touchRoot(ctx context.Context, current versionedRoot) error {
+	value, err := proto.Marshal(current.root)
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "a root cannot be encoded", "report this")
 	}
-	_, err = c.store.kv.Swap(ctx, RootKey, value, held.at, "")
+	_, err = c.store.kv.Swap(ctx, RootKey, value, current.kvRevision, "")
 	return err
 }
 
-func (c *Collector) delete(ctx context.Context, due map[string]garbage) (int, error) {
+func (c *Collector) delete(ctx context.Context, expired map[string]garbage) (int, error) {
 	deleted := 0
-	for hash, seen := range due {
-		err := c.store.kv.Delete(ctx, partKey(hash), seen.revision)
+	for hash, candidate := range expired {
+		err := c.store.kv.Delete(ctx, partKey(hash), candidate.revision)
 		if err == nil {
 			deleted++
 		} else if kind := failure.KindOf(err); kind != failure.Conflict && kind != failure.NotFound {
--- a/entry/internal/store/collect_loop.go
+++ b/entry/internal/store/collect_loop.go
@@ -10,21 +10,21 @@
 
 // Run repairs the trail and collects garbage while holding reports true, until
 // ctx ends.
-func (c *Collector) Run(ctx context.Context, holding func() bool) {
+func (c *Collector) Run(ctx context.Context, holdsLease func() bool) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.store.clock.After(collectInterval):
 		}
-		if !holding() {
+		if !holdsLease() {
 			continue
 		}
-		c.round(ctx)
+		c.runOnce(ctx)
 	}
 }
 
-func (c *Collector) round(ctx context.Context) {
+func (c *Collector) runOnce(ctx context.Context) {
 	if err := c.store.Repair(ctx); err != nil {
 		c.store.log.Warn("audit trail not repaired", "error", err)
 		return
--- a/entry/internal/store/faults_test.go
+++ b/entry/internal/store/faults_test.go
@@ -22,15 +22,15 @@
 // faultyService is a service whose next calls fail as set. Before is called
 // ahead of each write: another process acts there.
 type faultyService struct {
-	memory *kv.Memory
-	faults []fault
-	late   []func()
-	before func(key string)
-	down   bool
+	memory      *kv.Memory
+	faults      []fault
+	delayed     []func()
+	beforeWrite func(key string)
+	down        bool
 }
 
 func newFaultyService(clock clockwork.Clock) *faultyService {
-	return &faultyService{memory: kv.NewMemoryService(clock), before: func(string) {}}
+	return &faultyService{memory: kv.NewMemoryService(clock), beforeWrite: func(string) {}}
 }
 
 func (f *faultyService) store() *kv.Store {
@@ -63,31 +63,31 @@
 	return service
 }
 
-func (f *faultyService) write(key string, act func() error) error {
-	f.before(key)
+func (f *faultyService) write(key string, apply func() error) error {
+	f.beforeWrite(key)
 	if f.down {
 		return unavailable()
 	}
-	switch f.next(key) {
+	switch f.takeFault(key) {
 	case "lostReply":
-		_ = act()
+		_ = apply()
 		return ambiguous()
 	case "lostReplyThenDown":
-		_ = act()
+		_ = apply()
 		f.down = true
 		return ambiguous()
 	case "lostCall":
 		return ambiguous()
 	case "late":
-		f.late = append(f.late, func() { _ = act() })
+		f.delayed = append(f.delayed, func() { _ = apply() })
 		return ambiguous()
 	case "down":
 		return unavailable()
 	}
-	return act()
+	return apply()
 }
 
-func (f *faultyService) next(key string) string {
+func (f *faultyService) takeFault(key string) string {
 	for i, planned := range f.faults {
 		if strings.HasPrefix(key, planned.prefix) {
 			f.faults = append(f.faults[:i], f.faults[i+1:]...)
@@ -99,10 +99,10 @@
 
 // deliver lets the calls that were on their way take effect.
 func (f *faultyService) deliver() {
-	late := f.late
-	f.late = nil
-	for _, act := range late {
-		act()
+	delayed := f.delayed
+	f.delayed = nil
+	for _, apply := range delayed {
+		apply()
 	}
 }
 
--- a/entry/internal/store/simulation_test.go
+++ b/entry/internal/store/simulation_test.go
@@ -18,13 +18,13 @@
 )
 
 // steadyClock runs by itself, so that pauses between attempts end.
-type steadyClock struct {
+type autoAdvanceClock struct {
 	clockwork.Clock
 
 	fake *clockwork.FakeClock
 }
 
-func (c steadyClock) After(wait time.Duration) <-chan time.Time {
+func (c autoAdvanceClock) After(wait time.Duration) <-chan time.Time {
 	c.fake.Advance(wait)
 	done := make(chan time.Time, 1)
 	done <- c.fake.Now()
@@ -32,7 +32,7 @@
 }
 
 // world drives several entries and a collector against one faulty service.
-type world struct {
+type simulation struct {
 	t         *rapid.T
 	clock     *clockwork.FakeClock
 	service   *faultyService
@@ -41,177 +41,177 @@
 	// history holds every root that the service ever had, by revision.
 	history map[uint32]*wire.Root
 	// outcomes is the submitters' outcomes: accepted, refused or unknown.
-	outcomes map[string]string
-	nested   bool
-	count    int
+	outcomes     map[string]string
+	interleaving bool
+	count        int
 }
 
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC))
-	w := &world{t: t, clock: clock, service: newFaultyService(clock), history: map[uint32]*wire.Root{}, outcomes: map[string]string{}}
+	sim := &simulation{t: t, clock: clock, service: newFaultyService(clock), history: map[uint32]*wire.Root{}, outcomes: map[string]string{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range 3 {
-		entry := New(w.service.store(), NewParts(4<<10), steadyClock{clock, clock}, log)
-		entry.later = func(work func()) { work() }
-		w.entries = append(w.entries, entry)
+		entry := New(sim.service.store(), NewParts(4<<10), autoAdvanceClock{clock, clock}, log)
+		entry.runAsync = func(work func()) { work() }
+		sim.entries = append(sim.entries, entry)
 	}
-	w.collector = NewCollector(w.entries[2])
-	w.service.before = w.meanwhile
-	return w
+	sim.collector = NewCollector(sim.entries[2])
+	sim.service.beforeWrite = sim.interleave
+	return sim
 }
 
 // meanwhile is what other processes do just ahead of a write.
-func (w *world) meanwhile(string) {
-	w.observe()
-	if w.nested || rapid.IntRange(0, 9).Draw(w.t, "meanwhile") > 2 {
+func (sim *simulation) interleave(string) {
+	sim.observe()
+	if sim.interleaving || rapid.IntRange(0, 9).Draw(sim.t, "meanwhile") > 2 {
 		return
 	}
-	w.nested = true
-	defer func() { w.nested = false }()
-	switch rapid.IntRange(0, 2).Draw(w.t, "who") {
+	sim.interleaving = true
+	defer func() { sim.interleaving = false }()
+	switch rapid.IntRange(0, 2).Draw(sim.t, "who") {
 	case 0:
-		w.submit()
+		sim.submit()
 	case 1:
-		w.collect()
+		sim.collect()
 	default:
-		w.service.deliver()
+		sim.service.deliver()
 	}
-	w.observe()
+	sim.observe()
 }
 
 // observe notes the root that the service has.
-func (w *world) observe() {
-	entry, found := w.service.memory.Get(RootKey)
+func (sim *simulation) observe() {
+	entry, found := sim.service.memory.Get(RootKey)
 	if !found {
 		return
 	}
 	root, err := DecodeRoot(entry.Value())
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	held := w.history[root.GetRevision()]
-	if held != nil && held.GetSubmissionId() != root.GetSubmissionId() {
-		w.t.Fatalf("got two roots of revision %d: %s and %s", root.GetRevision(), held.GetSubmissionId(), root.GetSubmissionId())
+	previous := sim.history[root.GetRevision()]
+	if previous != nil && previous.GetSubmissionId() != root.GetSubmissionId() {
+		sim.t.Fatalf("got two roots of revision %d: %s and %s", root.GetRevision(), previous.GetSubmissionId(), root.GetSubmissionId())
 	}
-	w.history[root.GetRevision()] = root
-	w.checkParts(root)
+	sim.history[root.GetRevision()] = root
+	sim.checkParts(root)
 }
 
 // checkParts: whatever is in force must be there as a whole.
-func (w *world) checkParts(root *wire.Root) {
+func (sim *simulation) checkParts(root *wire.Root) {
 	for _, part := range root.GetParts() {
-		if _, found := w.service.memory.Get(partKey(part.GetHash())); !found {
-			w.t.Fatalf("got revision %d without its part %s", root.GetRevision(), part.GetName())
+		if _, found := sim.service.memory.Get(partKey(part.GetHash())); !found {
+			sim.t.Fatalf("got revision %d without its part %s", root.GetRevision(), part.GetName())
 		}
 	}
 }
 
-func (w *world) newest() uint32 {
+func (sim *simulation) newest() uint32 {
 	newest := uint32(0)
-	for revision := range w.history {
+	for revision := range sim.history {
 		newest = max(newest, revision)
 	}
 	return newest
 }
 
-func (w *world) submit() {
-	w.observe()
-	w.count++
-	id := fmt.Sprintf("s%d", w.count)
-	base := w.newest()
-	if base > 0 && rapid.IntRange(0, 3).Draw(w.t, "stale") == 0 {
+func (sim *simulation) submit() {
+	sim.observe()
+	sim.count++
+	id := fmt.Sprintf("s%d", sim.count)
+	base := sim.newest()
+	if base > 0 && rapid.IntRange(0, 3).Draw(sim.t, "stale") == 0 {
 		base--
 	}
 	sub := Submission{
-		Document: sample(rapid.IntRange(0, 5).Draw(w.t, "priority")), BaseRevision: base,
+		Document: sample(rapid.IntRange(0, 5).Draw(sim.t, "priority")), BaseRevision: base,
 		SubmissionID: id, Operator: "marta", Reason: "random",
 	}
-	store := w.entries[rapid.IntRange(0, 2).Draw(w.t, "entry")]
-	for range rapid.IntRange(1, 2).Draw(w.t, "tries") {
-		w.planFaults()
+	store := sim.entries[rapid.IntRange(0, 2).Draw(sim.t, "entry")]
+	for range rapid.IntRange(1, 2).Draw(sim.t, "tries") {
+		sim.planFaults()
 		_, err := store.Submit(context.Background(), sub)
-		w.record(id, err)
+		sim.recordOutcome(id, err)
 		if err == nil || failure.KindOf(err) != failure.Ambiguous {
 			break
 		}
 	}
-	w.service.faults, w.service.down = nil, false
+	sim.service.faults, sim.service.down = nil, false
 }
 
-func (w *world) record(id string, err error) {
+func (sim *simulation) recordOutcome(id string, err error) {
 	switch {
 	case err == nil:
-		w.outcomes[id] = "accepted"
+		sim.outcomes[id] = "accepted"
 	case failure.KindOf(err) == failure.Ambiguous:
-		w.outcomes[id] = "unknown"
-	case failure.KindOf(err) == failure.Unavailable && w.outcomes[id] == "unknown":
+		sim.outcomes[id] = "unknown"
+	case failure.KindOf(err) == failure.Unavailable && sim.outcomes[id] == "unknown":
 		// This call had no effect; of the earlier one it knows nothing.
 	default:
-		w.outcomes[id] = "refused"
+		sim.outcomes[id] = "refused"
 	}
 }
 
-func (w *world) planFaults() {
-	for range rapid.IntRange(0, 3).Draw(w.t, "faults") {
-		w.service.faults = append(w.service.faults, fault{
-			prefix: rapid.SampledFrom([]string{RootKey, RootKey, PartsPrefix, auditPrefix}).Draw(w.t, "key"),
-			kind:   rapid.SampledFrom([]string{"lostReply", "lostCall", "late", "down", "lostReplyThenDown"}).Draw(w.t, "kind"),
+func (sim *simulation) planFaults() {
+	for range rapid.IntRange(0, 3).Draw(sim.t, "faults") {
+		sim.service.faults = append(sim.service.faults, fault{
+			prefix: rapid.SampledFrom([]string{RootKey, RootKey, PartsPrefix, auditPrefix}).Draw(sim.t, "key"),
+			kind:   rapid.SampledFrom([]string{"lostReply", "lostCall", "late", "down", "lostReplyThenDown"}).Draw(sim.t, "kind"),
 		})
 	}
 }
 
-func (w *world) collect() {
-	w.clock.Advance(time.Duration(rapid.IntRange(1, 12).Draw(w.t, "minutes")) * time.Minute)
-	_, _ = w.collector.Pass(context.Background())
+func (sim *simulation) collect() {
+	sim.clock.Advance(time.Duration(rapid.IntRange(1, 12).Draw(sim.t, "minutes")) * time.Minute)
+	_, _ = sim.collector.Pass(context.Background())
 }
 
 // check holds the submitters' outcomes against what the service had.
-func (w *world) check() {
-	w.service.faults, w.service.down = nil, false
-	w.service.deliver()
-	w.observe()
+func (sim *simulation) checkOutcomes() {
+	sim.service.faults, sim.service.down = nil, false
+	sim.service.deliver()
+	sim.observe()
 	accepted := map[string]int{}
-	for _, root := range w.history {
+	for _, root := range sim.history {
 		accepted[root.GetSubmissionId()]++
 	}
-	for id, outcome := range w.outcomes {
+	for id, outcome := range sim.outcomes {
 		count := accepted[id]
 		if count > 1 {
-			w.t.Fatalf("got submission %s accepted %d times, want once", id, count)
+			sim.t.Fatalf("got submission %s accepted %d times, want once", id, count)
 		}
 		if outcome == "accepted" && count != 1 || outcome == "refused" && count != 0 {
-			w.t.Fatalf("got submission %s with outcome %q, accepted %d times", id, outcome, count)
+			sim.t.Fatalf("got submission %s with outcome %q, accepted %d times", id, outcome, count)
 		}
 	}
-	w.checkTrail()
+	sim.checkAuditTrail()
 }
 
 // checkTrail: every revision but the newest has its record under its own key.
-func (w *world) checkTrail() {
-	newest := w.newest()
+func (sim *simulation) checkAuditTrail() {
+	newest := sim.newest()
 	for revision := uint32(1); revision < newest; revision++ {
-		entry, found := w.service.memory.Get(auditKey(revision))
+		entry, found := sim.service.memory.Get(auditKey(revision))
 		if !found {
-			w.t.Fatalf("got no record of revision %d, with revision %d in force", revision, newest)
+			sim.t.Fatalf("got no record of revision %d, with revision %d in force", revision, newest)
 		}
 		root, err := DecodeRoot(entry.Value())
 		if err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
-		if held := w.history[revision]; held != nil && held.GetSubmissionId() != root.GetSubmissionId() {
-			w.t.Fatalf("got a record of %s for revision %d, want %s", root.GetSubmissionId(), revision, held.GetSubmissionId())
+		if previous := sim.history[revision]; previous != nil && previous.GetSubmissionId() != root.GetSubmissionId() {
+			sim.t.Fatalf("got a record of %s for revision %d, want %s", root.GetSubmissionId(), revision, previous.GetSubmissionId())
 		}
 	}
-	for _, entry := range w.records() {
+	for _, entry := range sim.records() {
 		root, err := DecodeRoot(entry.Value())
 		if err != nil || root.GetRevision() > newest {
-			w.t.Fatalf("got a record of revision %d beyond the newest %d", root.GetRevision(), newest)
+			sim.t.Fatalf("got a record of revision %d beyond the newest %d", root.GetRevision(), newest)
 		}
 	}
 }
 
-func (w *world) records() []kv.Entry {
-	found, _ := w.service.memory.List(strings.TrimSuffix(auditPrefix, "/"))
+func (sim *simulation) records() []kv.Entry {
+	found, _ := sim.service.memory.List(strings.TrimSuffix(auditPrefix, "/"))
 	return found
 }
 
@@ -221,14 +221,14 @@
 // that is not; two accepted on one base; a revision without record or part.
 func TestSubmissionsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			if rapid.IntRange(0, 4).Draw(t, "step") == 0 {
-				w.collect()
+				sim.collect()
 			} else {
-				w.submit()
+				sim.submit()
 			}
 		}
-		w.check()
+		sim.checkOutcomes()
 	})
 }
--- a/entry/internal/store/store.go
+++ b/entry/internal/store/store.go
@@ -46,36 +46,36 @@
 	clock clockwork.Clock
 	log   *slog.Logger
 	// later runs work that the submitter does not wait for; tests run it at once.
-	later func(work func())
+	runAsync func(work func())
 }
 
 // New returns a Store over the service.
 func New(service *kv.Store, parts *Parts, clock clockwork.Clock, log *slog.Logger) *Store {
-	return &Store{kv: service, parts: parts, clock: clock, log: log, later: func(work func()) { go work() }}
+	return &Store{kv: service, parts: parts, clock: clock, log: log, runAsync: func(work func()) { go work() }}
 }
 
 // Parts returns the cache.
 func (s *Store) Parts() *Parts { return s.parts }
 
 // heldRoot is a root as read, with its key's revision in the service.
-type heldRoot struct {
-	root *wire.Root // nil: there is none
-	at   uint64     // 0: the key does not exist
+type versionedRoot struct {
+	root       *wire.Root // nil: there is none
+	kvRevision uint64     // 0: the key does not exist
 }
 
 // Root reads the root from the service; nil where no document was accepted.
 func (s *Store) Root(ctx context.Context) (*wire.Root, error) {
-	held, err := s.readRoot(ctx)
-	return held.root, err
+	current, err := s.readRoot(ctx)
+	return current.root, err
 }
 
-func (s *Store) readRoot(ctx context.Context) (heldRoot, error) {
+func (s *Store) readRoot(ctx context.Context) (versionedRoot, error) {
 	entry, found, err := s.kv.Get(ctx, RootKey)
 	if err != nil || !found {
-		return heldRoot{}, err
+		return versionedRoot{}, err
 	}
 	root, err := DecodeRoot(entry.Value())
-	return heldRoot{root: root, at: entry.Revision()}, err
+	return versionedRoot{root: root, kvRevision: entry.Revision()}, err
 }
 
 // DecodeRoot reads the value of the root key, or of a key of the trail.
@@ -93,7 +93,7 @@
 func (s *Store) Fetch(ctx context.Context, hashes []string) ([][]byte, error) {
 	contents := make([][]byte, len(hashes))
 	for i, hash := range hashes {
-		content, err := s.part(ctx, hash)
+		content, err := s.fetchPart(ctx, hash)
 		if err != nil {
 			return nil, err
 		}
@@ -102,7 +102,7 @@
 	return contents, nil
 }
 
-func (s *Store) part(ctx context.Context, hash string) ([]byte, error) {
+func (s *Store) fetchPart(ctx context.Context, hash string) ([]byte, error) {
 	if content := s.parts.Get(hash); content != nil {
 		return content, nil
 	}
@@ -128,7 +128,7 @@
 	}
 	contents := map[string][]byte{}
 	for _, hash := range document.Missing(root, func(string) bool { return false }) {
-		content, err := s.part(ctx, hash)
+		content, err := s.fetchPart(ctx, hash)
 		if err != nil {
 			return nil, err
 		}
@@ -159,13 +159,13 @@
 	if found {
 		return DecodeRoot(entry.Value())
 	}
-	held, err := s.readRoot(ctx)
+	current, err := s.readRoot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if held.root.GetRevision() != revision || revision == 0 {
+	if current.root.GetRevision() != revision || revision == 0 {
 		return nil, failure.New(failure.NotFound, fmt.Sprintf("there is no revision %d", revision),
 			"list the revisions with the audit call")
 	}
-	return held.root, nil
+	return current.root, nil
 }
--- a/entry/internal/store/store_test.go
+++ b/entry/internal/store/store_test.go
@@ -20,24 +20,24 @@
 )
 
 // scene is a service and the entries that write to it.
-type scene struct {
-	t       *testing.T
-	clock   *clockwork.FakeClock
-	service *faultyService
-	entries map[string]*Store
-	sweeper *Collector
+type scriptEnv struct {
+	t         *testing.T
+	clock     *clockwork.FakeClock
+	service   *faultyService
+	entries   map[string]*Store
+	collector *Collector
 }
 
-func newScene(t *testing.T) *scene {
+func newScriptEnv(t *testing.T) *scriptEnv {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC))
-	return &scene{t: t, clock: clock, service: newFaultyService(clock), entries: map[string]*Store{}}
+	return &scriptEnv{t: t, clock: clock, service: newFaultyService(clock), entries: map[string]*Store{}}
 }
 
 // entry returns the named entry's store.
-func (s *scene) entry(name string) *Store {
+func (s *scriptEnv) entry(name string) *Store {
 	if s.entries[name] == nil {
 		s.entries[name] = New(s.service.store(), NewParts(1<<20), s.clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		s.entries[name].later = func(work func()) { work() }
+		s.entries[name].runAsync = func(work func()) { work() }
 	}
 	return s.entries[name]
 }
@@ -52,14 +52,14 @@
 // TestScripts replays testdata: each script opens with its story.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		sc := newScene(t)
+		env := newScriptEnv(t)
 		datadriven.RunTest(t, path, func(t *testing.T, cmd *datadriven.TestData) string {
-			return sc.run(t, cmd)
+			return env.run(t, cmd)
 		})
 	})
 }
 
-func (s *scene) run(t *testing.T, cmd *datadriven.TestData) string {
+func (s *scriptEnv) run(t *testing.T, cmd *datadriven.TestData) string {
 	switch cmd.Cmd {
 	case "submit":
 		return s.submit(t, cmd)
@@ -68,7 +68,7 @@
 		cmd.ScanArgs(t, "to", &to)
 		cmd.ScanArgs(t, "base", &base)
 		root, err := s.entry("a").Rollback(s.context(), uint32(to), Submission{BaseRevision: uint32(base), SubmissionID: "rollback", Operator: "marta"})
-		return s.describe(root, err)
+		return s.formatResult(root, err)
 	case "fault":
 		var planned fault
 		cmd.ScanArgs(t, "key", &planned.prefix)
@@ -100,9 +100,9 @@
 	return ""
 }
 
-func (s *scene) context() context.Context { return s.t.Context() }
+func (s *scriptEnv) context() context.Context { return s.t.Context() }
 
-func (s *scene) submit(t *testing.T, cmd *datadriven.TestData) string {
+func (s *scriptEnv) submit(t *testing.T, cmd *datadriven.TestData) string {
 	var base, priority int
 	id, name := "", "a"
 	cmd.ScanArgs(t, "base", &base)
@@ -112,18 +112,18 @@
 	ctx, cancel := context.WithCancel(s.context())
 	defer cancel()
 	ended := make(chan struct{})
-	go s.drive(ctx, ended, cancel)
+	go s.advanceRetries(ctx, ended, cancel)
 	root, err := s.entry(name).Submit(ctx, Submission{
 		Document: sample(priority), BaseRevision: uint32(base), SubmissionID: id,
 		Operator: "marta", FromAddress: "10.0.0.7", Reason: "because",
 	})
 	close(ended)
-	return s.describe(root, err)
+	return s.formatResult(root, err)
 }
 
 // drive lets the pauses between attempts pass, and gives up after a while as a
 // request's deadline would.
-func (s *scene) drive(ctx context.Context, ended chan struct{}, cancel func()) {
+func (s *scriptEnv) advanceRetries(ctx context.Context, ended chan struct{}, cancel func()) {
 	for range 6 {
 		if s.clock.BlockUntilContext(ctx, 1) != nil {
 			return
@@ -133,12 +133,12 @@
 			return
 		default:
 		}
-		s.clock.Advance(retryPause)
+		s.clock.Advance(retryDelay)
 	}
 	cancel()
 }
 
-func (s *scene) describe(root *wire.Root, err error) string {
+func (s *scriptEnv) formatResult(root *wire.Root, err error) string {
 	if err == nil {
 		return fmt.Sprintf("accepted as revision %d\n", root.GetRevision())
 	}
@@ -158,7 +158,7 @@
 	return out.String()
 }
 
-func (s *scene) audit() string {
+func (s *scriptEnv) audit() string {
 	trail, err := s.entry("a").Audit(s.context(), 1, 50)
 	if err != nil {
 		return fmt.Sprintf("%s: %v\n", failure.KindOf(err), err)
@@ -171,7 +171,7 @@
 	return out.String()
 }
 
-func (s *scene) keys() string {
+func (s *scriptEnv) keys() string {
 	found, _ := s.service.memory.List("document/")
 	parts := 0
 	var out strings.Builder
@@ -186,11 +186,11 @@
 	return out.String()
 }
 
-func (s *scene) collect() string {
-	if s.sweeper == nil {
-		s.sweeper = NewCollector(s.entry("sweeper"))
+func (s *scriptEnv) collect() string {
+	if s.collector == nil {
+		s.collector = NewCollector(s.entry("sweeper"))
 	}
-	deleted, err := s.sweeper.Pass(s.context())
+	deleted, err := s.collector.Pass(s.context())
 	if err != nil {
 		return fmt.Sprintf("%s\n", failure.KindOf(err))
 	}
@@ -224,7 +224,7 @@
 	for i := range 2000 {
 		changes = append(changes, &wire.Change{Path: fmt.Sprintf("/customers/c%d", i), After: "1"})
 	}
-	audit := &wire.Audit{Diff: bounded(changes)}
+	audit := &wire.Audit{Diff: truncateDiff(changes)}
 	if got := proto.Size(audit); got > maxDiffBytes+200 {
 		t.Errorf("got a record of %d bytes, want at most %d", got, maxDiffBytes+200)
 	}
--- a/entry/internal/store/submit.go
+++ b/entry/internal/store/submit.go
@@ -19,11 +19,11 @@
 	// key moved without a new revision, or a reply was lost.
 	maxAttempts = 8
 	// maxSettleLookback bounds the records read in search of a submission id.
-	maxSettleLookback = 64
+	maxAuditLookback = 64
 	// recordTimeout bounds the write of a record behind the submitter's back.
 	recordTimeout = 10 * time.Second
 	// retryPause lets a service recover that just lost a reply.
-	retryPause = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 )
 
 // Submission is one operator's wish to replace the document.
@@ -61,13 +61,13 @@
 func (e *ConflictError) Unwrap() error { return e.problem }
 
 // attempt is one submission under way.
-type attempt struct {
+type pendingSubmission struct {
 	Submission
 
 	pieces []document.PartBytes
 	// maybe: a swap's reply was lost and the swap may still take effect. From
 	// then on only the service can say whether the submission was accepted.
-	maybe bool
+	outcomeUnknown bool
 }
 
 // Submit makes the document the next revision and returns its root. It returns
@@ -77,45 +77,45 @@
 	if sub.SubmissionID == "" {
 		return nil, failure.New(failure.Invalid, "the submission has no submissionId", "send a UUID that is new for each submission")
 	}
-	try := &attempt{Submission: sub, pieces: document.Split(sub.Document)}
-	var last error
+	pending := &pendingSubmission{Submission: sub, pieces: document.Split(sub.Document)}
+	var lastErr error
 	for range maxAttempts {
-		root, err := s.try(ctx, try)
-		if err == nil || !again(err) {
-			return root, try.verdict(err)
+		root, err := s.attempt(ctx, pending)
+		if err == nil || !isRetryable(err) {
+			return root, pending.finalError(err)
 		}
-		last = err
-		if !s.pause(ctx) {
+		lastErr = err
+		if !s.waitBeforeRetry(ctx) {
 			break
 		}
 	}
-	return nil, try.verdict(last)
+	return nil, pending.finalError(lastErr)
 }
 
 // again reports whether an attempt's error leaves the outcome open.
-func again(err error) bool {
+func isRetryable(err error) bool {
 	kind := failure.KindOf(err)
 	return kind == failure.Ambiguous || kind == failure.Stale
 }
 
-func (s *Store) pause(ctx context.Context) bool {
+func (s *Store) waitBeforeRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.clock.After(retryPause):
+	case <-s.clock.After(retryDelay):
 		return true
 	}
 }
 
 // verdict turns an error into what the submitter may rely on. After a lost
 // reply, "unavailable" would be a guess: the swap may have taken effect.
-func (a *attempt) verdict(err error) error {
+func (p *pendingSubmission) finalError(err error) error {
 	if err == nil {
 		return nil
 	}
 	kind := failure.KindOf(err)
-	open := kind == failure.Unavailable || kind == failure.Exhausted || again(err) || kind == failure.Internal
-	if a.maybe && open {
+	uncertain := kind == failure.Unavailable || kind == failure.Exhausted || isRetryable(err) || kind == failure.Internal
+	if p.outcomeUnknown && uncertain {
 		return failure.Wrap(err, failure.Ambiguous, "the document may have been accepted or not: the service's reply was lost",
 			"submit it again with the same submissionId to learn which; or look at the audit trail")
 	}
@@ -128,27 +128,27 @@
 // try makes one attempt from a fresh read of the root. Kind Stale: the root key
 // moved without a new revision, kind Ambiguous: a reply was lost; both start
 // anew.
-func (s *Store) try(ctx context.Context, try *attempt) (*wire.Root, error) {
-	held, err := s.readRoot(ctx)
+func (s *Store) attempt(ctx context.Context, pending *pendingSubmission) (*wire.Root, error) {
+	current, err := s.readRoot(ctx)
 	if err != nil {
-		return nil, s.unavailable(err)
+		return nil, s.wrapUnavailable(err)
 	}
-	if settled, err := s.settled(ctx, try, held); settled != nil || err != nil {
-		return settled, err
+	if accepted, err := s.findAccepted(ctx, pending, current); accepted != nil || err != nil {
+		return accepted, err
 	}
-	if held.root.GetRevision() != try.BaseRevision {
-		return nil, s.conflict(ctx, try, held)
+	if current.root.GetRevision() != pending.BaseRevision {
+		return nil, s.conflictError(ctx, pending, current)
 	}
-	if err := s.writeParts(ctx, try.pieces, held.root); err != nil {
-		return nil, s.unavailable(err)
+	if err := s.writeParts(ctx, pending.pieces, current.root); err != nil {
+		return nil, s.wrapUnavailable(err)
 	}
-	if err := s.ensureRecord(ctx, held.root); err != nil {
-		return nil, s.unavailable(err)
+	if err := s.ensureRecord(ctx, current.root); err != nil {
+		return nil, s.wrapUnavailable(err)
 	}
-	return s.swap(ctx, try, held)
+	return s.swap(ctx, pending, current)
 }
 
-func (s *Store) unavailable(err error) error {
+func (s *Store) wrapUnavailable(err error) error {
 	if kind := failure.KindOf(err); kind != failure.Unavailable && kind != failure.Exhausted {
 		return err
 	}
@@ -160,33 +160,33 @@
 // returns nil and no error where the submission was not accepted.
 //
 // Rule SETTLE of spec/document.pml.
-func (s *Store) settled(ctx context.Context, try *attempt, held heldRoot) (*wire.Root, error) {
-	newest := held.root.GetRevision()
-	if newest <= try.BaseRevision {
+func (s *Store) findAccepted(ctx context.Context, pending *pendingSubmission, current versionedRoot) (*wire.Root, error) {
+	newest := current.root.GetRevision()
+	if newest <= pending.BaseRevision {
 		return nil, nil
 	}
-	if held.root.GetSubmissionId() == try.SubmissionID {
-		return s.sameContent(try, held.root)
+	if current.root.GetSubmissionId() == pending.SubmissionID {
+		return s.verifyContent(pending, current.root)
 	}
-	if newest-try.BaseRevision > maxSettleLookback {
+	if newest-pending.BaseRevision > maxAuditLookback {
 		return nil, failure.New(failure.Conflict,
-			fmt.Sprintf("%d revisions were accepted since base revision %d", newest-try.BaseRevision, try.BaseRevision),
+			fmt.Sprintf("%d revisions were accepted since base revision %d", newest-pending.BaseRevision, pending.BaseRevision),
 			"look for your submissionId in the audit trail, or start again from the document in force")
 	}
-	for revision := try.BaseRevision + 1; revision < newest; revision++ {
+	for revision := pending.BaseRevision + 1; revision < newest; revision++ {
 		root, err := s.RootOf(ctx, revision)
 		if err != nil {
 			return nil, err
 		}
-		if root.GetSubmissionId() == try.SubmissionID {
-			return s.sameContent(try, root)
+		if root.GetSubmissionId() == pending.SubmissionID {
+			return s.verifyContent(pending, root)
 		}
 	}
 	return nil, nil
 }
 
-func (s *Store) sameContent(try *attempt, root *wire.Root) (*wire.Root, error) {
-	if root.GetAudit().GetContentHash() != document.ContentHash(document.Parts(try.pieces)) {
+func (s *Store) verifyContent(pending *pendingSubmission, root *wire.Root) (*wire.Root, error) {
+	if root.GetAudit().GetContentHash() != document.ContentHash(document.Parts(pending.pieces)) {
 		return nil, failure.New(failure.Invalid, "the submissionId was used for another document",
 			"send a UUID that is new for each submission")
 	}
@@ -195,29 +195,29 @@
 }
 
 // conflict returns both sides' changes since the base revision.
-func (s *Store) conflict(ctx context.Context, try *attempt, held heldRoot) error {
-	if held.root.GetRevision() < try.BaseRevision {
+func (s *Store) conflictError(ctx context.Context, pending *pendingSubmission, current versionedRoot) error {
+	if current.root.GetRevision() < pending.BaseRevision {
 		return failure.New(failure.Conflict,
-			fmt.Sprintf("base revision %d is newer than the service's revision %d", try.BaseRevision, held.root.GetRevision()),
+			fmt.Sprintf("base revision %d is newer than the service's revision %d", pending.BaseRevision, current.root.GetRevision()),
 			"read the document again; if its revision is still newer, the service has lost data: restore it from its backup")
 	}
-	refused := &ConflictError{
+	conflict := &ConflictError{
 		problem: failure.New(failure.Conflict,
-			fmt.Sprintf("revision %d was accepted first, from the same base revision %d", held.root.GetRevision(), try.BaseRevision),
+			fmt.Sprintf("revision %d was accepted first, from the same base revision %d", current.root.GetRevision(), pending.BaseRevision),
 			"read the document again, make your changes in it and submit it with its revision as the base"),
-		current: held.root.GetRevision(),
+		current: current.root.GetRevision(),
 	}
-	_, base, err := s.Revision(ctx, try.BaseRevision)
+	_, base, err := s.Revision(ctx, pending.BaseRevision)
 	if err != nil {
-		return refused // The base is too old to show diffs.
+		return conflict // The base is too old to show diffs.
 	}
-	theirs, err := s.Assemble(ctx, held.root)
+	theirs, err := s.Assemble(ctx, current.root)
 	if err != nil {
-		return refused
+		return conflict
 	}
-	refused.theirs = document.Diff(base, theirs)
-	refused.yours = document.Diff(base, try.Document)
-	return refused
+	conflict.theirs = document.Diff(base, theirs)
+	conflict.yours = document.Diff(base, pending.Document)
+	return conflict
 }
 
 // writeParts makes sure that every part is in the service and stays there. A
@@ -259,41 +259,41 @@
 // swap replaces the root: the moment of acceptance.
 //
 // Rule CAS of spec/document.pml.
-func (s *Store) swap(ctx context.Context, try *attempt, held heldRoot) (*wire.Root, error) {
-	before, err := s.Assemble(ctx, held.root)
+func (s *Store) swap(ctx context.Context, pending *pendingSubmission, current versionedRoot) (*wire.Root, error) {
+	before, err := s.Assemble(ctx, current.root)
 	if err != nil {
 		return nil, err
 	}
-	root := s.newRoot(try, before)
+	root := s.newRoot(pending, before)
 	value, err := proto.Marshal(root)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Invalid, "the document cannot be encoded", "write its texts in UTF-8")
 	}
-	_, err = s.kv.Swap(ctx, RootKey, value, held.at, "")
+	_, err = s.kv.Swap(ctx, RootKey, value, current.kvRevision, "")
 	switch failure.KindOf(err) {
 	case failure.Conflict:
 		// Another submission, the collector's renewal, or our own earlier swap
 		// whose reply was lost: the next attempt reads which.
 		return nil, failure.Wrap(err, failure.Stale, "the root key moved", "submit again")
 	case failure.Ambiguous:
-		try.maybe = true
+		pending.outcomeUnknown = true
 		return nil, err
 	default:
 		if err != nil {
-			return nil, s.unavailable(err)
+			return nil, s.wrapUnavailable(err)
 		}
 	}
-	s.later(func() { s.recordLater(root) })
+	s.runAsync(func() { s.writeRecordAsync(root) })
 	return root, nil
 }
 
 // recordLater writes the record of the root that was just accepted, while the
 // submitter already has its answer. Where it fails, or the process dies first,
 // the next submission or the collector writes it.
-func (s *Store) recordLater(root *wire.Root) {
+func (s *Store) writeRecordAsync(root *wire.Root) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	if err := s.record(ctx, root); err != nil {
+	if err := s.writeRecord(ctx, root); err != nil {
 		s.log.Warn("audit record left for the next submission or the collector", "revision", root.GetRevision(), "error", err)
 	}
 }
@@ -301,39 +301,39 @@
 // newRoot returns the next root with its own audit record.
 //
 // Rule EMBED of spec/document.pml.
-func (s *Store) newRoot(try *attempt, before *wire.Document) *wire.Root {
-	parts := document.Parts(try.pieces)
-	revision := try.BaseRevision + 1
+func (s *Store) newRoot(pending *pendingSubmission, before *wire.Document) *wire.Root {
+	parts := document.Parts(pending.pieces)
+	revision := pending.BaseRevision + 1
 	return &wire.Root{
 		Revision:     revision,
 		Parts:        parts,
-		SubmissionId: try.SubmissionID,
+		SubmissionId: pending.SubmissionID,
 		Audit: &wire.Audit{
 			Revision:     revision,
-			BaseRevision: try.BaseRevision,
-			Operator:     try.Operator,
+			BaseRevision: pending.BaseRevision,
+			Operator:     pending.Operator,
 			At:           timestamppb.New(s.clock.Now()),
-			FromAddress:  try.FromAddress,
-			Reason:       try.Reason,
-			Diff:         bounded(document.Diff(before, try.Document)),
+			FromAddress:  pending.FromAddress,
+			Reason:       pending.Reason,
+			Diff:         truncateDiff(document.Diff(before, pending.Document)),
 			ContentHash:  document.ContentHash(parts),
-			SubmissionId: try.SubmissionID,
+			SubmissionId: pending.SubmissionID,
 		},
 	}
 }
 
 // Rollback makes the content of an old revision the next one.
-func (s *Store) Rollback(ctx context.Context, to uint32, sub Submission) (*wire.Root, error) {
-	if to == 0 {
+func (s *Store) Rollback(ctx context.Context, target uint32, sub Submission) (*wire.Root, error) {
+	if target == 0 {
 		return nil, failure.New(failure.Invalid, "there is no revision 0 to roll back to", "name a revision of the audit trail")
 	}
-	_, doc, err := s.Revision(ctx, to)
+	_, doc, err := s.Revision(ctx, target)
 	if err != nil {
 		return nil, err
 	}
 	sub.Document = doc
 	if sub.Reason == "" {
-		sub.Reason = fmt.Sprintf("rollback to revision %d", to)
+		sub.Reason = fmt.Sprintf("rollback to revision %d", target)
 	}
 	return s.Submit(ctx, sub)
 }
--- a/spec/document.pml
+++ b/spec/document.pml
@@ -5,7 +5,7 @@
  *   CAS      a root is written only over the revision it was based on
  *            (store.Store.swap)
  *   SETTLE   a lost reply is settled by looking for the submission id
- *            (store.Store.settled)
+ *            (store.Store.findAccepted)
  *   EMBED    the root carries its own audit record
  *            (store.Store.newRoot)
  *   MONOTONE a process adopts a revision only if it is higher
