--- a/entry/internal/operators/authenticate.go
+++ b/entry/internal/operators/authenticate.go
@@ -15,7 +15,7 @@
 // bootstrap key.
 const BootstrapOperator = "bootstrap"
 
-type operatorKey struct{}
+type operatorContextKey struct{}
 
 // Authenticate returns the operator whose key it is. Bootstrap keys count only
 // while no document is in force: from then on the document says who operates.
@@ -37,7 +37,7 @@
 }
 
 // identify lets only operators through.
-func (a *API) identify(next http.Handler) http.Handler {
+func (a *API) requireOperator(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		operator, ok := a.Authenticate(strings.TrimSpace(key))
@@ -46,12 +46,12 @@
 				"send Authorization: Bearer with an operator's key"))
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorKey{}, operator)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorContextKey{}, operator)))
 	})
 }
 
 func operatorOf(r *http.Request) string {
-	operator, _ := r.Context().Value(operatorKey{}).(string)
+	operator, _ := r.Context().Value(operatorContextKey{}).(string)
 	return operator
 }
 
--- a/entry/internal/operators/body.go
+++ b/entry/internal/operators/body.go
@@ -118,15 +118,15 @@
 
 // readJSON reads a bounded body into the value and refuses unknown keys: a
 // misspelt one would be silently left out.
-func readJSON(w http.ResponseWriter, r *http.Request, into any) error {
+func readJSON(w http.ResponseWriter, r *http.Request, target any) error {
 	text, err := readBody(w, r)
 	if err != nil {
 		return err
 	}
-	return decode(text, into)
+	return decode(text, target)
 }
 
-func uintOf(r *http.Request, name string, fallback uint32) (uint32, error) {
+func queryUint(r *http.Request, name string, fallback uint32) (uint32, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return fallback, nil
--- a/entry/internal/operators/document.go
+++ b/entry/internal/operators/document.go
@@ -11,7 +11,7 @@
 )
 
 // inForceBody answers GET /v1/document.
-type inForceBody struct {
+type documentBody struct {
 	Revision uint32          `json:"revision"`
 	Document json.RawMessage `json:"document"`
 }
@@ -47,10 +47,10 @@
 	maxSubmissionIDBytes = 100
 )
 
-func decode(text []byte, into any) error {
-	reader := json.NewDecoder(bytes.NewReader(text))
-	reader.DisallowUnknownFields()
-	if err := reader.Decode(into); err != nil {
+func decode(text []byte, target any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(target); err != nil {
 		return failure.Wrap(err, failure.Invalid, "the body cannot be read", "send the JSON object that docs/PROTOCOLS.md describes")
 	}
 	return nil
@@ -62,7 +62,7 @@
 		writeError(w, failure.New(failure.NotFound, "no document is in force here", "submit one with base revision 0"))
 		return
 	}
-	writeJSON(w, http.StatusOK, inForceBody{Revision: revision, Document: document.Format(doc)})
+	writeJSON(w, http.StatusOK, documentBody{Revision: revision, Document: document.Format(doc)})
 }
 
 func (a *API) postValidate(w http.ResponseWriter, r *http.Request) {
@@ -81,7 +81,7 @@
 		writeError(w, err)
 		return
 	}
-	if err := checkWords(body.SubmissionID, body.Reason); err != nil {
+	if err := checkLengths(body.SubmissionID, body.Reason); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -102,7 +102,7 @@
 		writeError(w, err)
 		return
 	}
-	if err := checkWords(body.SubmissionID, body.Reason); err != nil {
+	if err := checkLengths(body.SubmissionID, body.Reason); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // checkWords bounds what goes into the root, which every process receives.
-func checkWords(submissionID, reason string) error {
+func checkLengths(submissionID, reason string) error {
 	if len(submissionID) > maxSubmissionIDBytes || len(reason) > maxReasonBytes {
 		return failure.New(failure.Invalid, "the reason or the submissionId is too long", "keep the reason under 1000 bytes and use a UUID")
 	}
@@ -138,13 +138,13 @@
 }
 
 func (a *API) getDiff(w http.ResponseWriter, r *http.Request) {
-	from, err := uintOf(r, "from", 0)
+	from, err := queryUint(r, "from", 0)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	current, _ := a.InForce()
-	to, err := uintOf(r, "to", current)
+	to, err := queryUint(r, "to", current)
 	if err != nil {
 		writeError(w, err)
 		return
--- a/entry/internal/operators/history.go
+++ b/entry/internal/operators/history.go
@@ -32,12 +32,12 @@
 }
 
 func (a *API) getAudit(w http.ResponseWriter, r *http.Request) {
-	from, err := uintOf(r, "from", 1)
+	from, err := queryUint(r, "from", 1)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	limit, err := uintOf(r, "limit", defaultAuditLimit)
+	limit, err := queryUint(r, "limit", defaultAuditLimit)
 	if err != nil {
 		writeError(w, err)
 		return
--- a/entry/internal/operators/operators.go
+++ b/entry/internal/operators/operators.go
@@ -50,7 +50,7 @@
 // Routes adds the operators' API to the router, under its full paths.
 func (a *API) Routes(r chi.Router) {
 	r.Group(func(r chi.Router) {
-		r.Use(a.identify)
+		r.Use(a.requireOperator)
 		r.Get("/v1/document", a.getDocument)
 		r.Post("/v1/document", a.postDocument)
 		r.Post("/v1/document/validate", a.postValidate)
@@ -87,21 +87,21 @@
 func (a *API) Submit(ctx context.Context, sub store.Submission) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := a.cfg.Clock.Now()
+	start := a.cfg.Clock.Now()
 	root, err := a.cfg.Docs.Submit(ctx, sub)
-	return a.accept(ctx, root, began, err)
+	return a.applyAccepted(ctx, root, start, err)
 }
 
 // Rollback makes the content of an old revision the next one.
 func (a *API) Rollback(ctx context.Context, to uint32, sub store.Submission) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := a.cfg.Clock.Now()
+	start := a.cfg.Clock.Now()
 	root, err := a.cfg.Docs.Rollback(ctx, to, sub)
-	return a.accept(ctx, root, began, err)
+	return a.applyAccepted(ctx, root, start, err)
 }
 
-func (a *API) accept(ctx context.Context, root *wire.Root, began time.Time, err error) (uint32, error) {
+func (a *API) applyAccepted(ctx context.Context, root *wire.Root, start time.Time, err error) (uint32, error) {
 	if err != nil {
 		return 0, err
 	}
@@ -110,7 +110,7 @@
 	if err := a.cfg.Deployment.OfferRoot(ctx, root, "operator", a.cfg.Docs.Fetch); err != nil {
 		a.cfg.Log.Warn("accepted document not yet in force here", "revision", root.GetRevision(), "error", err)
 	}
-	a.cfg.Deployment.Confirm(root.GetRevision(), began)
+	a.cfg.Deployment.Confirm(root.GetRevision(), start)
 	return root.GetRevision(), nil
 }
 
--- a/entry/internal/operators/operators_test.go
+++ b/entry/internal/operators/operators_test.go
@@ -30,7 +30,7 @@
 )
 
 // office is one entry's operators' API over a service in memory.
-type office struct {
+type apiFixture struct {
 	t          *testing.T
 	api        *API
 	deployment *control.Deployment
@@ -41,14 +41,14 @@
 	skipBuild bool
 }
 
-func newOffice(t *testing.T) *office {
+func newAPIFixture(t *testing.T) *apiFixture {
 	clock := clockwork.NewRealClock()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	o := &office{t: t, routes: chi.NewRouter()}
+	f := &apiFixture{t: t, routes: chi.NewRouter()}
 	service := kv.NewMemory(clock)
 	get := service.Get
 	service.Get = func(ctx context.Context, key string) (kv.Entry, bool, error) {
-		if o.down {
+		if f.down {
 			return kv.Entry{}, false, failure.New(failure.Unavailable, "the service is down", "wait")
 		}
 		return get(ctx, key)
@@ -56,46 +56,46 @@
 	parts := store.NewParts(1 << 20)
 	node := &wire.Node{Id: "entry-0", Incarnation: "i1", Role: "entry", FailureDomain: "zona-uno"}
 	holder := view.NewHolder()
-	o.deployment = control.NewDeployment(node, parts, holder, clock, log)
-	self := control.NewSelf(node, func() int { return 0 }, func() []*wire.Demand { return nil }, o.deployment.Known, o.deployment.HomeRevision)
-	o.publisher = control.NewPublisher(o.deployment, self.Make)
-	o.api = New(Config{
-		View: holder, Deployment: o.deployment, Docs: store.New(service, parts, clock, log), Service: service,
+	f.deployment = control.NewDeployment(node, parts, holder, clock, log)
+	self := control.NewSelf(node, func() int { return 0 }, func() []*wire.Demand { return nil }, f.deployment.Known, f.deployment.HomeRevision)
+	f.publisher = control.NewPublisher(f.deployment, self.Make)
+	f.api = New(Config{
+		View: holder, Deployment: f.deployment, Docs: store.New(service, parts, clock, log), Service: service,
 		Clock: clock, Log: log, BootstrapKeyHashes: []string{document.KeyHash(bootKey)},
 	})
-	o.api.Routes(o.routes)
-	o.publisher.Build()
-	return o
+	f.api.Routes(f.routes)
+	f.publisher.Build()
+	return f
 }
 
 // call makes one call and returns the status and the decoded body.
-func (o *office) call(method, path, key string, body any) (int, map[string]any) {
-	o.t.Helper()
+func (f *apiFixture) call(method, path, key string, body any) (int, map[string]any) {
+	f.t.Helper()
 	text, err := json.Marshal(body)
 	if err != nil {
-		o.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	req := httptest.NewRequest(method, path, bytes.NewReader(text))
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
 	rec := httptest.NewRecorder()
-	o.routes.ServeHTTP(rec, req)
-	if !o.skipBuild {
-		o.publisher.Build()
+	f.routes.ServeHTTP(rec, req)
+	if !f.skipBuild {
+		f.publisher.Build()
 	}
 	got := map[string]any{}
 	if err := json.Unmarshal(rec.Body.Bytes(), &got); err != nil {
-		o.t.Fatalf("%s %s: got a body that is no JSON: %q", method, path, rec.Body)
+		f.t.Fatalf("%s %s: got a body that is no JSON: %q", method, path, rec.Body)
 	}
 	return rec.Code, got
 }
 
-func (o *office) want(status int, method, path, key string, body any) map[string]any {
-	o.t.Helper()
-	code, got := o.call(method, path, key, body)
+func (f *apiFixture) mustCall(status int, method, path, key string, body any) map[string]any {
+	f.t.Helper()
+	code, got := f.call(method, path, key, body)
 	if code != status {
-		o.t.Fatalf("%s %s: got status %d and %v, want %d", method, path, code, got, status)
+		f.t.Fatalf("%s %s: got status %d and %v, want %d", method, path, code, got, status)
 	}
 	return got
 }
@@ -112,30 +112,30 @@
 	return map[string]any{"baseRevision": base, "submissionId": id, "reason": "because", "document": documentOf(priority)}
 }
 
-func TestDayOfAnOperator(t *testing.T) {
-	o := newOffice(t)
-	o.want(http.StatusNotFound, "GET", "/v1/document", bootKey, nil)
-	o.want(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
-	o.want(http.StatusOK, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))
-	if got := o.want(http.StatusOK, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))["revision"]; got != 2.0 {
+func TestOperatorWorkflow(t *testing.T) {
+	f := newAPIFixture(t)
+	f.mustCall(http.StatusNotFound, "GET", "/v1/document", bootKey, nil)
+	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
+	f.mustCall(http.StatusOK, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))
+	if got := f.mustCall(http.StatusOK, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))["revision"]; got != 2.0 {
 		t.Errorf("got revision %v for the same submission again, want 2", got)
 	}
-	conflict := o.want(http.StatusConflict, "POST", "/v1/document", martaKey, submissionOf(1, 3, "three"))
+	conflict := f.mustCall(http.StatusConflict, "POST", "/v1/document", martaKey, submissionOf(1, 3, "three"))
 	if conflict["currentRevision"] != 2.0 || len(conflict["theirDiff"].([]any)) != 1 || len(conflict["yourDiff"].([]any)) != 1 {
 		t.Errorf("got conflict %v, want revision 2 and one change on each side", conflict)
 	}
-	diff := o.want(http.StatusOK, "GET", "/v1/document/diff?from=1&to=2", martaKey, nil)
+	diff := f.mustCall(http.StatusOK, "GET", "/v1/document/diff?from=1&to=2", martaKey, nil)
 	if got := len(diff["changes"].([]any)); got != 1 {
 		t.Errorf("got %d changes between 1 and 2, want 1", got)
 	}
-	o.want(http.StatusOK, "POST", "/v1/document/rollback", martaKey,
+	f.mustCall(http.StatusOK, "POST", "/v1/document/rollback", martaKey,
 		map[string]any{"toRevision": 1, "baseRevision": 2, "submissionId": "back", "reason": "too eager"})
-	trail := o.want(http.StatusOK, "GET", "/v1/audit?from=2", martaKey, nil)["records"].([]any)
+	trail := f.mustCall(http.StatusOK, "GET", "/v1/audit?from=2", martaKey, nil)["records"].([]any)
 	last := trail[len(trail)-1].(map[string]any)
 	if len(trail) != 2 || last["operator"] != "marta" || last["reason"] != "too eager" || last["fromAddress"] != "192.0.2.1" {
 		t.Errorf("got trail %v, want revisions 2 and 3 and who made the last", trail)
 	}
-	status := o.want(http.StatusOK, "GET", "/v1/status", martaKey, nil)
+	status := f.mustCall(http.StatusOK, "GET", "/v1/status", martaKey, nil)
 	if status["revision"] != 3.0 || status["lowestRevision"] != 3.0 || status["ageMillis"].(float64) < 0 {
 		t.Errorf("got status %v, want revision 3 confirmed", status)
 	}
@@ -145,10 +145,10 @@
 // conflicted with his own first, since the document was read from a view that was
 // not yet built anew.
 func TestOwnChangeIsReadBack(t *testing.T) {
-	o := newOffice(t)
-	o.skipBuild = true
-	o.want(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
-	if got := o.want(http.StatusOK, "GET", "/v1/document", martaKey, nil)["revision"]; got != 1.0 {
+	f := newAPIFixture(t)
+	f.skipBuild = true
+	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
+	if got := f.mustCall(http.StatusOK, "GET", "/v1/document", martaKey, nil)["revision"]; got != 1.0 {
 		t.Errorf("got revision %v right after it was accepted, want 1", got)
 	}
 }
@@ -156,84 +156,84 @@
 // TestBootstrapKeyEnds: were the first key good for ever, whoever set the
 // entry up could overrule the operators whom the document names.
 func TestBootstrapKeyEnds(t *testing.T) {
-	o := newOffice(t)
-	o.want(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
+	f := newAPIFixture(t)
+	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
 	for _, key := range []string{bootKey, "", "somebody's"} {
-		o.want(http.StatusUnauthorized, "GET", "/v1/status", key, nil)
-		o.want(http.StatusUnauthorized, "POST", "/v1/document", key, submissionOf(1, 2, "two"))
+		f.mustCall(http.StatusUnauthorized, "GET", "/v1/status", key, nil)
+		f.mustCall(http.StatusUnauthorized, "POST", "/v1/document", key, submissionOf(1, 2, "two"))
 	}
 }
 
 func TestBadDocumentsAreRefused(t *testing.T) {
-	o := newOffice(t)
+	f := newAPIFixture(t)
 	doc := document.Example()
 	doc.Models[0].Customers = append(doc.Models[0].Customers, "nobody")
 	body := submissionOf(0, 1, "one")
 	body["document"] = json.RawMessage(document.Format(doc))
-	refused := o.want(http.StatusUnprocessableEntity, "POST", "/v1/document", bootKey, body)
+	refused := f.mustCall(http.StatusUnprocessableEntity, "POST", "/v1/document", bootKey, body)
 	problem := refused["errors"].([]any)[0].(map[string]any)
 	if !strings.HasPrefix(problem["path"].(string), "/models/0/customers") || problem["remedy"] == "" {
 		t.Errorf("got problem %v, want its path and a remedy", problem)
 	}
-	checked := o.want(http.StatusOK, "POST", "/v1/document/validate", bootKey, body["document"])
+	checked := f.mustCall(http.StatusOK, "POST", "/v1/document/validate", bootKey, body["document"])
 	if checked["valid"] != false {
 		t.Errorf("got %v from validate, want it not valid", checked)
 	}
-	o.want(http.StatusBadRequest, "POST", "/v1/document", bootKey, map[string]any{"baseRevison": 0})
+	f.mustCall(http.StatusBadRequest, "POST", "/v1/document", bootKey, map[string]any{"baseRevison": 0})
 	large := map[string]any{"reason": strings.Repeat("x", maxBodyBytes)}
-	o.want(http.StatusBadRequest, "POST", "/v1/document", bootKey, large)
-	o.want(http.StatusNotFound, "GET", "/v1/document", bootKey, nil)
+	f.mustCall(http.StatusBadRequest, "POST", "/v1/document", bootKey, large)
+	f.mustCall(http.StatusNotFound, "GET", "/v1/document", bootKey, nil)
 }
 
 // TestOutageIsReportedClearly: while the service is down a new document is refused
 // with a remedy, and what is in force can still be read.
 func TestOutageIsReportedClearly(t *testing.T) {
-	o := newOffice(t)
-	o.want(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
-	o.down = true
-	refused := o.want(http.StatusServiceUnavailable, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))
+	f := newAPIFixture(t)
+	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
+	f.down = true
+	refused := f.mustCall(http.StatusServiceUnavailable, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))
 	problem := refused["error"].(map[string]any)
 	if problem["kind"] != "unavailable" || !strings.Contains(problem["remedy"].(string), "stays in force") {
 		t.Errorf("got %v, want kind unavailable and what stays in force", problem)
 	}
-	if got := o.want(http.StatusOK, "GET", "/v1/document", martaKey, nil)["revision"]; got != 1.0 {
+	if got := f.mustCall(http.StatusOK, "GET", "/v1/document", martaKey, nil)["revision"]; got != 1.0 {
 		t.Errorf("got revision %v in the outage, want 1", got)
 	}
 }
 
 func TestDrainMarksAHost(t *testing.T) {
-	o := newOffice(t)
-	o.want(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
-	o.want(http.StatusNotFound, "POST", "/v1/hosts/nobody/drain", martaKey, map[string]any{"drain": true})
-	o.deployment.Members().ObserveHost(&wire.HostReport{
+	f := newAPIFixture(t)
+	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
+	f.mustCall(http.StatusNotFound, "POST", "/v1/hosts/nobody/drain", martaKey, map[string]any{"drain": true})
+	f.deployment.Members().ObserveHost(&wire.HostReport{
 		Node: &wire.Node{Id: "agent-0", Incarnation: "i1", Role: "agent"}, Sequence: 1, Home: "entry-0",
 	}, time.Now())
-	o.publisher.Build()
+	f.publisher.Build()
 	for _, drain := range []bool{true, true, false, false, true} {
-		o.want(http.StatusOK, "POST", "/v1/hosts/agent-0/drain", martaKey, map[string]any{"drain": drain})
-		if got := o.node("agent-0")["leaving"]; got != drain {
+		f.mustCall(http.StatusOK, "POST", "/v1/hosts/agent-0/drain", martaKey, map[string]any{"drain": drain})
+		if got := f.node("agent-0")["leaving"]; got != drain {
 			t.Errorf("got leaving %v, want %v", got, drain)
 		}
 	}
 }
 
-func (o *office) node(id string) map[string]any {
-	for _, node := range o.want(http.StatusOK, "GET", "/v1/status", martaKey, nil)["nodes"].([]any) {
+func (f *apiFixture) node(id string) map[string]any {
+	for _, node := range f.mustCall(http.StatusOK, "GET", "/v1/status", martaKey, nil)["nodes"].([]any) {
 		if found := node.(map[string]any); found["id"] == id {
 			return found
 		}
 	}
-	o.t.Fatalf("got no node %s in the status", id)
+	f.t.Fatalf("got no node %s in the status", id)
 	return nil
 }
 
 func TestRolloutReportsProgress(t *testing.T) {
-	o := newOffice(t)
-	o.want(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
+	f := newAPIFixture(t)
+	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
 	model := document.Example().GetModels()[0]
 	domain := model.GetReplicas()[0].GetFailureDomain()
 	for i, state := range []string{"serving", "fetching"} {
-		o.deployment.Members().ObserveHost(&wire.HostReport{
+		f.deployment.Members().ObserveHost(&wire.HostReport{
 			Node:     &wire.Node{Id: "agent-" + state, Incarnation: "i1", Role: "agent", FailureDomain: domain},
 			Sequence: 1, Home: "entry-0",
 			Versions: []*wire.VersionState{{
@@ -242,8 +242,8 @@
 			}},
 		}, time.Now())
 	}
-	o.publisher.Build()
-	rollout := o.want(http.StatusOK, "GET", "/v1/rollout", martaKey, nil)
+	f.publisher.Build()
+	rollout := f.mustCall(http.StatusOK, "GET", "/v1/rollout", martaKey, nil)
 	line := map[string]any{}
 	for _, found := range rollout["models"].([]any) {
 		if found.(map[string]any)["failureDomain"] == domain {
--- a/entry/internal/operators/status.go
+++ b/entry/internal/operators/status.go
@@ -60,11 +60,11 @@
 		status.AgeMillis = millisOf(age)
 	}
 	now := a.cfg.Clock.Now()
-	homes := map[string]uint32{}
+	homeRevisions := map[string]uint32{}
 	for _, entry := range snap.Entries {
 		report := entry.Report()
 		if !entry.Lost() {
-			homes[report.GetNode().GetId()] = report.GetHomeRevision()
+			homeRevisions[report.GetNode().GetId()] = report.GetHomeRevision()
 		}
 		node := newNode(report.GetNode(), millisOf(now.Sub(entry.SeenAt())), entry.Leaving(), entry.Lost())
 		node.Revision, node.PlanRevision = report.GetRevision(), report.GetPlanRevision()
@@ -75,7 +75,7 @@
 		report := host.Report()
 		node := newNode(report.GetNode(), millisOf(now.Sub(host.SeenAt())), host.Leaving(), host.Lost())
 		// The report of a far host comes rarely; its home entry's report often.
-		node.Revision = max(report.GetRevision(), homes[report.GetHome()])
+		node.Revision = max(report.GetRevision(), homeRevisions[report.GetHome()])
 		node.PlanRevision = report.GetPlanRevision()
 		node.Running, node.Queued = report.GetRunning(), report.GetQueued()
 		status.add(node)
@@ -135,16 +135,16 @@
 	rollout := Rollout{Revision: snap.Revision, Done: snap.Document != nil, Models: []Progress{}}
 	for _, model := range snap.Document.GetModels() {
 		for _, replicas := range model.GetReplicas() {
-			line := progressOf(snap, model, replicas)
-			rollout.Done = rollout.Done && line.Serving >= line.Wanted
-			rollout.Models = append(rollout.Models, line)
+			progress := progressOf(snap, model, replicas)
+			rollout.Done = rollout.Done && progress.Serving >= progress.Wanted
+			rollout.Models = append(rollout.Models, progress)
 		}
 	}
 	return rollout
 }
 
 func progressOf(snap *view.Snapshot, model *wire.Model, replicas *wire.Replicas) Progress {
-	line := Progress{
+	progress := Progress{
 		Model: model.GetName(), Version: model.GetVersion(), FailureDomain: replicas.GetFailureDomain(),
 		Wanted: int(replicas.GetCount()), HoldUps: []string{},
 	}
@@ -154,42 +154,42 @@
 			assigned++
 		}
 	}
-	if assigned < line.Wanted {
-		line.HoldUps = append(line.HoldUps, "the plan has fewer hosts than wanted: hosts are missing, or no entry holds the planner's lease")
+	if assigned < progress.Wanted {
+		progress.HoldUps = append(progress.HoldUps, "the plan has fewer hosts than wanted: hosts are missing, or no entry holds the planner's lease")
 	}
 	for _, host := range snap.Hosts {
 		if host.Report().GetNode().GetFailureDomain() == replicas.GetFailureDomain() {
-			line.count(host)
+			progress.addHost(host)
 		}
 	}
-	return line
+	return progress
 }
 
 // count adds one host's state to the line.
-func (l *Progress) count(host view.Host) {
+func (p *Progress) addHost(host view.Host) {
 	id := host.Report().GetNode().GetId()
 	for _, state := range host.Report().GetVersions() {
-		if state.GetModel() != l.Model || state.GetVersion() != l.Version {
+		if state.GetModel() != p.Model || state.GetVersion() != p.Version {
 			continue
 		}
 		if host.Lost() {
-			l.HoldUps = append(l.HoldUps, id+": not heard from")
+			p.HoldUps = append(p.HoldUps, id+": not heard from")
 			return
 		}
-		l.ChunksHave += uint64(state.GetChunksHave())
-		l.ChunksTotal += uint64(state.GetChunksTotal())
+		p.ChunksHave += uint64(state.GetChunksHave())
+		p.ChunksTotal += uint64(state.GetChunksTotal())
 		switch state.GetState() {
 		case "serving":
-			l.Serving++
+			p.Serving++
 		case "whole", "loading", "draining":
-			l.Whole++
+			p.Whole++
 		case "fetching":
-			l.Fetching++
+			p.Fetching++
 		case "failed":
-			l.Failed++
+			p.Failed++
 		}
 		if state.GetHoldUp() != "" {
-			l.HoldUps = append(l.HoldUps, id+": "+state.GetHoldUp())
+			p.HoldUps = append(p.HoldUps, id+": "+state.GetHoldUp())
 		}
 	}
 }
