--- a/entry/internal/console/console.go
+++ b/entry/internal/console/console.go
@@ -71,10 +71,10 @@
 
 // Routes adds the console's pages to the router.
 func (c *Console) Routes(mux chi.Router) {
-	mux.Get("/console/", c.show)
+	mux.Get("/console/", c.showPage)
 	mux.Post("/console/login", c.login)
 	mux.Post("/console/logout", c.logout)
-	mux.Post("/console/document", c.post)
+	mux.Post("/console/document", c.postForm)
 }
 
 // pageData is what page.html shows.
@@ -95,21 +95,21 @@
 	Sections     []sectionView
 }
 
-func (c *Console) show(w http.ResponseWriter, r *http.Request) {
+func (c *Console) showPage(w http.ResponseWriter, r *http.Request) {
 	operator, key, known := c.session(r)
 	if !known {
 		c.render(w, http.StatusOK, pageData{})
 		return
 	}
 	doc, revision := c.cfg.Current()
-	data := c.editing(operator, key, doc, revision)
+	data := c.newFormPage(operator, key, doc, revision)
 	if accepted := r.URL.Query().Get("accepted"); accepted != "" {
 		data.Notice = "Accepted as revision " + accepted + "."
 	}
 	c.render(w, http.StatusOK, data)
 }
 
-func (c *Console) editing(operator, key string, doc *wire.Document, revision uint32) pageData {
+func (c *Console) newFormPage(operator, key string, doc *wire.Document, revision uint32) pageData {
 	if doc == nil {
 		doc = blankDocument()
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *Console) post(w http.ResponseWriter, r *http.Request) {
+func (c *Console) postForm(w http.ResponseWriter, r *http.Request) {
 	operator, key, known := c.session(r)
 	if !known {
 		c.render(w, http.StatusUnauthorized, pageData{Failure: "You are not signed in.", Remedy: "Enter your operator key."})
@@ -138,17 +138,17 @@
 		http.Error(w, "the form does not come from this console; open the console and try again", http.StatusForbidden)
 		return
 	}
-	c.answerForm(w, r, operator, key)
+	c.handleForm(w, r, operator, key)
 }
 
 // answerForm checks the posted document and, if asked, submits it.
-func (c *Console) answerForm(w http.ResponseWriter, r *http.Request, operator, key string) {
+func (c *Console) handleForm(w http.ResponseWriter, r *http.Request, operator, key string) {
 	posted := readForm(r.PostForm)
 	doc, problems := posted.document()
 	if doc != nil {
 		problems = append(problems, c.cfg.Problems(doc)...)
 	}
-	data := c.again(r, operator, key, posted, problems)
+	data := c.echoFormPage(r, operator, key, posted, problems)
 	if len(problems) > 0 {
 		c.render(w, http.StatusUnprocessableEntity, data)
 		return
@@ -161,7 +161,7 @@
 	c.submit(w, r, doc, data)
 }
 
-func (c *Console) again(r *http.Request, operator, key string, posted *form, problems []document.Problem) pageData {
+func (c *Console) echoFormPage(r *http.Request, operator, key string, posted *form, problems []document.Problem) pageData {
 	_, revision := c.cfg.Current()
 	sections := viewSections(posted, problems)
 	return pageData{
@@ -171,7 +171,7 @@
 		Token:        formToken(key),
 		SubmissionID: r.PostForm.Get("submissionId"),
 		Reason:       r.PostForm.Get("reason"),
-		Messages:     unplaced(posted, problems),
+		Messages:     unmatchedMessages(posted, problems),
 		Sections:     sections,
 	}
 }
@@ -189,7 +189,7 @@
 		http.Redirect(w, r, "/console/?accepted="+formatRevision(revision), http.StatusSeeOther)
 		return
 	}
-	data.Failure, data.Remedy = describe(err)
+	data.Failure, data.Remedy = errorText(err)
 	status := http.StatusServiceUnavailable
 	if conflict != nil {
 		status = http.StatusConflict
@@ -201,7 +201,7 @@
 	c.render(w, status, data)
 }
 
-func describe(err error) (message, remedy string) {
+func errorText(err error) (message, remedy string) {
 	var problem *failure.Error
 	if errors.As(err, &problem) {
 		return problem.Message(), problem.Remedy()
--- a/entry/internal/console/console_test.go
+++ b/entry/internal/console/console_test.go
@@ -22,42 +22,42 @@
 )
 
 // deployment is a fake of the entry behind the console.
-type deployment struct {
+type fakeEntry struct {
 	doc       *wire.Document
 	revision  uint32
 	submitted []console.Submission
 }
 
-func (h *deployment) config() console.Config {
+func (f *fakeEntry) config() console.Config {
 	return console.Config{
 		Authenticate: func(key string) (string, bool) {
 			return "first-operator", key == document.ExampleOperatorKey
 		},
-		Current:  func() (*wire.Document, uint32) { return h.doc, h.revision },
+		Current:  func() (*wire.Document, uint32) { return f.doc, f.revision },
 		Problems: func(*wire.Document) []document.Problem { return nil },
-		Submit:   h.submit,
+		Submit:   f.submit,
 	}
 }
 
-func (h *deployment) submit(_ context.Context, sub console.Submission) (uint32, *console.Conflict, error) {
-	if sub.BaseRevision != h.revision {
+func (f *fakeEntry) submit(_ context.Context, sub console.Submission) (uint32, *console.Conflict, error) {
+	if sub.BaseRevision != f.revision {
 		conflict := &console.Conflict{
-			Current: h.revision,
+			Current: f.revision,
 			Theirs:  []*wire.Change{{Path: "/objective", Before: `"time"`, After: `"originBytes"`}},
 		}
 		return 0, conflict, failure.New(failure.Conflict, "somebody was first", "compare")
 	}
-	h.submitted = append(h.submitted, sub)
-	h.doc = sub.Document
-	h.revision++
-	return h.revision, nil, nil
+	f.submitted = append(f.submitted, sub)
+	f.doc = sub.Document
+	f.revision++
+	return f.revision, nil, nil
 }
 
 // start serves the console and returns its address and a client with cookies.
-func start(t *testing.T, hse *deployment) (string, *http.Client) {
+func startConsole(t *testing.T, fake *fakeEntry) (string, *http.Client) {
 	t.Helper()
 	mux := chi.NewRouter()
-	console.New(hse.config()).Routes(mux)
+	console.New(fake.config()).Routes(mux)
 	srv := httptest.NewServer(mux)
 	t.Cleanup(srv.Close)
 	jar, err := cookiejar.New(nil)
@@ -90,23 +90,23 @@
 }
 
 var (
-	inputs    = regexp.MustCompile(`<input[^>]* name="([^"]+)"[^>]*>`)
-	valueOf   = regexp.MustCompile(` value="([^"]*)"`)
-	textareas = regexp.MustCompile(`<textarea[^>]* name="([^"]+)"[^>]*>([^<]*)</textarea>`)
-	selects   = regexp.MustCompile(`(?s)<select[^>]* name="([^"]+)">(.*?)</select>`)
-	chosen    = regexp.MustCompile(`<option selected>([^<]*)`)
-	first     = regexp.MustCompile(`<option[^>]*>([^<]*)`)
+	inputTags      = regexp.MustCompile(`<input[^>]* name="([^"]+)"[^>]*>`)
+	valueAttr      = regexp.MustCompile(` value="([^"]*)"`)
+	textareas      = regexp.MustCompile(`<textarea[^>]* name="([^"]+)"[^>]*>([^<]*)</textarea>`)
+	selects        = regexp.MustCompile(`(?s)<select[^>]* name="([^"]+)">(.*?)</select>`)
+	selectedOption = regexp.MustCompile(`<option selected>([^<]*)`)
+	firstOption    = regexp.MustCompile(`<option[^>]*>([^<]*)`)
 )
 
 // controls returns the values that a browser would post from the page.
 func controls(page string) url.Values {
 	values := url.Values{}
-	for _, match := range inputs.FindAllStringSubmatch(page, -1) {
+	for _, match := range inputTags.FindAllStringSubmatch(page, -1) {
 		tag := match[0]
 		if strings.Contains(tag, `type="checkbox"`) && !strings.Contains(tag, " checked") {
 			continue
 		}
-		if value := valueOf.FindStringSubmatch(tag); value != nil {
+		if value := valueAttr.FindStringSubmatch(tag); value != nil {
 			values.Set(match[1], html.UnescapeString(value[1]))
 		}
 	}
@@ -114,35 +114,35 @@
 		values.Set(match[1], html.UnescapeString(match[2]))
 	}
 	for _, match := range selects.FindAllStringSubmatch(page, -1) {
-		option := chosen.FindStringSubmatch(match[2])
+		option := selectedOption.FindStringSubmatch(match[2])
 		if option == nil {
-			option = first.FindStringSubmatch(match[2])
+			option = firstOption.FindStringSubmatch(match[2])
 		}
 		values.Set(match[1], option[1])
 	}
 	return values
 }
 
-func TestFormMakesTheDocumentInForce(t *testing.T) {
-	hse := &deployment{doc: document.Example(), revision: 7}
-	base, client := start(t, hse)
+func TestUnchangedFormSubmitsSameDocument(t *testing.T) {
+	fake := &fakeEntry{doc: document.Example(), revision: 7}
+	base, client := startConsole(t, fake)
 	values := controls(signIn(t, client, base))
 	values.Set("action", "submit")
 	post(t, client, base+"/console/document", values, http.StatusOK)
-	if got, want := len(hse.submitted), 1; got != want {
+	if got, want := len(fake.submitted), 1; got != want {
 		t.Fatalf("submissions: got %d, want %d", got, want)
 	}
 	want := document.Canonical(document.Example())
 	want.Schema = ""
-	got := document.Canonical(hse.submitted[0].Document)
+	got := document.Canonical(fake.submitted[0].Document)
 	if !proto.Equal(got, want) {
 		t.Errorf("document: got %s, want %s", document.Format(got), document.Format(want))
 	}
 }
 
 func TestFormChangesAndAddsItems(t *testing.T) {
-	hse := &deployment{doc: document.Example(), revision: 7}
-	base, client := start(t, hse)
+	fake := &fakeEntry{doc: document.Example(), revision: 7}
+	base, client := startConsole(t, fake)
 	values := controls(signIn(t, client, base))
 	values.Set("objective", "originBytes")
 	values.Set("customers.1.name", "sorting")
@@ -155,7 +155,7 @@
 	if want := "Accepted as revision 8."; !strings.Contains(page, want) {
 		t.Errorf("page: got %s, want it to hold %q", page, want)
 	}
-	sub := hse.submitted[0]
+	sub := fake.submitted[0]
 	if got, want := sub.Document.GetObjective(), "originBytes"; got != want {
 		t.Errorf("objective: got %q, want %q", got, want)
 	}
@@ -170,15 +170,15 @@
 	}
 }
 
-func TestMessageStandsBesideItsField(t *testing.T) {
-	hse := &deployment{doc: document.Example(), revision: 7}
-	base, client := start(t, hse)
+func TestMessageIsShownBesideItsField(t *testing.T) {
+	fake := &fakeEntry{doc: document.Example(), revision: 7}
+	base, client := startConsole(t, fake)
 	values := controls(signIn(t, client, base))
 	values.Set("models.0.version", "not a hash")
 	values.Set("originCopies", "many")
 	values.Set("action", "submit")
 	page := post(t, client, base+"/console/document", values, http.StatusUnprocessableEntity)
-	if got, want := len(hse.submitted), 0; got != want {
+	if got, want := len(fake.submitted), 0; got != want {
 		t.Errorf("submissions: got %d, want %d", got, want)
 	}
 	for _, id := range []string{"models.0.version", "originCopies"} {
@@ -196,17 +196,17 @@
 // meanwhile. Sequence: two operators open the form, both submit. Cause: the
 // second form starts from a revision that is no longer in force.
 func TestSecondOperatorSeesTheConflict(t *testing.T) {
-	hse := &deployment{doc: document.Example(), revision: 7}
-	base, client := start(t, hse)
+	fake := &fakeEntry{doc: document.Example(), revision: 7}
+	base, client := startConsole(t, fake)
 	values := controls(signIn(t, client, base))
-	hse.revision = 8
+	fake.revision = 8
 	values.Set("action", "submit")
 	page := post(t, client, base+"/console/document", values, http.StatusConflict)
-	again := controls(page)
-	if got, want := again.Get("base"), "8"; got != want {
+	resubmitted := controls(page)
+	if got, want := resubmitted.Get("base"), "8"; got != want {
 		t.Errorf("base of the next sending: got %s, want %s", got, want)
 	}
-	if again.Get("submissionId") == values.Get("submissionId") {
+	if resubmitted.Get("submissionId") == values.Get("submissionId") {
 		t.Error("submission id: got the same, want a new one")
 	}
 	if want := "<td>/objective</td>"; !strings.Contains(page, want) {
@@ -214,15 +214,15 @@
 	}
 }
 
-func TestNobodyUnknownGetsIn(t *testing.T) {
-	hse := &deployment{doc: document.Example(), revision: 7}
-	base, client := start(t, hse)
+func TestUnknownKeyIsRefused(t *testing.T) {
+	fake := &fakeEntry{doc: document.Example(), revision: 7}
+	base, client := startConsole(t, fake)
 	post(t, client, base+"/console/login", url.Values{"key": {"wrong"}}, http.StatusUnauthorized)
 	post(t, client, base+"/console/document", url.Values{"action": {"submit"}}, http.StatusUnauthorized)
 	values := controls(signIn(t, client, base))
 	values.Set("token", "forged")
 	post(t, client, base+"/console/document", values, http.StatusForbidden)
-	if got, want := len(hse.submitted), 0; got != want {
+	if got, want := len(fake.submitted), 0; got != want {
 		t.Errorf("submissions: got %d, want %d", got, want)
 	}
 }
@@ -231,8 +231,8 @@
 // operator fills a customer's weight and forgets the name. Cause: a row
 // without a name was taken for a removed one.
 func TestRowWithoutNameIsAnError(t *testing.T) {
-	hse := &deployment{doc: document.Example(), revision: 7}
-	base, client := start(t, hse)
+	fake := &fakeEntry{doc: document.Example(), revision: 7}
+	base, client := startConsole(t, fake)
 	values := controls(signIn(t, client, base))
 	values.Set("customers.1.weight", "3")
 	values.Set("action", "check")
--- a/entry/internal/console/form.go
+++ b/entry/internal/console/form.go
@@ -19,52 +19,52 @@
 
 // form is the whole document as the operator typed it.
 type form struct {
-	head row
-	rows map[string][]row // by list
+	topLevel row
+	rows     map[string][]row // by list
 }
 
 // tree is a JSON object.
-type tree = map[string]any
+type jsonObject = map[string]any
 
 // formOf returns the form that shows the document.
 func formOf(doc *wire.Document) *form {
-	var whole tree
+	var root jsonObject
 	// Format returns valid JSON by its contract; an empty form shows otherwise.
-	_ = json.Unmarshal(document.Format(doc), &whole)
+	_ = json.Unmarshal(document.Format(doc), &root)
 	filled := &form{rows: map[string][]row{}}
 	for _, sec := range sections {
 		if sec.list == "" {
-			filled.head = rowOf(sec, whole)
+			filled.topLevel = rowOf(sec, root)
 			continue
 		}
-		items, _ := whole[sec.list].([]any)
+		items, _ := root[sec.list].([]any)
 		for _, item := range items {
-			object, _ := item.(tree)
+			object, _ := item.(jsonObject)
 			filled.rows[sec.list] = append(filled.rows[sec.list], rowOf(sec, object))
 		}
 	}
 	return filled
 }
 
-func rowOf(sec section, object tree) row {
+func rowOf(sec section, object jsonObject) row {
 	filled := row{}
 	for _, fld := range sec.fields {
-		filled[fld.name] = show(fld, lookUp(object, fld.name))
+		filled[fld.name] = formatValue(fld, lookUp(object, fld.name))
 	}
 	return filled
 }
 
-func lookUp(object tree, name string) any {
+func lookUp(object jsonObject, name string) any {
 	outer, inner, nested := strings.Cut(name, ".")
 	if !nested {
 		return object[outer]
 	}
-	below, _ := object[outer].(tree)
-	return below[inner]
+	child, _ := object[outer].(jsonObject)
+	return child[inner]
 }
 
 // show returns a JSON value as a control's text.
-func show(fld field, value any) string {
+func formatValue(fld field, value any) string {
 	switch typed := value.(type) {
 	case nil:
 		return ""
@@ -75,22 +75,22 @@
 	case float64:
 		return strconv.FormatFloat(typed, 'g', -1, 64)
 	case []any:
-		return showLines(fld, typed)
+		return formatLines(fld, typed)
 	}
 	return ""
 }
 
-func showLines(fld field, items []any) string {
+func formatLines(fld field, items []any) string {
 	var lines []string
 	for _, item := range items {
-		object, isObject := item.(tree)
+		object, isObject := item.(jsonObject)
 		if !isObject {
-			lines = append(lines, show(fld, item))
+			lines = append(lines, formatValue(fld, item))
 			continue
 		}
 		var words []string
 		for _, column := range fld.columns {
-			words = append(words, show(fld, object[column]))
+			words = append(words, formatValue(fld, object[column]))
 		}
 		lines = append(lines, strings.Join(words, " "))
 	}
@@ -103,14 +103,14 @@
 	posted := &form{rows: map[string][]row{}}
 	for _, sec := range sections {
 		if sec.list == "" {
-			posted.head = readRow(sec, values, "")
+			posted.topLevel = readRow(sec, values, "")
 			continue
 		}
 		count, _ := strconv.Atoi(values.Get(sec.list + ".count"))
 		for i := range min(count, maxRows) {
 			prefix := sec.list + "." + strconv.Itoa(i) + "."
 			filled := readRow(sec, values, prefix)
-			if !blank(sec, filled) && values.Get(prefix+"remove") == "" {
+			if !isBlank(sec, filled) && values.Get(prefix+"remove") == "" {
 				posted.rows[sec.list] = append(posted.rows[sec.list], filled)
 			}
 		}
@@ -124,13 +124,13 @@
 		text := strings.ReplaceAll(values.Get(prefix+fld.name), "\r\n", "\n")
 		filled[fld.name] = strings.TrimSpace(text)
 	}
-	absorbKey(filled)
+	hashNewKey(filled)
 	return filled
 }
 
 // blank reports whether an operator typed nothing into the row. Selections
 // always have a value and say nothing.
-func blank(sec section, filled row) bool {
+func isBlank(sec section, filled row) bool {
 	for _, fld := range sec.fields {
 		if fld.kind != kindSelect && filled[fld.name] != "" {
 			return false
@@ -140,7 +140,7 @@
 }
 
 // absorbKey adds the hash of a new key to the hashes and forgets the key.
-func absorbKey(filled row) {
+func hashNewKey(filled row) {
 	key := filled["newKey"]
 	if key == "" {
 		return
@@ -156,35 +156,35 @@
 
 // document returns the document that the form describes, checked as any other.
 func (f *form) document() (*wire.Document, []document.Problem) {
-	text, err := json.Marshal(f.tree())
+	text, err := json.Marshal(f.toJSON())
 	if err != nil {
 		return nil, nil
 	}
 	return document.Parse(text)
 }
 
-func (f *form) tree() tree {
-	whole := tree{}
+func (f *form) toJSON() jsonObject {
+	root := jsonObject{}
 	for _, sec := range sections {
 		if sec.list == "" {
-			fill(whole, sec, f.head)
+			setValues(root, sec, f.topLevel)
 			continue
 		}
 		items := []any{}
 		for _, filled := range f.rows[sec.list] {
-			object := tree{}
-			fill(object, sec, filled)
+			object := jsonObject{}
+			setValues(object, sec, filled)
 			items = append(items, object)
 		}
 		if len(items) > 0 {
-			whole[sec.list] = items
+			root[sec.list] = items
 		}
 	}
-	return whole
+	return root
 }
 
 // fill writes a row's values into the object; empty ones stay absent.
-func fill(object tree, sec section, filled row) {
+func setValues(object jsonObject, sec section, filled row) {
 	for _, fld := range sec.fields {
 		text := filled[fld.name]
 		if text == "" || fld.kind == kindKey {
@@ -192,24 +192,24 @@
 		}
 		outer, inner, nested := strings.Cut(fld.name, ".")
 		if !nested {
-			object[outer] = parse(fld, text)
+			object[outer] = parseValue(fld, text)
 			continue
 		}
-		below, _ := object[outer].(tree)
-		if below == nil {
-			below = tree{}
-			object[outer] = below
+		child, _ := object[outer].(jsonObject)
+		if child == nil {
+			child = jsonObject{}
+			object[outer] = child
 		}
-		below[inner] = parse(fld, text)
+		child[inner] = parseValue(fld, text)
 	}
 }
 
 // parse returns the JSON value of a control's text. Text that is no number
 // stays text, so that the schema's check names the field.
-func parse(fld field, text string) any {
+func parseValue(fld field, text string) any {
 	switch fld.kind {
 	case kindNumber:
-		return number(text)
+		return parseNumber(text)
 	case kindCheck:
 		return text == "true" || text == "on"
 	case kindLines:
@@ -218,7 +218,7 @@
 	return text
 }
 
-func number(text string) any {
+func parseNumber(text string) any {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return text
@@ -237,20 +237,20 @@
 			items = append(items, strings.Join(words, " "))
 			continue
 		}
-		items = append(items, objectOf(fld.columns, words))
+		items = append(items, parseObject(fld.columns, words))
 	}
 	return items
 }
 
-func objectOf(columns, words []string) tree {
-	object := tree{}
+func parseObject(columns, words []string) jsonObject {
+	object := jsonObject{}
 	for i, word := range words {
 		if i >= len(columns) {
 			object["tooManyWords"] = word
 			break
 		}
 		if columns[i] == "count" {
-			object[columns[i]] = number(word)
+			object[columns[i]] = parseNumber(word)
 			continue
 		}
 		object[columns[i]] = word
--- a/entry/internal/console/view.go
+++ b/entry/internal/console/view.go
@@ -39,7 +39,7 @@
 	var views []sectionView
 	for _, sec := range sections {
 		if sec.list == "" {
-			views = append(views, sectionView{Title: sec.title, Rows: []rowView{viewRow(sec, filled.head, "", "", problems)}})
+			views = append(views, sectionView{Title: sec.title, Rows: []rowView{viewRow(sec, filled.topLevel, "", "", problems)}})
 			continue
 		}
 		view := sectionView{Title: sec.title, List: sec.list}
@@ -77,29 +77,29 @@
 func messagesAt(pointer string, problems []document.Problem) []string {
 	var messages []string
 	for _, problem := range problems {
-		if at(pointer, problem.Path()) {
+		if isAtOrBelow(pointer, problem.Path()) {
 			messages = append(messages, problem.Message()+"; "+problem.Remedy())
 		}
 	}
 	return messages
 }
 
-func at(pointer, path string) bool {
+func isAtOrBelow(pointer, path string) bool {
 	return path == pointer || strings.HasPrefix(path, pointer+"/")
 }
 
 // unplaced returns the problems that no field shows.
-func unplaced(filled *form, problems []document.Problem) []string {
+func unmatchedMessages(filled *form, problems []document.Problem) []string {
 	var messages []string
 	for _, problem := range problems {
-		if !placed(filled, problem.Path()) {
+		if !hasField(filled, problem.Path()) {
 			messages = append(messages, problem.Path()+": "+problem.Message()+"; "+problem.Remedy())
 		}
 	}
 	return messages
 }
 
-func placed(filled *form, path string) bool {
+func hasField(filled *form, path string) bool {
 	for _, sec := range sections {
 		count := 1
 		if sec.list != "" {
@@ -111,7 +111,7 @@
 				pointer = "/" + sec.list + "/" + strconv.Itoa(i)
 			}
 			for _, fld := range sec.fields {
-				if at(pointer+"/"+strings.ReplaceAll(fld.name, ".", "/"), path) {
+				if isAtOrBelow(pointer+"/"+strings.ReplaceAll(fld.name, ".", "/"), path) {
 					return true
 				}
 			}
