--- a/entry/internal/cmd/process.go
+++ b/entry/internal/cmd/process.go
@@ -37,13 +37,13 @@
 	idleTimeout = 2 * time.Minute
 	// lingerFor is how long a drained entry goes on refusing: callers that hold
 	// its address get proof that nothing was run, and the spares.
-	lingerFor = 3 * time.Second
+	drainLinger = 3 * time.Second
 	// shutdownTimeout bounds the end of idle connections.
 	shutdownTimeout = time.Second
 )
 
 // parts are what a running entry consists of.
-type parts struct {
+type components struct {
 	dig.In
 
 	Settings   *wire.EntrySettings
@@ -69,7 +69,7 @@
 }
 
 // process is one entry.
-type process struct{ parts }
+type process struct{ components }
 
 // Run runs an entry with the given settings. It drains when drain ends and
 // stops at once when kill does. A clean end is no error.
@@ -77,9 +77,9 @@
 	if set.GetSite() != nil {
 		return onsite.Run(drain, kill, set, out)
 	}
-	box := build(set, errOut)
-	return dig.RootCause(box.Invoke(func(all parts) error {
-		return (&process{parts: all}).run(drain, kill, out)
+	container := newContainer(set, errOut)
+	return dig.RootCause(container.Invoke(func(all components) error {
+		return (&process{components: all}).run(drain, kill, out)
 	}))
 }
 
@@ -90,22 +90,22 @@
 	if err := wire.DRPCRegisterControl(mux, p.Server); err != nil {
 		return failure.Wrap(err, failure.Internal, "cannot register the control calls", "report it")
 	}
-	p.publishFigures()
+	p.publishVars()
 	p.Publisher.Build()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return ignoreEnd(ctx, peer.Serve(ctx, p.Listeners.control, p.Keys, mux, p.Log)) })
+	group.Go(func() error { return ignoreStopError(ctx, peer.Serve(ctx, p.Listeners.control, p.Keys, mux, p.Log)) })
 	group.Go(func() error { return p.serveHTTP(ctx, p.Listeners.callers, p.callersRoutes()) })
 	if p.Listeners.operators != nil {
 		routes := node.OperatorsRouter(node.Health{Ready: p.ready})
 		group.Go(func() error { return p.serveHTTP(ctx, p.Listeners.operators, routes) })
 	}
-	p.work(ctx, drain, group)
+	p.startBackground(ctx, drain, group)
 	fmt.Fprintf(out, "listening address=%s\n", p.Node.GetCallersAddress())
 	p.Log.Info("started", "incarnation", p.Node.GetIncarnation(), "callersAddress", p.Node.GetCallersAddress(),
 		"controlAddress", p.Node.GetControlAddress())
 	group.Go(func() error {
 		defer stop()
-		p.awaitEnd(ctx, drain, kill)
+		p.awaitShutdown(ctx, drain, kill)
 		return nil
 	})
 	err := group.Wait()
@@ -116,12 +116,12 @@
 
 // work starts what runs beside the listeners. The leases end with the drain's
 // start: a process that goes must not be in charge.
-func (p *process) work(ctx, drain context.Context, group *errgroup.Group) {
-	leaseCtx, giveBack := context.WithCancel(ctx)
-	context.AfterFunc(drain, giveBack)
+func (p *process) startBackground(ctx, drain context.Context, group *errgroup.Group) {
+	leaseCtx, releaseLeases := context.WithCancel(ctx)
+	context.AfterFunc(drain, releaseLeases)
 	for _, run := range []func(context.Context){
 		p.Publisher.Run, p.Syncer.Run, p.HostList.Run, p.Watcher.Run, p.Planner.Run,
-		func(ctx context.Context) { p.Collector.Run(ctx, p.inCharge) },
+		func(ctx context.Context) { p.Collector.Run(ctx, p.holdsPlannerLease) },
 	} {
 		group.Go(func() error {
 			run(ctx)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (p *process) inCharge() bool {
+func (p *process) holdsPlannerLease() bool {
 	_, ok := p.Leases.planner.Holding()
 	return ok
 }
@@ -157,16 +157,16 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    callers.MaxHeaderBytes,
 	}
-	ended := make(chan struct{})
-	release := context.AfterFunc(ctx, func() {
-		defer close(ended)
+	done := make(chan struct{})
+	stopAfterFunc := context.AfterFunc(ctx, func() {
+		defer close(done)
 		p.shutdown(server)
 	})
 	err := server.Serve(lis)
-	if !release() {
-		<-ended
+	if !stopAfterFunc() {
+		<-done
 	}
-	return ignoreEnd(ctx, err)
+	return ignoreStopError(ctx, err)
 }
 
 // shutdown ends idle connections and lets answers in progress out, briefly:
@@ -180,7 +180,7 @@
 }
 
 // ignoreEnd drops the error that a part returns because it was asked to stop.
-func ignoreEnd(ctx context.Context, err error) error {
+func ignoreStopError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -188,7 +188,7 @@
 }
 
 // awaitEnd waits for the signal and drains.
-func (p *process) awaitEnd(ctx, drain, kill context.Context) {
+func (p *process) awaitShutdown(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
 		return
@@ -197,7 +197,7 @@
 	limit := orDefault(p.Settings.GetDrainTimeout().AsDuration(), defaultDrain)
 	p.Log.Info("draining before the exit", "inFlight", p.Callers.InFlight(), "limit", limit)
 	p.announceDrain()
-	began := p.Clock.Now()
+	start := p.Clock.Now()
 	drainCtx, cancel := context.WithTimeout(kill, limit)
 	defer cancel()
 	p.Callers.Drain(drainCtx)
@@ -205,7 +205,7 @@
 	case <-kill.Done():
 		p.Log.Warn("stopping at once", "inFlight", p.Callers.InFlight())
 	case <-ctx.Done():
-	case <-p.Clock.After(max(0, lingerFor-p.Clock.Since(began))):
+	case <-p.Clock.After(max(0, drainLinger-p.Clock.Since(start))):
 	}
 }
 
@@ -231,14 +231,14 @@
 
 // publishFigures shows the entry's state under /debug/vars. A name that is
 // taken belongs to another entry of the same test process.
-func (p *process) publishFigures() {
+func (p *process) publishVars() {
 	if expvar.Get("entryState") != nil {
 		return
 	}
-	expvar.Publish("entryState", expvar.Func(p.figures))
+	expvar.Publish("entryState", expvar.Func(p.stateVars))
 }
 
-func (p *process) figures() any {
+func (p *process) stateVars() any {
 	status := p.Operators.Status()
 	_, watching := p.Leases.watch.Holding()
 	fence, planning := p.Leases.planner.Holding()
--- a/entry/internal/cmd/wiring.go
+++ b/entry/internal/cmd/wiring.go
@@ -40,15 +40,15 @@
 	defaultDrain    = 30 * time.Second
 	// leaseMarginPart is the part of a lease's time that its holder leaves
 	// unused, for the difference of two clocks.
-	leaseMarginPart = 5
+	leaseMarginDivisor = 5
 )
 
 // build registers how each part of an entry is made.
-func build(set *wire.EntrySettings, errOut io.Writer) *dig.Container {
-	box := dig.New()
-	provide := func(makers ...any) {
-		for _, maker := range makers {
-			if err := box.Provide(maker); err != nil {
+func newContainer(set *wire.EntrySettings, errOut io.Writer) *dig.Container {
+	container := dig.New()
+	provide := func(constructors ...any) {
+		for _, constructor := range constructors {
+			if err := container.Provide(constructor); err != nil {
 				panic(err)
 			}
 		}
@@ -65,7 +65,7 @@
 		newCallers, control.NewDeployment, newSelf, newExchange, newSyncer, newServer, newPublisher, newHostList,
 		newLeases, newWatcher, newPlanner, newOperators, newConsole,
 	)
-	return box
+	return container
 }
 
 func newKeys(set *wire.EntrySettings, clock clockwork.Clock) (*peer.Keys, error) {
@@ -97,10 +97,10 @@
 	return lis, err
 }
 
-func listen(address, key string) (net.Listener, error) {
+func listen(address, setting string) (net.Listener, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+key,
+		return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+setting,
 			"stop the process that has the port, or give another")
 	}
 	return lis, nil
@@ -115,14 +115,14 @@
 }
 
 func newService(set *wire.EntrySettings, clock clockwork.Clock) *kv.Store {
-	limit := budget.New(budget.Options{
+	rateLimit := budget.New(budget.Options{
 		Role:            peer.RoleEntry,
 		ReadsPerSecond:  set.GetKvReadsPerSecond(),
 		WritesPerSecond: set.GetKvWritesPerSecond(),
 		Clock:           clock,
 	})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
-	return kv.NewHTTP(set.GetKvUrl(), set.GetNode().GetId(), limit, client)
+	return kv.NewHTTP(set.GetKvUrl(), set.GetNode().GetId(), rateLimit, client)
 }
 
 func newCallers(set *wire.EntrySettings, self *wire.Node, holder *view.Holder, pool *peer.Pool,
@@ -142,8 +142,8 @@
 	})
 }
 
-func newSelf(self *wire.Node, requests *callers.Server, deployment *control.Deployment) *control.Self {
-	return control.NewSelf(self, requests.InFlight, requests.Demand, deployment.Known, deployment.HomeRevision)
+func newSelf(self *wire.Node, callersServer *callers.Server, deployment *control.Deployment) *control.Self {
+	return control.NewSelf(self, callersServer.InFlight, callersServer.Demand, deployment.Known, deployment.HomeRevision)
 }
 
 func newExchange(deployment *control.Deployment, self *control.Self) *control.Exchange {
@@ -154,8 +154,8 @@
 	return control.NewSyncer(exchange, pool, docs.Fetch, orDefault(set.GetSyncInterval().AsDuration(), defaultSync))
 }
 
-func newServer(exchange *control.Exchange, requests *callers.Server, keys *peer.Keys, syncer *control.Syncer) *control.Server {
-	delegate := control.Delegate{Claim: requests.Claim, Settle: requests.Settle}
+func newServer(exchange *control.Exchange, callersServer *callers.Server, keys *peer.Keys, syncer *control.Syncer) *control.Server {
+	delegate := control.Delegate{Claim: callersServer.Claim, Settle: callersServer.Settle}
 	return control.NewServer(exchange, delegate, keys != nil, syncer.Pull)
 }
 
@@ -176,14 +176,14 @@
 func newLeases(set *wire.EntrySettings, deployment *control.Deployment, self *wire.Node, service *kv.Store,
 	clock clockwork.Clock, log *slog.Logger) *leases {
 	ttl := orDefault(set.GetLeaseTtl().AsDuration(), defaultLeaseTTL)
-	claim := func(ctx context.Context, name string) *lease.Holder {
-		return lease.Run(ctx, service, clock, name, self.GetIncarnation(), ttl, ttl/leaseMarginPart, log)
+	acquire := func(ctx context.Context, name string) *lease.Holder {
+		return lease.Run(ctx, service, clock, name, self.GetIncarnation(), ttl, ttl/leaseMarginDivisor, log)
 	}
-	near := func(other *wire.Node) bool { return other.GetFailureDomain() == self.GetFailureDomain() }
-	all := func(*wire.Node) bool { return true }
+	sameDomain := func(other *wire.Node) bool { return other.GetFailureDomain() == self.GetFailureDomain() }
+	anyNode := func(*wire.Node) bool { return true }
 	return &leases{
-		watch:   control.NewContender("watch/"+self.GetFailureDomain(), deployment, near, claim),
-		planner: control.NewContender("planner", deployment, all, claim),
+		watch:   control.NewContender("watch/"+self.GetFailureDomain(), deployment, sameDomain, acquire),
+		planner: control.NewContender("planner", deployment, anyNode, acquire),
 	}
 }
 
