--- a/entry/internal/store/audit.go
+++ b/entry/internal/store/audit.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxDiffBytes bounds the diff within a root: roots travel to every process
-	// with every change.
+	// maxDiffBytes limits the diff stored in a root, because the root is sent to
+	// every process on every change.
 	maxDiffBytes = 16 << 10
-	// changeOverhead is what the encoding adds to each change.
+	// changeOverhead is the number of bytes that the encoding adds per change.
 	changeOverhead = 4
-	// maxAuditPage bounds how many records one call reads.
+	// maxAuditPage limits the number of records returned by one call.
 	maxAuditPage = 200
 )
 
-// Audit returns the records from the given revision on, oldest first, at most
-// limit of them.
+// Audit returns up to limit audit records, oldest first, starting at the given
+// revision.
 func (s *Store) Audit(ctx context.Context, from uint32, limit int) ([]*wire.Audit, error) {
 	current, err := s.readRoot(ctx)
 	if err != nil {
@@ -41,25 +41,26 @@
 	return records, nil
 }
 
-// record writes the root under its own key of the trail. The root key's next
-// swap would otherwise overwrite the only copy of its audit record.
+// writeRecord copies the root to its own audit key. Without this copy, the next
+// swap of the root key would overwrite the only copy of its audit record.
 func (s *Store) writeRecord(ctx context.Context, root *wire.Root) error {
 	value, err := proto.Marshal(root)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "a root cannot be encoded", "report this")
+		return failure.Wrap(err, failure.Internal, "cannot encode the document root", "report this")
 	}
 	_, err = s.kv.Swap(ctx, auditKey(root.GetRevision()), value, 0, "")
 	switch {
 	case err == nil || failure.KindOf(err) == failure.Conflict:
-		return nil // There is one root of each revision: whoever wrote it wrote this.
+		return nil // Each revision has exactly one root, so an existing record is identical.
 	case failure.KindOf(err) == failure.Ambiguous:
 		return s.confirmRecord(ctx, root.GetRevision(), err)
 	}
 	return err
 }
 
-// ensureRecord writes the root's record where it is missing: reads are cheaper
-// than writes, and its submitter has nearly always written it.
+// ensureRecord writes the root's audit record if it is missing. It reads first
+// because reads are cheaper than writes and the submitter has nearly always
+// written the record already.
 func (s *Store) ensureRecord(ctx context.Context, root *wire.Root) error {
 	if root == nil {
 		return nil
@@ -70,21 +71,21 @@
 	return s.writeRecord(ctx, root)
 }
 
-// confirmRecord settles a write of the trail whose reply was lost.
+// confirmRecord checks whether an audit write whose reply was lost took effect.
 func (s *Store) confirmRecord(ctx context.Context, revision uint32, cause error) error {
 	_, found, err := s.kv.Get(ctx, auditKey(revision))
 	if err != nil {
 		return err
 	}
 	if !found {
-		return failure.Wrap(cause, failure.Unavailable, "the audit record of the revision in force could not be written",
+		return failure.Wrap(cause, failure.Unavailable, "cannot write the audit record of the revision in force",
 			"submit again once the key-value service answers")
 	}
 	return nil
 }
 
-// Repair writes the record of the root in force where its submitter died
-// before it could.
+// Repair writes the missing audit record of the root in force, in case its
+// submitter crashed before writing it.
 func (s *Store) Repair(ctx context.Context) error {
 	current, err := s.readRoot(ctx)
 	if err != nil {
@@ -93,8 +94,8 @@
 	return s.ensureRecord(ctx, current.root)
 }
 
-// bounded keeps the first changes of a long diff; the whole one can be computed
-// from the parts.
+// truncateDiff keeps the first changes of a long diff, up to maxDiffBytes. The
+// full diff can be recomputed from the parts.
 func truncateDiff(changes []*wire.Change) []*wire.Change {
 	size := 0
 	for i, change := range changes {
--- a/entry/internal/store/collect.go
+++ b/entry/internal/store/collect.go
@@ -12,41 +12,43 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// collectGrace is how long a part has to lie unreferenced and untouched before
+// collectGrace is how long a part must stay unreferenced and unmodified before
 // it is deleted.
 const collectGrace = 10 * time.Minute
 
-// listShards is the number of listings that one pass over all parts takes: the
-// parts of a large deployment do not fit one answer.
+// listShards is the number of list calls per pass, one for each first hex digit
+// of the hash. The parts of a large deployment do not fit in one response.
 const listShards = 16
 
-// garbage is an unreferenced part as it was first seen.
+// garbage records when an unreferenced part was first seen, and at which
+// revision of its key.
 type garbage struct {
-	revision  uint64 // of the key in the service; a touched part has another
+	revision  uint64 // of the key in the key-value service; rewriting the part changes it
 	firstSeen time.Time
 }
 
-// Collector deletes parts that no kept revision names. One lease-holder runs
-// it, but two at once do no harm: every write and delete is conditional.
+// Collector deletes parts that no kept revision references. It runs on the
+// lease holder, but two concurrent collectors are safe because every write and
+// delete is conditional.
 //
-// A submission under way has written parts that no root names yet, and may be
-// paused for longer than any grace. Before it deletes, the collector therefore
-// renews the root key: every submission that read the root earlier fails its
-// swap, starts anew and touches its parts, and a touched part survives, since
-// the delete names the revision of the part that was marked.
+// A submission in progress has written parts that no root references yet, and it
+// may be paused for longer than any grace period. Before deleting, the collector
+// therefore rewrites the root key. Every submission that read the root earlier
+// then fails its swap, retries and rewrites its parts. A rewritten part is not
+// deleted, because the delete is conditional on the key revision that was marked.
 type Collector struct {
 	store      *Store
-	marked     map[string]garbage         // by hash
-	referenced map[uint32]map[string]bool // hashes by kept revision
+	marked     map[string]garbage         // unreferenced parts by hash
+	referenced map[uint32]map[string]bool // part hashes by kept revision
 }
 
-// NewCollector returns a Collector that has marked nothing.
+// NewCollector returns a Collector with no parts marked.
 func NewCollector(store *Store) *Collector {
 	return &Collector{store: store, marked: map[string]garbage{}, referenced: map[uint32]map[string]bool{}}
 }
 
-// Pass marks new garbage, deletes what was marked long enough ago and returns
-// the number of parts deleted.
+// Pass marks unreferenced parts, deletes those whose grace period has expired
+// and returns the number of parts deleted.
 func (c *Collector) Pass(ctx context.Context) (int, error) {
 	current, err := c.store.readRoot(ctx)
 	if err != nil || current.root == nil {
@@ -65,8 +67,8 @@
 	return c.delete(ctx, expired)
 }
 
-// readKept learns the parts of the kept revisions; a root never changes, so
-// each is read once.
+// loadKeptRevisions updates the part hashes of the kept revisions. The root of a
+// revision never changes, so each is read only once.
 func (c *Collector) loadKeptRevisions(ctx context.Context, newest *wire.Root) error {
 	oldest := uint32(1)
 	if newest.GetRevision() > KeptRevisions {
@@ -93,6 +95,7 @@
 	return nil
 }
 
+// hashesOf returns the set of part hashes that the root references.
 func hashesOf(root *wire.Root) map[string]bool {
 	hashes := make(map[string]bool, len(root.GetParts()))
 	for _, part := range root.GetParts() {
@@ -101,6 +104,7 @@
 	return hashes
 }
 
+// isReferenced reports whether any kept revision references the part.
 func (c *Collector) isReferenced(hash string) bool {
 	for _, hashes := range c.referenced {
 		if hashes[hash] {
@@ -110,7 +114,8 @@
 	return false
 }
 
-// mark lists all parts and returns those whose grace is over.
+// mark lists all parts, updates the set of unreferenced ones and returns those
+// whose grace period has expired.
 func (c *Collector) mark(ctx context.Context) (map[string]garbage, error) {
 	now := c.store.clock.Now()
 	marked, expired := map[string]garbage{}, map[string]garbage{}
@@ -127,6 +132,8 @@
 	return expired, nil
 }
 
+// markPart adds the part to marked if it is unreferenced, and also to expired if
+// its grace period is over. The grace period restarts when the part is rewritten.
 func (c *Collector) markPart(part kv.Entry, now time.Time, marked, expired map[string]garbage) {
 	hash := part.Key()[len(PartsPrefix):]
 	if c.isReferenced(hash) {
@@ -142,17 +149,20 @@
 	}
 }
 
-// renew writes the root key as it is: its revision in the service moves, and
-// the condition proves that the root is the one whose parts were spared.
+// touchRoot rewrites the root key with its current value, which advances the
+// key's revision. The conditional write proves that the root is still the one
+// whose parts were kept.
 func (c *Collector) touchRoot(ctx context.Context, current versionedRoot) error {
 	value, err := proto.Marshal(current.root)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "a root cannot be encoded", "report this")
+		return failure.Wrap(err, failure.Internal, "cannot encode the document root", "report this")
 	}
 	_, err = c.store.kv.Swap(ctx, RootKey, value, current.kvRevision, "")
 	return err
 }
 
+// delete deletes the expired parts, except those that changed since they were
+// marked, and returns the number deleted.
 func (c *Collector) delete(ctx context.Context, expired map[string]garbage) (int, error) {
 	deleted := 0
 	for hash, candidate := range expired {
--- a/entry/internal/store/collect_loop.go
+++ b/entry/internal/store/collect_loop.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// collectInterval is how often the lease-holder looks for garbage.
+// collectInterval is the time between collections on the lease holder.
 const collectInterval = 2 * time.Minute
 
-// Run repairs the trail and collects garbage while holding reports true, until
-// ctx ends.
+// Run repairs the audit trail and deletes unreferenced parts at every
+// collectInterval for which holdsLease reports true, until ctx is done.
 func (c *Collector) Run(ctx context.Context, holdsLease func() bool) {
 	for ctx.Err() == nil {
 		select {
@@ -24,16 +24,18 @@
 	}
 }
 
+// runOnce repairs the audit trail, then makes one collection pass. It collects
+// nothing if the repair fails.
 func (c *Collector) runOnce(ctx context.Context) {
 	if err := c.store.Repair(ctx); err != nil {
-		c.store.log.Warn("audit trail not repaired", "error", err)
+		c.store.log.Warn("cannot repair audit trail", "error", err)
 		return
 	}
 	deleted, err := c.Pass(ctx)
 	if err != nil {
-		c.store.log.Warn("parts not collected", "error", err)
+		c.store.log.Warn("cannot collect unreferenced parts", "error", err)
 	}
 	if deleted > 0 {
-		c.store.log.Info("parts collected", "count", deleted)
+		c.store.log.Info("unreferenced parts deleted", "count", deleted)
 	}
 }
--- a/entry/internal/store/faults_test.go
+++ b/entry/internal/store/faults_test.go
@@ -10,17 +10,22 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// fault is what happens to the next write of a key below a prefix.
+// fault is injected into the next write to a key with the prefix.
 type fault struct {
 	prefix string
-	// kind: "lostReply" (takes effect, reply lost), "lostCall" (no effect, the
-	// caller does not know), "late" (takes effect at deliver, the caller does not
-	// know), "down" (surely no effect).
+	// kind is one of:
+	//   - "lostReply": the write takes effect, its reply is lost;
+	//   - "lostReplyThenDown": like lostReply, and the service then goes down;
+	//   - "lostCall": the write has no effect, the outcome is unknown to the caller;
+	//   - "late": the write takes effect at deliver, the outcome is unknown to the
+	//     caller;
+	//   - "down": the write has no effect, and the caller knows it.
 	kind string
 }
 
-// faultyService is a service whose next calls fail as set. Before is called
-// ahead of each write: another process acts there.
+// faultyService is an in-memory key-value service that injects faults into
+// writes. It calls beforeWrite before each write, so that a test can act there
+// as another process.
 type faultyService struct {
 	memory      *kv.Memory
 	faults      []fault
@@ -33,6 +38,7 @@
 	return &faultyService{memory: kv.NewMemoryService(clock), beforeWrite: func(string) {}}
 }
 
+// store returns a client of the service with the faults applied.
 func (f *faultyService) store() *kv.Store {
 	service := f.memory.Store()
 	plainGet, plainList := service.Get, service.List
@@ -63,6 +69,7 @@
 	return service
 }
 
+// write runs apply, subject to the next fault planned for the key.
 func (f *faultyService) write(key string, apply func() error) error {
 	f.beforeWrite(key)
 	if f.down {
@@ -87,6 +94,7 @@
 	return apply()
 }
 
+// takeFault removes the first fault planned for the key and returns its kind.
 func (f *faultyService) takeFault(key string) string {
 	for i, planned := range f.faults {
 		if strings.HasPrefix(key, planned.prefix) {
@@ -97,7 +105,7 @@
 	return ""
 }
 
-// deliver lets the calls that were on their way take effect.
+// deliver applies the delayed writes.
 func (f *faultyService) deliver() {
 	delayed := f.delayed
 	f.delayed = nil
--- a/entry/internal/store/fuzz_test.go
+++ b/entry/internal/store/fuzz_test.go
@@ -8,8 +8,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// FuzzDecodeRoot: the service's values may be damaged; a damaged root is
-// refused and never half read.
+// FuzzDecodeRoot checks that a root damaged in the key-value service is rejected
+// and never partly decoded.
 func FuzzDecodeRoot(f *testing.F) {
 	encoded, err := proto.Marshal(&wire.Root{Revision: 3, Parts: []*wire.Part{{Name: "head", Hash: "x", Size: 1}}, SubmissionId: "one"})
 	if err != nil {
@@ -21,7 +21,7 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		root, err := DecodeRoot(value)
 		if err == nil && root.GetRevision() == 0 {
-			t.Errorf("got a root of revision 0 from %x, want it refused", value)
+			t.Errorf("got a root of revision 0 from %x, want an error", value)
 		}
 	})
 }
--- a/entry/internal/store/parts.go
+++ b/entry/internal/store/parts.go
@@ -8,30 +8,31 @@
 	"comfreyrelay.example/relay/document"
 )
 
-// maxCachedParts bounds the number of parts in memory.
+// maxCachedParts limits the number of parts in the cache.
 const maxCachedParts = 4096
 
-// Parts keeps parts of documents by content hash, the lately used ones, within
-// a bound of bytes. It is safe for concurrent use.
+// Parts is an LRU cache of document parts, keyed by content hash and limited in
+// bytes. It is safe for concurrent use.
 type Parts struct {
 	mu    sync.Mutex
 	cache *simplelru.LRU[string, []byte]
 	bytes int // sum of the parts' sizes
-	limit int // bytes is at most this, but for a single larger part
+	limit int // maximum of bytes; a single larger part may exceed it
 }
 
-// NewParts returns an empty cache of at most limit bytes.
+// NewParts returns an empty cache that holds at most limit bytes.
 func NewParts(limit int) *Parts {
 	parts := &Parts{limit: limit}
 	cache, err := simplelru.NewLRU(maxCachedParts, func(_ string, content []byte) { parts.bytes -= len(content) })
 	if err != nil {
-		panic("store: " + err.Error()) // Only a size below 1 fails.
+		panic("store: " + err.Error()) // NewLRU fails only for a size below 1.
 	}
 	parts.cache = cache
 	return parts
 }
 
-// Get returns the part's bytes, or nil; the caller does not change them.
+// Get returns the part's bytes, or nil if it is not cached. The caller must not
+// modify them.
 func (p *Parts) Get(hash string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,15 +40,15 @@
 	return content
 }
 
-// Has reports whether the part is here.
+// Has reports whether the part is cached.
 func (p *Parts) Has(hash string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cache.Contains(hash)
 }
 
-// Add keeps the part where its bytes match the hash and reports whether they
-// do: whoever sent them, no wrong byte gets into a document.
+// Add caches the part if its bytes match the hash, and reports whether they do.
+// The check keeps corrupt data out of documents, whatever its source.
 func (p *Parts) Add(hash string, content []byte) bool {
 	if content == nil || document.HashBytes(content) != hash {
 		return false
--- a/entry/internal/store/simulation_test.go
+++ b/entry/internal/store/simulation_test.go
@@ -17,7 +17,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// steadyClock runs by itself, so that pauses between attempts end.
+// autoAdvanceClock advances by the full wait on After, so that the delays between
+// attempts end immediately.
 type autoAdvanceClock struct {
 	clockwork.Clock
 
@@ -31,16 +32,17 @@
 	return done
 }
 
-// world drives several entries and a collector against one faulty service.
+// simulation runs several entries and a collector against one faulty service.
 type simulation struct {
 	t         *rapid.T
 	clock     *clockwork.FakeClock
 	service   *faultyService
 	entries   []*Store
 	collector *Collector
-	// history holds every root that the service ever had, by revision.
+	// history holds every root observed in the service, by revision.
 	history map[uint32]*wire.Root
-	// outcomes is the submitters' outcomes: accepted, refused or unknown.
+	// outcomes holds the outcome reported for each submission id: accepted,
+	// refused or unknown.
 	outcomes     map[string]string
 	interleaving bool
 	count        int
@@ -60,7 +62,7 @@
 	return sim
 }
 
-// meanwhile is what other processes do just ahead of a write.
+// interleave randomly runs an action of another process just before a write.
 func (sim *simulation) interleave(string) {
 	sim.observe()
 	if sim.interleaving || rapid.IntRange(0, 9).Draw(sim.t, "meanwhile") > 2 {
@@ -79,7 +81,8 @@
 	sim.observe()
 }
 
-// observe notes the root that the service has.
+// observe adds the current root to the history and fails if the history already
+// has a different root of the same revision.
 func (sim *simulation) observe() {
 	entry, found := sim.service.memory.Get(RootKey)
 	if !found {
@@ -97,7 +100,7 @@
 	sim.checkParts(root)
 }
 
-// checkParts: whatever is in force must be there as a whole.
+// checkParts fails if the service lacks a part of the root in force.
 func (sim *simulation) checkParts(root *wire.Root) {
 	for _, part := range root.GetParts() {
 		if _, found := sim.service.memory.Get(partKey(part.GetHash())); !found {
@@ -114,6 +117,7 @@
 	return newest
 }
 
+// submit makes a random submission under random faults, up to twice.
 func (sim *simulation) submit() {
 	sim.observe()
 	sim.count++
@@ -138,6 +142,7 @@
 	sim.service.faults, sim.service.down = nil, false
 }
 
+// recordOutcome stores the outcome that the submitter was told.
 func (sim *simulation) recordOutcome(id string, err error) {
 	switch {
 	case err == nil:
@@ -145,12 +150,14 @@
 	case failure.KindOf(err) == failure.Ambiguous:
 		sim.outcomes[id] = "unknown"
 	case failure.KindOf(err) == failure.Unavailable && sim.outcomes[id] == "unknown":
-		// This call had no effect; of the earlier one it knows nothing.
+		// This call had no effect, but the outcome of the earlier one is still
+		// unknown.
 	default:
 		sim.outcomes[id] = "refused"
 	}
 }
 
+// planFaults queues up to three random faults.
 func (sim *simulation) planFaults() {
 	for range rapid.IntRange(0, 3).Draw(sim.t, "faults") {
 		sim.service.faults = append(sim.service.faults, fault{
@@ -160,12 +167,13 @@
 	}
 }
 
+// collect advances the clock and runs one collector pass.
 func (sim *simulation) collect() {
 	sim.clock.Advance(time.Duration(rapid.IntRange(1, 12).Draw(sim.t, "minutes")) * time.Minute)
 	_, _ = sim.collector.Pass(context.Background())
 }
 
-// check holds the submitters' outcomes against what the service had.
+// checkOutcomes compares the reported outcomes with the observed history.
 func (sim *simulation) checkOutcomes() {
 	sim.service.faults, sim.service.down = nil, false
 	sim.service.deliver()
@@ -186,7 +194,8 @@
 	sim.checkAuditTrail()
 }
 
-// checkTrail: every revision but the newest has its record under its own key.
+// checkAuditTrail checks that every revision but the newest has an audit record
+// under its own key, and that no record is newer than the root.
 func (sim *simulation) checkAuditTrail() {
 	newest := sim.newest()
 	for revision := uint32(1); revision < newest; revision++ {
@@ -215,10 +224,11 @@
 	return found
 }
 
-// TestSubmissionsUnderFaults: replies are lost, calls arrive late, the service
-// goes down, other operators and the collector act between any two writes. The
-// symptoms would be a submission answered refused that is in force, or accepted
-// that is not; two accepted on one base; a revision without record or part.
+// TestSubmissionsUnderFaults submits while replies are lost, calls are delayed,
+// the service goes down, and other operators and the collector act between any
+// two writes. It guards against a submission reported as refused that is in
+// force, or reported as accepted that is not, two submissions accepted on the
+// same base, and a revision without its audit record or one of its parts.
 func TestSubmissionsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t)
--- a/entry/internal/store/store_test.go
+++ b/entry/internal/store/store_test.go
@@ -19,7 +19,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// scene is a service and the entries that write to it.
+// scriptEnv runs script commands against one key-value service and the entries
+// that write to it.
 type scriptEnv struct {
 	t         *testing.T
 	clock     *clockwork.FakeClock
@@ -33,7 +34,7 @@
 	return &scriptEnv{t: t, clock: clock, service: newFaultyService(clock), entries: map[string]*Store{}}
 }
 
-// entry returns the named entry's store.
+// entry returns the named entry's store and creates it on first use.
 func (s *scriptEnv) entry(name string) *Store {
 	if s.entries[name] == nil {
 		s.entries[name] = New(s.service.store(), NewParts(1<<20), s.clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -42,14 +43,15 @@
 	return s.entries[name]
 }
 
-// sample is a document that differs by its customer's priority.
+// sample returns the example document with the given priority for its customer.
 func sample(priority int) *wire.Document {
 	doc := document.Example()
 	doc.Customers[0].Priority = uint32(priority)
 	return doc
 }
 
-// TestScripts replays testdata: each script opens with its story.
+// TestScripts runs the scripts in testdata. Each starts with a comment that
+// describes its failure case.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		env := newScriptEnv(t)
@@ -121,8 +123,8 @@
 	return s.formatResult(root, err)
 }
 
-// drive lets the pauses between attempts pass, and gives up after a while as a
-// request's deadline would.
+// advanceRetries advances the clock through the delays between attempts. After
+// six of them it cancels the submission, as a request deadline would.
 func (s *scriptEnv) advanceRetries(ctx context.Context, ended chan struct{}, cancel func()) {
 	for range 6 {
 		if s.clock.BlockUntilContext(ctx, 1) != nil {
@@ -138,6 +140,7 @@
 	cancel()
 }
 
+// formatResult returns the outcome of a submission as script output.
 func (s *scriptEnv) formatResult(root *wire.Root, err error) string {
 	if err == nil {
 		return fmt.Sprintf("accepted as revision %d\n", root.GetRevision())
@@ -205,17 +208,17 @@
 		hash := document.HashBytes(content)
 		hashes = append(hashes, hash)
 		if !parts.Add(hash, content) {
-			t.Fatalf("got part %d refused, want it taken", i)
+			t.Fatalf("got part %d rejected, want it cached", i)
 		}
 	}
 	if got, want := parts.bytes, 90; got != want {
-		t.Errorf("got %d bytes held, want %d", got, want)
+		t.Errorf("got %d bytes cached, want %d", got, want)
 	}
 	if parts.Has(hashes[0]) || !parts.Has(hashes[9]) {
 		t.Errorf("got the oldest part kept or the newest dropped, want the reverse")
 	}
 	if parts.Add(hashes[0], []byte("other")) {
-		t.Errorf("got a part taken whose bytes do not match, want it refused")
+		t.Errorf("got a part cached whose bytes do not match its hash, want it rejected")
 	}
 }
 
@@ -229,6 +232,6 @@
 		t.Errorf("got a record of %d bytes, want at most %d", got, maxDiffBytes+200)
 	}
 	if last := audit.GetDiff()[len(audit.GetDiff())-1]; last.GetPath() != "" {
-		t.Errorf("got the last change at %q, want a note that more were left out", last.GetPath())
+		t.Errorf("got the last change at %q, want a marker that more changes were omitted", last.GetPath())
 	}
 }
--- a/entry/internal/store/submit.go
+++ b/entry/internal/store/submit.go
@@ -15,30 +15,32 @@
 )
 
 const (
-	// maxAttempts bounds how often one submission starts anew because the root
-	// key moved without a new revision, or a reply was lost.
+	// maxAttempts limits the attempts of one submission. It retries when the root
+	// key changed without a new revision, or when a reply was lost.
 	maxAttempts = 8
-	// maxSettleLookback bounds the records read in search of a submission id.
+	// maxAuditLookback limits the revisions searched for a submission id.
 	maxAuditLookback = 64
-	// recordTimeout bounds the write of a record behind the submitter's back.
+	// recordTimeout limits the asynchronous write of an audit record.
 	recordTimeout = 10 * time.Second
-	// retryPause lets a service recover that just lost a reply.
+	// retryDelay gives the key-value service time to recover between attempts,
+	// since it may have just lost a reply.
 	retryDelay = 100 * time.Millisecond
 )
 
-// Submission is one operator's wish to replace the document.
+// Submission is an operator's request to replace the document.
 type Submission struct {
 	Document     *wire.Document
 	BaseRevision uint32
-	// SubmissionID is unique and chosen by the submitter: the same one sent
-	// again is the same submission.
+	// SubmissionID is a unique id chosen by the submitter. It makes retries
+	// idempotent: the same id sent again is the same submission.
 	SubmissionID string
 	Operator     string
 	FromAddress  string
 	Reason       string
 }
 
-// ConflictError reports that somebody else changed the document first.
+// ConflictError reports that another operator changed the document since the
+// base revision.
 type ConflictError struct {
 	problem       *failure.Error
 	current       uint32
@@ -51,28 +53,30 @@
 // Theirs returns the changes accepted since the base revision.
 func (e *ConflictError) Theirs() []*wire.Change { return e.theirs }
 
-// Yours returns the changes refused.
+// Yours returns the changes of the rejected submission.
 func (e *ConflictError) Yours() []*wire.Change { return e.yours }
 
-// Error returns message and remedy.
+// Error returns the message and the remedy.
 func (e *ConflictError) Error() string { return e.problem.Error() }
 
-// Unwrap makes the error a failure.Error to errors.As.
+// Unwrap returns the failure.Error, so that errors.As finds it.
 func (e *ConflictError) Unwrap() error { return e.problem }
 
-// attempt is one submission under way.
+// pendingSubmission is a submission in progress, across all its attempts.
 type pendingSubmission struct {
 	Submission
 
 	pieces []document.PartBytes
-	// maybe: a swap's reply was lost and the swap may still take effect. From
-	// then on only the service can say whether the submission was accepted.
+	// outcomeUnknown is set when the reply to a swap was lost. The swap may still
+	// take effect, so only the key-value service can tell whether the submission
+	// was accepted.
 	outcomeUnknown bool
 }
 
-// Submit makes the document the next revision and returns its root. It returns
-// nil error only when the service has the document; kind Ambiguous means that
-// submitting again with the same SubmissionID shows it.
+// Submit makes the document the next revision and returns its root. The error is
+// nil only if the key-value service has stored the document. An error of kind
+// Ambiguous means that the outcome is unknown; submitting again with the same
+// SubmissionID reveals it.
 func (s *Store) Submit(ctx context.Context, sub Submission) (*wire.Root, error) {
 	if sub.SubmissionID == "" {
 		return nil, failure.New(failure.Invalid, "the submission has no submissionId", "send a UUID that is new for each submission")
@@ -92,12 +96,13 @@
 	return nil, pending.finalError(lastErr)
 }
 
-// again reports whether an attempt's error leaves the outcome open.
+// isRetryable reports whether an attempt that failed with err can be retried.
 func isRetryable(err error) bool {
 	kind := failure.KindOf(err)
 	return kind == failure.Ambiguous || kind == failure.Stale
 }
 
+// waitBeforeRetry waits for retryDelay and reports whether ctx is still active.
 func (s *Store) waitBeforeRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -107,8 +112,9 @@
 	}
 }
 
-// verdict turns an error into what the submitter may rely on. After a lost
-// reply, "unavailable" would be a guess: the swap may have taken effect.
+// finalError converts the last attempt's error into the one that the submitter
+// gets. After a lost reply, it replaces "unavailable" by "ambiguous", because the
+// swap may have taken effect.
 func (p *pendingSubmission) finalError(err error) error {
 	if err == nil {
 		return nil
@@ -116,18 +122,18 @@
 	kind := failure.KindOf(err)
 	uncertain := kind == failure.Unavailable || kind == failure.Exhausted || isRetryable(err) || kind == failure.Internal
 	if p.outcomeUnknown && uncertain {
-		return failure.Wrap(err, failure.Ambiguous, "the document may have been accepted or not: the service's reply was lost",
-			"submit it again with the same submissionId to learn which; or look at the audit trail")
+		return failure.Wrap(err, failure.Ambiguous, "it is unknown whether the document was accepted: the key-value service's reply was lost",
+			"submit it again with the same submissionId, or check the audit trail")
 	}
 	if kind == failure.Stale {
-		return failure.Wrap(err, failure.Unavailable, "the document was not accepted: the root key kept moving", "submit it again")
+		return failure.Wrap(err, failure.Unavailable, "the document was not accepted: the root key changed during every attempt", "submit it again")
 	}
 	return err
 }
 
-// try makes one attempt from a fresh read of the root. Kind Stale: the root key
-// moved without a new revision, kind Ambiguous: a reply was lost; both start
-// anew.
+// attempt reads the root and tries once to replace it. An error of kind Stale
+// means that the root key changed during the attempt, and one of kind Ambiguous
+// that a reply was lost. Both are retried.
 func (s *Store) attempt(ctx context.Context, pending *pendingSubmission) (*wire.Root, error) {
 	current, err := s.readRoot(ctx)
 	if err != nil {
@@ -148,16 +154,18 @@
 	return s.swap(ctx, pending, current)
 }
 
+// wrapUnavailable adds a remedy to errors of kind Unavailable or Exhausted and
+// returns other errors unchanged.
 func (s *Store) wrapUnavailable(err error) error {
 	if kind := failure.KindOf(err); kind != failure.Unavailable && kind != failure.Exhausted {
 		return err
 	}
-	return failure.Wrap(err, failure.Unavailable, "this call did not submit the document: the key-value service does not answer",
-		"what is in force stays in force; submit again, with the same submissionId, once the service is back")
+	return failure.Wrap(err, failure.Unavailable, "this call did not submit the document: the key-value service is unavailable",
+		"the current document stays in force; submit again with the same submissionId once the service is back")
 }
 
-// settled looks for the submission among what was accepted since its base. It
-// returns nil and no error where the submission was not accepted.
+// findAccepted looks for the submission among the revisions accepted since its
+// base. It returns a nil root and no error if the submission was not accepted.
 //
 // Rule SETTLE of spec/document.pml.
 func (s *Store) findAccepted(ctx context.Context, pending *pendingSubmission, current versionedRoot) (*wire.Root, error) {
@@ -185,31 +193,35 @@
 	return nil, nil
 }
 
+// verifyContent returns the accepted root if its content matches the submission,
+// and an error if the SubmissionID was reused for another document.
 func (s *Store) verifyContent(pending *pendingSubmission, root *wire.Root) (*wire.Root, error) {
 	if root.GetAudit().GetContentHash() != document.ContentHash(document.Parts(pending.pieces)) {
 		return nil, failure.New(failure.Invalid, "the submissionId was used for another document",
 			"send a UUID that is new for each submission")
 	}
-	s.log.Info("submission settled", "revision", root.GetRevision(), "submissionId", root.GetSubmissionId())
+	s.log.Info("submission was already accepted", "revision", root.GetRevision(), "submissionId", root.GetSubmissionId())
 	return root, nil
 }
 
-// conflict returns both sides' changes since the base revision.
+// conflictError returns a ConflictError with both sides' changes since the base
+// revision, or without them if the documents cannot be read. A base newer than
+// the stored revision gives a plain error of kind Conflict.
 func (s *Store) conflictError(ctx context.Context, pending *pendingSubmission, current versionedRoot) error {
 	if current.root.GetRevision() < pending.BaseRevision {
 		return failure.New(failure.Conflict,
-			fmt.Sprintf("base revision %d is newer than the service's revision %d", pending.BaseRevision, current.root.GetRevision()),
-			"read the document again; if its revision is still newer, the service has lost data: restore it from its backup")
+			fmt.Sprintf("base revision %d is newer than revision %d in the key-value service", pending.BaseRevision, current.root.GetRevision()),
+			"read the document again; if its revision is still newer, the key-value service has lost data: restore it from its backup")
 	}
 	conflict := &ConflictError{
 		problem: failure.New(failure.Conflict,
-			fmt.Sprintf("revision %d was accepted first, from the same base revision %d", current.root.GetRevision(), pending.BaseRevision),
-			"read the document again, make your changes in it and submit it with its revision as the base"),
+			fmt.Sprintf("revision %d is already in force, the submission is based on revision %d", current.root.GetRevision(), pending.BaseRevision),
+			"read the document again, apply your changes to it and submit it with its revision as the base"),
 		current: current.root.GetRevision(),
 	}
 	_, base, err := s.Revision(ctx, pending.BaseRevision)
 	if err != nil {
-		return conflict // The base is too old to show diffs.
+		return conflict // The parts of the base may no longer be kept.
 	}
 	theirs, err := s.Assemble(ctx, current.root)
 	if err != nil {
@@ -220,9 +232,9 @@
 	return conflict
 }
 
-// writeParts makes sure that every part is in the service and stays there. A
-// part that the root in force does not name may be about to be collected: it is
-// written anew, so that the collector's conditional delete fails.
+// writeParts ensures that every part is in the key-value service and stays there.
+// The collector may be about to delete a part that the root in force does not
+// reference. Such a part is rewritten, so that the conditional delete fails.
 func (s *Store) writeParts(ctx context.Context, pieces []document.PartBytes, base *wire.Root) error {
 	for _, piece := range pieces {
 		hash := piece.Part().GetHash()
@@ -237,6 +249,8 @@
 	return nil
 }
 
+// writePart writes one part unconditionally, also if the key already exists. A
+// conflict or a lost reply is retried at the key's current revision.
 func (s *Store) writePart(ctx context.Context, hash string, content []byte) error {
 	ifRevision := uint64(0)
 	for range maxAttempts {
@@ -253,10 +267,11 @@
 			ifRevision = entry.Revision()
 		}
 	}
-	return failure.New(failure.Unavailable, "a part of the document could not be written", "submit it again")
+	return failure.New(failure.Unavailable, "cannot write a document part", "submit it again")
 }
 
-// swap replaces the root: the moment of acceptance.
+// swap replaces the root if its key has not changed since it was read. The
+// document is accepted when this write takes effect.
 //
 // Rule CAS of spec/document.pml.
 func (s *Store) swap(ctx context.Context, pending *pendingSubmission, current versionedRoot) (*wire.Root, error) {
@@ -267,14 +282,14 @@
 	root := s.newRoot(pending, before)
 	value, err := proto.Marshal(root)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the document cannot be encoded", "write its texts in UTF-8")
+		return nil, failure.Wrap(err, failure.Invalid, "cannot encode the document", "use valid UTF-8 in all its strings")
 	}
 	_, err = s.kv.Swap(ctx, RootKey, value, current.kvRevision, "")
 	switch failure.KindOf(err) {
 	case failure.Conflict:
-		// Another submission, the collector's renewal, or our own earlier swap
-		// whose reply was lost: the next attempt reads which.
-		return nil, failure.Wrap(err, failure.Stale, "the root key moved", "submit again")
+		// The key was changed by another submission, by the collector, or by our
+		// own earlier swap whose reply was lost. The next attempt finds out which.
+		return nil, failure.Wrap(err, failure.Stale, "the root key was changed", "submit again")
 	case failure.Ambiguous:
 		pending.outcomeUnknown = true
 		return nil, err
@@ -287,18 +302,18 @@
 	return root, nil
 }
 
-// recordLater writes the record of the root that was just accepted, while the
-// submitter already has its answer. Where it fails, or the process dies first,
-// the next submission or the collector writes it.
+// writeRecordAsync writes the audit record of a root that was just accepted,
+// without the submitter waiting for it. If the write fails or the process crashes
+// first, the next submission or the collector writes the record.
 func (s *Store) writeRecordAsync(root *wire.Root) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	if err := s.writeRecord(ctx, root); err != nil {
-		s.log.Warn("audit record left for the next submission or the collector", "revision", root.GetRevision(), "error", err)
+		s.log.Warn("cannot write audit record; the next submission or collection retries", "revision", root.GetRevision(), "error", err)
 	}
 }
 
-// newRoot returns the next root with its own audit record.
+// newRoot returns the root of the next revision, including its audit record.
 //
 // Rule EMBED of spec/document.pml.
 func (s *Store) newRoot(pending *pendingSubmission, before *wire.Document) *wire.Root {
@@ -322,7 +337,7 @@
 	}
 }
 
-// Rollback makes the content of an old revision the next one.
+// Rollback submits the document of the target revision as the next revision.
 func (s *Store) Rollback(ctx context.Context, target uint32, sub Submission) (*wire.Root, error) {
 	if target == 0 {
 		return nil, failure.New(failure.Invalid, "there is no revision 0 to roll back to", "name a revision of the audit trail")
