--- a/entry/internal/operators/document.go
+++ b/entry/internal/operators/document.go
@@ -10,19 +10,19 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// inForceBody answers GET /v1/document.
+// documentBody is the response of GET /v1/document.
 type documentBody struct {
 	Revision uint32          `json:"revision"`
 	Document json.RawMessage `json:"document"`
 }
 
-// validationBody answers POST /v1/document/validate.
+// validationBody is the response of POST /v1/document/validate.
 type validationBody struct {
 	Valid  bool               `json:"valid"`
 	Errors []document.Problem `json:"errors,omitempty"`
 }
 
-// submissionBody asks for a new revision.
+// submissionBody is the request of POST /v1/document.
 type submissionBody struct {
 	BaseRevision uint32          `json:"baseRevision"`
 	SubmissionID string          `json:"submissionId"`
@@ -30,7 +30,7 @@
 	Document     json.RawMessage `json:"document"`
 }
 
-// rollbackBody asks for a new revision of an old content.
+// rollbackBody is the request of POST /v1/document/rollback.
 type rollbackBody struct {
 	ToRevision   uint32 `json:"toRevision"`
 	BaseRevision uint32 `json:"baseRevision"`
@@ -38,6 +38,7 @@
 	Reason       string `json:"reason"`
 }
 
+// acceptedBody is the response to an accepted submission or rollback.
 type acceptedBody struct {
 	Revision uint32 `json:"revision"`
 }
@@ -47,11 +48,12 @@
 	maxSubmissionIDBytes = 100
 )
 
+// decode decodes JSON into target and rejects unknown keys.
 func decode(text []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
-		return failure.Wrap(err, failure.Invalid, "the body cannot be read", "send the JSON object that docs/PROTOCOLS.md describes")
+		return failure.Wrap(err, failure.Invalid, "cannot decode the body", "send the JSON object that docs/PROTOCOLS.md describes")
 	}
 	return nil
 }
@@ -111,7 +113,8 @@
 	writeAccepted(w, revision, err)
 }
 
-// checkWords bounds what goes into the root, which every process receives.
+// checkLengths limits the texts that are stored in the root, because the root is
+// sent to every process.
 func checkLengths(submissionID, reason string) error {
 	if len(submissionID) > maxSubmissionIDBytes || len(reason) > maxReasonBytes {
 		return failure.New(failure.Invalid, "the reason or the submissionId is too long", "keep the reason under 1000 bytes and use a UUID")
@@ -119,6 +122,8 @@
 	return nil
 }
 
+// submission returns a submission without a document, made by the authenticated
+// operator.
 func submission(r *http.Request, base uint32, id, reason string) store.Submission {
 	return store.Submission{
 		BaseRevision: base,
@@ -129,6 +134,7 @@
 	}
 }
 
+// writeAccepted writes the accepted revision, or the error if there is one.
 func writeAccepted(w http.ResponseWriter, revision uint32, err error) {
 	if err != nil {
 		writeError(w, err)
--- a/entry/internal/operators/history.go
+++ b/entry/internal/operators/history.go
@@ -7,9 +7,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
+// defaultAuditLimit is the number of records returned if the request sets no limit.
 const defaultAuditLimit = 50
 
-// Record is one entry of the audit trail.
+// Record is one record of the audit trail, as JSON of the API.
 type Record struct {
 	Revision     uint32    `json:"revision"`
 	BaseRevision uint32    `json:"baseRevision"`
@@ -22,7 +23,7 @@
 	SubmissionID string    `json:"submissionId"`
 }
 
-// NewRecord turns a wire record into that of the API.
+// NewRecord converts a wire audit record to an API record.
 func NewRecord(audit *wire.Audit) Record {
 	return Record{
 		Revision: audit.GetRevision(), BaseRevision: audit.GetBaseRevision(), Operator: audit.GetOperator(),
--- a/entry/internal/operators/operators.go
+++ b/entry/internal/operators/operators.go
@@ -1,5 +1,6 @@
 // Package operators serves the operators' HTTP API: the document, its history,
-// the state of the deployment and drains. The console calls the same methods.
+// the state of the deployment and host drains. The console calls the same
+// methods.
 package operators
 
 import (
@@ -20,14 +21,14 @@
 )
 
 const (
-	// maxBodyBytes bounds a request's body.
+	// maxBodyBytes limits the size of a request body.
 	maxBodyBytes = 2 << 20
-	// callTimeout bounds the work on one request, the service's slowness
-	// included.
+	// callTimeout limits the work on one request, including the time spent
+	// waiting for the key-value service.
 	callTimeout = 20 * time.Second
 )
 
-// Config is what the API needs.
+// Config holds the dependencies and settings of the API.
 type Config struct {
 	View       *view.Holder
 	Deployment *control.Deployment
@@ -35,19 +36,20 @@
 	Service    *kv.Store
 	Clock      clockwork.Clock
 	Log        *slog.Logger
-	// BootstrapKeyHashes may act while no document is in force.
+	// BootstrapKeyHashes are the hashes of keys that are valid only while no
+	// document is in force.
 	BootstrapKeyHashes []string
 }
 
-// API answers operators.
+// API implements the operators' API.
 type API struct {
 	cfg Config
 }
 
-// New returns an API.
+// New returns an API with the given configuration.
 func New(cfg Config) *API { return &API{cfg: cfg} }
 
-// Routes adds the operators' API to the router, under its full paths.
+// Routes registers the API's handlers on the router, under their full paths.
 func (a *API) Routes(r chi.Router) {
 	r.Group(func(r chi.Router) {
 		r.Use(a.requireOperator)
@@ -63,13 +65,14 @@
 	})
 }
 
-// InForce returns the revision and document in force; nil where there is none.
-// It reads the deployment and not the view: an operator who submits twice in a moment
-// would else get the base before his own first change, and a conflict with it.
+// InForce returns the revision and the document in force, or nil if there is none.
+// It reads the deployment, because the view is rebuilt with a delay. With the
+// view, an operator who submits twice in quick succession would get a base older
+// than their own first change, and a conflict with that change.
 func (a *API) InForce() (uint32, *wire.Document) { return a.cfg.Deployment.InForce() }
 
-// Validate returns everything wrong in a document's text, and the document
-// where nothing is.
+// Validate parses and checks a document. It returns all problems found, or the
+// document if there are none.
 func (a *API) Validate(text []byte) (*wire.Document, []document.Problem) {
 	doc, problems := document.Parse(text)
 	if len(problems) > 0 {
@@ -78,12 +81,12 @@
 	return doc, a.Problems(doc)
 }
 
-// Problems returns what is wrong with a document in view of the hosts known.
+// Problems checks the document against the known hosts.
 func (a *API) Problems(doc *wire.Document) []document.Problem {
 	return document.CheckAgainstHosts(doc, a.cfg.Deployment.Members().EnginesByDomain())
 }
 
-// Submit makes a document the next revision and brings it into force here.
+// Submit makes a document the next revision and puts it into force on this entry.
 func (a *API) Submit(ctx context.Context, sub store.Submission) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -92,7 +95,7 @@
 	return a.applyAccepted(ctx, root, start, err)
 }
 
-// Rollback makes the content of an old revision the next one.
+// Rollback submits the document of an old revision as the next revision.
 func (a *API) Rollback(ctx context.Context, to uint32, sub store.Submission) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -101,6 +104,9 @@
 	return a.applyAccepted(ctx, root, start, err)
 }
 
+// applyAccepted puts an accepted root into force on this entry and returns its
+// revision. An entry that cannot load it yet only logs a warning, because the
+// document is already accepted.
 func (a *API) applyAccepted(ctx context.Context, root *wire.Root, start time.Time, err error) (uint32, error) {
 	if err != nil {
 		return 0, err
@@ -108,7 +114,7 @@
 	a.cfg.Log.Info("document accepted", "revision", root.GetRevision(), "operator", root.GetAudit().GetOperator(),
 		"fromAddress", root.GetAudit().GetFromAddress(), "reason", root.GetAudit().GetReason())
 	if err := a.cfg.Deployment.OfferRoot(ctx, root, "operator", a.cfg.Docs.Fetch); err != nil {
-		a.cfg.Log.Warn("accepted document not yet in force here", "revision", root.GetRevision(), "error", err)
+		a.cfg.Log.Warn("accepted document is not yet in force on this entry", "revision", root.GetRevision(), "error", err)
 	}
 	a.cfg.Deployment.Confirm(root.GetRevision(), start)
 	return root.GetRevision(), nil
@@ -129,17 +135,17 @@
 	return document.Diff(before, after), nil
 }
 
-// Audit returns the trail from a revision on.
+// Audit returns up to limit audit records, starting at revision from.
 func (a *API) Audit(ctx context.Context, from uint32, limit int) ([]*wire.Audit, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return a.cfg.Docs.Audit(ctx, from, limit)
 }
 
-// Drain takes a host out, or back.
+// Drain takes a host out of service, or puts it back if drain is false.
 func (a *API) Drain(ctx context.Context, host string, drain bool, operator, fromAddress string) error {
 	if !a.knowsHost(host) {
-		return failure.New(failure.NotFound, "no host is called "+host, "list the hosts with the status call")
+		return failure.New(failure.NotFound, "no host is named "+host, "list the hosts with the status call")
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -147,10 +153,11 @@
 	if err := control.MarkDrain(ctx, a.cfg.Service, a.cfg.Clock, host, mark); err != nil {
 		return err
 	}
-	a.cfg.Log.Info("drain mark", "host", host, "drain", drain, "operator", operator, "fromAddress", fromAddress)
+	a.cfg.Log.Info("host drain changed", "host", host, "drain", drain, "operator", operator, "fromAddress", fromAddress)
 	return control.NewWatcher(a.cfg.Deployment, a.cfg.Docs, a.cfg.Service, nil).ReadDrains(ctx)
 }
 
+// knowsHost reports whether the host has reported or is assigned in the plan.
 func (a *API) knowsHost(id string) bool {
 	snap, _ := a.cfg.View.Load()
 	for _, host := range snap.Hosts {
--- a/entry/internal/operators/operators_test.go
+++ b/entry/internal/operators/operators_test.go
@@ -29,7 +29,8 @@
 	martaKey = "marta's key"
 )
 
-// office is one entry's operators' API over a service in memory.
+// apiFixture is the operators' API of one entry over an in-memory key-value
+// service.
 type apiFixture struct {
 	t          *testing.T
 	api        *API
@@ -37,7 +38,7 @@
 	publisher  *control.Publisher
 	routes     chi.Router
 	down       bool
-	// skipBuild leaves the view as it was after a call.
+	// skipBuild skips the rebuild of the view after each call.
 	skipBuild bool
 }
 
@@ -68,7 +69,7 @@
 	return f
 }
 
-// call makes one call and returns the status and the decoded body.
+// call makes a request and returns the status code and the decoded body.
 func (f *apiFixture) call(method, path, key string, body any) (int, map[string]any) {
 	f.t.Helper()
 	text, err := json.Marshal(body)
@@ -86,11 +87,13 @@
 	}
 	got := map[string]any{}
 	if err := json.Unmarshal(rec.Body.Bytes(), &got); err != nil {
-		f.t.Fatalf("%s %s: got a body that is no JSON: %q", method, path, rec.Body)
+		f.t.Fatalf("%s %s: got a body that is not JSON: %q", method, path, rec.Body)
 	}
 	return rec.Code, got
 }
 
+// mustCall makes a request, fails the test unless it returns the given status
+// code, and returns the decoded body.
 func (f *apiFixture) mustCall(status int, method, path, key string, body any) map[string]any {
 	f.t.Helper()
 	code, got := f.call(method, path, key, body)
@@ -100,7 +103,8 @@
 	return got
 }
 
-// documentOf returns an example document as JSON with the customer's priority.
+// documentOf returns the example document as JSON, with the given priority for
+// its customer.
 func documentOf(priority int) json.RawMessage {
 	doc := document.Example()
 	doc.Customers[0].Priority = uint32(priority)
@@ -133,7 +137,7 @@
 	trail := f.mustCall(http.StatusOK, "GET", "/v1/audit?from=2", martaKey, nil)["records"].([]any)
 	last := trail[len(trail)-1].(map[string]any)
 	if len(trail) != 2 || last["operator"] != "marta" || last["reason"] != "too eager" || last["fromAddress"] != "192.0.2.1" {
-		t.Errorf("got trail %v, want revisions 2 and 3 and who made the last", trail)
+		t.Errorf("got trail %v, want revisions 2 and 3 and the author of the last", trail)
 	}
 	status := f.mustCall(http.StatusOK, "GET", "/v1/status", martaKey, nil)
 	if status["revision"] != 3.0 || status["lowestRevision"] != 3.0 || status["ageMillis"].(float64) < 0 {
@@ -141,9 +145,9 @@
 	}
 }
 
-// TestOwnChangeIsReadBack: an operator's second change within 50 ms of the first
-// conflicted with his own first, since the document was read from a view that was
-// not yet built anew.
+// TestOwnChangeIsReadBack guards against reading the document from a view that
+// was not rebuilt yet. An operator's second change within 50 ms of the first then
+// conflicted with their own first change.
 func TestOwnChangeIsReadBack(t *testing.T) {
 	f := newAPIFixture(t)
 	f.skipBuild = true
@@ -153,8 +157,9 @@
 	}
 }
 
-// TestBootstrapKeyEnds: were the first key good for ever, whoever set the
-// entry up could overrule the operators whom the document names.
+// TestBootstrapKeyEnds guards against bootstrap keys that stay valid after the
+// first document. Whoever set up the entry could then override the operators that
+// the document lists.
 func TestBootstrapKeyEnds(t *testing.T) {
 	f := newAPIFixture(t)
 	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
@@ -185,8 +190,9 @@
 	f.mustCall(http.StatusNotFound, "GET", "/v1/document", bootKey, nil)
 }
 
-// TestOutageIsReportedClearly: while the service is down a new document is refused
-// with a remedy, and what is in force can still be read.
+// TestOutageIsReportedClearly checks that, while the key-value service is down, a
+// new document is rejected with a remedy and the document in force can still be
+// read.
 func TestOutageIsReportedClearly(t *testing.T) {
 	f := newAPIFixture(t)
 	f.mustCall(http.StatusOK, "POST", "/v1/document", bootKey, submissionOf(0, 1, "one"))
@@ -194,7 +200,7 @@
 	refused := f.mustCall(http.StatusServiceUnavailable, "POST", "/v1/document", martaKey, submissionOf(1, 2, "two"))
 	problem := refused["error"].(map[string]any)
 	if problem["kind"] != "unavailable" || !strings.Contains(problem["remedy"].(string), "stays in force") {
-		t.Errorf("got %v, want kind unavailable and what stays in force", problem)
+		t.Errorf("got %v, want kind unavailable and a remedy that says what stays in force", problem)
 	}
 	if got := f.mustCall(http.StatusOK, "GET", "/v1/document", martaKey, nil)["revision"]; got != 1.0 {
 		t.Errorf("got revision %v in the outage, want 1", got)
--- a/entry/internal/operators/status.go
+++ b/entry/internal/operators/status.go
@@ -9,43 +9,47 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// NeverConfirmed is AgeMillis while the service confirmed nothing to anyone.
+// NeverConfirmed is the value of AgeMillis if the key-value service has not
+// confirmed any revision yet.
 const NeverConfirmed = -1
 
-// Node is one process as this entry knows it.
+// Node is the state of one process, as known to this entry.
 type Node struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failureDomain"`
 	Incarnation   string `json:"incarnation"`
-	// Revision and PlanRevision are in force there, by its latest report.
+	// Revision and PlanRevision are the ones in force on the node, according to
+	// its latest report.
 	Revision     uint32 `json:"revision"`
 	PlanRevision uint32 `json:"planRevision"`
-	// AgeMillis is how old that report is.
+	// AgeMillis is the age of that report.
 	AgeMillis int64 `json:"ageMillis"`
 	Leaving   bool  `json:"leaving"`
 	Lost      bool  `json:"lost"`
-	// Load: requests running and queued on a host, or in flight at an entry.
+	// Running and Queued count the requests on a host. For an entry, Running
+	// counts the requests in flight.
 	Running uint32 `json:"running"`
 	Queued  uint32 `json:"queued"`
 }
 
-// Status says what is in force and who knows it.
+// Status describes what is in force and which nodes have it.
 type Status struct {
-	// Entry is the id of the entry that answers.
+	// Entry is the id of the entry that returned this status.
 	Entry        string `json:"entry"`
 	Revision     uint32 `json:"revision"`
 	PlanRevision uint32 `json:"planRevision"`
-	// AgeMillis is the time since the key-value service confirmed the revision
-	// to anyone in the chain it came through; NeverConfirmed where it did not.
+	// AgeMillis is the time since the key-value service last confirmed the
+	// revision, to this entry or to a node that passed the confirmation on. It is
+	// NeverConfirmed if there was no confirmation.
 	AgeMillis int64 `json:"ageMillis"`
-	// LowestRevision is the lowest in force on any node that is not lost.
+	// LowestRevision is the lowest revision in force on any node that is not lost.
 	LowestRevision uint32 `json:"lowestRevision"`
 	Nodes          []Node `json:"nodes"`
 }
 
-// Status returns what this entry knows of the deployment.
+// Status returns the state of the deployment as known to this entry.
 func (a *API) Status() Status {
 	snap, _ := a.cfg.View.Load()
 	known := a.cfg.Deployment.Known()
@@ -74,7 +78,8 @@
 	for _, host := range snap.Hosts {
 		report := host.Report()
 		node := newNode(report.GetNode(), millisOf(now.Sub(host.SeenAt())), host.Leaving(), host.Lost())
-		// The report of a far host comes rarely; its home entry's report often.
+		// Reports of remote hosts arrive less often than those of their home
+		// entries, so the home entry's revision may be newer.
 		node.Revision = max(report.GetRevision(), homeRevisions[report.GetHome()])
 		node.PlanRevision = report.GetPlanRevision()
 		node.Running, node.Queued = report.GetRunning(), report.GetQueued()
@@ -83,6 +88,8 @@
 	return status
 }
 
+// add appends the node and lowers LowestRevision if needed. This entry's own node
+// gets the revisions of the status instead of those of its last report.
 func (s *Status) add(node Node) {
 	if node.ID == s.Entry {
 		node.Revision, node.PlanRevision = s.Revision, s.PlanRevision
@@ -104,32 +111,33 @@
 	writeJSON(w, http.StatusOK, a.Status())
 }
 
-// Progress is how far a version is in one failure domain.
+// Progress is the rollout progress of a model version in one failure domain.
 type Progress struct {
 	Model         string `json:"model"`
 	Version       string `json:"version"`
 	FailureDomain string `json:"failureDomain"`
-	// Wanted is the replicas that the document asks for; the rest count hosts.
+	// Wanted is the number of replicas in the document. The other counters are
+	// numbers of hosts.
 	Wanted   int `json:"wanted"`
 	Serving  int `json:"serving"`
 	Whole    int `json:"whole"`
 	Fetching int `json:"fetching"`
 	Failed   int `json:"failed"`
-	// ChunksHave and ChunksTotal are sums over the hosts.
+	// ChunksHave and ChunksTotal are summed over the hosts.
 	ChunksHave  uint64   `json:"chunksHave"`
 	ChunksTotal uint64   `json:"chunksTotal"`
 	HoldUps     []string `json:"holdUps"`
 }
 
-// Rollout says how far the intended versions are.
+// Rollout is the progress of the versions that the document specifies.
 type Rollout struct {
 	Revision uint32 `json:"revision"`
-	// Done: every wanted replica serves its intended version.
+	// Done is set if every wanted replica serves its specified version.
 	Done   bool       `json:"done"`
 	Models []Progress `json:"models"`
 }
 
-// Rollout returns the progress as this entry knows it.
+// Rollout returns the rollout progress as known to this entry.
 func (a *API) Rollout() Rollout {
 	snap, _ := a.cfg.View.Load()
 	rollout := Rollout{Revision: snap.Revision, Done: snap.Document != nil, Models: []Progress{}}
@@ -143,6 +151,7 @@
 	return rollout
 }
 
+// progressOf returns a model's progress in the failure domain of replicas.
 func progressOf(snap *view.Snapshot, model *wire.Model, replicas *wire.Replicas) Progress {
 	progress := Progress{
 		Model: model.GetName(), Version: model.GetVersion(), FailureDomain: replicas.GetFailureDomain(),
@@ -165,7 +174,7 @@
 	return progress
 }
 
-// count adds one host's state to the line.
+// addHost adds one host's state to the counters.
 func (p *Progress) addHost(host view.Host) {
 	id := host.Report().GetNode().GetId()
 	for _, state := range host.Report().GetVersions() {
@@ -173,7 +182,7 @@
 			continue
 		}
 		if host.Lost() {
-			p.HoldUps = append(p.HoldUps, id+": not heard from")
+			p.HoldUps = append(p.HoldUps, id+": no recent report")
 			return
 		}
 		p.ChunksHave += uint64(state.GetChunksHave())
@@ -198,7 +207,7 @@
 	writeJSON(w, http.StatusOK, a.Rollout())
 }
 
-// drainBody asks to take a host out, or back.
+// drainBody is the request of POST /v1/hosts/{id}/drain.
 type drainBody struct {
 	Drain bool `json:"drain"`
 }
