--- a/entry/internal/console/console.go
+++ b/entry/internal/console/console.go
@@ -1,5 +1,5 @@
-// Package console serves the operators' forms. They are rendered on the
-// server, work without scripts and make the document that is submitted.
+// Package console serves the operators' web console. Its forms are rendered on
+// the server, work without JavaScript and produce the document to submit.
 package console
 
 import (
@@ -18,17 +18,18 @@
 )
 
 const (
-	// maxFormBytes bounds a posted form.
+	// maxFormBytes limits the size of a posted form.
 	maxFormBytes = 2 << 20
-	// cookieName holds the operator's key: hosts keep nothing, so that any
-	// entry must be able to serve the next request of a session.
+	// cookieName is the cookie that holds the operator's key. The key is in the
+	// cookie because hosts keep no session state: any entry must be able to serve
+	// the next request of a session.
 	cookieName = "comfreyKey"
 )
 
 //go:embed page.html
 var pages embed.FS
 
-// Submission is a document that an operator made by the forms.
+// Submission is a document that an operator submits through the console.
 type Submission struct {
 	Document     *wire.Document
 	BaseRevision uint32
@@ -38,38 +39,38 @@
 	Reason       string
 }
 
-// Conflict lists what both sides changed since the base revision.
+// Conflict lists the changes of both sides since the base revision.
 type Conflict struct {
 	Current uint32
 	Theirs  []*wire.Change
 	Yours   []*wire.Change
 }
 
-// Config is what the console needs from the entry.
+// Config holds the functions of the entry that the console calls.
 type Config struct {
 	// Authenticate returns the operator that the bearer key belongs to.
 	Authenticate func(key string) (operator string, known bool)
-	// Current returns the document in force; nil while there is none.
+	// Current returns the document in force, or nil if there is none.
 	Current func() (doc *wire.Document, revision uint32)
-	// Problems returns what is wrong with a document besides its own checks.
+	// Problems returns the problems of a document that parsing does not find.
 	Problems func(doc *wire.Document) []document.Problem
-	// Submit returns the new revision; where another operator was first, the
-	// conflict is set beside the error.
+	// Submit returns the new revision. If another operator changed the document
+	// since the base revision, it returns a conflict together with the error.
 	Submit func(ctx context.Context, sub Submission) (revision uint32, conflict *Conflict, err error)
 }
 
-// Console serves the pages below /console/.
+// Console serves the pages under /console/.
 type Console struct {
 	cfg  Config
 	page *template.Template
 }
 
-// New returns a Console.
+// New returns a Console with the given configuration.
 func New(cfg Config) *Console {
 	return &Console{cfg: cfg, page: template.Must(template.ParseFS(pages, "page.html"))}
 }
 
-// Routes adds the console's pages to the router.
+// Routes registers the console's pages on the router.
 func (c *Console) Routes(mux chi.Router) {
 	mux.Get("/console/", c.showPage)
 	mux.Post("/console/login", c.login)
@@ -77,24 +78,25 @@
 	mux.Post("/console/document", c.postForm)
 }
 
-// pageData is what page.html shows.
+// pageData is the data of the template page.html.
 type pageData struct {
 	Operator string
 	Revision uint32 // in force
-	Base     uint32 // that the form was made from
-	Token    string // against forms posted from elsewhere
-	// SubmissionID stays the same when a form is sent again, so that a form
-	// sent twice is one submission.
+	Base     uint32 // revision that the form was created from
+	Token    string // CSRF token
+	// SubmissionID stays the same when a form is sent again, so that a form sent
+	// twice counts as one submission.
 	SubmissionID string
 	Reason       string
 	Notice       string
 	Failure      string
 	Remedy       string
-	Messages     []string // problems that belong to no field
+	Messages     []string // problems that no field shows
 	Conflict     *Conflict
 	Sections     []sectionView
 }
 
+// showPage shows the form with the document in force, or the sign-in page.
 func (c *Console) showPage(w http.ResponseWriter, r *http.Request) {
 	operator, key, known := c.session(r)
 	if !known {
@@ -109,6 +111,7 @@
 	c.render(w, http.StatusOK, data)
 }
 
+// newFormPage returns a page whose form holds the given document.
 func (c *Console) newFormPage(operator, key string, doc *wire.Document, revision uint32) pageData {
 	if doc == nil {
 		doc = blankDocument()
@@ -123,6 +126,7 @@
 	}
 }
 
+// postForm verifies the session and the CSRF token of a posted form.
 func (c *Console) postForm(w http.ResponseWriter, r *http.Request) {
 	operator, key, known := c.session(r)
 	if !known {
@@ -131,17 +135,18 @@
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maxFormBytes)
 	if err := r.ParseForm(); err != nil {
-		http.Error(w, "the form cannot be read; send it again from the console", http.StatusBadRequest)
+		http.Error(w, "cannot parse the form; send it again from the console", http.StatusBadRequest)
 		return
 	}
 	if !tokenMatches(key, r.PostForm.Get("token")) {
-		http.Error(w, "the form does not come from this console; open the console and try again", http.StatusForbidden)
+		http.Error(w, "the form was not sent from this console; open the console and try again", http.StatusForbidden)
 		return
 	}
 	c.handleForm(w, r, operator, key)
 }
 
-// answerForm checks the posted document and, if asked, submits it.
+// handleForm checks the posted document and submits it if the operator pressed
+// Submit.
 func (c *Console) handleForm(w http.ResponseWriter, r *http.Request, operator, key string) {
 	posted := readForm(r.PostForm)
 	doc, problems := posted.document()
@@ -154,13 +159,15 @@
 		return
 	}
 	if r.PostForm.Get("action") != "submit" {
-		data.Notice = "Nothing is wrong with this document. It is not submitted yet."
+		data.Notice = "This document is valid. It is not submitted yet."
 		c.render(w, http.StatusOK, data)
 		return
 	}
 	c.submit(w, r, doc, data)
 }
 
+// echoFormPage returns a page with the posted values and the problems found in
+// them.
 func (c *Console) echoFormPage(r *http.Request, operator, key string, posted *form, problems []document.Problem) pageData {
 	_, revision := c.cfg.Current()
 	sections := viewSections(posted, problems)
@@ -176,6 +183,8 @@
 	}
 }
 
+// submit submits the document. On success it redirects to the form; otherwise it
+// shows the error and, if there is one, the conflict.
 func (c *Console) submit(w http.ResponseWriter, r *http.Request, doc *wire.Document, data pageData) {
 	revision, conflict, err := c.cfg.Submit(r.Context(), Submission{
 		Document:     doc,
@@ -194,13 +203,15 @@
 	if conflict != nil {
 		status = http.StatusConflict
 		data.Conflict = conflict
-		// The next sending is a new submission, over what is in force now.
+		// The next time, the form is a new submission based on the revision now
+		// in force.
 		data.Base = conflict.Current
 		data.SubmissionID = uuid.NewString()
 	}
 	c.render(w, status, data)
 }
 
+// errorText returns the message and the remedy to show for an error.
 func errorText(err error) (message, remedy string) {
 	var problem *failure.Error
 	if errors.As(err, &problem) {
@@ -209,6 +220,7 @@
 	return err.Error(), "Try again."
 }
 
+// render writes the page. Its headers forbid caching, scripts and framing.
 func (c *Console) render(w http.ResponseWriter, status int, data pageData) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
--- a/entry/internal/console/console_test.go
+++ b/entry/internal/console/console_test.go
@@ -21,7 +21,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// deployment is a fake of the entry behind the console.
+// fakeEntry implements the functions that the console calls on its entry.
 type fakeEntry struct {
 	doc       *wire.Document
 	revision  uint32
@@ -53,7 +53,8 @@
 	return f.revision, nil, nil
 }
 
-// start serves the console and returns its address and a client with cookies.
+// startConsole serves the console and returns its URL and a client with a cookie
+// jar.
 func startConsole(t *testing.T, fake *fakeEntry) (string, *http.Client) {
 	t.Helper()
 	mux := chi.NewRouter()
@@ -67,11 +68,14 @@
 	return srv.URL, &http.Client{Jar: jar}
 }
 
+// signIn logs in with the operator key and returns the page that follows.
 func signIn(t *testing.T, client *http.Client, base string) string {
 	t.Helper()
 	return post(t, client, base+"/console/login", url.Values{"key": {document.ExampleOperatorKey}}, http.StatusOK)
 }
 
+// post sends a form, fails the test unless the response has the wanted status
+// code, and returns the body.
 func post(t *testing.T, client *http.Client, address string, values url.Values, want int) string {
 	t.Helper()
 	reply, err := client.PostForm(address, values)
@@ -98,7 +102,7 @@
 	firstOption    = regexp.MustCompile(`<option[^>]*>([^<]*)`)
 )
 
-// controls returns the values that a browser would post from the page.
+// controls returns the form values that a browser would post from the page.
 func controls(page string) url.Values {
 	values := url.Values{}
 	for _, match := range inputTags.FindAllStringSubmatch(page, -1) {
@@ -184,7 +188,7 @@
 	for _, id := range []string{"models.0.version", "originCopies"} {
 		beside := regexp.MustCompile(`<div class="bad">\s*<label for="` + regexp.QuoteMeta(id) + `">`)
 		if !beside.MatchString(page) {
-			t.Errorf("field %s: got no message beside it, want one", id)
+			t.Errorf("field %s: got no message next to it, want one", id)
 		}
 	}
 	if got, want := controls(page).Get("models.0.version"), "not a hash"; got != want {
@@ -192,9 +196,9 @@
 	}
 }
 
-// Symptom: an operator's form replaces a document that somebody else changed
-// meanwhile. Sequence: two operators open the form, both submit. Cause: the
-// second form starts from a revision that is no longer in force.
+// TestSecondOperatorSeesTheConflict guards against a form that overwrites another
+// operator's change. Two operators open the form and both submit it; the second
+// form is based on a revision that is no longer in force.
 func TestSecondOperatorSeesTheConflict(t *testing.T) {
 	fake := &fakeEntry{doc: document.Example(), revision: 7}
 	base, client := startConsole(t, fake)
@@ -204,7 +208,7 @@
 	page := post(t, client, base+"/console/document", values, http.StatusConflict)
 	resubmitted := controls(page)
 	if got, want := resubmitted.Get("base"), "8"; got != want {
-		t.Errorf("base of the next sending: got %s, want %s", got, want)
+		t.Errorf("base of the next submission: got %s, want %s", got, want)
 	}
 	if resubmitted.Get("submissionId") == values.Get("submissionId") {
 		t.Error("submission id: got the same, want a new one")
@@ -227,9 +231,9 @@
 	}
 }
 
-// Symptom: a half-filled new item vanishes without a word. Sequence: an
-// operator fills a customer's weight and forgets the name. Cause: a row
-// without a name was taken for a removed one.
+// TestRowWithoutNameIsAnError guards against a partly filled new item that is
+// dropped silently. An operator enters a customer's weight but no name, and the
+// row without a name was treated as removed.
 func TestRowWithoutNameIsAnError(t *testing.T) {
 	fake := &fakeEntry{doc: document.Example(), revision: 7}
 	base, client := startConsole(t, fake)
--- a/entry/internal/console/fields.go
+++ b/entry/internal/console/fields.go
@@ -12,22 +12,23 @@
 	kindSelect = "select"
 	kindLines  = "lines"
 	kindCheck  = "check"
-	kindKey    = "key" // a new bearer key, of which only the hash is kept
+	kindKey    = "key" // a new bearer key; only its hash is stored
 )
 
-// field describes one control and the document's key that it edits.
+// field describes one form control and the JSON key of the document that it edits.
 type field struct {
-	name    string // key of the document's JSON
+	name    string // JSON key; a dot separates nested keys
 	label   string
 	help    string
 	kind    string
-	options []string // of kindSelect
-	columns []string // of kindLines with objects: keys in the order of words
+	options []string // for kindSelect
+	columns []string // for kindLines with objects: JSON keys of the words of a line, in order
 }
 
-// section describes one list of the document, or its head where list is empty.
+// section describes one list of the document, or its top-level fields if list is
+// empty.
 type section struct {
-	list   string // key of the document's JSON
+	list   string // JSON key of the list
 	title  string
 	fields []field
 }
@@ -36,11 +37,11 @@
 	{
 		title: "Rollouts and deadlines",
 		fields: []field{
-			{name: "objective", label: "Objective", kind: kindSelect, options: []string{document.ObjectiveTime, document.ObjectiveOriginBytes}, help: "What a rollout saves: time, or bytes drawn from the origin."},
+			{name: "objective", label: "Objective", kind: kindSelect, options: []string{document.ObjectiveTime, document.ObjectiveOriginBytes}, help: "What a rollout minimizes: its time, or the bytes fetched from the origin."},
 			{name: "originCopies", label: "Copies from the origin", kind: kindNumber, help: "1 to 4."},
 			{name: "deadlines.defaultRequest", label: "Default deadline", kind: kindText, help: "Seconds, such as 10s."},
 			{name: "deadlines.maxRequest", label: "Longest deadline", kind: kindText, help: "Seconds, such as 60s."},
-			{name: "deadlines.drain", label: "Drain time", kind: kindText, help: "Seconds that a leaving host may take."},
+			{name: "deadlines.drain", label: "Drain time", kind: kindText, help: "Seconds that a host may take to finish its requests before it leaves."},
 		},
 	},
 	{
@@ -48,10 +49,10 @@
 		fields: []field{
 			{name: "name", label: "Name", kind: kindText},
 			{name: "version", label: "Version", kind: kindText, help: "Hash of the manifest, 64 digits."},
-			{name: "adapters", label: "Adapters", kind: kindLines, columns: []string{"name", "version", "baseVersion"}, help: "One a line: name, version, version of the base."},
-			{name: "replicas", label: "Replicas", kind: kindLines, columns: []string{"failureDomain", "count"}, help: "One a line: failure domain, number of hosts."},
-			{name: "customers", label: "Customers", kind: kindLines, help: "One a line."},
-			{name: "maxUnavailable", label: "Hosts out at once", kind: kindNumber, help: "In one failure domain, during a roll."},
+			{name: "adapters", label: "Adapters", kind: kindLines, columns: []string{"name", "version", "baseVersion"}, help: "One per line: name, version, version of the base."},
+			{name: "replicas", label: "Replicas", kind: kindLines, columns: []string{"failureDomain", "count"}, help: "One per line: failure domain, number of hosts."},
+			{name: "customers", label: "Customers", kind: kindLines, help: "One per line."},
+			{name: "maxUnavailable", label: "Hosts unavailable at once", kind: kindNumber, help: "In one failure domain, during a rollout."},
 			{name: "shift", label: "Callers move", kind: kindSelect, options: []string{document.ShiftAsHostsTurn, document.ShiftWhenWhole}},
 		},
 	},
@@ -59,12 +60,12 @@
 		list: "customers", title: "Customers",
 		fields: []field{
 			{name: "name", label: "Name", kind: kindText},
-			{name: "keyHashes", label: "Key hashes", kind: kindLines, help: "SHA-256, one a line."},
-			{name: "newKey", label: "Add a key", kind: kindKey, help: "Only its hash is kept."},
+			{name: "keyHashes", label: "Key hashes", kind: kindLines, help: "SHA-256, one per line."},
+			{name: "newKey", label: "Add a key", kind: kindKey, help: "Only its hash is stored."},
 			{name: "weight", label: "Weight", kind: kindNumber},
-			{name: "requestsPerSecond", label: "Requests a second", kind: kindNumber, help: "0: no limit."},
-			{name: "tokensPerSecond", label: "Tokens a second", kind: kindNumber, help: "0: no limit."},
-			{name: "priority", label: "Priority", kind: kindNumber, help: "0 to 9; 9 goes first."},
+			{name: "requestsPerSecond", label: "Requests per second", kind: kindNumber, help: "0: no limit."},
+			{name: "tokensPerSecond", label: "Tokens per second", kind: kindNumber, help: "0: no limit."},
+			{name: "priority", label: "Priority", kind: kindNumber, help: "0 to 9; 9 is the highest."},
 			{name: "retryRatio", label: "Retry ratio", kind: kindNumber},
 		},
 	},
@@ -72,8 +73,8 @@
 		list: "operators", title: "Operators",
 		fields: []field{
 			{name: "name", label: "Name", kind: kindText},
-			{name: "keyHashes", label: "Key hashes", kind: kindLines, help: "SHA-256, one a line."},
-			{name: "newKey", label: "Add a key", kind: kindKey, help: "Only its hash is kept."},
+			{name: "keyHashes", label: "Key hashes", kind: kindLines, help: "SHA-256, one per line."},
+			{name: "newKey", label: "Add a key", kind: kindKey, help: "Only its hash is stored."},
 		},
 	},
 	{
@@ -91,12 +92,12 @@
 		fields: []field{
 			{name: "name", label: "Name", kind: kindText},
 			{name: "endpoint", label: "Kind of endpoint", kind: kindText},
-			{name: "customers", label: "Customers", kind: kindLines, help: "One a line."},
+			{name: "customers", label: "Customers", kind: kindLines, help: "One per line."},
 		},
 	},
 }
 
-// blankDocument is what the form starts from while no document is in force.
+// blankDocument returns the initial document of the form while none is in force.
 func blankDocument() *wire.Document {
 	return &wire.Document{Objective: document.ObjectiveTime, OriginCopies: 1}
 }
--- a/entry/internal/console/form.go
+++ b/entry/internal/console/form.go
@@ -11,25 +11,25 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// maxRows bounds the rows of one list in a posted form.
+// maxRows limits the rows of one list in a posted form.
 const maxRows = 5000
 
-// row is one list item's values by field name, as the operator typed them.
+// row holds the values of one list item by field name, as the operator typed them.
 type row map[string]string
 
-// form is the whole document as the operator typed it.
+// form holds the values of all fields as the operator typed them.
 type form struct {
 	topLevel row
 	rows     map[string][]row // by list
 }
 
-// tree is a JSON object.
+// jsonObject is a decoded JSON object.
 type jsonObject = map[string]any
 
-// formOf returns the form that shows the document.
+// formOf returns a form with the values of the document.
 func formOf(doc *wire.Document) *form {
 	var root jsonObject
-	// Format returns valid JSON by its contract; an empty form shows otherwise.
+	// Format always returns valid JSON. If it did not, the form would be empty.
 	_ = json.Unmarshal(document.Format(doc), &root)
 	filled := &form{rows: map[string][]row{}}
 	for _, sec := range sections {
@@ -46,6 +46,7 @@
 	return filled
 }
 
+// rowOf returns the row of a section with the values of the object.
 func rowOf(sec section, object jsonObject) row {
 	filled := row{}
 	for _, fld := range sec.fields {
@@ -54,6 +55,7 @@
 	return filled
 }
 
+// lookUp returns the value of a key, which may be nested as in "outer.inner".
 func lookUp(object jsonObject, name string) any {
 	outer, inner, nested := strings.Cut(name, ".")
 	if !nested {
@@ -63,7 +65,7 @@
 	return child[inner]
 }
 
-// show returns a JSON value as a control's text.
+// formatValue converts a JSON value to the text of a control.
 func formatValue(fld field, value any) string {
 	switch typed := value.(type) {
 	case nil:
@@ -80,6 +82,8 @@
 	return ""
 }
 
+// formatLines returns one line per item. The line of an object lists its values
+// in the order of the field's columns.
 func formatLines(fld field, items []any) string {
 	var lines []string
 	for _, item := range items {
@@ -97,8 +101,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// readForm takes the posted values. Rows are numbered from 0; blank rows and
-// those marked for removal are left out.
+// readForm returns the form with the posted values. Rows are numbered from 0.
+// Blank rows and rows marked for removal are skipped.
 func readForm(values url.Values) *form {
 	posted := &form{rows: map[string][]row{}}
 	for _, sec := range sections {
@@ -118,6 +122,7 @@
 	return posted
 }
 
+// readRow returns the posted values of one row, whose names start with prefix.
 func readRow(sec section, values url.Values, prefix string) row {
 	filled := row{}
 	for _, fld := range sec.fields {
@@ -128,8 +133,8 @@
 	return filled
 }
 
-// blank reports whether an operator typed nothing into the row. Selections
-// always have a value and say nothing.
+// isBlank reports whether the operator entered nothing in the row. It ignores
+// selections, because these always have a value.
 func isBlank(sec section, filled row) bool {
 	for _, fld := range sec.fields {
 		if fld.kind != kindSelect && filled[fld.name] != "" {
@@ -139,7 +144,7 @@
 	return true
 }
 
-// absorbKey adds the hash of a new key to the hashes and forgets the key.
+// hashNewKey adds the hash of a new key to the row's hashes and erases the key.
 func hashNewKey(filled row) {
 	key := filled["newKey"]
 	if key == "" {
@@ -154,7 +159,8 @@
 	filled["keyHashes"] = strings.Join(hashes, "\n")
 }
 
-// document returns the document that the form describes, checked as any other.
+// document parses the form's values into a document, with the same checks as for
+// any submitted document.
 func (f *form) document() (*wire.Document, []document.Problem) {
 	text, err := json.Marshal(f.toJSON())
 	if err != nil {
@@ -163,6 +169,7 @@
 	return document.Parse(text)
 }
 
+// toJSON returns the form's values as the JSON object of a document.
 func (f *form) toJSON() jsonObject {
 	root := jsonObject{}
 	for _, sec := range sections {
@@ -183,7 +190,7 @@
 	return root
 }
 
-// fill writes a row's values into the object; empty ones stay absent.
+// setValues writes a row's values into the object and omits empty ones.
 func setValues(object jsonObject, sec section, filled row) {
 	for _, fld := range sec.fields {
 		text := filled[fld.name]
@@ -204,8 +211,8 @@
 	}
 }
 
-// parse returns the JSON value of a control's text. Text that is no number
-// stays text, so that the schema's check names the field.
+// parseValue converts the text of a control to a JSON value. A number field's text
+// that is not a number stays a string, so that schema validation reports the field.
 func parseValue(fld field, text string) any {
 	switch fld.kind {
 	case kindNumber:
@@ -218,6 +225,7 @@
 	return text
 }
 
+// parseNumber returns the text as a number, or unchanged if it is not one.
 func parseNumber(text string) any {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -226,6 +234,8 @@
 	return value
 }
 
+// parseLines returns a JSON value per non-empty line: an object if the field has
+// columns, otherwise a string.
 func parseLines(fld field, text string) []any {
 	items := []any{}
 	for line := range strings.SplitSeq(text, "\n") {
@@ -242,6 +252,8 @@
 	return items
 }
 
+// parseObject returns an object with the words as the values of the columns. An
+// excess word goes under an unknown key, so that validation rejects the line.
 func parseObject(columns, words []string) jsonObject {
 	object := jsonObject{}
 	for i, word := range words {
--- a/entry/internal/console/session.go
+++ b/entry/internal/console/session.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// session returns the operator whose key the cookie holds.
+// session returns the operator whose key is in the cookie, and the key.
 func (c *Console) session(r *http.Request) (operator, key string, known bool) {
 	cookie, err := r.Cookie(cookieName)
 	if err != nil {
@@ -18,12 +18,13 @@
 	return operator, cookie.Value, known
 }
 
+// login sets the session cookie if the posted key belongs to an operator.
 func (c *Console) login(w http.ResponseWriter, r *http.Request) {
 	r.Body = http.MaxBytesReader(w, r.Body, maxFormBytes)
 	key := r.PostFormValue("key")
 	if _, known := c.cfg.Authenticate(key); !known {
 		c.render(w, http.StatusUnauthorized, pageData{
-			Failure: "No operator has this key.",
+			Failure: "This key does not belong to an operator.",
 			Remedy:  "Ask another operator to add its hash to the document.",
 		})
 		return
@@ -32,11 +33,14 @@
 	http.Redirect(w, r, "/console/", http.StatusSeeOther)
 }
 
+// logout deletes the session cookie.
 func (c *Console) logout(w http.ResponseWriter, r *http.Request) {
 	http.SetCookie(w, sessionCookie("", -1))
 	http.Redirect(w, r, "/console/", http.StatusSeeOther)
 }
 
+// sessionCookie returns the cookie with the operator's key. A negative maxAge
+// deletes it, and 0 keeps it until the browser closes.
 func sessionCookie(key string, maxAge int) *http.Cookie {
 	return &http.Cookie{
 		Name:     cookieName,
@@ -48,18 +52,21 @@
 	}
 }
 
-// formToken is derived from the key. A page of another site could make the
-// operator's browser post a form with the cookie; it cannot know the token.
+// formToken returns the CSRF token, which is derived from the operator's key. A
+// page of another site could make the operator's browser post a form with the
+// cookie, but it cannot know the token.
 func formToken(key string) string {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte("console form"))
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
+// tokenMatches compares a posted token with the key's token in constant time.
 func tokenMatches(key, token string) bool {
 	return hmac.Equal([]byte(formToken(key)), []byte(token))
 }
 
+// parseBase parses a base revision, and returns 0 if the text is not valid.
 func parseBase(text string) uint32 {
 	base, err := strconv.ParseUint(text, 10, 32)
 	if err != nil {
--- a/entry/internal/console/view.go
+++ b/entry/internal/console/view.go
@@ -8,22 +8,22 @@
 	"comfreyrelay.example/relay/document"
 )
 
-// sectionView is one section as the page shows it.
+// sectionView is the template data of one section.
 type sectionView struct {
 	Title string
-	List  string // empty for the head
-	Count int    // rows, the blank one included
+	List  string // empty for the top-level fields
+	Count int    // number of rows, including the blank one
 	Rows  []rowView
 }
 
-// rowView is one list item.
+// rowView is the template data of one list item.
 type rowView struct {
 	Title    string
-	RemoveID string // empty for the head and for the blank row
+	RemoveID string // empty for the top-level fields and for the blank row
 	Fields   []fieldView
 }
 
-// fieldView is one control with what is wrong in it.
+// fieldView is the template data of one control, with the problems of its value.
 type fieldView struct {
 	ID       string
 	Label    string
@@ -34,7 +34,8 @@
 	Messages []string
 }
 
-// viewSections returns the sections with the problems beside their fields.
+// viewSections returns the sections with each problem at its field. Each list
+// ends with a blank row, for a new item.
 func viewSections(filled *form, problems []document.Problem) []sectionView {
 	var views []sectionView
 	for _, sec := range sections {
@@ -57,6 +58,7 @@
 	return views
 }
 
+// viewRow returns one row; pointer is the JSON pointer of its object.
 func viewRow(sec section, filled row, prefix, pointer string, problems []document.Problem) rowView {
 	view := rowView{Title: filled["name"]}
 	for _, fld := range sec.fields {
@@ -73,7 +75,7 @@
 	return view
 }
 
-// messagesAt returns the problems at the pointer or below it.
+// messagesAt returns the messages of the problems at or below the pointer.
 func messagesAt(pointer string, problems []document.Problem) []string {
 	var messages []string
 	for _, problem := range problems {
@@ -84,11 +86,12 @@
 	return messages
 }
 
+// isAtOrBelow reports whether path equals pointer or is nested in it.
 func isAtOrBelow(pointer, path string) bool {
 	return path == pointer || strings.HasPrefix(path, pointer+"/")
 }
 
-// unplaced returns the problems that no field shows.
+// unmatchedMessages returns the messages of the problems that no field shows.
 func unmatchedMessages(filled *form, problems []document.Problem) []string {
 	var messages []string
 	for _, problem := range problems {
@@ -99,6 +102,7 @@
 	return messages
 }
 
+// hasField reports whether the form shows a field at or above the path.
 func hasField(filled *form, path string) bool {
 	for _, sec := range sections {
 		count := 1
