--- a/entry/internal/cmd/cmd.go
+++ b/entry/internal/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd is the command line and the wiring of comfreyentry.
+// Package cmd contains the command line and the dependency wiring of comfreyentry.
 package cmd
 
 import (
@@ -12,7 +12,7 @@
 
 const program = "comfreyentry"
 
-// Main parses the arguments, runs the entry until it is asked to stop, and
+// Main parses the arguments, runs the entry until it receives a stop signal, and
 // returns the exit code.
 func Main(version string, args []string, out, errOut io.Writer) int {
 	daemon := cli.Daemon[*wire.EntrySettings]{
@@ -21,7 +21,7 @@
 			"a second SIGTERM stops at once.",
 		Load: settings.LoadEntryWith,
 		Run:  Run,
-		// The platform places the settings itself.
+		// The platform writes the settings file itself, at this path.
 		DefaultFile: platform.SettingsFile(),
 	}
 	return daemon.Main(version, args, out, errOut)
--- a/entry/internal/cmd/process.go
+++ b/entry/internal/cmd/process.go
@@ -31,18 +31,20 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout limits the time for reading a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes callers' connections that nobody uses.
+	// idleTimeout is when idle connections of callers are closed.
 	idleTimeout = 2 * time.Minute
-	// lingerFor is how long a drained entry goes on refusing: callers that hold
-	// its address get proof that nothing was run, and the spares.
+	// drainLinger is the minimum time from the start of a drain to the exit. A
+	// drained entry keeps rejecting requests until then, so that callers that
+	// still use its address get proof that nothing was run, and the addresses of
+	// other entries.
 	drainLinger = 3 * time.Second
-	// shutdownTimeout bounds the end of idle connections.
+	// shutdownTimeout limits the graceful shutdown of an HTTP server.
 	shutdownTimeout = time.Second
 )
 
-// parts are what a running entry consists of.
+// components are the parts of a running entry, created by the dig container.
 type components struct {
 	dig.In
 
@@ -68,11 +70,11 @@
 	Collector  *store.Collector
 }
 
-// process is one entry.
+// process is one running entry.
 type process struct{ components }
 
-// Run runs an entry with the given settings. It drains when drain ends and
-// stops at once when kill does. A clean end is no error.
+// Run runs an entry with the given settings. It drains when the drain context is
+// done and stops immediately when kill is done. It returns nil after a clean stop.
 func Run(drain, kill context.Context, set *wire.EntrySettings, out, errOut io.Writer) error {
 	if set.GetSite() != nil {
 		return onsite.Run(drain, kill, set, out)
@@ -83,12 +85,13 @@
 	}))
 }
 
+// run starts the listeners and background tasks and waits until all have stopped.
 func (p *process) run(drain, kill context.Context, out io.Writer) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterControl(mux, p.Server); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the control calls", "report it")
+		return failure.Wrap(err, failure.Internal, "cannot register the control RPCs", "report it")
 	}
 	p.publishVars()
 	p.Publisher.Build()
@@ -114,8 +117,8 @@
 	return err
 }
 
-// work starts what runs beside the listeners. The leases end with the drain's
-// start: a process that goes must not be in charge.
+// startBackground starts the background tasks. The leases are released when the
+// drain starts, because a process that is about to exit must not hold them.
 func (p *process) startBackground(ctx, drain context.Context, group *errgroup.Group) {
 	leaseCtx, releaseLeases := context.WithCancel(ctx)
 	context.AfterFunc(drain, releaseLeases)
@@ -136,12 +139,14 @@
 	}
 }
 
+// holdsPlannerLease reports whether this entry holds the planner's lease.
 func (p *process) holdsPlannerLease() bool {
 	_, ok := p.Leases.planner.Holding()
 	return ok
 }
 
-// callersRoutes are those of the callers' listener: both APIs and the console.
+// callersRoutes returns the handler of the callers' listener, which serves both
+// APIs and the console.
 func (p *process) callersRoutes() http.Handler {
 	mux := chi.NewRouter()
 	p.Callers.Routes(mux)
@@ -150,6 +155,7 @@
 	return mux
 }
 
+// serveHTTP serves the routes until ctx is done and then shuts the server down.
 func (p *process) serveHTTP(ctx context.Context, lis net.Listener, routes http.Handler) error {
 	server := &http.Server{
 		Handler:           routes,
@@ -169,8 +175,8 @@
 	return ignoreStopError(ctx, err)
 }
 
-// shutdown ends idle connections and lets answers in progress out, briefly:
-// the drain has waited for those before.
+// shutdown closes idle connections and lets responses in progress complete. The
+// timeout is short because the drain has already waited for these.
 func (p *process) shutdown(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -179,7 +185,7 @@
 	}
 }
 
-// ignoreEnd drops the error that a part returns because it was asked to stop.
+// ignoreStopError drops the error of a server that was asked to stop.
 func ignoreStopError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -187,7 +193,7 @@
 	return err
 }
 
-// awaitEnd waits for the signal and drains.
+// awaitShutdown waits for the stop signal and drains the entry.
 func (p *process) awaitShutdown(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
@@ -209,8 +215,8 @@
 	}
 }
 
-// announceDrain notifies the other entries at once that callers should go
-// elsewhere.
+// announceDrain notifies the other entries immediately that callers should use
+// other entries.
 func (p *process) announceDrain() {
 	p.Self.Drain()
 	p.Deployment.Members().ObserveEntry(p.Self.Latest(), p.Clock.Now())
@@ -218,19 +224,20 @@
 	p.Deployment.Hurry()
 }
 
-// ready reports whether this entry knows what is in force and takes callers.
+// ready returns nil if this entry knows the document in force and accepts requests
+// of callers, and otherwise the reason why not.
 func (p *process) ready() error {
 	if p.Self.Draining() {
-		return failure.New(failure.Leaving, "the entry drains", "use another")
+		return failure.New(failure.Leaving, "the entry is draining", "use another entry")
 	}
 	if _, confirmed := p.Deployment.Age(); !confirmed {
-		return failure.New(failure.Unavailable, "nobody has confirmed a document yet", "check kvUrl, node.hostsUrl and the other entries")
+		return failure.New(failure.Unavailable, "no document has been confirmed yet", "check kvUrl, node.hostsUrl and the other entries")
 	}
 	return nil
 }
 
-// publishFigures shows the entry's state under /debug/vars. A name that is
-// taken belongs to another entry of the same test process.
+// publishVars publishes the entry's state under /debug/vars. If the name is
+// already taken, another entry of the same test process has published it.
 func (p *process) publishVars() {
 	if expvar.Get("entryState") != nil {
 		return
@@ -238,6 +245,7 @@
 	expvar.Publish("entryState", expvar.Func(p.stateVars))
 }
 
+// stateVars returns the state that publishVars exposes.
 func (p *process) stateVars() any {
 	status := p.Operators.Status()
 	_, watching := p.Leases.watch.Holding()
--- a/entry/internal/cmd/wiring.go
+++ b/entry/internal/cmd/wiring.go
@@ -31,19 +31,20 @@
 )
 
 const (
-	// partsCacheBytes bounds the document parts kept in memory.
+	// partsCacheBytes limits the size of the document part cache.
 	partsCacheBytes = 32 << 20
-	// defaultLeaseTTL, defaultSync and defaultDrain stand in for settings that
-	// are not given.
+	// defaultLeaseTTL, defaultSync and defaultDrain are used for settings that are
+	// not set.
 	defaultLeaseTTL = 5 * time.Second
 	defaultSync     = 2 * time.Second
 	defaultDrain    = 30 * time.Second
-	// leaseMarginPart is the part of a lease's time that its holder leaves
-	// unused, for the difference of two clocks.
+	// leaseMarginDivisor sets the safety margin of a lease to ttl/5. The holder
+	// gives up the lease that much before its end, in case its clock runs slower
+	// than the key-value service's.
 	leaseMarginDivisor = 5
 )
 
-// build registers how each part of an entry is made.
+// newContainer returns a container with the constructors of all components.
 func newContainer(set *wire.EntrySettings, errOut io.Writer) *dig.Container {
 	container := dig.New()
 	provide := func(constructors ...any) {
@@ -68,20 +69,22 @@
 	return container
 }
 
+// newKeys returns the TLS keys, or nil if the settings configure no TLS.
 func newKeys(set *wire.EntrySettings, clock clockwork.Clock) (*peer.Keys, error) {
 	if set.GetNode().GetTls() == nil {
-		return nil, nil //nolint:nilnil // Nil keys mean clear text, which the settings ask for.
+		return nil, nil //nolint:nilnil // Nil keys select plaintext, as configured.
 	}
 	return peer.NewKeys(set.GetNode().GetTls(), clock)
 }
 
-// listeners are the addresses that an entry serves.
+// listeners holds the network listeners of an entry.
 type listeners struct {
 	control   net.Listener
 	callers   net.Listener
-	operators net.Listener // nil: not asked for
+	operators net.Listener // nil if not configured
 }
 
+// newListeners opens the listeners that the settings configure.
 func newListeners(set *wire.EntrySettings) (*listeners, error) {
 	lis := &listeners{}
 	var err error
@@ -97,23 +100,25 @@
 	return lis, err
 }
 
+// listen opens a TCP listener. The error message names the setting.
 func listen(address, setting string) (net.Listener, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+setting,
-			"stop the process that has the port, or give another")
+			"stop the process that uses the port, or configure another address")
 	}
 	return lis, nil
 }
 
-// newSelfNode names the ports that the listeners got where the settings leave
-// them open.
+// newSelfNode describes this entry. It uses the listeners' actual addresses,
+// because the settings may leave the choice of the ports to the system.
 func newSelfNode(set *wire.EntrySettings, lis *listeners) *wire.Node {
 	self := node.Describe(set.GetNode(), peer.RoleEntry, lis.callers.Addr().String())
 	self.ControlAddress = lis.control.Addr().String()
 	return self
 }
 
+// newService returns a rate-limited client of the key-value service.
 func newService(set *wire.EntrySettings, clock clockwork.Clock) *kv.Store {
 	rateLimit := budget.New(budget.Options{
 		Role:            peer.RoleEntry,
@@ -167,10 +172,10 @@
 	return control.NewHostList(deployment, set.GetNode().GetHostsUrl(), client)
 }
 
-// leases are what this entry may hold.
+// leases holds the contenders for the leases that this entry may acquire.
 type leases struct {
-	watch   *control.Contender // of its failure domain's watches
-	planner *control.Contender
+	watch   *control.Contender // watches the key-value service for the failure domain
+	planner *control.Contender // plans for the whole deployment
 }
 
 func newLeases(set *wire.EntrySettings, deployment *control.Deployment, self *wire.Node, service *kv.Store,
@@ -219,7 +224,7 @@
 	})
 }
 
-// newConsole joins the console to the methods behind the operators' API.
+// newConsole connects the console to the methods of the operators' API.
 func newConsole(api *operators.API) *console.Console {
 	return console.New(console.Config{
 		Authenticate: api.Authenticate,
@@ -235,6 +240,7 @@
 	})
 }
 
+// consoleConflict returns the conflict in the error, or nil if there is none.
 func consoleConflict(err error) *console.Conflict {
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
@@ -243,6 +249,7 @@
 	return &console.Conflict{Current: conflict.CurrentRevision(), Theirs: conflict.Theirs(), Yours: conflict.Yours()}
 }
 
+// orDefault returns value, or fallback if value is not positive.
 func orDefault(value, fallback time.Duration) time.Duration {
 	if value <= 0 {
 		return fallback
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,6 @@
-// Command comfreyentry runs on an entry host: it serves callers and operators,
-// routes requests, and may hold the leases to watch and to plan.
+// Command comfreyentry runs on an entry host. It serves callers and operators,
+// routes requests, and may hold the leases for watching the key-value service and
+// for planning.
 package main
 
 import (
@@ -8,7 +9,7 @@
 	"comfreyrelay.example/entry/internal/cmd"
 )
 
-// version is set when the binary is built.
+// version is set at build time.
 var version = "dev"
 
 func main() {
