--- a/entry/internal/operators/document.go
+++ b/entry/internal/operators/document.go
@@ -58,6 +58,7 @@
 	return nil
 }
 
+// getDocument handles GET /v1/document.
 func (a *API) getDocument(w http.ResponseWriter, _ *http.Request) {
 	revision, doc := a.InForce()
 	if doc == nil {
@@ -67,6 +68,7 @@
 	writeJSON(w, http.StatusOK, documentBody{Revision: revision, Document: document.Format(doc)})
 }
 
+// postValidate handles POST /v1/document/validate.
 func (a *API) postValidate(w http.ResponseWriter, r *http.Request) {
 	text, err := readBody(w, r)
 	if err != nil {
@@ -77,6 +79,7 @@
 	writeJSON(w, http.StatusOK, validationBody{Valid: len(problems) == 0, Errors: problems})
 }
 
+// postDocument handles POST /v1/document.
 func (a *API) postDocument(w http.ResponseWriter, r *http.Request) {
 	body := submissionBody{}
 	if err := readJSON(w, r, &body); err != nil {
@@ -98,6 +101,7 @@
 	writeAccepted(w, revision, err)
 }
 
+// postRollback handles POST /v1/document/rollback.
 func (a *API) postRollback(w http.ResponseWriter, r *http.Request) {
 	body := rollbackBody{}
 	if err := readJSON(w, r, &body); err != nil {
@@ -143,6 +147,7 @@
 	writeJSON(w, http.StatusOK, acceptedBody{Revision: revision})
 }
 
+// getDiff handles GET /v1/document/diff.
 func (a *API) getDiff(w http.ResponseWriter, r *http.Request) {
 	from, err := queryUint(r, "from", 0)
 	if err != nil {
--- a/entry/internal/operators/history.go
+++ b/entry/internal/operators/history.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// getAudit handles GET /v1/audit.
 func (a *API) getAudit(w http.ResponseWriter, r *http.Request) {
 	from, err := queryUint(r, "from", 1)
 	if err != nil {
--- a/entry/internal/operators/operators.go
+++ b/entry/internal/operators/operators.go
@@ -153,7 +153,7 @@
 	if err := control.MarkDrain(ctx, a.cfg.Service, a.cfg.Clock, host, mark); err != nil {
 		return err
 	}
-	a.cfg.Log.Info("host drain changed", "host", host, "drain", drain, "operator", operator, "fromAddress", fromAddress)
+	a.cfg.Log.Info("drain mark written", "host", host, "drain", drain, "operator", operator, "fromAddress", fromAddress)
 	return control.NewWatcher(a.cfg.Deployment, a.cfg.Docs, a.cfg.Service, nil).ReadDrains(ctx)
 }
 
--- a/entry/internal/operators/status.go
+++ b/entry/internal/operators/status.go
@@ -107,6 +107,7 @@
 	}
 }
 
+// getStatus handles GET /v1/status.
 func (a *API) getStatus(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, a.Status())
 }
@@ -203,6 +204,7 @@
 	}
 }
 
+// getRollout handles GET /v1/rollout.
 func (a *API) getRollout(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, a.Rollout())
 }
@@ -212,6 +214,7 @@
 	Drain bool `json:"drain"`
 }
 
+// postDrain handles POST /v1/hosts/{id}/drain.
 func (a *API) postDrain(w http.ResponseWriter, r *http.Request) {
 	body := drainBody{}
 	if err := readJSON(w, r, &body); err != nil {
