--- a/entry/internal/store/submit.go
+++ b/entry/internal/store/submit.go
@@ -165,7 +165,8 @@
 }
 
 // findAccepted looks for the submission among the revisions accepted since its
-// base. It returns a nil root and no error if the submission was not accepted.
+// base. It returns a nil root and no error if the submission was not accepted, and
+// an error if more than maxAuditLookback revisions would have to be searched.
 //
 // Rule SETTLE of spec/document.pml.
 func (s *Store) findAccepted(ctx context.Context, pending *pendingSubmission, current versionedRoot) (*wire.Root, error) {
