--- a/entry/internal/operators/operators.go
+++ b/entry/internal/operators/operators.go
@@ -145,7 +145,7 @@
 // Drain takes a host out of service, or puts it back if drain is false.
 func (a *API) Drain(ctx context.Context, host string, drain bool, operator, fromAddress string) error {
 	if !a.knowsHost(host) {
-		return failure.New(failure.NotFound, "no host is named "+host, "list the hosts with the status call")
+		return failure.New(failure.NotFound, "no host is called "+host, "list the hosts with the status call")
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/entry/internal/store/submit.go
+++ b/entry/internal/store/submit.go
@@ -216,7 +216,7 @@
 	}
 	conflict := &ConflictError{
 		problem: failure.New(failure.Conflict,
-			fmt.Sprintf("revision %d is already in force, the submission is based on revision %d", current.root.GetRevision(), pending.BaseRevision),
+			fmt.Sprintf("revision %d was accepted first, from the same base revision %d", current.root.GetRevision(), pending.BaseRevision),
 			"read the document again, apply your changes to it and submit it with its revision as the base"),
 		current: current.root.GetRevision(),
 	}
