--- a/entry/internal/cmd/process.go
+++ b/entry/internal/cmd/process.go
@@ -31,19 +31,21 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout limits the time for reading a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes callers' connections that nobody uses.
+	// idleTimeout is when idle connections of callers are closed.
 	idleTimeout = 2 * time.Minute
-	// lingerFor is how long a drained entry goes on refusing: callers that hold
-	// its address get proof that nothing was run, and the spares.
-	lingerFor = 3 * time.Second
-	// shutdownTimeout bounds the end of idle connections.
+	// drainLinger is the minimum time from the start of a drain to the exit. A
+	// drained entry keeps rejecting requests until then, so that callers that
+	// still use its address get proof that nothing was run, and the addresses of
+	// other entries.
+	drainLinger = 3 * time.Second
+	// shutdownTimeout limits the graceful shutdown of an HTTP server.
 	shutdownTimeout = time.Second
 )
 
-// parts are what a running entry consists of.
-type parts struct {
+// components are the parts of a running entry, created by the dig container.
+type components struct {
 	dig.In
 
 	Settings   *wire.EntrySettings
@@ -68,44 +70,45 @@
 	Collector  *store.Collector
 }
 
-// process is one entry.
-type process struct{ parts }
+// process is one running entry.
+type process struct{ components }
 
-// Run runs an entry with the given settings. It drains when drain ends and
-// stops at once when kill does. A clean end is no error.
+// Run runs an entry with the given settings. It drains when the drain context is
+// done and stops immediately when kill is done. It returns nil after a clean stop.
 func Run(drain, kill context.Context, set *wire.EntrySettings, out, errOut io.Writer) error {
 	if set.GetSite() != nil {
 		return onsite.Run(drain, kill, set, out)
 	}
-	box := build(set, errOut)
-	return dig.RootCause(box.Invoke(func(all parts) error {
-		return (&process{parts: all}).run(drain, kill, out)
+	container := newContainer(set, errOut)
+	return dig.RootCause(container.Invoke(func(all components) error {
+		return (&process{components: all}).run(drain, kill, out)
 	}))
 }
 
+// run starts the listeners and background tasks and waits until all have stopped.
 func (p *process) run(drain, kill context.Context, out io.Writer) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterControl(mux, p.Server); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the control calls", "report it")
+		return failure.Wrap(err, failure.Internal, "cannot register the control RPCs", "report it")
 	}
-	p.publishFigures()
+	p.publishVars()
 	p.Publisher.Build()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return ignoreEnd(ctx, peer.Serve(ctx, p.Listeners.control, p.Keys, mux, p.Log)) })
+	group.Go(func() error { return ignoreStopError(ctx, peer.Serve(ctx, p.Listeners.control, p.Keys, mux, p.Log)) })
 	group.Go(func() error { return p.serveHTTP(ctx, p.Listeners.callers, p.callersRoutes()) })
 	if p.Listeners.operators != nil {
 		routes := node.OperatorsRouter(node.Health{Ready: p.ready})
 		group.Go(func() error { return p.serveHTTP(ctx, p.Listeners.operators, routes) })
 	}
-	p.work(ctx, drain, group)
+	p.startBackground(ctx, drain, group)
 	fmt.Fprintf(out, "listening address=%s\n", p.Node.GetCallersAddress())
 	p.Log.Info("started", "incarnation", p.Node.GetIncarnation(), "callersAddress", p.Node.GetCallersAddress(),
 		"controlAddress", p.Node.GetControlAddress())
 	group.Go(func() error {
 		defer stop()
-		p.awaitEnd(ctx, drain, kill)
+		p.awaitShutdown(ctx, drain, kill)
 		return nil
 	})
 	err := group.Wait()
@@ -114,14 +117,14 @@
 	return err
 }
 
-// work starts what runs beside the listeners. The leases end with the drain's
-// start: a process that goes must not be in charge.
-func (p *process) work(ctx, drain context.Context, group *errgroup.Group) {
-	leaseCtx, giveBack := context.WithCancel(ctx)
-	context.AfterFunc(drain, giveBack)
+// startBackground starts the background tasks. The leases are released when the
+// drain starts, because a process that is about to exit must not hold them.
+func (p *process) startBackground(ctx, drain context.Context, group *errgroup.Group) {
+	leaseCtx, releaseLeases := context.WithCancel(ctx)
+	context.AfterFunc(drain, releaseLeases)
 	for _, run := range []func(context.Context){
 		p.Publisher.Run, p.Syncer.Run, p.HostList.Run, p.Watcher.Run, p.Planner.Run,
-		func(ctx context.Context) { p.Collector.Run(ctx, p.inCharge) },
+		func(ctx context.Context) { p.Collector.Run(ctx, p.holdsPlannerLease) },
 	} {
 		group.Go(func() error {
 			run(ctx)
@@ -136,12 +139,14 @@
 	}
 }
 
-func (p *process) inCharge() bool {
+// holdsPlannerLease reports whether this entry holds the planner's lease.
+func (p *process) holdsPlannerLease() bool {
 	_, ok := p.Leases.planner.Holding()
 	return ok
 }
 
-// callersRoutes are those of the callers' listener: both APIs and the console.
+// callersRoutes returns the handler of the callers' listener, which serves both
+// APIs and the console.
 func (p *process) callersRoutes() http.Handler {
 	mux := chi.NewRouter()
 	p.Callers.Routes(mux)
@@ -150,6 +155,7 @@
 	return mux
 }
 
+// serveHTTP serves the routes until ctx is done and then shuts the server down.
 func (p *process) serveHTTP(ctx context.Context, lis net.Listener, routes http.Handler) error {
 	server := &http.Server{
 		Handler:           routes,
@@ -157,20 +163,20 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    callers.MaxHeaderBytes,
 	}
-	ended := make(chan struct{})
-	release := context.AfterFunc(ctx, func() {
-		defer close(ended)
+	done := make(chan struct{})
+	stopAfterFunc := context.AfterFunc(ctx, func() {
+		defer close(done)
 		p.shutdown(server)
 	})
 	err := server.Serve(lis)
-	if !release() {
-		<-ended
+	if !stopAfterFunc() {
+		<-done
 	}
-	return ignoreEnd(ctx, err)
+	return ignoreStopError(ctx, err)
 }
 
-// shutdown ends idle connections and lets answers in progress out, briefly:
-// the drain has waited for those before.
+// shutdown closes idle connections and lets responses in progress complete. The
+// timeout is short because the drain has already waited for these.
 func (p *process) shutdown(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -179,16 +185,16 @@
 	}
 }
 
-// ignoreEnd drops the error that a part returns because it was asked to stop.
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreStopError drops the error of a server that was asked to stop.
+func ignoreStopError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// awaitEnd waits for the signal and drains.
-func (p *process) awaitEnd(ctx, drain, kill context.Context) {
+// awaitShutdown waits for the stop signal and drains the entry.
+func (p *process) awaitShutdown(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
 		return
@@ -197,7 +203,7 @@
 	limit := orDefault(p.Settings.GetDrainTimeout().AsDuration(), defaultDrain)
 	p.Log.Info("draining before the exit", "inFlight", p.Callers.InFlight(), "limit", limit)
 	p.announceDrain()
-	began := p.Clock.Now()
+	start := p.Clock.Now()
 	drainCtx, cancel := context.WithTimeout(kill, limit)
 	defer cancel()
 	p.Callers.Drain(drainCtx)
@@ -205,12 +211,12 @@
 	case <-kill.Done():
 		p.Log.Warn("stopping at once", "inFlight", p.Callers.InFlight())
 	case <-ctx.Done():
-	case <-p.Clock.After(max(0, lingerFor-p.Clock.Since(began))):
+	case <-p.Clock.After(max(0, drainLinger-p.Clock.Since(start))):
 	}
 }
 
-// announceDrain notifies the other entries at once that callers should go
-// elsewhere.
+// announceDrain notifies the other entries immediately that callers should use
+// other entries.
 func (p *process) announceDrain() {
 	p.Self.Drain()
 	p.Deployment.Members().ObserveEntry(p.Self.Latest(), p.Clock.Now())
@@ -218,27 +224,29 @@
 	p.Deployment.Hurry()
 }
 
-// ready reports whether this entry knows what is in force and takes callers.
+// ready returns nil if this entry knows the document in force and accepts requests
+// of callers, and otherwise the reason why not.
 func (p *process) ready() error {
 	if p.Self.Draining() {
-		return failure.New(failure.Leaving, "the entry drains", "use another")
+		return failure.New(failure.Leaving, "the entry is draining", "use another entry")
 	}
 	if _, confirmed := p.Deployment.Age(); !confirmed {
-		return failure.New(failure.Unavailable, "nobody has confirmed a document yet", "check kvUrl, node.hostsUrl and the other entries")
+		return failure.New(failure.Unavailable, "no document has been confirmed yet", "check kvUrl, node.hostsUrl and the other entries")
 	}
 	return nil
 }
 
-// publishFigures shows the entry's state under /debug/vars. A name that is
-// taken belongs to another entry of the same test process.
-func (p *process) publishFigures() {
+// publishVars publishes the entry's state under /debug/vars. If the name is
+// already taken, another entry of the same test process has published it.
+func (p *process) publishVars() {
 	if expvar.Get("entryState") != nil {
 		return
 	}
-	expvar.Publish("entryState", expvar.Func(p.figures))
+	expvar.Publish("entryState", expvar.Func(p.stateVars))
 }
 
-func (p *process) figures() any {
+// stateVars returns the state that publishVars exposes.
+func (p *process) stateVars() any {
 	status := p.Operators.Status()
 	_, watching := p.Leases.watch.Holding()
 	fence, planning := p.Leases.planner.Holding()
--- a/entry/internal/cmd/wiring.go
+++ b/entry/internal/cmd/wiring.go
@@ -31,24 +31,25 @@
 )
 
 const (
-	// partsCacheBytes bounds the document parts kept in memory.
+	// partsCacheBytes limits the size of the document part cache.
 	partsCacheBytes = 32 << 20
-	// defaultLeaseTTL, defaultSync and defaultDrain stand in for settings that
-	// are not given.
+	// defaultLeaseTTL, defaultSync and defaultDrain are used for settings that are
+	// not set.
 	defaultLeaseTTL = 5 * time.Second
 	defaultSync     = 2 * time.Second
 	defaultDrain    = 30 * time.Second
-	// leaseMarginPart is the part of a lease's time that its holder leaves
-	// unused, for the difference of two clocks.
-	leaseMarginPart = 5
+	// leaseMarginDivisor sets the safety margin of a lease to ttl/5. The holder
+	// gives up the lease that much before its end, in case its clock runs slower
+	// than the key-value service's.
+	leaseMarginDivisor = 5
 )
 
-// build registers how each part of an entry is made.
-func build(set *wire.EntrySettings, errOut io.Writer) *dig.Container {
-	box := dig.New()
-	provide := func(makers ...any) {
-		for _, maker := range makers {
-			if err := box.Provide(maker); err != nil {
+// newContainer returns a container with the constructors of all components.
+func newContainer(set *wire.EntrySettings, errOut io.Writer) *dig.Container {
+	container := dig.New()
+	provide := func(constructors ...any) {
+		for _, constructor := range constructors {
+			if err := container.Provide(constructor); err != nil {
 				panic(err)
 			}
 		}
@@ -65,23 +66,25 @@
 		newCallers, control.NewDeployment, newSelf, newExchange, newSyncer, newServer, newPublisher, newHostList,
 		newLeases, newWatcher, newPlanner, newOperators, newConsole,
 	)
-	return box
+	return container
 }
 
+// newKeys returns the TLS keys, or nil if the settings configure no TLS.
 func newKeys(set *wire.EntrySettings, clock clockwork.Clock) (*peer.Keys, error) {
 	if set.GetNode().GetTls() == nil {
-		return nil, nil //nolint:nilnil // Nil keys mean clear text, which the settings ask for.
+		return nil, nil //nolint:nilnil // Nil keys select plaintext, as configured.
 	}
 	return peer.NewKeys(set.GetNode().GetTls(), clock)
 }
 
-// listeners are the addresses that an entry serves.
+// listeners holds the network listeners of an entry.
 type listeners struct {
 	control   net.Listener
 	callers   net.Listener
-	operators net.Listener // nil: not asked for
+	operators net.Listener // nil if not configured
 }
 
+// newListeners opens the listeners that the settings configure.
 func newListeners(set *wire.EntrySettings) (*listeners, error) {
 	lis := &listeners{}
 	var err error
@@ -97,32 +100,34 @@
 	return lis, err
 }
 
-func listen(address, key string) (net.Listener, error) {
+// listen opens a TCP listener. The error message names the setting.
+func listen(address, setting string) (net.Listener, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+key,
-			"stop the process that has the port, or give another")
+		return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+setting,
+			"stop the process that uses the port, or configure another address")
 	}
 	return lis, nil
 }
 
-// newSelfNode names the ports that the listeners got where the settings leave
-// them open.
+// newSelfNode describes this entry. It uses the listeners' actual addresses,
+// because the settings may leave the choice of the ports to the system.
 func newSelfNode(set *wire.EntrySettings, lis *listeners) *wire.Node {
 	self := node.Describe(set.GetNode(), peer.RoleEntry, lis.callers.Addr().String())
 	self.ControlAddress = lis.control.Addr().String()
 	return self
 }
 
+// newService returns a rate-limited client of the key-value service.
 func newService(set *wire.EntrySettings, clock clockwork.Clock) *kv.Store {
-	limit := budget.New(budget.Options{
+	rateLimit := budget.New(budget.Options{
 		Role:            peer.RoleEntry,
 		ReadsPerSecond:  set.GetKvReadsPerSecond(),
 		WritesPerSecond: set.GetKvWritesPerSecond(),
 		Clock:           clock,
 	})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
-	return kv.NewHTTP(set.GetKvUrl(), set.GetNode().GetId(), limit, client)
+	return kv.NewHTTP(set.GetKvUrl(), set.GetNode().GetId(), rateLimit, client)
 }
 
 func newCallers(set *wire.EntrySettings, self *wire.Node, holder *view.Holder, pool *peer.Pool,
@@ -142,8 +147,8 @@
 	})
 }
 
-func newSelf(self *wire.Node, requests *callers.Server, deployment *control.Deployment) *control.Self {
-	return control.NewSelf(self, requests.InFlight, requests.Demand, deployment.Known, deployment.HomeRevision)
+func newSelf(self *wire.Node, callersServer *callers.Server, deployment *control.Deployment) *control.Self {
+	return control.NewSelf(self, callersServer.InFlight, callersServer.Demand, deployment.Known, deployment.HomeRevision)
 }
 
 func newExchange(deployment *control.Deployment, self *control.Self) *control.Exchange {
@@ -154,8 +159,8 @@
 	return control.NewSyncer(exchange, pool, docs.Fetch, orDefault(set.GetSyncInterval().AsDuration(), defaultSync))
 }
 
-func newServer(exchange *control.Exchange, requests *callers.Server, keys *peer.Keys, syncer *control.Syncer) *control.Server {
-	delegate := control.Delegate{Claim: requests.Claim, Settle: requests.Settle}
+func newServer(exchange *control.Exchange, callersServer *callers.Server, keys *peer.Keys, syncer *control.Syncer) *control.Server {
+	delegate := control.Delegate{Claim: callersServer.Claim, Settle: callersServer.Settle}
 	return control.NewServer(exchange, delegate, keys != nil, syncer.Pull)
 }
 
@@ -167,23 +172,23 @@
 	return control.NewHostList(deployment, set.GetNode().GetHostsUrl(), client)
 }
 
-// leases are what this entry may hold.
+// leases holds the contenders for the leases that this entry may acquire.
 type leases struct {
-	watch   *control.Contender // of its failure domain's watches
-	planner *control.Contender
+	watch   *control.Contender // watches the key-value service for the failure domain
+	planner *control.Contender // plans for the whole deployment
 }
 
 func newLeases(set *wire.EntrySettings, deployment *control.Deployment, self *wire.Node, service *kv.Store,
 	clock clockwork.Clock, log *slog.Logger) *leases {
 	ttl := orDefault(set.GetLeaseTtl().AsDuration(), defaultLeaseTTL)
-	claim := func(ctx context.Context, name string) *lease.Holder {
-		return lease.Run(ctx, service, clock, name, self.GetIncarnation(), ttl, ttl/leaseMarginPart, log)
+	acquire := func(ctx context.Context, name string) *lease.Holder {
+		return lease.Run(ctx, service, clock, name, self.GetIncarnation(), ttl, ttl/leaseMarginDivisor, log)
 	}
-	near := func(other *wire.Node) bool { return other.GetFailureDomain() == self.GetFailureDomain() }
-	all := func(*wire.Node) bool { return true }
+	sameDomain := func(other *wire.Node) bool { return other.GetFailureDomain() == self.GetFailureDomain() }
+	anyNode := func(*wire.Node) bool { return true }
 	return &leases{
-		watch:   control.NewContender("watch/"+self.GetFailureDomain(), deployment, near, claim),
-		planner: control.NewContender("planner", deployment, all, claim),
+		watch:   control.NewContender("watch/"+self.GetFailureDomain(), deployment, sameDomain, acquire),
+		planner: control.NewContender("planner", deployment, anyNode, acquire),
 	}
 }
 
@@ -219,7 +224,7 @@
 	})
 }
 
-// newConsole joins the console to the methods behind the operators' API.
+// newConsole connects the console to the methods of the operators' API.
 func newConsole(api *operators.API) *console.Console {
 	return console.New(console.Config{
 		Authenticate: api.Authenticate,
@@ -235,6 +240,7 @@
 	})
 }
 
+// consoleConflict returns the conflict in the error, or nil if there is none.
 func consoleConflict(err error) *console.Conflict {
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
@@ -243,6 +249,7 @@
 	return &console.Conflict{Current: conflict.CurrentRevision(), Theirs: conflict.Theirs(), Yours: conflict.Yours()}
 }
 
+// orDefault returns value, or fallback if value is not positive.
 func orDefault(value, fallback time.Duration) time.Duration {
 	if value <= 0 {
 		return fallback
--- a/entry/internal/console/view.go
+++ b/entry/internal/console/view.go
@@ -8,22 +8,22 @@
 	"comfreyrelay.example/relay/document"
 )
 
-// sectionView is one section as the page shows it.
+// sectionView is the template data of one section.
 type sectionView struct {
 	Title string
-	List  string // empty for the head
-	Count int    // rows, the blank one included
+	List  string // empty for the top-level fields
+	Count int    // number of rows, including the blank one
 	Rows  []rowView
 }
 
-// rowView is one list item.
+// rowView is the template data of one list item.
 type rowView struct {
 	Title    string
-	RemoveID string // empty for the head and for the blank row
+	RemoveID string // empty for the top-level fields and for the blank row
 	Fields   []fieldView
 }
 
-// fieldView is one control with what is wrong in it.
+// fieldView is the template data of one control, with the problems of its value.
 type fieldView struct {
 	ID       string
 	Label    string
@@ -34,12 +34,13 @@
 	Messages []string
 }
 
-// viewSections returns the sections with the problems beside their fields.
+// viewSections returns the sections with each problem at its field. Each list
+// ends with a blank row, for a new item.
 func viewSections(filled *form, problems []document.Problem) []sectionView {
 	var views []sectionView
 	for _, sec := range sections {
 		if sec.list == "" {
-			views = append(views, sectionView{Title: sec.title, Rows: []rowView{viewRow(sec, filled.head, "", "", problems)}})
+			views = append(views, sectionView{Title: sec.title, Rows: []rowView{viewRow(sec, filled.topLevel, "", "", problems)}})
 			continue
 		}
 		view := sectionView{Title: sec.title, List: sec.list}
@@ -57,6 +58,7 @@
 	return views
 }
 
+// viewRow returns one row; pointer is the JSON pointer of its object.
 func viewRow(sec section, filled row, prefix, pointer string, problems []document.Problem) rowView {
 	view := rowView{Title: filled["name"]}
 	for _, fld := range sec.fields {
@@ -73,33 +75,35 @@
 	return view
 }
 
-// messagesAt returns the problems at the pointer or below it.
+// messagesAt returns the messages of the problems at or below the pointer.
 func messagesAt(pointer string, problems []document.Problem) []string {
 	var messages []string
 	for _, problem := range problems {
-		if at(pointer, problem.Path()) {
+		if isAtOrBelow(pointer, problem.Path()) {
 			messages = append(messages, problem.Message()+"; "+problem.Remedy())
 		}
 	}
 	return messages
 }
 
-func at(pointer, path string) bool {
+// isAtOrBelow reports whether path equals pointer or is nested in it.
+func isAtOrBelow(pointer, path string) bool {
 	return path == pointer || strings.HasPrefix(path, pointer+"/")
 }
 
-// unplaced returns the problems that no field shows.
-func unplaced(filled *form, problems []document.Problem) []string {
+// unmatchedMessages returns the messages of the problems that no field shows.
+func unmatchedMessages(filled *form, problems []document.Problem) []string {
 	var messages []string
 	for _, problem := range problems {
-		if !placed(filled, problem.Path()) {
+		if !hasField(filled, problem.Path()) {
 			messages = append(messages, problem.Path()+": "+problem.Message()+"; "+problem.Remedy())
 		}
 	}
 	return messages
 }
 
-func placed(filled *form, path string) bool {
+// hasField reports whether the form shows a field at or above the path.
+func hasField(filled *form, path string) bool {
 	for _, sec := range sections {
 		count := 1
 		if sec.list != "" {
@@ -111,7 +115,7 @@
 				pointer = "/" + sec.list + "/" + strconv.Itoa(i)
 			}
 			for _, fld := range sec.fields {
-				if at(pointer+"/"+strings.ReplaceAll(fld.name, ".", "/"), path) {
+				if isAtOrBelow(pointer+"/"+strings.ReplaceAll(fld.name, ".", "/"), path) {
 					return true
 				}
 			}
--- a/entry/internal/operators/document.go
+++ b/entry/internal/operators/document.go
@@ -10,19 +10,19 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// inForceBody answers GET /v1/document.
-type inForceBody struct {
+// documentBody is the response of GET /v1/document.
+type documentBody struct {
 	Revision uint32          `json:"revision"`
 	Document json.RawMessage `json:"document"`
 }
 
-// validationBody answers POST /v1/document/validate.
+// validationBody is the response of POST /v1/document/validate.
 type validationBody struct {
 	Valid  bool               `json:"valid"`
 	Errors []document.Problem `json:"errors,omitempty"`
 }
 
-// submissionBody asks for a new revision.
+// submissionBody is the request of POST /v1/document.
 type submissionBody struct {
 	BaseRevision uint32          `json:"baseRevision"`
 	SubmissionID string          `json:"submissionId"`
@@ -30,7 +30,7 @@
 	Document     json.RawMessage `json:"document"`
 }
 
-// rollbackBody asks for a new revision of an old content.
+// rollbackBody is the request of POST /v1/document/rollback.
 type rollbackBody struct {
 	ToRevision   uint32 `json:"toRevision"`
 	BaseRevision uint32 `json:"baseRevision"`
@@ -38,6 +38,7 @@
 	Reason       string `json:"reason"`
 }
 
+// acceptedBody is the response to an accepted submission or rollback.
 type acceptedBody struct {
 	Revision uint32 `json:"revision"`
 }
@@ -47,24 +48,27 @@
 	maxSubmissionIDBytes = 100
 )
 
-func decode(text []byte, into any) error {
-	reader := json.NewDecoder(bytes.NewReader(text))
-	reader.DisallowUnknownFields()
-	if err := reader.Decode(into); err != nil {
-		return failure.Wrap(err, failure.Invalid, "the body cannot be read", "send the JSON object that docs/PROTOCOLS.md describes")
+// decode decodes JSON into target and rejects unknown keys.
+func decode(text []byte, target any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(target); err != nil {
+		return failure.Wrap(err, failure.Invalid, "cannot decode the body", "send the JSON object that docs/PROTOCOLS.md describes")
 	}
 	return nil
 }
 
+// getDocument handles GET /v1/document.
 func (a *API) getDocument(w http.ResponseWriter, _ *http.Request) {
 	revision, doc := a.InForce()
 	if doc == nil {
 		writeError(w, failure.New(failure.NotFound, "no document is in force here", "submit one with base revision 0"))
 		return
 	}
-	writeJSON(w, http.StatusOK, inForceBody{Revision: revision, Document: document.Format(doc)})
+	writeJSON(w, http.StatusOK, documentBody{Revision: revision, Document: document.Format(doc)})
 }
 
+// postValidate handles POST /v1/document/validate.
 func (a *API) postValidate(w http.ResponseWriter, r *http.Request) {
 	text, err := readBody(w, r)
 	if err != nil {
@@ -75,13 +79,14 @@
 	writeJSON(w, http.StatusOK, validationBody{Valid: len(problems) == 0, Errors: problems})
 }
 
+// postDocument handles POST /v1/document.
 func (a *API) postDocument(w http.ResponseWriter, r *http.Request) {
 	body := submissionBody{}
 	if err := readJSON(w, r, &body); err != nil {
 		writeError(w, err)
 		return
 	}
-	if err := checkWords(body.SubmissionID, body.Reason); err != nil {
+	if err := checkLengths(body.SubmissionID, body.Reason); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -96,13 +101,14 @@
 	writeAccepted(w, revision, err)
 }
 
+// postRollback handles POST /v1/document/rollback.
 func (a *API) postRollback(w http.ResponseWriter, r *http.Request) {
 	body := rollbackBody{}
 	if err := readJSON(w, r, &body); err != nil {
 		writeError(w, err)
 		return
 	}
-	if err := checkWords(body.SubmissionID, body.Reason); err != nil {
+	if err := checkLengths(body.SubmissionID, body.Reason); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -111,14 +117,17 @@
 	writeAccepted(w, revision, err)
 }
 
-// checkWords bounds what goes into the root, which every process receives.
-func checkWords(submissionID, reason string) error {
+// checkLengths limits the texts that are stored in the root, because the root is
+// sent to every process.
+func checkLengths(submissionID, reason string) error {
 	if len(submissionID) > maxSubmissionIDBytes || len(reason) > maxReasonBytes {
 		return failure.New(failure.Invalid, "the reason or the submissionId is too long", "keep the reason under 1000 bytes and use a UUID")
 	}
 	return nil
 }
 
+// submission returns a submission without a document, made by the authenticated
+// operator.
 func submission(r *http.Request, base uint32, id, reason string) store.Submission {
 	return store.Submission{
 		BaseRevision: base,
@@ -129,6 +138,7 @@
 	}
 }
 
+// writeAccepted writes the accepted revision, or the error if there is one.
 func writeAccepted(w http.ResponseWriter, revision uint32, err error) {
 	if err != nil {
 		writeError(w, err)
@@ -137,14 +147,15 @@
 	writeJSON(w, http.StatusOK, acceptedBody{Revision: revision})
 }
 
+// getDiff handles GET /v1/document/diff.
 func (a *API) getDiff(w http.ResponseWriter, r *http.Request) {
-	from, err := uintOf(r, "from", 0)
+	from, err := queryUint(r, "from", 0)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	current, _ := a.InForce()
-	to, err := uintOf(r, "to", current)
+	to, err := queryUint(r, "to", current)
 	if err != nil {
 		writeError(w, err)
 		return
