--- a/relay/burst/baselines.go
+++ b/relay/burst/baselines.go
@@ -9,9 +9,9 @@
 )
 
 // drawAll is the OriginOnly strategy.
-func (c *Core) drawAll(now time.Time) {
+func (c *Core) fetchAllFromOrigin(now time.Time) {
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
-		if len(c.flights) >= originFetches || now.Before(c.originWait) {
+		if len(c.requests) >= maxOriginFetches || now.Before(c.originRetryAt) {
 			return
 		}
 		if c.inFlight[chunk] == 0 {
@@ -26,7 +26,7 @@
 	if c.cfg.Strategy != Tree {
 		return nil
 	}
-	ranked := append(slices.Clone(c.order), nil)
+	ranked := append(slices.Clone(c.sortedPeers), nil)
 	score := func(pst *peerState) uint64 {
 		if pst == nil {
 			return rendezvous.Score(c.versionSeed, c.selfSeed)
@@ -44,14 +44,14 @@
 // pullFromParent is the Tree strategy.
 func (c *Core) pullFromParent(now time.Time) {
 	if c.parent == nil {
-		c.drawAll(now)
+		c.fetchAllFromOrigin(now)
 		return
 	}
 	if c.parent.held == nil && !c.parent.neighbour {
 		c.setNeighbour(c.parent, true)
 	}
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
-		if len(c.flights) >= c.cfg.MaxFetches || !c.parent.usable(now) {
+		if len(c.requests) >= c.cfg.MaxFetches || !c.parent.usable(now) {
 			return
 		}
 		if c.inFlight[chunk] == 0 && c.parent.held.Test(chunk) {
@@ -63,14 +63,14 @@
 // pullAtRandom is the Random strategy: the origin is a neighbour that holds
 // everything.
 func (c *Core) pullAtRandom(now time.Time) {
-	for len(c.flights) < c.cfg.MaxFetches {
+	for len(c.requests) < c.cfg.MaxFetches {
 		var sources []*peerState
 		for _, pst := range c.neighbours {
-			if pst.usable(now) && pst.inFlight < perPeerFetches {
+			if pst.usable(now) && pst.inFlight < maxFetchesPerPeer {
 				sources = append(sources, pst)
 			}
 		}
-		if !now.Before(c.originWait) && c.drawsInFlight() == 0 {
+		if !now.Before(c.originRetryAt) && c.originFetchesInFlight() == 0 {
 			sources = append(sources, nil)
 		}
 		if !c.fetchRandom(now, sources) {
--- a/relay/burst/burst.go
+++ b/relay/burst/burst.go
@@ -37,99 +37,99 @@
 	// closeNeighbours are chosen within the failure domain, farNeighbours
 	// anywhere: the near ones save latency and links between regions, the far
 	// ones keep the whole fleet one connected graph.
-	closeNeighbours = 2
-	farNeighbours   = 8
+	sameDomainNeighbours = 2
+	anyDomainNeighbours  = 8
 	// maxNeighbours bounds the neighbours chosen and those that chose us.
 	maxNeighbours = 20
 	// fetchTarget is the chunks requested at once, as memory allows.
-	fetchTarget = 6
+	defaultMaxFetches = 6
 	// perPeerFetches bounds the chunks requested at once from one peer.
-	perPeerFetches = 2
+	maxFetchesPerPeer = 2
 	// originFetches bounds the chunks that one host draws at once.
-	originFetches = 2
+	maxOriginFetches = 2
 	// minDrawWindow and maxDrawWindow bound the chunks that the fleet draws at
 	// once; it grows by one with each drawWindowStep chunks drawn.
-	minDrawWindow  = 4
-	maxDrawWindow  = 8
-	drawWindowStep = 16
+	minOriginWindow  = 4
+	maxOriginWindow  = 8
+	originWindowStep = 16
 	// askWindow is the chunks whose owners are looked up ahead.
-	askWindow = 3 * maxDrawWindow
+	ownerQueryWindow = 3 * maxOriginWindow
 	// maxDuplicates bounds the chunks requested twice at once near the end.
 	maxDuplicates = 2
 	// bannedAfter is the corrupt chunks in a row that ban a peer.
-	bannedAfter = 2
+	corruptChunksToBan = 2
 	// stallsToBan is the requests that time out in a row until a peer is
 	// banned: more than are in progress at once.
-	stallsToBan = perPeerFetches + 1
+	timeoutsToBan = maxFetchesPerPeer + 1
 	// ownerRanks is how many hosts may draw a chunk in turn.
-	ownerRanks = 8
+	maxOwnerRanks = 8
 )
 
 const (
-	newsInterval  = time.Second           // between exchanges with a neighbour while there is news
-	offerInterval = 15 * time.Millisecond // between offers of an idle uplink
-	idleInterval  = time.Second           // the same without news
-	wholeInterval = 10 * time.Second      // the same once both sides are whole
+	updateInterval   = time.Second           // between exchanges with a neighbour while there is news
+	offerInterval    = 15 * time.Millisecond // between offers of an idle uplink
+	idleInterval     = time.Second           // the same without news
+	completeInterval = 10 * time.Second      // the same once both sides are whole
 
 	firstFetchTime = time.Second      // assumed time of one fetch before any was measured
 	minTimeout     = time.Second      // least time until a fetch is given up
 	maxTimeout     = 60 * time.Second // greatest such time
 	timeoutFactor  = 8                // such time in measured fetch times
 
-	settleTime    = time.Second            // greatest time before the first draw
-	outsideWait   = 2 * time.Second        // pause with a peer that takes no part
-	scanInterval  = 50 * time.Millisecond  // between looks at what is due, unless something was drawn
-	lostInterval  = 250 * time.Millisecond // between looks for chunks whose holders are gone
-	busyWait      = 150 * time.Millisecond // least pause with a busy peer
-	lacksWait     = 200 * time.Millisecond
-	suspectWait   = 5 * time.Second        // pause with an unreachable peer
-	stallPenalty  = 2 * time.Second        // pause with a peer that let a fetch time out; doubles
-	corruptPause  = 250 * time.Millisecond // pause after one corrupt chunk
-	banTime       = 10 * time.Second       // pause with a peer that talks but does not deliver; doubles
-	maxPenalty    = time.Minute
-	originBackoff = 500 * time.Millisecond // pause after a failed draw; doubles
-	maxBackoff    = 15 * time.Second
+	maxStartupWait     = time.Second            // greatest time before the first draw
+	nonParticipantWait = 2 * time.Second        // pause with a peer that takes no part
+	originScanInterval = 50 * time.Millisecond  // between looks at what is due, unless something was drawn
+	lostScanInterval   = 250 * time.Millisecond // between looks for chunks whose holders are gone
+	busyWait           = 150 * time.Millisecond // least pause with a busy peer
+	lacksWait          = 200 * time.Millisecond
+	suspectWait        = 5 * time.Second        // pause with an unreachable peer
+	timeoutPenalty     = 2 * time.Second        // pause with a peer that let a fetch time out; doubles
+	corruptPause       = 250 * time.Millisecond // pause after one corrupt chunk
+	banPause           = 10 * time.Second       // pause with a peer that talks but does not deliver; doubles
+	maxPenalty         = time.Minute
+	minOriginBackoff   = 500 * time.Millisecond // pause after a failed draw; doubles
+	maxOriginBackoff   = 15 * time.Second
 	// oldNews is how long after a draw failed the news of chunks drawn may be older.
-	oldNews = 300 * time.Millisecond
+	staleReportWindow = 300 * time.Millisecond
 	// shortBackoff is the Config.MaxBackoff up to which an origin can bear to be asked by
 	// all whose pause ends at once.
-	shortBackoff = time.Second
+	maxSharedBackoff = time.Second
 	// rejoinSpread is the time in which those come back who learn that the origin
 	// answers again.
-	rejoinSpread = 100 * time.Millisecond
+	originRetryJitter = 100 * time.Millisecond
 	// minTurn is the least time that an owner has before the next in rank asks
 	// after it; maxTurn the greatest.
-	minTurn = 500 * time.Millisecond
-	maxTurn = 30 * time.Second
+	minRankTimeout = 500 * time.Millisecond
+	maxRankTimeout = 30 * time.Second
 	// intendFailures is the draws that may fail in a row, while others draw, before an
 	// owner lets the next in rank try: the fault may be its own.
-	intendFailures = 4
+	maxIntendedFailures = 4
 	// stallParts: one part in so many of the time in which the origin answers nobody counts
 	// against the owners of chunks.
-	stallParts = 4
+	stallDivisor = 4
 	// lostTurns is the turns that a drawn chunk has to reach a neighbour.
-	lostTurns = 2
+	lostRankTimeouts = 2
 	// undeliveredTurns is the turns after which an owner that holds a chunk and
 	// passes it on to nobody is passed over.
-	undeliveredTurns = 6
+	undeliveredRankTimeouts = 6
 	// fewHolders is the holders up to which each is looked at.
-	fewHolders = 2
+	fewHoldersLimit = 2
 	// silentTime is the time without a message after which a peer that failed is
 	// taken to be gone.
-	silentTime = 3 * time.Second
+	maxSilence = 3 * time.Second
 	// overtakers is the hosts of lower rank that an owner asks before it
 	// draws, during its youngTime.
-	overtakers = 2
-	youngTime  = 3 * time.Second
+	lowerRanksQueried = 2
+	startupPeriod     = 3 * time.Second
 	// turnGaps is a turn in mean gaps between two draws of the fleet.
-	turnGaps = 2 * maxDrawWindow
+	rankTimeoutGaps = 2 * maxOriginWindow
 	// maxGapGrowth bounds the gap that a turn is made of, in the best ones.
 	maxGapGrowth = 2
 	// firstTurn is a turn before the pace of the draws is known.
-	firstTurn = 2 * time.Second
+	initialRankTimeout = 2 * time.Second
 	// takeoverTurns is the turns after which the next rank draws although the
 	// owner says that it is still fetching.
-	takeoverTurns = 3
+	takeoverRankTimeouts = 3
 )
 
 // Peer is another agent.
--- a/relay/burst/burst_test.go
+++ b/relay/burst/burst_test.go
@@ -9,12 +9,12 @@
 // against the bound that the links set, and copies drawn from the origin.
 func TestFleetWithoutFault(t *testing.T) {
 	for _, hosts := range []int{18, 50} {
-		s := newSim(simConfig{hosts: hosts, chunks: 256, window: 30 * time.Second, seed: 1})
+		s := newSim(simConfig{hosts: hosts, chunks: 256, copyWindow: 30 * time.Second, seed: 1})
 		s.run()
 		got := s.result()
 		t.Logf("hosts=%d %v", hosts, got)
-		if got.whole != hosts {
-			t.Errorf("hosts=%d: got %d whole, want all", hosts, got.whole)
+		if got.complete != hosts {
+			t.Errorf("hosts=%d: got %d whole, want all", hosts, got.complete)
 		}
 		if got.ratio > 1.25 {
 			t.Errorf("hosts=%d: got ratio %.3f, want at most 1.25", hosts, got.ratio)
--- a/relay/burst/chunkset.go
+++ b/relay/burst/chunkset.go
@@ -2,7 +2,7 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-const wordBits = 64
+const bitsPerWord = 64
 
 // newChunkSet returns an empty set of a version's chunks.
 func newChunkSet(chunks int) *bitset.BitSet { return bitset.New(uint(chunks)) }
@@ -12,9 +12,9 @@
 func addWords(set *bitset.BitSet, words []uint64, added func(chunk int)) {
 	own := set.Words()
 	for i := range own {
-		fresh := wordOf(set, words, i) &^ own[i]
+		fresh := maskedWord(set, words, i) &^ own[i]
 		own[i] |= fresh
-		eachBit(fresh, i*wordBits, added)
+		eachBit(fresh, i*bitsPerWord, added)
 	}
 }
 
@@ -22,21 +22,21 @@
 func replaceWords(set *bitset.BitSet, words []uint64, added, removed func(chunk int)) {
 	own := set.Words()
 	for i := range own {
-		word := wordOf(set, words, i)
+		word := maskedWord(set, words, i)
 		gone := own[i] &^ word
 		fresh := word &^ own[i]
 		own[i] = word
-		eachBit(fresh, i*wordBits, added)
-		eachBit(gone, i*wordBits, removed)
+		eachBit(fresh, i*bitsPerWord, added)
+		eachBit(gone, i*bitsPerWord, removed)
 	}
 }
 
 // wordOf returns word i of a foreign bitmap, without bits past the set's end.
-func wordOf(set *bitset.BitSet, words []uint64, i int) uint64 {
+func maskedWord(set *bitset.BitSet, words []uint64, i int) uint64 {
 	if i >= len(words) {
 		return 0
 	}
-	last := set.Len() % wordBits
+	last := set.Len() % bitsPerWord
 	if i == len(set.Words())-1 && last != 0 {
 		return words[i] & (1<<last - 1)
 	}
--- a/relay/burst/core.go
+++ b/relay/burst/core.go
@@ -17,41 +17,41 @@
 	versionSeed uint64
 	selfSeed    uint64
 
-	held  *bitset.BitSet // verified and kept here
-	drawn *bitset.BitSet // drawn from the origin by some host, as far as known; superset of held
-	news  int            // grows with each chunk held or drawn
-
-	peers      map[string]*peerState
-	list       []Peer       // newest list of peers
-	listedAt   time.Time    // when the first list came
-	recheck    time.Time    // when the next absent peer may be back; zero: none is absent
-	order      []*peerState // all of peers, by id
-	neighbours []*peerState
-	holders    []uint16 // per chunk: neighbours that hold it
-	parent     *peerState
-
-	flights   []*flight // requests in progress, oldest first
-	inFlight  []uint8   // per chunk: requests in progress
+	held          *bitset.BitSet // verified and kept here
+	originFetched *bitset.BitSet // drawn from the origin by some host, as far as known; superset of held
+	revision      int            // grows with each chunk held or drawn
+
+	peers         map[string]*peerState
+	peerList      []Peer       // newest list of peers
+	firstListedAt time.Time    // when the first list came
+	recheckAt     time.Time    // when the next absent peer may be back; zero: none is absent
+	sortedPeers   []*peerState // all of peers, by id
+	neighbours    []*peerState
+	holders       []uint16 // per chunk: neighbours that hold it
+	parent        *peerState
+
+	requests  []*request // requests in progress, oldest first
+	inFlight  []uint8    // per chunk: requests in progress
 	fetchTime time.Duration
 	paused    bool
 	excess    int       // requests that were in progress beyond MaxFetches when it was lowered; never grows by itself
-	offered   time.Time // when the idle uplink was last offered
+	lastOffer time.Time // when the idle uplink was last offered
 	uploads   int       // uploads in progress or waiting
 
-	owners     map[int][]*peerState // per chunk: hosts by rank; nil stands for this one
-	dueSince   map[int]time.Time    // per chunk: since when nobody is known to hold it though it should be drawn
-	asked      map[ownerQuery]time.Time
-	pace       pace           // of the draws of the fleet
-	originWait time.Time      // no draw before
-	drawScan   time.Time      // no look at what is due before
-	lostScan   time.Time      // no look for lost chunks before
-	intended   *bitset.BitSet // to be drawn here once the origin may be asked again
-	originFail int            // draws failed in a row
-	originAt   time.Time      // when the last of them did
-	failing    time.Time      // when the first of them did
-	progress   time.Time      // when a chunk was last learned to have left the origin; zero: none was
-	imports    *imports
-	pullFrom   time.Time // no fetch from peers before; zero: at once
+	owners             map[int][]*peerState // per chunk: hosts by rank; nil stands for this one
+	dueSince           map[int]time.Time    // per chunk: since when nobody is known to hold it though it should be drawn
+	ownerQueries       map[ownerQuery]time.Time
+	originRate         originRate     // of the draws of the fleet
+	originRetryAt      time.Time      // no draw before
+	nextOriginScan     time.Time      // no look at what is due before
+	nextLostScan       time.Time      // no look for lost chunks before
+	intendedFetches    *bitset.BitSet // to be drawn here once the origin may be asked again
+	originFailures     int            // draws failed in a row
+	lastOriginFailure  time.Time      // when the last of them did
+	firstOriginFailure time.Time      // when the first of them did
+	lastOriginProgress time.Time      // when a chunk was last learned to have left the origin; zero: none was
+	imports            *importState
+	pullNotBefore      time.Time // no fetch from peers before; zero: at once
 
 	stats   Stats
 	actions []Action
@@ -59,8 +59,8 @@
 
 // ownerQuery notes that a peer was asked after a chunk that it should draw.
 type ownerQuery struct {
-	peer  string
-	chunk int
+	peerID string
+	chunk  int
 }
 
 // New returns a Core that holds nothing.
@@ -72,26 +72,26 @@
 		cfg.Objective = ObjectiveTime
 	}
 	if cfg.MaxFetches <= 0 {
-		cfg.MaxFetches = fetchTarget
+		cfg.MaxFetches = defaultMaxFetches
 	}
 	if cfg.MaxBackoff <= 0 {
-		cfg.MaxBackoff = maxBackoff
+		cfg.MaxBackoff = maxOriginBackoff
 	}
 	return &Core{
-		cfg:         cfg,
-		rng:         rand.New(rand.NewPCG(cfg.Seed, rendezvous.Seed(cfg.Self.ID))),
-		versionSeed: rendezvous.Seed(cfg.Version),
-		selfSeed:    rendezvous.Seed(cfg.Self.ID),
-		held:        newChunkSet(cfg.Chunks),
-		drawn:       newChunkSet(cfg.Chunks),
-		intended:    newChunkSet(cfg.Chunks),
-		peers:       map[string]*peerState{},
-		holders:     make([]uint16, cfg.Chunks),
-		inFlight:    make([]uint8, cfg.Chunks),
-		owners:      map[int][]*peerState{},
-		dueSince:    map[int]time.Time{},
-		asked:       map[ownerQuery]time.Time{},
-		imports:     newImports(cfg.Chunks),
+		cfg:             cfg,
+		rng:             rand.New(rand.NewPCG(cfg.Seed, rendezvous.Seed(cfg.Self.ID))),
+		versionSeed:     rendezvous.Seed(cfg.Version),
+		selfSeed:        rendezvous.Seed(cfg.Self.ID),
+		held:            newChunkSet(cfg.Chunks),
+		originFetched:   newChunkSet(cfg.Chunks),
+		intendedFetches: newChunkSet(cfg.Chunks),
+		peers:           map[string]*peerState{},
+		holders:         make([]uint16, cfg.Chunks),
+		inFlight:        make([]uint8, cfg.Chunks),
+		owners:          map[int][]*peerState{},
+		dueSince:        map[int]time.Time{},
+		ownerQueries:    map[ownerQuery]time.Time{},
+		imports:         newImports(cfg.Chunks),
 	}
 }
 
@@ -102,7 +102,7 @@
 func (c *Core) Held() int { return int(c.held.Count()) }
 
 // Drawn returns the number of chunks that some host drew, as far as known.
-func (c *Core) Drawn() int { return int(c.drawn.Count()) }
+func (c *Core) Drawn() int { return int(c.originFetched.Count()) }
 
 // Holds reports whether the chunk is held.
 func (c *Core) Holds(chunk int) bool { return c.held.Test(uint(chunk)) }
@@ -113,9 +113,9 @@
 		return
 	}
 	c.held.Set(uint(chunk))
-	c.drawn.Set(uint(chunk))
-	c.news++
-	for _, other := range slices.Clone(c.flights) {
+	c.originFetched.Set(uint(chunk))
+	c.revision++
+	for _, other := range slices.Clone(c.requests) {
 		if other.chunk == chunk {
 			c.cancel(other)
 		}
@@ -134,19 +134,19 @@
 // Abandon gives up all that is on its way, since the version is no longer wanted
 // here: what the origin still sends of it would hold up the next version.
 func (c *Core) Abandon() {
-	for _, flt := range slices.Clone(c.flights) {
-		c.cancel(flt)
+	for _, req := range slices.Clone(c.requests) {
+		c.cancel(req)
 	}
 }
 
 // SetPullFrom puts off fetches from peers, so that others get the version first:
 // until the time given this host draws what is its turn and takes in what its
 // region needs, no more.
-func (c *Core) SetPullFrom(from time.Time) { c.pullFrom = from }
+func (c *Core) SetPullFrom(from time.Time) { c.pullNotBefore = from }
 
 // SetMaxFetches changes Config.MaxFetches. Requests in progress beyond it go on.
 func (c *Core) SetMaxFetches(count int) {
-	c.excess = max(0, len(c.flights)-count)
+	c.excess = max(0, len(c.requests)-count)
 	c.cfg.MaxFetches = count
 }
 
@@ -177,22 +177,22 @@
 // Decide returns what to do now. The program calls it after events and at
 // least every few tens of milliseconds.
 func (c *Core) Decide(now time.Time) []Action {
-	c.expire(now)
-	if !c.recheck.IsZero() && !now.Before(c.recheck) {
+	c.expireRequests(now)
+	if !c.recheckAt.IsZero() && !now.Before(c.recheckAt) {
 		c.membershipChanged(now)
 	}
 	if !c.Whole() && !c.paused {
 		switch c.cfg.Strategy {
 		case OriginOnly:
-			c.drawAll(now)
+			c.fetchAllFromOrigin(now)
 		case Tree:
 			c.pullFromParent(now)
 		case Random:
 			c.pullAtRandom(now)
 		default:
-			c.draw(now)
-			c.scanImports(now)
-			if !now.Before(c.pullFrom) {
+			c.fetchDueChunks(now)
+			c.updateAllowedImports(now)
+			if !now.Before(c.pullNotBefore) {
 				c.pull(now)
 			} else {
 				c.pullImports(now)
@@ -202,7 +202,7 @@
 	if c.cfg.Strategy != OriginOnly {
 		c.exchange(now)
 	}
-	c.check()
+	c.checkInvariants()
 	actions := c.actions
 	c.actions = nil
 	return actions
--- a/relay/burst/exchange.go
+++ b/relay/burst/exchange.go
@@ -7,41 +7,41 @@
 // one asks for a chunk; who is busy takes its time. The cost per host does not
 // depend on the fleet's size, because the number of neighbours is bounded.
 func (c *Core) exchange(now time.Time) {
-	var eager *peerState
+	var candidate *peerState
 	for _, pst := range c.neighbours {
 		if pst.exchanging || pst.absent(now) {
 			continue
 		}
-		if now.Sub(pst.exchanged) >= c.exchangeInterval(pst) {
+		if now.Sub(pst.lastExchange) >= c.exchangeInterval(pst) {
 			c.exchangeWith(pst)
 			continue
 		}
-		if pst.sentNews != c.news && pst.heldCount < c.cfg.Chunks && (eager == nil || pst.exchanged.Before(eager.exchanged)) {
-			eager = pst
+		if pst.sentRevision != c.revision && pst.heldCount < c.cfg.Chunks && (candidate == nil || pst.lastExchange.Before(candidate.lastExchange)) {
+			candidate = pst
 		}
 	}
-	if eager != nil && c.uploads == 0 && now.Sub(c.offered) >= offerInterval {
-		c.offered = now
-		c.exchangeWith(eager)
+	if candidate != nil && c.uploads == 0 && now.Sub(c.lastOffer) >= offerInterval {
+		c.lastOffer = now
+		c.exchangeWith(candidate)
 	}
 }
 
 func (c *Core) exchangeInterval(pst *peerState) time.Duration {
 	if c.Whole() && pst.heldCount == c.cfg.Chunks {
-		return wholeInterval
+		return completeInterval
 	}
-	if pst.sentNews == c.news {
+	if pst.sentRevision == c.revision {
 		return idleInterval
 	}
 	if c.cfg.DearRegions {
-		return regionNews
+		return regionUpdateInterval
 	}
-	return newsInterval
+	return updateInterval
 }
 
 func (c *Core) exchangeWith(pst *peerState) {
 	pst.exchanging = true
 	c.stats.Exchanges++
-	pst.sendingNews = c.news
+	pst.sendingRevision = c.revision
 	c.actions = append(c.actions, Action{Kind: Exchange, Source: pst.peer.ID})
 }
--- a/relay/burst/faults_test.go
+++ b/relay/burst/faults_test.go
@@ -17,9 +17,9 @@
 // list lags behind for the whole run.
 func TestFaults(t *testing.T) {
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, td *datadriven.TestData) string {
-		cfg := simConfig{hosts: 45, chunks: 96, window: 24 * time.Second, seed: 1, copies: 2}
+		cfg := simConfig{hosts: 45, chunks: 96, copyWindow: 24 * time.Second, seed: 1, copies: 2}
 		for _, arg := range td.CmdArgs {
-			setSim(t, &cfg, arg.Key, arg.Vals[0])
+			setSimOption(t, &cfg, arg.Key, arg.Vals[0])
 		}
 		s := newSim(cfg)
 		var bounds []string
@@ -36,7 +36,7 @@
 	})
 }
 
-func setSim(t *testing.T, cfg *simConfig, key, value string) {
+func setSimOption(t *testing.T, cfg *simConfig, key, value string) {
 	t.Helper()
 	var err error
 	switch key {
@@ -45,7 +45,7 @@
 	case "chunks":
 		cfg.chunks, err = strconv.Atoi(value)
 	case "window":
-		cfg.window, err = time.ParseDuration(value)
+		cfg.copyWindow, err = time.ParseDuration(value)
 	case "limit":
 		cfg.limit, err = time.ParseDuration(value)
 	case "corrupt":
@@ -74,18 +74,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.fault(at, func() { s.change(t, words[2], words[3]) })
+	s.scheduleFault(at, func() { s.applyFault(t, words[2], words[3]) })
 }
 
-func (s *sim) change(t *testing.T, what, object string) {
+func (s *sim) applyFault(t *testing.T, what, object string) {
 	switch what {
 	case "origin":
-		s.changeOrigin(t, object)
+		s.applyOriginFault(t, object)
 	case "cut":
-		s.cut = func(a, b *simHost) bool { return (a.peer.Region == object) != (b.peer.Region == object) }
+		s.partitioned = func(a, b *simHost) bool { return (a.peer.Region == object) != (b.peer.Region == object) }
 		s.isolated = func(host *simHost) bool { return host.peer.Region == object }
 	case "join":
-		s.cut, s.isolated = nil, nil
+		s.partitioned, s.isolated = nil, nil
 	case "killDomain":
 		for _, host := range s.hosts {
 			if host.peer.FailureDomain == object {
@@ -93,14 +93,14 @@
 			}
 		}
 	default:
-		s.changeHosts(t, what, object)
+		s.applyHostFaults(t, what, object)
 	}
 }
 
-func (s *sim) changeOrigin(t *testing.T, state string) {
+func (s *sim) applyOriginFault(t *testing.T, state string) {
 	const normal = 4 // copies a window
 	s.originFault = nil
-	piece := s.cfg.window / time.Duration(s.cfg.chunks*simPieces) / normal
+	piece := s.cfg.copyWindow / time.Duration(s.cfg.chunks*simPieces) / normal
 	switch state {
 	case "up":
 	case "down":
@@ -112,11 +112,11 @@
 	default:
 		t.Fatalf("got origin %s, want up, down, refuses or slow", state)
 	}
-	s.origin.link.piece = piece
+	s.origin.link.pieceTime = piece
 }
 
 // changeHosts applies a change to a number of hosts that no change hit yet.
-func (s *sim) changeHosts(t *testing.T, what, number string) {
+func (s *sim) applyHostFaults(t *testing.T, what, number string) {
 	count, err := strconv.Atoi(number)
 	if err != nil {
 		t.Fatal(err)
@@ -126,33 +126,33 @@
 		if count == 0 {
 			return
 		}
-		if host.dead && host.life > 0 || host.stalled || host.slowed || host.corrupts {
+		if host.dead && host.incarnation > 0 || host.stalled || host.slowed || host.corrupts {
 			continue
 		}
 		count--
-		s.changeHost(t, what, host)
+		s.applyHostFault(t, what, host)
 	}
 }
 
-func (s *sim) changeHost(t *testing.T, what string, host *simHost) {
+func (s *sim) applyHostFault(t *testing.T, what string, host *simHost) {
 	switch what {
 	case "kill":
 		s.kill(host)
 	case "restart":
 		s.kill(host)
-		s.after(500*time.Millisecond, func() { s.start(host) })
+		s.schedule(500*time.Millisecond, func() { s.start(host) })
 	case "stall":
 		host.stalled = true
 	case "stallFor3s":
 		host.stalled = true
-		s.fault(s.now+3*time.Second, func() {
+		s.scheduleFault(s.now+3*time.Second, func() {
 			host.stalled = false
 			s.pump(host.sender, host)
 		})
 	case "slow":
 		host.slowed = true
-		host.sender.link.piece *= 10
-		host.down.piece *= 10
+		host.sender.link.pieceTime *= 10
+		host.down.pieceTime *= 10
 	case "mute":
 		host.mute = true
 	case "corruptAll":
@@ -167,9 +167,9 @@
 	t.Helper()
 	var out strings.Builder
 	res := s.result()
-	whole, live := s.fit()
-	if whole < live {
-		fmt.Fprintf(&out, "whole: %d of %d\n", whole, live)
+	complete, live := s.countComplete()
+	if complete < live {
+		fmt.Fprintf(&out, "whole: %d of %d\n", complete, live)
 	} else {
 		fmt.Fprintln(&out, "whole: all")
 	}
@@ -178,11 +178,11 @@
 	}
 	for _, bound := range bounds {
 		name, limit, _ := strings.Cut(bound, "<=")
-		most, err := strconv.ParseFloat(limit, 64)
+		maximum, err := strconv.ParseFloat(limit, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got[name] > most {
+		if got[name] > maximum {
 			fmt.Fprintf(&out, "%s: missed with %.3f\n", bound, got[name])
 		} else {
 			fmt.Fprintf(&out, "%s: kept\n", bound)
@@ -193,15 +193,15 @@
 
 // fit counts the hosts that must become whole and those that are: the live ones
 // whose links work.
-func (s *sim) fit() (whole, live int) {
+func (s *sim) countComplete() (complete, live int) {
 	for _, host := range s.hosts {
 		if host.dead || host.stalled || host.slowed {
 			continue
 		}
 		live++
-		if host.wholeAt > 0 {
-			whole++
+		if host.completeAt > 0 {
+			complete++
 		}
 	}
-	return whole, live
+	return complete, live
 }
--- a/relay/burst/leaving_test.go
+++ b/relay/burst/leaving_test.go
@@ -14,31 +14,31 @@
 // region, and the others left it its turn.
 func TestHostsThatLeaveAreNotWaitedFor(t *testing.T) {
 	seed := uint64(0)
-	whole := func(leaving int) time.Duration {
+	complete := func(leaving int) time.Duration {
 		s := newSim(simConfig{
-			hosts: 69, chunks: 64, window: 20 * time.Second, originCopy: 2820 * time.Millisecond, hostCopy: 2210 * time.Millisecond,
-			drawWindow: 14, fetches: 4, copies: 3, dear: true, seed: seed,
+			hosts: 69, chunks: 64, copyWindow: 20 * time.Second, originCopy: 2820 * time.Millisecond, hostCopy: 2210 * time.Millisecond,
+			drawWindow: 14, fetches: 4, copies: 3, costlyRegions: true, seed: seed,
 		})
 		var stay []*simHost
 		for i, host := range s.hosts {
-			host.refuses = i < leaving
+			host.refusesStore = i < leaving
 			if i >= leaving {
 				stay = append(stay, host)
 			}
 		}
-		s.list = func(time.Duration) []*simHost { return stay }
+		s.listedHosts = func(time.Duration) []*simHost { return stay }
 		s.run()
 		last := time.Duration(0)
 		for _, host := range stay {
-			if host.wholeAt == 0 {
+			if host.completeAt == 0 {
 				return time.Hour
 			}
-			last = max(last, host.wholeAt)
+			last = max(last, host.completeAt)
 		}
 		return last
 	}
 	for seed = range uint64(3) {
-		all, some := whole(0), whole(11)
+		all, some := complete(0), complete(11)
 		if some > all+all/5 {
 			t.Errorf("got all whole after %v while 11 hosts leave, %v while none does, want at most a fifth more: they still draw on the others", some, all)
 		}
--- a/relay/burst/origin.go
+++ b/relay/burst/origin.go
@@ -20,26 +20,26 @@
 // no chunk is drawn more often than copiesAllowed plus the draws of it that
 // failed or whose host passes the chunk on to nobody, and never by more than
 // ownerRanks hosts, however many hosts fail.
-func (c *Core) draw(now time.Time) {
-	if now.Before(c.drawScan) || !c.settled(now) {
+func (c *Core) fetchDueChunks(now time.Time) {
+	if now.Before(c.nextOriginScan) || !c.readyForOrigin(now) {
 		return
 	}
-	c.drawScan = now.Add(scanInterval)
-	c.intended.ClearAll()
+	c.nextOriginScan = now.Add(originScanInterval)
+	c.intendedFetches.ClearAll()
 	due := 0
-	for chunk, ok := c.drawn.NextClear(0); ok && due < askWindow; chunk, ok = c.drawn.NextClear(chunk + 1) {
+	for chunk, ok := c.originFetched.NextClear(0); ok && due < ownerQueryWindow; chunk, ok = c.originFetched.NextClear(chunk + 1) {
 		due++
-		c.askAhead(now, int(chunk))
-		if due <= c.drawWindow() {
-			c.drawIfOwner(now, int(chunk))
+		c.queryOwner(now, int(chunk))
+		if due <= c.originWindow() {
+			c.fetchIfOwner(now, int(chunk))
 		}
 	}
-	if now.Before(c.lostScan) {
+	if now.Before(c.nextLostScan) {
 		return
 	}
-	c.lostScan = now.Add(lostInterval)
+	c.nextLostScan = now.Add(lostScanInterval)
 	for chunk := range c.dueSince {
-		if c.drawn.Test(uint(chunk)) && (c.held.Test(uint(chunk)) || c.offeredNear(chunk)) {
+		if c.originFetched.Test(uint(chunk)) && (c.held.Test(uint(chunk)) || c.offeredByNeighbour(chunk)) {
 			delete(c.dueSince, chunk)
 		}
 	}
@@ -49,18 +49,18 @@
 // drawWindow returns how many chunks the fleet draws at once: few at first, so
 // that the first ones come soon and spread, more later, when owners have less
 // of their links left and one that stalls should not matter.
-func (c *Core) drawWindow() int {
+func (c *Core) originWindow() int {
 	if c.cfg.DrawWindow > 0 {
 		return c.cfg.DrawWindow
 	}
-	return min(minDrawWindow+int(c.drawn.Count())/drawWindowStep, maxDrawWindow)
+	return min(minOriginWindow+int(c.originFetched.Count())/originWindowStep, maxOriginWindow)
 }
 
 // settled reports whether enough is known to draw. A host that just started
 // knows few peers and would take itself for the owner of every chunk, the more
 // the worse: it first asks neighbours, or waits a little where none answers.
-func (c *Core) settled(now time.Time) bool {
-	if c.listedAt.IsZero() {
+func (c *Core) readyForOrigin(now time.Time) bool {
+	if c.firstListedAt.IsZero() {
 		return false
 	}
 	answered, chosen := 0, 0
@@ -75,32 +75,32 @@
 	if chosen > 0 && 2*answered >= chosen {
 		return true
 	}
-	return now.Sub(c.listedAt) >= settleTime
+	return now.Sub(c.firstListedAt) >= maxStartupWait
 }
 
 // findLost looks for chunks that were drawn but whose holders may be gone.
 func (c *Core) findLost(now time.Time) {
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
-		if c.drawn.Test(chunk) && c.inFlight[chunk] == 0 && !c.offeredNear(int(chunk)) {
-			c.drawIfOwner(now, int(chunk))
+		if c.originFetched.Test(chunk) && c.inFlight[chunk] == 0 && !c.offeredByNeighbour(int(chunk)) {
+			c.fetchIfOwner(now, int(chunk))
 		}
 	}
 }
 
 // offeredNear reports whether a neighbour that delivers holds the chunk.
-func (c *Core) offeredNear(chunk int) bool {
-	if c.holders[chunk] > fewHolders {
+func (c *Core) offeredByNeighbour(chunk int) bool {
+	if c.holders[chunk] > fewHoldersLimit {
 		return true
 	}
 	for _, pst := range c.neighbours {
-		if pst.strikes == 0 && pst.held != nil && pst.held.Test(uint(chunk)) {
+		if pst.timeouts == 0 && pst.held != nil && pst.held.Test(uint(chunk)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) drawIfOwner(now time.Time, chunk int) {
+func (c *Core) fetchIfOwner(now time.Time, chunk int) {
 	if c.held.Test(uint(chunk)) || c.inFlight[chunk] > 0 {
 		return
 	}
@@ -109,8 +109,8 @@
 		since = now
 		c.dueSince[chunk] = now
 	}
-	if c.myTurn(now, chunk, c.waited(now, since)) {
-		c.drawNow(now, chunk)
+	if c.shouldFetchFromOrigin(now, chunk, c.ownerDelay(now, since)) {
+		c.fetchFromOrigin(now, chunk)
 	}
 }
 
@@ -118,51 +118,51 @@
 // waiting. While the origin answers neither this host nor, as far as known, any other, that is
 // no fault of theirs: were it counted, all ranks would draw together once the origin is back. A
 // part counts all the same, since both failures here and silence elsewhere may have other causes.
-func (c *Core) waited(now, since time.Time) time.Duration {
+func (c *Core) ownerDelay(now, since time.Time) time.Duration {
 	waited := now.Sub(since)
-	if stall := c.stall(now, since); stall > 0 && c.originFail > 0 {
-		waited -= stall * (stallParts - 1) / stallParts
+	if stall := c.originStall(now, since); stall > 0 && c.originFailures > 0 {
+		waited -= stall * (stallDivisor - 1) / stallDivisor
 	}
 	return waited
 }
 
 // stall returns for how much longer than a turn no chunk is known to have left the origin.
-func (c *Core) stall(now, since time.Time) time.Duration {
-	if c.progress.After(since) {
-		since = c.progress
+func (c *Core) originStall(now, since time.Time) time.Duration {
+	if c.lastOriginProgress.After(since) {
+		since = c.lastOriginProgress
 	}
-	return now.Sub(since) - c.turn()
+	return now.Sub(since) - c.rankTimeout()
 }
 
 // forgiveStall lets owners begin their turns anew where the first chunk in a while leaves the
 // origin. Hosts that drew nothing meanwhile do not know that it was away.
-func (c *Core) forgiveStall(now time.Time) {
+func (c *Core) discountStall(now time.Time) {
 	for chunk, since := range c.dueSince {
-		if stall := c.stall(now, since); stall > 0 {
+		if stall := c.originStall(now, since); stall > 0 {
 			c.dueSince[chunk] = since.Add(stall)
 		}
 	}
 }
 
-func (c *Core) drawNow(now time.Time, chunk int) {
-	if now.Before(c.originWait) {
+func (c *Core) fetchFromOrigin(now time.Time, chunk int) {
+	if now.Before(c.originRetryAt) {
 		// While the origin fails, an owner that kept silent would be taken over
 		// by all ranks, and they would draw together once it answers. Where others draw
 		// meanwhile the fault may be its own.
-		if c.originFail <= intendFailures || c.progress.Before(c.failing) {
-			c.intended.Set(uint(chunk))
+		if c.originFailures <= maxIntendedFailures || c.lastOriginProgress.Before(c.firstOriginFailure) {
+			c.intendedFetches.Set(uint(chunk))
 		}
 		return
 	}
-	if c.drawsInFlight() < originFetches {
+	if c.originFetchesInFlight() < maxOriginFetches {
 		c.fetch(now, chunk, nil)
 	}
 }
 
-func (c *Core) drawsInFlight() int {
+func (c *Core) originFetchesInFlight() int {
 	draws := 0
-	for _, flt := range c.flights {
-		if flt.source == nil {
+	for _, req := range c.requests {
+		if req.source == nil {
 			draws++
 		}
 	}
@@ -171,17 +171,17 @@
 
 // myTurn reports whether this host should draw a chunk that has been due for
 // the time given.
-func (c *Core) myTurn(now time.Time, chunk int, waited time.Duration) bool {
-	turn := c.turn()
+func (c *Core) shouldFetchFromOrigin(now time.Time, chunk int, waited time.Duration) bool {
+	turn := c.rankTimeout()
 	// A chunk that somebody drew is probably on its way here.
-	lost := c.drawn.Test(uint(chunk))
-	if lost {
-		waited -= lostTurns * turn
+	refetch := c.originFetched.Test(uint(chunk))
+	if refetch {
+		waited -= lostRankTimeouts * turn
 	}
 	before := 0
 	for _, owner := range c.ownersOf(chunk) {
 		if owner == nil {
-			return waited >= 0 && !c.overtaken(now, chunk)
+			return waited >= 0 && !c.lowerRankMayFetch(now, chunk)
 		}
 		if owner.absent(now) {
 			continue
@@ -190,14 +190,14 @@
 		if waited < time.Duration(before)*turn {
 			return false
 		}
-		if lost && waited >= time.Duration(before)*turn*undeliveredTurns {
+		if refetch && waited >= time.Duration(before)*turn*undeliveredRankTimeouts {
 			// It holds the chunk and passes it on to nobody.
 			continue
 		}
-		if before < c.copiesAllowed() && !lost && waited >= time.Duration(before)*turn*takeoverTurns {
+		if before < c.copiesAllowed() && !refetch && waited >= time.Duration(before)*turn*takeoverRankTimeouts {
 			continue
 		}
-		if !c.excluded(now, owner, chunk, turn) {
+		if !c.canSkipOwner(now, owner, chunk, turn) {
 			return false
 		}
 	}
@@ -216,7 +216,7 @@
 // overtaken reports whether a host of lower rank may be drawing the chunk. While
 // hosts begin one after the other, the next in rank takes over from an owner
 // that does not take part yet; the owner then asks before it draws too.
-func (c *Core) overtaken(now time.Time, chunk int) bool {
+func (c *Core) lowerRankMayFetch(now time.Time, chunk int) bool {
 	asked := 0
 	after := false
 	for _, other := range c.ownersOf(chunk) {
@@ -227,10 +227,10 @@
 		if !after || other.absent(now) {
 			continue
 		}
-		if other.is(other.fetching, chunk) && now.Sub(other.seenAt) < c.turn() {
+		if other.hasChunk(other.fetching, chunk) && now.Sub(other.seenAt) < c.rankTimeout() {
 			return true
 		}
-		if asked++; asked > overtakers || now.Sub(c.listedAt) > youngTime {
+		if asked++; asked > lowerRanksQueried || now.Sub(c.firstListedAt) > startupPeriod {
 			continue
 		}
 		if other.seenAt.IsZero() {
@@ -245,18 +245,18 @@
 
 // excluded reports whether a host of higher rank said lately that it neither
 // holds nor fetches the chunk; it asks where that is unknown.
-func (c *Core) excluded(now time.Time, owner *peerState, chunk int, turn time.Duration) bool {
-	if owner.silent > 0 && now.Sub(owner.seenAt) > silentTime {
+func (c *Core) canSkipOwner(now time.Time, owner *peerState, chunk int, turn time.Duration) bool {
+	if owner.failures > 0 && now.Sub(owner.seenAt) > maxSilence {
 		// It failed and has been silent since; a stalled link answers nothing.
 		return true
 	}
 	if owner.exchanging {
 		return false
 	}
-	query := ownerQuery{peer: owner.peer.ID, chunk: chunk}
-	asked, ok := c.asked[query]
+	query := ownerQuery{peerID: owner.peer.ID, chunk: chunk}
+	asked, ok := c.ownerQueries[query]
 	if !ok || now.Sub(asked) > 4*turn {
-		c.asked[query] = now
+		c.ownerQueries[query] = now
 		c.exchangeWith(owner)
 		return false
 	}
@@ -267,7 +267,7 @@
 		c.pullFromOwner(now, owner, chunk)
 		return false
 	}
-	return !owner.is(owner.fetching, chunk)
+	return !owner.hasChunk(owner.fetching, chunk)
 }
 
 // pullFromOwner requests a chunk that no neighbour offers from the owner that
@@ -277,21 +277,21 @@
 // Where bytes between regions are dear, only the host that takes the chunk into
 // its region asks an owner in another one.
 func (c *Core) pullFromOwner(now time.Time, owner *peerState, chunk int) {
-	if c.far(owner) && c.importRank(now, chunk) > 0 {
+	if c.isCostly(owner) && c.importRank(now, chunk) > 0 {
 		return
 	}
-	if owner.usable(now) && owner.inFlight < perPeerFetches && c.inFlight[chunk] == 0 && len(c.flights) < c.cfg.MaxFetches {
+	if owner.usable(now) && owner.inFlight < maxFetchesPerPeer && c.inFlight[chunk] == 0 && len(c.requests) < c.cfg.MaxFetches {
 		c.fetch(now, chunk, owner)
 	}
 }
 
 // turn is the time that each rank has, from the measured pace of the draws.
-func (c *Core) turn() time.Duration {
-	gap := c.pace.steadyGap()
+func (c *Core) rankTimeout() time.Duration {
+	gap := c.originRate.cappedGap()
 	if gap == 0 {
-		return firstTurn
+		return initialRankTimeout
 	}
-	return min(max(turnGaps*gap, minTurn), maxTurn)
+	return min(max(rankTimeoutGaps*gap, minRankTimeout), maxRankTimeout)
 }
 
 // ownersOf returns the hosts that may draw a chunk, by rank; nil stands for
@@ -302,17 +302,17 @@
 		return owners
 	}
 	key := rendezvous.Mix(c.versionSeed + uint64(chunk))
-	best := make([]scoredPeer, 0, ownerRanks+1)
+	best := make([]scoredPeer, 0, maxOwnerRanks+1)
 	insert := func(one scoredPeer) {
-		if len(best) == ownerRanks && one.score <= best[ownerRanks-1].score {
+		if len(best) == maxOwnerRanks && one.score <= best[maxOwnerRanks-1].score {
 			return
 		}
 		at, _ := slices.BinarySearchFunc(best, one, byScore)
 		best = slices.Insert(best, at, one)
-		best = best[:min(ownerRanks, len(best))]
+		best = best[:min(maxOwnerRanks, len(best))]
 	}
 	insert(scoredPeer{score: rendezvous.Score(key, c.selfSeed)})
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		if pst.listed {
 			insert(scoredPeer{score: rendezvous.Score(key, pst.seed), pst: pst})
 		}
@@ -328,7 +328,7 @@
 // askAhead asks the hosts that rank before this one for a chunk that is due
 // soon, one after the other while they turn out to be absent, so that nobody
 // waits for a host that is gone or takes no part.
-func (c *Core) askAhead(now time.Time, chunk int) {
+func (c *Core) queryOwner(now time.Time, chunk int) {
 	for _, owner := range c.ownersOf(chunk) {
 		if owner == nil {
 			return
@@ -345,11 +345,11 @@
 
 // wakeNextOwner notifies the owner of the chunk that became due what was drawn,
 // so that the origin's link does not wait for the next exchange.
-func (c *Core) wakeNextOwner() {
+func (c *Core) notifyNextOwner() {
 	due := 0
-	for chunk, ok := c.drawn.NextClear(0); ok; chunk, ok = c.drawn.NextClear(chunk + 1) {
+	for chunk, ok := c.originFetched.NextClear(0); ok; chunk, ok = c.originFetched.NextClear(chunk + 1) {
 		due++
-		if due < c.drawWindow() {
+		if due < c.originWindow() {
 			continue
 		}
 		first := c.ownersOf(int(chunk))[0]
@@ -366,13 +366,13 @@
 	if cause == Dropped {
 		return
 	}
-	pause := min(originBackoff<<min(c.originFail, 8), c.cfg.MaxBackoff)
-	if c.originFail == 0 {
-		c.failing = now
+	pause := min(minOriginBackoff<<min(c.originFailures, 8), c.cfg.MaxBackoff)
+	if c.originFailures == 0 {
+		c.firstOriginFailure = now
 	}
-	c.originFail++
-	c.originAt = now
+	c.originFailures++
+	c.lastOriginFailure = now
 	pause = max(pause, retryAfter)
 	jitter := time.Duration(c.rng.Int64N(int64(pause)/2 + 1))
-	c.originWait = now.Add(pause + jitter)
+	c.originRetryAt = now.Add(pause + jitter)
 }
--- a/relay/burst/origin_test.go
+++ b/relay/burst/origin_test.go
@@ -16,17 +16,17 @@
 func TestNarrowOriginSetsTheTime(t *testing.T) {
 	const originCopy = 4310 * time.Millisecond
 	s := newSim(simConfig{
-		hosts: 88, chunks: 96, window: 40 * time.Second, originCopy: originCopy, hostCopy: 3100 * time.Millisecond,
-		drawWindow: 14, fetches: 4, copies: 3, dear: true, seed: 1,
+		hosts: 88, chunks: 96, copyWindow: 40 * time.Second, originCopy: originCopy, hostCopy: 3100 * time.Millisecond,
+		drawWindow: 14, fetches: 4, copies: 3, costlyRegions: true, seed: 1,
 	})
 	s.run()
 	var times []time.Duration
 	for _, host := range s.hosts {
-		times = append(times, host.wholeAt)
+		times = append(times, host.completeAt)
 	}
 	slices.Sort(times)
-	if got, most := times[len(times)-1], originCopy*3/2; times[0] == 0 || got > most {
-		t.Errorf("got whole from %v to %v, want all by %v, one and a half copies of the origin", times[0], got, most)
+	if got, maximum := times[len(times)-1], originCopy*3/2; times[0] == 0 || got > maximum {
+		t.Errorf("got whole from %v to %v, want all by %v, one and a half copies of the origin", times[0], got, maximum)
 	}
 	if got := s.result().copies; got > 1.1 {
 		t.Errorf("got %.2f copies from the origin, want at most 1.1", got)
--- a/relay/burst/peers.go
+++ b/relay/burst/peers.go
@@ -23,23 +23,23 @@
 	fetching []uint64
 	seenAt   time.Time
 
-	exchanging  bool
-	exchanged   time.Time // when the last exchange ended, either side's
-	sentNews    int       // c.news when it last received them; -1 before
-	sendingNews int       // c.news when the exchange in progress began
+	exchanging      bool
+	lastExchange    time.Time // when the last exchange ended, either side's
+	sentRevision    int       // c.news when it last received them; -1 before
+	sendingRevision int       // c.news when the exchange in progress began
 
-	queue    int // requests waiting at its uplink when last seen
-	inFlight int
-	serve    time.Duration // moving average of a fetch from it; 0 until measured
+	queue     int // requests waiting at its uplink when last seen
+	inFlight  int
+	fetchTime time.Duration // moving average of a fetch from it; 0 until measured
 
-	busyUntil    time.Time // asked to come back then
-	slowUntil    time.Time // let fetches time out: not asked until then
-	suspectUntil time.Time // taken to be unreachable until then
-	bannedUntil  time.Time // sent corrupt bytes repeatedly: ignored until then
-	outsideUntil time.Time // takes no part in the version until then
-	strikes      int       // requests that timed out since it last delivered
-	silent       int       // failures since it was last seen
-	corrupts     int       // corrupt chunks since it last delivered
+	busyUntil           time.Time // asked to come back then
+	slowUntil           time.Time // let fetches time out: not asked until then
+	suspectUntil        time.Time // taken to be unreachable until then
+	bannedUntil         time.Time // sent corrupt bytes repeatedly: ignored until then
+	nonParticipantUntil time.Time // takes no part in the version until then
+	timeouts            int       // requests that timed out since it last delivered
+	failures            int       // failures since it was last seen
+	corruptChunks       int       // corrupt chunks since it last delivered
 }
 
 // usable reports whether chunks may be requested from the peer.
@@ -52,7 +52,7 @@
 
 func (p *peerState) absentUntil() time.Time {
 	until := p.suspectUntil
-	for _, other := range []time.Time{p.bannedUntil, p.outsideUntil} {
+	for _, other := range []time.Time{p.bannedUntil, p.nonParticipantUntil} {
 		if other.After(until) {
 			until = other
 		}
@@ -61,91 +61,91 @@
 }
 
 // doubled returns a pause that doubles with each failure before, within bounds.
-func doubled(base time.Duration, before int) time.Duration {
+func backoff(base time.Duration, before int) time.Duration {
 	return min(base<<min(max(before, 0), 6), maxPenalty)
 }
 
 // corrupted notes a corrupt chunk. One may be the link's fault.
-func (p *peerState) corrupted(now time.Time) {
-	p.corrupts++
-	if p.corrupts < bannedAfter {
+func (p *peerState) recordCorruptChunk(now time.Time) {
+	p.corruptChunks++
+	if p.corruptChunks < corruptChunksToBan {
 		p.slowUntil = now.Add(corruptPause)
 		return
 	}
-	p.ban(now, p.corrupts-bannedAfter)
+	p.ban(now, p.corruptChunks-corruptChunksToBan)
 }
 
 // stalled notes a request that timed out.
-func (p *peerState) stalled(now time.Time) {
-	p.slowUntil = now.Add(doubled(stallPenalty, p.strikes))
-	p.strikes++
-	if p.strikes >= stallsToBan {
-		p.ban(now, p.strikes-stallsToBan)
+func (p *peerState) recordTimeout(now time.Time) {
+	p.slowUntil = now.Add(backoff(timeoutPenalty, p.timeouts))
+	p.timeouts++
+	if p.timeouts >= timeoutsToBan {
+		p.ban(now, p.timeouts-timeoutsToBan)
 	}
 }
 
 // ban ignores a peer that talks but does not deliver, longer each time: the
 // fleet would ask it for ever and take what it alone holds for available.
 func (p *peerState) ban(now time.Time, before int) {
-	p.bannedUntil = now.Add(doubled(banTime, before))
+	p.bannedUntil = now.Add(backoff(banPause, before))
 }
 
 // unanswered takes the peer to be unreachable for a while.
-func (p *peerState) unanswered(now time.Time) {
-	p.suspectUntil = now.Add(doubled(suspectWait, p.silent))
-	p.silent++
+func (p *peerState) recordFailure(now time.Time) {
+	p.suspectUntil = now.Add(backoff(suspectWait, p.failures))
+	p.failures++
 }
 
-func (p *peerState) is(set []uint64, chunk int) bool {
-	word := chunk / wordBits
-	return word < len(set) && set[word]&(1<<(chunk%wordBits)) != 0
+func (p *peerState) hasChunk(set []uint64, chunk int) bool {
+	word := chunk / bitsPerWord
+	return word < len(set) && set[word]&(1<<(chunk%bitsPerWord)) != 0
 }
 
 // SetPeers replaces the list of agents known to live; Self is ignored. A
 // neighbour that left the list stays while it answers, because the list lags.
 func (c *Core) SetPeers(now time.Time, list []Peer) {
-	if !c.listedAt.IsZero() && slices.Equal(list, c.list) {
+	if !c.firstListedAt.IsZero() && slices.Equal(list, c.peerList) {
 		return
 	}
-	c.list = slices.Clone(list)
-	if c.listedAt.IsZero() {
-		c.listedAt = now
+	c.peerList = slices.Clone(list)
+	if c.firstListedAt.IsZero() {
+		c.firstListedAt = now
 	}
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		pst.listed = false
 	}
 	for _, peer := range list {
 		if peer.ID == c.cfg.Self.ID {
 			continue
 		}
-		pst := c.ensure(peer)
+		pst := c.ensurePeer(peer)
 		pst.listed = true
 		pst.peer = peer
 	}
-	c.order = slices.DeleteFunc(c.order, func(pst *peerState) bool {
-		gone := !pst.listed && now.Sub(pst.seenAt) > wholeInterval
+	c.sortedPeers = slices.DeleteFunc(c.sortedPeers, func(pst *peerState) bool {
+		gone := !pst.listed && now.Sub(pst.seenAt) > completeInterval
 		if gone {
-			c.forget(pst)
+			c.removePeer(pst)
 		}
 		return gone
 	})
 	c.membershipChanged(now)
 }
 
-func (c *Core) ensure(peer Peer) *peerState {
+func (c *Core) ensurePeer(peer Peer) *peerState {
 	if pst := c.peers[peer.ID]; pst != nil {
 		return pst
 	}
-	pst := &peerState{peer: peer, seed: rendezvous.Seed(peer.ID), sentNews: -1}
+	pst := &peerState{peer: peer, seed: rendezvous.Seed(peer.ID), sentRevision: -1}
 	c.peers[peer.ID] = pst
-	at, _ := slices.BinarySearchFunc(c.order, peer.ID, func(other *peerState, id string) int {
+	at, _ := slices.BinarySearchFunc(c.sortedPeers, peer.ID, func(other *peerState, id string) int {
 		return cmp.Compare(other.peer.ID, id)
 	})
-	c.order = slices.Insert(c.order, at, pst)
+	c.sortedPeers = slices.Insert(c.sortedPeers, at, pst)
 	return pst
 }
 
-func (c *Core) forget(pst *peerState) {
+func (c *Core) removePeer(pst *peerState) {
 	delete(c.peers, pst.peer.ID)
 	c.setNeighbour(pst, false)
 }
@@ -154,10 +154,10 @@
 func (c *Core) membershipChanged(now time.Time) {
 	clear(c.owners)
 	c.imports.ranks = nil
-	c.recheck = time.Time{}
-	for _, pst := range c.order {
-		if until := pst.absentUntil(); until.After(now) && (c.recheck.IsZero() || until.Before(c.recheck)) {
-			c.recheck = until
+	c.recheckAt = time.Time{}
+	for _, pst := range c.sortedPeers {
+		if until := pst.absentUntil(); until.After(now) && (c.recheckAt.IsZero() || until.Before(c.recheckAt)) {
+			c.recheckAt = until
 		}
 	}
 	c.chooseNeighbours(now)
@@ -167,8 +167,8 @@
 // chooseNeighbours picks by a hash of the pair, so that most choices are
 // mutual and one host's coming or going changes few of them.
 func (c *Core) chooseNeighbours(now time.Time) {
-	ranked := make([]scoredPeer, 0, len(c.order))
-	for _, pst := range c.order {
+	ranked := make([]scoredPeer, 0, len(c.sortedPeers))
+	for _, pst := range c.sortedPeers {
 		pst.chosen = false
 		if pst.listed && !pst.absent(now) {
 			ranked = append(ranked, scoredPeer{score: c.pairScore(pst), pst: pst})
@@ -178,12 +178,12 @@
 	if c.cfg.DearRegions {
 		c.chooseByRegion(ranked)
 	} else {
-		c.chooseAnywhere(ranked)
+		c.chooseByDomain(ranked)
 	}
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		if pst.chosen {
 			c.setNeighbour(pst, true)
-		} else if pst.absent(now) || now.Sub(pst.seenAt) > wholeInterval {
+		} else if pst.absent(now) || now.Sub(pst.seenAt) > completeInterval {
 			c.setNeighbour(pst, false)
 		}
 	}
@@ -191,8 +191,8 @@
 
 // chooseAnywhere picks a few neighbours in the own failure domain and most of
 // them anywhere.
-func (c *Core) chooseAnywhere(ranked []scoredPeer) {
-	near, far := closeNeighbours, farNeighbours
+func (c *Core) chooseByDomain(ranked []scoredPeer) {
+	near, far := sameDomainNeighbours, anyDomainNeighbours
 	for _, entry := range ranked {
 		if near > 0 && entry.pst.peer.FailureDomain == c.cfg.Self.FailureDomain {
 			near--
--- a/relay/burst/pull.go
+++ b/relay/burst/pull.go
@@ -8,25 +8,25 @@
 
 // pull requests chunks from neighbours until enough are on their way.
 func (c *Core) pull(now time.Time) {
-	for len(c.flights) < c.cfg.MaxFetches {
-		chunk, source := c.choose(now)
+	for len(c.requests) < c.cfg.MaxFetches {
+		chunk, source := c.choosePull(now)
 		if source == nil {
 			break
 		}
 		c.fetch(now, chunk, source)
 	}
-	c.duplicate(now)
+	c.duplicateSlowRequests(now)
 }
 
 // choose returns the rarest chunk that a neighbour with room offers, and the
 // neighbour that should deliver it soonest.
-func (c *Core) choose(now time.Time) (int, *peerState) {
+func (c *Core) choosePull(now time.Time) (int, *peerState) {
 	offered := newChunkSet(c.cfg.Chunks)
 	for _, pst := range c.neighbours {
-		if !pst.usable(now) || pst.inFlight >= perPeerFetches {
+		if !pst.usable(now) || pst.inFlight >= maxFetchesPerPeer {
 			continue
 		}
-		if c.far(pst) {
+		if c.isCostly(pst) {
 			offered.InPlaceUnion(pst.held.Intersection(c.imports.allowed))
 		} else {
 			offered.InPlaceUnion(pst.held)
@@ -37,7 +37,7 @@
 	if chunk < 0 {
 		return 0, nil
 	}
-	return chunk, c.soonest(now, chunk, nil)
+	return chunk, c.fastestSource(now, chunk, nil)
 }
 
 // rarest returns a chunk of the set with the fewest holders, at random among
@@ -65,15 +65,15 @@
 
 // soonest returns the usable neighbour other than except that holds the chunk
 // and should deliver it first; nil where there is none.
-func (c *Core) soonest(now time.Time, chunk int, except *peerState) *peerState {
+func (c *Core) fastestSource(now time.Time, chunk int, except *peerState) *peerState {
 	var best *peerState
 	var least float64
 	for _, pst := range c.neighbours {
-		if pst == except || !pst.usable(now) || pst.inFlight >= perPeerFetches || !pst.held.Test(uint(chunk)) ||
-			c.far(pst) && !c.mayImport(chunk) {
+		if pst == except || !pst.usable(now) || pst.inFlight >= maxFetchesPerPeer || !pst.held.Test(uint(chunk)) ||
+			c.isCostly(pst) && !c.mayImport(chunk) {
 			continue
 		}
-		if cost := c.cost(pst); best == nil || cost < least {
+		if cost := c.estimateCost(pst); best == nil || cost < least {
 			best, least = pst, cost
 		}
 	}
@@ -81,10 +81,10 @@
 }
 
 // cost estimates how long a peer needs for one more chunk, in chunk times.
-func (c *Core) cost(pst *peerState) float64 {
+func (c *Core) estimateCost(pst *peerState) float64 {
 	cost := 1 + float64(pst.inFlight) + float64(pst.queue)
-	if pst.serve > 0 && c.fetchTime > 0 {
-		cost *= max(0.5, float64(pst.serve)/float64(c.fetchTime))
+	if pst.fetchTime > 0 && c.fetchTime > 0 {
+		cost *= max(0.5, float64(pst.fetchTime)/float64(c.fetchTime))
 	}
 	switch {
 	case pst.peer.FailureDomain == c.cfg.Self.FailureDomain:
@@ -98,21 +98,21 @@
 
 // duplicate asks a second source for a chunk that is long on its way, near the
 // end only: one slow source would hold the host up otherwise.
-func (c *Core) duplicate(now time.Time) {
+func (c *Core) duplicateSlowRequests(now time.Time) {
 	missing := c.cfg.Chunks - c.Held()
-	if missing > len(c.flights) || c.fetchTime == 0 {
+	if missing > len(c.requests) || c.fetchTime == 0 {
 		return
 	}
-	duplicates := len(c.flights) - missing
-	for _, flt := range c.flights {
-		if duplicates >= maxDuplicates || len(c.flights) >= c.cfg.MaxFetches {
+	duplicates := len(c.requests) - missing
+	for _, req := range c.requests {
+		if duplicates >= maxDuplicates || len(c.requests) >= c.cfg.MaxFetches {
 			return
 		}
-		if c.inFlight[flt.chunk] > 1 || now.Sub(flt.started) < 2*c.fetchTime {
+		if c.inFlight[req.chunk] > 1 || now.Sub(req.started) < 2*c.fetchTime {
 			continue
 		}
-		if source := c.soonest(now, flt.chunk, flt.source); source != nil {
-			c.fetch(now, flt.chunk, source)
+		if source := c.fastestSource(now, req.chunk, req.source); source != nil {
+			c.fetch(now, req.chunk, source)
 			duplicates++
 		}
 	}
--- a/relay/burst/random_test.go
+++ b/relay/burst/random_test.go
@@ -16,7 +16,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 7))
 			cfg := simConfig{
-				hosts: 6 + rng.IntN(24), chunks: 16 + rng.IntN(50), window: 10 * time.Second,
+				hosts: 6 + rng.IntN(24), chunks: 16 + rng.IntN(50), copyWindow: 10 * time.Second,
 				seed: seed, copies: 1 + rng.IntN(3), corrupt: 0.02 * rng.Float64(), limit: 90 * time.Second,
 			}
 			if rng.IntN(2) == 0 {
@@ -26,8 +26,8 @@
 			planRandomFaults(t, s, rng)
 			s.run()
 			res := s.result()
-			if res.whole < res.live {
-				t.Errorf("got %d of %d whole, want all: %v", res.whole, res.live, res)
+			if res.complete < res.live {
+				t.Errorf("got %d of %d whole, want all: %v", res.complete, res.live, res)
 			}
 			if want := 2.0; res.copies > want {
 				t.Errorf("got %.2f copies from the origin, want at most %.2f", res.copies, want)
@@ -53,10 +53,10 @@
 	for range 1 + rng.IntN(4) {
 		change := kinds[rng.IntN(len(kinds))]()
 		at := time.Duration(rng.IntN(4000)) * time.Millisecond
-		s.fault(at, func() { s.change(t, change[0], change[1]) })
+		s.scheduleFault(at, func() { s.applyFault(t, change[0], change[1]) })
 	}
-	s.fault(8*time.Second, func() {
-		s.change(t, "join", "")
-		s.change(t, "origin", "up")
+	s.scheduleFault(8*time.Second, func() {
+		s.applyFault(t, "join", "")
+		s.applyFault(t, "origin", "up")
 	})
 }
--- a/relay/burst/regions.go
+++ b/relay/burst/regions.go
@@ -13,38 +13,38 @@
 	// regionNear and regionFar are the neighbours within the own region and in
 	// others where bytes between regions are dear: most chunks come from near,
 	// and a few neighbours elsewhere are enough to fetch one copy.
-	regionNear = 6
-	regionFar  = 4
+	sameRegionNeighbours  = 6
+	otherRegionNeighbours = 4
 	// regionNews is the time between exchanges with a neighbour while there is
 	// news: with few neighbours, each is the only way to what it holds.
-	regionNews = 300 * time.Millisecond
+	regionUpdateInterval = 300 * time.Millisecond
 	// importTurn is how long the next host of a region waits at least until it
 	// fetches a chunk from another region in place of the host before it in
 	// rank, and importFetches the same in measured fetch times: one slow host
 	// must not stop a region, and a busy one must not be overtaken.
-	importTurn    = 900 * time.Millisecond
-	importFetches = 6
+	minImportRankTimeout = 900 * time.Millisecond
+	importRankFetchTimes = 6
 	// importScan is how often the chunks that may come from other regions are
 	// looked at.
-	importScan = 25 * time.Millisecond
+	importScanInterval = 25 * time.Millisecond
 )
 
 // imports knows which chunks this host may fetch from other regions. Each chunk
 // has one host a region that does, by rendezvous hash; the others get it from
 // there. So a region takes in one copy however many hosts it has.
-type imports struct {
-	allowed *bitset.BitSet
-	scan    time.Time // no look before
-	offered []time.Time
-	ranks   []int // of this host for each chunk; nil: to be computed
+type importState struct {
+	allowed      *bitset.BitSet
+	nextScan     time.Time // no look before
+	firstOffered []time.Time
+	ranks        []int // of this host for each chunk; nil: to be computed
 }
 
-func newImports(chunks int) *imports {
-	return &imports{allowed: newChunkSet(chunks), offered: make([]time.Time, chunks)}
+func newImports(chunks int) *importState {
+	return &importState{allowed: newChunkSet(chunks), firstOffered: make([]time.Time, chunks)}
 }
 
 // far reports whether bytes from the peer are dear.
-func (c *Core) far(pst *peerState) bool {
+func (c *Core) isCostly(pst *peerState) bool {
 	return c.cfg.DearRegions && pst.peer.Region != c.cfg.Self.Region
 }
 
@@ -52,30 +52,30 @@
 func (c *Core) mayImport(chunk int) bool { return c.imports.allowed.Test(uint(chunk)) }
 
 // scanImports looks which chunks that other regions hold are this host's turn.
-func (c *Core) scanImports(now time.Time) {
-	if !c.cfg.DearRegions || now.Before(c.imports.scan) {
+func (c *Core) updateAllowedImports(now time.Time) {
+	if !c.cfg.DearRegions || now.Before(c.imports.nextScan) {
 		return
 	}
-	c.imports.scan = now.Add(importScan)
+	c.imports.nextScan = now.Add(importScanInterval)
 	c.imports.allowed.ClearAll()
 	for _, pst := range c.neighbours {
-		if pst.held == nil || !c.far(pst) {
+		if pst.held == nil || !c.isCostly(pst) {
 			continue
 		}
 		for i, ok := pst.held.NextSet(0); ok; i, ok = pst.held.NextSet(i + 1) {
-			c.scanImport(now, int(i))
+			c.updateAllowedImport(now, int(i))
 		}
 	}
 }
 
-func (c *Core) scanImport(now time.Time, chunk int) {
+func (c *Core) updateAllowedImport(now time.Time, chunk int) {
 	if c.held.Test(uint(chunk)) || c.offeredInRegion(chunk) {
 		return
 	}
-	if c.imports.offered[chunk].IsZero() {
-		c.imports.offered[chunk] = now
+	if c.imports.firstOffered[chunk].IsZero() {
+		c.imports.firstOffered[chunk] = now
 	}
-	if now.Sub(c.imports.offered[chunk]) >= time.Duration(c.importRank(now, chunk))*max(importTurn, importFetches*c.fetchTime) {
+	if now.Sub(c.imports.firstOffered[chunk]) >= time.Duration(c.importRank(now, chunk))*max(minImportRankTimeout, importRankFetchTimes*c.fetchTime) {
 		c.imports.allowed.Set(uint(chunk))
 	}
 }
@@ -86,12 +86,12 @@
 		return
 	}
 	wanted := c.imports.allowed.Difference(c.held)
-	for i, ok := wanted.NextSet(0); ok && len(c.flights) < c.cfg.MaxFetches; i, ok = wanted.NextSet(i + 1) {
+	for i, ok := wanted.NextSet(0); ok && len(c.requests) < c.cfg.MaxFetches; i, ok = wanted.NextSet(i + 1) {
 		chunk := int(i)
 		if c.inFlight[chunk] > 0 {
 			continue
 		}
-		if source := c.soonest(now, chunk, nil); source != nil {
+		if source := c.fastestSource(now, chunk, nil); source != nil {
 			c.fetch(now, chunk, source)
 		}
 	}
@@ -100,7 +100,7 @@
 // offeredInRegion reports whether a neighbour of the own region holds the chunk.
 func (c *Core) offeredInRegion(chunk int) bool {
 	for _, pst := range c.neighbours {
-		if !c.far(pst) && pst.held != nil && pst.held.Test(uint(chunk)) {
+		if !c.isCostly(pst) && pst.held != nil && pst.held.Test(uint(chunk)) {
 			return true
 		}
 	}
@@ -119,7 +119,7 @@
 // the list of peers names: hosts that leave go on calling others and take in nothing.
 func (c *Core) importRanks(now time.Time) []int {
 	var seeds []uint64
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		if pst.listed && !pst.absent(now) && pst.peer.Region == c.cfg.Self.Region {
 			seeds = append(seeds, pst.seed)
 		}
@@ -147,16 +147,16 @@
 	}
 	first := map[string]*peerState{}
 	key := c.importKey(chunk)
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		region := pst.peer.Region
-		if !pst.listed || pst.absent(now) || !c.far(pst) {
+		if !pst.listed || pst.absent(now) || !c.isCostly(pst) {
 			continue
 		}
 		if best := first[region]; best == nil || rendezvous.Score(key, pst.seed) > rendezvous.Score(key, best.seed) {
 			first[region] = pst
 		}
 	}
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		if first[pst.peer.Region] == pst && !pst.exchanging {
 			c.exchangeWith(pst)
 		}
@@ -168,12 +168,12 @@
 
 // chooseByRegion picks neighbours in the own region first.
 func (c *Core) chooseByRegion(ranked []scoredPeer) {
-	near, far := regionNear, regionFar
+	near, far := sameRegionNeighbours, otherRegionNeighbours
 	for _, entry := range slices.Clone(ranked) {
-		if near > 0 && !c.far(entry.pst) {
+		if near > 0 && !c.isCostly(entry.pst) {
 			near--
 			entry.pst.chosen = true
-		} else if far > 0 && c.far(entry.pst) {
+		} else if far > 0 && c.isCostly(entry.pst) {
 			far--
 			entry.pst.chosen = true
 		}
--- a/relay/burst/regions_test.go
+++ b/relay/burst/regions_test.go
@@ -8,11 +8,11 @@
 
 // farCopies runs a fleet of 24 hosts in three regions and returns the copies of
 // the version that hosts took from other regions.
-func farCopies(t *testing.T, dear bool) float64 {
+func crossRegionCopies(t *testing.T, dear bool) float64 {
 	t.Helper()
-	s := newSim(simConfig{hosts: 24, chunks: 96, window: 12 * time.Second, seed: 3, dear: dear})
+	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: dear})
 	s.run()
-	if got := s.result(); got.whole != 24 {
+	if got := s.result(); got.complete != 24 {
 		t.Fatalf("got %v, want 24 hosts whole", got)
 	}
 	pulls := 0
@@ -27,7 +27,7 @@
 // a host in another region costs hardly more time, so two chunks of three come
 // from there.
 func TestRegionTakesInOneCopy(t *testing.T) {
-	anywhere, dear := farCopies(t, false), farCopies(t, true)
+	anywhere, dear := crossRegionCopies(t, false), crossRegionCopies(t, true)
 	if anywhere < 10 {
 		t.Errorf("got %.1f far copies without the rule, want most of 24: else this shows nothing", anywhere)
 	}
@@ -87,20 +87,20 @@
 // Symptom: a region stays without a version. Sequence: the host whose turn it is
 // to take in a chunk dies. Cause: only that host may, for ever.
 func TestNextHostTakesInWhatTheFirstDoesNot(t *testing.T) {
-	s := newSim(simConfig{hosts: 24, chunks: 32, window: 8 * time.Second, seed: 5, dear: true, limit: 40 * time.Second})
-	s.after(time.Second, func() {
+	s := newSim(simConfig{hosts: 24, chunks: 32, copyWindow: 8 * time.Second, seed: 5, costlyRegions: true, limit: 40 * time.Second})
+	s.schedule(time.Second, func() {
 		for _, host := range s.hosts[3:6] {
 			host.dead = true
 		}
 	})
 	s.run()
-	whole := 0
+	complete := 0
 	for _, host := range s.hosts {
-		if !host.dead && host.wholeAt > 0 {
-			whole++
+		if !host.dead && host.completeAt > 0 {
+			complete++
 		}
 	}
-	if got, want := whole, 21; got != want {
+	if got, want := complete, 21; got != want {
 		t.Errorf("got %d living hosts whole, want %d", got, want)
 	}
 }
@@ -108,19 +108,19 @@
 // Symptom: all hosts are whole at the same moment and go out of service at once.
 // Sequence: a version is declared, all fetch alike. Cause: nobody yields.
 func TestHostsThatPutOffFetchingAreWholeLater(t *testing.T) {
-	s := newSim(simConfig{hosts: 24, chunks: 96, window: 12 * time.Second, seed: 3, dear: true})
+	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true})
 	for i, host := range s.hosts {
 		if i%2 == 1 {
-			s.after(simStartSpread, func() { host.core.SetPullFrom(simStart.Add(5 * time.Second)) })
+			s.schedule(simStartSpread, func() { host.core.SetPullFrom(simStart.Add(5 * time.Second)) })
 		}
 	}
 	s.run()
 	var early, late time.Duration
 	for i, host := range s.hosts {
 		if i%2 == 1 {
-			late += host.wholeAt / 12
+			late += host.completeAt / 12
 		} else {
-			early += host.wholeAt / 12
+			early += host.completeAt / 12
 		}
 	}
 	if late-early < time.Second {
@@ -133,19 +133,19 @@
 // asked the origin for goes on coming. Cause: a host that leaves a version kept
 // its requests.
 func TestAbandonedVersionTakesNothingMore(t *testing.T) {
-	s := newSim(simConfig{hosts: 24, chunks: 96, window: 12 * time.Second, seed: 3, dear: true})
+	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true})
 	abandoned := 0
-	s.after(1500*time.Millisecond, func() {
+	s.schedule(1500*time.Millisecond, func() {
 		for _, host := range s.hosts {
-			abandoned += len(host.core.flights)
+			abandoned += len(host.core.requests)
 			host.core.Abandon()
 			host.core.SetPaused(true)
 			s.decide(host)
 		}
 	})
-	s.after(1600*time.Millisecond, func() {
+	s.schedule(1600*time.Millisecond, func() {
 		for _, host := range s.hosts {
-			if got := len(host.core.flights) + len(host.incoming); got != 0 {
+			if got := len(host.core.requests) + len(host.incoming); got != 0 {
 				t.Errorf("%s: got %d requests on their way, want none", host.peer.ID, got)
 			}
 		}
@@ -162,36 +162,36 @@
 // is idle. Cause guarded against: a bound that holds for the next version only. What
 // is on its way goes on.
 func TestHostThatServesAsksForLess(t *testing.T) {
-	s := newSim(simConfig{hosts: 24, chunks: 96, window: 12 * time.Second, seed: 3, dear: true, fetches: 8})
-	most := func() int {
+	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true, fetches: 8})
+	maximum := func() int {
 		found := 0
 		for _, host := range s.hosts {
-			found = max(found, len(host.core.flights))
+			found = max(found, len(host.core.requests))
 		}
 		return found
 	}
 	before := 0
-	s.after(1500*time.Millisecond, func() {
-		before = most()
+	s.schedule(1500*time.Millisecond, func() {
+		before = maximum()
 		for _, host := range s.hosts {
 			host.core.SetMaxFetches(2)
 			s.decide(host)
-			if got := len(host.core.flights); got > before {
+			if got := len(host.core.requests); got > before {
 				t.Errorf("%s: got %d requests on their way, want no new ones beyond %d", host.peer.ID, got, before)
 			}
 		}
 	})
-	s.after(4*time.Second, func() {
-		if got, bound := most(), 2+originFetches; got > bound {
+	s.schedule(4*time.Second, func() {
+		if got, bound := maximum(), 2+maxOriginFetches; got > bound {
 			t.Errorf("got %d requests on their way, want at most %d", got, bound)
 		}
 	})
 	s.run()
-	if before <= 2+originFetches {
+	if before <= 2+maxOriginFetches {
 		t.Errorf("got %d on their way at most before: this shows nothing", before)
 	}
 	for _, host := range s.hosts {
-		if host.wholeAt == 0 {
+		if host.completeAt == 0 {
 			t.Errorf("%s: not whole", host.peer.ID)
 		}
 	}
--- a/relay/burst/reports.go
+++ b/relay/burst/reports.go
@@ -7,16 +7,16 @@
 
 // Report returns what to send a peer in an exchange.
 func (c *Core) Report() Report {
-	drawing := c.intended.Clone()
-	for _, flt := range c.flights {
-		if flt.source == nil {
-			drawing.Set(uint(flt.chunk))
+	fetching := c.intendedFetches.Clone()
+	for _, req := range c.requests {
+		if req.source == nil {
+			fetching.Set(uint(req.chunk))
 		}
 	}
 	return Report{
 		Held:     slices.Clone(c.held.Words()),
-		Fetching: drawing.Words(),
-		Drawn:    slices.Clone(c.drawn.Words()),
+		Fetching: fetching.Words(),
+		Drawn:    slices.Clone(c.originFetched.Words()),
 		Queue:    c.uploads,
 	}
 }
@@ -27,9 +27,9 @@
 	if from.ID == c.cfg.Self.ID {
 		return
 	}
-	pst := c.ensure(from)
-	pst.sentNews = c.news
-	c.learn(now, pst, rep)
+	pst := c.ensurePeer(from)
+	pst.sentRevision = c.revision
+	c.applyReport(now, pst, rep)
 }
 
 // Replied takes a peer's reply to an exchange.
@@ -39,8 +39,8 @@
 		return
 	}
 	pst.exchanging = false
-	pst.sentNews = max(pst.sentNews, pst.sendingNews)
-	c.learn(now, pst, rep)
+	pst.sentRevision = max(pst.sentRevision, pst.sendingRevision)
+	c.applyReport(now, pst, rep)
 }
 
 // Answered takes the report that came with a chunk or a refusal. Requests for
@@ -51,43 +51,43 @@
 	if pst == nil || len(rep.Held) == 0 {
 		return
 	}
-	c.learn(now, pst, rep)
+	c.applyReport(now, pst, rep)
 }
 
-func (c *Core) learn(now time.Time, pst *peerState, rep Report) {
-	pst.seenAt, pst.exchanged = now, now
-	pst.silent = 0
+func (c *Core) applyReport(now time.Time, pst *peerState, rep Report) {
+	pst.seenAt, pst.lastExchange = now, now
+	pst.failures = 0
 	pst.queue = rep.Queue
 	if rep.Fetching != nil {
 		pst.fetching = rep.Fetching
 	}
 	if len(rep.Held) == 0 {
-		c.outside(now, pst)
+		c.markNonParticipant(now, pst)
 		return
 	}
-	if now.Before(pst.suspectUntil) || now.Before(pst.outsideUntil) {
-		pst.suspectUntil, pst.outsideUntil = now, now
+	if now.Before(pst.suspectUntil) || now.Before(pst.nonParticipantUntil) {
+		pst.suspectUntil, pst.nonParticipantUntil = now, now
 		c.membershipChanged(now)
 	}
-	c.learnHeld(pst, rep.Held)
+	c.setPeerHeld(pst, rep.Held)
 	if !pst.neighbour && !pst.absent(now) && len(c.neighbours) < maxNeighbours {
 		c.setNeighbour(pst, true)
 	}
-	c.noteDrawn(now, rep.Drawn)
-	c.noteDrawn(now, rep.Held)
+	c.markOriginFetched(now, rep.Drawn)
+	c.markOriginFetched(now, rep.Held)
 }
 
 // outside notes that the peer takes no part in the version, or does not know
 // its manifest yet: it calls by itself once it does.
-func (c *Core) outside(now time.Time, pst *peerState) {
-	c.learnHeld(pst, nil)
-	pst.outsideUntil = now.Add(outsideWait)
+func (c *Core) markNonParticipant(now time.Time, pst *peerState) {
+	c.setPeerHeld(pst, nil)
+	pst.nonParticipantUntil = now.Add(nonParticipantWait)
 	c.membershipChanged(now)
 }
 
 // learnHeld replaces what the peer is known to hold: after a restart it may
 // hold less than before.
-func (c *Core) learnHeld(pst *peerState, words []uint64) {
+func (c *Core) setPeerHeld(pst *peerState, words []uint64) {
 	if pst.held == nil {
 		pst.held = newChunkSet(c.cfg.Chunks)
 	}
@@ -107,27 +107,27 @@
 }
 
 // noteDrawn learns which chunks left the origin, and how fast.
-func (c *Core) noteDrawn(now time.Time, words []uint64) {
+func (c *Core) markOriginFetched(now time.Time, words []uint64) {
 	fresh := 0
-	addWords(c.drawn, words, func(chunk int) {
+	addWords(c.originFetched, words, func(chunk int) {
 		fresh++
 		delete(c.dueSince, chunk)
 	})
 	if fresh == 0 {
 		return
 	}
-	c.news++
+	c.revision++
 	if c.stats.FirstHeld.IsZero() && c.held.Any() {
 		c.stats.FirstHeld = now
 	}
-	if c.stats.AllDrawn.IsZero() && int(c.drawn.Count()) == c.cfg.Chunks {
+	if c.stats.AllDrawn.IsZero() && int(c.originFetched.Count()) == c.cfg.Chunks {
 		c.stats.AllDrawn = now
 	}
-	c.drawScan = now
-	c.forgiveStall(now)
-	c.progress = now
-	c.originAnswers(now)
-	c.pace.note(now, fresh)
+	c.nextOriginScan = now
+	c.discountStall(now)
+	c.lastOriginProgress = now
+	c.resumeOriginFetches(now)
+	c.originRate.record(now, fresh)
 }
 
 // originAnswers ends the pause of a host whose draws failed, once it learns that others'
@@ -135,12 +135,12 @@
 // was back idle for half a second. What left the origin before it failed is still reported
 // for a while. Where pauses are long, others have taken over by then and each chunk would
 // be drawn twice.
-func (c *Core) originAnswers(now time.Time) {
-	if c.originFail == 0 || now.Sub(c.originAt) < oldNews || c.cfg.MaxBackoff > shortBackoff {
+func (c *Core) resumeOriginFetches(now time.Time) {
+	if c.originFailures == 0 || now.Sub(c.lastOriginFailure) < staleReportWindow || c.cfg.MaxBackoff > maxSharedBackoff {
 		return
 	}
-	c.originFail = 0
-	c.originWait = now.Add(time.Duration(c.rng.Int64N(int64(rejoinSpread))))
+	c.originFailures = 0
+	c.originRetryAt = now.Add(time.Duration(c.rng.Int64N(int64(originRetryJitter))))
 }
 
 // Unreachable notes that an exchange with the peer failed.
@@ -150,18 +150,18 @@
 		return
 	}
 	pst.exchanging = false
-	pst.exchanged = now
-	c.suspect(now, pst)
+	pst.lastExchange = now
+	c.markSuspect(now, pst)
 }
 
-func (c *Core) suspect(now time.Time, pst *peerState) {
-	pst.unanswered(now)
+func (c *Core) markSuspect(now time.Time, pst *peerState) {
+	pst.recordFailure(now)
 	c.membershipChanged(now)
 }
 
 // unlearn takes a chunk out of what the peer is believed to hold: a peer that
 // restarted without it.
-func (c *Core) unlearn(pst *peerState, chunk int) {
+func (c *Core) clearPeerChunk(pst *peerState, chunk int) {
 	if pst.held == nil || !pst.held.Test(uint(chunk)) {
 		return
 	}
--- a/relay/burst/requests.go
+++ b/relay/burst/requests.go
@@ -6,7 +6,7 @@
 )
 
 // flight is one request in progress.
-type flight struct {
+type request struct {
 	chunk    int
 	source   *peerState // nil: the origin
 	started  time.Time
@@ -15,29 +15,29 @@
 
 // Arrived notes a chunk that was fetched, verified and kept.
 func (c *Core) Arrived(now time.Time, chunk int, source string) {
-	flt := c.endFlight(chunk, source)
-	if flt == nil {
+	req := c.endRequest(chunk, source)
+	if req == nil {
 		c.Hold(chunk)
 		return
 	}
-	took := now.Sub(flt.started)
-	if flt.source == nil {
-		c.originFail = 0
-		c.noteDrawn(now, bitOf(chunk))
-		c.wakeNextOwner()
+	took := now.Sub(req.started)
+	if req.source == nil {
+		c.originFailures = 0
+		c.markOriginFetched(now, singleChunkWords(chunk))
+		c.notifyNextOwner()
 		defer c.notifyImporters(now, chunk)
 	} else {
-		flt.source.serve = average(flt.source.serve, took)
-		flt.source.strikes, flt.source.corrupts = 0, 0
+		req.source.fetchTime = average(req.source.fetchTime, took)
+		req.source.timeouts, req.source.corruptChunks = 0, 0
 		c.fetchTime = average(c.fetchTime, took)
 	}
 	delete(c.dueSince, chunk)
 	c.Hold(chunk)
 }
 
-func bitOf(chunk int) []uint64 {
-	words := make([]uint64, chunk/wordBits+1)
-	words[chunk/wordBits] = 1 << (chunk % wordBits)
+func singleChunkWords(chunk int) []uint64 {
+	words := make([]uint64, chunk/bitsPerWord+1)
+	words[chunk/bitsPerWord] = 1 << (chunk % bitsPerWord)
 	return words
 }
 
@@ -51,33 +51,33 @@
 
 // Failed notes a fetch that ended without the chunk.
 func (c *Core) Failed(now time.Time, chunk int, source string, cause Cause, retryAfter time.Duration) {
-	flt := c.endFlight(chunk, source)
-	if flt == nil {
+	req := c.endRequest(chunk, source)
+	if req == nil {
 		return
 	}
 	c.countFailure(cause)
-	if flt.source == nil {
+	if req.source == nil {
 		c.originFailed(now, cause, retryAfter)
 		return
 	}
-	pst := flt.source
+	pst := req.source
 	switch cause {
 	case Busy:
 		pst.busyUntil = now.Add(max(busyWait, retryAfter))
 	case Lacks:
 		pst.busyUntil = now.Add(lacksWait)
-		c.unlearn(pst, chunk)
+		c.clearPeerChunk(pst, chunk)
 	case Corrupt:
-		pst.corrupted(now)
+		pst.recordCorruptChunk(now)
 		c.membershipChanged(now)
 	case TimedOut:
-		pst.stalled(now)
-		if pst.seenAt.Before(flt.started) {
-			pst.unanswered(now)
+		pst.recordTimeout(now)
+		if pst.seenAt.Before(req.started) {
+			pst.recordFailure(now)
 		}
 		c.membershipChanged(now)
 	case Broken:
-		c.suspect(now, pst)
+		c.markSuspect(now, pst)
 	}
 }
 
@@ -95,22 +95,22 @@
 }
 
 // endFlight forgets a request and returns it; nil where it was cancelled.
-func (c *Core) endFlight(chunk int, source string) *flight {
-	for i, flt := range c.flights {
-		if flt.chunk != chunk || flt.sourceID() != source {
+func (c *Core) endRequest(chunk int, source string) *request {
+	for i, req := range c.requests {
+		if req.chunk != chunk || req.sourceID() != source {
 			continue
 		}
-		c.flights = slices.Delete(c.flights, i, i+1)
+		c.requests = slices.Delete(c.requests, i, i+1)
 		c.inFlight[chunk]--
-		if flt.source != nil {
-			flt.source.inFlight--
+		if req.source != nil {
+			req.source.inFlight--
 		}
-		return flt
+		return req
 	}
 	return nil
 }
 
-func (f *flight) sourceID() string {
+func (f *request) sourceID() string {
 	if f.source == nil {
 		return Origin
 	}
@@ -118,20 +118,20 @@
 }
 
 // cancel gives a request up and notifies the program.
-func (c *Core) cancel(flt *flight) {
-	c.endFlight(flt.chunk, flt.sourceID())
-	c.actions = append(c.actions, Action{Kind: Cancel, Chunk: flt.chunk, Source: flt.sourceID()})
+func (c *Core) cancel(req *request) {
+	c.endRequest(req.chunk, req.sourceID())
+	c.actions = append(c.actions, Action{Kind: Cancel, Chunk: req.chunk, Source: req.sourceID()})
 }
 
 // expire gives up the requests that took too long: a stalled link does not
 // close, so nothing else would end them.
-func (c *Core) expire(now time.Time) {
-	for _, flt := range slices.Clone(c.flights) {
-		if now.Before(flt.deadline) {
+func (c *Core) expireRequests(now time.Time) {
+	for _, req := range slices.Clone(c.requests) {
+		if now.Before(req.deadline) {
 			continue
 		}
-		c.actions = append(c.actions, Action{Kind: Cancel, Chunk: flt.chunk, Source: flt.sourceID()})
-		c.Failed(now, flt.chunk, flt.sourceID(), TimedOut, 0)
+		c.actions = append(c.actions, Action{Kind: Cancel, Chunk: req.chunk, Source: req.sourceID()})
+		c.Failed(now, req.chunk, req.sourceID(), TimedOut, 0)
 	}
 }
 
@@ -142,27 +142,27 @@
 		if source.peer.Region != c.cfg.Self.Region {
 			c.stats.FarPulls++
 		}
-	case c.drawn.Test(uint(chunk)):
+	case c.originFetched.Test(uint(chunk)):
 		c.stats.Draws++
 		c.stats.DrawsAgain++
 	default:
 		c.stats.Draws++
 	}
-	flt := &flight{chunk: chunk, source: source, started: now, deadline: now.Add(c.timeout(source))}
-	c.flights = append(c.flights, flt)
+	req := &request{chunk: chunk, source: source, started: now, deadline: now.Add(c.timeout(source))}
+	c.requests = append(c.requests, req)
 	c.inFlight[chunk]++
 	if source != nil {
 		source.inFlight++
-		source.sentNews, source.exchanged = c.news, now
+		source.sentRevision, source.lastExchange = c.revision, now
 	}
-	c.actions = append(c.actions, Action{Kind: Fetch, Chunk: chunk, Source: flt.sourceID()})
+	c.actions = append(c.actions, Action{Kind: Fetch, Chunk: chunk, Source: req.sourceID()})
 }
 
 // timeout is drawn from the measured time of a fetch.
 func (c *Core) timeout(source *peerState) time.Duration {
 	typical := c.fetchTime
-	if source == nil && c.pace.gap() > 0 {
-		typical = c.pace.gap() * maxDrawWindow
+	if source == nil && c.originRate.meanGap() > 0 {
+		typical = c.originRate.meanGap() * maxOriginWindow
 	}
 	if typical == 0 {
 		return timeoutFactor * firstFetchTime
--- a/relay/burst/sim_test.go
+++ b/relay/burst/sim_test.go
@@ -21,7 +21,7 @@
 	// simCallTimeout ends an exchange over a stalled link.
 	simCallTimeout = 2 * time.Second
 	// simRefused is the pause of a host whose store takes nothing.
-	simRefused = time.Second
+	simStoreRefusalDelay = time.Second
 	// simListInterval is how often a host gets the list of peers.
 	simListInterval = time.Second
 )
@@ -30,7 +30,7 @@
 
 type simConfig struct {
 	hosts, chunks int
-	window        time.Duration // W
+	copyWindow    time.Duration // W
 	// originCopy and hostCopy are the time of one copy over the origin's link
 	// and over a host's; 0: as the window says.
 	originCopy, hostCopy time.Duration
@@ -38,7 +38,7 @@
 	strategy             string
 	objective            string
 	copies               int
-	dear                 bool // bytes between regions are dear
+	costlyRegions        bool // bytes between regions are dear
 	shared               bool // one rate for both directions of a host's link
 	seed                 uint64
 	corrupt              float64 // part of the chunks that arrive corrupt
@@ -71,42 +71,42 @@
 }
 
 type sim struct {
-	cfg     simConfig
-	rng     *rand.Rand
-	now     time.Duration
-	seq     int
-	queue   simQueue
-	hosts   []*simHost
-	byID    map[string]*simHost
-	origin  *simSender
-	sent    int // chunks that left the origin whole or in part, in pieces
-	control int // bytes of exchanges
+	cfg           simConfig
+	rng           *rand.Rand
+	now           time.Duration
+	seq           int
+	queue         simQueue
+	hosts         []*simHost
+	byID          map[string]*simHost
+	origin        *simSender
+	originPieces  int // chunks that left the origin whole or in part, in pieces
+	exchangeBytes int // bytes of exchanges
 	// originFault returns the cause to refuse a draw with, or 0.
 	originFault func(now time.Duration) (Cause, time.Duration)
 	originReqs  int
 	maxDraws    int // most draws in progress at the origin
 	// cut reports whether two hosts cannot reach each other now.
-	cut       func(a, b *simHost) bool
-	verbose   bool
-	nextLog   time.Duration
-	lastFault time.Duration // when the last planned change comes
+	partitioned  func(a, b *simHost) bool
+	logsProgress bool
+	nextLog      time.Duration
+	lastFault    time.Duration // when the last planned change comes
 	// isolated reports whether a host cannot reach the origin now.
 	isolated func(host *simHost) bool
 	// list returns the hosts that a host knows of.
-	list func(now time.Duration) []*simHost
+	listedHosts func(now time.Duration) []*simHost
 }
 
 // simLink carries pieces one after the other.
 type simLink struct {
-	free    time.Duration
-	piece   time.Duration // time that one piece takes
-	carried time.Duration
+	freeAt    time.Duration
+	pieceTime time.Duration // time that one piece takes
+	busyTime  time.Duration
 }
 
-func (l *simLink) carry(now time.Duration) time.Duration {
-	l.free = max(l.free, now) + l.piece
-	l.carried += l.piece
-	return l.free
+func (l *simLink) transmit(now time.Duration) time.Duration {
+	l.freeAt = max(l.freeAt, now) + l.pieceTime
+	l.busyTime += l.pieceTime
+	return l.freeAt
 }
 
 type simSender struct {
@@ -116,51 +116,51 @@
 }
 
 type simTransfer struct {
-	chunk    int
-	from     *simHost // nil: the origin
-	to       *simHost
-	left     int
-	dead     bool
-	queuedAt time.Duration
-	begun    time.Duration
+	chunk      int
+	from       *simHost // nil: the origin
+	to         *simHost
+	piecesLeft int
+	cancelled  bool
+	queuedAt   time.Duration
+	startedAt  time.Duration
 }
 
 type simHost struct {
-	peer     Peer
-	core     *Core
-	uploads  Uploads
-	waiting  []*simTransfer
-	sender   *simSender
-	down     *simLink
-	incoming map[string]*simTransfer
-	dead     bool
-	stalled  bool // its link carries nothing and does not close
-	mute     bool // it answers exchanges and sends no chunk
-	slowed   bool // its link runs at a tenth
-	corrupts bool // all it sends is corrupt
-	refuses  bool // its store takes nothing
-	life     int
-	listAt   time.Duration // when it next gets the list of peers
-	wholeAt  time.Duration
+	peer         Peer
+	core         *Core
+	uploads      Uploads
+	waiting      []*simTransfer
+	sender       *simSender
+	down         *simLink
+	incoming     map[string]*simTransfer
+	dead         bool
+	stalled      bool // its link carries nothing and does not close
+	mute         bool // it answers exchanges and sends no chunk
+	slowed       bool // its link runs at a tenth
+	corrupts     bool // all it sends is corrupt
+	refusesStore bool // its store takes nothing
+	incarnation  int
+	listAt       time.Duration // when it next gets the list of peers
+	completeAt   time.Duration
 }
 
 func newSim(cfg simConfig) *sim {
 	if cfg.limit == 0 {
-		cfg.limit = 4 * cfg.window
+		cfg.limit = 4 * cfg.copyWindow
 	}
 	s := &sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.seed, 1)), byID: map[string]*simHost{}}
 	if cfg.originCopy == 0 {
-		s.cfg.originCopy, s.cfg.hostCopy = cfg.window/4, cfg.window/2
+		s.cfg.originCopy, s.cfg.hostCopy = cfg.copyWindow/4, cfg.copyWindow/2
 	}
 	pieces := time.Duration(cfg.chunks * simPieces)
-	s.origin = &simSender{link: &simLink{piece: s.cfg.originCopy / pieces}}
+	s.origin = &simSender{link: &simLink{pieceTime: s.cfg.originCopy / pieces}}
 	for i := range cfg.hosts {
 		s.addHost(i, s.cfg.hostCopy/pieces)
 	}
-	s.list = func(time.Duration) []*simHost { return s.hosts }
+	s.listedHosts = func(time.Duration) []*simHost { return s.hosts }
 	for _, host := range s.hosts {
 		host.dead = true
-		s.after(time.Duration(s.rng.Int64N(int64(simStartSpread))), func() { s.start(host) })
+		s.schedule(time.Duration(s.rng.Int64N(int64(simStartSpread))), func() { s.start(host) })
 	}
 	return s
 }
@@ -173,8 +173,8 @@
 			Region:        fmt.Sprintf("region-%d", domain/3),
 			FailureDomain: fmt.Sprintf("domain-%d", domain),
 		},
-		sender: &simSender{link: &simLink{piece: piece}},
-		down:   &simLink{piece: piece},
+		sender: &simSender{link: &simLink{pieceTime: piece}},
+		down:   &simLink{pieceTime: piece},
 	}
 	if s.cfg.shared {
 		host.down = host.sender.link
@@ -185,20 +185,20 @@
 
 // start begins a new life of the host, which holds nothing.
 func (s *sim) start(host *simHost) {
-	host.life++
+	host.incarnation++
 	host.dead = false
-	host.wholeAt, host.listAt = 0, 0
+	host.completeAt, host.listAt = 0, 0
 	host.incoming = map[string]*simTransfer{}
 	host.waiting = nil
 	host.uploads = Uploads{}
 	host.sender.active = nil
 	host.core = New(Config{
 		Self: host.peer, Version: "version", Chunks: s.cfg.chunks, Strategy: s.cfg.strategy,
-		Objective: s.cfg.objective, OriginCopies: s.cfg.copies, Seed: s.cfg.seed + uint64(host.life),
-		DearRegions: s.cfg.dear, MaxBackoff: s.cfg.backoff, DrawWindow: s.cfg.drawWindow, MaxFetches: s.cfg.fetches,
+		Objective: s.cfg.objective, OriginCopies: s.cfg.copies, Seed: s.cfg.seed + uint64(host.incarnation),
+		DearRegions: s.cfg.costlyRegions, MaxBackoff: s.cfg.backoff, DrawWindow: s.cfg.drawWindow, MaxFetches: s.cfg.fetches,
 		Broken: func(rule string) { panic(host.peer.ID + ": " + rule) },
 	})
-	s.tick(host, host.life, true)
+	s.tick(host, host.incarnation, true)
 }
 
 func (s *sim) tick(host *simHost, life int, first bool) {
@@ -206,8 +206,8 @@
 	if first {
 		wait = time.Duration(s.rng.Int64N(int64(simTick)))
 	}
-	s.after(wait, func() {
-		if host.dead || host.life != life {
+	s.schedule(wait, func() {
+		if host.dead || host.incarnation != life {
 			return
 		}
 		if s.now >= host.listAt {
@@ -221,7 +221,7 @@
 
 func (s *sim) peersFor(host *simHost) []Peer {
 	var list []Peer
-	for _, other := range s.list(s.now) {
+	for _, other := range s.listedHosts(s.now) {
 		list = append(list, other.peer)
 	}
 	return list
@@ -229,7 +229,7 @@
 
 func (s *sim) time() time.Time { return simStart.Add(s.now) }
 
-func (s *sim) after(wait time.Duration, run func()) {
+func (s *sim) schedule(wait time.Duration, run func()) {
 	s.seq++
 	heap.Push(&s.queue, simEvent{at: s.now + wait, seq: s.seq, run: run})
 }
@@ -242,14 +242,14 @@
 }
 
 func (s *sim) reachable(a, b *simHost) bool {
-	return !a.dead && !b.dead && (s.cut == nil || !s.cut(a, b))
+	return !a.dead && !b.dead && (s.partitioned == nil || !s.partitioned(a, b))
 }
 
 // on runs an event of a host unless it died or restarted meanwhile.
-func (s *sim) on(host *simHost, wait time.Duration, run func()) {
-	life := host.life
-	s.after(wait, func() {
-		if !host.dead && host.life == life {
+func (s *sim) scheduleOn(host *simHost, wait time.Duration, run func()) {
+	life := host.incarnation
+	s.schedule(wait, func() {
+		if !host.dead && host.incarnation == life {
 			run()
 		}
 	})
@@ -267,61 +267,61 @@
 			s.exchange(host, s.byID[act.Source])
 		}
 	}
-	if host.wholeAt == 0 && host.core.Whole() {
-		host.wholeAt = s.now
+	if host.completeAt == 0 && host.core.Whole() {
+		host.completeAt = s.now
 	}
 }
 
 func (s *sim) exchange(host, peer *simHost) {
 	rep := host.core.Report()
-	s.control += 2 * (60 + 3*s.cfg.chunks/8)
+	s.exchangeBytes += 2 * (60 + 3*s.cfg.chunks/8)
 	lat := s.latency(host, peer)
 	if host.stalled || peer.stalled {
-		s.on(host, simCallTimeout, func() { host.core.Unreachable(s.time(), peer.peer.ID) })
+		s.scheduleOn(host, simCallTimeout, func() { host.core.Unreachable(s.time(), peer.peer.ID) })
 		return
 	}
-	if peer.life == 0 {
-		s.on(host, 2*lat, func() { host.core.Replied(s.time(), peer.peer.ID, Report{}) })
+	if peer.incarnation == 0 {
+		s.scheduleOn(host, 2*lat, func() { host.core.Replied(s.time(), peer.peer.ID, Report{}) })
 		return
 	}
 	if !s.reachable(host, peer) {
-		s.on(host, 2*lat, func() { host.core.Unreachable(s.time(), peer.peer.ID) })
+		s.scheduleOn(host, 2*lat, func() { host.core.Unreachable(s.time(), peer.peer.ID) })
 		return
 	}
-	s.on(peer, lat, func() {
+	s.scheduleOn(peer, lat, func() {
 		peer.core.SetUploads(peer.uploads.Load())
 		peer.core.Observe(s.time(), host.peer, rep)
 		reply := peer.core.Report()
 		s.decide(peer)
-		s.on(host, lat, func() {
+		s.scheduleOn(host, lat, func() {
 			host.core.Replied(s.time(), peer.peer.ID, reply)
 			s.decide(host)
 		})
 	})
 }
 
-func flightKey(chunk int, source string) string { return fmt.Sprint(chunk, source) }
+func transferKey(chunk int, source string) string { return fmt.Sprint(chunk, source) }
 
 func (s *sim) request(host *simHost, act Action) {
-	key := flightKey(act.Chunk, act.Source)
-	trans := &simTransfer{chunk: act.Chunk, to: host, left: simPieces, queuedAt: s.now}
-	host.incoming[key] = trans
+	key := transferKey(act.Chunk, act.Source)
+	transfer := &simTransfer{chunk: act.Chunk, to: host, piecesLeft: simPieces, queuedAt: s.now}
+	host.incoming[key] = transfer
 	if act.Source == Origin {
-		s.originRequest(host, trans)
+		s.originRequest(host, transfer)
 		return
 	}
 	peer := s.byID[act.Source]
-	trans.from = peer
+	transfer.from = peer
 	rep := host.core.Report()
 	rep.Fetching = nil
 	lat := s.latency(host, peer)
 	if !s.reachable(host, peer) {
-		s.failLater(trans, 2*lat, Broken, 0)
+		s.failLater(transfer, 2*lat, Broken, 0)
 		return
 	}
-	s.after(lat, func() {
+	s.schedule(lat, func() {
 		if peer.dead {
-			s.failLater(trans, lat, Broken, 0)
+			s.failLater(transfer, lat, Broken, 0)
 			return
 		}
 		if host.stalled || peer.stalled {
@@ -329,111 +329,111 @@
 		}
 		peer.core.Observe(s.time(), host.peer, rep)
 		if !peer.core.Holds(act.Chunk) {
-			s.failLater(trans, lat, Lacks, 0)
+			s.failLater(transfer, lat, Lacks, 0)
 			return
 		}
 		ok, retryAfter := peer.uploads.Admit(peer.core.Turn(host.peer.ID))
 		if !ok {
-			s.answer(trans, lat)
-			s.failLater(trans, lat, Busy, retryAfter)
+			s.sendReport(transfer, lat)
+			s.failLater(transfer, lat, Busy, retryAfter)
 			return
 		}
-		peer.waiting = append(peer.waiting, trans)
+		peer.waiting = append(peer.waiting, transfer)
 		s.startUploads(peer)
 	})
 }
 
 // answer brings the report that a chunk or a refusal bears.
-func (s *sim) answer(trans *simTransfer, wait time.Duration) {
-	from := trans.from
+func (s *sim) sendReport(transfer *simTransfer, wait time.Duration) {
+	from := transfer.from
 	from.core.SetUploads(from.uploads.Load())
 	rep := from.core.Report()
 	rep.Fetching = nil
-	s.on(trans.to, wait, func() { trans.to.core.Answered(s.time(), from.peer.ID, rep) })
+	s.scheduleOn(transfer.to, wait, func() { transfer.to.core.Answered(s.time(), from.peer.ID, rep) })
 }
 
-func (s *sim) originRequest(host *simHost, trans *simTransfer) {
+func (s *sim) originRequest(host *simHost, transfer *simTransfer) {
 	s.originReqs++
 	if host.stalled {
 		return
 	}
 	if s.isolated != nil && s.isolated(host) {
-		s.failLater(trans, 6*time.Millisecond, Broken, 0)
+		s.failLater(transfer, 6*time.Millisecond, Broken, 0)
 		return
 	}
 	if s.originFault != nil {
 		if cause, retry := s.originFault(s.now); cause != 0 {
-			s.failLater(trans, 6*time.Millisecond, cause, retry)
+			s.failLater(transfer, 6*time.Millisecond, cause, retry)
 			return
 		}
 	}
-	s.after(3*time.Millisecond, func() {
-		s.origin.active = append(s.origin.active, trans)
+	s.schedule(3*time.Millisecond, func() {
+		s.origin.active = append(s.origin.active, transfer)
 		s.maxDraws = max(s.maxDraws, len(s.origin.active))
 		s.pump(s.origin, nil)
 	})
 }
 
 // cutOff ends all transfers of a sender that goes away.
-func (d *simSender) cutOff(s *sim) {
-	for _, trans := range d.active {
-		trans.dead = true
-		s.failLater(trans, 3*time.Millisecond, Broken, 0)
+func (d *simSender) abortAll(s *sim) {
+	for _, transfer := range d.active {
+		transfer.cancelled = true
+		s.failLater(transfer, 3*time.Millisecond, Broken, 0)
 	}
 	d.active = nil
 }
 
-func (s *sim) failLater(trans *simTransfer, wait time.Duration, cause Cause, retry time.Duration) {
-	s.on(trans.to, wait, func() { s.end(trans, cause, retry) })
+func (s *sim) failLater(transfer *simTransfer, wait time.Duration, cause Cause, retry time.Duration) {
+	s.scheduleOn(transfer.to, wait, func() { s.endTransfer(transfer, cause, retry) })
 }
 
 // end reports the transfer's end to its receiver, unless that gave it up.
-func (s *sim) end(trans *simTransfer, cause Cause, retry time.Duration) {
+func (s *sim) endTransfer(transfer *simTransfer, cause Cause, retry time.Duration) {
 	source := Origin
-	if trans.from != nil {
-		source = trans.from.peer.ID
+	if transfer.from != nil {
+		source = transfer.from.peer.ID
 	}
-	key := flightKey(trans.chunk, source)
-	if trans.to.incoming[key] != trans {
+	key := transferKey(transfer.chunk, source)
+	if transfer.to.incoming[key] != transfer {
 		return
 	}
-	delete(trans.to.incoming, key)
+	delete(transfer.to.incoming, key)
 	if cause == 0 {
-		trans.to.core.Arrived(s.time(), trans.chunk, source)
+		transfer.to.core.Arrived(s.time(), transfer.chunk, source)
 	} else {
-		trans.to.core.Failed(s.time(), trans.chunk, source, cause, retry)
+		transfer.to.core.Failed(s.time(), transfer.chunk, source, cause, retry)
 	}
-	s.decide(trans.to)
+	s.decide(transfer.to)
 }
 
 func (s *sim) cancel(host *simHost, act Action) {
-	key := flightKey(act.Chunk, act.Source)
-	trans := host.incoming[key]
+	key := transferKey(act.Chunk, act.Source)
+	transfer := host.incoming[key]
 	delete(host.incoming, key)
-	if trans != nil {
-		s.after(3*time.Millisecond, func() {
-			trans.dead = true
-			s.leaveMute(trans)
+	if transfer != nil {
+		s.schedule(3*time.Millisecond, func() {
+			transfer.cancelled = true
+			s.releaseMuteUpload(transfer)
 		})
 	}
 }
 
 // leaveMute frees the slot of a cancelled upload of a host that sends nothing.
-func (s *sim) leaveMute(trans *simTransfer) {
-	if trans.from == nil || !trans.from.mute {
+func (s *sim) releaseMuteUpload(transfer *simTransfer) {
+	if transfer.from == nil || !transfer.from.mute {
 		return
 	}
-	at := slices.Index(trans.from.sender.active, trans)
+	at := slices.Index(transfer.from.sender.active, transfer)
 	if at >= 0 {
-		trans.from.sender.active = slices.Delete(trans.from.sender.active, at, at+1)
-		trans.from.uploads.Done(0)
+		transfer.from.sender.active = slices.Delete(transfer.from.sender.active, at, at+1)
+		transfer.from.uploads.Done(0)
 	}
-	s.startUploads(trans.from)
+	s.startUploads(transfer.from)
 }
 
 func (s *sim) startUploads(peer *simHost) {
-	peer.waiting = slices.DeleteFunc(peer.waiting, func(trans *simTransfer) bool {
-		gone := trans.dead || trans.to.dead
+	peer.waiting = slices.DeleteFunc(peer.waiting, func(transfer *simTransfer) bool {
+		gone := transfer.cancelled || transfer.to.dead
 		if gone {
 			peer.uploads.Leave()
 		}
@@ -446,10 +446,10 @@
 				next = i
 			}
 		}
-		trans := peer.waiting[next]
+		transfer := peer.waiting[next]
 		peer.waiting = slices.Delete(peer.waiting, next, next+1)
-		trans.begun = s.now
-		peer.sender.active = append(peer.sender.active, trans)
+		transfer.startedAt = s.now
+		peer.sender.active = append(peer.sender.active, transfer)
 	}
 	s.pump(peer.sender, peer)
 }
@@ -460,42 +460,42 @@
 		return
 	}
 	for len(sender.active) > 0 {
-		trans := sender.active[0]
+		transfer := sender.active[0]
 		sender.active = sender.active[1:]
-		if trans.dead || trans.to.dead {
-			s.uploadEnded(trans, host)
+		if transfer.cancelled || transfer.to.dead {
+			s.uploadEnded(transfer, host)
 			continue
 		}
-		s.sendPiece(sender, host, trans)
+		s.sendPiece(sender, host, transfer)
 		return
 	}
 }
 
-func (s *sim) sendPiece(sender *simSender, host *simHost, trans *simTransfer) {
+func (s *sim) sendPiece(sender *simSender, host *simHost, transfer *simTransfer) {
 	sender.busy = true
-	if host != nil && trans.left == simPieces {
-		s.answer(trans, 2*time.Millisecond)
+	if host != nil && transfer.piecesLeft == simPieces {
+		s.sendReport(transfer, 2*time.Millisecond)
 	}
-	trans.left--
-	last := trans.left == 0
+	transfer.piecesLeft--
+	last := transfer.piecesLeft == 0
 	if host == nil {
-		s.sent++
+		s.originPieces++
 	}
 	life := 0
 	if host != nil {
-		life = host.life
+		life = host.incarnation
 	}
-	s.after(sender.link.carry(s.now)-s.now, func() {
+	s.schedule(sender.link.transmit(s.now)-s.now, func() {
 		sender.busy = false
-		if host != nil && (host.dead || host.life != life) {
+		if host != nil && (host.dead || host.incarnation != life) {
 			return
 		}
 		if !last {
-			sender.active = append(sender.active, trans)
+			sender.active = append(sender.active, transfer)
 		} else {
-			s.uploadEnded(trans, host)
+			s.uploadEnded(transfer, host)
 		}
-		s.on(trans.to, 2*time.Millisecond, func() { s.receive(trans, last) })
+		s.scheduleOn(transfer.to, 2*time.Millisecond, func() { s.receive(transfer, last) })
 		if host != nil {
 			s.startUploads(host)
 			return
@@ -504,40 +504,40 @@
 	})
 }
 
-func (s *sim) uploadEnded(trans *simTransfer, host *simHost) {
+func (s *sim) uploadEnded(transfer *simTransfer, host *simHost) {
 	if host != nil {
-		host.uploads.Done(s.now - trans.begun)
+		host.uploads.Done(s.now - transfer.startedAt)
 		s.decide(host)
 	}
 }
 
-func (s *sim) receive(trans *simTransfer, last bool) {
-	if trans.to.stalled || (trans.from != nil && s.cut != nil && s.cut(trans.from, trans.to)) {
+func (s *sim) receive(transfer *simTransfer, last bool) {
+	if transfer.to.stalled || (transfer.from != nil && s.partitioned != nil && s.partitioned(transfer.from, transfer.to)) {
 		return
 	}
-	at := trans.to.down.carry(s.now)
+	at := transfer.to.down.transmit(s.now)
 	if !last {
 		return
 	}
 	var cause Cause
-	if trans.to.refuses {
+	if transfer.to.refusesStore {
 		cause = Dropped
-	} else if (trans.from != nil && trans.from.corrupts) || s.rng.Float64() < s.cfg.corrupt {
+	} else if (transfer.from != nil && transfer.from.corrupts) || s.rng.Float64() < s.cfg.corrupt {
 		cause = Corrupt
 	}
 	wait := at - s.now + simProcess
 	if cause == Dropped {
-		wait += simRefused
+		wait += simStoreRefusalDelay
 	}
-	s.on(trans.to, wait, func() { s.end(trans, cause, 0) })
+	s.scheduleOn(transfer.to, wait, func() { s.endTransfer(transfer, cause, 0) })
 }
 
 func (s *sim) kill(host *simHost) {
 	host.dead = true
 	for _, other := range s.hosts {
-		for _, trans := range other.incoming {
-			if trans.from == host {
-				s.failLater(trans, 3*time.Millisecond, Broken, 0)
+		for _, transfer := range other.incoming {
+			if transfer.from == host {
+				s.failLater(transfer, 3*time.Millisecond, Broken, 0)
 			}
 		}
 	}
@@ -549,13 +549,13 @@
 	for s.queue.Len() > 0 && s.now < s.cfg.limit {
 		ev := heap.Pop(&s.queue).(simEvent)
 		s.now = ev.at
-		if s.verbose && s.now >= s.nextLog {
+		if s.logsProgress && s.now >= s.nextLog {
 			s.logProgress()
 			s.nextLog += max(50*time.Millisecond, s.now/10)
 		}
 		ev.run()
 		if s.now > max(s.lastFault, simStartSpread) && s.seq%16 == 0 {
-			if whole, live := s.fit(); whole == live {
+			if complete, live := s.countComplete(); complete == live {
 				return
 			}
 		}
@@ -563,14 +563,14 @@
 }
 
 // fault plans a change of the world.
-func (s *sim) fault(at time.Duration, change func()) {
+func (s *sim) scheduleFault(at time.Duration, change func()) {
 	s.lastFault = max(s.lastFault, at)
-	s.after(at-s.now, change)
+	s.schedule(at-s.now, change)
 }
 
 type simResult struct {
 	seconds, bound, ratio, copies float64
-	whole, live                   int
+	complete, live                int
 	controlPerHost                float64 // bytes per second
 	stats                         Stats   // per host
 }
@@ -579,16 +579,16 @@
 	var last time.Duration
 	for _, host := range s.hosts {
 		if !host.dead && !host.slowed && !host.stalled {
-			last = max(last, host.wholeAt)
+			last = max(last, host.completeAt)
 		}
 	}
 	n := float64(s.cfg.hosts)
-	window := s.cfg.window.Seconds()
+	window := s.cfg.copyWindow.Seconds()
 	bound := max(1.0/4, 1.0/2, n/(4+2*n)) * window
 	if s.cfg.shared {
 		bound = max(bound, (2*n-1)/(4+2*n)*window)
 	}
-	whole, live := s.fit()
+	complete, live := s.countComplete()
 	var total Stats
 	for _, host := range s.hosts {
 		stats := host.core.Stats()
@@ -603,15 +603,15 @@
 			Exchanges: total.Exchanges / s.cfg.hosts, TimedOut: total.TimedOut,
 		},
 		seconds: last.Seconds(), bound: bound, ratio: last.Seconds() / bound,
-		copies: float64(s.sent) / float64(simPieces*s.cfg.chunks),
-		whole:  whole, live: live,
-		controlPerHost: float64(s.control) / n / s.now.Seconds(),
+		copies:   float64(s.originPieces) / float64(simPieces*s.cfg.chunks),
+		complete: complete, live: live,
+		controlPerHost: float64(s.exchangeBytes) / n / s.now.Seconds(),
 	}
 }
 
 func (r simResult) String() string {
 	return fmt.Sprintf("seconds=%.2f bound=%.2f ratio=%.3f copies=%.3f whole=%d/%d control=%.0fB/s pulls=%d busy=%d exchanges=%d timedOut=%d",
-		r.seconds, r.bound, r.ratio, r.copies, r.whole, r.live, r.controlPerHost,
+		r.seconds, r.bound, r.ratio, r.copies, r.complete, r.live, r.controlPerHost,
 		r.stats.Pulls, r.stats.Busy, r.stats.Exchanges, r.stats.TimedOut)
 }
 
@@ -620,20 +620,20 @@
 	held, least, flights, idle, queue := 0, s.cfg.chunks, 0, 0, 0
 	var carried time.Duration
 	for _, host := range s.hosts {
-		if host.life == 0 {
+		if host.incarnation == 0 {
 			continue
 		}
 		held += host.core.Held()
 		least = min(least, host.core.Held())
-		flights += len(host.core.flights)
+		flights += len(host.core.requests)
 		queue += host.uploads.Load()
 		if host.uploads.Load() == 0 {
 			idle++
 		}
-		carried += host.sender.link.carried
+		carried += host.sender.link.busyTime
 	}
 	n := float64(len(s.hosts))
 	fmt.Printf("t=%.2f held=%.1f least=%d drawn=%.1f flights=%.1f queue=%.1f idleUplinks=%.2f used=%.3f\n",
-		s.now.Seconds(), float64(held)/n, least, float64(s.sent)/simPieces, float64(flights)/n, float64(queue)/n,
+		s.now.Seconds(), float64(held)/n, least, float64(s.originPieces)/simPieces, float64(flights)/n, float64(queue)/n,
 		float64(idle)/n, carried.Seconds()/n/max(s.now.Seconds(), 1e-9))
 }
--- a/relay/burst/trial_test.go
+++ b/relay/burst/trial_test.go
@@ -17,10 +17,10 @@
 		for _, seed := range []uint64{1, 2, 3}[:trialSeeds()] {
 			began := time.Now()
 			s := newSim(simConfig{
-				hosts: hosts, chunks: 256, window: 30 * time.Second, seed: seed,
+				hosts: hosts, chunks: 256, copyWindow: 30 * time.Second, seed: seed,
 				strategy: os.Getenv("BURST_STRATEGY"), shared: os.Getenv("BURST_SHARED") != "",
 			})
-			s.verbose = os.Getenv("BURST_VERBOSE") != ""
+			s.logsProgress = os.Getenv("BURST_VERBOSE") != ""
 			s.run()
 			t.Logf("N=%d %v draws=%d reqs=%d took=%v", hosts, s.result(), s.maxDraws, s.originReqs, time.Since(began).Round(time.Millisecond))
 		}
--- a/relay/burst/uploads.go
+++ b/relay/burst/uploads.go
@@ -8,25 +8,25 @@
 	UploadSlots = 2
 	UploadQueue = 3
 	// importQueue is how many requests from other regions wait beside those.
-	importQueue = 4
+	importQueueSlots = 4
 )
 
 // Uploads admits requests for chunks. It is not safe for concurrent use.
 type Uploads struct {
-	active  int // at most UploadSlots
-	waiting int // at most UploadQueue, and importQueue
-	took    time.Duration
+	active       int // at most UploadSlots
+	waiting      int // at most UploadQueue, and importQueue
+	meanDuration time.Duration
 }
 
 // Admit reports whether a request that has the Turn given may run or wait; otherwise
 // after how long it makes sense to ask again.
 func (u *Uploads) Admit(turn int) (ok bool, retryAfter time.Duration) {
-	most := UploadSlots + UploadQueue
-	if turn == importTurns {
-		most += importQueue
+	maximum := UploadSlots + UploadQueue
+	if turn == importPriority {
+		maximum += importQueueSlots
 	}
-	if u.active+u.waiting >= most {
-		return false, max(busyWait, u.took)
+	if u.active+u.waiting >= maximum {
+		return false, max(busyWait, u.meanDuration)
 	}
 	u.waiting++
 	return true, 0
@@ -48,14 +48,14 @@
 // Done frees the slot of an upload that lasted the time given.
 func (u *Uploads) Done(took time.Duration) {
 	u.active--
-	u.took = average(u.took, took)
+	u.meanDuration = average(u.meanDuration, took)
 }
 
 // Load returns the uploads in progress and waiting.
 func (u *Uploads) Load() int { return u.active + u.waiting }
 
 // importTurns is the Turn of requests from other regions where bytes between them are dear.
-const importTurns = -1
+const importPriority = -1
 
 // Turn returns the place of a peer's request among those that wait: the lowest goes first.
 // One from another region goes before all: who takes a chunk into a region is the only one
@@ -67,8 +67,8 @@
 	if pst == nil {
 		return 0
 	}
-	if c.far(pst) {
-		return importTurns
+	if c.isCostly(pst) {
+		return importPriority
 	}
 	return pst.heldCount
 }
