--- a/relay/burst/baselines.go
+++ b/relay/burst/baselines.go
@@ -8,7 +8,7 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// drawAll is the OriginOnly strategy.
+// fetchAllFromOrigin implements OriginOnly: it requests every missing chunk from the origin.
 func (c *Core) fetchAllFromOrigin(now time.Time) {
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
 		if len(c.requests) >= maxOriginFetches || now.Before(c.originRetryAt) {
@@ -20,8 +20,7 @@
 	}
 }
 
-// findParent returns the host above this one in the Tree strategy; nil for the
-// root.
+// findParent returns this host's parent in the Tree strategy, or nil for the root.
 func (c *Core) findParent() *peerState {
 	if c.cfg.Strategy != Tree {
 		return nil
@@ -41,7 +40,8 @@
 	return ranked[(place-1)/treeFanOut]
 }
 
-// pullFromParent is the Tree strategy.
+// pullFromParent implements Tree: the root fetches from the origin, every other host from its
+// parent.
 func (c *Core) pullFromParent(now time.Time) {
 	if c.parent == nil {
 		c.fetchAllFromOrigin(now)
@@ -60,8 +60,7 @@
 	}
 }
 
-// pullAtRandom is the Random strategy: the origin is a neighbour that holds
-// everything.
+// pullAtRandom implements Random: it treats the origin as a neighbour that holds every chunk.
 func (c *Core) pullAtRandom(now time.Time) {
 	for len(c.requests) < c.cfg.MaxFetches {
 		var sources []*peerState
@@ -79,7 +78,8 @@
 	}
 }
 
-// fetchRandom requests a random chunk from a random one of the sources.
+// fetchRandom requests a random missing chunk from a random source and reports whether one was
+// available.
 func (c *Core) fetchRandom(now time.Time, sources []*peerState) bool {
 	c.rng.Shuffle(len(sources), func(i, j int) { sources[i], sources[j] = sources[j], sources[i] })
 	for _, source := range sources {
--- a/relay/burst/burst.go
+++ b/relay/burst/burst.go
@@ -1,25 +1,25 @@
-// Package burst decides which chunk of a version a host fetches from whom, so
-// that a version reaches all hosts near the bound that the links set and the
+// Package burst decides which chunk of a version a host fetches from which source. It aims to
+// complete the version on all hosts close to the lower time bound set by their links, while the
 // origin sends little more than one copy.
 //
-// Core is pure: events in, actions out, the time passed in. One Core serves one
-// version on one host; it is not safe for concurrent use.
+// Core is a pure state machine: events go in, actions come out, and the caller passes the time.
+// One Core serves one version on one host; it is not safe for concurrent use.
 //
-// Two rules carry the design. Chunks leave the origin in the order of their
-// index, each drawn by its first owner by rendezvous hash, a few at a time: the
-// hosts report to each other which chunks were drawn, and that knowledge opens the
-// next ones. Everything else moves between peers over a bounded set of
-// neighbours, rarest chunk first, from the neighbour that should answer soonest.
+// In the default strategy, Swarm, the origin sends chunks in index order, a few at a time. For
+// each chunk, rendezvous hashing ranks the hosts, here called its owners; the first one fetches it
+// from the origin. Hosts report to each other which chunks were fetched, which makes the next
+// chunks due. All other transfers run between peers: a host keeps a bounded set of neighbours and
+// requests the rarest chunk first, from the neighbour expected to deliver it soonest.
 package burst
 
 import "time"
 
-// Strategies. All but Swarm are baselines for measurements.
+// Distribution strategies. All but Swarm are baselines for measurements.
 const (
-	Swarm      = "swarm"      // owners draw from the origin, the rest from peers
-	OriginOnly = "originOnly" // every host draws everything from the origin
-	Tree       = "tree"       // a fixed tree of hosts, the root draws from the origin
-	Random     = "random"     // random chunks from random peers, the origin among them
+	Swarm      = "swarm"      // owners fetch from the origin, all others from peers
+	OriginOnly = "originOnly" // every host fetches everything from the origin
+	Tree       = "tree"       // a fixed tree of hosts whose root fetches from the origin
+	Random     = "random"     // random chunks from random sources: peers or the origin
 )
 
 // Objectives of a rollout.
@@ -28,182 +28,185 @@
 	ObjectiveOriginBytes = "originBytes"
 )
 
-// Origin stands for the origin where an action or event names a source.
+// Origin identifies the origin as the source of an action or event.
 const Origin = ""
 
 const (
-	// treeFanOut is the children of one host in the Tree strategy.
+	// treeFanOut is the number of children of a host in the Tree strategy.
 	treeFanOut = 2
-	// closeNeighbours are chosen within the failure domain, farNeighbours
-	// anywhere: the near ones save latency and links between regions, the far
-	// ones keep the whole fleet one connected graph.
+	// Each host chooses sameDomainNeighbours in its own failure domain, which saves latency and
+	// traffic between regions, and anyDomainNeighbours regardless of failure domain, which keep the
+	// whole fleet one connected graph.
 	sameDomainNeighbours = 2
 	anyDomainNeighbours  = 8
-	// maxNeighbours bounds the neighbours chosen and those that chose us.
+	// maxNeighbours bounds the neighbours of a host, including those that chose it.
 	maxNeighbours = 20
-	// fetchTarget is the chunks requested at once, as memory allows.
+	// defaultMaxFetches is the default number of concurrent requests; memory limits it.
 	defaultMaxFetches = 6
-	// perPeerFetches bounds the chunks requested at once from one peer.
+	// maxFetchesPerPeer bounds the concurrent requests to one peer.
 	maxFetchesPerPeer = 2
-	// originFetches bounds the chunks that one host draws at once.
+	// maxOriginFetches bounds the concurrent requests of one host to the origin.
 	maxOriginFetches = 2
-	// minDrawWindow and maxDrawWindow bound the chunks that the fleet draws at
-	// once; it grows by one with each drawWindowStep chunks drawn.
+	// minOriginWindow and maxOriginWindow bound the number of chunks that the fleet fetches from
+	// the origin concurrently. The window grows by one for every originWindowStep fetched chunks.
 	minOriginWindow  = 4
 	maxOriginWindow  = 8
 	originWindowStep = 16
-	// askWindow is the chunks whose owners are looked up ahead.
+	// ownerQueryWindow is the number of next chunks whose owners are contacted before the chunks
+	// are due.
 	ownerQueryWindow = 3 * maxOriginWindow
-	// maxDuplicates bounds the chunks requested twice at once near the end.
+	// maxDuplicates bounds the concurrent duplicate requests near the end of a transfer.
 	maxDuplicates = 2
-	// bannedAfter is the corrupt chunks in a row that ban a peer.
+	// corruptChunksToBan is the number of consecutive corrupt chunks after which a peer is banned.
 	corruptChunksToBan = 2
-	// stallsToBan is the requests that time out in a row until a peer is
-	// banned: more than are in progress at once.
+	// timeoutsToBan is the number of consecutive timeouts after which a peer is banned. It exceeds
+	// the concurrent requests to one peer, so that a single stall does not ban it.
 	timeoutsToBan = maxFetchesPerPeer + 1
-	// ownerRanks is how many hosts may draw a chunk in turn.
+	// maxOwnerRanks is the number of hosts that may fetch a chunk from the origin, one after the
+	// other.
 	maxOwnerRanks = 8
 )
 
 const (
-	updateInterval   = time.Second           // between exchanges with a neighbour while there is news
-	offerInterval    = 15 * time.Millisecond // between offers of an idle uplink
-	idleInterval     = time.Second           // the same without news
-	completeInterval = 10 * time.Second      // the same once both sides are whole
-
-	firstFetchTime = time.Second      // assumed time of one fetch before any was measured
-	minTimeout     = time.Second      // least time until a fetch is given up
-	maxTimeout     = 60 * time.Second // greatest such time
-	timeoutFactor  = 8                // such time in measured fetch times
-
-	maxStartupWait     = time.Second            // greatest time before the first draw
-	nonParticipantWait = 2 * time.Second        // pause with a peer that takes no part
-	originScanInterval = 50 * time.Millisecond  // between looks at what is due, unless something was drawn
-	lostScanInterval   = 250 * time.Millisecond // between looks for chunks whose holders are gone
-	busyWait           = 150 * time.Millisecond // least pause with a busy peer
+	updateInterval   = time.Second           // between exchanges with a neighbour that lacks our latest state
+	offerInterval    = 15 * time.Millisecond // between the exchanges started because the uplink is idle
+	idleInterval     = time.Second           // between exchanges with a neighbour that has our latest state
+	completeInterval = 10 * time.Second      // between exchanges once both sides hold the complete version
+
+	firstFetchTime = time.Second      // assumed duration of a fetch before one was measured
+	minTimeout     = time.Second      // lower bound of the fetch timeout
+	maxTimeout     = 60 * time.Second // upper bound of the fetch timeout
+	timeoutFactor  = 8                // fetch timeout in multiples of the measured duration
+
+	maxStartupWait     = time.Second            // longest wait for neighbours' reports before the first origin fetch
+	nonParticipantWait = 2 * time.Second        // pause with a peer that does not take part in the version
+	originScanInterval = 50 * time.Millisecond  // between scans for due chunks; a chunk fetched meanwhile triggers one at once
+	lostScanInterval   = 250 * time.Millisecond // between scans for chunks whose holders are gone
+	busyWait           = 150 * time.Millisecond // minimum pause with a busy peer
 	lacksWait          = 200 * time.Millisecond
-	suspectWait        = 5 * time.Second        // pause with an unreachable peer
-	timeoutPenalty     = 2 * time.Second        // pause with a peer that let a fetch time out; doubles
-	corruptPause       = 250 * time.Millisecond // pause after one corrupt chunk
-	banPause           = 10 * time.Second       // pause with a peer that talks but does not deliver; doubles
+	suspectWait        = 5 * time.Second        // pause with an unreachable peer; doubles
+	timeoutPenalty     = 2 * time.Second        // pause with a peer after a fetch timed out; doubles
+	corruptPause       = 250 * time.Millisecond // pause with a peer after one corrupt chunk
+	banPause           = 10 * time.Second       // pause with a peer that responds but does not deliver; doubles
 	maxPenalty         = time.Minute
-	minOriginBackoff   = 500 * time.Millisecond // pause after a failed draw; doubles
+	minOriginBackoff   = 500 * time.Millisecond // pause after a failed origin fetch; doubles
 	maxOriginBackoff   = 15 * time.Second
-	// oldNews is how long after a draw failed the news of chunks drawn may be older.
+	// staleReportWindow is how long after a failed origin fetch the reported chunks may still stem
+	// from before the failure.
 	staleReportWindow = 300 * time.Millisecond
-	// shortBackoff is the Config.MaxBackoff up to which an origin can bear to be asked by
-	// all whose pause ends at once.
+	// maxSharedBackoff is the greatest Config.MaxBackoff at which hosts resume origin fetches as
+	// soon as others succeed: an origin configured with so short a pause can take the retries of
+	// all hosts at once.
 	maxSharedBackoff = time.Second
-	// rejoinSpread is the time in which those come back who learn that the origin
-	// answers again.
+	// originRetryJitter spreads the retries of hosts that learn that the origin answers again.
 	originRetryJitter = 100 * time.Millisecond
-	// minTurn is the least time that an owner has before the next in rank asks
-	// after it; maxTurn the greatest.
+	// minRankTimeout and maxRankTimeout bound the time that an owner has to fetch a chunk before
+	// the next in rank queries it.
 	minRankTimeout = 500 * time.Millisecond
 	maxRankTimeout = 30 * time.Second
-	// intendFailures is the draws that may fail in a row, while others draw, before an
-	// owner lets the next in rank try: the fault may be its own.
+	// maxIntendedFailures is the number of consecutive failed origin fetches after which an owner,
+	// while other hosts succeed, stops announcing its intent and lets the next in rank try: the
+	// fault may be its own.
 	maxIntendedFailures = 4
-	// stallParts: one part in so many of the time in which the origin answers nobody counts
-	// against the owners of chunks.
+	// stallDivisor: 1/stallDivisor of the time in which the origin answers no host counts against
+	// the owners of chunks.
 	stallDivisor = 4
-	// lostTurns is the turns that a drawn chunk has to reach a neighbour.
+	// lostRankTimeouts is the time, in rank timeouts, that a chunk fetched by some host has to
+	// reach a neighbour before it is considered lost.
 	lostRankTimeouts = 2
-	// undeliveredTurns is the turns after which an owner that holds a chunk and
-	// passes it on to nobody is passed over.
+	// undeliveredRankTimeouts is the time, in rank timeouts, after which an owner that holds a
+	// chunk but delivers it to no host is skipped.
 	undeliveredRankTimeouts = 6
-	// fewHolders is the holders up to which each is looked at.
+	// fewHoldersLimit: up to this number of holders, each one is checked for whether it delivers.
 	fewHoldersLimit = 2
-	// silentTime is the time without a message after which a peer that failed is
-	// taken to be gone.
+	// maxSilence is the time without a message after which a peer that failed counts as gone.
 	maxSilence = 3 * time.Second
-	// overtakers is the hosts of lower rank that an owner asks before it
-	// draws, during its youngTime.
+	// lowerRanksQueried is the number of lower-ranked owners that an owner contacts before it
+	// fetches from the origin, during its startupPeriod.
 	lowerRanksQueried = 2
 	startupPeriod     = 3 * time.Second
-	// turnGaps is a turn in mean gaps between two draws of the fleet.
+	// rankTimeoutGaps is the rank timeout in mean gaps between two origin fetches of the fleet.
 	rankTimeoutGaps = 2 * maxOriginWindow
-	// maxGapGrowth bounds the gap that a turn is made of, in the best ones.
+	// maxGapGrowth bounds the gap from which the rank timeout is derived, in multiples of the
+	// smallest gap measured.
 	maxGapGrowth = 2
-	// firstTurn is a turn before the pace of the draws is known.
+	// initialRankTimeout applies until the rate of origin fetches was measured.
 	initialRankTimeout = 2 * time.Second
-	// takeoverTurns is the turns after which the next rank draws although the
-	// owner says that it is still fetching.
+	// takeoverRankTimeouts is the time, in rank timeouts, after which the next owner fetches a
+	// chunk although the one before it reports that it is still fetching.
 	takeoverRankTimeouts = 3
 )
 
-// Peer is another agent.
+// Peer identifies another agent and its location.
 type Peer struct {
 	ID            string
 	Region        string
 	FailureDomain string
 }
 
-// Config sets a Core up.
+// Config holds the parameters of a Core.
 type Config struct {
 	Self      Peer
 	Version   string
 	Chunks    int
-	Strategy  string // empty means Swarm
-	Objective string // empty means ObjectiveTime
-	// OriginCopies bounds the copies that the origin sends with ObjectiveTime;
-	// 0 stands for 1.
+	Strategy  string // defaults to Swarm
+	Objective string // defaults to ObjectiveTime
+	// OriginCopies bounds the copies that the origin sends under ObjectiveTime; 0 means 1.
 	OriginCopies int
-	// MaxFetches bounds the chunks requested at once; 0 stands for the
-	// default.
+	// MaxFetches bounds the concurrent requests; 0 means the default.
 	MaxFetches int
-	// DrawWindow is the chunks that the fleet draws at once; 0 lets it grow
-	// from a few. A wider one keeps the origin's link busy where chunks are so
-	// small that news of a draw takes longer than the draw.
+	// DrawWindow is the number of chunks that the fleet fetches from the origin concurrently; 0
+	// starts with a few and grows. A larger window keeps the origin's link busy where chunks are so
+	// small that reporting a fetch takes longer than the fetch.
 	DrawWindow int
-	// MaxBackoff bounds the pause after draws that failed; 0 stands for 15 s. A
-	// short one suits fleets that the origin can bear to be asked by.
+	// MaxBackoff bounds the pause after failed origin fetches; 0 means 15 s. A short one suits
+	// fleets whose origin can take the retries of all hosts.
 	MaxBackoff time.Duration
-	// DearRegions keeps bytes between regions few: each chunk comes into a
-	// region once, unless that takes long.
+	// DearRegions minimizes traffic between regions: each chunk enters a region once, unless that
+	// takes too long.
 	DearRegions bool
-	// Broken is called with the rule where an invariant of the Core's own
-	// state does not hold; nil ignores it.
+	// Broken is called with a description of each violated invariant of the Core's state; nil
+	// ignores violations.
 	Broken func(rule string)
-	// Seed makes the choices among equals differ from host to host.
+	// Seed varies the choices among equal candidates from host to host.
 	Seed uint64
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions.
+// Kinds of actions.
 const (
 	Fetch    ActionKind = iota + 1 // request the chunk from the source
-	Cancel                         // give up such a request
-	Exchange                       // swap reports with the peer
+	Cancel                         // cancel a request
+	Exchange                       // exchange reports with the peer
 )
 
-// Action is something for the program to do; its end comes back as an event.
+// Action is an instruction to the caller, which reports the outcome as an event.
 type Action struct {
 	Kind   ActionKind
-	Chunk  int    // of Fetch and Cancel
-	Source string // id of a peer, or Origin
+	Chunk  int    // set for Fetch and Cancel
+	Source string // peer ID, or Origin
 }
 
-// Report is what two peers send each other in an exchange. The bitmaps are
-// little-endian words, one bit a chunk.
+// Report is the state that two peers send each other in an exchange. The bitmaps consist of
+// little-endian words with one bit per chunk.
 type Report struct {
-	Held     []uint64 // verified and kept
-	Fetching []uint64 // being drawn from the origin
-	Drawn    []uint64 // drawn by some host, as far as known
-	Queue    int      // requests waiting at the uplink
+	Held     []uint64 // verified and stored
+	Fetching []uint64 // being fetched from the origin, or about to be
+	Drawn    []uint64 // known to have been fetched from the origin by some host
+	Queue    int      // uploads in progress or waiting
 }
 
-// Cause says why a fetch failed.
+// Cause is the reason why a fetch failed.
 type Cause int
 
-// The causes.
+// Causes of failed fetches.
 const (
-	Broken  Cause = iota + 1 // the connection failed or the source answered an error
-	Busy                     // the source asks to come back later
+	Broken  Cause = iota + 1 // the connection failed or the source returned an error
+	Busy                     // the source asks to retry later
 	Lacks                    // the source does not hold the chunk
-	Corrupt                  // the bytes do not match the chunk's hash
+	Corrupt                  // the data does not match the chunk's hash
 	TimedOut
-	Dropped // our own store refused the bytes: the source is not to blame
+	Dropped // the local store rejected the data; the source is not at fault
 )
--- a/relay/burst/burst_test.go
+++ b/relay/burst/burst_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestFleetWithoutFault checks the two figures that users measure: time
-// against the bound that the links set, and copies drawn from the origin.
+// TestFleetWithoutFault checks the two figures that users measure: the completion time relative to
+// the bound set by the links, and the copies sent by the origin.
 func TestFleetWithoutFault(t *testing.T) {
 	for _, hosts := range []int{18, 50} {
 		s := newSim(simConfig{hosts: hosts, chunks: 256, copyWindow: 30 * time.Second, seed: 1})
@@ -14,7 +14,7 @@
 		got := s.result()
 		t.Logf("hosts=%d %v", hosts, got)
 		if got.complete != hosts {
-			t.Errorf("hosts=%d: got %d whole, want all", hosts, got.complete)
+			t.Errorf("hosts=%d: got %d hosts complete, want all", hosts, got.complete)
 		}
 		if got.ratio > 1.25 {
 			t.Errorf("hosts=%d: got ratio %.3f, want at most 1.25", hosts, got.ratio)
--- a/relay/burst/chunkset.go
+++ b/relay/burst/chunkset.go
@@ -4,11 +4,11 @@
 
 const bitsPerWord = 64
 
-// newChunkSet returns an empty set of a version's chunks.
+// newChunkSet returns an empty set for the given number of chunks.
 func newChunkSet(chunks int) *bitset.BitSet { return bitset.New(uint(chunks)) }
 
-// addWords adds the chunks of a bitmap that came from another process; bits
-// past the version's end are ignored.
+// addWords adds the chunks of a bitmap received from another process and calls added for each new
+// one. It ignores bits beyond the last chunk.
 func addWords(set *bitset.BitSet, words []uint64, added func(chunk int)) {
 	own := set.Words()
 	for i := range own {
@@ -18,7 +18,8 @@
 	}
 }
 
-// replaceWords makes the set equal to a bitmap that came from another process.
+// replaceWords makes the set equal to a bitmap received from another process and calls added and
+// removed for each difference.
 func replaceWords(set *bitset.BitSet, words []uint64, added, removed func(chunk int)) {
 	own := set.Words()
 	for i := range own {
@@ -31,7 +32,7 @@
 	}
 }
 
-// wordOf returns word i of a foreign bitmap, without bits past the set's end.
+// maskedWord returns word i of a received bitmap without the bits beyond the last chunk.
 func maskedWord(set *bitset.BitSet, words []uint64, i int) uint64 {
 	if i >= len(words) {
 		return 0
--- a/relay/burst/core.go
+++ b/relay/burst/core.go
@@ -10,60 +10,60 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// Core decides for one version on one host.
+// Core decides which chunks of one version one host fetches, when and from where.
 type Core struct {
 	cfg         Config
 	rng         *rand.Rand
 	versionSeed uint64
 	selfSeed    uint64
 
-	held          *bitset.BitSet // verified and kept here
-	originFetched *bitset.BitSet // drawn from the origin by some host, as far as known; superset of held
-	revision      int            // grows with each chunk held or drawn
+	held          *bitset.BitSet // verified and stored on this host
+	originFetched *bitset.BitSet // known to have been fetched from the origin by some host; superset of held
+	revision      int            // increases whenever held or originFetched gains chunks
 
 	peers         map[string]*peerState
-	peerList      []Peer       // newest list of peers
-	firstListedAt time.Time    // when the first list came
-	recheckAt     time.Time    // when the next absent peer may be back; zero: none is absent
-	sortedPeers   []*peerState // all of peers, by id
+	peerList      []Peer       // latest list of peers
+	firstListedAt time.Time    // when the first list arrived
+	recheckAt     time.Time    // when the next absent peer may be back; zero if none is absent
+	sortedPeers   []*peerState // all peers, sorted by ID
 	neighbours    []*peerState
-	holders       []uint16 // per chunk: neighbours that hold it
+	holders       []uint16 // per chunk: number of neighbours that hold it
 	parent        *peerState
 
-	requests  []*request // requests in progress, oldest first
-	inFlight  []uint8    // per chunk: requests in progress
+	requests  []*request // in progress, oldest first
+	inFlight  []uint8    // per chunk: number of requests in progress
 	fetchTime time.Duration
 	paused    bool
-	excess    int       // requests that were in progress beyond MaxFetches when it was lowered; never grows by itself
-	lastOffer time.Time // when the idle uplink was last offered
-	uploads   int       // uploads in progress or waiting
+	excess    int       // requests beyond MaxFetches that were in progress when it was lowered; never grows by itself
+	lastOffer time.Time // when an exchange was last started because the uplink was idle
+	uploads   int       // in progress or waiting
 
-	owners             map[int][]*peerState // per chunk: hosts by rank; nil stands for this one
-	dueSince           map[int]time.Time    // per chunk: since when nobody is known to hold it though it should be drawn
+	owners             map[int][]*peerState // per chunk: hosts by rank; nil stands for this host
+	dueSince           map[int]time.Time    // per chunk: when it was first due for an origin fetch
 	ownerQueries       map[ownerQuery]time.Time
-	originRate         originRate     // of the draws of the fleet
-	originRetryAt      time.Time      // no draw before
-	nextOriginScan     time.Time      // no look at what is due before
-	nextLostScan       time.Time      // no look for lost chunks before
-	intendedFetches    *bitset.BitSet // to be drawn here once the origin may be asked again
-	originFailures     int            // draws failed in a row
-	lastOriginFailure  time.Time      // when the last of them did
-	firstOriginFailure time.Time      // when the first of them did
-	lastOriginProgress time.Time      // when a chunk was last learned to have left the origin; zero: none was
+	originRate         originRate     // of the origin fetches of the whole fleet
+	originRetryAt      time.Time      // no origin fetch before this time
+	nextOriginScan     time.Time      // no scan for due chunks before this time
+	nextLostScan       time.Time      // no scan for lost chunks before this time
+	intendedFetches    *bitset.BitSet // chunks that this host will fetch once originRetryAt has passed
+	originFailures     int            // consecutive failed origin fetches
+	lastOriginFailure  time.Time      // time of the last of them
+	firstOriginFailure time.Time      // time of the first of them
+	lastOriginProgress time.Time      // when a newly fetched chunk was last learned of; zero if never
 	imports            *importState
-	pullNotBefore      time.Time // no fetch from peers before; zero: at once
+	pullNotBefore      time.Time // no fetch from peers before this time; zero means at once
 
 	stats   Stats
 	actions []Action
 }
 
-// ownerQuery notes that a peer was asked after a chunk that it should draw.
+// ownerQuery identifies a query to an owner about a chunk that it should fetch.
 type ownerQuery struct {
 	peerID string
 	chunk  int
 }
 
-// New returns a Core that holds nothing.
+// New returns a Core that holds no chunks.
 func New(cfg Config) *Core {
 	if cfg.Strategy == "" {
 		cfg.Strategy = Swarm
@@ -95,19 +95,20 @@
 	}
 }
 
-// Whole reports whether every chunk is held.
+// Whole reports whether all chunks are held.
 func (c *Core) Whole() bool { return c.held.Count() == uint(c.cfg.Chunks) }
 
 // Held returns the number of chunks held.
 func (c *Core) Held() int { return int(c.held.Count()) }
 
-// Drawn returns the number of chunks that some host drew, as far as known.
+// Drawn returns the number of chunks known to have been fetched from the origin by some host.
 func (c *Core) Drawn() int { return int(c.originFetched.Count()) }
 
 // Holds reports whether the chunk is held.
 func (c *Core) Holds(chunk int) bool { return c.held.Test(uint(chunk)) }
 
-// Hold notes a chunk that the host has without a fetch of this Core.
+// Hold records a chunk that the host holds, such as one found in its store, and cancels the
+// requests for it.
 func (c *Core) Hold(chunk int) {
 	if c.held.Test(uint(chunk)) {
 		return
@@ -122,60 +123,60 @@
 	}
 }
 
-// Lose notes that the host no longer has a chunk.
+// Lose records that the host no longer holds a chunk.
 func (c *Core) Lose(chunk int) { c.held.Clear(uint(chunk)) }
 
-// SetUploads sets how many uploads are in progress or wait.
+// SetUploads sets the number of uploads in progress or waiting.
 func (c *Core) SetUploads(uploads int) { c.uploads = uploads }
 
-// SetPaused stops new fetches, or lets them go on; exchanges go on anyway.
+// SetPaused pauses or resumes new fetches; exchanges continue while paused.
 func (c *Core) SetPaused(paused bool) { c.paused = paused }
 
-// Abandon gives up all that is on its way, since the version is no longer wanted
-// here: what the origin still sends of it would hold up the next version.
+// Abandon cancels all requests because the version is no longer wanted here: data that the origin
+// still sends for it would delay the next version.
 func (c *Core) Abandon() {
 	for _, req := range slices.Clone(c.requests) {
 		c.cancel(req)
 	}
 }
 
-// SetPullFrom puts off fetches from peers, so that others get the version first:
-// until the time given this host draws what is its turn and takes in what its
-// region needs, no more.
+// SetPullFrom postpones fetches from peers so that other hosts complete the version first. Until
+// the given time this host only fetches the chunks it owns from the origin and the chunks it
+// imports for its region.
 func (c *Core) SetPullFrom(from time.Time) { c.pullNotBefore = from }
 
-// SetMaxFetches changes Config.MaxFetches. Requests in progress beyond it go on.
+// SetMaxFetches changes Config.MaxFetches. Requests in progress beyond the new bound continue.
 func (c *Core) SetMaxFetches(count int) {
 	c.excess = max(0, len(c.requests)-count)
 	c.cfg.MaxFetches = count
 }
 
-// SetPolicy changes the objective; see Config.
+// SetPolicy changes Config.Objective and Config.OriginCopies.
 func (c *Core) SetPolicy(objective string, originCopies int) {
 	c.cfg.Objective = objective
 	c.cfg.OriginCopies = originCopies
 }
 
-// Stats counts what a Core did since its start.
+// Stats counts the activity of a Core since its creation.
 type Stats struct {
 	Draws      int // requests to the origin
-	DrawsAgain int // of those, of chunks that some host had drawn before
+	DrawsAgain int // of those, requests for chunks that some host had fetched before
 	Pulls      int // requests to peers
-	Busy       int // refused by a busy peer
+	Busy       int // requests refused by a busy source
 	TimedOut   int
 	Corrupt    int
 	Broken     int
 	Exchanges  int
 	FarPulls   int       // requests to peers in other regions
 	FirstHeld  time.Time // when the first chunk was held
-	AllDrawn   time.Time // when every chunk was known to have left the origin
+	AllDrawn   time.Time // when all chunks were known to have been fetched from the origin
 }
 
-// Stats returns the counts.
+// Stats returns the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Decide returns what to do now. The program calls it after events and at
-// least every few tens of milliseconds.
+// Decide returns the actions to take now. The caller invokes it after each event and at least
+// every few tens of milliseconds.
 func (c *Core) Decide(now time.Time) []Action {
 	c.expireRequests(now)
 	if !c.recheckAt.IsZero() && !now.Before(c.recheckAt) {
--- a/relay/burst/exchange.go
+++ b/relay/burst/exchange.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// exchange swaps reports with the neighbours that lack our news. Who has an
-// idle uplink is quick to say what it holds, one neighbour after the other until
-// one asks for a chunk; who is busy takes its time. The cost per host does not
-// depend on the fleet's size, because the number of neighbours is bounded.
+// exchange swaps reports with the neighbours that lack this host's latest state. A host with an
+// idle uplink announces its chunks to one neighbour after the other in quick succession until one
+// requests a chunk; a busy host waits for the regular interval. The cost per host does not depend
+// on the fleet's size because the number of neighbours is bounded.
 func (c *Core) exchange(now time.Time) {
 	var candidate *peerState
 	for _, pst := range c.neighbours {
--- a/relay/burst/faults_test.go
+++ b/relay/burst/faults_test.go
@@ -10,11 +10,10 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestFaults runs the scripts in testdata/faults. A run's arguments size the
-// fleet; each line of its input is a change of the world at a time, or the
-// bounds that the run must keep; its output says which were kept, and by how
-// much they were missed. Dead hosts stay in every host's list of peers: the
-// list lags behind for the whole run.
+// TestFaults runs the scripts in testdata/faults. The arguments of a run set the simulation's
+// options. Each input line is a fault at a given time, or the bounds that the run must keep; the
+// output states which bounds were kept and the value that missed one. Dead hosts stay in every
+// host's list of peers for the whole run, as if the list lagged.
 func TestFaults(t *testing.T) {
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, td *datadriven.TestData) string {
 		cfg := simConfig{hosts: 45, chunks: 96, copyWindow: 24 * time.Second, seed: 1, copies: 2}
@@ -57,18 +56,18 @@
 	case "shared":
 		cfg.shared, err = strconv.ParseBool(value)
 	default:
-		t.Fatalf("got the argument %s, want one that this test knows", key)
+		t.Fatalf("unknown argument %q", key)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// planFault takes "at 3s kill 6".
+// planFault schedules a fault such as "at 3s kill 6".
 func planFault(t *testing.T, s *sim, words []string) {
 	t.Helper()
 	if len(words) < 4 || words[0] != "at" {
-		t.Fatalf("got %q, want: at TIME CHANGE OBJECT", words)
+		t.Fatalf("got %q, want: at TIME FAULT OBJECT", words)
 	}
 	at, err := time.ParseDuration(words[1])
 	if err != nil {
@@ -98,7 +97,7 @@
 }
 
 func (s *sim) applyOriginFault(t *testing.T, state string) {
-	const normal = 4 // copies a window
+	const normal = 4 // copies that the origin's link carries in copyWindow
 	s.originFault = nil
 	piece := s.cfg.copyWindow / time.Duration(s.cfg.chunks*simPieces) / normal
 	switch state {
@@ -110,12 +109,12 @@
 	case "slow":
 		piece *= 10
 	default:
-		t.Fatalf("got origin %s, want up, down, refuses or slow", state)
+		t.Fatalf("got origin state %q, want up, down, refuses or slow", state)
 	}
 	s.origin.link.pieceTime = piece
 }
 
-// changeHosts applies a change to a number of hosts that no change hit yet.
+// applyHostFaults applies a fault to the given number of random hosts that no other fault affects.
 func (s *sim) applyHostFaults(t *testing.T, what, number string) {
 	count, err := strconv.Atoi(number)
 	if err != nil {
@@ -158,11 +157,11 @@
 	case "corruptAll":
 		host.corrupts = true
 	default:
-		t.Fatalf("got the change %s, want one that this test knows", what)
+		t.Fatalf("unknown fault %q", what)
 	}
 }
 
-// checkBounds takes bounds like "ratio<=1.60".
+// checkBounds checks bounds such as "ratio<=1.60" and returns the result of each.
 func checkBounds(t *testing.T, s *sim, bounds []string) string {
 	t.Helper()
 	var out strings.Builder
@@ -191,8 +190,8 @@
 	return out.String()
 }
 
-// fit counts the hosts that must become whole and those that are: the live ones
-// whose links work.
+// countComplete counts the live hosts with working links, which must complete the version, and
+// those of them that did.
 func (s *sim) countComplete() (complete, live int) {
 	for _, host := range s.hosts {
 		if host.dead || host.stalled || host.slowed {
--- a/relay/burst/invariants.go
+++ b/relay/burst/invariants.go
@@ -1,6 +1,7 @@
 package burst
 
-// check asserts what must hold between two decisions.
+// checkInvariants verifies the Core's state after each decision and reports violations to
+// Config.Broken.
 func (c *Core) checkInvariants() {
 	if c.cfg.Broken == nil {
 		return
@@ -11,7 +12,7 @@
 			draws++
 		}
 		if c.held.Test(uint(req.chunk)) {
-			c.cfg.Broken("a chunk is fetched that is held")
+			c.cfg.Broken("a held chunk is being fetched")
 		}
 	}
 	for _, pst := range c.sortedPeers {
@@ -21,16 +22,16 @@
 		counted += int(count)
 	}
 	if counted != len(c.requests) || inPeers > len(c.requests)-draws {
-		c.cfg.Broken("the counts of requests in progress differ from the requests")
+		c.cfg.Broken("the request counters do not match the requests in progress")
 	}
 	if c.held.DifferenceCardinality(c.originFetched) != 0 {
-		c.cfg.Broken("a chunk is held that is not known as drawn")
+		c.cfg.Broken("a held chunk is not recorded as fetched from the origin")
 	}
 	c.excess = min(c.excess, max(0, len(c.requests)-c.cfg.MaxFetches))
 	if len(c.requests) > c.cfg.MaxFetches+c.excess+maxOriginFetches {
 		c.cfg.Broken("more requests are in progress than allowed")
 	}
 	if c.cfg.Strategy == Swarm && draws > maxOriginFetches {
-		c.cfg.Broken("more draws are in progress than allowed")
+		c.cfg.Broken("more origin fetches are in progress than allowed")
 	}
 }
--- a/relay/burst/leaving_test.go
+++ b/relay/burst/leaving_test.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// Symptom: a version is whole on most hosts a second after the origin sent the last
-// chunk, and for that second each lacks one chunk that hosts of other regions hold.
-// Sequence: operators take 11 of 69 hosts away; their engines leave, the list of hosts
-// names them no more, but their agents still call others for some seconds. A version
-// comes then (64 chunks; 2.8 s a copy of the origin, 2.2 s over a host's link). Cause:
-// a host that called counted among those that may draw a chunk or take it into their
-// region, and the others left it its turn.
+// Guards against most hosts completing a version a second after the origin sent the last chunk,
+// each lacking one chunk held in other regions meanwhile. Operators remove 11 of 69 hosts: their
+// engines leave and the list of hosts no longer names them, but their agents still call other
+// hosts for some seconds when a version arrives (64 chunks; a copy takes 2.8 s from the origin and
+// 2.2 s over a host's link). The calling hosts counted as owners and importers of chunks, so the
+// other hosts waited for them.
 func TestHostsThatLeaveAreNotWaitedFor(t *testing.T) {
 	seed := uint64(0)
 	complete := func(leaving int) time.Duration {
@@ -40,7 +39,7 @@
 	for seed = range uint64(3) {
 		all, some := complete(0), complete(11)
 		if some > all+all/5 {
-			t.Errorf("got all whole after %v while 11 hosts leave, %v while none does, want at most a fifth more: they still draw on the others", some, all)
+			t.Errorf("all hosts complete after %v while 11 hosts leave and after %v while none does, want at most a fifth more", some, all)
 		}
 	}
 }
--- a/relay/burst/origin.go
+++ b/relay/burst/origin.go
@@ -7,19 +7,17 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// draw requests chunks from the origin that are this host's turn. The first
-// drawWindow chunks that nobody is known to have drawn are due; of those a host
-// draws the ones it ranks first for. The hosts of lower rank wait a turn for
-// each rank before them and then ask the hosts before them: they draw only when
-// all of those are unreachable or neither hold nor fetch the chunk. Where the
-// policy allows more copies, as many hosts may also take over from one that is
-// still fetching after takeoverTurns.
+// fetchDueChunks requests from the origin the due chunks that this host should fetch. The first
+// originWindow chunks that no host is known to have fetched are due; a host fetches those for
+// which it is the first owner. A lower-ranked owner waits one rank timeout for each owner before
+// it and then queries them: it fetches only if each of them is unreachable, or neither holds nor
+// fetches the chunk. Where the policy allows more copies, as many owners may also take over from
+// one that is still fetching after takeoverRankTimeouts.
 //
-// So, among hosts that can reach each other, at most maxDrawWindow chunks are
-// requested from the origin at once, each by at most copiesAllowed hosts, and
-// no chunk is drawn more often than copiesAllowed plus the draws of it that
-// failed or whose host passes the chunk on to nobody, and never by more than
-// ownerRanks hosts, however many hosts fail.
+// Hence, among hosts that can reach each other, at most maxOriginWindow chunks are requested from
+// the origin at once, each by at most copiesAllowed hosts. A chunk is fetched at most
+// copiesAllowed times, plus once for each fetch that failed or whose host delivers the chunk to
+// nobody, and by at most maxOwnerRanks hosts, however many hosts fail.
 func (c *Core) fetchDueChunks(now time.Time) {
 	if now.Before(c.nextOriginScan) || !c.readyForOrigin(now) {
 		return
@@ -46,9 +44,9 @@
 	c.findLost(now)
 }
 
-// drawWindow returns how many chunks the fleet draws at once: few at first, so
-// that the first ones come soon and spread, more later, when owners have less
-// of their links left and one that stalls should not matter.
+// originWindow returns the number of chunks that the fleet fetches from the origin concurrently.
+// It starts small, so that the first chunks arrive and spread early. It grows later, when owners
+// have less of their link capacity left and one stalled owner should not matter.
 func (c *Core) originWindow() int {
 	if c.cfg.DrawWindow > 0 {
 		return c.cfg.DrawWindow
@@ -56,9 +54,10 @@
 	return min(minOriginWindow+int(c.originFetched.Count())/originWindowStep, maxOriginWindow)
 }
 
-// settled reports whether enough is known to draw. A host that just started
-// knows few peers and would take itself for the owner of every chunk, the more
-// the worse: it first asks neighbours, or waits a little where none answers.
+// readyForOrigin reports whether enough peers have reported to start fetching from the origin. A
+// host that just started knows few peers and would consider itself the owner of every chunk, the
+// more so the fewer it knows. It first waits for half of its chosen neighbours to answer, or for
+// maxStartupWait.
 func (c *Core) readyForOrigin(now time.Time) bool {
 	if c.firstListedAt.IsZero() {
 		return false
@@ -78,7 +77,8 @@
 	return now.Sub(c.firstListedAt) >= maxStartupWait
 }
 
-// findLost looks for chunks that were drawn but whose holders may be gone.
+// findLost fetches chunks again that some host fetched from the origin but whose holders may be
+// gone.
 func (c *Core) findLost(now time.Time) {
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
 		if c.originFetched.Test(chunk) && c.inFlight[chunk] == 0 && !c.offeredByNeighbour(int(chunk)) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// offeredNear reports whether a neighbour that delivers holds the chunk.
+// offeredByNeighbour reports whether a neighbour that delivers holds the chunk.
 func (c *Core) offeredByNeighbour(chunk int) bool {
 	if c.holders[chunk] > fewHoldersLimit {
 		return true
@@ -114,10 +114,11 @@
 	}
 }
 
-// waited returns for how long the owners of a chunk that is due since a time have kept others
-// waiting. While the origin answers neither this host nor, as far as known, any other, that is
-// no fault of theirs: were it counted, all ranks would draw together once the origin is back. A
-// part counts all the same, since both failures here and silence elsewhere may have other causes.
+// ownerDelay returns how long the owners of a chunk, due since the given time, have delayed it.
+// Most of the time in which the origin answers neither this host nor, as far as known, any other
+// is subtracted: the owners are not at fault, and counting it would let all ranks fetch together
+// once the origin is back. A part still counts, because failures here and silence elsewhere may
+// have other causes.
 func (c *Core) ownerDelay(now, since time.Time) time.Duration {
 	waited := now.Sub(since)
 	if stall := c.originStall(now, since); stall > 0 && c.originFailures > 0 {
@@ -126,7 +127,8 @@
 	return waited
 }
 
-// stall returns for how much longer than a turn no chunk is known to have left the origin.
+// originStall returns how much longer than a rank timeout no chunk is known to have left the
+// origin.
 func (c *Core) originStall(now, since time.Time) time.Duration {
 	if c.lastOriginProgress.After(since) {
 		since = c.lastOriginProgress
@@ -134,8 +136,9 @@
 	return now.Sub(since) - c.rankTimeout()
 }
 
-// forgiveStall lets owners begin their turns anew where the first chunk in a while leaves the
-// origin. Hosts that drew nothing meanwhile do not know that it was away.
+// discountStall excludes the time of an origin outage from the delay of owners when the first
+// chunk after it arrives, so that each rank timeout starts over. Hosts that fetched nothing during
+// the outage did not notice it.
 func (c *Core) discountStall(now time.Time) {
 	for chunk, since := range c.dueSince {
 		if stall := c.originStall(now, since); stall > 0 {
@@ -146,9 +149,9 @@
 
 func (c *Core) fetchFromOrigin(now time.Time, chunk int) {
 	if now.Before(c.originRetryAt) {
-		// While the origin fails, an owner that kept silent would be taken over
-		// by all ranks, and they would draw together once it answers. Where others draw
-		// meanwhile the fault may be its own.
+		// Announce the intent: while the origin fails, all ranks would take over from an owner that
+		// reports nothing, and would fetch together once the origin answers. If other hosts succeed
+		// meanwhile, the fault may be this host's, and it stops announcing.
 		if c.originFailures <= maxIntendedFailures || c.lastOriginProgress.Before(c.firstOriginFailure) {
 			c.intendedFetches.Set(uint(chunk))
 		}
@@ -169,11 +172,11 @@
 	return draws
 }
 
-// myTurn reports whether this host should draw a chunk that has been due for
-// the time given.
+// shouldFetchFromOrigin reports whether this host should fetch a chunk from the origin whose
+// owners have delayed it by the given time.
 func (c *Core) shouldFetchFromOrigin(now time.Time, chunk int, waited time.Duration) bool {
 	turn := c.rankTimeout()
-	// A chunk that somebody drew is probably on its way here.
+	// A chunk that some host fetched is probably on its way to this one.
 	refetch := c.originFetched.Test(uint(chunk))
 	if refetch {
 		waited -= lostRankTimeouts * turn
@@ -191,7 +194,7 @@
 			return false
 		}
 		if refetch && waited >= time.Duration(before)*turn*undeliveredRankTimeouts {
-			// It holds the chunk and passes it on to nobody.
+			// The owner holds the chunk but delivers it to no host.
 			continue
 		}
 		if before < c.copiesAllowed() && !refetch && waited >= time.Duration(before)*turn*takeoverRankTimeouts {
@@ -204,7 +207,7 @@
 	return false
 }
 
-// copiesAllowed returns how many hosts may draw the same chunk although none of
+// copiesAllowed returns how many hosts may fetch the same chunk from the origin although none of
 // them failed.
 func (c *Core) copiesAllowed() int {
 	if c.cfg.Objective == ObjectiveOriginBytes {
@@ -213,9 +216,9 @@
 	return max(1, c.cfg.OriginCopies)
 }
 
-// overtaken reports whether a host of lower rank may be drawing the chunk. While
-// hosts begin one after the other, the next in rank takes over from an owner
-// that does not take part yet; the owner then asks before it draws too.
+// lowerRankMayFetch reports whether a lower-ranked owner may be fetching the chunk. While hosts
+// start one after the other, the next in rank takes over from an owner that does not take part
+// yet; that owner therefore contacts it before it fetches too.
 func (c *Core) lowerRankMayFetch(now time.Time, chunk int) bool {
 	asked := 0
 	after := false
@@ -243,11 +246,11 @@
 	return false
 }
 
-// excluded reports whether a host of higher rank said lately that it neither
-// holds nor fetches the chunk; it asks where that is unknown.
+// canSkipOwner reports whether a higher-ranked owner is gone or recently reported that it neither
+// holds nor fetches the chunk. It starts a query if that is unknown.
 func (c *Core) canSkipOwner(now time.Time, owner *peerState, chunk int, turn time.Duration) bool {
 	if owner.failures > 0 && now.Sub(owner.seenAt) > maxSilence {
-		// It failed and has been silent since; a stalled link answers nothing.
+		// It failed and has been silent since; a stalled link returns no error.
 		return true
 	}
 	if owner.exchanging {
@@ -270,12 +273,12 @@
 	return !owner.hasChunk(owner.fetching, chunk)
 }
 
-// pullFromOwner requests a chunk that no neighbour offers from the owner that
-// holds it. The owner need not be a neighbour, and where it sends nothing but
-// corrupt bytes, this is how the hosts of lower rank find out.
+// pullFromOwner requests a chunk that no neighbour offers from an owner that holds it. The owner
+// need not be a neighbour. If it sends only corrupt data, this request is how the lower-ranked
+// owners find out.
 //
-// Where bytes between regions are dear, only the host that takes the chunk into
-// its region asks an owner in another one.
+// Under DearRegions, only the host that imports the chunk into its region asks an owner in another
+// region.
 func (c *Core) pullFromOwner(now time.Time, owner *peerState, chunk int) {
 	if c.isCostly(owner) && c.importRank(now, chunk) > 0 {
 		return
@@ -285,7 +288,8 @@
 	}
 }
 
-// turn is the time that each rank has, from the measured pace of the draws.
+// rankTimeout returns the time that each owner has to fetch a chunk, derived from the measured
+// rate of origin fetches.
 func (c *Core) rankTimeout() time.Duration {
 	gap := c.originRate.cappedGap()
 	if gap == 0 {
@@ -294,9 +298,9 @@
 	return min(max(rankTimeoutGaps*gap, minRankTimeout), maxRankTimeout)
 }
 
-// ownersOf returns the hosts that may draw a chunk, by rank; nil stands for
-// this one. One that the list of peers does not name, or no more, is none of them
-// though it calls: a host that leaves takes nothing in.
+// ownersOf returns the hosts that may fetch a chunk from the origin, by rank; nil stands for this
+// host. Hosts missing from the list of peers are excluded even if they still send reports: a host
+// that is leaving fetches nothing.
 func (c *Core) ownersOf(chunk int) []*peerState {
 	if owners, ok := c.owners[chunk]; ok {
 		return owners
@@ -325,9 +329,9 @@
 	return owners
 }
 
-// askAhead asks the hosts that rank before this one for a chunk that is due
-// soon, one after the other while they turn out to be absent, so that nobody
-// waits for a host that is gone or takes no part.
+// queryOwner contacts the first owner that ranks before this host and is not absent, if it has not
+// reported yet. Called for chunks that are due soon, it finds absent owners one after the other,
+// so that nobody waits for a host that is gone or does not take part.
 func (c *Core) queryOwner(now time.Time, chunk int) {
 	for _, owner := range c.ownersOf(chunk) {
 		if owner == nil {
@@ -343,8 +347,8 @@
 	}
 }
 
-// wakeNextOwner notifies the owner of the chunk that became due what was drawn,
-// so that the origin's link does not wait for the next exchange.
+// notifyNextOwner sends a report to the owner of the chunk that just became due, so that the
+// origin's link does not stay idle until the next regular exchange.
 func (c *Core) notifyNextOwner() {
 	due := 0
 	for chunk, ok := c.originFetched.NextClear(0); ok; chunk, ok = c.originFetched.NextClear(chunk + 1) {
@@ -360,8 +364,8 @@
 	}
 }
 
-// originFailed backs off. A refusal over the origin's rate says how long; other
-// failures double the pause, so that a failing origin is left in peace.
+// originFailed backs off after a failed origin fetch. The pause doubles with each failure to
+// relieve a failing origin, and is never shorter than the retry delay that the origin requested.
 func (c *Core) originFailed(now time.Time, cause Cause, retryAfter time.Duration) {
 	if cause == Dropped {
 		return
--- a/relay/burst/originrate.go
+++ b/relay/burst/originrate.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// paceSamples is the draws that the pace is measured over.
+// rateSamples is the number of origin fetches over which the rate is measured.
 const rateSamples = 16
 
-// pace measures how fast the fleet draws chunks from the origin.
+// originRate measures how fast the fleet fetches chunks from the origin.
 type originRate struct {
-	times  []time.Time   // when the newest draws became known, oldest first
-	minGap time.Duration // least gap over paceSamples; 0 until measured
+	times  []time.Time   // when the latest fetches became known, oldest first
+	minGap time.Duration // smallest mean gap over rateSamples; 0 until measured
 }
 
-// note takes draws that became known together.
+// record adds origin fetches that became known at the same time.
 func (p *originRate) record(now time.Time, draws int) {
 	for range min(draws, rateSamples) {
 		p.times = append(p.times, now)
@@ -22,7 +22,7 @@
 	}
 }
 
-// steadyGap returns the gap without most of what stalled owners add to it.
+// cappedGap returns the mean gap, bounded so that stalled owners barely increase it.
 func (p *originRate) cappedGap() time.Duration {
 	gap := p.meanGap()
 	if p.minGap > 0 {
@@ -31,9 +31,8 @@
 	return gap
 }
 
-// gap returns the mean time between two draws; 0 until it was measured. The
-// longest one is left out: an owner that stalls must not stretch the turns that
-// end its stall.
+// meanGap returns the mean time between two origin fetches, or 0 until it was measured. It ignores
+// the longest gap: a stalled owner must not lengthen the rank timeout that ends its stall.
 func (p *originRate) meanGap() time.Duration {
 	count := len(p.times)
 	if count < minOriginWindow {
--- a/relay/burst/outage_test.go
+++ b/relay/burst/outage_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Symptom: a version named 2.5 s before its origin went away is whole on 88 hosts only 3.7
-// s after the origin's return, past its bound, and for that time no engine serves. Sequence:
-// the origin answers nothing for 6 s, with two thirds of the chunks drawn; then it
-// returns. Cause: the time of the outage counted as time for which the owners of chunks
-// had kept others waiting, so all ranks drew at once: 42 draws for 22 chunks.
+// Guards against a late recovery after an origin outage: a version announced 2.5 s before the
+// outage was complete on 88 hosts only 3.7 s after the origin's return, past its bound, and no
+// engine served meanwhile. The origin is unreachable for 6 s after two thirds of the chunks were
+// fetched. The outage counted as delay caused by the owners of chunks, so all ranks fetched at
+// once: 42 origin fetches for 22 chunks.
 func TestOutageOfTheOriginIsNoFaultOfOwners(t *testing.T) {
 	const (
 		seeds                  = 3
@@ -48,17 +48,17 @@
 		after += s.lastCompletion() - outageEnd
 		copies += s.result().copies
 	}
-	// As without the outage: what is missing leaves the origin, and the rest takes what it
-	// takes in calm beyond the origin's time.
+	// After its return the origin sends the missing chunks; the rest takes as long as a run without
+	// an outage takes beyond the origin's transfer time.
 	if got, maximum := after/seeds, (draws+undisturbed)/seeds-originCopy; got > maximum {
-		t.Errorf("got all whole %v after the origin's return in the mean, want %v at most", got, maximum)
+		t.Errorf("all hosts complete %v after the origin's return on average, want at most %v", got, maximum)
 	}
 	if got, maximum := copies/seeds, 1.15; got > maximum {
-		t.Errorf("got %.2f copies from the origin in the mean, want %v at most", got, maximum)
+		t.Errorf("got %.2f copies from the origin on average, want at most %v", got, maximum)
 	}
 }
 
-// lastWhole returns when the last host was whole; an hour where one is not.
+// lastCompletion returns when the last host completed, or an hour if one did not.
 func (s *sim) lastCompletion() time.Duration {
 	var last time.Duration
 	for _, host := range s.hosts {
--- a/relay/burst/peers.go
+++ b/relay/burst/peers.go
@@ -10,35 +10,35 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// peerState is what a Core knows of another agent.
+// peerState holds what a Core knows about another agent.
 type peerState struct {
 	peer      Peer
 	seed      uint64
-	listed    bool // in the newest list of peers
-	neighbour bool // exchanged with regularly
-	chosen    bool // neighbour by our own choice
-	heldCount int  // bits of held
+	listed    bool // in the latest list of peers
+	neighbour bool // exchanges reports with this host regularly
+	chosen    bool // neighbour by this host's choice
+	heldCount int  // number of chunks in held
 
-	held     *bitset.BitSet // nil until it was seen; only grows
+	held     *bitset.BitSet // nil until its first report
 	fetching []uint64
 	seenAt   time.Time
 
 	exchanging      bool
-	lastExchange    time.Time // when the last exchange ended, either side's
-	sentRevision    int       // c.news when it last received them; -1 before
-	sendingRevision int       // c.news when the exchange in progress began
+	lastExchange    time.Time // when the last exchange ended, whichever side started it
+	sentRevision    int       // Core.revision that the peer last received; -1 if none
+	sendingRevision int       // Core.revision when the exchange in progress began
 
-	queue     int // requests waiting at its uplink when last seen
+	queue     int // uploads in progress or waiting there, as last reported
 	inFlight  int
-	fetchTime time.Duration // moving average of a fetch from it; 0 until measured
+	fetchTime time.Duration // moving average duration of a fetch from it; 0 until measured
 
-	busyUntil           time.Time // asked to come back then
-	slowUntil           time.Time // let fetches time out: not asked until then
-	suspectUntil        time.Time // taken to be unreachable until then
-	bannedUntil         time.Time // sent corrupt bytes repeatedly: ignored until then
-	nonParticipantUntil time.Time // takes no part in the version until then
+	busyUntil           time.Time // no requests before, as it asked to retry later or lacked a chunk
+	slowUntil           time.Time // no requests before, after a timeout or a corrupt chunk
+	suspectUntil        time.Time // considered unreachable until then
+	bannedUntil         time.Time // ignored until then, after repeated corrupt chunks or timeouts
+	nonParticipantUntil time.Time // does not take part in the version until then
 	timeouts            int       // requests that timed out since it last delivered
-	failures            int       // failures since it was last seen
+	failures            int       // failures since its last report
 	corruptChunks       int       // corrupt chunks since it last delivered
 }
 
@@ -47,7 +47,7 @@
 	return p.held != nil && !now.Before(p.busyUntil) && !now.Before(p.slowUntil) && !p.absent(now)
 }
 
-// absent reports whether the peer is to be treated as if it were not there.
+// absent reports whether the peer is to be treated as nonexistent.
 func (p *peerState) absent(now time.Time) bool { return now.Before(p.absentUntil()) }
 
 func (p *peerState) absentUntil() time.Time {
@@ -60,12 +60,13 @@
 	return until
 }
 
-// doubled returns a pause that doubles with each failure before, within bounds.
+// backoff returns a pause that doubles with each previous failure, up to maxPenalty.
 func backoff(base time.Duration, before int) time.Duration {
 	return min(base<<min(max(before, 0), 6), maxPenalty)
 }
 
-// corrupted notes a corrupt chunk. One may be the link's fault.
+// recordCorruptChunk pauses requests to the peer, and bans it after several corrupt chunks in a
+// row: a single one may be the link's fault.
 func (p *peerState) recordCorruptChunk(now time.Time) {
 	p.corruptChunks++
 	if p.corruptChunks < corruptChunksToBan {
@@ -75,7 +76,7 @@
 	p.ban(now, p.corruptChunks-corruptChunksToBan)
 }
 
-// stalled notes a request that timed out.
+// recordTimeout pauses requests to the peer, and bans it after several timeouts in a row.
 func (p *peerState) recordTimeout(now time.Time) {
 	p.slowUntil = now.Add(backoff(timeoutPenalty, p.timeouts))
 	p.timeouts++
@@ -84,13 +85,13 @@
 	}
 }
 
-// ban ignores a peer that talks but does not deliver, longer each time: the
-// fleet would ask it for ever and take what it alone holds for available.
+// ban ignores a peer that responds but does not deliver, longer each time. Otherwise the fleet
+// would keep asking it and consider the chunks that it alone holds available.
 func (p *peerState) ban(now time.Time, before int) {
 	p.bannedUntil = now.Add(backoff(banPause, before))
 }
 
-// unanswered takes the peer to be unreachable for a while.
+// recordFailure considers the peer unreachable for a while.
 func (p *peerState) recordFailure(now time.Time) {
 	p.suspectUntil = now.Add(backoff(suspectWait, p.failures))
 	p.failures++
@@ -101,8 +102,8 @@
 	return word < len(set) && set[word]&(1<<(chunk%bitsPerWord)) != 0
 }
 
-// SetPeers replaces the list of agents known to live; Self is ignored. A
-// neighbour that left the list stays while it answers, because the list lags.
+// SetPeers replaces the list of live agents, ignoring Self. A peer that is no longer listed is
+// kept while it sends reports, because the list lags.
 func (c *Core) SetPeers(now time.Time, list []Peer) {
 	if !c.firstListedAt.IsZero() && slices.Equal(list, c.peerList) {
 		return
@@ -150,7 +151,7 @@
 	c.setNeighbour(pst, false)
 }
 
-// membershipChanged recomputes what depends on who is there.
+// membershipChanged recomputes the state that depends on which peers are present.
 func (c *Core) membershipChanged(now time.Time) {
 	clear(c.owners)
 	c.imports.ranks = nil
@@ -164,8 +165,8 @@
 	c.parent = c.findParent()
 }
 
-// chooseNeighbours picks by a hash of the pair, so that most choices are
-// mutual and one host's coming or going changes few of them.
+// chooseNeighbours ranks peers by a hash of the pair, so that most choices are mutual and a host
+// that joins or leaves changes few of them.
 func (c *Core) chooseNeighbours(now time.Time) {
 	ranked := make([]scoredPeer, 0, len(c.sortedPeers))
 	for _, pst := range c.sortedPeers {
@@ -189,8 +190,8 @@
 	}
 }
 
-// chooseAnywhere picks a few neighbours in the own failure domain and most of
-// them anywhere.
+// chooseByDomain picks a few neighbours in this host's failure domain and most of them regardless
+// of failure domain.
 func (c *Core) chooseByDomain(ranked []scoredPeer) {
 	near, far := sameDomainNeighbours, anyDomainNeighbours
 	for _, entry := range ranked {
@@ -204,7 +205,7 @@
 	}
 }
 
-// scoredPeer is a candidate of a ranking by rendezvous hash.
+// scoredPeer is a candidate in a ranking by rendezvous hash.
 type scoredPeer struct {
 	score uint64
 	pst   *peerState // nil stands for this host
@@ -229,8 +230,7 @@
 	c.countHolders(pst, on)
 }
 
-// countHolders adds a neighbour's chunks to the rarity counts, or takes them
-// out.
+// countHolders adds a neighbour's chunks to the holder counts, or subtracts them.
 func (c *Core) countHolders(pst *peerState, on bool) {
 	if pst.held == nil {
 		return
--- a/relay/burst/pull.go
+++ b/relay/burst/pull.go
@@ -6,7 +6,7 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// pull requests chunks from neighbours until enough are on their way.
+// pull requests chunks from neighbours until MaxFetches requests are in progress.
 func (c *Core) pull(now time.Time) {
 	for len(c.requests) < c.cfg.MaxFetches {
 		chunk, source := c.choosePull(now)
@@ -18,8 +18,8 @@
 	c.duplicateSlowRequests(now)
 }
 
-// choose returns the rarest chunk that a neighbour with room offers, and the
-// neighbour that should deliver it soonest.
+// choosePull returns the rarest chunk that a neighbour with spare request capacity offers, and the
+// neighbour expected to deliver it soonest.
 func (c *Core) choosePull(now time.Time) (int, *peerState) {
 	offered := newChunkSet(c.cfg.Chunks)
 	for _, pst := range c.neighbours {
@@ -40,9 +40,8 @@
 	return chunk, c.fastestSource(now, chunk, nil)
 }
 
-// rarest returns a chunk of the set with the fewest holders, at random among
-// equals so that hosts in the same state ask for different ones; -1 where all
-// are in flight.
+// rarest returns a chunk of the set with the fewest holders, or -1 if all are in progress. Ties
+// are broken at random so that hosts in the same state request different chunks.
 func (c *Core) rarest(set *bitset.BitSet) int {
 	best, ties := -1, 0
 	for i, ok := set.NextSet(0); ok; i, ok = set.NextSet(i + 1) {
@@ -63,8 +62,8 @@
 	return best
 }
 
-// soonest returns the usable neighbour other than except that holds the chunk
-// and should deliver it first; nil where there is none.
+// fastestSource returns the usable neighbour, other than except, that holds the chunk and is
+// expected to deliver it first; nil if there is none.
 func (c *Core) fastestSource(now time.Time, chunk int, except *peerState) *peerState {
 	var best *peerState
 	var least float64
@@ -80,7 +79,7 @@
 	return best
 }
 
-// cost estimates how long a peer needs for one more chunk, in chunk times.
+// estimateCost estimates how long a peer needs to deliver one more chunk, in chunk times.
 func (c *Core) estimateCost(pst *peerState) float64 {
 	cost := 1 + float64(pst.inFlight) + float64(pst.queue)
 	if pst.fetchTime > 0 && c.fetchTime > 0 {
@@ -96,8 +95,8 @@
 	return cost * (1 + 0.2*c.rng.Float64())
 }
 
-// duplicate asks a second source for a chunk that is long on its way, near the
-// end only: one slow source would hold the host up otherwise.
+// duplicateSlowRequests requests long-pending chunks from a second source near the end of the
+// transfer, where one slow source would otherwise delay completion.
 func (c *Core) duplicateSlowRequests(now time.Time) {
 	missing := c.cfg.Chunks - c.Held()
 	if missing > len(c.requests) || c.fetchTime == 0 {
--- a/relay/burst/random_test.go
+++ b/relay/burst/random_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestRandomFaults runs small fleets under random faults, several at once. The
-// Cores assert their own invariants; after the faults every host whose link
-// works must become whole, and the origin's budget must hold.
+// TestRandomFaults runs small fleets under several random faults at once, with the invariant
+// checks of Core enabled. After the faults, every host with a working link must complete the
+// version, and the origin must not exceed its budget of copies.
 func TestRandomFaults(t *testing.T) {
 	const runs = 25
 	for seed := range uint64(runs) {
@@ -27,7 +27,7 @@
 			s.run()
 			res := s.result()
 			if res.complete < res.live {
-				t.Errorf("got %d of %d whole, want all: %v", res.complete, res.live, res)
+				t.Errorf("got %d of %d hosts complete, want all: %v", res.complete, res.live, res)
 			}
 			if want := 2.0; res.copies > want {
 				t.Errorf("got %.2f copies from the origin, want at most %.2f", res.copies, want)
--- a/relay/burst/regions.go
+++ b/relay/burst/regions.go
@@ -10,48 +10,45 @@
 )
 
 const (
-	// regionNear and regionFar are the neighbours within the own region and in
-	// others where bytes between regions are dear: most chunks come from near,
-	// and a few neighbours elsewhere are enough to fetch one copy.
+	// Under DearRegions, a host has sameRegionNeighbours in its own region, which supply most
+	// chunks, and otherRegionNeighbours elsewhere, which are enough to import one copy.
 	sameRegionNeighbours  = 6
 	otherRegionNeighbours = 4
-	// regionNews is the time between exchanges with a neighbour while there is
-	// news: with few neighbours, each is the only way to what it holds.
+	// regionUpdateInterval replaces updateInterval under DearRegions: with few neighbours, each is
+	// the only path to the chunks it holds.
 	regionUpdateInterval = 300 * time.Millisecond
-	// importTurn is how long the next host of a region waits at least until it
-	// fetches a chunk from another region in place of the host before it in
-	// rank, and importFetches the same in measured fetch times: one slow host
-	// must not stop a region, and a busy one must not be overtaken.
+	// A host waits for each host of its region that ranks before it until it imports a chunk: at
+	// least minImportRankTimeout, and at least importRankFetchTimes measured fetch durations. One
+	// slow host must not block a region, and a busy one must not be overtaken.
 	minImportRankTimeout = 900 * time.Millisecond
 	importRankFetchTimes = 6
-	// importScan is how often the chunks that may come from other regions are
-	// looked at.
+	// importScanInterval is the time between scans for chunks that may be imported.
 	importScanInterval = 25 * time.Millisecond
 )
 
-// imports knows which chunks this host may fetch from other regions. Each chunk
-// has one host a region that does, by rendezvous hash; the others get it from
-// there. So a region takes in one copy however many hosts it has.
+// importState tracks the chunks that this host may import, that is, fetch from other regions. In
+// each region, rendezvous hashing selects one host per chunk to import it; the others fetch it
+// from that host. A region thus imports one copy, however many hosts it has.
 type importState struct {
 	allowed      *bitset.BitSet
-	nextScan     time.Time // no look before
+	nextScan     time.Time // no scan before this time
 	firstOffered []time.Time
-	ranks        []int // of this host for each chunk; nil: to be computed
+	ranks        []int // per chunk: rank of this host; nil until computed
 }
 
 func newImports(chunks int) *importState {
 	return &importState{allowed: newChunkSet(chunks), firstOffered: make([]time.Time, chunks)}
 }
 
-// far reports whether bytes from the peer are dear.
+// isCostly reports whether traffic from the peer crosses regions under DearRegions.
 func (c *Core) isCostly(pst *peerState) bool {
 	return c.cfg.DearRegions && pst.peer.Region != c.cfg.Self.Region
 }
 
-// mayImport reports whether a chunk may come from another region by now.
+// mayImport reports whether this host may now fetch the chunk from another region.
 func (c *Core) mayImport(chunk int) bool { return c.imports.allowed.Test(uint(chunk)) }
 
-// scanImports looks which chunks that other regions hold are this host's turn.
+// updateAllowedImports determines which chunks held in other regions this host may import now.
 func (c *Core) updateAllowedImports(now time.Time) {
 	if !c.cfg.DearRegions || now.Before(c.imports.nextScan) {
 		return
@@ -80,7 +77,7 @@
 	}
 }
 
-// pullImports requests the chunks that this host takes into its region.
+// pullImports requests the chunks that this host imports into its region.
 func (c *Core) pullImports(now time.Time) {
 	if !c.cfg.DearRegions {
 		return
@@ -97,7 +94,7 @@
 	}
 }
 
-// offeredInRegion reports whether a neighbour of the own region holds the chunk.
+// offeredInRegion reports whether a neighbour in this host's region holds the chunk.
 func (c *Core) offeredInRegion(chunk int) bool {
 	for _, pst := range c.neighbours {
 		if !c.isCostly(pst) && pst.held != nil && pst.held.Test(uint(chunk)) {
@@ -107,7 +104,7 @@
 	return false
 }
 
-// importRank returns this host's rank in its region for a chunk.
+// importRank returns this host's rank among the importers of a chunk in its region.
 func (c *Core) importRank(now time.Time, chunk int) int {
 	if c.imports.ranks == nil {
 		c.imports.ranks = c.importRanks(now)
@@ -115,8 +112,8 @@
 	return c.imports.ranks[chunk]
 }
 
-// importRanks returns this host's rank in its region for each chunk, among those that
-// the list of peers names: hosts that leave go on calling others and take in nothing.
+// importRanks returns this host's rank in its region for each chunk. Only hosts in the list of
+// peers count: hosts that are leaving still send reports but import nothing.
 func (c *Core) importRanks(now time.Time) []int {
 	var seeds []uint64
 	for _, pst := range c.sortedPeers {
@@ -137,10 +134,10 @@
 	return ranks
 }
 
-// notifyImporters notifies the hosts that take a chunk into the other regions that this host,
-// which drew it, holds it now. They are neighbours of it by chance alone, and would learn of the
-// chunk over others, each after the time between two exchanges, which is long against the
-// chunk's way.
+// notifyImporters sends a report to the importer of a chunk in each other region after this host
+// fetched the chunk from the origin. Importers are its neighbours only by chance. Otherwise they
+// would learn of the chunk through other hosts, each adding an exchange interval, which is long
+// compared to the chunk's transfer time.
 func (c *Core) notifyImporters(now time.Time, chunk int) {
 	if !c.cfg.DearRegions {
 		return
@@ -163,10 +160,10 @@
 	}
 }
 
-// importKey is what the hosts of a region are ranked for by their right to take in a chunk.
+// importKey returns the key for which the hosts of a region are ranked as importers of a chunk.
 func (c *Core) importKey(chunk int) uint64 { return c.versionSeed ^ rendezvous.Mix(uint64(chunk)) }
 
-// chooseByRegion picks neighbours in the own region first.
+// chooseByRegion picks neighbours in this host's region and a few in others.
 func (c *Core) chooseByRegion(ranked []scoredPeer) {
 	near, far := sameRegionNeighbours, otherRegionNeighbours
 	for _, entry := range slices.Clone(ranked) {
--- a/relay/burst/regions_test.go
+++ b/relay/burst/regions_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// farCopies runs a fleet of 24 hosts in three regions and returns the copies of
-// the version that hosts took from other regions.
+// crossRegionCopies runs a fleet of 24 hosts in three regions and returns how many copies of the
+// version hosts fetched from other regions.
 func crossRegionCopies(t *testing.T, dear bool) float64 {
 	t.Helper()
 	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: dear})
 	s.run()
 	if got := s.result(); got.complete != 24 {
-		t.Fatalf("got %v, want 24 hosts whole", got)
+		t.Fatalf("got %v, want 24 hosts complete", got)
 	}
 	pulls := 0
 	for _, host := range s.hosts {
@@ -22,46 +22,46 @@
 	return float64(pulls) / 96
 }
 
-// Symptom: the links between regions carry most of a rollout, and are paid for.
-// Sequence: a version is declared; each host asks whoever answers soonest. Cause:
-// a host in another region costs hardly more time, so two chunks of three come
-// from there.
+// Guards against links between regions, which cost money, carrying most of a rollout. Hosts
+// request chunks from the source expected to answer soonest, and a host in another region takes
+// hardly more time, so two of three chunks came from other regions.
 func TestRegionTakesInOneCopy(t *testing.T) {
 	anywhere, dear := crossRegionCopies(t, false), crossRegionCopies(t, true)
 	if anywhere < 10 {
-		t.Errorf("got %.1f far copies without the rule, want most of 24: else this shows nothing", anywhere)
+		t.Errorf("got %.1f copies across regions without DearRegions, want at least 10 for a meaningful comparison", anywhere)
 	}
-	// Two copies are needed; an eighth of one is left for a second host that asks while
+	// Two copies are needed; an eighth of a copy is allowed for a second host that fetches while
 	// the first is busy.
 	if dear > 2.25 {
-		t.Errorf("got %.2f far copies, want at most 2.25", dear)
+		t.Errorf("got %.2f copies across regions with DearRegions, want at most 2.25", dear)
 	}
 }
 
-// Symptom: a chunk is in the other regions half a second after its draw, ten times as long as it
-// is on its way. Sequence: the host that takes it into its region learns of it over several
-// neighbours, asks, is asked to come back and comes back late. Cause: whoever holds few chunks
-// went first, and as many waited as came.
+// Guards against chunks reaching the other regions half a second after their origin fetch, ten
+// times the transfer time. The importer learned of the chunk through several neighbours, was asked
+// to retry later and retried late, because peers with the fewest chunks were served first and the
+// queue admitted no more than for any peer.
 func TestImporterGoesFirst(t *testing.T) {
 	core := New(Config{Self: Peer{ID: "self", Region: "here"}, Version: "v", Chunks: 64, DearRegions: true})
 	core.Observe(simStart, Peer{ID: "near", Region: "here"}, Report{Held: []uint64{0}})
 	core.Observe(simStart, Peer{ID: "far", Region: "there"}, Report{Held: []uint64{1<<20 - 1}})
 	if near, far := core.Turn("near"), core.Turn("far"); far >= near {
-		t.Errorf("got turn %d of the importer and %d of a neighbour that holds nothing, want the importer first", far, near)
+		t.Errorf("got Turn %d for the importer and %d for a neighbour that holds no chunks, want the importer first", far, near)
 	}
 	var full Uploads
 	for range UploadSlots + UploadQueue {
 		full.Admit(core.Turn("near"))
 	}
 	if ok, _ := full.Admit(core.Turn("near")); ok {
-		t.Error("got a neighbour admitted where all places are taken, want it asked to come back")
+		t.Error("a neighbour was admitted to a full queue, want it refused")
 	}
 	if ok, _ := full.Admit(core.Turn("far")); !ok {
-		t.Error("got the importer asked to come back, want it admitted")
+		t.Error("the importer was refused, want it admitted")
 	}
 }
 
-// The host that drew a chunk notifies the one of each other region that takes it in, and no other there.
+// Checks that a host that fetched a chunk from the origin notifies the importer in each other
+// region, and no other host there.
 func TestDrawIsReportedToImporters(t *testing.T) {
 	core := New(Config{Self: Peer{ID: "self", Region: "r-0"}, Version: "v", Chunks: 64, DearRegions: true})
 	var list []Peer
@@ -76,16 +76,16 @@
 		other := New(Config{Self: core.peers[act.Source].peer, Version: "v", Chunks: 64, DearRegions: true})
 		other.SetPeers(simStart, append(list, core.cfg.Self))
 		if rank := other.importRank(simStart, 7); rank != 0 {
-			t.Errorf("got %s notified, which has rank %d, want rank 0", act.Source, rank)
+			t.Errorf("%s was notified and has import rank %d, want 0", act.Source, rank)
 		}
 	}
 	if notified["r-0"] != 0 || notified["r-1"] != 1 || notified["r-2"] != 1 {
-		t.Errorf("got %v notified by region, want one of each other", notified)
+		t.Errorf("got notified hosts by region %v, want one in each other region", notified)
 	}
 }
 
-// Symptom: a region stays without a version. Sequence: the host whose turn it is
-// to take in a chunk dies. Cause: only that host may, for ever.
+// Guards against a region never receiving a version after the host that should import a chunk
+// died, because no other host was allowed to import it.
 func TestNextHostTakesInWhatTheFirstDoesNot(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 32, copyWindow: 8 * time.Second, seed: 5, costlyRegions: true, limit: 40 * time.Second})
 	s.schedule(time.Second, func() {
@@ -101,12 +101,12 @@
 		}
 	}
 	if got, want := complete, 21; got != want {
-		t.Errorf("got %d living hosts whole, want %d", got, want)
+		t.Errorf("got %d live hosts complete, want %d", got, want)
 	}
 }
 
-// Symptom: all hosts are whole at the same moment and go out of service at once.
-// Sequence: a version is declared, all fetch alike. Cause: nobody yields.
+// Guards against all hosts completing a version, and thus going out of service, at the same
+// moment, because all fetch alike and none postpones its fetches.
 func TestHostsThatPutOffFetchingAreWholeLater(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true})
 	for i, host := range s.hosts {
@@ -124,14 +124,13 @@
 		}
 	}
 	if late-early < time.Second {
-		t.Errorf("got whole after %v and %v in the mean, want the late ones a second later", early, late)
+		t.Errorf("hosts complete after %v and, with postponed fetches, %v on average, want a difference of at least a second", early, late)
 	}
 }
 
-// Symptom: a version that was named while another was on its way comes a second
-// late. Sequence: hosts draw the older version; the newer one is named; what they
-// asked the origin for goes on coming. Cause: a host that leaves a version kept
-// its requests.
+// Guards against a version arriving a second late when it is announced during the transfer of an
+// older one: hosts that abandoned the older version kept their requests to the origin, which went
+// on sending.
 func TestAbandonedVersionTakesNothingMore(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true})
 	abandoned := 0
@@ -146,21 +145,20 @@
 	s.schedule(1600*time.Millisecond, func() {
 		for _, host := range s.hosts {
 			if got := len(host.core.requests) + len(host.incoming); got != 0 {
-				t.Errorf("%s: got %d requests on their way, want none", host.peer.ID, got)
+				t.Errorf("%s: got %d requests in progress, want none", host.peer.ID, got)
 			}
 		}
 		s.cfg.limit = s.now
 	})
 	s.run()
 	if abandoned == 0 {
-		t.Error("nothing was on its way: this shows nothing")
+		t.Error("no requests were in progress to abandon")
 	}
 }
 
-// Symptom: answers of an engine wait behind weights on its host's link. Sequence: the
-// engine begins to serve while 8 chunks are on their way, which is the bound while it
-// is idle. Cause guarded against: a bound that holds for the next version only. What
-// is on its way goes on.
+// Guards against responses of an engine queueing behind weights on its host's link when the engine
+// begins to serve during a transfer, because a lowered MaxFetches applies only to the next
+// version. An idle engine's host has up to 8 requests in progress, and these continue.
 func TestHostThatServesAsksForLess(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true, fetches: 8})
 	maximum := func() int {
@@ -177,22 +175,22 @@
 			host.core.SetMaxFetches(2)
 			s.decide(host)
 			if got := len(host.core.requests); got > before {
-				t.Errorf("%s: got %d requests on their way, want no new ones beyond %d", host.peer.ID, got, before)
+				t.Errorf("%s: got %d requests in progress, want no new ones beyond %d", host.peer.ID, got, before)
 			}
 		}
 	})
 	s.schedule(4*time.Second, func() {
 		if got, bound := maximum(), 2+maxOriginFetches; got > bound {
-			t.Errorf("got %d requests on their way, want at most %d", got, bound)
+			t.Errorf("got %d requests in progress, want at most %d", got, bound)
 		}
 	})
 	s.run()
 	if before <= 2+maxOriginFetches {
-		t.Errorf("got %d on their way at most before: this shows nothing", before)
+		t.Errorf("got at most %d requests in progress before, want more than the lowered bound", before)
 	}
 	for _, host := range s.hosts {
 		if host.completeAt == 0 {
-			t.Errorf("%s: not whole", host.peer.ID)
+			t.Errorf("%s: not complete", host.peer.ID)
 		}
 	}
 }
--- a/relay/burst/reports.go
+++ b/relay/burst/reports.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Report returns what to send a peer in an exchange.
+// Report returns the report to send to a peer in an exchange.
 func (c *Core) Report() Report {
 	fetching := c.intendedFetches.Clone()
 	for _, req := range c.requests {
@@ -21,8 +21,8 @@
 	}
 }
 
-// Observe takes the report of a peer that called; the reply to it must bear the
-// Report of the same moment.
+// Observe processes the report of a peer that called this host. The reply must carry the result of
+// Report at the same moment.
 func (c *Core) Observe(now time.Time, from Peer, rep Report) {
 	if from.ID == c.cfg.Self.ID {
 		return
@@ -32,7 +32,7 @@
 	c.applyReport(now, pst, rep)
 }
 
-// Replied takes a peer's reply to an exchange.
+// Replied processes a peer's reply to an exchange.
 func (c *Core) Replied(now time.Time, id string, rep Report) {
 	pst := c.peers[id]
 	if pst == nil {
@@ -43,9 +43,8 @@
 	c.applyReport(now, pst, rep)
 }
 
-// Answered takes the report that came with a chunk or a refusal. Requests for
-// chunks bear reports both ways, so that neighbours who trade need few exchanges
-// beside them.
+// Answered processes the report that came with a chunk or a refusal. Chunk requests carry reports
+// in both directions, so neighbours that transfer chunks need few separate exchanges.
 func (c *Core) Answered(now time.Time, id string, rep Report) {
 	pst := c.peers[id]
 	if pst == nil || len(rep.Held) == 0 {
@@ -77,16 +76,16 @@
 	c.markOriginFetched(now, rep.Held)
 }
 
-// outside notes that the peer takes no part in the version, or does not know
-// its manifest yet: it calls by itself once it does.
+// markNonParticipant records that the peer does not take part in the version or does not know its
+// manifest yet. Once it does, it calls this host.
 func (c *Core) markNonParticipant(now time.Time, pst *peerState) {
 	c.setPeerHeld(pst, nil)
 	pst.nonParticipantUntil = now.Add(nonParticipantWait)
 	c.membershipChanged(now)
 }
 
-// learnHeld replaces what the peer is known to hold: after a restart it may
-// hold less than before.
+// setPeerHeld replaces the set of chunks that the peer holds; after a restart it may hold fewer
+// than before.
 func (c *Core) setPeerHeld(pst *peerState, words []uint64) {
 	if pst.held == nil {
 		pst.held = newChunkSet(c.cfg.Chunks)
@@ -106,7 +105,8 @@
 	replaceWords(pst.held, words, added, removed)
 }
 
-// noteDrawn learns which chunks left the origin, and how fast.
+// markOriginFetched records which chunks were fetched from the origin and updates the measured
+// rate.
 func (c *Core) markOriginFetched(now time.Time, words []uint64) {
 	fresh := 0
 	addWords(c.originFetched, words, func(chunk int) {
@@ -130,11 +130,11 @@
 	c.originRate.record(now, fresh)
 }
 
-// originAnswers ends the pause of a host whose draws failed, once it learns that others'
-// draw succeeds: hosts that each waited for their own pause to end left an origin that
-// was back idle for half a second. What left the origin before it failed is still reported
-// for a while. Where pauses are long, others have taken over by then and each chunk would
-// be drawn twice.
+// resumeOriginFetches ends the backoff of a host once it learns that origin fetches of other hosts
+// succeed: when each host waited for its own backoff to end, a recovered origin stayed idle for
+// half a second. Chunks fetched before the failure are still reported for a while afterwards, so
+// these reports are ignored. With a long MaxBackoff, other hosts have taken over by then and each
+// chunk would be fetched twice.
 func (c *Core) resumeOriginFetches(now time.Time) {
 	if c.originFailures == 0 || now.Sub(c.lastOriginFailure) < staleReportWindow || c.cfg.MaxBackoff > maxSharedBackoff {
 		return
@@ -143,7 +143,7 @@
 	c.originRetryAt = now.Add(time.Duration(c.rng.Int64N(int64(originRetryJitter))))
 }
 
-// Unreachable notes that an exchange with the peer failed.
+// Unreachable records that an exchange with the peer failed.
 func (c *Core) Unreachable(now time.Time, id string) {
 	pst := c.peers[id]
 	if pst == nil {
@@ -159,8 +159,7 @@
 	c.membershipChanged(now)
 }
 
-// unlearn takes a chunk out of what the peer is believed to hold: a peer that
-// restarted without it.
+// clearPeerChunk removes a chunk that the peer turned out not to hold, such as after a restart.
 func (c *Core) clearPeerChunk(pst *peerState, chunk int) {
 	if pst.held == nil || !pst.held.Test(uint(chunk)) {
 		return
--- a/relay/burst/requests.go
+++ b/relay/burst/requests.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// flight is one request in progress.
+// request is a fetch in progress.
 type request struct {
 	chunk    int
-	source   *peerState // nil: the origin
+	source   *peerState // nil for the origin
 	started  time.Time
 	deadline time.Time
 }
 
-// Arrived notes a chunk that was fetched, verified and kept.
+// Arrived records a chunk that was fetched, verified and stored.
 func (c *Core) Arrived(now time.Time, chunk int, source string) {
 	req := c.endRequest(chunk, source)
 	if req == nil {
@@ -41,7 +41,7 @@
 	return words
 }
 
-// average is an exponentially weighted moving average.
+// average returns the exponentially weighted moving average after a new sample.
 func average(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
@@ -49,7 +49,7 @@
 	return old + (sample-old)/8
 }
 
-// Failed notes a fetch that ended without the chunk.
+// Failed records a fetch that ended without the chunk.
 func (c *Core) Failed(now time.Time, chunk int, source string, cause Cause, retryAfter time.Duration) {
 	req := c.endRequest(chunk, source)
 	if req == nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// endFlight forgets a request and returns it; nil where it was cancelled.
+// endRequest removes and returns a request; nil if it was cancelled before.
 func (c *Core) endRequest(chunk int, source string) *request {
 	for i, req := range c.requests {
 		if req.chunk != chunk || req.sourceID() != source {
@@ -117,14 +117,14 @@
 	return f.source.peer.ID
 }
 
-// cancel gives a request up and notifies the program.
+// cancel removes a request and emits a Cancel action.
 func (c *Core) cancel(req *request) {
 	c.endRequest(req.chunk, req.sourceID())
 	c.actions = append(c.actions, Action{Kind: Cancel, Chunk: req.chunk, Source: req.sourceID()})
 }
 
-// expire gives up the requests that took too long: a stalled link does not
-// close, so nothing else would end them.
+// expireRequests cancels the requests whose deadline has passed: a stalled link does not close, so
+// nothing else would end them.
 func (c *Core) expireRequests(now time.Time) {
 	for _, req := range slices.Clone(c.requests) {
 		if now.Before(req.deadline) {
@@ -158,7 +158,7 @@
 	c.actions = append(c.actions, Action{Kind: Fetch, Chunk: chunk, Source: req.sourceID()})
 }
 
-// timeout is drawn from the measured time of a fetch.
+// timeout derives the timeout of a request from the measured duration of fetches.
 func (c *Core) timeout(source *peerState) time.Duration {
 	typical := c.fetchTime
 	if source == nil && c.originRate.meanGap() > 0 {
--- a/relay/burst/sim_test.go
+++ b/relay/burst/sim_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// The harness of this package's tests: a discrete-event run of many Cores with
-// paced links and latency, without sockets or goroutines. It exercises the
-// Core's decisions; it is no model of the other programs.
+// The simulation for this package's tests: a discrete-event run of many Cores with rate-limited
+// links and latency, without sockets or goroutines. It exercises the decisions of Core and does
+// not model the other programs.
 
 const (
-	simPieces  = 4                    // pieces of a chunk on a link
-	simProcess = 2 * time.Millisecond // reading, verifying and keeping a chunk
+	simPieces  = 4                    // pieces per chunk on a link
+	simProcess = 2 * time.Millisecond // time to read, verify and store a chunk
 	simTick    = 50 * time.Millisecond
-	// simStartSpread is the time in which all hosts learn that they take part.
+	// simStartSpread is the period in which the hosts learn that they take part.
 	simStartSpread = 300 * time.Millisecond
-	// simCallTimeout ends an exchange over a stalled link.
+	// simCallTimeout is the timeout of an exchange over a stalled link.
 	simCallTimeout = 2 * time.Second
-	// simRefused is the pause of a host whose store takes nothing.
+	// simStoreRefusalDelay is the time after which a refusing store rejects a chunk.
 	simStoreRefusalDelay = time.Second
-	// simListInterval is how often a host gets the list of peers.
+	// simListInterval is the time between updates of a host's list of peers.
 	simListInterval = time.Second
 )
 
@@ -30,20 +30,20 @@
 
 type simConfig struct {
 	hosts, chunks int
-	copyWindow    time.Duration // W
-	// originCopy and hostCopy are the time of one copy over the origin's link
-	// and over a host's; 0: as the window says.
+	copyWindow    time.Duration // time in which the origin's link carries 4 copies and a host's link 2
+	// originCopy and hostCopy are the transfer times of one copy over the origin's and a host's
+	// link; 0 derives both from copyWindow.
 	originCopy, hostCopy time.Duration
 	drawWindow, fetches  int
 	strategy             string
 	objective            string
 	copies               int
-	costlyRegions        bool // bytes between regions are dear
-	shared               bool // one rate for both directions of a host's link
+	costlyRegions        bool // sets Config.DearRegions
+	shared               bool // both directions of a host's link share one rate
 	seed                 uint64
-	corrupt              float64 // part of the chunks that arrive corrupt
+	corrupt              float64 // fraction of chunks that arrive corrupt
 	limit                time.Duration
-	backoff              time.Duration // Config.MaxBackoff
+	backoff              time.Duration // sets Config.MaxBackoff
 }
 
 type simEvent struct {
@@ -79,27 +79,27 @@
 	hosts         []*simHost
 	byID          map[string]*simHost
 	origin        *simSender
-	originPieces  int // chunks that left the origin whole or in part, in pieces
-	exchangeBytes int // bytes of exchanges
-	// originFault returns the cause to refuse a draw with, or 0.
+	originPieces  int // pieces that left the origin
+	exchangeBytes int // bytes transferred in exchanges
+	// originFault returns the cause with which to refuse an origin fetch, or 0.
 	originFault func(now time.Duration) (Cause, time.Duration)
 	originReqs  int
-	maxDraws    int // most draws in progress at the origin
-	// cut reports whether two hosts cannot reach each other now.
+	maxDraws    int // maximum of concurrent transfers at the origin
+	// partitioned reports whether two hosts currently cannot reach each other.
 	partitioned  func(a, b *simHost) bool
 	logsProgress bool
 	nextLog      time.Duration
-	lastFault    time.Duration // when the last planned change comes
-	// isolated reports whether a host cannot reach the origin now.
+	lastFault    time.Duration // time of the last scheduled fault
+	// isolated reports whether a host currently cannot reach the origin.
 	isolated func(host *simHost) bool
-	// list returns the hosts that a host knows of.
+	// listedHosts returns the hosts in the list of peers.
 	listedHosts func(now time.Duration) []*simHost
 }
 
-// simLink carries pieces one after the other.
+// simLink transmits pieces one after the other.
 type simLink struct {
 	freeAt    time.Duration
-	pieceTime time.Duration // time that one piece takes
+	pieceTime time.Duration // transfer time of a piece
 	busyTime  time.Duration
 }
 
@@ -117,7 +117,7 @@
 
 type simTransfer struct {
 	chunk      int
-	from       *simHost // nil: the origin
+	from       *simHost // nil for the origin
 	to         *simHost
 	piecesLeft int
 	cancelled  bool
@@ -135,12 +135,12 @@
 	incoming     map[string]*simTransfer
 	dead         bool
 	stalled      bool // its link carries nothing and does not close
-	mute         bool // it answers exchanges and sends no chunk
-	slowed       bool // its link runs at a tenth
-	corrupts     bool // all it sends is corrupt
-	refusesStore bool // its store takes nothing
+	mute         bool // answers exchanges but sends no chunks
+	slowed       bool // its link runs at a tenth of the rate
+	corrupts     bool // all chunks it sends are corrupt
+	refusesStore bool // its store rejects all chunks
 	incarnation  int
-	listAt       time.Duration // when it next gets the list of peers
+	listAt       time.Duration // time of the next list of peers
 	completeAt   time.Duration
 }
 
@@ -183,7 +183,7 @@
 	s.byID[host.peer.ID] = host
 }
 
-// start begins a new life of the host, which holds nothing.
+// start starts the host as a new incarnation that holds no chunks.
 func (s *sim) start(host *simHost) {
 	host.incarnation++
 	host.dead = false
@@ -245,7 +245,7 @@
 	return !a.dead && !b.dead && (s.partitioned == nil || !s.partitioned(a, b))
 }
 
-// on runs an event of a host unless it died or restarted meanwhile.
+// scheduleOn schedules an event of a host that is skipped if the host dies or restarts first.
 func (s *sim) scheduleOn(host *simHost, wait time.Duration, run func()) {
 	life := host.incarnation
 	s.schedule(wait, func() {
@@ -343,7 +343,7 @@
 	})
 }
 
-// answer brings the report that a chunk or a refusal bears.
+// sendReport delivers the report that accompanies a chunk or a refusal.
 func (s *sim) sendReport(transfer *simTransfer, wait time.Duration) {
 	from := transfer.from
 	from.core.SetUploads(from.uploads.Load())
@@ -374,7 +374,7 @@
 	})
 }
 
-// cutOff ends all transfers of a sender that goes away.
+// abortAll fails all active transfers of a sender that becomes unreachable.
 func (d *simSender) abortAll(s *sim) {
 	for _, transfer := range d.active {
 		transfer.cancelled = true
@@ -387,7 +387,7 @@
 	s.scheduleOn(transfer.to, wait, func() { s.endTransfer(transfer, cause, retry) })
 }
 
-// end reports the transfer's end to its receiver, unless that gave it up.
+// endTransfer reports the outcome of a transfer to its receiver unless the receiver cancelled it.
 func (s *sim) endTransfer(transfer *simTransfer, cause Cause, retry time.Duration) {
 	source := Origin
 	if transfer.from != nil {
@@ -418,7 +418,7 @@
 	}
 }
 
-// leaveMute frees the slot of a cancelled upload of a host that sends nothing.
+// releaseMuteUpload frees the upload slot of a cancelled transfer from a mute host.
 func (s *sim) releaseMuteUpload(transfer *simTransfer) {
 	if transfer.from == nil || !transfer.from.mute {
 		return
@@ -454,7 +454,7 @@
 	s.pump(peer.sender, peer)
 }
 
-// pump sends the next piece of the next active transfer in turn.
+// pump sends the next piece, serving the active transfers in round-robin order.
 func (s *sim) pump(sender *simSender, host *simHost) {
 	if sender.busy || (host != nil && (host.stalled || host.mute || host.dead)) {
 		return
@@ -543,8 +543,8 @@
 	}
 }
 
-// run returns once every live host is whole after the last planned fault, or
-// at the limit.
+// run advances the simulation until all live hosts with working links are complete after the last
+// scheduled fault, or until the time limit.
 func (s *sim) run() {
 	for s.queue.Len() > 0 && s.now < s.cfg.limit {
 		ev := heap.Pop(&s.queue).(simEvent)
@@ -562,7 +562,7 @@
 	}
 }
 
-// fault plans a change of the world.
+// scheduleFault schedules a fault at the given time.
 func (s *sim) scheduleFault(at time.Duration, change func()) {
 	s.lastFault = max(s.lastFault, at)
 	s.schedule(at-s.now, change)
@@ -572,7 +572,7 @@
 	seconds, bound, ratio, copies float64
 	complete, live                int
 	controlPerHost                float64 // bytes per second
-	stats                         Stats   // per host
+	stats                         Stats   // Pulls, Busy and Exchanges per host; TimedOut in total
 }
 
 func (s *sim) result() simResult {
@@ -615,7 +615,7 @@
 		r.stats.Pulls, r.stats.Busy, r.stats.Exchanges, r.stats.TimedOut)
 }
 
-// logProgress prints how busy the links are and how far the hosts.
+// logProgress prints the load of the links and the progress of the hosts.
 func (s *sim) logProgress() {
 	held, least, flights, idle, queue := 0, s.cfg.chunks, 0, 0, 0
 	var carried time.Duration
--- a/relay/burst/trial_test.go
+++ b/relay/burst/trial_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestTrial prints the figures of larger runs; set BURST_TRIAL to run it.
+// TestTrial logs the results of larger runs; set BURST_TRIAL to run it.
 func TestTrial(t *testing.T) {
 	if os.Getenv("BURST_TRIAL") == "" {
-		t.Skip("set BURST_TRIAL=1 to print the figures of larger runs")
+		t.Skip("set BURST_TRIAL=1 to run larger simulations")
 	}
 	for _, hosts := range trialSizes() {
 		for _, seed := range []uint64{1, 2, 3}[:trialSeeds()] {
--- a/relay/burst/uploads.go
+++ b/relay/burst/uploads.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Bounds of the uploads of one host. Few run at once, so that each ends soon
-// and its receiver can pass it on; few wait, so that others go elsewhere.
+// Bounds of the uploads of one host. Few run at once, so that each ends soon and its receiver can
+// pass the chunk on; few wait, so that other requests go to other hosts.
 const (
 	UploadSlots = 2
 	UploadQueue = 3
-	// importQueue is how many requests from other regions wait beside those.
+	// importQueueSlots is the number of additional waiting requests from other regions.
 	importQueueSlots = 4
 )
 
-// Uploads admits requests for chunks. It is not safe for concurrent use.
+// Uploads admits chunk requests. It is not safe for concurrent use.
 type Uploads struct {
 	active       int // at most UploadSlots
-	waiting      int // at most UploadQueue, and importQueue
+	waiting      int // at most UploadQueue, plus importQueueSlots for imports
 	meanDuration time.Duration
 }
 
-// Admit reports whether a request that has the Turn given may run or wait; otherwise
-// after how long it makes sense to ask again.
+// Admit reports whether a request with the given Turn may run or wait. If not, it returns a delay
+// after which to retry.
 func (u *Uploads) Admit(turn int) (ok bool, retryAfter time.Duration) {
 	maximum := UploadSlots + UploadQueue
 	if turn == importPriority {
@@ -32,7 +32,7 @@
 	return true, 0
 }
 
-// Start moves a waiting request to a slot; false while none is free.
+// Start moves a waiting request to an upload slot, or returns false if none is free.
 func (u *Uploads) Start() bool {
 	if u.active >= UploadSlots {
 		return false
@@ -42,26 +42,26 @@
 	return true
 }
 
-// Leave takes out a request that waited and gave up.
+// Leave removes a request that gave up waiting.
 func (u *Uploads) Leave() { u.waiting-- }
 
-// Done frees the slot of an upload that lasted the time given.
+// Done frees the slot of an upload that took the given time.
 func (u *Uploads) Done(took time.Duration) {
 	u.active--
 	u.meanDuration = average(u.meanDuration, took)
 }
 
-// Load returns the uploads in progress and waiting.
+// Load returns the number of uploads in progress or waiting.
 func (u *Uploads) Load() int { return u.active + u.waiting }
 
-// importTurns is the Turn of requests from other regions where bytes between them are dear.
+// importPriority is the Turn of requests from other regions under DearRegions.
 const importPriority = -1
 
-// Turn returns the place of a peer's request among those that wait: the lowest goes first.
-// One from another region goes before all: who takes a chunk into a region is the only one
-// there to do so, and all others there wait for it. It stood behind those of the own region
-// that hold copies of one another otherwise, or was asked to come back. Then comes who holds
-// the fewest chunks, for the slowest host decides when all are whole.
+// Turn returns the priority of a peer's waiting request; the lowest value is served first.
+// Requests from other regions come first under DearRegions: all hosts of that region wait for the
+// one that imports the chunk. Before this rule it was queued behind hosts of this region, which
+// can also supply each other, or was asked to retry later. Next come the peers that hold the
+// fewest chunks, because the slowest host determines when the whole fleet is complete.
 func (c *Core) Turn(id string) int {
 	pst := c.peers[id]
 	if pst == nil {
