--- a/relay/burst/burst.go
+++ b/relay/burst/burst.go
@@ -117,8 +117,8 @@
 	// undeliveredRankTimeouts is the time, in rank timeouts, after which an owner that holds a
 	// chunk but delivers it to no host is skipped.
 	undeliveredRankTimeouts = 6
-	// fewHoldersLimit: up to this number of holders, each one is checked for whether it delivers.
-	fewHoldersLimit = 2
+	// maxCheckedHolders is the number of holders up to which each is checked for whether it delivers.
+	maxCheckedHolders = 2
 	// maxSilence is the time without a message after which a peer that failed counts as gone.
 	maxSilence = 3 * time.Second
 	// lowerRanksQueried is the number of lower-ranked owners that an owner contacts before it
--- a/relay/burst/core.go
+++ b/relay/burst/core.go
@@ -40,7 +40,7 @@
 
 	owners             map[int][]*peerState // per chunk: hosts by rank; nil stands for this host
 	dueSince           map[int]time.Time    // per chunk: when it was first due for an origin fetch
-	ownerQueries       map[ownerQuery]time.Time
+	queriedAt          map[ownerQuery]time.Time
 	originRate         originRate     // of the origin fetches of the whole fleet
 	originRetryAt      time.Time      // no origin fetch before this time
 	nextOriginScan     time.Time      // no scan for due chunks before this time
@@ -90,7 +90,7 @@
 		inFlight:        make([]uint8, cfg.Chunks),
 		owners:          map[int][]*peerState{},
 		dueSince:        map[int]time.Time{},
-		ownerQueries:    map[ownerQuery]time.Time{},
+		queriedAt:       map[ownerQuery]time.Time{},
 		imports:         newImports(cfg.Chunks),
 	}
 }
--- a/relay/burst/faults_test.go
+++ b/relay/burst/faults_test.go
@@ -16,7 +16,7 @@
 // host's list of peers for the whole run, as if the list lagged.
 func TestFaults(t *testing.T) {
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, td *datadriven.TestData) string {
-		cfg := simConfig{hosts: 45, chunks: 96, copyWindow: 24 * time.Second, seed: 1, copies: 2}
+		cfg := simConfig{hosts: 45, chunks: 96, copyWindow: 24 * time.Second, seed: 1, originCopies: 2}
 		for _, arg := range td.CmdArgs {
 			setSimOption(t, &cfg, arg.Key, arg.Vals[0])
 		}
@@ -30,7 +30,7 @@
 			planFault(t, s, strings.Fields(line))
 		}
 		s.run()
-		t.Logf("%s: %v draws=%d requests=%d", td.Pos, s.result(), s.maxDraws, s.originReqs)
+		t.Logf("%s: %v draws=%d requests=%d", td.Pos, s.result(), s.peakOriginFetches, s.originRequests)
 		return checkBounds(t, s, bounds)
 	})
 }
@@ -52,7 +52,7 @@
 	case "objective":
 		cfg.objective = value
 	case "copies":
-		cfg.copies, err = strconv.Atoi(value)
+		cfg.originCopies, err = strconv.Atoi(value)
 	case "shared":
 		cfg.shared, err = strconv.ParseBool(value)
 	default:
@@ -76,30 +76,30 @@
 	s.scheduleFault(at, func() { s.applyFault(t, words[2], words[3]) })
 }
 
-func (s *sim) applyFault(t *testing.T, what, object string) {
-	switch what {
+func (s *sim) applyFault(t *testing.T, fault, target string) {
+	switch fault {
 	case "origin":
-		s.applyOriginFault(t, object)
+		s.applyOriginFault(t, target)
 	case "cut":
-		s.partitioned = func(a, b *simHost) bool { return (a.peer.Region == object) != (b.peer.Region == object) }
-		s.isolated = func(host *simHost) bool { return host.peer.Region == object }
+		s.partitioned = func(a, b *simHost) bool { return (a.peer.Region == target) != (b.peer.Region == target) }
+		s.isolated = func(host *simHost) bool { return host.peer.Region == target }
 	case "join":
 		s.partitioned, s.isolated = nil, nil
 	case "killDomain":
 		for _, host := range s.hosts {
-			if host.peer.FailureDomain == object {
+			if host.peer.FailureDomain == target {
 				s.kill(host)
 			}
 		}
 	default:
-		s.applyHostFaults(t, what, object)
+		s.applyHostFaults(t, fault, target)
 	}
 }
 
 func (s *sim) applyOriginFault(t *testing.T, state string) {
-	const normal = 4 // copies that the origin's link carries in copyWindow
+	const copiesPerWindow = 4 // copies that the origin's link carries in copyWindow
 	s.originFault = nil
-	piece := s.cfg.copyWindow / time.Duration(s.cfg.chunks*simPieces) / normal
+	piece := s.cfg.copyWindow / time.Duration(s.cfg.chunks*piecesPerChunk) / copiesPerWindow
 	switch state {
 	case "up":
 	case "down":
@@ -115,7 +115,7 @@
 }
 
 // applyHostFaults applies a fault to the given number of random hosts that no other fault affects.
-func (s *sim) applyHostFaults(t *testing.T, what, number string) {
+func (s *sim) applyHostFaults(t *testing.T, fault, number string) {
 	count, err := strconv.Atoi(number)
 	if err != nil {
 		t.Fatal(err)
@@ -129,12 +129,12 @@
 			continue
 		}
 		count--
-		s.applyHostFault(t, what, host)
+		s.applyHostFault(t, fault, host)
 	}
 }
 
-func (s *sim) applyHostFault(t *testing.T, what string, host *simHost) {
-	switch what {
+func (s *sim) applyHostFault(t *testing.T, fault string, host *simHost) {
+	switch fault {
 	case "kill":
 		s.kill(host)
 	case "restart":
@@ -151,13 +151,13 @@
 	case "slow":
 		host.slowed = true
 		host.sender.link.pieceTime *= 10
-		host.down.pieceTime *= 10
+		host.downlink.pieceTime *= 10
 	case "mute":
 		host.mute = true
 	case "corruptAll":
 		host.corrupts = true
 	default:
-		t.Fatalf("unknown fault %q", what)
+		t.Fatalf("unknown fault %q", fault)
 	}
 }
 
@@ -173,7 +173,7 @@
 		fmt.Fprintln(&out, "whole: all")
 	}
 	got := map[string]float64{
-		"ratio": res.ratio, "copies": res.copies, "draws": float64(s.maxDraws), "requests": float64(s.originReqs),
+		"ratio": res.ratio, "copies": res.copies, "draws": float64(s.peakOriginFetches), "requests": float64(s.originRequests),
 	}
 	for _, bound := range bounds {
 		name, limit, _ := strings.Cut(bound, "<=")
--- a/relay/burst/invariants.go
+++ b/relay/burst/invariants.go
@@ -6,10 +6,10 @@
 	if c.cfg.Broken == nil {
 		return
 	}
-	inPeers, draws, counted := 0, 0, 0
+	inPeers, fetches, counted := 0, 0, 0
 	for _, req := range c.requests {
 		if req.source == nil {
-			draws++
+			fetches++
 		}
 		if c.held.Test(uint(req.chunk)) {
 			c.cfg.Broken("a held chunk is being fetched")
@@ -21,7 +21,7 @@
 	for _, count := range c.inFlight {
 		counted += int(count)
 	}
-	if counted != len(c.requests) || inPeers > len(c.requests)-draws {
+	if counted != len(c.requests) || inPeers > len(c.requests)-fetches {
 		c.cfg.Broken("the request counters do not match the requests in progress")
 	}
 	if c.held.DifferenceCardinality(c.originFetched) != 0 {
@@ -31,7 +31,7 @@
 	if len(c.requests) > c.cfg.MaxFetches+c.excess+maxOriginFetches {
 		c.cfg.Broken("more requests are in progress than allowed")
 	}
-	if c.cfg.Strategy == Swarm && draws > maxOriginFetches {
+	if c.cfg.Strategy == Swarm && fetches > maxOriginFetches {
 		c.cfg.Broken("more origin fetches are in progress than allowed")
 	}
 }
--- a/relay/burst/leaving_test.go
+++ b/relay/burst/leaving_test.go
@@ -11,16 +11,16 @@
 // hosts for some seconds when a version arrives (64 chunks; a copy takes 2.8 s from the origin and
 // 2.2 s over a host's link). The calling hosts counted as owners and importers of chunks, so the
 // other hosts waited for them.
-func TestHostsThatLeaveAreNotWaitedFor(t *testing.T) {
+func TestLeavingHostsDoNotDelayTransfer(t *testing.T) {
 	seed := uint64(0)
 	complete := func(leaving int) time.Duration {
 		s := newSim(simConfig{
 			hosts: 69, chunks: 64, copyWindow: 20 * time.Second, originCopy: 2820 * time.Millisecond, hostCopy: 2210 * time.Millisecond,
-			drawWindow: 14, fetches: 4, copies: 3, costlyRegions: true, seed: seed,
+			drawWindow: 14, maxFetches: 4, originCopies: 3, costlyRegions: true, seed: seed,
 		})
 		var stay []*simHost
 		for i, host := range s.hosts {
-			host.refusesStore = i < leaving
+			host.storeRefuses = i < leaving
 			if i >= leaving {
 				stay = append(stay, host)
 			}
--- a/relay/burst/origin.go
+++ b/relay/burst/origin.go
@@ -89,7 +89,7 @@
 
 // offeredByNeighbour reports whether a neighbour that delivers holds the chunk.
 func (c *Core) offeredByNeighbour(chunk int) bool {
-	if c.holders[chunk] > fewHoldersLimit {
+	if c.holders[chunk] > maxCheckedHolders {
 		return true
 	}
 	for _, pst := range c.neighbours {
@@ -163,23 +163,23 @@
 }
 
 func (c *Core) originFetchesInFlight() int {
-	draws := 0
+	fetches := 0
 	for _, req := range c.requests {
 		if req.source == nil {
-			draws++
+			fetches++
 		}
 	}
-	return draws
+	return fetches
 }
 
 // shouldFetchFromOrigin reports whether this host should fetch a chunk from the origin whose
 // owners have delayed it by the given time.
 func (c *Core) shouldFetchFromOrigin(now time.Time, chunk int, waited time.Duration) bool {
-	turn := c.rankTimeout()
+	timeout := c.rankTimeout()
 	// A chunk that some host fetched is probably on its way to this one.
 	refetch := c.originFetched.Test(uint(chunk))
 	if refetch {
-		waited -= lostRankTimeouts * turn
+		waited -= lostRankTimeouts * timeout
 	}
 	before := 0
 	for _, owner := range c.ownersOf(chunk) {
@@ -190,17 +190,17 @@
 			continue
 		}
 		before++
-		if waited < time.Duration(before)*turn {
+		if waited < time.Duration(before)*timeout {
 			return false
 		}
-		if refetch && waited >= time.Duration(before)*turn*undeliveredRankTimeouts {
+		if refetch && waited >= time.Duration(before)*timeout*undeliveredRankTimeouts {
 			// The owner holds the chunk but delivers it to no host.
 			continue
 		}
-		if before < c.copiesAllowed() && !refetch && waited >= time.Duration(before)*turn*takeoverRankTimeouts {
+		if before < c.copiesAllowed() && !refetch && waited >= time.Duration(before)*timeout*takeoverRankTimeouts {
 			continue
 		}
-		if !c.canSkipOwner(now, owner, chunk, turn) {
+		if !c.canSkipOwner(now, owner, chunk, timeout) {
 			return false
 		}
 	}
@@ -220,7 +220,7 @@
 // start one after the other, the next in rank takes over from an owner that does not take part
 // yet; that owner therefore contacts it before it fetches too.
 func (c *Core) lowerRankMayFetch(now time.Time, chunk int) bool {
-	asked := 0
+	queried := 0
 	after := false
 	for _, other := range c.ownersOf(chunk) {
 		if other == nil {
@@ -233,7 +233,7 @@
 		if other.hasChunk(other.fetching, chunk) && now.Sub(other.seenAt) < c.rankTimeout() {
 			return true
 		}
-		if asked++; asked > lowerRanksQueried || now.Sub(c.firstListedAt) > startupPeriod {
+		if queried++; queried > lowerRanksQueried || now.Sub(c.firstListedAt) > startupPeriod {
 			continue
 		}
 		if other.seenAt.IsZero() {
@@ -248,7 +248,7 @@
 
 // canSkipOwner reports whether a higher-ranked owner is gone or recently reported that it neither
 // holds nor fetches the chunk. It starts a query if that is unknown.
-func (c *Core) canSkipOwner(now time.Time, owner *peerState, chunk int, turn time.Duration) bool {
+func (c *Core) canSkipOwner(now time.Time, owner *peerState, chunk int, timeout time.Duration) bool {
 	if owner.failures > 0 && now.Sub(owner.seenAt) > maxSilence {
 		// It failed and has been silent since; a stalled link returns no error.
 		return true
@@ -257,13 +257,13 @@
 		return false
 	}
 	query := ownerQuery{peerID: owner.peer.ID, chunk: chunk}
-	asked, ok := c.ownerQueries[query]
-	if !ok || now.Sub(asked) > 4*turn {
-		c.ownerQueries[query] = now
+	queried, ok := c.queriedAt[query]
+	if !ok || now.Sub(queried) > 4*timeout {
+		c.queriedAt[query] = now
 		c.exchangeWith(owner)
 		return false
 	}
-	if owner.seenAt.Before(asked) {
+	if owner.seenAt.Before(queried) {
 		return false
 	}
 	if owner.held != nil && owner.held.Test(uint(chunk)) {
--- a/relay/burst/origin_test.go
+++ b/relay/burst/origin_test.go
@@ -12,11 +12,11 @@
 // 24,576 bytes takes 4.31 and 2.59 s; while the engines serve, a host's link needs 3.1 s. The
 // origin fetches of a version take the time of one copy. The first and the last host were measured
 // to complete after 5.4 and 5.7 s (mean of three seeds), with 1.06 copies for the seed used here.
-func TestNarrowOriginSetsTheTime(t *testing.T) {
+func TestSlowOriginBoundsCompletionTime(t *testing.T) {
 	const originCopy = 4310 * time.Millisecond
 	s := newSim(simConfig{
 		hosts: 88, chunks: 96, copyWindow: 40 * time.Second, originCopy: originCopy, hostCopy: 3100 * time.Millisecond,
-		drawWindow: 14, fetches: 4, copies: 3, costlyRegions: true, seed: 1,
+		drawWindow: 14, maxFetches: 4, originCopies: 3, costlyRegions: true, seed: 1,
 	})
 	s.run()
 	var times []time.Duration
--- a/relay/burst/originrate.go
+++ b/relay/burst/originrate.go
@@ -7,17 +7,17 @@
 
 // originRate measures how fast the fleet fetches chunks from the origin.
 type originRate struct {
-	times  []time.Time   // when the latest fetches became known, oldest first
-	minGap time.Duration // smallest mean gap over rateSamples; 0 until measured
+	fetchTimes []time.Time   // when the latest fetches became known, oldest first
+	minGap     time.Duration // smallest mean gap over rateSamples; 0 until measured
 }
 
 // record adds origin fetches that became known at the same time.
-func (p *originRate) record(now time.Time, draws int) {
-	for range min(draws, rateSamples) {
-		p.times = append(p.times, now)
+func (p *originRate) record(now time.Time, fetches int) {
+	for range min(fetches, rateSamples) {
+		p.fetchTimes = append(p.fetchTimes, now)
 	}
-	p.times = p.times[max(0, len(p.times)-rateSamples):]
-	if gap := p.meanGap(); len(p.times) == rateSamples && (p.minGap == 0 || gap < p.minGap) {
+	p.fetchTimes = p.fetchTimes[max(0, len(p.fetchTimes)-rateSamples):]
+	if gap := p.meanGap(); len(p.fetchTimes) == rateSamples && (p.minGap == 0 || gap < p.minGap) {
 		p.minGap = gap
 	}
 }
@@ -34,13 +34,13 @@
 // meanGap returns the mean time between two origin fetches, or 0 until it was measured. It ignores
 // the longest gap: a stalled owner must not lengthen the rank timeout that ends its stall.
 func (p *originRate) meanGap() time.Duration {
-	count := len(p.times)
+	count := len(p.fetchTimes)
 	if count < minOriginWindow {
 		return 0
 	}
 	var longest time.Duration
 	for i := 1; i < count; i++ {
-		longest = max(longest, p.times[i].Sub(p.times[i-1]))
+		longest = max(longest, p.fetchTimes[i].Sub(p.fetchTimes[i-1]))
 	}
-	return (p.times[count-1].Sub(p.times[0]) - longest) / time.Duration(count-2)
+	return (p.fetchTimes[count-1].Sub(p.fetchTimes[0]) - longest) / time.Duration(count-2)
 }
--- a/relay/burst/outage_test.go
+++ b/relay/burst/outage_test.go
@@ -11,23 +11,23 @@
 // engine served meanwhile. The origin is unreachable for 6 s after two thirds of the chunks were
 // fetched. The outage counted as delay caused by the owners of chunks, so all ranks fetched at
 // once: 42 origin fetches for 22 chunks.
-func TestOutageOfTheOriginIsNoFaultOfOwners(t *testing.T) {
+func TestOriginOutageIsNotBlamedOnOwners(t *testing.T) {
 	const (
 		seeds                  = 3
 		chunks                 = 64
 		originCopy             = 2830 * time.Millisecond
 		outageStart, outageEnd = 2200 * time.Millisecond, 8200 * time.Millisecond
 	)
-	var undisturbed, after, draws time.Duration // sums over the seeds
+	var faultFree, after, resendTime time.Duration // sums over the seeds
 	copies := 0.0
 	for seed := uint64(1); seed <= seeds; seed++ {
 		cfg := simConfig{
 			hosts: 88, chunks: chunks, copyWindow: 40 * time.Second, originCopy: originCopy, hostCopy: 2600 * time.Millisecond,
-			drawWindow: 8, fetches: 4, copies: 3, costlyRegions: true, backoff: 700 * time.Millisecond, seed: seed,
+			drawWindow: 8, maxFetches: 4, originCopies: 3, costlyRegions: true, backoff: 700 * time.Millisecond, seed: seed,
 		}
 		s := newSim(cfg)
 		s.run()
-		undisturbed += s.lastCompletion()
+		faultFree += s.lastCompletion()
 
 		s = newSim(cfg)
 		s.originFault = func(now time.Duration) (Cause, time.Duration) {
@@ -40,7 +40,7 @@
 		s.scheduleFault(outageEnd, func() {
 			for chunk := range chunks {
 				if !slices.ContainsFunc(s.hosts, func(host *simHost) bool { return host.core.Holds(chunk) }) {
-					draws += originCopy / chunks
+					resendTime += originCopy / chunks
 				}
 			}
 		})
@@ -50,7 +50,7 @@
 	}
 	// After its return the origin sends the missing chunks; the rest takes as long as a run without
 	// an outage takes beyond the origin's transfer time.
-	if got, maximum := after/seeds, (draws+undisturbed)/seeds-originCopy; got > maximum {
+	if got, maximum := after/seeds, (resendTime+faultFree)/seeds-originCopy; got > maximum {
 		t.Errorf("all hosts complete %v after the origin's return on average, want at most %v", got, maximum)
 	}
 	if got, maximum := copies/seeds, 1.15; got > maximum {
--- a/relay/burst/peers.go
+++ b/relay/burst/peers.go
@@ -193,13 +193,13 @@
 // chooseByDomain picks a few neighbours in this host's failure domain and most of them regardless
 // of failure domain.
 func (c *Core) chooseByDomain(ranked []scoredPeer) {
-	near, far := sameDomainNeighbours, anyDomainNeighbours
+	remainingSameDomain, remainingAny := sameDomainNeighbours, anyDomainNeighbours
 	for _, entry := range ranked {
-		if near > 0 && entry.pst.peer.FailureDomain == c.cfg.Self.FailureDomain {
-			near--
+		if remainingSameDomain > 0 && entry.pst.peer.FailureDomain == c.cfg.Self.FailureDomain {
+			remainingSameDomain--
 			entry.pst.chosen = true
-		} else if far > 0 {
-			far--
+		} else if remainingAny > 0 {
+			remainingAny--
 			entry.pst.chosen = true
 		}
 	}
--- a/relay/burst/random_test.go
+++ b/relay/burst/random_test.go
@@ -17,7 +17,7 @@
 			rng := rand.New(rand.NewPCG(seed, 7))
 			cfg := simConfig{
 				hosts: 6 + rng.IntN(24), chunks: 16 + rng.IntN(50), copyWindow: 10 * time.Second,
-				seed: seed, copies: 1 + rng.IntN(3), corrupt: 0.02 * rng.Float64(), limit: 90 * time.Second,
+				seed: seed, originCopies: 1 + rng.IntN(3), corrupt: 0.02 * rng.Float64(), limit: 90 * time.Second,
 			}
 			if rng.IntN(2) == 0 {
 				cfg.objective = ObjectiveOriginBytes
--- a/relay/burst/regions.go
+++ b/relay/burst/regions.go
@@ -165,13 +165,13 @@
 
 // chooseByRegion picks neighbours in this host's region and a few in others.
 func (c *Core) chooseByRegion(ranked []scoredPeer) {
-	near, far := sameRegionNeighbours, otherRegionNeighbours
+	remainingSameRegion, remainingOther := sameRegionNeighbours, otherRegionNeighbours
 	for _, entry := range slices.Clone(ranked) {
-		if near > 0 && !c.isCostly(entry.pst) {
-			near--
+		if remainingSameRegion > 0 && !c.isCostly(entry.pst) {
+			remainingSameRegion--
 			entry.pst.chosen = true
-		} else if far > 0 && c.isCostly(entry.pst) {
-			far--
+		} else if remainingOther > 0 && c.isCostly(entry.pst) {
+			remainingOther--
 			entry.pst.chosen = true
 		}
 	}
--- a/relay/burst/regions_test.go
+++ b/relay/burst/regions_test.go
@@ -8,9 +8,9 @@
 
 // crossRegionCopies runs a fleet of 24 hosts in three regions and returns how many copies of the
 // version hosts fetched from other regions.
-func crossRegionCopies(t *testing.T, dear bool) float64 {
+func crossRegionCopies(t *testing.T, costlyRegions bool) float64 {
 	t.Helper()
-	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: dear})
+	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: costlyRegions})
 	s.run()
 	if got := s.result(); got.complete != 24 {
 		t.Fatalf("got %v, want 24 hosts complete", got)
@@ -25,15 +25,15 @@
 // Guards against links between regions, which cost money, carrying most of a rollout. Hosts
 // request chunks from the source expected to answer soonest, and a host in another region takes
 // hardly more time, so two of three chunks came from other regions.
-func TestRegionTakesInOneCopy(t *testing.T) {
-	anywhere, dear := crossRegionCopies(t, false), crossRegionCopies(t, true)
+func TestRegionImportsOneCopy(t *testing.T) {
+	anywhere, costlyRegions := crossRegionCopies(t, false), crossRegionCopies(t, true)
 	if anywhere < 10 {
 		t.Errorf("got %.1f copies across regions without DearRegions, want at least 10 for a meaningful comparison", anywhere)
 	}
 	// Two copies are needed; an eighth of a copy is allowed for a second host that fetches while
 	// the first is busy.
-	if dear > 2.25 {
-		t.Errorf("got %.2f copies across regions with DearRegions, want at most 2.25", dear)
+	if costlyRegions > 2.25 {
+		t.Errorf("got %.2f copies across regions with DearRegions, want at most 2.25", costlyRegions)
 	}
 }
 
@@ -41,7 +41,7 @@
 // times the transfer time. The importer learned of the chunk through several neighbours, was asked
 // to retry later and retried late, because peers with the fewest chunks were served first and the
 // queue admitted no more than for any peer.
-func TestImporterGoesFirst(t *testing.T) {
+func TestImporterHasPriority(t *testing.T) {
 	core := New(Config{Self: Peer{ID: "self", Region: "here"}, Version: "v", Chunks: 64, DearRegions: true})
 	core.Observe(simStart, Peer{ID: "near", Region: "here"}, Report{Held: []uint64{0}})
 	core.Observe(simStart, Peer{ID: "far", Region: "there"}, Report{Held: []uint64{1<<20 - 1}})
@@ -62,7 +62,7 @@
 
 // Checks that a host that fetched a chunk from the origin notifies the importer in each other
 // region, and no other host there.
-func TestDrawIsReportedToImporters(t *testing.T) {
+func TestOriginFetchNotifiesImporters(t *testing.T) {
 	core := New(Config{Self: Peer{ID: "self", Region: "r-0"}, Version: "v", Chunks: 64, DearRegions: true})
 	var list []Peer
 	for i := range 24 {
@@ -86,7 +86,7 @@
 
 // Guards against a region never receiving a version after the host that should import a chunk
 // died, because no other host was allowed to import it.
-func TestNextHostTakesInWhatTheFirstDoesNot(t *testing.T) {
+func TestNextHostImportsWhenFirstDies(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 32, copyWindow: 8 * time.Second, seed: 5, costlyRegions: true, limit: 40 * time.Second})
 	s.schedule(time.Second, func() {
 		for _, host := range s.hosts[3:6] {
@@ -107,7 +107,7 @@
 
 // Guards against all hosts completing a version, and thus going out of service, at the same
 // moment, because all fetch alike and none postpones its fetches.
-func TestHostsThatPutOffFetchingAreWholeLater(t *testing.T) {
+func TestPostponedFetchesCompleteLater(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true})
 	for i, host := range s.hosts {
 		if i%2 == 1 {
@@ -131,7 +131,7 @@
 // Guards against a version arriving a second late when it is announced during the transfer of an
 // older one: hosts that abandoned the older version kept their requests to the origin, which went
 // on sending.
-func TestAbandonedVersionTakesNothingMore(t *testing.T) {
+func TestAbandonCancelsRequests(t *testing.T) {
 	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true})
 	abandoned := 0
 	s.schedule(1500*time.Millisecond, func() {
@@ -159,8 +159,8 @@
 // Guards against responses of an engine queueing behind weights on its host's link when the engine
 // begins to serve during a transfer, because a lowered MaxFetches applies only to the next
 // version. An idle engine's host has up to 8 requests in progress, and these continue.
-func TestHostThatServesAsksForLess(t *testing.T) {
-	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true, fetches: 8})
+func TestSetMaxFetchesLowersRequests(t *testing.T) {
+	s := newSim(simConfig{hosts: 24, chunks: 96, copyWindow: 12 * time.Second, seed: 3, costlyRegions: true, maxFetches: 8})
 	maximum := func() int {
 		found := 0
 		for _, host := range s.hosts {
--- a/relay/burst/sim_test.go
+++ b/relay/burst/sim_test.go
@@ -13,9 +13,9 @@
 // not model the other programs.
 
 const (
-	simPieces  = 4                    // pieces per chunk on a link
-	simProcess = 2 * time.Millisecond // time to read, verify and store a chunk
-	simTick    = 50 * time.Millisecond
+	piecesPerChunk    = 4                    // pieces per chunk on a link
+	simProcessingTime = 2 * time.Millisecond // time to read, verify and store a chunk
+	simTick           = 50 * time.Millisecond
 	// simStartSpread is the period in which the hosts learn that they take part.
 	simStartSpread = 300 * time.Millisecond
 	// simCallTimeout is the timeout of an exchange over a stalled link.
@@ -33,23 +33,23 @@
 	copyWindow    time.Duration // time in which the origin's link carries 4 copies and a host's link 2
 	// originCopy and hostCopy are the transfer times of one copy over the origin's and a host's
 	// link; 0 derives both from copyWindow.
-	originCopy, hostCopy time.Duration
-	drawWindow, fetches  int
-	strategy             string
-	objective            string
-	copies               int
-	costlyRegions        bool // sets Config.DearRegions
-	shared               bool // both directions of a host's link share one rate
-	seed                 uint64
-	corrupt              float64 // fraction of chunks that arrive corrupt
-	limit                time.Duration
-	backoff              time.Duration // sets Config.MaxBackoff
+	originCopy, hostCopy   time.Duration
+	drawWindow, maxFetches int
+	strategy               string
+	objective              string
+	originCopies           int
+	costlyRegions          bool // sets Config.DearRegions
+	shared                 bool // both directions of a host's link share one rate
+	seed                   uint64
+	corrupt                float64 // fraction of chunks that arrive corrupt
+	limit                  time.Duration
+	backoff                time.Duration // sets Config.MaxBackoff
 }
 
 type simEvent struct {
-	at  time.Duration
-	seq int
-	run func()
+	at       time.Duration
+	eventSeq int
+	run      func()
 }
 
 type simQueue []simEvent
@@ -59,7 +59,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].seq < q[j].seq
+	return q[i].eventSeq < q[j].eventSeq
 }
 func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *simQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
@@ -74,7 +74,7 @@
 	cfg           simConfig
 	rng           *rand.Rand
 	now           time.Duration
-	seq           int
+	eventSeq      int
 	queue         simQueue
 	hosts         []*simHost
 	byID          map[string]*simHost
@@ -82,9 +82,9 @@
 	originPieces  int // pieces that left the origin
 	exchangeBytes int // bytes transferred in exchanges
 	// originFault returns the cause with which to refuse an origin fetch, or 0.
-	originFault func(now time.Duration) (Cause, time.Duration)
-	originReqs  int
-	maxDraws    int // maximum of concurrent transfers at the origin
+	originFault       func(now time.Duration) (Cause, time.Duration)
+	originRequests    int
+	peakOriginFetches int // maximum of concurrent transfers at the origin
 	// partitioned reports whether two hosts currently cannot reach each other.
 	partitioned  func(a, b *simHost) bool
 	logsProgress bool
@@ -131,16 +131,16 @@
 	uploads      Uploads
 	waiting      []*simTransfer
 	sender       *simSender
-	down         *simLink
+	downlink     *simLink
 	incoming     map[string]*simTransfer
 	dead         bool
 	stalled      bool // its link carries nothing and does not close
 	mute         bool // answers exchanges but sends no chunks
 	slowed       bool // its link runs at a tenth of the rate
 	corrupts     bool // all chunks it sends are corrupt
-	refusesStore bool // its store rejects all chunks
+	storeRefuses bool // its store rejects all chunks
 	incarnation  int
-	listAt       time.Duration // time of the next list of peers
+	nextListAt   time.Duration // time of the next list of peers
 	completeAt   time.Duration
 }
 
@@ -152,7 +152,7 @@
 	if cfg.originCopy == 0 {
 		s.cfg.originCopy, s.cfg.hostCopy = cfg.copyWindow/4, cfg.copyWindow/2
 	}
-	pieces := time.Duration(cfg.chunks * simPieces)
+	pieces := time.Duration(cfg.chunks * piecesPerChunk)
 	s.origin = &simSender{link: &simLink{pieceTime: s.cfg.originCopy / pieces}}
 	for i := range cfg.hosts {
 		s.addHost(i, s.cfg.hostCopy/pieces)
@@ -173,11 +173,11 @@
 			Region:        fmt.Sprintf("region-%d", domain/3),
 			FailureDomain: fmt.Sprintf("domain-%d", domain),
 		},
-		sender: &simSender{link: &simLink{pieceTime: piece}},
-		down:   &simLink{pieceTime: piece},
+		sender:   &simSender{link: &simLink{pieceTime: piece}},
+		downlink: &simLink{pieceTime: piece},
 	}
 	if s.cfg.shared {
-		host.down = host.sender.link
+		host.downlink = host.sender.link
 	}
 	s.hosts = append(s.hosts, host)
 	s.byID[host.peer.ID] = host
@@ -187,15 +187,15 @@
 func (s *sim) start(host *simHost) {
 	host.incarnation++
 	host.dead = false
-	host.completeAt, host.listAt = 0, 0
+	host.completeAt, host.nextListAt = 0, 0
 	host.incoming = map[string]*simTransfer{}
 	host.waiting = nil
 	host.uploads = Uploads{}
 	host.sender.active = nil
 	host.core = New(Config{
 		Self: host.peer, Version: "version", Chunks: s.cfg.chunks, Strategy: s.cfg.strategy,
-		Objective: s.cfg.objective, OriginCopies: s.cfg.copies, Seed: s.cfg.seed + uint64(host.incarnation),
-		DearRegions: s.cfg.costlyRegions, MaxBackoff: s.cfg.backoff, DrawWindow: s.cfg.drawWindow, MaxFetches: s.cfg.fetches,
+		Objective: s.cfg.objective, OriginCopies: s.cfg.originCopies, Seed: s.cfg.seed + uint64(host.incarnation),
+		DearRegions: s.cfg.costlyRegions, MaxBackoff: s.cfg.backoff, DrawWindow: s.cfg.drawWindow, MaxFetches: s.cfg.maxFetches,
 		Broken: func(rule string) { panic(host.peer.ID + ": " + rule) },
 	})
 	s.tick(host, host.incarnation, true)
@@ -210,8 +210,8 @@
 		if host.dead || host.incarnation != life {
 			return
 		}
-		if s.now >= host.listAt {
-			host.listAt = s.now + simListInterval
+		if s.now >= host.nextListAt {
+			host.nextListAt = s.now + simListInterval
 			host.core.SetPeers(s.time(), s.peersFor(host))
 		}
 		s.decide(host)
@@ -230,8 +230,8 @@
 func (s *sim) time() time.Time { return simStart.Add(s.now) }
 
 func (s *sim) schedule(wait time.Duration, run func()) {
-	s.seq++
-	heap.Push(&s.queue, simEvent{at: s.now + wait, seq: s.seq, run: run})
+	s.eventSeq++
+	heap.Push(&s.queue, simEvent{at: s.now + wait, eventSeq: s.eventSeq, run: run})
 }
 
 func (s *sim) latency(a, b *simHost) time.Duration {
@@ -304,7 +304,7 @@
 
 func (s *sim) request(host *simHost, act Action) {
 	key := transferKey(act.Chunk, act.Source)
-	transfer := &simTransfer{chunk: act.Chunk, to: host, piecesLeft: simPieces, queuedAt: s.now}
+	transfer := &simTransfer{chunk: act.Chunk, to: host, piecesLeft: piecesPerChunk, queuedAt: s.now}
 	host.incoming[key] = transfer
 	if act.Source == Origin {
 		s.originRequest(host, transfer)
@@ -353,7 +353,7 @@
 }
 
 func (s *sim) originRequest(host *simHost, transfer *simTransfer) {
-	s.originReqs++
+	s.originRequests++
 	if host.stalled {
 		return
 	}
@@ -369,7 +369,7 @@
 	}
 	s.schedule(3*time.Millisecond, func() {
 		s.origin.active = append(s.origin.active, transfer)
-		s.maxDraws = max(s.maxDraws, len(s.origin.active))
+		s.peakOriginFetches = max(s.peakOriginFetches, len(s.origin.active))
 		s.pump(s.origin, nil)
 	})
 }
@@ -473,7 +473,7 @@
 
 func (s *sim) sendPiece(sender *simSender, host *simHost, transfer *simTransfer) {
 	sender.busy = true
-	if host != nil && transfer.piecesLeft == simPieces {
+	if host != nil && transfer.piecesLeft == piecesPerChunk {
 		s.sendReport(transfer, 2*time.Millisecond)
 	}
 	transfer.piecesLeft--
@@ -515,17 +515,17 @@
 	if transfer.to.stalled || (transfer.from != nil && s.partitioned != nil && s.partitioned(transfer.from, transfer.to)) {
 		return
 	}
-	at := transfer.to.down.transmit(s.now)
+	at := transfer.to.downlink.transmit(s.now)
 	if !last {
 		return
 	}
 	var cause Cause
-	if transfer.to.refusesStore {
+	if transfer.to.storeRefuses {
 		cause = Dropped
 	} else if (transfer.from != nil && transfer.from.corrupts) || s.rng.Float64() < s.cfg.corrupt {
 		cause = Corrupt
 	}
-	wait := at - s.now + simProcess
+	wait := at - s.now + simProcessingTime
 	if cause == Dropped {
 		wait += simStoreRefusalDelay
 	}
@@ -554,7 +554,7 @@
 			s.nextLog += max(50*time.Millisecond, s.now/10)
 		}
 		ev.run()
-		if s.now > max(s.lastFault, simStartSpread) && s.seq%16 == 0 {
+		if s.now > max(s.lastFault, simStartSpread) && s.eventSeq%16 == 0 {
 			if complete, live := s.countComplete(); complete == live {
 				return
 			}
@@ -603,7 +603,7 @@
 			Exchanges: total.Exchanges / s.cfg.hosts, TimedOut: total.TimedOut,
 		},
 		seconds: last.Seconds(), bound: bound, ratio: last.Seconds() / bound,
-		copies:   float64(s.originPieces) / float64(simPieces*s.cfg.chunks),
+		copies:   float64(s.originPieces) / float64(piecesPerChunk*s.cfg.chunks),
 		complete: complete, live: live,
 		controlPerHost: float64(s.exchangeBytes) / n / s.now.Seconds(),
 	}
@@ -634,6 +634,6 @@
 	}
 	n := float64(len(s.hosts))
 	fmt.Printf("t=%.2f held=%.1f least=%d drawn=%.1f flights=%.1f queue=%.1f idleUplinks=%.2f used=%.3f\n",
-		s.now.Seconds(), float64(held)/n, least, float64(s.originPieces)/simPieces, float64(flights)/n, float64(queue)/n,
+		s.now.Seconds(), float64(held)/n, least, float64(s.originPieces)/piecesPerChunk, float64(flights)/n, float64(queue)/n,
 		float64(idle)/n, carried.Seconds()/n/max(s.now.Seconds(), 1e-9))
 }
--- a/relay/burst/trial_test.go
+++ b/relay/burst/trial_test.go
@@ -22,7 +22,7 @@
 			})
 			s.logsProgress = os.Getenv("BURST_VERBOSE") != ""
 			s.run()
-			t.Logf("N=%d %v draws=%d reqs=%d took=%v", hosts, s.result(), s.maxDraws, s.originReqs, time.Since(began).Round(time.Millisecond))
+			t.Logf("N=%d %v draws=%d reqs=%d took=%v", hosts, s.result(), s.peakOriginFetches, s.originRequests, time.Since(began).Round(time.Millisecond))
 		}
 	}
 }
--- a/relay/burst/uploads.go
+++ b/relay/burst/uploads.go
@@ -20,9 +20,9 @@
 
 // Admit reports whether a request with the given Turn may run or wait. If not, it returns a delay
 // after which to retry.
-func (u *Uploads) Admit(turn int) (ok bool, retryAfter time.Duration) {
+func (u *Uploads) Admit(priority int) (ok bool, retryAfter time.Duration) {
 	maximum := UploadSlots + UploadQueue
-	if turn == importPriority {
+	if priority == importPriority {
 		maximum += importQueueSlots
 	}
 	if u.active+u.waiting >= maximum {
