--- a/relay/burst/baselines.go
+++ b/relay/burst/baselines.go
@@ -8,10 +8,10 @@
 	"comfreyrelay.example/relay/rendezvous"
 )
 
-// drawAll is the OriginOnly strategy.
-func (c *Core) drawAll(now time.Time) {
+// fetchAllFromOrigin implements OriginOnly: it requests every missing chunk from the origin.
+func (c *Core) fetchAllFromOrigin(now time.Time) {
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
-		if len(c.flights) >= originFetches || now.Before(c.originWait) {
+		if len(c.requests) >= maxOriginFetches || now.Before(c.originRetryAt) {
 			return
 		}
 		if c.inFlight[chunk] == 0 {
@@ -20,13 +20,12 @@
 	}
 }
 
-// findParent returns the host above this one in the Tree strategy; nil for the
-// root.
+// findParent returns this host's parent in the Tree strategy, or nil for the root.
 func (c *Core) findParent() *peerState {
 	if c.cfg.Strategy != Tree {
 		return nil
 	}
-	ranked := append(slices.Clone(c.order), nil)
+	ranked := append(slices.Clone(c.sortedPeers), nil)
 	score := func(pst *peerState) uint64 {
 		if pst == nil {
 			return rendezvous.Score(c.versionSeed, c.selfSeed)
@@ -41,17 +40,18 @@
 	return ranked[(place-1)/treeFanOut]
 }
 
-// pullFromParent is the Tree strategy.
+// pullFromParent implements Tree: the root fetches from the origin, every other host from its
+// parent.
 func (c *Core) pullFromParent(now time.Time) {
 	if c.parent == nil {
-		c.drawAll(now)
+		c.fetchAllFromOrigin(now)
 		return
 	}
 	if c.parent.held == nil && !c.parent.neighbour {
 		c.setNeighbour(c.parent, true)
 	}
 	for chunk, ok := c.held.NextClear(0); ok; chunk, ok = c.held.NextClear(chunk + 1) {
-		if len(c.flights) >= c.cfg.MaxFetches || !c.parent.usable(now) {
+		if len(c.requests) >= c.cfg.MaxFetches || !c.parent.usable(now) {
 			return
 		}
 		if c.inFlight[chunk] == 0 && c.parent.held.Test(chunk) {
@@ -60,17 +60,16 @@
 	}
 }
 
-// pullAtRandom is the Random strategy: the origin is a neighbour that holds
-// everything.
+// pullAtRandom implements Random: it treats the origin as a neighbour that holds every chunk.
 func (c *Core) pullAtRandom(now time.Time) {
-	for len(c.flights) < c.cfg.MaxFetches {
+	for len(c.requests) < c.cfg.MaxFetches {
 		var sources []*peerState
 		for _, pst := range c.neighbours {
-			if pst.usable(now) && pst.inFlight < perPeerFetches {
+			if pst.usable(now) && pst.inFlight < maxFetchesPerPeer {
 				sources = append(sources, pst)
 			}
 		}
-		if !now.Before(c.originWait) && c.drawsInFlight() == 0 {
+		if !now.Before(c.originRetryAt) && c.originFetchesInFlight() == 0 {
 			sources = append(sources, nil)
 		}
 		if !c.fetchRandom(now, sources) {
@@ -79,7 +78,8 @@
 	}
 }
 
-// fetchRandom requests a random chunk from a random one of the sources.
+// fetchRandom requests a random missing chunk from a random source and reports whether one was
+// available.
 func (c *Core) fetchRandom(now time.Time, sources []*peerState) bool {
 	c.rng.Shuffle(len(sources), func(i, j int) { sources[i], sources[j] = sources[j], sources[i] })
 	for _, source := range sources {
--- a/relay/burst/chunkset.go
+++ b/relay/burst/chunkset.go
@@ -2,41 +2,42 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-const wordBits = 64
+const bitsPerWord = 64
 
-// newChunkSet returns an empty set of a version's chunks.
+// newChunkSet returns an empty set for the given number of chunks.
 func newChunkSet(chunks int) *bitset.BitSet { return bitset.New(uint(chunks)) }
 
-// addWords adds the chunks of a bitmap that came from another process; bits
-// past the version's end are ignored.
+// addWords adds the chunks of a bitmap received from another process and calls added for each new
+// one. It ignores bits beyond the last chunk.
 func addWords(set *bitset.BitSet, words []uint64, added func(chunk int)) {
 	own := set.Words()
 	for i := range own {
-		fresh := wordOf(set, words, i) &^ own[i]
+		fresh := maskedWord(set, words, i) &^ own[i]
 		own[i] |= fresh
-		eachBit(fresh, i*wordBits, added)
+		eachBit(fresh, i*bitsPerWord, added)
 	}
 }
 
-// replaceWords makes the set equal to a bitmap that came from another process.
+// replaceWords makes the set equal to a bitmap received from another process and calls added and
+// removed for each difference.
 func replaceWords(set *bitset.BitSet, words []uint64, added, removed func(chunk int)) {
 	own := set.Words()
 	for i := range own {
-		word := wordOf(set, words, i)
+		word := maskedWord(set, words, i)
 		gone := own[i] &^ word
 		fresh := word &^ own[i]
 		own[i] = word
-		eachBit(fresh, i*wordBits, added)
-		eachBit(gone, i*wordBits, removed)
+		eachBit(fresh, i*bitsPerWord, added)
+		eachBit(gone, i*bitsPerWord, removed)
 	}
 }
 
-// wordOf returns word i of a foreign bitmap, without bits past the set's end.
-func wordOf(set *bitset.BitSet, words []uint64, i int) uint64 {
+// maskedWord returns word i of a received bitmap without the bits beyond the last chunk.
+func maskedWord(set *bitset.BitSet, words []uint64, i int) uint64 {
 	if i >= len(words) {
 		return 0
 	}
-	last := set.Len() % wordBits
+	last := set.Len() % bitsPerWord
 	if i == len(set.Words())-1 && last != 0 {
 		return words[i] & (1<<last - 1)
 	}
--- a/relay/burst/faults_test.go
+++ b/relay/burst/faults_test.go
@@ -10,16 +10,15 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestFaults runs the scripts in testdata/faults. A run's arguments size the
-// fleet; each line of its input is a change of the world at a time, or the
-// bounds that the run must keep; its output says which were kept, and by how
-// much they were missed. Dead hosts stay in every host's list of peers: the
-// list lags behind for the whole run.
+// TestFaults runs the scripts in testdata/faults. The arguments of a run set the simulation's
+// options. Each input line is a fault at a given time, or the bounds that the run must keep; the
+// output states which bounds were kept and the value that missed one. Dead hosts stay in every
+// host's list of peers for the whole run, as if the list lagged.
 func TestFaults(t *testing.T) {
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, td *datadriven.TestData) string {
-		cfg := simConfig{hosts: 45, chunks: 96, window: 24 * time.Second, seed: 1, copies: 2}
+		cfg := simConfig{hosts: 45, chunks: 96, copyWindow: 24 * time.Second, seed: 1, originCopies: 2}
 		for _, arg := range td.CmdArgs {
-			setSim(t, &cfg, arg.Key, arg.Vals[0])
+			setSimOption(t, &cfg, arg.Key, arg.Vals[0])
 		}
 		s := newSim(cfg)
 		var bounds []string
@@ -31,12 +30,12 @@
 			planFault(t, s, strings.Fields(line))
 		}
 		s.run()
-		t.Logf("%s: %v draws=%d requests=%d", td.Pos, s.result(), s.maxDraws, s.originReqs)
+		t.Logf("%s: %v draws=%d requests=%d", td.Pos, s.result(), s.peakOriginFetches, s.originRequests)
 		return checkBounds(t, s, bounds)
 	})
 }
 
-func setSim(t *testing.T, cfg *simConfig, key, value string) {
+func setSimOption(t *testing.T, cfg *simConfig, key, value string) {
 	t.Helper()
 	var err error
 	switch key {
@@ -45,7 +44,7 @@
 	case "chunks":
 		cfg.chunks, err = strconv.Atoi(value)
 	case "window":
-		cfg.window, err = time.ParseDuration(value)
+		cfg.copyWindow, err = time.ParseDuration(value)
 	case "limit":
 		cfg.limit, err = time.ParseDuration(value)
 	case "corrupt":
@@ -53,54 +52,54 @@
 	case "objective":
 		cfg.objective = value
 	case "copies":
-		cfg.copies, err = strconv.Atoi(value)
+		cfg.originCopies, err = strconv.Atoi(value)
 	case "shared":
 		cfg.shared, err = strconv.ParseBool(value)
 	default:
-		t.Fatalf("got the argument %s, want one that this test knows", key)
+		t.Fatalf("unknown argument %q", key)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// planFault takes "at 3s kill 6".
+// planFault schedules a fault such as "at 3s kill 6".
 func planFault(t *testing.T, s *sim, words []string) {
 	t.Helper()
 	if len(words) < 4 || words[0] != "at" {
-		t.Fatalf("got %q, want: at TIME CHANGE OBJECT", words)
+		t.Fatalf("got %q, want: at TIME FAULT OBJECT", words)
 	}
 	at, err := time.ParseDuration(words[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.fault(at, func() { s.change(t, words[2], words[3]) })
+	s.scheduleFault(at, func() { s.applyFault(t, words[2], words[3]) })
 }
 
-func (s *sim) change(t *testing.T, what, object string) {
-	switch what {
+func (s *sim) applyFault(t *testing.T, fault, target string) {
+	switch fault {
 	case "origin":
-		s.changeOrigin(t, object)
+		s.applyOriginFault(t, target)
 	case "cut":
-		s.cut = func(a, b *simHost) bool { return (a.peer.Region == object) != (b.peer.Region == object) }
-		s.isolated = func(host *simHost) bool { return host.peer.Region == object }
+		s.partitioned = func(a, b *simHost) bool { return (a.peer.Region == target) != (b.peer.Region == target) }
+		s.isolated = func(host *simHost) bool { return host.peer.Region == target }
 	case "join":
-		s.cut, s.isolated = nil, nil
+		s.partitioned, s.isolated = nil, nil
 	case "killDomain":
 		for _, host := range s.hosts {
-			if host.peer.FailureDomain == object {
+			if host.peer.FailureDomain == target {
 				s.kill(host)
 			}
 		}
 	default:
-		s.changeHosts(t, what, object)
+		s.applyHostFaults(t, fault, target)
 	}
 }
 
-func (s *sim) changeOrigin(t *testing.T, state string) {
-	const normal = 4 // copies a window
+func (s *sim) applyOriginFault(t *testing.T, state string) {
+	const copiesPerWindow = 4 // copies that the origin's link carries in copyWindow
 	s.originFault = nil
-	piece := s.cfg.window / time.Duration(s.cfg.chunks*simPieces) / normal
+	piece := s.cfg.copyWindow / time.Duration(s.cfg.chunks*piecesPerChunk) / copiesPerWindow
 	switch state {
 	case "up":
 	case "down":
@@ -110,13 +109,13 @@
 	case "slow":
 		piece *= 10
 	default:
-		t.Fatalf("got origin %s, want up, down, refuses or slow", state)
+		t.Fatalf("got origin state %q, want up, down, refuses or slow", state)
 	}
-	s.origin.link.piece = piece
+	s.origin.link.pieceTime = piece
 }
 
-// changeHosts applies a change to a number of hosts that no change hit yet.
-func (s *sim) changeHosts(t *testing.T, what, number string) {
+// applyHostFaults applies a fault to the given number of random hosts that no other fault affects.
+func (s *sim) applyHostFaults(t *testing.T, fault, number string) {
 	count, err := strconv.Atoi(number)
 	if err != nil {
 		t.Fatal(err)
@@ -126,63 +125,63 @@
 		if count == 0 {
 			return
 		}
-		if host.dead && host.life > 0 || host.stalled || host.slowed || host.corrupts {
+		if host.dead && host.incarnation > 0 || host.stalled || host.slowed || host.corrupts {
 			continue
 		}
 		count--
-		s.changeHost(t, what, host)
+		s.applyHostFault(t, fault, host)
 	}
 }
 
-func (s *sim) changeHost(t *testing.T, what string, host *simHost) {
-	switch what {
+func (s *sim) applyHostFault(t *testing.T, fault string, host *simHost) {
+	switch fault {
 	case "kill":
 		s.kill(host)
 	case "restart":
 		s.kill(host)
-		s.after(500*time.Millisecond, func() { s.start(host) })
+		s.schedule(500*time.Millisecond, func() { s.start(host) })
 	case "stall":
 		host.stalled = true
 	case "stallFor3s":
 		host.stalled = true
-		s.fault(s.now+3*time.Second, func() {
+		s.scheduleFault(s.now+3*time.Second, func() {
 			host.stalled = false
 			s.pump(host.sender, host)
 		})
 	case "slow":
 		host.slowed = true
-		host.sender.link.piece *= 10
-		host.down.piece *= 10
+		host.sender.link.pieceTime *= 10
+		host.downlink.pieceTime *= 10
 	case "mute":
 		host.mute = true
 	case "corruptAll":
 		host.corrupts = true
 	default:
-		t.Fatalf("got the change %s, want one that this test knows", what)
+		t.Fatalf("unknown fault %q", fault)
 	}
 }
 
-// checkBounds takes bounds like "ratio<=1.60".
+// checkBounds checks bounds such as "ratio<=1.60" and returns the result of each.
 func checkBounds(t *testing.T, s *sim, bounds []string) string {
 	t.Helper()
 	var out strings.Builder
 	res := s.result()
-	whole, live := s.fit()
-	if whole < live {
-		fmt.Fprintf(&out, "whole: %d of %d\n", whole, live)
+	complete, live := s.countComplete()
+	if complete < live {
+		fmt.Fprintf(&out, "whole: %d of %d\n", complete, live)
 	} else {
 		fmt.Fprintln(&out, "whole: all")
 	}
 	got := map[string]float64{
-		"ratio": res.ratio, "copies": res.copies, "draws": float64(s.maxDraws), "requests": float64(s.originReqs),
+		"ratio": res.ratio, "copies": res.copies, "draws": float64(s.peakOriginFetches), "requests": float64(s.originRequests),
 	}
 	for _, bound := range bounds {
 		name, limit, _ := strings.Cut(bound, "<=")
-		most, err := strconv.ParseFloat(limit, 64)
+		maximum, err := strconv.ParseFloat(limit, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got[name] > most {
+		if got[name] > maximum {
 			fmt.Fprintf(&out, "%s: missed with %.3f\n", bound, got[name])
 		} else {
 			fmt.Fprintf(&out, "%s: kept\n", bound)
@@ -191,17 +190,17 @@
 	return out.String()
 }
 
-// fit counts the hosts that must become whole and those that are: the live ones
-// whose links work.
-func (s *sim) fit() (whole, live int) {
+// countComplete counts the live hosts with working links, which must complete the version, and
+// those of them that did.
+func (s *sim) countComplete() (complete, live int) {
 	for _, host := range s.hosts {
 		if host.dead || host.stalled || host.slowed {
 			continue
 		}
 		live++
-		if host.wholeAt > 0 {
-			whole++
+		if host.completeAt > 0 {
+			complete++
 		}
 	}
-	return whole, live
+	return complete, live
 }
--- a/relay/burst/invariants.go
+++ b/relay/burst/invariants.go
@@ -1,36 +1,37 @@
 package burst
 
-// check asserts what must hold between two decisions.
-func (c *Core) check() {
+// checkInvariants verifies the Core's state after each decision and reports violations to
+// Config.Broken.
+func (c *Core) checkInvariants() {
 	if c.cfg.Broken == nil {
 		return
 	}
-	inPeers, draws, counted := 0, 0, 0
-	for _, flt := range c.flights {
-		if flt.source == nil {
-			draws++
+	inPeers, fetches, counted := 0, 0, 0
+	for _, req := range c.requests {
+		if req.source == nil {
+			fetches++
 		}
-		if c.held.Test(uint(flt.chunk)) {
-			c.cfg.Broken("a chunk is fetched that is held")
+		if c.held.Test(uint(req.chunk)) {
+			c.cfg.Broken("a held chunk is being fetched")
 		}
 	}
-	for _, pst := range c.order {
+	for _, pst := range c.sortedPeers {
 		inPeers += pst.inFlight
 	}
 	for _, count := range c.inFlight {
 		counted += int(count)
 	}
-	if counted != len(c.flights) || inPeers > len(c.flights)-draws {
-		c.cfg.Broken("the counts of requests in progress differ from the requests")
+	if counted != len(c.requests) || inPeers > len(c.requests)-fetches {
+		c.cfg.Broken("the request counters do not match the requests in progress")
 	}
-	if c.held.DifferenceCardinality(c.drawn) != 0 {
-		c.cfg.Broken("a chunk is held that is not known as drawn")
+	if c.held.DifferenceCardinality(c.originFetched) != 0 {
+		c.cfg.Broken("a held chunk is not recorded as fetched from the origin")
 	}
-	c.excess = min(c.excess, max(0, len(c.flights)-c.cfg.MaxFetches))
-	if len(c.flights) > c.cfg.MaxFetches+c.excess+originFetches {
+	c.excess = min(c.excess, max(0, len(c.requests)-c.cfg.MaxFetches))
+	if len(c.requests) > c.cfg.MaxFetches+c.excess+maxOriginFetches {
 		c.cfg.Broken("more requests are in progress than allowed")
 	}
-	if c.cfg.Strategy == Swarm && draws > originFetches {
-		c.cfg.Broken("more draws are in progress than allowed")
+	if c.cfg.Strategy == Swarm && fetches > maxOriginFetches {
+		c.cfg.Broken("more origin fetches are in progress than allowed")
 	}
 }
--- a/relay/burst/trial_test.go
+++ b/relay/burst/trial_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// TestTrial prints the figures of larger runs; set BURST_TRIAL to run it.
+// TestTrial logs the results of larger runs; set BURST_TRIAL to run it.
 func TestTrial(t *testing.T) {
 	if os.Getenv("BURST_TRIAL") == "" {
-		t.Skip("set BURST_TRIAL=1 to print the figures of larger runs")
+		t.Skip("set BURST_TRIAL=1 to run larger simulations")
 	}
 	for _, hosts := range trialSizes() {
 		for _, seed := range []uint64{1, 2, 3}[:trialSeeds()] {
 			began := time.Now()
 			s := newSim(simConfig{
-				hosts: hosts, chunks: 256, window: 30 * time.Second, seed: seed,
+				hosts: hosts, chunks: 256, copyWindow: 30 * time.Second, seed: seed,
 				strategy: os.Getenv("BURST_STRATEGY"), shared: os.Getenv("BURST_SHARED") != "",
 			})
-			s.verbose = os.Getenv("BURST_VERBOSE") != ""
+			s.logsProgress = os.Getenv("BURST_VERBOSE") != ""
 			s.run()
-			t.Logf("N=%d %v draws=%d reqs=%d took=%v", hosts, s.result(), s.maxDraws, s.originReqs, time.Since(began).Round(time.Millisecond))
+			t.Logf("N=%d %v draws=%d reqs=%d took=%v", hosts, s.result(), s.peakOriginFetches, s.originRequests, time.Since(began).Round(time.Millisecond))
 		}
 	}
 }
