--- a/relay/lease/holder.go
+++ b/relay/lease/holder.go
@@ -97,8 +97,8 @@
 	for ctx.Err() == nil {
 		act := machine.next(h.clock.Now())
 		h.publish(machine)
-		got := h.perform(ctx, act)
-		machine.done(act, got, h.clock.Now())
+		res := h.execute(ctx, act)
+		machine.handleResult(act, res, h.clock.Now())
 		h.publish(machine)
 	}
 	h.stop()
@@ -117,7 +117,7 @@
 	fence, deadline, holding := machine.holding()
 	h.mu.Lock()
 	before := h.state
-	grew := !holding || before == Holding || fence > h.fence
+	fenceGrew := !holding || before == Holding || fence > h.fence
 	h.state = machine.state
 	h.deadline = deadline
 	if holding {
@@ -125,14 +125,14 @@
 	}
 	h.mu.Unlock()
 	if (before == Holding) != holding {
-		h.announce(holding, fence)
+		h.notify(holding, fence)
 	}
-	if !grew {
-		h.fenceFell(fence)
+	if !fenceGrew {
+		h.reportFenceDecrease(fence)
 	}
 }
 
-func (h *Holder) announce(holding bool, fence uint64) {
+func (h *Holder) notify(holding bool, fence uint64) {
 	event := "lapsed"
 	if holding {
 		event = "acquired"
@@ -147,17 +147,17 @@
 
 // fenceFell reports a service that lost its state: engines would refuse the new
 // holder's orders, or take a former holder's for newer.
-func (h *Holder) fenceFell(fence uint64) {
+func (h *Holder) reportFenceDecrease(fence uint64) {
 	counters.Add("fenceFell", 1)
 	h.log.Error("invariant broke", "rule", "fencing numbers grow", "fence", fence)
-	onBroken()
+	onInvariantViolation()
 }
 
 // onBroken is called where an invariant broke; tests let it panic.
-var onBroken = func() {}
+var onInvariantViolation = func() {}
 
 // perform makes one call, or sleeps.
-func (h *Holder) perform(ctx context.Context, act action) result {
+func (h *Holder) execute(ctx context.Context, act action) result {
 	if act.step == stepSleep {
 		h.sleep(ctx, act.until)
 		return result{}
@@ -191,7 +191,7 @@
 		return result{found: found, holder: string(entry.Value()), revision: entry.Revision(), err: err}
 	case stepWatch:
 		changes, revision, err := h.store.Watch(ctx, key, act.after, h.opts.ttl)
-		return result{found: touches(changes, key), revision: revision, err: err}
+		return result{found: containsKey(changes, key), revision: revision, err: err}
 	case stepGrant:
 		lease, err := h.store.Grant(ctx, act.ttl)
 		return result{lease: lease, err: err}
@@ -210,7 +210,7 @@
 
 // touches reports whether one of the changes is the key's; a watch on it also
 // reports longer keys that begin alike.
-func touches(changes []kv.Entry, key string) bool {
+func containsKey(changes []kv.Entry, key string) bool {
 	for _, change := range changes {
 		if change.Key() == key {
 			return true
--- a/relay/lease/holder_test.go
+++ b/relay/lease/holder_test.go
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-func init() { onBroken = func() { panic("invariant broke") } }
+func init() { onInvariantViolation = func() { panic("invariant broke") } }
 
 const (
 	testTTL    = 10 * time.Second
@@ -74,7 +74,7 @@
 
 // TestEndGivesBack: a process that ends must not let its successor wait for the
 // whole of the lease's time.
-func TestEndGivesBack(t *testing.T) {
+func TestShutdownRevokesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kv.NewMemory(clockwork.NewRealClock())
 		ctx, cancel := context.WithCancel(t.Context())
@@ -98,10 +98,10 @@
 // nine processes that all want four leases. The symptom of a herd would be a
 // second with more calls than the service takes; nobody may be in charge
 // meanwhile, and somebody must be soon after.
-func TestReturnOfTheService(t *testing.T) {
+func TestServiceRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		platform := &flaky{service: kv.NewMemoryService(clock)}
+		platform := &faultyService{service: kv.NewMemoryService(clock)}
 		var holders []*Holder
 		for i := range 9 {
 			store := platform.store(budget.New(budget.Options{Role: "entry", Clock: clock}))
@@ -111,14 +111,14 @@
 			}
 		}
 		time.Sleep(10 * time.Second)
-		wantInCharge(t, holders, 4)
+		checkHolderCount(t, holders, 4)
 		platform.down.Store(true)
 		time.Sleep(time.Hour)
-		wantInCharge(t, holders, 0)
+		checkHolderCount(t, holders, 0)
 		platform.down.Store(false)
 		time.Sleep(testTTL)
-		wantInCharge(t, holders, 4)
-		reads, writes := platform.busiest()
+		checkHolderCount(t, holders, 4)
+		reads, writes := platform.peakRates()
 		t.Logf("busiest second: %d reads, %d writes", reads, writes)
 		if reads > 200 || writes > 100 {
 			t.Errorf("got %d reads and %d writes in the busiest second, want at most 200 and 100", reads, writes)
@@ -132,7 +132,7 @@
 func TestSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		platform := &flaky{service: kv.NewMemoryService(clock)}
+		platform := &faultyService{service: kv.NewMemoryService(clock)}
 		platform.delay.Store(int64(3 * time.Second))
 		var holders []*Holder
 		for _, incarnation := range []string{"a", "b", "c"} {
@@ -163,11 +163,11 @@
 			}
 			holder.mu.Unlock()
 		}
-		wantInCharge(t, holders, 1)
+		checkHolderCount(t, holders, 1)
 	})
 }
 
-func wantInCharge(t *testing.T, holders []*Holder, want int) {
+func checkHolderCount(t *testing.T, holders []*Holder, want int) {
 	t.Helper()
 	got := 0
 	for _, holder := range holders {
@@ -181,7 +181,7 @@
 }
 
 // flaky is a service with an outage that counts the calls of each second.
-type flaky struct {
+type faultyService struct {
 	service *kv.Memory
 	down    atomic.Bool
 	delay   atomic.Int64 // of each call, nanoseconds
@@ -190,7 +190,7 @@
 	reads, writes map[int64]int
 }
 
-func (f *flaky) call(ctx context.Context, limit *budget.Budget, kind budget.Kind) error {
+func (f *faultyService) call(ctx context.Context, limit *budget.Budget, kind budget.Kind) error {
 	if err := limit.Wait(ctx, budget.Call{Kind: kind, Key: Key("x")}); err != nil {
 		return err
 	}
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (f *flaky) count(kind budget.Kind) {
+func (f *faultyService) count(kind budget.Kind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.reads == nil {
@@ -219,7 +219,7 @@
 	f.reads[time.Now().Unix()]++
 }
 
-func (f *flaky) busiest() (reads, writes int) {
+func (f *faultyService) peakRates() (reads, writes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.reads {
@@ -231,7 +231,7 @@
 	return reads, writes
 }
 
-func (f *flaky) store(limit *budget.Budget) *kv.Store {
+func (f *faultyService) store(limit *budget.Budget) *kv.Store {
 	direct := f.service.Store()
 	return &kv.Store{
 		Get: func(ctx context.Context, key string) (kv.Entry, bool, error) {
--- a/relay/lease/machine.go
+++ b/relay/lease/machine.go
@@ -17,22 +17,22 @@
 
 // The states.
 const (
-	Idle    State = "idle"    // somebody else may hold it
-	Asking  State = "asking"  // a lease is asked for, granted or settled
-	Holding State = "holding" // in charge until the deadline
-	Lapsed  State = "lapsed"  // no longer in charge; the lease is given back
+	Idle      State = "idle"    // somebody else may hold it
+	Acquiring State = "asking"  // a lease is asked for, granted or settled
+	Holding   State = "holding" // in charge until the deadline
+	Lapsed    State = "lapsed"  // no longer in charge; the lease is given back
 )
 
 // Fractions of the lease's time.
 const (
-	renewEvery   = 3  // a third passes before it is renewed
-	retryFirst   = 20 // the first wait after a failed call
-	retryAtMost  = 2  // the longest wait while nothing is held
-	renewRetry   = 10 // the wait after a failed renewal
-	takeoverPart = 10 // over which candidates spread when the key vanishes
+	renewDivisor      = 3  // a third passes before it is renewed
+	firstRetryDivisor = 20 // the first wait after a failed call
+	maxRetryDivisor   = 2  // the longest wait while nothing is held
+	renewRetryDivisor = 10 // the wait after a failed renewal
+	takeoverDivisor   = 10 // over which candidates spread when the key vanishes
 	// callPart is when a call that hangs is given up, so that one more attempt
 	// fits before the deadline.
-	callPart = 4
+	callTimeoutDivisor = 4
 )
 
 // Options configure a lease.
@@ -51,27 +51,27 @@
 // machine decides; it holds no clock and makes no calls. The runner asks next
 // what to do, does it, and reports the result to done.
 type machine struct {
-	opts     options
-	state    State
-	asked    time.Time // when the present action began
-	wakeAt   time.Time // nothing is done before; zero: at once
-	failures int       // in a row, for the wait after the next one
-	pace     pace      // of the service
+	opts        options
+	state       State
+	actionStart time.Time      // when the present action began
+	wakeAt      time.Time      // nothing is done before; zero: at once
+	failures    int            // in a row, for the wait after the next one
+	latency     latencyTracker // of the service
 
-	lease    string    // empty: none granted
-	term     term      // of the lease granted or asked for last
-	deadline time.Time // while a lease is granted: we stop trusting it then
-	renewAt  time.Time // while holding
-	fence    uint64    // of the present or last holding; grows
-	settling bool      // while asking: read the key before writing it again
+	lease     string    // empty: none granted
+	term      term      // of the lease granted or asked for last
+	deadline  time.Time // while a lease is granted: we stop trusting it then
+	renewAt   time.Time // while holding
+	fence     uint64    // of the present or last holding; grows
+	rereadKey bool      // while asking: read the key before writing it again
 
-	located bool   // cursor is known
-	cursor  uint64 // revision to watch after
-	looked  bool   // while idle: the key was read since the cursor moved
+	cursorKnown bool   // cursor is known
+	cursor      uint64 // revision to watch after
+	keyRead     bool   // while idle: the key was read since the cursor moved
 }
 
 func newMachine(opts options) *machine {
-	return &machine{opts: opts, state: Idle, pace: newPace(opts.ttl)}
+	return &machine{opts: opts, state: Idle, latency: newLatencyTracker(opts.ttl)}
 }
 
 // expired reports whether the granted lease is not to be trusted any more. The
@@ -87,23 +87,23 @@
 
 // next returns what to do now. It ends a holding whose time is over.
 func (m *machine) next(now time.Time) action {
-	if (m.state == Asking || m.state == Holding) && m.lease != "" && m.expired(now) {
+	if (m.state == Acquiring || m.state == Holding) && m.lease != "" && m.expired(now) {
 		m.state = Lapsed
 		m.wakeAt = time.Time{}
 	}
-	m.asked = now
+	m.actionStart = now
 	if now.Before(m.wakeAt) {
-		return action{step: stepSleep, until: m.earliest(m.wakeAt)}
+		return action{step: stepSleep, until: m.capAtDeadline(m.wakeAt)}
 	}
-	act := m.choose(now)
-	act.timeout = m.opts.ttl * m.pace.stretch / callPart
+	act := m.nextForState(now)
+	act.timeout = m.opts.ttl * m.latency.ttlFactor / callTimeoutDivisor
 	return act
 }
 
-func (m *machine) choose(now time.Time) action {
+func (m *machine) nextForState(now time.Time) action {
 	switch m.state {
-	case Asking:
-		return m.nextAsking()
+	case Acquiring:
+		return m.nextAcquiring()
 	case Holding:
 		return m.nextHolding(now)
 	case Lapsed:
@@ -114,7 +114,7 @@
 }
 
 // earliest never lets a sleep go past the deadline of a granted lease.
-func (m *machine) earliest(until time.Time) time.Time {
+func (m *machine) capAtDeadline(until time.Time) time.Time {
 	if m.lease != "" && m.deadline.Before(until) {
 		return m.deadline
 	}
@@ -122,21 +122,21 @@
 }
 
 func (m *machine) nextIdle() action {
-	if !m.located {
+	if !m.cursorKnown {
 		return action{step: stepLatest}
 	}
-	if !m.looked {
+	if !m.keyRead {
 		return action{step: stepGet}
 	}
 	return action{step: stepWatch, after: m.cursor}
 }
 
-func (m *machine) nextAsking() action {
+func (m *machine) nextAcquiring() action {
 	if m.lease == "" {
-		m.term = term{ttl: m.opts.ttl * m.pace.stretch, margin: m.opts.margin * m.pace.stretch}
+		m.term = term{ttl: m.opts.ttl * m.latency.ttlFactor, margin: m.opts.margin * m.latency.ttlFactor}
 		return action{step: stepGrant, ttl: m.term.ttl}
 	}
-	if m.settling {
+	if m.rereadKey {
 		return action{step: stepGet}
 	}
 	return action{step: stepSwap, lease: m.lease}
@@ -144,54 +144,54 @@
 
 func (m *machine) nextHolding(now time.Time) action {
 	if now.Before(m.renewAt) {
-		return action{step: stepSleep, until: m.earliest(m.renewAt)}
+		return action{step: stepSleep, until: m.capAtDeadline(m.renewAt)}
 	}
 	return action{step: stepKeepAlive, lease: m.lease}
 }
 
 // done takes in what came of the action that next returned last.
-func (m *machine) done(did action, got result, now time.Time) {
-	if did.step == stepSleep {
+func (m *machine) handleResult(act action, res result, now time.Time) {
+	if act.step == stepSleep {
 		return
 	}
-	if did.step != stepWatch {
-		m.pace.observe(now.Sub(m.asked))
+	if act.step != stepWatch {
+		m.latency.observe(now.Sub(m.actionStart))
 	}
-	if (m.state == Asking || m.state == Holding) && m.lease != "" && m.expired(now) {
+	if (m.state == Acquiring || m.state == Holding) && m.lease != "" && m.expired(now) {
 		// The answer came after the time was over: whatever it says, somebody
 		// else may be in charge already.
 		m.state = Lapsed
 		return
 	}
 	if m.state == Holding {
-		m.renewed(got, now)
+		m.handleRenewal(res, now)
 		return
 	}
 	if m.state == Lapsed {
-		m.givenBack(now)
+		m.handleRevoke(now)
 		return
 	}
-	if got.err != nil && did.step != stepSwap {
-		m.failed(got.err, now)
+	if res.err != nil && act.step != stepSwap {
+		m.handleFailure(res.err, now)
 		return
 	}
-	m.failures = countFailure(m.failures, got.err)
-	switch did.step {
+	m.failures = resetOnSuccess(m.failures, res.err)
+	switch act.step {
 	case stepLatest:
-		m.located, m.looked, m.cursor = true, false, got.revision
+		m.cursorKnown, m.keyRead, m.cursor = true, false, res.revision
 	case stepGet:
-		m.read(got, now)
+		m.handleGet(res, now)
 	case stepWatch:
-		m.watched(got, now)
+		m.handleWatch(res, now)
 	case stepGrant:
-		m.lease = got.lease
-		m.trust()
+		m.lease = res.lease
+		m.extendDeadline()
 	case stepSwap:
-		m.swapped(got, now)
+		m.handleSwap(res, now)
 	}
 }
 
-func countFailure(failures int, err error) int {
+func resetOnSuccess(failures int, err error) int {
 	if err == nil {
 		return 0
 	}
@@ -200,16 +200,16 @@
 
 // failed waits longer with each failure in a row, by a random part, so that
 // those who wait for a service to come back do not come back as one.
-func (m *machine) failed(err error, now time.Time) {
+func (m *machine) handleFailure(err error, now time.Time) {
 	if failure.KindOf(err) == failure.Stale {
-		m.located = false
+		m.cursorKnown = false
 	}
-	m.looked = false
-	if m.state == Asking && m.lease == "" {
+	m.keyRead = false
+	if m.state == Acquiring && m.lease == "" {
 		m.state = Idle
 	}
-	wait := m.opts.ttl / retryFirst << min(m.failures, 10)
-	wait = min(wait, m.opts.ttl/retryAtMost)
+	wait := m.opts.ttl / firstRetryDivisor << min(m.failures, 10)
+	wait = min(wait, m.opts.ttl/maxRetryDivisor)
 	m.failures++
 	m.wakeAt = now.Add(wait/2 + m.random(wait/2))
 }
@@ -219,15 +219,15 @@
 }
 
 // read decides by the key: free, held by us after all, or held by another.
-func (m *machine) read(got result, now time.Time) {
-	m.looked = true
-	ours := m.lease != "" && got.found && got.holder == holderValue(m.opts.incarnation, m.lease)
+func (m *machine) handleGet(res result, now time.Time) {
+	m.keyRead = true
+	ours := m.lease != "" && res.found && res.holder == holderValue(m.opts.incarnation, m.lease)
 	switch {
 	case ours:
-		m.hold(got.revision)
-	case !got.found:
-		m.state = Asking
-		m.settling = false
+		m.hold(res.revision)
+	case !res.found:
+		m.state = Acquiring
+		m.rereadKey = false
 	case m.lease != "":
 		m.state = Lapsed // somebody else came first; give the lease back
 	default:
@@ -235,72 +235,72 @@
 	}
 }
 
-func (m *machine) watched(got result, now time.Time) {
-	m.cursor = got.revision
-	m.looked = false
-	if got.found {
-		m.wakeAt = now.Add(m.random(m.opts.ttl / takeoverPart))
+func (m *machine) handleWatch(res result, now time.Time) {
+	m.cursor = res.revision
+	m.keyRead = false
+	if res.found {
+		m.wakeAt = now.Add(m.random(m.opts.ttl / takeoverDivisor))
 	}
 }
 
-func (m *machine) swapped(got result, now time.Time) {
-	if got.err == nil {
-		m.hold(got.revision)
+func (m *machine) handleSwap(res result, now time.Time) {
+	if res.err == nil {
+		m.hold(res.revision)
 		return
 	}
-	switch failure.KindOf(got.err) {
+	switch failure.KindOf(res.err) {
 	case failure.NotFound: // the service ended the lease
 		m.state = Lapsed
 	case failure.Conflict: // another's, or our own earlier one that came late
-		m.settling = true
+		m.rereadKey = true
 	case failure.Ambiguous:
-		m.settling = true
+		m.rereadKey = true
 	default:
-		m.failed(got.err, now)
+		m.handleFailure(res.err, now)
 	}
 }
 
 func (m *machine) hold(revision uint64) {
 	m.state = Holding
-	m.settling = false
+	m.rereadKey = false
 	m.fence = revision
-	m.renewAt = m.deadline.Add(m.term.margin - m.term.ttl + m.term.ttl/renewEvery)
+	m.renewAt = m.deadline.Add(m.term.margin - m.term.ttl + m.term.ttl/renewDivisor)
 }
 
 // trust moves the deadline after a grant or a renewal that succeeded: it counts
 // from before the service was asked.
 //
 // Rule BEFORE of spec/lease.pml.
-func (m *machine) trust() {
-	m.deadline = m.asked.Add(m.term.ttl - m.term.margin)
+func (m *machine) extendDeadline() {
+	m.deadline = m.actionStart.Add(m.term.ttl - m.term.margin)
 }
 
-func (m *machine) renewed(got result, now time.Time) {
-	if got.err == nil {
-		m.trust()
-		m.renewAt = m.asked.Add(m.term.ttl / renewEvery)
-		if m.term.ttl > m.opts.ttl && m.pace.stretch == 1 {
+func (m *machine) handleRenewal(res result, now time.Time) {
+	if res.err == nil {
+		m.extendDeadline()
+		m.renewAt = m.actionStart.Add(m.term.ttl / renewDivisor)
+		if m.term.ttl > m.opts.ttl && m.latency.ttlFactor == 1 {
 			// The service is quick again. With the long lease kept, the others
 			// would wait that long if this process died.
 			m.state = Lapsed
 		}
 		return
 	}
-	if failure.KindOf(got.err) == failure.NotFound {
+	if failure.KindOf(res.err) == failure.NotFound {
 		m.state = Lapsed
 		return
 	}
-	m.renewAt = now.Add(m.term.ttl / renewRetry)
+	m.renewAt = now.Add(m.term.ttl / renewRetryDivisor)
 }
 
 // givenBack starts over, a random moment later: after an outage all former
 // holders and candidates are in the same place.
-func (m *machine) givenBack(now time.Time) {
+func (m *machine) handleRevoke(now time.Time) {
 	m.state = Idle
 	m.lease = ""
-	m.settling = false
-	m.looked = false
-	m.wakeAt = now.Add(m.random(m.opts.ttl / takeoverPart))
+	m.rereadKey = false
+	m.keyRead = false
+	m.wakeAt = now.Add(m.random(m.opts.ttl / takeoverDivisor))
 }
 
 // holding returns the fencing number and the deadline while in charge.
--- a/relay/lease/machine_test.go
+++ b/relay/lease/machine_test.go
@@ -47,7 +47,7 @@
 		s.act = s.machine.next(s.now)
 		return s.describe(s.act) + "\n"
 	case "done":
-		s.machine.done(s.act, parseResult(t, data), s.now)
+		s.machine.handleResult(s.act, parseResult(t, data), s.now)
 		return s.status() + "\n"
 	case "advance":
 		s.now = s.now.Add(parseDuration(t, data.CmdArgs[0].Key))
--- a/relay/lease/random_test.go
+++ b/relay/lease/random_test.go
@@ -32,8 +32,8 @@
 		sim.failed = rapid.Float64Range(0, 0.3).Draw(t, "failed")
 		sim.paused = rapid.Float64Range(0, 0.1).Draw(t, "paused")
 		sim.slowest = time.Duration(rapid.IntRange(1, 15).Draw(t, "slowestSeconds")) * time.Second
-		if problem := sim.run(); problem != "" {
-			t.Fatal(problem)
+		if violation := sim.run(); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
@@ -41,7 +41,7 @@
 // TestSimulationNotices: the check above must be able to fail. A clock that
 // runs far slower than the margin allows lets a holder believe in its lease
 // after the service ended it.
-func TestSimulationNotices(t *testing.T) {
+func TestSimulationDetectsOverlap(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
 		sim := newSimulation(seed, 0.5, 1)
@@ -56,10 +56,10 @@
 }
 
 // TestHoldersFollow: without faults somebody is in charge nearly all the time.
-func TestHoldersFollow(t *testing.T) {
+func TestOneHolderWithoutFaults(t *testing.T) {
 	sim := newSimulation(1, 0.95, 1.05)
-	if problem := sim.run(); problem != "" {
-		t.Fatal(problem)
+	if violation := sim.run(); violation != "" {
+		t.Fatal(violation)
 	}
 	if got := len(sim.fences); got != 1 {
 		t.Errorf("got %d holders in five quiet minutes, want 1", got)
@@ -69,13 +69,13 @@
 // simulation runs several machines against one service, event by event in true
 // time.
 type simulation struct {
-	random  *rand.Rand
-	clock   *clockwork.FakeClock // true time; the service's clock
-	start   time.Time
-	service *kv.Memory
-	members []*member
-	events  eventHeap
-	made    int // events ever made; orders those of the same moment
+	random     *rand.Rand
+	clock      *clockwork.FakeClock // true time; the service's clock
+	start      time.Time
+	service    *kv.Memory
+	processes  []*process
+	events     eventHeap
+	eventCount int // events ever made; orders those of the same moment
 
 	lost, failed, paused float64       // fractions of calls
 	slowest              time.Duration // a call's longest way there or back
@@ -83,7 +83,7 @@
 }
 
 // member is one process with its own clock.
-type member struct {
+type process struct {
 	name    string
 	machine *machine
 	rate    float64 // of its clock against true time
@@ -100,23 +100,23 @@
 		slowest: 100 * time.Millisecond,
 	}
 	for i := range 4 {
-		one := &member{name: fmt.Sprintf("m%d", i), rate: slowest + sim.random.Float64()*(fastest-slowest)}
-		one.machine = newMachine(options{incarnation: one.name, ttl: simTTL, margin: simMargin, jitter: sim.random.Float64})
-		sim.members = append(sim.members, one)
-		sim.after(0, func() { sim.step(one) })
+		proc := &process{name: fmt.Sprintf("m%d", i), rate: slowest + sim.random.Float64()*(fastest-slowest)}
+		proc.machine = newMachine(options{incarnation: proc.name, ttl: simTTL, margin: simMargin, jitter: sim.random.Float64})
+		sim.processes = append(sim.processes, proc)
+		sim.after(0, func() { sim.step(proc) })
 	}
 	return sim
 }
 
 // local returns the member's reading of its clock.
-func (s *simulation) local(one *member) time.Time {
+func (s *simulation) local(proc *process) time.Time {
 	elapsed := s.clock.Now().Sub(s.start)
-	return s.start.Add(time.Duration(float64(elapsed) * one.rate))
+	return s.start.Add(time.Duration(float64(elapsed) * proc.rate))
 }
 
 func (s *simulation) after(wait time.Duration, run func()) {
-	s.made++
-	heap.Push(&s.events, event{at: s.clock.Now().Add(wait), order: s.made, run: run})
+	s.eventCount++
+	heap.Push(&s.events, event{at: s.clock.Now().Add(wait), order: s.eventCount, run: run})
 }
 
 // run returns what went wrong, or nothing.
@@ -125,95 +125,95 @@
 		due := heap.Pop(&s.events).(event)
 		s.clock.Advance(due.at.Sub(s.clock.Now()))
 		due.run()
-		if problem := s.check(); problem != "" {
-			return problem
+		if violation := s.check(); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
 func (s *simulation) check() string {
-	var holder *member
-	for _, one := range s.members {
-		fence, deadline, holding := one.machine.holding()
-		holding = holding && !expired(deadline, s.local(one))
+	var holder *process
+	for _, proc := range s.processes {
+		fence, deadline, holding := proc.machine.holding()
+		holding = holding && !expired(deadline, s.local(proc))
 		if holding && holder != nil {
-			return fmt.Sprintf("got %s and %s in charge at %s, want one", holder.name, one.name, s.clock.Since(s.start))
+			return fmt.Sprintf("got %s and %s in charge at %s, want one", holder.name, proc.name, s.clock.Since(s.start))
 		}
 		if holding {
-			holder = one
+			holder = proc
 		}
-		if holding && !one.held {
+		if holding && !proc.held {
 			if n := len(s.fences); n > 0 && fence <= s.fences[n-1] {
 				return fmt.Sprintf("got fence %d after %d, want it to grow", fence, s.fences[n-1])
 			}
 			s.fences = append(s.fences, fence)
 		}
-		one.held = holding
+		proc.held = holding
 	}
 	return ""
 }
 
 // step lets the member decide and carries its action out.
-func (s *simulation) step(one *member) {
-	act := one.machine.next(s.local(one))
+func (s *simulation) step(proc *process) {
+	act := proc.machine.next(s.local(proc))
 	if act.step == stepSleep {
-		wait := float64(act.until.Sub(s.local(one))) / one.rate
+		wait := float64(act.until.Sub(s.local(proc))) / proc.rate
 		// A little more than asked: rounding down would ask again at the same moment.
-		s.after(time.Duration(wait)+time.Microsecond+s.pause(), func() { s.finish(one, act, result{}) })
+		s.after(time.Duration(wait)+time.Microsecond+s.drawPause(), func() { s.finish(proc, act, result{}) })
 		return
 	}
 	if act.step == stepWatch {
-		s.after(s.travel(), func() { s.poll(one, act, s.clock.Now().Add(simTTL)) })
+		s.after(s.networkDelay(), func() { s.poll(proc, act, s.clock.Now().Add(simTTL)) })
 		return
 	}
-	timeout := time.Duration(float64(act.timeout) / one.rate)
+	timeout := time.Duration(float64(act.timeout) / proc.rate)
 	answered := false
 	answer := func(got result) {
 		if !answered {
 			answered = true
-			s.finish(one, act, got)
+			s.finish(proc, act, got)
 		}
 	}
-	s.after(timeout+s.pause(), func() {
+	s.after(timeout+s.drawPause(), func() {
 		answer(result{err: failure.New(failure.Ambiguous, "timeout", "none")})
 	})
 	if s.random.Float64() < s.failed {
-		s.after(s.travel(), func() { answer(result{err: failure.New(failure.Unavailable, "down", "none")}) })
+		s.after(s.networkDelay(), func() { answer(result{err: failure.New(failure.Unavailable, "down", "none")}) })
 		return
 	}
-	s.after(s.travel(), func() { // even after the time-out: a call may arrive late
-		got := s.call(one, act)
+	s.after(s.networkDelay(), func() { // even after the time-out: a call may arrive late
+		got := s.call(proc, act)
 		if s.random.Float64() >= s.lost {
-			s.after(s.travel()+s.pause(), func() { answer(got) })
+			s.after(s.networkDelay()+s.drawPause(), func() { answer(got) })
 		}
 	})
 }
 
-func (s *simulation) finish(one *member, act action, got result) {
-	one.machine.done(act, got, s.local(one))
-	s.after(s.pause(), func() { s.step(one) })
+func (s *simulation) finish(proc *process, act action, got result) {
+	proc.machine.handleResult(act, got, s.local(proc))
+	s.after(s.drawPause(), func() { s.step(proc) })
 }
 
 // poll stands in for a waiting watch.
-func (s *simulation) poll(one *member, act action, until time.Time) {
+func (s *simulation) poll(proc *process, act action, until time.Time) {
 	changes, now, _, err := s.service.Changes(Key("x"), act.after)
 	if err == nil && len(changes) == 0 && s.clock.Now().Before(until) {
-		s.after(100*time.Millisecond, func() { s.poll(one, act, until) })
+		s.after(100*time.Millisecond, func() { s.poll(proc, act, until) })
 		return
 	}
-	s.finish(one, act, result{found: len(changes) > 0, revision: now, err: err})
+	s.finish(proc, act, result{found: len(changes) > 0, revision: now, err: err})
 }
 
 // call does the service's part.
-func (s *simulation) call(one *member, act action) result {
+func (s *simulation) call(proc *process, act action) result {
 	ctx := context.Background()
-	holder := Holder{name: "x", store: s.service.Store(), opts: one.machine.opts}
+	holder := Holder{name: "x", store: s.service.Store(), opts: proc.machine.opts}
 	return holder.call(ctx, act)
 }
 
 // travel draws the time of a call's way; most are quick.
-func (s *simulation) travel() time.Duration {
+func (s *simulation) networkDelay() time.Duration {
 	if s.random.Float64() < 0.8 {
 		return time.Duration(s.random.Float64() * float64(10*time.Millisecond))
 	}
@@ -221,7 +221,7 @@
 }
 
 // pause draws how long the process stands still before its next instruction.
-func (s *simulation) pause() time.Duration {
+func (s *simulation) drawPause() time.Duration {
 	if s.random.Float64() >= s.paused {
 		return 0
 	}
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -3,7 +3,7 @@
  *   OWNCLOCK  the holder checks its own clock before it acts
  *             (lease.Holder.Holding)
  *   BEFORE    the lease counts from before it was asked for
- *             (lease.machine.trust)
+ *             (lease.machine.extendDeadline)
  *   PLANCAS   a plan replaces only the plan it was computed from
  *             (planner.Planner.write)
  *   FENCE     the agent refuses an order below the highest it obeyed
