--- a/relay/lease/action.go
+++ b/relay/lease/action.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// step names what the runner is to do next.
+// step is the kind of an action that the state machine requests.
 type step string
 
 const (
-	stepSleep     step = "sleep"     // until Action.until
-	stepLatest    step = "latest"    // learn the service's revision
+	stepSleep     step = "sleep"     // sleep until action.until
+	stepLatest    step = "latest"    // fetch the service's current revision
 	stepGet       step = "get"       // read the key
 	stepWatch     step = "watch"     // wait for a change of the key
-	stepGrant     step = "grant"     // ask for a lease
-	stepSwap      step = "swap"      // write the key, bound to the lease
+	stepGrant     step = "grant"     // request a lease
+	stepSwap      step = "swap"      // create the key, bound to the lease
 	stepKeepAlive step = "keepAlive" // renew the lease
-	stepRevoke    step = "revoke"    // end the lease, whatever comes of it
+	stepRevoke    step = "revoke"    // revoke the lease; the result is ignored
 )
 
-// action is one step with what it needs.
+// action is one step with its parameters.
 type action struct {
 	step  step
-	until time.Time     // of a sleep
-	lease string        // of swap, keepAlive and revoke
-	after uint64        // of a watch
-	ttl   time.Duration // of a grant
-	// timeout is when a call, or a watch after its wait, is given up.
+	until time.Time     // sleep: when it ends
+	lease string        // swap, keepAlive, revoke: lease ID
+	after uint64        // watch: report changes after this revision
+	ttl   time.Duration // grant: requested TTL
+	// timeout limits a call. For a watch it is added to the watch's wait time.
 	timeout time.Duration
 }
 
-// String writes the action for scripts and logs.
+// String formats the action for test scripts and logs.
 func (a action) String() string {
 	switch a.step {
 	case stepSwap, stepKeepAlive, stepRevoke:
@@ -44,11 +44,11 @@
 	}
 }
 
-// result is what came of an action.
+// result is the outcome of an action.
 type result struct {
 	err      error
 	found    bool   // get: the key exists; watch: the key changed
 	holder   string // get: the key's value
-	revision uint64 // get, swap: of the key; latest, watch: of the service
-	lease    string // grant
+	revision uint64 // get, swap: revision of the key; latest, watch: revision of the service
+	lease    string // grant: lease ID
 }
--- a/relay/lease/holder.go
+++ b/relay/lease/holder.go
@@ -14,14 +14,14 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// releaseTimeout bounds giving the lease back at the end of a process.
+// releaseTimeout limits the revocation of the lease at shutdown.
 const releaseTimeout = 2 * time.Second
 
-// counters counts how often leases of this process were acquired and lapsed:
-// "acquired.planner", "lapsed.planner".
+// counters counts how often this process acquired and lost each lease, under
+// keys such as "acquired.planner" and "lapsed.planner".
 var counters = expvar.NewMap("lease")
 
-// Holder keeps one process's claim on a lease.
+// Holder acquires and renews a named lease on behalf of one process.
 type Holder struct {
 	name    string
 	store   *kv.Store
@@ -29,19 +29,19 @@
 	opts    options
 	log     *slog.Logger
 	changes chan struct{} // holds at most one signal
-	ended   chan struct{} // closed when the runner is done
+	ended   chan struct{} // closed when run returns
 
 	mu       sync.Mutex
 	state    State
-	fence    uint64    // valid while state is Holding; grows
-	deadline time.Time // the claim is not to be trusted from then on
-	stopped  bool      // the context ended: never in charge again
+	fence    uint64    // fencing token; valid while state is Holding, only increases
+	deadline time.Time // the lease counts as expired from this time on
+	stopped  bool      // the context ended; the lease is never held again
 }
 
-// Run starts claiming the lease with the name and returns at once. It goes on
-// until the context ends, then gives the lease back. The margin must cover how
-// far this host's clock may fall behind the service's within the ttl, and the
-// ttl must be longer than a few calls to the service.
+// Run starts a goroutine that acquires and renews the named lease, and returns
+// immediately. When the context ends, the goroutine revokes the lease. The
+// margin must cover how far this host's clock may fall behind the service's
+// within the ttl, and the ttl must be longer than a few calls to the service.
 func Run(ctx context.Context, store *kv.Store, clock clockwork.Clock, name, incarnation string,
 	ttl, margin time.Duration, log *slog.Logger) *Holder {
 	holder := &Holder{
@@ -58,9 +58,9 @@
 	return holder
 }
 
-// Holding returns the fencing number while this process is in charge. It looks
-// at the clock on each call: a process that was paused past its lease and wakes
-// gets false before it knows anything else.
+// Holding returns the fencing token while this process holds the lease. It
+// checks the clock on each call, so that a process that resumes after a pause
+// longer than its lease gets false before it has processed any other event.
 //
 // Rule OWNCLOCK of spec/lease.pml.
 func (h *Holder) Holding() (fence uint64, ok bool) {
@@ -72,7 +72,8 @@
 	return h.fence, true
 }
 
-// State returns where the process stands.
+// State returns the current state. It returns Lapsed once the deadline has
+// passed, even if the state machine has not run since.
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,11 +83,13 @@
 	return h.state
 }
 
-// Changes receives a value after the lease was acquired or lost; several
-// changes may make one. Read Holding then.
+// Changes returns a channel that receives a value after the lease was acquired
+// or lost. Several changes may be merged into one value; call Holding for the
+// current state.
 func (h *Holder) Changes() <-chan struct{} { return h.changes }
 
-// Done is closed when the context ended and the lease is given back.
+// Done returns a channel that is closed once the context has ended and the
+// attempt to revoke the lease has finished.
 func (h *Holder) Done() <-chan struct{} { return h.ended }
 
 func (h *Holder) run(ctx context.Context) {
@@ -105,14 +108,16 @@
 	h.release(machine.lease)
 }
 
-// stop ends being in charge before anything else happens at the end.
+// stop makes Holding return false at once when the context ends, before the
+// lease is revoked.
 func (h *Holder) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stopped = true
 }
 
-// publish makes the machine's decision visible to Holding.
+// publish copies the machine's state to the fields that Holding and State read,
+// and signals an acquisition or a loss of the lease.
 func (h *Holder) publish(machine *machine) {
 	fence, deadline, holding := machine.holding()
 	h.mu.Lock()
@@ -132,6 +137,8 @@
 	}
 }
 
+// notify counts and logs that the lease was acquired or lost, and signals it on
+// the Changes channel.
 func (h *Holder) notify(holding bool, fence uint64) {
 	event := "lapsed"
 	if holding {
@@ -141,22 +148,24 @@
 	h.log.Info("lease "+event, "fence", fence)
 	select {
 	case h.changes <- struct{}{}:
-	default: // one signal waits already
+	default: // a signal is already pending
 	}
 }
 
-// fenceFell reports a service that lost its state: engines would refuse the new
-// holder's orders, or take a former holder's for newer.
+// reportFenceDecrease logs that the fencing token did not increase, which means
+// that the key-value service lost its state. Engines would then reject the new
+// holder's orders, or accept a former holder's orders as newer.
 func (h *Holder) reportFenceDecrease(fence uint64) {
 	counters.Add("fenceFell", 1)
 	h.log.Error("invariant broke", "rule", "fencing numbers grow", "fence", fence)
 	onInvariantViolation()
 }
 
-// onBroken is called where an invariant broke; tests let it panic.
+// onInvariantViolation is called when an invariant is violated; tests replace
+// it with a function that panics.
 var onInvariantViolation = func() {}
 
-// perform makes one call, or sleeps.
+// execute runs one action: a sleep, or a call with its timeout.
 func (h *Holder) execute(ctx context.Context, act action) result {
 	if act.step == stepSleep {
 		h.sleep(ctx, act.until)
@@ -180,6 +189,7 @@
 	}
 }
 
+// call makes the key-value service call of the action.
 func (h *Holder) call(ctx context.Context, act action) result {
 	key := Key(h.name)
 	switch act.step {
@@ -204,12 +214,12 @@
 	case stepRevoke:
 		return result{err: h.store.Revoke(ctx, act.lease)}
 	default:
-		return result{err: failure.New(failure.Internal, "unknown step "+string(act.step), "report it")}
+		return result{err: failure.New(failure.Internal, "unknown lease action "+string(act.step), "report it")}
 	}
 }
 
-// touches reports whether one of the changes is the key's; a watch on it also
-// reports longer keys that begin alike.
+// containsKey reports whether the changes include the key itself. A watch
+// matches by prefix, so it also reports longer keys that start with this one.
 func containsKey(changes []kv.Entry, key string) bool {
 	for _, change := range changes {
 		if change.Key() == key {
@@ -219,8 +229,8 @@
 	return false
 }
 
-// release gives the lease back, so that the next holder need not wait for it
-// to lapse.
+// release revokes the lease, so that the next holder need not wait for it to
+// expire.
 func (h *Holder) release(lease string) {
 	if lease == "" {
 		return
@@ -228,6 +238,6 @@
 	ctx, cancel := clockwork.WithTimeout(context.Background(), h.clock, releaseTimeout)
 	defer cancel()
 	if err := h.store.Revoke(ctx, lease); err != nil {
-		h.log.Warn("lease not given back, it lapses by itself", "err", err)
+		h.log.Warn("failed to revoke lease, it will expire on its own", "err", err)
 	}
 }
--- a/relay/lease/holder_test.go
+++ b/relay/lease/holder_test.go
@@ -27,8 +27,9 @@
 	return Run(ctx, store, clockwork.NewRealClock(), "x", incarnation, testTTL, testMargin, slog.New(slog.DiscardHandler))
 }
 
-// TestPausedHolder: a holder whose calls hang for a minute, as if it were
-// paused, must not be in charge when its successor is, nor when it wakes.
+// TestPausedHolder checks that a holder whose calls hang for a minute, as in a
+// paused process, does not hold the lease while its successor does, nor after
+// it resumes.
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := kv.NewMemoryService(clockwork.NewRealClock())
@@ -45,7 +46,7 @@
 		time.Sleep(2 * time.Second)
 		before, ok := former.Holding()
 		if !ok {
-			t.Fatal("got no holder, want the only candidate")
+			t.Fatal("got no holder, want the only candidate to hold the lease")
 		}
 		next := start(t.Context(), service.Store(), "next")
 		paused.Store(true)
@@ -59,21 +60,21 @@
 			}
 		}
 		if overlaps > 0 {
-			t.Errorf("got two in charge %d times, want never", overlaps)
+			t.Errorf("got two holders at once %d times, want never", overlaps)
 		}
 		paused.Store(false)
 		after, ok := next.Holding()
 		if !ok || after <= before {
-			t.Errorf("got fence %d (in charge: %t) after %d, want a larger one in charge", after, ok, before)
+			t.Errorf("got fence %d (holding: %t) after %d, want a larger one, holding", after, ok, before)
 		}
 		if _, ok := former.Holding(); ok {
-			t.Error("got the former holder in charge, want its successor only")
+			t.Error("got the former holder still holding, want its successor only")
 		}
 	})
 }
 
-// TestEndGivesBack: a process that ends must not let its successor wait for the
-// whole of the lease's time.
+// TestShutdownRevokesLease checks that a process revokes its lease when it
+// ends, so that its successor does not wait for the whole ttl.
 func TestShutdownRevokesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kv.NewMemory(clockwork.NewRealClock())
@@ -85,19 +86,19 @@
 		cancel()
 		<-former.Done()
 		if _, ok := former.Holding(); ok {
-			t.Error("got the ended process in charge, want it out")
+			t.Error("got the ended process still holding, want it not to hold")
 		}
 		<-next.Changes()
 		if _, ok := next.Holding(); !ok {
-			t.Error("got the successor not in charge after its signal, want it in charge")
+			t.Error("got the successor not holding after its signal, want it holding")
 		}
 	})
 }
 
-// TestReturnOfTheService: the service is down for an hour, then comes back to
-// nine processes that all want four leases. The symptom of a herd would be a
-// second with more calls than the service takes; nobody may be in charge
-// meanwhile, and somebody must be soon after.
+// TestServiceRecovery guards against a thundering herd: the service is down for
+// an hour, then recovers while nine processes compete for four leases. No
+// second may have more calls than the service handles. No process may hold a
+// lease during the outage, and each lease must have a holder soon after it.
 func TestServiceRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
@@ -126,9 +127,10 @@
 	})
 }
 
-// TestSlowService: every call takes three seconds, more than half of the
-// lease's time. The symptom of leases of a fixed time: nobody is ever in charge,
-// so no plan is made and no watch is kept, although the service works.
+// TestSlowService checks that a lease is held although every call takes three
+// seconds, more than half of the ttl. With a fixed ttl no process would ever
+// hold the lease, so no plan would be made and no watch kept although the
+// service works.
 func TestSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
@@ -150,16 +152,16 @@
 				}
 			}
 		}
-		t.Logf("somebody in charge in %d of 600 s", covered)
+		t.Logf("lease held in %d of 600 s", covered)
 		if covered < 540 || covered > 600 {
-			t.Errorf("got one in charge in %d of 600 s, want at least 540, and never two", covered)
+			t.Errorf("got the lease held in %d of 600 s, want at least 540, and never two holders", covered)
 		}
 		platform.delay.Store(0)
 		time.Sleep(2 * time.Minute)
 		for _, holder := range holders {
 			holder.mu.Lock()
 			if holder.state == Holding && holder.deadline.Sub(clock.Now()) > 5*time.Second {
-				t.Error("got a long lease in a quick service, want the usual time")
+				t.Error("got an extended lease with a fast service, want the configured ttl")
 			}
 			holder.mu.Unlock()
 		}
@@ -167,6 +169,7 @@
 	})
 }
 
+// checkHolderCount checks how many of the holders hold their lease.
 func checkHolderCount(t *testing.T, holders []*Holder, want int) {
 	t.Helper()
 	got := 0
@@ -176,15 +179,16 @@
 		}
 	}
 	if got != want {
-		t.Errorf("got %d in charge, want %d", got, want)
+		t.Errorf("got %d holders, want %d", got, want)
 	}
 }
 
-// flaky is a service with an outage that counts the calls of each second.
+// faultyService wraps a service with outages and delays, and counts the calls
+// in each second.
 type faultyService struct {
 	service *kv.Memory
 	down    atomic.Bool
-	delay   atomic.Int64 // of each call, nanoseconds
+	delay   atomic.Int64 // added to each call, in nanoseconds
 
 	mu            sync.Mutex
 	reads, writes map[int64]int
@@ -219,6 +223,7 @@
 	f.reads[time.Now().Unix()]++
 }
 
+// peakRates returns the largest numbers of reads and of writes in one second.
 func (f *faultyService) peakRates() (reads, writes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/relay/lease/latency.go
+++ b/relay/lease/latency.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// maxStretch bounds the lease's time in a slow service: the longest that
-	// the others wait after a holder died is this many times the usual one.
+	// maxTTLFactor limits how much the ttl is extended while the service is
+	// slow. After a holder dies, the other candidates wait at most this many
+	// times the configured ttl.
 	maxTTLFactor = 8
-	// slowPart and quickPart are the fractions of the lease's time from which a
-	// call is slow, and up to which it is quick.
+	// A call is slow if it takes at least 1/slowDivisor of the current ttl, and
+	// fast if it takes at most 1/fastDivisor of the configured ttl.
 	slowDivisor = 8
 	fastDivisor = 16
-	// quickCalls in a row make the service quick again.
+	// fastCallsToReset is the number of consecutive fast calls after which the
+	// ttl returns to the configured one.
 	fastCallsToReset = 2
 )
 
-// pace follows how long the service's calls take. In a service that takes
-// seconds a call, a lease of the usual time lapses before its key is written,
-// and nobody is ever in charge; a longer lease is held.
+// latencyTracker scales the ttl with the latency of the service. If a call
+// takes seconds, a lease with the configured ttl expires before its key is
+// written, and no process ever holds it; a longer lease avoids that.
 type latencyTracker struct {
-	ttl       time.Duration // the usual one
-	ttlFactor time.Duration // a factor: 1 to maxStretch
-	fastCalls int           // calls in a row
+	ttl       time.Duration // configured ttl
+	ttlFactor time.Duration // multiplies ttl; 1 to maxTTLFactor
+	fastCalls int           // consecutive
 }
 
 func newLatencyTracker(ttl time.Duration) latencyTracker {
 	return latencyTracker{ttl: ttl, ttlFactor: 1}
 }
 
-// observe takes in how long a call took, failed ones included.
+// observe records the duration of a call, failed calls included.
 func (l *latencyTracker) observe(took time.Duration) {
 	if took >= l.ttl*l.ttlFactor/slowDivisor {
 		l.ttlFactor = min(2*l.ttlFactor, maxTTLFactor)
--- a/relay/lease/machine.go
+++ b/relay/lease/machine.go
@@ -1,9 +1,10 @@
-// Package lease lets one process at a time be in charge of something, by a
-// lease in the platform's key-value service.
+// Package lease implements leader election with leases in the platform's
+// key-value service: at most one process holds a named lease at a time.
 //
-// A holder counts the lease's time from before it asked for it, on its own
-// clock, less a margin, and stops by itself; its fencing number is the revision
-// of the lease key, which grows with every holder.
+// A holder measures the lease's ttl on its own clock, starting before it sent
+// the request, subtracts a safety margin, and stops acting when that time is
+// over. Its fencing token is the revision of the lease key, which increases with
+// every new holder.
 package lease
 
 import (
@@ -12,80 +13,83 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// State is where a process stands with a lease.
+// State is the state of a process with regard to a lease.
 type State string
 
-// The states.
+// The states of a lease.
 const (
-	Idle      State = "idle"    // somebody else may hold it
-	Acquiring State = "asking"  // a lease is asked for, granted or settled
-	Holding   State = "holding" // in charge until the deadline
-	Lapsed    State = "lapsed"  // no longer in charge; the lease is given back
+	Idle      State = "idle"    // not held; another process may hold it
+	Acquiring State = "asking"  // requesting a lease and creating its key
+	Holding   State = "holding" // held until the deadline
+	Lapsed    State = "lapsed"  // no longer held; the lease is being revoked
 )
 
-// Fractions of the lease's time.
+// Durations as fractions of the ttl: each is the ttl divided by the constant.
 const (
-	renewDivisor      = 3  // a third passes before it is renewed
-	firstRetryDivisor = 20 // the first wait after a failed call
-	maxRetryDivisor   = 2  // the longest wait while nothing is held
-	renewRetryDivisor = 10 // the wait after a failed renewal
-	takeoverDivisor   = 10 // over which candidates spread when the key vanishes
-	// callPart is when a call that hangs is given up, so that one more attempt
-	// fits before the deadline.
+	renewDivisor      = 3  // age at which a lease is renewed: a third of the ttl
+	firstRetryDivisor = 20 // first backoff after a failed call
+	maxRetryDivisor   = 2  // longest backoff while the lease is not held
+	renewRetryDivisor = 10 // delay after a failed renewal
+	takeoverDivisor   = 10 // longest random delay of a candidate after the key changed
+	// callTimeoutDivisor sets the timeout of a call, short enough that another
+	// attempt fits before the deadline.
 	callTimeoutDivisor = 4
 )
 
-// Options configure a lease.
+// options configures a lease.
 type options struct {
-	incarnation string        // of this process, new at each start
-	ttl         time.Duration // what the service is asked for
-	margin      time.Duration // covers the clocks' difference in rate
-	jitter      func() float64
+	incarnation string         // of this process, new at each start
+	ttl         time.Duration  // requested from the service
+	margin      time.Duration  // covers the difference in clock rates
+	jitter      func() float64 // random number in [0,1)
 }
 
-// term is the lease's time with the margin that belongs to it.
+// term is the ttl of a lease with the corresponding margin.
 type term struct {
 	ttl, margin time.Duration
 }
 
-// machine decides; it holds no clock and makes no calls. The runner asks next
-// what to do, does it, and reports the result to done.
+// machine is the state machine of a lease. It has no clock and makes no calls:
+// the caller gets an action from next, executes it, and passes the result to
+// handleResult.
 type machine struct {
 	opts        options
 	state       State
-	actionStart time.Time      // when the present action began
-	wakeAt      time.Time      // nothing is done before; zero: at once
-	failures    int            // in a row, for the wait after the next one
-	latency     latencyTracker // of the service
+	actionStart time.Time      // when the current action began
+	wakeAt      time.Time      // no action other than sleep before this time; zero: no delay
+	failures    int            // consecutive failed calls; determines the backoff
+	latency     latencyTracker // latency of the service
 
-	lease     string    // empty: none granted
-	term      term      // of the lease granted or asked for last
-	deadline  time.Time // while a lease is granted: we stop trusting it then
-	renewAt   time.Time // while holding
-	fence     uint64    // of the present or last holding; grows
-	rereadKey bool      // while asking: read the key before writing it again
+	lease     string    // ID of the granted lease; empty if none
+	term      term      // of the lease requested last
+	deadline  time.Time // when the granted lease counts as expired
+	renewAt   time.Time // while Holding: when to renew the lease
+	fence     uint64    // fencing token of the current or last holding; only increases
+	rereadKey bool      // while Acquiring: read the key before writing it again
 
-	cursorKnown bool   // cursor is known
-	cursor      uint64 // revision to watch after
-	keyRead     bool   // while idle: the key was read since the cursor moved
+	cursorKnown bool   // cursor is valid
+	cursor      uint64 // watch for changes after this revision
+	keyRead     bool   // while Idle: the key was read since the cursor changed
 }
 
 func newMachine(opts options) *machine {
 	return &machine{opts: opts, state: Idle, latency: newLatencyTracker(opts.ttl)}
 }
 
-// expired reports whether the granted lease is not to be trusted any more. The
-// monotonic clock may stand still while a machine is suspended; comparing the
-// wall clock as well notices that.
+// expired reports whether the deadline of the granted lease has passed.
 func (m *machine) expired(now time.Time) bool {
 	return expired(m.deadline, now)
 }
 
+// expired reports whether the deadline has passed by the monotonic or the wall
+// clock. The monotonic clock may stop while a host is suspended, so the wall
+// clock is compared as well.
 func expired(deadline, now time.Time) bool {
 	return !now.Before(deadline) || !now.Round(0).Before(deadline.Round(0))
 }
 
-// next returns what to do now. It ends a holding whose time is over.
+// next returns the action to execute now. It moves to Lapsed if the granted
+// lease has expired.
 func (m *machine) next(now time.Time) action {
 	if (m.state == Acquiring || m.state == Holding) && m.lease != "" && m.expired(now) {
 		m.state = Lapsed
@@ -100,6 +104,7 @@
 	return act
 }
 
+// nextForState returns the action that the current state requires.
 func (m *machine) nextForState(now time.Time) action {
 	switch m.state {
 	case Acquiring:
@@ -113,7 +118,7 @@
 	}
 }
 
-// earliest never lets a sleep go past the deadline of a granted lease.
+// capAtDeadline limits the end of a sleep to the deadline of a granted lease.
 func (m *machine) capAtDeadline(until time.Time) time.Time {
 	if m.lease != "" && m.deadline.Before(until) {
 		return m.deadline
@@ -149,7 +154,8 @@
 	return action{step: stepKeepAlive, lease: m.lease}
 }
 
-// done takes in what came of the action that next returned last.
+// handleResult updates the state with the result of the action that next
+// returned last.
 func (m *machine) handleResult(act action, res result, now time.Time) {
 	if act.step == stepSleep {
 		return
@@ -158,8 +164,8 @@
 		m.latency.observe(now.Sub(m.actionStart))
 	}
 	if (m.state == Acquiring || m.state == Holding) && m.lease != "" && m.expired(now) {
-		// The answer came after the time was over: whatever it says, somebody
-		// else may be in charge already.
+		// The reply arrived after the lease expired. Whatever it says, another
+		// process may already hold the lease.
 		m.state = Lapsed
 		return
 	}
@@ -191,6 +197,8 @@
 	}
 }
 
+// resetOnSuccess returns the number of consecutive failures after a call: 0 if
+// it succeeded, else unchanged.
 func resetOnSuccess(failures int, err error) int {
 	if err == nil {
 		return 0
@@ -198,8 +206,8 @@
 	return failures
 }
 
-// failed waits longer with each failure in a row, by a random part, so that
-// those who wait for a service to come back do not come back as one.
+// handleFailure schedules a retry with exponential backoff and jitter, so that
+// the processes that wait for a service to recover do not all call it at once.
 func (m *machine) handleFailure(err error, now time.Time) {
 	if failure.KindOf(err) == failure.Stale {
 		m.cursorKnown = false
@@ -214,11 +222,13 @@
 	m.wakeAt = now.Add(wait/2 + m.random(wait/2))
 }
 
+// random returns a random duration between 0 and span.
 func (m *machine) random(span time.Duration) time.Duration {
 	return time.Duration(m.opts.jitter() * float64(span))
 }
 
-// read decides by the key: free, held by us after all, or held by another.
+// handleGet sets the state according to the key: held by this process, free, or
+// held by another process.
 func (m *machine) handleGet(res result, now time.Time) {
 	m.keyRead = true
 	ours := m.lease != "" && res.found && res.holder == holderValue(m.opts.incarnation, m.lease)
@@ -229,12 +239,14 @@
 		m.state = Acquiring
 		m.rereadKey = false
 	case m.lease != "":
-		m.state = Lapsed // somebody else came first; give the lease back
+		m.state = Lapsed // another process acquired the key; revoke our lease
 	default:
 		m.state = Idle
 	}
 }
 
+// handleWatch advances the cursor. If the key changed, it delays the next read
+// by a random time, so that the candidates do not all read it at once.
 func (m *machine) handleWatch(res result, now time.Time) {
 	m.cursor = res.revision
 	m.keyRead = false
@@ -243,6 +255,8 @@
 	}
 }
 
+// handleSwap starts the holding if the key was written. If the outcome is
+// unknown, the key is read next.
 func (m *machine) handleSwap(res result, now time.Time) {
 	if res.err == nil {
 		m.hold(res.revision)
@@ -251,7 +265,7 @@
 	switch failure.KindOf(res.err) {
 	case failure.NotFound: // the service ended the lease
 		m.state = Lapsed
-	case failure.Conflict: // another's, or our own earlier one that came late
+	case failure.Conflict: // written by another process, or by an earlier swap of ours that arrived late
 		m.rereadKey = true
 	case failure.Ambiguous:
 		m.rereadKey = true
@@ -260,6 +274,7 @@
 	}
 }
 
+// hold moves to Holding; the revision of the key becomes the fencing token.
 func (m *machine) hold(revision uint64) {
 	m.state = Holding
 	m.rereadKey = false
@@ -267,21 +282,23 @@
 	m.renewAt = m.deadline.Add(m.term.margin - m.term.ttl + m.term.ttl/renewDivisor)
 }
 
-// trust moves the deadline after a grant or a renewal that succeeded: it counts
-// from before the service was asked.
+// extendDeadline sets the deadline after a successful grant or renewal. The ttl
+// is counted from before the request was sent.
 //
 // Rule BEFORE of spec/lease.pml.
 func (m *machine) extendDeadline() {
 	m.deadline = m.actionStart.Add(m.term.ttl - m.term.margin)
 }
 
+// handleRenewal extends the deadline after a successful renewal. Otherwise it
+// schedules a retry, or moves to Lapsed if the service has ended the lease.
 func (m *machine) handleRenewal(res result, now time.Time) {
 	if res.err == nil {
 		m.extendDeadline()
 		m.renewAt = m.actionStart.Add(m.term.ttl / renewDivisor)
 		if m.term.ttl > m.opts.ttl && m.latency.ttlFactor == 1 {
-			// The service is quick again. With the long lease kept, the others
-			// would wait that long if this process died.
+			// The service is fast again. If this process kept the long lease and
+			// died, the other candidates would wait for the long ttl.
 			m.state = Lapsed
 		}
 		return
@@ -293,8 +310,8 @@
 	m.renewAt = now.Add(m.term.ttl / renewRetryDivisor)
 }
 
-// givenBack starts over, a random moment later: after an outage all former
-// holders and candidates are in the same place.
+// handleRevoke returns to Idle after a random delay: after an outage all former
+// holders and candidates are in this state at the same time.
 func (m *machine) handleRevoke(now time.Time) {
 	m.state = Idle
 	m.lease = ""
@@ -303,7 +320,8 @@
 	m.wakeAt = now.Add(m.random(m.opts.ttl / takeoverDivisor))
 }
 
-// holding returns the fencing number and the deadline while in charge.
+// holding returns the fencing token and the deadline; ok reports whether the
+// state is Holding. The caller must check the deadline.
 func (m *machine) holding() (fence uint64, deadline time.Time, ok bool) {
 	return m.fence, m.deadline, m.state == Holding
 }
--- a/relay/lease/machine_test.go
+++ b/relay/lease/machine_test.go
@@ -11,8 +11,9 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// TestMachine replays scripts: "next" asks the machine, "done" answers its
-// action, "advance" moves the clock.
+// TestMachine runs the scripts in testdata. The command "next" requests an
+// action from the machine, "done" passes the action's result, and "advance"
+// moves the clock.
 func TestMachine(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		script := newScript()
@@ -36,7 +37,7 @@
 			margin:      time.Second,
 			jitter:      func() float64 { return 0.5 },
 		}),
-		now: time.Now(), // carries a monotonic reading; its value does not matter
+		now: time.Now(), // has a monotonic reading; the value does not matter
 	}
 }
 
@@ -71,7 +72,7 @@
 		return string(s.machine.state)
 	}
 	if expired(deadline, s.now) {
-		return "holding in name only: its time is over"
+		return "holding, but past its deadline"
 	}
 	return fmt.Sprintf("holding fence=%d for %s", fence, deadline.Sub(s.now))
 }
--- a/relay/lease/random_test.go
+++ b/relay/lease/random_test.go
@@ -21,10 +21,10 @@
 	simTime   = 5 * time.Minute
 )
 
-// TestNeverTwoHolders: two processes in charge at one moment would each give
-// orders. Calls are delayed, replies lost, calls fail, processes are paused at
-// any step and clocks run at rates within the margin. The symptom would be two
-// machines that hold by their own clocks at one moment of true time.
+// TestNeverTwoHolders checks that no two processes hold the lease, each by its
+// own clock, at the same moment of true time; both would give orders. Calls are
+// delayed, replies are lost, calls fail, processes are paused at any step, and
+// clocks run at rates within the margin.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), 0.92, 1.08)
@@ -38,9 +38,10 @@
 	})
 }
 
-// TestSimulationNotices: the check above must be able to fail. A clock that
-// runs far slower than the margin allows lets a holder believe in its lease
-// after the service ended it.
+// TestSimulationDetectsOverlap checks that the simulation of
+// TestNeverTwoHolders can fail: with a clock that runs far slower than the
+// margin allows, a process still counts as holder after the service ended its
+// lease.
 func TestSimulationDetectsOverlap(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
@@ -55,19 +56,20 @@
 	}
 }
 
-// TestHoldersFollow: without faults somebody is in charge nearly all the time.
+// TestOneHolderWithoutFaults checks that, without faults, the first holder keeps
+// the lease for the whole simulation.
 func TestOneHolderWithoutFaults(t *testing.T) {
 	sim := newSimulation(1, 0.95, 1.05)
 	if violation := sim.run(); violation != "" {
 		t.Fatal(violation)
 	}
 	if got := len(sim.fences); got != 1 {
-		t.Errorf("got %d holders in five quiet minutes, want 1", got)
+		t.Errorf("got %d holders in five minutes without faults, want 1", got)
 	}
 }
 
-// simulation runs several machines against one service, event by event in true
-// time.
+// simulation is a discrete-event simulation, in true time, of several state
+// machines that use one service.
 type simulation struct {
 	random     *rand.Rand
 	clock      *clockwork.FakeClock // true time; the service's clock
@@ -75,19 +77,19 @@
 	service    *kv.Memory
 	processes  []*process
 	events     eventHeap
-	eventCount int // events ever made; orders those of the same moment
+	eventCount int // events created so far; orders events with equal times
 
 	lost, failed, paused float64       // fractions of calls
-	slowest              time.Duration // a call's longest way there or back
-	fences               []uint64      // of each holding, in order
+	slowest              time.Duration // longest one-way network delay
+	fences               []uint64      // fencing tokens of the holdings, in order
 }
 
-// member is one process with its own clock.
+// process is a simulated process with its own clock.
 type process struct {
 	name    string
 	machine *machine
-	rate    float64 // of its clock against true time
-	held    bool
+	rate    float64 // of its clock relative to true time
+	held    bool    // it held the lease at the last check
 }
 
 func newSimulation(seed uint64, slowest, fastest float64) *simulation {
@@ -108,18 +110,20 @@
 	return sim
 }
 
-// local returns the member's reading of its clock.
+// local returns the time by the process's clock.
 func (s *simulation) local(proc *process) time.Time {
 	elapsed := s.clock.Now().Sub(s.start)
 	return s.start.Add(time.Duration(float64(elapsed) * proc.rate))
 }
 
+// after schedules run in the given time.
 func (s *simulation) after(wait time.Duration, run func()) {
 	s.eventCount++
 	heap.Push(&s.events, event{at: s.clock.Now().Add(wait), order: s.eventCount, run: run})
 }
 
-// run returns what went wrong, or nothing.
+// run executes the events and returns a description of the first violation, or
+// "" if there is none.
 func (s *simulation) run() string {
 	for len(s.events) > 0 && s.clock.Since(s.start) < simTime {
 		due := heap.Pop(&s.events).(event)
@@ -132,13 +136,15 @@
 	return ""
 }
 
+// check returns a description of the violation if two processes hold the lease
+// or a fencing token did not increase, or "".
 func (s *simulation) check() string {
 	var holder *process
 	for _, proc := range s.processes {
 		fence, deadline, holding := proc.machine.holding()
 		holding = holding && !expired(deadline, s.local(proc))
 		if holding && holder != nil {
-			return fmt.Sprintf("got %s and %s in charge at %s, want one", holder.name, proc.name, s.clock.Since(s.start))
+			return fmt.Sprintf("got %s and %s both holding at %s, want one holder", holder.name, proc.name, s.clock.Since(s.start))
 		}
 		if holding {
 			holder = proc
@@ -154,12 +160,13 @@
 	return ""
 }
 
-// step lets the member decide and carries its action out.
+// step gets the next action of the process and schedules its execution.
 func (s *simulation) step(proc *process) {
 	act := proc.machine.next(s.local(proc))
 	if act.step == stepSleep {
 		wait := float64(act.until.Sub(s.local(proc))) / proc.rate
-		// A little more than asked: rounding down would ask again at the same moment.
+		// Sleep slightly longer than requested: if the wait were rounded down, the
+		// next step would run before the requested time and request another sleep.
 		s.after(time.Duration(wait)+time.Microsecond+s.drawPause(), func() { s.finish(proc, act, result{}) })
 		return
 	}
@@ -182,7 +189,7 @@
 		s.after(s.networkDelay(), func() { answer(result{err: failure.New(failure.Unavailable, "down", "none")}) })
 		return
 	}
-	s.after(s.networkDelay(), func() { // even after the time-out: a call may arrive late
+	s.after(s.networkDelay(), func() { // runs even after the timeout, since a call may arrive late
 		got := s.call(proc, act)
 		if s.random.Float64() >= s.lost {
 			s.after(s.networkDelay()+s.drawPause(), func() { answer(got) })
@@ -190,12 +197,13 @@
 	})
 }
 
+// finish passes the result to the state machine and schedules the next step.
 func (s *simulation) finish(proc *process, act action, got result) {
 	proc.machine.handleResult(act, got, s.local(proc))
 	s.after(s.drawPause(), func() { s.step(proc) })
 }
 
-// poll stands in for a waiting watch.
+// poll simulates a blocking watch by checking for changes every 100 ms.
 func (s *simulation) poll(proc *process, act action, until time.Time) {
 	changes, now, _, err := s.service.Changes(Key("x"), act.after)
 	if err == nil && len(changes) == 0 && s.clock.Now().Before(until) {
@@ -205,14 +213,15 @@
 	s.finish(proc, act, result{found: len(changes) > 0, revision: now, err: err})
 }
 
-// call does the service's part.
+// call executes the action on the service.
 func (s *simulation) call(proc *process, act action) result {
 	ctx := context.Background()
 	holder := Holder{name: "x", store: s.service.Store(), opts: proc.machine.opts}
 	return holder.call(ctx, act)
 }
 
-// travel draws the time of a call's way; most are quick.
+// networkDelay returns a random one-way network delay: at most 10 ms in 80 % of
+// the cases, else up to s.slowest.
 func (s *simulation) networkDelay() time.Duration {
 	if s.random.Float64() < 0.8 {
 		return time.Duration(s.random.Float64() * float64(10*time.Millisecond))
@@ -220,7 +229,8 @@
 	return time.Duration(s.random.Float64() * float64(s.slowest))
 }
 
-// pause draws how long the process stands still before its next instruction.
+// drawPause returns a random time for which the process is paused before its
+// next instruction.
 func (s *simulation) drawPause() time.Duration {
 	if s.random.Float64() >= s.paused {
 		return 0
--- a/relay/lease/value.go
+++ b/relay/lease/value.go
@@ -2,16 +2,17 @@
 
 import "strings"
 
-// holderValue returns the value of a lease key. The lease's identifier is part
-// of it: a swap whose reply was lost may take effect late, bound to a lease
-// that its writer has given up meanwhile. Without the identifier the writer
-// would take the key for one that its present lease keeps alive, and would
-// still believe it after the old lease lapsed and another holder came.
+// holderValue returns the value of a lease key: the holder's incarnation and
+// the lease ID. The lease ID is needed because a swap whose reply was lost may
+// take effect late, bound to a lease that its writer has abandoned by then.
+// Without the ID, the writer would assume that its current lease keeps the key
+// alive, and would still do so after the old lease expired and another process
+// acquired the key.
 func holderValue(incarnation, lease string) string {
 	return incarnation + " " + lease
 }
 
-// Incarnation returns the holder's incarnation from the value of a lease key.
+// Incarnation extracts the holder's incarnation from the value of a lease key.
 func Incarnation(value []byte) string {
 	incarnation, _, _ := strings.Cut(string(value), " ")
 	return incarnation
