--- a/relay/fallback/domain.go
+++ b/relay/fallback/domain.go
@@ -28,14 +28,14 @@
 	count int
 	// planned counts the hosts of the plan that are there, planServing those of
 	// them that serve the model.
-	planned, planServing int
+	planned, plannedServing int
 	// holders are the others, best first.
 	holders []holder
 	// kept are the holders whose place is theirs.
 	kept map[string]bool
 }
 
-func (d *demand) missing() int { return d.count - d.planned - len(d.kept) }
+func (d *demand) vacancies() int { return d.count - d.planned - len(d.kept) }
 
 // domain is the failure domain of this host at one moment.
 type domain struct {
@@ -45,8 +45,8 @@
 
 func (c *Core) newDomain(in Input) *domain {
 	name := in.Own.GetNode().GetFailureDomain()
-	dom := &domain{demands: demandsOf(in.Document, name)}
-	hosts := hostsOf(in, name)
+	dom := &domain{demands: demandsIn(in.Document, name)}
+	hosts := hostsIn(in, name)
 	present := map[string]bool{}
 	for id := range hosts {
 		present[id] = true
@@ -56,23 +56,23 @@
 		id := assignment.GetHost()
 		present[id], inPlan[id] = true, true
 		host, known := hosts[id]
-		if assignment.GetFailureDomain() == name && !c.emptyForLong(id, host, known, in.Now) {
-			dom.plan(assignment.GetModel(), host)
+		if assignment.GetFailureDomain() == name && !c.isVacant(id, host, known, in.Now) {
+			dom.addPlanned(assignment.GetModel(), host)
 		}
 	}
 	for id, host := range hosts {
-		if !inPlan[id] && document.IsEngine(in.Document, host.Report()) && !c.emptyForLong(id, host, true, in.Now) {
-			dom.add(id, host, c.heldBy(in, id))
+		if !inPlan[id] && document.IsEngine(in.Document, host.Report()) && !c.isVacant(id, host, true, in.Now) {
+			dom.addUnplanned(id, host, c.takenBy(in, id))
 		}
 	}
-	c.forget(present)
+	c.pruneAbsences(present)
 	for _, want := range dom.demands {
-		want.settle()
+		want.chooseKept()
 	}
 	return dom
 }
 
-func demandsOf(doc *wire.Document, name string) []*demand {
+func demandsIn(doc *wire.Document, name string) []*demand {
 	var demands []*demand
 	for _, model := range doc.GetModels() {
 		want := &demand{model: model, kept: map[string]bool{}}
@@ -90,7 +90,7 @@
 }
 
 // hostsOf returns the hosts of the failure domain by id, this one included.
-func hostsOf(in Input, name string) map[string]view.Host {
+func hostsIn(in Input, name string) map[string]view.Host {
 	hosts := map[string]view.Host{}
 	for _, host := range in.Hosts {
 		if node := host.Report().GetNode(); node.GetFailureDomain() == name {
@@ -111,31 +111,31 @@
 }
 
 // plan counts a host that the plan gives the model to.
-func (dom *domain) plan(model string, host view.Host) {
+func (dom *domain) addPlanned(model string, host view.Host) {
 	want := dom.demand(model)
 	if want == nil {
 		return
 	}
 	want.planned++
-	if !host.Lost() && !host.Leaving() && has(host, model, stateServing) {
-		want.planServing++
+	if !host.Lost() && !host.Leaving() && hasVersion(host, model, stateServing) {
+		want.plannedServing++
 	}
 }
 
 // heldBy returns the model that the host took, as far as it is not in its
 // report: this host's own decision of a moment ago.
-func (c *Core) heldBy(in Input, id string) string {
+func (c *Core) takenBy(in Input, id string) string {
 	if id != in.Own.GetNode().GetId() {
 		return ""
 	}
-	return c.held
+	return c.takenModel
 }
 
 // add counts a host that the plan leaves out.
-func (dom *domain) add(id string, host view.Host, held string) {
-	want, serving := dom.has(host)
+func (dom *domain) addUnplanned(id string, host view.Host, takenModel string) {
+	want, serving := dom.demandFor(host)
 	if want == nil {
-		want = dom.demand(held)
+		want = dom.demand(takenModel)
 	}
 	switch {
 	case want != nil:
@@ -147,7 +147,7 @@
 
 // has returns what the host is out for: the model that it serves, else the one
 // that it fetches or loads.
-func (dom *domain) has(host view.Host) (want *demand, serving bool) {
+func (dom *domain) demandFor(host view.Host) (want *demand, serving bool) {
 	for _, state := range host.Report().GetVersions() {
 		found := dom.demand(state.GetModel())
 		if found == nil {
@@ -161,9 +161,9 @@
 	return want, false
 }
 
-func has(host view.Host, model, state string) bool {
-	return slices.ContainsFunc(host.Report().GetVersions(), func(held *wire.VersionState) bool {
-		return held.GetModel() == model && held.GetState() == state
+func hasVersion(host view.Host, model, state string) bool {
+	return slices.ContainsFunc(host.Report().GetVersions(), func(version *wire.VersionState) bool {
+		return version.GetModel() == model && version.GetState() == state
 	})
 }
 
@@ -176,7 +176,7 @@
 // settle decides which holders keep their place. One that serves goes only
 // where enough others serve: a planned host that came back empty is not yet a
 // replica. One that does not serve yet goes where enough others will.
-func (d *demand) settle() {
+func (d *demand) chooseKept() {
 	slices.SortFunc(d.holders, func(a, b holder) int {
 		if a.serving != b.serving {
 			if a.serving {
@@ -186,19 +186,19 @@
 		}
 		return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(a.id, b.id))
 	})
-	for _, out := range d.holders {
+	for _, h := range d.holders {
 		others := d.planned
-		if out.serving {
-			others = d.planServing
+		if h.serving {
+			others = d.plannedServing
 		}
 		if others+len(d.kept) < d.count {
-			d.kept[out.id] = true
+			d.kept[h.id] = true
 		}
 	}
 }
 
 // keeps returns the model whose place the host has already; nil: none.
-func (dom *domain) keeps(id string) *wire.Model {
+func (dom *domain) keptModel(id string) *wire.Model {
 	for _, want := range dom.demands {
 		if want.kept[id] {
 			return want.model
@@ -210,34 +210,34 @@
 // takes divides the empty places among the idle hosts and returns the host's
 // share; nil: none. The model furthest from its count goes first, as in
 // package placement.
-func (dom *domain) takes(id string) *wire.Model {
+func (dom *domain) modelForIdleHost(id string) *wire.Model {
 	for len(dom.idle) > 0 {
-		neediest := dom.neediest()
-		if neediest == nil {
+		leastFilled := dom.leastFilled()
+		if leastFilled == nil {
 			return nil
 		}
 		best := slices.MaxFunc(dom.idle, func(a, b string) int {
-			return cmp.Or(cmp.Compare(score(neediest.model, a), score(neediest.model, b)), strings.Compare(b, a))
+			return cmp.Or(cmp.Compare(score(leastFilled.model, a), score(leastFilled.model, b)), strings.Compare(b, a))
 		})
 		if best == id {
-			return neediest.model
+			return leastFilled.model
 		}
-		neediest.kept[best] = true
+		leastFilled.kept[best] = true
 		dom.idle = slices.DeleteFunc(dom.idle, func(idle string) bool { return idle == best })
 	}
 	return nil
 }
 
-func (dom *domain) neediest() *demand {
-	var neediest *demand
+func (dom *domain) leastFilled() *demand {
+	var leastFilled *demand
 	for _, want := range dom.demands {
-		if want.missing() > 0 && (neediest == nil || needier(want, neediest)) {
-			neediest = want
+		if want.vacancies() > 0 && (leastFilled == nil || lessFilled(want, leastFilled)) {
+			leastFilled = want
 		}
 	}
-	return neediest
+	return leastFilled
 }
 
-func needier(a, b *demand) bool {
-	return (a.count-a.missing())*b.count < (b.count-b.missing())*a.count
+func lessFilled(a, b *demand) bool {
+	return (a.count-a.vacancies())*b.count < (b.count-b.vacancies())*a.count
 }
--- a/relay/fallback/fallback.go
+++ b/relay/fallback/fallback.go
@@ -52,12 +52,12 @@
 
 // DefaultLimits returns the times used in production.
 func DefaultLimits() Limits {
-	moves := placement.DefaultLimits()
+	placementLimits := placement.DefaultLimits()
 	return Limits{
 		Outage:          20 * time.Second,
 		Settle:          10 * time.Second,
-		LeavingAfter:    moves.LeavingAfter,
-		LostAfter:       moves.LostAfter,
+		LeavingAfter:    placementLimits.LeavingAfter,
+		LostAfter:       placementLimits.LostAfter,
 		UnreportedAfter: 2 * time.Minute,
 		Pause:           5 * time.Second,
 	}
@@ -83,45 +83,45 @@
 	limits Limits
 	// since is when each host that is leaving, lost or unheard became so, as
 	// seen here.
-	since map[string]time.Time
+	absentSince map[string]time.Time
 	// stale is since when the document was seen unconfirmed for Limits.Outage;
 	// zero: it is not.
-	stale  time.Time
-	looked time.Time // last decision
-	held   string    // model whose place this host took; empty: none
+	staleSince   time.Time
+	lastDecision time.Time // last decision
+	takenModel   string    // model whose place this host took; empty: none
 }
 
 // New returns a Core that holds no place.
 func New(limits Limits) *Core {
-	return &Core{limits: limits, since: map[string]time.Time{}}
+	return &Core{limits: limits, absentSince: map[string]time.Time{}}
 }
 
 // Held returns the model whose place this host took; empty: none.
-func (c *Core) Held() string { return c.held }
+func (c *Core) Held() string { return c.takenModel }
 
 // Decide returns what this host should serve although the plan does not say so;
 // nil: nothing.
 func (c *Core) Decide(in Input) *wire.Assignment {
-	c.look(in)
+	c.trackTimes(in)
 	own := in.Own.GetNode()
-	if in.Document == nil || in.Plan == nil || in.Own.GetLeaving() || planned(in.Plan, own.GetId()) {
-		c.held = ""
+	if in.Document == nil || in.Plan == nil || in.Own.GetLeaving() || isPlanned(in.Plan, own.GetId()) {
+		c.takenModel = ""
 		return nil
 	}
 	dom := c.newDomain(in)
 	outage := c.outage(in.Now)
-	if !outage && c.held == "" {
+	if !outage && c.takenModel == "" {
 		return nil
 	}
-	model := dom.keeps(own.GetId())
+	model := dom.keptModel(own.GetId())
 	if model == nil && outage {
-		model = dom.takes(own.GetId())
+		model = dom.modelForIdleHost(own.GetId())
 	}
 	if model == nil {
-		c.held = ""
+		c.takenModel = ""
 		return nil
 	}
-	c.held = model.GetName()
+	c.takenModel = model.GetName()
 	return &wire.Assignment{
 		Host:          own.GetId(),
 		Model:         model.GetName(),
@@ -135,41 +135,41 @@
 // look moves the times on. After a pause all that is held is old: without a
 // new start of the outage's time, a process that wakes would take the whole
 // deployment for cut off from the service until its next reply.
-func (c *Core) look(in Input) {
-	gap := in.Now.Sub(c.looked)
-	if !c.looked.IsZero() && (gap > c.limits.Pause || gap < 0) {
-		c.stale = time.Time{}
-		for id, began := range c.since {
-			c.since[id] = began.Add(gap)
+func (c *Core) trackTimes(in Input) {
+	gap := in.Now.Sub(c.lastDecision)
+	if !c.lastDecision.IsZero() && (gap > c.limits.Pause || gap < 0) {
+		c.staleSince = time.Time{}
+		for id, absentFrom := range c.absentSince {
+			c.absentSince[id] = absentFrom.Add(gap)
 		}
 	}
-	c.looked = in.Now
+	c.lastDecision = in.Now
 	switch {
 	case in.Now.Sub(in.ConfirmedAt) <= c.limits.Outage:
-		c.stale = time.Time{}
-	case c.stale.IsZero():
-		c.stale = in.Now
+		c.staleSince = time.Time{}
+	case c.staleSince.IsZero():
+		c.staleSince = in.Now
 	}
 }
 
 func (c *Core) outage(now time.Time) bool {
-	return !c.stale.IsZero() && now.Sub(c.stale) >= c.limits.Settle
+	return !c.staleSince.IsZero() && now.Sub(c.staleSince) >= c.limits.Settle
 }
 
 // emptyForLong reports whether the host's place counts as empty: most hosts
 // that fall silent are back soon, and a move costs a whole model's bytes.
-func (c *Core) emptyForLong(id string, host view.Host, reported bool, now time.Time) bool {
+func (c *Core) isVacant(id string, host view.Host, reported bool, now time.Time) bool {
 	if reported && !host.Lost() && !host.Leaving() {
-		delete(c.since, id)
+		delete(c.absentSince, id)
 		return false
 	}
-	began, known := c.since[id]
+	absentFrom, known := c.absentSince[id]
 	if !known {
-		began = now
-		c.since[id] = now
+		absentFrom = now
+		c.absentSince[id] = now
 	}
-	if reported && host.Lost() && host.SeenAt().Before(began) {
-		began = host.SeenAt()
+	if reported && host.Lost() && host.SeenAt().Before(absentFrom) {
+		absentFrom = host.SeenAt()
 	}
 	limit := c.limits.LostAfter
 	switch {
@@ -178,19 +178,19 @@
 	case host.Leaving():
 		limit = c.limits.LeavingAfter
 	}
-	return now.Sub(began) >= limit
+	return now.Sub(absentFrom) >= limit
 }
 
 // forget bounds since to the hosts that reported or are planned.
-func (c *Core) forget(present map[string]bool) {
-	for id := range c.since {
+func (c *Core) pruneAbsences(present map[string]bool) {
+	for id := range c.absentSince {
 		if !present[id] {
-			delete(c.since, id)
+			delete(c.absentSince, id)
 		}
 	}
 }
 
-func planned(plan *wire.Plan, id string) bool {
+func isPlanned(plan *wire.Plan, id string) bool {
 	for _, assignment := range plan.GetAssignments() {
 		if assignment.GetHost() == id {
 			return true
--- a/relay/fallback/fallback_test.go
+++ b/relay/fallback/fallback_test.go
@@ -17,35 +17,35 @@
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
 // TestScripts replays testdata.
-func TestScripts(t *testing.T) {
+func TestDecideScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		st := newStage()
-		datadriven.RunTest(t, path, func(t *testing.T, cmd *datadriven.TestData) string { return st.run(t, cmd) })
+		sc := newScenario()
+		datadriven.RunTest(t, path, func(t *testing.T, cmd *datadriven.TestData) string { return sc.run(t, cmd) })
 	})
 }
 
 // stage is one failure domain "a" whose hosts all see the same.
-type stage struct {
+type scenario struct {
 	now       time.Time
 	confirmed time.Time
 	doc       *wire.Document
 	plan      *wire.Plan
-	hosts     map[string]*seat
+	hosts     map[string]*hostState
 }
 
 // seat is one host and its core.
-type seat struct {
+type hostState struct {
 	report        *wire.HostReport
 	seenAt        time.Time
 	leaving, lost bool
 	core          *Core
 }
 
-func newStage() *stage {
-	return &stage{now: start, confirmed: start, doc: &wire.Document{}, plan: &wire.Plan{PlanRevision: 1}, hosts: map[string]*seat{}}
+func newScenario() *scenario {
+	return &scenario{now: start, confirmed: start, doc: &wire.Document{}, plan: &wire.Plan{PlanRevision: 1}, hosts: map[string]*hostState{}}
 }
 
-func (s *stage) run(t *testing.T, cmd *datadriven.TestData) string {
+func (s *scenario) run(t *testing.T, cmd *datadriven.TestData) string {
 	switch cmd.Cmd {
 	case "model":
 		s.setModel(t, cmd)
@@ -76,7 +76,7 @@
 }
 
 // wait decides each second and returns the last decisions.
-func (s *stage) wait(wait time.Duration) string {
+func (s *scenario) wait(wait time.Duration) string {
 	out := s.decide()
 	for range int(wait / time.Second) {
 		s.now = s.now.Add(time.Second)
@@ -85,16 +85,16 @@
 	return out
 }
 
-func (s *stage) decide() string {
+func (s *scenario) decide() string {
 	var out strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
-		held := s.hosts[id]
-		if held.lost {
+		h := s.hosts[id]
+		if h.lost {
 			continue
 		}
-		own := held.report
-		own.Leaving = held.leaving
-		got := held.core.Decide(Input{Now: s.now, Document: s.doc, Plan: s.plan, ConfirmedAt: s.confirmed, Hosts: s.seen(), Own: own})
+		own := h.report
+		own.Leaving = h.leaving
+		got := h.core.Decide(Input{Now: s.now, Document: s.doc, Plan: s.plan, ConfirmedAt: s.confirmed, Hosts: s.seen(), Own: own})
 		if got != nil {
 			fmt.Fprintf(&out, "%s %s/%s adapters %d\n", id, got.GetModel(), got.GetVersion(), len(got.GetAdapters()))
 		}
@@ -105,21 +105,21 @@
 	return out.String()
 }
 
-func (s *stage) seen() []view.Host {
+func (s *scenario) seen() []view.Host {
 	var hosts []view.Host
 	for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
-		held := s.hosts[id]
+		h := s.hosts[id]
 		seenAt := s.now
-		if held.lost {
-			seenAt = held.seenAt
+		if h.lost {
+			seenAt = h.seenAt
 		}
-		hosts = append(hosts, view.NewHost(held.report, seenAt, held.leaving, held.lost))
+		hosts = append(hosts, view.NewHost(h.report, seenAt, h.leaving, h.lost))
 	}
 	return hosts
 }
 
 // setModel: "model name=m version=v count=2 adapters=1".
-func (s *stage) setModel(t *testing.T, cmd *datadriven.TestData) {
+func (s *scenario) setModel(t *testing.T, cmd *datadriven.TestData) {
 	name, version, count, adapters := "", "", 0, 0
 	cmd.ScanArgs(t, "name", &name)
 	cmd.ScanArgs(t, "version", &version)
@@ -129,12 +129,12 @@
 	for i := range adapters {
 		model.Adapters = append(model.Adapters, &wire.Adapter{Name: fmt.Sprintf("adapter%d", i), Version: "w"})
 	}
-	s.doc.Models = slices.DeleteFunc(s.doc.Models, func(held *wire.Model) bool { return held.GetName() == name })
+	s.doc.Models = slices.DeleteFunc(s.doc.Models, func(h *wire.Model) bool { return h.GetName() == name })
 	s.doc.Models = append(s.doc.Models, model)
 }
 
 // setPlan: "plan m=(h1,h2)" puts the next plan in force.
-func (s *stage) setPlan(_ *testing.T, cmd *datadriven.TestData) {
+func (s *scenario) setPlan(_ *testing.T, cmd *datadriven.TestData) {
 	next := &wire.Plan{PlanRevision: s.plan.GetPlanRevision() + 1}
 	for _, arg := range cmd.CmdArgs {
 		for _, id := range arg.Vals {
@@ -145,7 +145,7 @@
 }
 
 // setHosts: "hosts ids=(h1,h2) model=m state=serving lost leaving domain=b".
-func (s *stage) setHosts(t *testing.T, cmd *datadriven.TestData) {
+func (s *scenario) setHosts(t *testing.T, cmd *datadriven.TestData) {
 	domain, model, state, service := "a", "", "", ""
 	cmd.MaybeScanArgs(t, "domain", &domain)
 	cmd.MaybeScanArgs(t, "model", &model)
@@ -156,16 +156,16 @@
 			continue
 		}
 		for _, id := range arg.Vals {
-			held := s.hosts[id]
-			if held == nil {
-				held = &seat{core: New(DefaultLimits())}
-				s.hosts[id] = held
+			h := s.hosts[id]
+			if h == nil {
+				h = &hostState{core: New(DefaultLimits())}
+				s.hosts[id] = h
 			}
-			held.report = &wire.HostReport{Node: &wire.Node{Id: id, FailureDomain: domain}, Service: service}
+			h.report = &wire.HostReport{Node: &wire.Node{Id: id, FailureDomain: domain}, Service: service}
 			if model != "" {
-				held.report.Versions = []*wire.VersionState{{Model: model, Version: "v1", State: state}}
+				h.report.Versions = []*wire.VersionState{{Model: model, Version: "v1", State: state}}
 			}
-			held.leaving, held.lost, held.seenAt = cmd.HasArg("leaving"), cmd.HasArg("lost"), s.now
+			h.leaving, h.lost, h.seenAt = cmd.HasArg("leaving"), cmd.HasArg("lost"), s.now
 		}
 	}
 }
--- a/relay/fallback/random_test.go
+++ b/relay/fallback/random_test.go
@@ -9,14 +9,14 @@
 )
 
 // standing is how one model is served at one moment.
-type standing struct {
-	count, planned, planServing int
-	taken, takenServing         int
-	idle                        int // live hosts with no model at all, of all models
+type serviceLevel struct {
+	count, planned, plannedServing int
+	taken, takenServing            int
+	idle                           int // live hosts with no model at all, of all models
 }
 
-func (r *run) standing(name string, count int) standing {
-	out := standing{count: count}
+func (r *run) serviceLevel(name string, count int) serviceLevel {
+	out := serviceLevel{count: count}
 	plan := map[string]string{}
 	for _, assignment := range r.plan.GetAssignments() {
 		plan[assignment.GetHost()] = assignment.GetModel()
@@ -29,7 +29,7 @@
 		case plan[id] == name:
 			out.planned++
 			if m.has == name {
-				out.planServing++
+				out.plannedServing++
 			}
 		case m.taken == name:
 			out.taken++
@@ -44,7 +44,7 @@
 }
 
 // shake does one random thing.
-func shake(t *rapid.T, r *run) {
+func randomEvent(t *rapid.T, r *run) {
 	ids := r.order
 	id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "host")]
 	m := r.machines[id]
@@ -60,32 +60,32 @@
 		}
 	case "back":
 		if !m.alive {
-			r.back(id)
+			r.restart(id)
 		}
 	case "add":
 		r.add()
 	}
 }
 
-func randomRun(t *rapid.T, fresh float64) (*run, map[string]int) {
+func randomRun(t *rapid.T, reportChance float64) (*run, map[string]int) {
 	counts := map[string]int{}
 	total := 0
 	for m := range rapid.IntRange(1, 3).Draw(t, "models") {
 		counts[fmt.Sprintf("m%d", m)] = rapid.IntRange(1, 4).Draw(t, "count")
 		total += counts[fmt.Sprintf("m%d", m)]
 	}
-	r := newRun(rapid.Uint64().Draw(t, "seed"), total+rapid.IntRange(0, 3).Draw(t, "spare"), counts, inOutage)
-	r.fresh = fresh
+	r := newRun(rapid.Uint64().Draw(t, "seed"), total+rapid.IntRange(0, 3).Draw(t, "spare"), counts, fallbackInOutage)
+	r.reportChance = reportChance
 	return r, counts
 }
 
 // TestNothingInNormalTimes: while the service confirms the document, the
 // planner alone decides, however hosts come and go.
-func TestNothingInNormalTimes(t *testing.T) {
+func TestNoDecisionsWithoutOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, _ := randomRun(t, rapid.Float64Range(0.1, 1).Draw(t, "fresh"))
 		for range rapid.IntRange(1, 10).Draw(t, "events") {
-			shake(t, r)
+			randomEvent(t, r)
 			for range rapid.IntRange(0, 40).Draw(t, "steps") {
 				r.advance()
 				for id, m := range r.machines {
@@ -100,16 +100,16 @@
 
 // TestAgreedViews: hosts that see the same never hold more places than are
 // empty; in the end no host is idle while a model lacks one.
-func TestAgreedViews(t *testing.T) {
+func TestIdenticalViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, counts := randomRun(t, 1)
 		r.outage(false)
 		for range rapid.IntRange(1, 10).Draw(t, "events") {
-			shake(t, r)
+			randomEvent(t, r)
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
 				r.advance()
 				for name, count := range counts {
-					checkPlaces(t, r, r.standing(name, count))
+					checkNoExcess(t, r, r.serviceLevel(name, count))
 				}
 			}
 		}
@@ -117,12 +117,12 @@
 			r.advance()
 		}
 		checkSettled(t, r, counts)
-		checkReturn(t, r, counts)
+		checkRecovery(t, r, counts)
 	})
 }
 
-func checkPlaces(t *rapid.T, r *run, now standing) {
-	if excess := now.takenServing - max(0, now.count-now.planServing); excess > 0 && !justServes(r) {
+func checkNoExcess(t *rapid.T, r *run, now serviceLevel) {
+	if excess := now.takenServing - max(0, now.count-now.plannedServing); excess > 0 && !hostJustBecameServing(r) {
 		t.Fatalf("got %+v at step %d, want no more places taken than are empty", now, r.step)
 	}
 	if excess := now.taken - now.takenServing - max(0, now.count-now.planned); excess > 0 {
@@ -132,7 +132,7 @@
 
 // justServes reports whether a host began to serve in this step: the others
 // have not seen it yet.
-func justServes(r *run) bool {
+func hostJustBecameServing(r *run) bool {
 	for _, m := range r.machines {
 		if m.alive && m.servesAt == r.step {
 			return true
@@ -144,8 +144,8 @@
 // checkSettled: with quiet and agreed views all places that can be filled are.
 func checkSettled(t *rapid.T, r *run, counts map[string]int) {
 	for name, count := range counts {
-		now := r.standing(name, count)
-		serving := now.planServing + now.takenServing
+		now := r.serviceLevel(name, count)
+		serving := now.plannedServing + now.takenServing
 		if serving < count && now.idle > 0 {
 			t.Fatalf("got %s at %+v, want no idle host while a replica is missing", name, now)
 		}
@@ -158,7 +158,7 @@
 // checkReturn: the planner is back, and after a while nothing rests on this
 // package. What served goes on serving, where there are hosts enough for all:
 // else the planner's choice of what to leave short goes before this package's.
-func checkReturn(t *rapid.T, r *run, counts map[string]int) {
+func checkRecovery(t *rapid.T, r *run, counts map[string]int) {
 	before := map[string]int{}
 	total, alive := 0, 0
 	for _, m := range r.machines {
@@ -167,8 +167,8 @@
 		}
 	}
 	for name, count := range counts {
-		now := r.standing(name, count)
-		before[name] = min(count, now.planServing+now.takenServing)
+		now := r.serviceLevel(name, count)
+		before[name] = min(count, now.plannedServing+now.takenServing)
 		total += count
 	}
 	enough := alive >= total
@@ -176,7 +176,7 @@
 	for range 150 {
 		r.advance()
 		for name, count := range counts {
-			if now := r.standing(name, count); enough && min(count, now.planServing+now.takenServing) < before[name] {
+			if now := r.serviceLevel(name, count); enough && min(count, now.plannedServing+now.takenServing) < before[name] {
 				t.Fatalf("got %s at %+v after the return, want %d serving", name, now, before[name])
 			}
 		}
@@ -196,34 +196,34 @@
 		r, counts := randomRun(t, rapid.Float64Range(0.02, 0.5).Draw(t, "fresh"))
 		r.outage(false)
 		for range rapid.IntRange(1, 10).Draw(t, "events") {
-			shake(t, r)
+			randomEvent(t, r)
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
 				r.advance()
 				for id, m := range r.machines {
-					if planned(r.plan, id) && m.taken != "" {
+					if isPlanned(r.plan, id) && m.taken != "" {
 						t.Fatalf("got %s on the planned host %s, want the plan alone", m.taken, id)
 					}
 				}
 			}
 		}
-		r.fresh = 1
+		r.reportChance = 1
 		for range 120 {
 			r.advance()
 		}
 		checkSettled(t, r, counts)
-		checkReturn(t, r, counts)
+		checkRecovery(t, r, counts)
 	})
 }
 
 // TestReplicasTooMany measures how far views that differ go wrong: two hosts are
 // replaced at once, and reports take about a given time.
-func TestReplicasTooMany(t *testing.T) {
+func TestExcessReplicas(t *testing.T) {
 	const runs = 20
-	for _, fresh := range []float64{1, 0.5, 0.2, 0.05} {
-		most, wrong := 0, 0
+	for _, reportChance := range []float64{1, 0.5, 0.2, 0.05} {
+		worst, runsWithExcess := 0, 0
 		for seed := range uint64(runs) {
-			r := newRun(seed, 10, map[string]int{"m0": 4, "m1": 4}, inOutage)
-			r.fresh = fresh
+			r := newRun(seed, 10, map[string]int{"m0": 4, "m1": 4}, fallbackInOutage)
+			r.reportChance = reportChance
 			r.outage(false)
 			for _, victim := range rand.New(rand.NewPCG(seed, 2)).Perm(10)[:2] {
 				r.kill(r.order[victim])
@@ -232,18 +232,18 @@
 			for range 150 {
 				r.advance()
 			}
-			most = max(most, r.over)
-			if r.over > 0 {
-				wrong++
+			worst = max(worst, r.maxExcess)
+			if r.maxExcess > 0 {
+				runsWithExcess++
 			}
 		}
-		t.Logf("a report arrives after %.0f s on average: %d of %d runs had replicas too many, at most %d", 1/fresh, wrong, runs, most)
-		if fresh == 1 && most > 0 {
-			t.Errorf("got %d replicas too many where views agree, want 0", most)
+		t.Logf("a report arrives after %.0f s on average: %d of %d runs had replicas too many, at most %d", 1/reportChance, runsWithExcess, runs, worst)
+		if reportChance == 1 && worst > 0 {
+			t.Errorf("got %d replicas too many where views agree, want 0", worst)
 		}
 		// Two spare hosts and the two new ones are outside the plan.
-		if most > 4 {
-			t.Errorf("got %d replicas too many, want at most one for each of 4 hosts outside the plan", most)
+		if worst > 4 {
+			t.Errorf("got %d replicas too many, want at most one for each of 4 hosts outside the plan", worst)
 		}
 	}
 }
@@ -251,28 +251,28 @@
 // TestDisturbance measures the three strategies through one outage of half an
 // hour in which hosts are replaced under new ids: replicas missing, and hosts that
 // left a model that they served.
-func TestDisturbance(t *testing.T) {
+func TestCompareStrategies(t *testing.T) {
 	strategies := []struct {
-		name   string
-		decide func(r *run, m *machine)
-		pure   bool
+		name           string
+		decide         func(r *run, m *machine)
+		withoutPlanner bool
 	}{
-		{"nothing", none, false},
-		{"pure function always", always, true},
-		{"fallback in an outage", inOutage, false},
+		{"nothing", neverFallback, false},
+		{"pure function always", rendezvousOnly, true},
+		{"fallback in an outage", fallbackInOutage, false},
 	}
 	missing := map[string]int{}
 	for _, strategy := range strategies {
 		r := newRun(7, 35, map[string]int{"m0": 8, "m1": 8, "m2": 8, "m3": 8}, strategy.decide)
-		if strategy.pure {
+		if strategy.withoutPlanner {
 			// Nobody plans at all.
-			r.plan, r.replanOff = nil, true
+			r.plan, r.plannerOff = nil, true
 			for range 120 {
 				r.advance()
 			}
-			r.switches, r.missing, r.over = 0, 0, 0
+			r.switches, r.missing, r.maxExcess = 0, 0, 0
 		}
-		r.fresh = 0.5
+		r.reportChance = 0.5
 		r.outage(false)
 		rng := rand.New(rand.NewPCG(7, 3))
 		for step := range 1800 {
@@ -288,7 +288,7 @@
 			}
 			r.advance()
 		}
-		r.fresh = 1
+		r.reportChance = 1
 		outage := r.missing
 		r.outage(true)
 		for range 300 {
@@ -296,7 +296,7 @@
 		}
 		missing[strategy.name] = outage
 		t.Logf("%s: 6 of 35 hosts replaced in half an hour, replica-seconds missing %d (of 57600), then %d after the return, hosts that left a model they served %d, replicas too many at most %d",
-			strategy.name, outage, r.missing-outage, r.switches, r.over)
+			strategy.name, outage, r.missing-outage, r.switches, r.maxExcess)
 	}
 	if got, nothing := missing["fallback in an outage"], missing["nothing"]; got*2 > nothing {
 		t.Errorf("got %d replica-seconds missing with the fallback, want less than half of the %d without", got, nothing)
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -34,10 +34,10 @@
 	taken    string           // model given by the strategy, not by the plan
 	core     *Core
 	// sees is this host's knowledge of the others.
-	sees map[string]sighting
+	observed map[string]observation
 }
 
-type sighting struct {
+type observation struct {
 	report *wire.HostReport
 	at     int
 	lost   bool
@@ -45,32 +45,32 @@
 
 // run is one failure domain with its planner and service.
 type run struct {
-	rng      *rand.Rand
-	step     int
-	up       bool // the service
-	upFor    int
-	confirm  int
-	doc      *wire.Document
-	plan     *wire.Plan
-	machines map[string]*machine
-	order    []string       // ids, sorted
-	away     map[string]int // the planner's own record
+	rng           *rand.Rand
+	step          int
+	up            bool // the service
+	upFor         int
+	confirmedStep int
+	doc           *wire.Document
+	plan          *wire.Plan
+	machines      map[string]*machine
+	order         []string       // ids, sorted
+	absentSteps   map[string]int // the planner's own record
 	// fresh is the chance in a step that one host's view of another is renewed.
-	fresh float64
+	reportChance float64
 	// strategy fills machine.taken.
-	strategy func(r *run, m *machine)
-	switches int // hosts that left a model that they served for another
-	missing  int // replicas missing, summed over the steps
-	over     int // most replicas beyond the count in a step
-	born     int
+	strategy     func(r *run, m *machine)
+	switches     int // hosts that left a model that they served for another
+	missing      int // replicas missing, summed over the steps
+	maxExcess    int // most replicas beyond the count in a step
+	hostsCreated int
 	// replanOff leaves the planner out.
-	replanOff bool
+	plannerOff bool
 }
 
 func newRun(seed uint64, hosts int, counts map[string]int, strategy func(r *run, m *machine)) *run {
 	r := &run{
 		rng: rand.New(rand.NewPCG(seed, 1)), up: true, doc: &wire.Document{},
-		machines: map[string]*machine{}, away: map[string]int{}, fresh: 1, strategy: strategy,
+		machines: map[string]*machine{}, absentSteps: map[string]int{}, reportChance: 1, strategy: strategy,
 	}
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		r.doc.Models = append(r.doc.Models, &wire.Model{
@@ -83,14 +83,14 @@
 	for range 60 {
 		r.advance()
 	}
-	r.switches, r.missing, r.over = 0, 0, 0
+	r.switches, r.missing, r.maxExcess = 0, 0, 0
 	return r
 }
 
 // add starts a host under a new id.
 func (r *run) add() *machine {
-	m := &machine{id: fmt.Sprintf("h%03d", r.born), alive: true, core: New(DefaultLimits()), sees: map[string]sighting{}}
-	r.born++
+	m := &machine{id: fmt.Sprintf("h%03d", r.hostsCreated), alive: true, core: New(DefaultLimits()), observed: map[string]observation{}}
+	r.hostsCreated++
 	r.machines[m.id] = m
 	r.order = append(r.order, m.id)
 	return m
@@ -104,30 +104,30 @@
 }
 
 // back starts a dead host again under its id, empty.
-func (r *run) back(id string) {
+func (r *run) restart(id string) {
 	m := r.machines[id]
-	m.alive, m.core, m.sees = true, New(DefaultLimits()), map[string]sighting{}
+	m.alive, m.core, m.observed = true, New(DefaultLimits()), map[string]observation{}
 }
 
 func (r *run) advance() {
 	r.step++
 	r.upFor++
 	if r.up {
-		r.confirm = r.step
-		if !r.replanOff {
+		r.confirmedStep = r.step
+		if !r.plannerOff {
 			r.replan()
 		}
 	}
-	r.look()
+	r.exchangeReports()
 	for _, id := range r.order {
 		if m := r.machines[id]; m.alive {
 			m.taken = ""
-			if planned(r.plan, id) {
+			if isPlanned(r.plan, id) {
 				m.core.Decide(r.input(m))
 			} else {
 				r.strategy(r, m)
 			}
-			r.obey(m)
+			r.runAgent(m)
 		}
 	}
 	r.measure()
@@ -140,7 +140,7 @@
 // replan is the planner: it counts absence from when it took charge.
 func (r *run) replan() {
 	if r.upFor <= 1 {
-		clear(r.away)
+		clear(r.absentSteps)
 	}
 	var hosts []placement.Host
 	for _, id := range r.order {
@@ -150,10 +150,10 @@
 			host.ServingVersion, host.Whole = "v1", []string{"v1"}
 		}
 		if m.alive {
-			delete(r.away, id)
+			delete(r.absentSteps, id)
 		} else if r.step-m.diedAt > lostSteps {
-			r.away[id]++
-			host.Away = time.Duration(r.away[id]) * time.Second
+			r.absentSteps[id]++
+			host.Away = time.Duration(r.absentSteps[id]) * time.Second
 		}
 		hosts = append(hosts, host)
 	}
@@ -175,7 +175,7 @@
 }
 
 // look renews what each host sees of the others, or not.
-func (r *run) look() {
+func (r *run) exchangeReports() {
 	reports := make(map[string]*wire.HostReport, len(r.order))
 	for _, id := range r.order {
 		reports[id] = r.report(r.machines[id])
@@ -183,23 +183,23 @@
 	for _, id := range r.order {
 		m := r.machines[id]
 		for _, other := range r.order {
-			if other == id || r.rng.Float64() >= r.fresh {
+			if other == id || r.rng.Float64() >= r.reportChance {
 				continue
 			}
-			at := r.machines[other]
-			if at.alive {
-				m.sees[other] = sighting{report: reports[other], at: r.step}
-			} else if r.step-at.diedAt > lostSteps {
-				m.sees[other] = sighting{report: at.last, at: at.diedAt, lost: true}
+			peer := r.machines[other]
+			if peer.alive {
+				m.observed[other] = observation{report: reports[other], at: r.step}
+			} else if r.step-peer.diedAt > lostSteps {
+				m.observed[other] = observation{report: peer.last, at: peer.diedAt, lost: true}
 			}
 		}
 	}
 }
 
 func (r *run) input(m *machine) Input {
-	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirm) * time.Second), Own: r.report(m)}
+	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirmedStep) * time.Second), Own: r.report(m)}
 	for _, id := range r.order {
-		seen, known := m.sees[id]
+		seen, known := m.observed[id]
 		if !known {
 			continue
 		}
@@ -209,7 +209,7 @@
 }
 
 // obey is the agent's runner in short.
-func (r *run) obey(m *machine) {
+func (r *run) runAgent(m *machine) {
 	want := m.taken
 	for _, assignment := range r.plan.GetAssignments() {
 		if assignment.GetHost() == m.id {
@@ -239,28 +239,28 @@
 func (r *run) measure() {
 	for _, model := range r.doc.GetModels() {
 		count := int(model.GetReplicas()[0].GetCount())
-		serving, out := 0, 0
+		serving, assigned := 0, 0
 		for _, m := range r.machines {
 			if m.alive && m.has == model.GetName() {
 				serving++
 			}
 			if m.alive && m.want == model.GetName() {
-				out++
+				assigned++
 			}
 		}
 		r.missing += max(0, count-serving)
-		r.over = max(r.over, out-count)
+		r.maxExcess = max(r.maxExcess, assigned-count)
 	}
 }
 
 // none is strategy (a): an unplanned host stays empty.
-func none(*run, *machine) {}
+func neverFallback(*run, *machine) {}
 
 // always is strategy (b): a pure function of the document and the hosts seen,
 // at all times; the plan is not looked at.
-func always(r *run, m *machine) {
+func rendezvousOnly(r *run, m *machine) {
 	free := []string{m.id}
-	for id, seen := range m.sees {
+	for id, seen := range m.observed {
 		if !seen.lost {
 			free = append(free, id)
 		}
@@ -277,6 +277,6 @@
 }
 
 // inOutage is strategy (c): this package.
-func inOutage(r *run, m *machine) {
+func fallbackInOutage(r *run, m *machine) {
 	m.taken = m.core.Decide(r.input(m)).GetModel()
 }
