--- a/relay/fallback/domain.go
+++ b/relay/fallback/domain.go
@@ -11,38 +11,45 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// stateServing is wire.VersionState's state of a version that answers.
+// stateServing is the value of wire.VersionState.State for a version that
+// serves requests.
 const stateServing = "serving"
 
-// holder is a host that the plan leaves out and that has, or is about to have,
-// a model.
+// holder is a host that is not in the plan and that serves, loads or fetches a
+// model, or has just decided to.
 type holder struct {
 	id      string
 	serving bool
 	score   uint64 // rendezvous rank for the model
 }
 
-// demand is one model's wish within the failure domain.
+// demand is the number of replicas that one model needs in the failure domain,
+// with the hosts that provide or could provide them.
 type demand struct {
 	model *wire.Model
 	count int
-	// planned counts the hosts of the plan that are there, planServing those of
-	// them that serve the model.
+	// planned is the number of hosts that the plan assigns to the model, without
+	// those whose slot counts as vacant; plannedServing is how many of them serve
+	// it.
 	planned, plannedServing int
-	// holders are the others, best first.
+	// holders are the hosts outside the plan that have the model, best first.
 	holders []holder
-	// kept are the holders whose place is theirs.
+	// kept contains the hosts outside the plan that fill a replica slot.
 	kept map[string]bool
 }
 
+// vacancies returns the number of replicas without a host; it is negative if
+// there are more hosts than replicas.
 func (d *demand) vacancies() int { return d.count - d.planned - len(d.kept) }
 
-// domain is the failure domain of this host at one moment.
+// domain is a snapshot of the failure domain of this host.
 type domain struct {
-	demands []*demand // by model name
-	idle    []string  // hosts that the plan leaves out and that have nothing
+	demands []*demand // sorted by model name
+	idle    []string  // hosts that are not in the plan and have no model
 }
 
+// newDomain builds the snapshot from the document, the plan and the reports,
+// and decides which hosts outside the plan keep their replica slot.
 func (c *Core) newDomain(in Input) *domain {
 	name := in.Own.GetNode().GetFailureDomain()
 	dom := &domain{demands: demandsIn(in.Document, name)}
@@ -72,6 +79,8 @@
 	return dom
 }
 
+// demandsIn returns the demands of the document in the named failure domain,
+// sorted by model name.
 func demandsIn(doc *wire.Document, name string) []*demand {
 	var demands []*demand
 	for _, model := range doc.GetModels() {
@@ -89,7 +98,7 @@
 	return demands
 }
 
-// hostsOf returns the hosts of the failure domain by id, this one included.
+// hostsIn returns the hosts of the failure domain by ID, including this host.
 func hostsIn(in Input, name string) map[string]view.Host {
 	hosts := map[string]view.Host{}
 	for _, host := range in.Hosts {
@@ -101,6 +110,7 @@
 	return hosts
 }
 
+// demand returns the demand of the model; nil if it has none here.
 func (dom *domain) demand(model string) *demand {
 	for _, want := range dom.demands {
 		if want.model.GetName() == model {
@@ -110,7 +120,7 @@
 	return nil
 }
 
-// plan counts a host that the plan gives the model to.
+// addPlanned counts a host that the plan assigns to the model.
 func (dom *domain) addPlanned(model string, host view.Host) {
 	want := dom.demand(model)
 	if want == nil {
@@ -122,8 +132,8 @@
 	}
 }
 
-// heldBy returns the model that the host took, as far as it is not in its
-// report: this host's own decision of a moment ago.
+// takenBy returns the model of this host's own last decision, which its report
+// may not contain yet, and "" for any other host.
 func (c *Core) takenBy(in Input, id string) string {
 	if id != in.Own.GetNode().GetId() {
 		return ""
@@ -131,7 +141,8 @@
 	return c.takenModel
 }
 
-// add counts a host that the plan leaves out.
+// addUnplanned records a host that is not in the plan: as a holder if it has a
+// model or took one, else as idle if it is neither lost nor leaving.
 func (dom *domain) addUnplanned(id string, host view.Host, takenModel string) {
 	want, serving := dom.demandFor(host)
 	if want == nil {
@@ -145,8 +156,8 @@
 	}
 }
 
-// has returns what the host is out for: the model that it serves, else the one
-// that it fetches or loads.
+// demandFor returns the demand of the model that the host serves, or else of
+// the one that it fetches or loads.
 func (dom *domain) demandFor(host view.Host) (want *demand, serving bool) {
 	for _, state := range host.Report().GetVersions() {
 		found := dom.demand(state.GetModel())
@@ -161,21 +172,24 @@
 	return want, false
 }
 
+// hasVersion reports whether the host has a version of the model in the state.
 func hasVersion(host view.Host, model, state string) bool {
 	return slices.ContainsFunc(host.Report().GetVersions(), func(version *wire.VersionState) bool {
 		return version.GetModel() == model && version.GetState() == state
 	})
 }
 
-// score is that of package placement: the planner, back after the outage, then
-// prefers the same hosts.
+// score returns the rendezvous score of the host for the model. Package
+// placement uses the same score, so that the planner prefers the same hosts
+// after the outage.
 func score(model *wire.Model, host string) uint64 {
 	return rendezvous.Score(rendezvous.Seed(model.GetName()), rendezvous.Seed(host))
 }
 
-// settle decides which holders keep their place. One that serves goes only
-// where enough others serve: a planned host that came back empty is not yet a
-// replica. One that does not serve yet goes where enough others will.
+// chooseKept decides which holders keep their replica slot. A holder that serves
+// the model loses its slot only if enough other hosts serve it: a planned host
+// that came back empty is not yet a replica. A holder that does not serve yet
+// loses its slot if enough other hosts are going to serve.
 func (d *demand) chooseKept() {
 	slices.SortFunc(d.holders, func(a, b holder) int {
 		if a.serving != b.serving {
@@ -197,7 +211,7 @@
 	}
 }
 
-// keeps returns the model whose place the host has already; nil: none.
+// keptModel returns the model whose replica slot the host keeps; nil if none.
 func (dom *domain) keptModel(id string) *wire.Model {
 	for _, want := range dom.demands {
 		if want.kept[id] {
@@ -207,9 +221,9 @@
 	return nil
 }
 
-// takes divides the empty places among the idle hosts and returns the host's
-// share; nil: none. The model furthest from its count goes first, as in
-// package placement.
+// modelForIdleHost assigns the vacant replica slots to the idle hosts and
+// returns the model assigned to the given host; nil if none. The model with the
+// smallest share of its replicas filled goes first, as in package placement.
 func (dom *domain) modelForIdleHost(id string) *wire.Model {
 	for len(dom.idle) > 0 {
 		leastFilled := dom.leastFilled()
@@ -228,6 +242,8 @@
 	return nil
 }
 
+// leastFilled returns the demand with vacancies that has the smallest share of
+// its replicas filled; nil if there are no vacancies.
 func (dom *domain) leastFilled() *demand {
 	var leastFilled *demand
 	for _, want := range dom.demands {
@@ -238,6 +254,7 @@
 	return leastFilled
 }
 
+// lessFilled reports whether a has a smaller share of its replicas filled than b.
 func lessFilled(a, b *demand) bool {
 	return (a.count-a.vacancies())*b.count < (b.count-b.vacancies())*a.count
 }
--- a/relay/fallback/fallback.go
+++ b/relay/fallback/fallback.go
@@ -1,27 +1,28 @@
-// Package fallback decides what a host serves that the plan leaves out while
-// nobody can plan: the key-value service is down, hosts are replaced under new
-// ids, and without it each replaced host would stay empty until the service is
-// back, one replica fewer each time.
+// Package fallback decides what a host outside the plan serves during an outage
+// of the key-value service, when no new plan can be made. Hosts are replaced
+// under new IDs in that time; without the fallback each replacement would stay
+// empty until the service is back, with one replica fewer each time.
 //
-// Every agent decides for its own host alone, from the document and plan in
-// force and the reports of its failure domain. Nothing is written and nobody is
-// asked: hosts that see the same reports come to the same division of the
-// missing places by rendezvous rank.
+// Every agent decides for its own host only, from the current document, the
+// current plan and the reports of its failure domain. It writes nothing and
+// communicates with no other host: hosts that see the same reports assign the
+// vacant replica slots identically, by rendezvous rank.
 //
-// Rules, which the random runs assert:
+// Invariants, which the randomized tests check:
 //
-//   - A host that the plan names gets nothing from here: the plan goes first.
-//   - A host takes a place only in an outage, and only one that has been empty
-//     for longer than Limits say (emptyForLong).
-//   - Hosts that see the same take no more places than are empty.
-//   - A place that was taken is kept until enough other hosts serve the model
-//     or the plan names this host, also after the outage: the planner needs
-//     some time to see what is lost.
+//   - A host that is in the plan gets nothing from this package: the plan takes
+//     precedence.
+//   - A host takes a replica slot only in an outage, and only a slot that has
+//     been vacant for longer than the time in Limits (isVacant).
+//   - Hosts that see the same reports take no more slots than are vacant.
+//   - A host keeps a slot until enough other hosts serve the model or the plan
+//     contains this host, also after the outage: the planner needs some time to
+//     detect which hosts are lost.
 //
-// While views differ, a place may be taken by every idle host that sees neither
-// the others' reports nor who fills it, so that at most as many replicas too
-// many come up as there are hosts the plan leaves out. It ends when the reports
-// arrive: of those that fill one place the best rank stays.
+// While the hosts' views differ, every idle host that sees neither the others'
+// reports nor the host that fills a slot may take that slot. There are then at
+// most as many excess replicas as hosts outside the plan. The excess ends when
+// the reports arrive: of the hosts that fill one slot, the best-ranked one stays.
 package fallback
 
 import (
@@ -32,21 +33,23 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Limits are the times after which a place counts as empty.
+// Limits contains the times after which an outage is assumed and a replica slot
+// counts as vacant.
 type Limits struct {
-	// Outage is how long the document has to go unconfirmed: a watch of the
-	// service lasts 10 seconds, and a new watcher needs its predecessor's lease
-	// to lapse. Settle is how long this process has to see it so.
+	// Outage is how long the document must be unconfirmed. It has to exceed a
+	// watch of the service, which lasts 10 seconds, plus the time until the
+	// previous watcher's lease expires and a new one takes over. Settle is how
+	// long this process must have observed that state.
 	Outage, Settle time.Duration
-	// LeavingAfter and LostAfter are those of placement.Limits.
+	// LeavingAfter and LostAfter are as in placement.Limits.
 	LeavingAfter, LostAfter time.Duration
-	// UnreportedAfter is for planned hosts without any report. Entries pass the
-	// reports of lost hosts on too, but in a large failure domain it takes a new
-	// agent a while to get all: without this time it would take the rest for
-	// dead.
+	// UnreportedAfter applies to planned hosts without any report. Entries also
+	// forward the reports of lost hosts, but in a large failure domain a new
+	// agent needs a while to receive all reports. Without this delay it would
+	// treat the remaining hosts as dead.
 	UnreportedAfter time.Duration
-	// Pause is the gap between two decisions that shows that the process stood
-	// still: what it holds is old then, and proves no outage.
+	// Pause is the gap between two decisions from which the process counts as
+	// having been paused. Its data is then old, which does not indicate an outage.
 	Pause time.Duration
 }
 
@@ -63,44 +66,44 @@
 	}
 }
 
-// Input is everything that a decision depends on.
+// Input contains the data that a decision is based on.
 type Input struct {
 	Now      time.Time
 	Document *wire.Document
-	// Plan in force, or at least its part for the failure domain.
+	// Plan is the current plan, or at least its part for the failure domain.
 	Plan *wire.Plan
-	// ConfirmedAt is when the service last confirmed the document to anyone;
-	// zero: never.
+	// ConfirmedAt is when the service last confirmed the document to any
+	// process; zero if never.
 	ConfirmedAt time.Time
-	// Hosts are the newest reports known here, of any failure domain.
+	// Hosts contains the newest known reports, from any failure domain.
 	Hosts []view.Host
-	// Own is this host's present state; it goes before its report in Hosts.
+	// Own is this host's current state; it replaces its report in Hosts.
 	Own *wire.HostReport
 }
 
-// Core decides for one host. Its owner serialises the calls.
+// Core makes the decisions for one host. It is not safe for concurrent use.
 type Core struct {
 	limits Limits
-	// since is when each host that is leaving, lost or unheard became so, as
-	// seen here.
+	// absentSince is when this process first saw each absent host as leaving,
+	// lost or unreported.
 	absentSince map[string]time.Time
-	// stale is since when the document was seen unconfirmed for Limits.Outage;
-	// zero: it is not.
+	// staleSince is when this process first saw that the document had been
+	// unconfirmed for longer than Limits.Outage; zero if it is confirmed.
 	staleSince   time.Time
-	lastDecision time.Time // last decision
-	takenModel   string    // model whose place this host took; empty: none
+	lastDecision time.Time // time of the last decision
+	takenModel   string    // model whose replica slot this host took; empty if none
 }
 
-// New returns a Core that holds no place.
+// New returns a Core for a host that has not taken a replica slot.
 func New(limits Limits) *Core {
 	return &Core{limits: limits, absentSince: map[string]time.Time{}}
 }
 
-// Held returns the model whose place this host took; empty: none.
+// Held returns the model whose replica slot this host took; empty if none.
 func (c *Core) Held() string { return c.takenModel }
 
-// Decide returns what this host should serve although the plan does not say so;
-// nil: nothing.
+// Decide returns an assignment for this host that is not in the plan; nil if the
+// host should serve nothing beyond the plan.
 func (c *Core) Decide(in Input) *wire.Assignment {
 	c.trackTimes(in)
 	own := in.Own.GetNode()
@@ -132,9 +135,10 @@
 	}
 }
 
-// look moves the times on. After a pause all that is held is old: without a
-// new start of the outage's time, a process that wakes would take the whole
-// deployment for cut off from the service until its next reply.
+// trackTimes updates the times from which outages and absences are measured.
+// After a pause of the process its data is old: if the outage time were not
+// reset, a process that resumes would consider the whole deployment cut off from
+// the service until the next reply arrives.
 func (c *Core) trackTimes(in Input) {
 	gap := in.Now.Sub(c.lastDecision)
 	if !c.lastDecision.IsZero() && (gap > c.limits.Pause || gap < 0) {
@@ -152,12 +156,14 @@
 	}
 }
 
+// outage reports whether the document has been stale for at least Limits.Settle.
 func (c *Core) outage(now time.Time) bool {
 	return !c.staleSince.IsZero() && now.Sub(c.staleSince) >= c.limits.Settle
 }
 
-// emptyForLong reports whether the host's place counts as empty: most hosts
-// that fall silent are back soon, and a move costs a whole model's bytes.
+// isVacant reports whether the host has been absent long enough for its replica
+// slot to count as vacant. The wait is needed because most hosts that stop
+// reporting are back soon, and a move costs a transfer of the whole model.
 func (c *Core) isVacant(id string, host view.Host, reported bool, now time.Time) bool {
 	if reported && !host.Lost() && !host.Leaving() {
 		delete(c.absentSince, id)
@@ -181,7 +187,8 @@
 	return now.Sub(absentFrom) >= limit
 }
 
-// forget bounds since to the hosts that reported or are planned.
+// pruneAbsences removes from absentSince the hosts that are not present, that is
+// neither reported nor in the plan, so that the map does not grow without bound.
 func (c *Core) pruneAbsences(present map[string]bool) {
 	for id := range c.absentSince {
 		if !present[id] {
@@ -190,6 +197,7 @@
 	}
 }
 
+// isPlanned reports whether the plan has an assignment for the host.
 func isPlanned(plan *wire.Plan, id string) bool {
 	for _, assignment := range plan.GetAssignments() {
 		if assignment.GetHost() == id {
--- a/relay/fallback/fallback_test.go
+++ b/relay/fallback/fallback_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// TestScripts replays testdata.
+// TestDecideScripts runs the scripts in testdata.
 func TestDecideScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		sc := newScenario()
@@ -24,7 +24,7 @@
 	})
 }
 
-// stage is one failure domain "a" whose hosts all see the same.
+// scenario is a failure domain "a" whose hosts all see the same reports.
 type scenario struct {
 	now       time.Time
 	confirmed time.Time
@@ -33,7 +33,7 @@
 	hosts     map[string]*hostState
 }
 
-// seat is one host and its core.
+// hostState is a host with its Core.
 type hostState struct {
 	report        *wire.HostReport
 	seenAt        time.Time
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// wait decides each second and returns the last decisions.
+// wait lets the hosts decide once per second and returns the last decisions.
 func (s *scenario) wait(wait time.Duration) string {
 	out := s.decide()
 	for range int(wait / time.Second) {
@@ -85,6 +85,8 @@
 	return out
 }
 
+// decide runs Decide for every host that is not lost and returns the resulting
+// assignments, one per line.
 func (s *scenario) decide() string {
 	var out strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
@@ -105,6 +107,7 @@
 	return out.String()
 }
 
+// seen returns the hosts as every host sees them.
 func (s *scenario) seen() []view.Host {
 	var hosts []view.Host
 	for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
@@ -118,7 +121,7 @@
 	return hosts
 }
 
-// setModel: "model name=m version=v count=2 adapters=1".
+// setModel adds or replaces a model: "model name=m version=v count=2 adapters=1".
 func (s *scenario) setModel(t *testing.T, cmd *datadriven.TestData) {
 	name, version, count, adapters := "", "", 0, 0
 	cmd.ScanArgs(t, "name", &name)
@@ -133,7 +136,7 @@
 	s.doc.Models = append(s.doc.Models, model)
 }
 
-// setPlan: "plan m=(h1,h2)" puts the next plan in force.
+// setPlan replaces the plan: "plan m=(h1,h2)".
 func (s *scenario) setPlan(_ *testing.T, cmd *datadriven.TestData) {
 	next := &wire.Plan{PlanRevision: s.plan.GetPlanRevision() + 1}
 	for _, arg := range cmd.CmdArgs {
@@ -144,7 +147,8 @@
 	s.plan = next
 }
 
-// setHosts: "hosts ids=(h1,h2) model=m state=serving lost leaving domain=b".
+// setHosts adds or updates hosts:
+// "hosts ids=(h1,h2) model=m state=serving lost leaving domain=b".
 func (s *scenario) setHosts(t *testing.T, cmd *datadriven.TestData) {
 	domain, model, state, service := "a", "", "", ""
 	cmd.MaybeScanArgs(t, "domain", &domain)
--- a/relay/fallback/random_test.go
+++ b/relay/fallback/random_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// standing is how one model is served at one moment.
+// serviceLevel counts the hosts of one model at one moment.
 type serviceLevel struct {
 	count, planned, plannedServing int
 	taken, takenServing            int
-	idle                           int // live hosts with no model at all, of all models
+	idle                           int // live hosts without any model
 }
 
 func (r *run) serviceLevel(name string, count int) serviceLevel {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// shake does one random thing.
+// randomEvent applies one random event to the simulation.
 func randomEvent(t *rapid.T, r *run) {
 	ids := r.order
 	id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "host")]
@@ -79,8 +79,8 @@
 	return r, counts
 }
 
-// TestNothingInNormalTimes: while the service confirms the document, the
-// planner alone decides, however hosts come and go.
+// TestNoDecisionsWithoutOutage checks that only the planner decides while the
+// service confirms the document, whichever hosts are added or lost.
 func TestNoDecisionsWithoutOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, _ := randomRun(t, rapid.Float64Range(0.1, 1).Draw(t, "fresh"))
@@ -90,7 +90,7 @@
 				r.advance()
 				for id, m := range r.machines {
 					if m.taken != "" {
-						t.Fatalf("got %s on %s in normal times, want nothing", m.taken, id)
+						t.Fatalf("got %s on %s without an outage, want nothing", m.taken, id)
 					}
 				}
 			}
@@ -98,8 +98,9 @@
 	})
 }
 
-// TestAgreedViews: hosts that see the same never hold more places than are
-// empty; in the end no host is idle while a model lacks one.
+// TestIdenticalViews checks that hosts that see the same reports never take more
+// replica slots than are vacant, and that in the end no host is idle while a
+// model lacks a replica.
 func TestIdenticalViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, counts := randomRun(t, 1)
@@ -121,17 +122,18 @@
 	})
 }
 
+// checkNoExcess checks that no more replica slots are taken than are vacant.
 func checkNoExcess(t *rapid.T, r *run, now serviceLevel) {
 	if excess := now.takenServing - max(0, now.count-now.plannedServing); excess > 0 && !hostJustBecameServing(r) {
-		t.Fatalf("got %+v at step %d, want no more places taken than are empty", now, r.step)
+		t.Fatalf("got %+v at step %d, want no more slots taken by serving hosts than are vacant", now, r.step)
 	}
 	if excess := now.taken - now.takenServing - max(0, now.count-now.planned); excess > 0 {
-		t.Fatalf("got %+v at step %d, want no more places taken than are empty", now, r.step)
+		t.Fatalf("got %+v at step %d, want no more slots taken by hosts that do not serve yet than are vacant", now, r.step)
 	}
 }
 
-// justServes reports whether a host began to serve in this step: the others
-// have not seen it yet.
+// hostJustBecameServing reports whether a host began to serve in this step. The
+// other hosts have not seen that yet.
 func hostJustBecameServing(r *run) bool {
 	for _, m := range r.machines {
 		if m.alive && m.servesAt == r.step {
@@ -141,7 +143,8 @@
 	return false
 }
 
-// checkSettled: with quiet and agreed views all places that can be filled are.
+// checkSettled checks that every replica slot that can be filled is filled once
+// views agree and no events occur.
 func checkSettled(t *rapid.T, r *run, counts map[string]int) {
 	for name, count := range counts {
 		now := r.serviceLevel(name, count)
@@ -150,14 +153,16 @@
 			t.Fatalf("got %s at %+v, want no idle host while a replica is missing", name, now)
 		}
 		if now.taken > max(0, count-now.planned) {
-			t.Fatalf("got %s at %+v, want no replica too many", name, now)
+			t.Fatalf("got %s at %+v, want no excess replica", name, now)
 		}
 	}
 }
 
-// checkReturn: the planner is back, and after a while nothing rests on this
-// package. What served goes on serving, where there are hosts enough for all:
-// else the planner's choice of what to leave short goes before this package's.
+// checkRecovery ends the outage and checks that some time after the planner is
+// back no host keeps a slot from this package. Models keep as many serving
+// replicas as before if there are enough hosts for all replicas; otherwise the
+// planner's choice of the model to leave short takes precedence over this
+// package's choice.
 func checkRecovery(t *rapid.T, r *run, counts map[string]int) {
 	before := map[string]int{}
 	total, alive := 0, 0
@@ -177,20 +182,20 @@
 		r.advance()
 		for name, count := range counts {
 			if now := r.serviceLevel(name, count); enough && min(count, now.plannedServing+now.takenServing) < before[name] {
-				t.Fatalf("got %s at %+v after the return, want %d serving", name, now, before[name])
+				t.Fatalf("got %s at %+v after the outage, want %d serving", name, now, before[name])
 			}
 		}
 	}
 	for id, m := range r.machines {
 		if m.taken != "" {
-			t.Fatalf("got %s on %s long after the return, want the plan alone", m.taken, id)
+			t.Fatalf("got %s on %s long after the outage, want only what is in the plan", m.taken, id)
 		}
 	}
 }
 
-// TestDifferingViews: reports reach each host late and not at all for a while.
-// At no time are there more replicas too many than hosts outside the plan, and
-// soon after the views agree there are none.
+// TestDifferingViews delays and drops the reports that hosts receive. It checks
+// that planned hosts take nothing from this package meanwhile, and that soon
+// after the views agree there are no excess replicas.
 func TestDifferingViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, counts := randomRun(t, rapid.Float64Range(0.02, 0.5).Draw(t, "fresh"))
@@ -201,7 +206,7 @@
 				r.advance()
 				for id, m := range r.machines {
 					if isPlanned(r.plan, id) && m.taken != "" {
-						t.Fatalf("got %s on the planned host %s, want the plan alone", m.taken, id)
+						t.Fatalf("got %s on the planned host %s, want only what is in the plan", m.taken, id)
 					}
 				}
 			}
@@ -215,8 +220,8 @@
 	})
 }
 
-// TestReplicasTooMany measures how far views that differ go wrong: two hosts are
-// replaced at once, and reports take about a given time.
+// TestExcessReplicas measures how many excess replicas differing views cause
+// when two hosts are replaced at once and reports take a given time on average.
 func TestExcessReplicas(t *testing.T) {
 	const runs = 20
 	for _, reportChance := range []float64{1, 0.5, 0.2, 0.05} {
@@ -237,20 +242,20 @@
 				runsWithExcess++
 			}
 		}
-		t.Logf("a report arrives after %.0f s on average: %d of %d runs had replicas too many, at most %d", 1/reportChance, runsWithExcess, runs, worst)
+		t.Logf("a report arrives after %.0f s on average: %d of %d runs had excess replicas, at most %d", 1/reportChance, runsWithExcess, runs, worst)
 		if reportChance == 1 && worst > 0 {
-			t.Errorf("got %d replicas too many where views agree, want 0", worst)
+			t.Errorf("got %d excess replicas with identical views, want 0", worst)
 		}
-		// Two spare hosts and the two new ones are outside the plan.
+		// The two spare hosts and the two new ones are outside the plan.
 		if worst > 4 {
-			t.Errorf("got %d replicas too many, want at most one for each of 4 hosts outside the plan", worst)
+			t.Errorf("got %d excess replicas, want at most one for each of 4 hosts outside the plan", worst)
 		}
 	}
 }
 
-// TestDisturbance measures the three strategies through one outage of half an
-// hour in which hosts are replaced under new ids: replicas missing, and hosts that
-// left a model that they served.
+// TestCompareStrategies runs three strategies through an outage of half an hour
+// in which hosts are replaced under new IDs. It measures the missing replicas
+// and the hosts that left a model that they served.
 func TestCompareStrategies(t *testing.T) {
 	strategies := []struct {
 		name           string
@@ -265,7 +270,7 @@
 	for _, strategy := range strategies {
 		r := newRun(7, 35, map[string]int{"m0": 8, "m1": 8, "m2": 8, "m3": 8}, strategy.decide)
 		if strategy.withoutPlanner {
-			// Nobody plans at all.
+			// This strategy runs without a planner.
 			r.plan, r.plannerOff = nil, true
 			for range 120 {
 				r.advance()
@@ -295,7 +300,7 @@
 			r.advance()
 		}
 		missing[strategy.name] = outage
-		t.Logf("%s: 6 of 35 hosts replaced in half an hour, replica-seconds missing %d (of 57600), then %d after the return, hosts that left a model they served %d, replicas too many at most %d",
+		t.Logf("%s: 6 of 35 hosts replaced in half an hour, replica-seconds missing %d (of 57600), then %d after the outage, hosts that left a model they served %d, excess replicas at most %d",
 			strategy.name, outage, r.missing-outage, r.switches, r.maxExcess)
 	}
 	if got, nothing := missing["fallback in an outage"], missing["nothing"]; got*2 > nothing {
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -13,60 +13,63 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Times of the run, in steps of one second.
+// Durations in steps of one second.
 const (
-	fetchSteps    = 20 // a model's bytes and its load
-	unwantedSteps = 30 // agent/internal/orders gives weights up after these
-	lostSteps     = 4  // a home entry's report that a host is silent
+	fetchSteps    = 20 // fetching and loading a model
+	unwantedSteps = 30 // after which agent/internal/orders drops unwanted weights
+	lostSteps     = 4  // until a host's home entry reports that it is lost
 )
 
-// machine is one host: what its agent would do.
+// machine simulates a host and its agent.
 type machine struct {
 	id       string
 	alive    bool
 	diedAt   int
-	last     *wire.HostReport // before it died
+	last     *wire.HostReport // last report before it died
 	servesAt int              // step in which it began to serve
-	want     string           // model; empty: nothing
+	want     string           // model to serve; empty if none
 	has      string           // model that the engine serves
 	fetched  int              // steps spent on want
-	unwanted int              // steps since nothing is wanted
-	taken    string           // model given by the strategy, not by the plan
+	unwanted int              // steps since want became empty
+	taken    string           // model assigned by the strategy instead of the plan
 	core     *Core
-	// sees is this host's knowledge of the others.
+	// observed contains this host's latest observation of each other host.
 	observed map[string]observation
 }
 
+// observation is what one host knows about another.
 type observation struct {
 	report *wire.HostReport
 	at     int
 	lost   bool
 }
 
-// run is one failure domain with its planner and service.
+// run simulates a failure domain with its planner and the key-value service.
 type run struct {
 	rng           *rand.Rand
 	step          int
-	up            bool // the service
+	up            bool // whether the service is available
 	upFor         int
 	confirmedStep int
 	doc           *wire.Document
 	plan          *wire.Plan
 	machines      map[string]*machine
-	order         []string       // ids, sorted
-	absentSteps   map[string]int // the planner's own record
-	// fresh is the chance in a step that one host's view of another is renewed.
+	order         []string       // sorted host IDs
+	absentSteps   map[string]int // steps for which the planner has seen each host absent
+	// reportChance is the probability, per step, that a host receives a report
+	// of another host.
 	reportChance float64
-	// strategy fills machine.taken.
+	// strategy sets machine.taken.
 	strategy     func(r *run, m *machine)
-	switches     int // hosts that left a model that they served for another
-	missing      int // replicas missing, summed over the steps
-	maxExcess    int // most replicas beyond the count in a step
+	switches     int // number of times a host left a model that it served for another
+	missing      int // missing replicas, summed over the steps
+	maxExcess    int // largest number of replicas beyond the count in a step
 	hostsCreated int
-	// replanOff leaves the planner out.
+	// plannerOff disables the planner.
 	plannerOff bool
 }
 
+// newRun creates a run and advances it by 60 steps, so that it starts settled.
 func newRun(seed uint64, hosts int, counts map[string]int, strategy func(r *run, m *machine)) *run {
 	r := &run{
 		rng: rand.New(rand.NewPCG(seed, 1)), up: true, doc: &wire.Document{},
@@ -87,7 +90,7 @@
 	return r
 }
 
-// add starts a host under a new id.
+// add starts a host under a new ID.
 func (r *run) add() *machine {
 	m := &machine{id: fmt.Sprintf("h%03d", r.hostsCreated), alive: true, core: New(DefaultLimits()), observed: map[string]observation{}}
 	r.hostsCreated++
@@ -96,6 +99,7 @@
 	return m
 }
 
+// kill stops a host, which loses its model.
 func (r *run) kill(id string) {
 	m := r.machines[id]
 	m.last = r.report(m)
@@ -103,12 +107,13 @@
 	m.want, m.has, m.taken, m.fetched = "", "", "", 0
 }
 
-// back starts a dead host again under its id, empty.
+// restart starts a dead host again under the same ID, without a model.
 func (r *run) restart(id string) {
 	m := r.machines[id]
 	m.alive, m.core, m.observed = true, New(DefaultLimits()), map[string]observation{}
 }
 
+// advance simulates one step.
 func (r *run) advance() {
 	r.step++
 	r.upFor++
@@ -133,11 +138,13 @@
 	r.measure()
 }
 
+// outage sets whether the service is available; up ends the outage.
 func (r *run) outage(up bool) { r.up, r.upFor = up, 0 }
 
 func (r *run) now() time.Time { return start.Add(time.Duration(r.step) * time.Second) }
 
-// replan is the planner: it counts absence from when it took charge.
+// replan simulates the planner, which counts a host's absence from when it
+// became the planner.
 func (r *run) replan() {
 	if r.upFor <= 1 {
 		clear(r.absentSteps)
@@ -163,6 +170,7 @@
 	}
 }
 
+// report returns the host's current report.
 func (r *run) report(m *machine) *wire.HostReport {
 	report := &wire.HostReport{Node: &wire.Node{Id: m.id, FailureDomain: "a"}}
 	if m.has != "" {
@@ -174,7 +182,8 @@
 	return report
 }
 
-// look renews what each host sees of the others, or not.
+// exchangeReports updates each host's observation of each other host with the
+// probability reportChance.
 func (r *run) exchangeReports() {
 	reports := make(map[string]*wire.HostReport, len(r.order))
 	for _, id := range r.order {
@@ -196,6 +205,7 @@
 	}
 }
 
+// input returns the input of the host's Core.
 func (r *run) input(m *machine) Input {
 	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirmedStep) * time.Second), Own: r.report(m)}
 	for _, id := range r.order {
@@ -208,7 +218,7 @@
 	return in
 }
 
-// obey is the agent's runner in short.
+// runAgent is a simplified version of the agent's runner.
 func (r *run) runAgent(m *machine) {
 	want := m.taken
 	for _, assignment := range r.plan.GetAssignments() {
@@ -235,7 +245,7 @@
 	}
 }
 
-// measure sums what the users notice.
+// measure updates the counts of missing and excess replicas.
 func (r *run) measure() {
 	for _, model := range r.doc.GetModels() {
 		count := int(model.GetReplicas()[0].GetCount())
@@ -253,11 +263,11 @@
 	}
 }
 
-// none is strategy (a): an unplanned host stays empty.
+// neverFallback is strategy (a): an unplanned host stays empty.
 func neverFallback(*run, *machine) {}
 
-// always is strategy (b): a pure function of the document and the hosts seen,
-// at all times; the plan is not looked at.
+// rendezvousOnly is strategy (b): always a pure function of the document and the
+// hosts seen, ignoring the plan.
 func rendezvousOnly(r *run, m *machine) {
 	free := []string{m.id}
 	for id, seen := range m.observed {
@@ -276,7 +286,7 @@
 	}
 }
 
-// inOutage is strategy (c): this package.
+// fallbackInOutage is strategy (c): this package.
 func fallbackInOutage(r *run, m *machine) {
 	m.taken = m.core.Decide(r.input(m)).GetModel()
 }
