--- a/relay/fallback/random_test.go
+++ b/relay/fallback/random_test.go
@@ -21,22 +21,22 @@
 	for _, assignment := range r.plan.GetAssignments() {
 		plan[assignment.GetHost()] = assignment.GetModel()
 	}
-	for id, m := range r.machines {
-		if !m.alive {
+	for id, h := range r.hosts {
+		if !h.alive {
 			continue
 		}
 		switch {
 		case plan[id] == name:
 			out.planned++
-			if m.has == name {
+			if h.has == name {
 				out.plannedServing++
 			}
-		case m.taken == name:
+		case h.taken == name:
 			out.taken++
-			if m.has == name {
+			if h.has == name {
 				out.takenServing++
 			}
-		case plan[id] == "" && m.taken == "" && m.has == "":
+		case plan[id] == "" && h.taken == "" && h.has == "":
 			out.idle++
 		}
 	}
@@ -47,19 +47,19 @@
 func randomEvent(t *rapid.T, r *run) {
 	ids := r.order
 	id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "host")]
-	m := r.machines[id]
+	h := r.hosts[id]
 	switch rapid.SampledFrom([]string{"replace", "kill", "back", "add"}).Draw(t, "event") {
 	case "replace":
-		if m.alive {
+		if h.alive {
 			r.kill(id)
 			r.add()
 		}
 	case "kill":
-		if m.alive {
+		if h.alive {
 			r.kill(id)
 		}
 	case "back":
-		if !m.alive {
+		if !h.alive {
 			r.restart(id)
 		}
 	case "add":
@@ -70,9 +70,9 @@
 func randomRun(t *rapid.T, reportChance float64) (*run, map[string]int) {
 	counts := map[string]int{}
 	total := 0
-	for m := range rapid.IntRange(1, 3).Draw(t, "models") {
-		counts[fmt.Sprintf("m%d", m)] = rapid.IntRange(1, 4).Draw(t, "count")
-		total += counts[fmt.Sprintf("m%d", m)]
+	for i := range rapid.IntRange(1, 3).Draw(t, "models") {
+		counts[fmt.Sprintf("m%d", i)] = rapid.IntRange(1, 4).Draw(t, "count")
+		total += counts[fmt.Sprintf("m%d", i)]
 	}
 	r := newRun(rapid.Uint64().Draw(t, "seed"), total+rapid.IntRange(0, 3).Draw(t, "spare"), counts, fallbackInOutage)
 	r.reportChance = reportChance
@@ -88,9 +88,9 @@
 			randomEvent(t, r)
 			for range rapid.IntRange(0, 40).Draw(t, "steps") {
 				r.advance()
-				for id, m := range r.machines {
-					if m.taken != "" {
-						t.Fatalf("got %s on %s without an outage, want nothing", m.taken, id)
+				for id, h := range r.hosts {
+					if h.taken != "" {
+						t.Fatalf("got %s on %s without an outage, want nothing", h.taken, id)
 					}
 				}
 			}
@@ -135,8 +135,8 @@
 // hostJustBecameServing reports whether a host began to serve in this step. The
 // other hosts have not seen that yet.
 func hostJustBecameServing(r *run) bool {
-	for _, m := range r.machines {
-		if m.alive && m.servesAt == r.step {
+	for _, h := range r.hosts {
+		if h.alive && h.servesAt == r.step {
 			return true
 		}
 	}
@@ -166,8 +166,8 @@
 func checkRecovery(t *rapid.T, r *run, counts map[string]int) {
 	before := map[string]int{}
 	total, alive := 0, 0
-	for _, m := range r.machines {
-		if m.alive {
+	for _, h := range r.hosts {
+		if h.alive {
 			alive++
 		}
 	}
@@ -186,9 +186,9 @@
 			}
 		}
 	}
-	for id, m := range r.machines {
-		if m.taken != "" {
-			t.Fatalf("got %s on %s long after the outage, want only what is in the plan", m.taken, id)
+	for id, h := range r.hosts {
+		if h.taken != "" {
+			t.Fatalf("got %s on %s long after the outage, want only what is in the plan", h.taken, id)
 		}
 	}
 }
@@ -204,9 +204,9 @@
 			randomEvent(t, r)
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
 				r.advance()
-				for id, m := range r.machines {
-					if isPlanned(r.plan, id) && m.taken != "" {
-						t.Fatalf("got %s on the planned host %s, want only what is in the plan", m.taken, id)
+				for id, h := range r.hosts {
+					if isPlanned(r.plan, id) && h.taken != "" {
+						t.Fatalf("got %s on the planned host %s, want only what is in the plan", h.taken, id)
 					}
 				}
 			}
@@ -259,7 +259,7 @@
 func TestCompareStrategies(t *testing.T) {
 	strategies := []struct {
 		name           string
-		decide         func(r *run, m *machine)
+		decide         func(r *run, h *simHost)
 		withoutPlanner bool
 	}{
 		{"nothing", neverFallback, false},
@@ -284,7 +284,7 @@
 			if step%300 == 60 {
 				var alive []string
 				for _, id := range r.order {
-					if r.machines[id].alive {
+					if r.hosts[id].alive {
 						alive = append(alive, id)
 					}
 				}
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -20,8 +20,8 @@
 	lostSteps     = 4  // until a host's home entry reports that it is lost
 )
 
-// machine simulates a host and its agent.
-type machine struct {
+// simHost simulates a host and its agent.
+type simHost struct {
 	id       string
 	alive    bool
 	diedAt   int
@@ -53,14 +53,14 @@
 	confirmedStep int
 	doc           *wire.Document
 	plan          *wire.Plan
-	machines      map[string]*machine
+	hosts         map[string]*simHost
 	order         []string       // sorted host IDs
 	absentSteps   map[string]int // steps for which the planner has seen each host absent
 	// reportChance is the probability, per step, that a host receives a report
 	// of another host.
 	reportChance float64
-	// strategy sets machine.taken.
-	strategy     func(r *run, m *machine)
+	// strategy sets simHost.taken.
+	strategy     func(r *run, h *simHost)
 	switches     int // number of times a host left a model that it served for another
 	missing      int // missing replicas, summed over the steps
 	maxExcess    int // largest number of replicas beyond the count in a step
@@ -70,10 +70,10 @@
 }
 
 // newRun creates a run and advances it by 60 steps, so that it starts settled.
-func newRun(seed uint64, hosts int, counts map[string]int, strategy func(r *run, m *machine)) *run {
+func newRun(seed uint64, hosts int, counts map[string]int, strategy func(r *run, h *simHost)) *run {
 	r := &run{
 		rng: rand.New(rand.NewPCG(seed, 1)), up: true, doc: &wire.Document{},
-		machines: map[string]*machine{}, absentSteps: map[string]int{}, reportChance: 1, strategy: strategy,
+		hosts: map[string]*simHost{}, absentSteps: map[string]int{}, reportChance: 1, strategy: strategy,
 	}
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		r.doc.Models = append(r.doc.Models, &wire.Model{
@@ -91,26 +91,26 @@
 }
 
 // add starts a host under a new ID.
-func (r *run) add() *machine {
-	m := &machine{id: fmt.Sprintf("h%03d", r.hostsCreated), alive: true, core: New(DefaultLimits()), observed: map[string]observation{}}
+func (r *run) add() *simHost {
+	h := &simHost{id: fmt.Sprintf("h%03d", r.hostsCreated), alive: true, core: New(DefaultLimits()), observed: map[string]observation{}}
 	r.hostsCreated++
-	r.machines[m.id] = m
-	r.order = append(r.order, m.id)
-	return m
+	r.hosts[h.id] = h
+	r.order = append(r.order, h.id)
+	return h
 }
 
 // kill stops a host, which loses its model.
 func (r *run) kill(id string) {
-	m := r.machines[id]
-	m.last = r.report(m)
-	m.alive, m.diedAt = false, r.step
-	m.want, m.has, m.taken, m.fetched = "", "", "", 0
+	h := r.hosts[id]
+	h.last = r.report(h)
+	h.alive, h.diedAt = false, r.step
+	h.want, h.has, h.taken, h.fetched = "", "", "", 0
 }
 
 // restart starts a dead host again under the same ID, without a model.
 func (r *run) restart(id string) {
-	m := r.machines[id]
-	m.alive, m.core, m.observed = true, New(DefaultLimits()), map[string]observation{}
+	h := r.hosts[id]
+	h.alive, h.core, h.observed = true, New(DefaultLimits()), map[string]observation{}
 }
 
 // advance simulates one step.
@@ -125,14 +125,14 @@
 	}
 	r.exchangeReports()
 	for _, id := range r.order {
-		if m := r.machines[id]; m.alive {
-			m.taken = ""
+		if h := r.hosts[id]; h.alive {
+			h.taken = ""
 			if isPlanned(r.plan, id) {
-				m.core.Decide(r.input(m))
+				h.core.Decide(r.input(h))
 			} else {
-				r.strategy(r, m)
+				r.strategy(r, h)
 			}
-			r.runAgent(m)
+			r.runAgent(h)
 		}
 	}
 	r.measure()
@@ -151,14 +151,14 @@
 	}
 	var hosts []placement.Host
 	for _, id := range r.order {
-		m := r.machines[id]
-		host := placement.Host{ID: id, FailureDomain: "a", ServingModel: m.has}
-		if m.has != "" {
+		h := r.hosts[id]
+		host := placement.Host{ID: id, FailureDomain: "a", ServingModel: h.has}
+		if h.has != "" {
 			host.ServingVersion, host.Whole = "v1", []string{"v1"}
 		}
-		if m.alive {
+		if h.alive {
 			delete(r.absentSteps, id)
-		} else if r.step-m.diedAt > lostSteps {
+		} else if r.step-h.diedAt > lostSteps {
 			r.absentSteps[id]++
 			host.Away = time.Duration(r.absentSteps[id]) * time.Second
 		}
@@ -171,13 +171,13 @@
 }
 
 // report returns the host's current report.
-func (r *run) report(m *machine) *wire.HostReport {
-	report := &wire.HostReport{Node: &wire.Node{Id: m.id, FailureDomain: "a"}}
-	if m.has != "" {
-		report.Versions = append(report.Versions, &wire.VersionState{Model: m.has, Version: "v1", State: stateServing})
+func (r *run) report(h *simHost) *wire.HostReport {
+	report := &wire.HostReport{Node: &wire.Node{Id: h.id, FailureDomain: "a"}}
+	if h.has != "" {
+		report.Versions = append(report.Versions, &wire.VersionState{Model: h.has, Version: "v1", State: stateServing})
 	}
-	if m.want != "" && m.want != m.has {
-		report.Versions = append(report.Versions, &wire.VersionState{Model: m.want, Version: "v1", State: "fetching"})
+	if h.want != "" && h.want != h.has {
+		report.Versions = append(report.Versions, &wire.VersionState{Model: h.want, Version: "v1", State: "fetching"})
 	}
 	return report
 }
@@ -187,29 +187,29 @@
 func (r *run) exchangeReports() {
 	reports := make(map[string]*wire.HostReport, len(r.order))
 	for _, id := range r.order {
-		reports[id] = r.report(r.machines[id])
+		reports[id] = r.report(r.hosts[id])
 	}
 	for _, id := range r.order {
-		m := r.machines[id]
+		h := r.hosts[id]
 		for _, other := range r.order {
 			if other == id || r.rng.Float64() >= r.reportChance {
 				continue
 			}
-			peer := r.machines[other]
+			peer := r.hosts[other]
 			if peer.alive {
-				m.observed[other] = observation{report: reports[other], at: r.step}
+				h.observed[other] = observation{report: reports[other], at: r.step}
 			} else if r.step-peer.diedAt > lostSteps {
-				m.observed[other] = observation{report: peer.last, at: peer.diedAt, lost: true}
+				h.observed[other] = observation{report: peer.last, at: peer.diedAt, lost: true}
 			}
 		}
 	}
 }
 
 // input returns the input of the host's Core.
-func (r *run) input(m *machine) Input {
-	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirmedStep) * time.Second), Own: r.report(m)}
+func (r *run) input(h *simHost) Input {
+	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirmedStep) * time.Second), Own: r.report(h)}
 	for _, id := range r.order {
-		seen, known := m.observed[id]
+		seen, known := h.observed[id]
 		if !known {
 			continue
 		}
@@ -219,29 +219,29 @@
 }
 
 // runAgent is a simplified version of the agent's runner.
-func (r *run) runAgent(m *machine) {
-	want := m.taken
+func (r *run) runAgent(h *simHost) {
+	want := h.taken
 	for _, assignment := range r.plan.GetAssignments() {
-		if assignment.GetHost() == m.id {
+		if assignment.GetHost() == h.id {
 			want = assignment.GetModel()
 		}
 	}
-	if want != m.want {
-		m.want, m.fetched, m.unwanted = want, 0, 0
+	if want != h.want {
+		h.want, h.fetched, h.unwanted = want, 0, 0
 	}
 	switch {
 	case want == "":
-		if m.unwanted++; m.unwanted >= unwantedSteps {
-			m.has = ""
+		if h.unwanted++; h.unwanted >= unwantedSteps {
+			h.has = ""
 		}
-	case want != m.has:
-		if m.fetched++; m.fetched < fetchSteps {
+	case want != h.has:
+		if h.fetched++; h.fetched < fetchSteps {
 			return
 		}
-		if m.has != "" {
+		if h.has != "" {
 			r.switches++
 		}
-		m.has, m.servesAt = want, r.step
+		h.has, h.servesAt = want, r.step
 	}
 }
 
@@ -250,11 +250,11 @@
 	for _, model := range r.doc.GetModels() {
 		count := int(model.GetReplicas()[0].GetCount())
 		serving, assigned := 0, 0
-		for _, m := range r.machines {
-			if m.alive && m.has == model.GetName() {
+		for _, h := range r.hosts {
+			if h.alive && h.has == model.GetName() {
 				serving++
 			}
-			if m.alive && m.want == model.GetName() {
+			if h.alive && h.want == model.GetName() {
 				assigned++
 			}
 		}
@@ -264,13 +264,13 @@
 }
 
 // neverFallback is strategy (a): an unplanned host stays empty.
-func neverFallback(*run, *machine) {}
+func neverFallback(*run, *simHost) {}
 
 // rendezvousOnly is strategy (b): always a pure function of the document and the
 // hosts seen, ignoring the plan.
-func rendezvousOnly(r *run, m *machine) {
-	free := []string{m.id}
-	for id, seen := range m.observed {
+func rendezvousOnly(r *run, h *simHost) {
+	free := []string{h.id}
+	for id, seen := range h.observed {
 		if !seen.lost {
 			free = append(free, id)
 		}
@@ -278,8 +278,8 @@
 	slices.Sort(free)
 	for _, model := range r.doc.GetModels() {
 		top := rendezvous.Top(model.GetName(), free, int(model.GetReplicas()[0].GetCount()))
-		if slices.Contains(top, m.id) {
-			m.taken = model.GetName()
+		if slices.Contains(top, h.id) {
+			h.taken = model.GetName()
 			return
 		}
 		free = slices.DeleteFunc(free, func(id string) bool { return slices.Contains(top, id) })
@@ -287,6 +287,6 @@
 }
 
 // fallbackInOutage is strategy (c): this package.
-func fallbackInOutage(r *run, m *machine) {
-	m.taken = m.core.Decide(r.input(m)).GetModel()
+func fallbackInOutage(r *run, h *simHost) {
+	h.taken = h.core.Decide(r.input(h)).GetModel()
 }
