--- a/relay/fallback/domain.go
+++ b/relay/fallback/domain.go
@@ -11,42 +11,49 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// stateServing is wire.VersionState's state of a version that answers.
+// stateServing is the value of wire.VersionState.State for a version that
+// serves requests.
 const stateServing = "serving"
 
-// holder is a host that the plan leaves out and that has, or is about to have,
-// a model.
+// holder is a host that is not in the plan and that serves, loads or fetches a
+// model, or has just decided to.
 type holder struct {
 	id      string
 	serving bool
 	score   uint64 // rendezvous rank for the model
 }
 
-// demand is one model's wish within the failure domain.
+// demand is the number of replicas that one model needs in the failure domain,
+// with the hosts that provide or could provide them.
 type demand struct {
 	model *wire.Model
 	count int
-	// planned counts the hosts of the plan that are there, planServing those of
-	// them that serve the model.
-	planned, planServing int
-	// holders are the others, best first.
+	// planned is the number of hosts that the plan assigns to the model, without
+	// those whose slot counts as vacant; plannedServing is how many of them serve
+	// it.
+	planned, plannedServing int
+	// holders are the hosts outside the plan that have the model, best first.
 	holders []holder
-	// kept are the holders whose place is theirs.
+	// kept contains the hosts outside the plan that fill a replica slot.
 	kept map[string]bool
 }
 
-func (d *demand) missing() int { return d.count - d.planned - len(d.kept) }
+// vacancies returns the number of replicas without a host; it is negative if
+// there are more hosts than replicas.
+func (d *demand) vacancies() int { return d.count - d.planned - len(d.kept) }
 
-// domain is the failure domain of this host at one moment.
+// domain is a snapshot of the failure domain of this host.
 type domain struct {
-	demands []*demand // by model name
-	idle    []string  // hosts that the plan leaves out and that have nothing
+	demands []*demand // sorted by model name
+	idle    []string  // hosts that are not in the plan and have no model
 }
 
+// newDomain builds the snapshot from the document, the plan and the reports,
+// and decides which hosts outside the plan keep their replica slot.
 func (c *Core) newDomain(in Input) *domain {
 	name := in.Own.GetNode().GetFailureDomain()
-	dom := &domain{demands: demandsOf(in.Document, name)}
-	hosts := hostsOf(in, name)
+	dom := &domain{demands: demandsIn(in.Document, name)}
+	hosts := hostsIn(in, name)
 	present := map[string]bool{}
 	for id := range hosts {
 		present[id] = true
@@ -56,23 +63,25 @@
 		id := assignment.GetHost()
 		present[id], inPlan[id] = true, true
 		host, known := hosts[id]
-		if assignment.GetFailureDomain() == name && !c.emptyForLong(id, host, known, in.Now) {
-			dom.plan(assignment.GetModel(), host)
+		if assignment.GetFailureDomain() == name && !c.isVacant(id, host, known, in.Now) {
+			dom.addPlanned(assignment.GetModel(), host)
 		}
 	}
 	for id, host := range hosts {
-		if !inPlan[id] && document.IsEngine(in.Document, host.Report()) && !c.emptyForLong(id, host, true, in.Now) {
-			dom.add(id, host, c.heldBy(in, id))
+		if !inPlan[id] && document.IsEngine(in.Document, host.Report()) && !c.isVacant(id, host, true, in.Now) {
+			dom.addUnplanned(id, host, c.takenBy(in, id))
 		}
 	}
-	c.forget(present)
+	c.pruneAbsences(present)
 	for _, want := range dom.demands {
-		want.settle()
+		want.chooseKept()
 	}
 	return dom
 }
 
-func demandsOf(doc *wire.Document, name string) []*demand {
+// demandsIn returns the demands of the document in the named failure domain,
+// sorted by model name.
+func demandsIn(doc *wire.Document, name string) []*demand {
 	var demands []*demand
 	for _, model := range doc.GetModels() {
 		want := &demand{model: model, kept: map[string]bool{}}
@@ -89,8 +98,8 @@
 	return demands
 }
 
-// hostsOf returns the hosts of the failure domain by id, this one included.
-func hostsOf(in Input, name string) map[string]view.Host {
+// hostsIn returns the hosts of the failure domain by ID, including this host.
+func hostsIn(in Input, name string) map[string]view.Host {
 	hosts := map[string]view.Host{}
 	for _, host := range in.Hosts {
 		if node := host.Report().GetNode(); node.GetFailureDomain() == name {
@@ -101,6 +110,7 @@
 	return hosts
 }
 
+// demand returns the demand of the model; nil if it has none here.
 func (dom *domain) demand(model string) *demand {
 	for _, want := range dom.demands {
 		if want.model.GetName() == model {
@@ -110,32 +120,33 @@
 	return nil
 }
 
-// plan counts a host that the plan gives the model to.
-func (dom *domain) plan(model string, host view.Host) {
+// addPlanned counts a host that the plan assigns to the model.
+func (dom *domain) addPlanned(model string, host view.Host) {
 	want := dom.demand(model)
 	if want == nil {
 		return
 	}
 	want.planned++
-	if !host.Lost() && !host.Leaving() && has(host, model, stateServing) {
-		want.planServing++
+	if !host.Lost() && !host.Leaving() && hasVersion(host, model, stateServing) {
+		want.plannedServing++
 	}
 }
 
-// heldBy returns the model that the host took, as far as it is not in its
-// report: this host's own decision of a moment ago.
-func (c *Core) heldBy(in Input, id string) string {
+// takenBy returns the model of this host's own last decision, which its report
+// may not contain yet, and "" for any other host.
+func (c *Core) takenBy(in Input, id string) string {
 	if id != in.Own.GetNode().GetId() {
 		return ""
 	}
-	return c.held
+	return c.takenModel
 }
 
-// add counts a host that the plan leaves out.
-func (dom *domain) add(id string, host view.Host, held string) {
-	want, serving := dom.has(host)
+// addUnplanned records a host that is not in the plan: as a holder if it has a
+// model or took one, else as idle if it is neither lost nor leaving.
+func (dom *domain) addUnplanned(id string, host view.Host, takenModel string) {
+	want, serving := dom.demandFor(host)
 	if want == nil {
-		want = dom.demand(held)
+		want = dom.demand(takenModel)
 	}
 	switch {
 	case want != nil:
@@ -145,9 +156,9 @@
 	}
 }
 
-// has returns what the host is out for: the model that it serves, else the one
-// that it fetches or loads.
-func (dom *domain) has(host view.Host) (want *demand, serving bool) {
+// demandFor returns the demand of the model that the host serves, or else of
+// the one that it fetches or loads.
+func (dom *domain) demandFor(host view.Host) (want *demand, serving bool) {
 	for _, state := range host.Report().GetVersions() {
 		found := dom.demand(state.GetModel())
 		if found == nil {
@@ -161,22 +172,25 @@
 	return want, false
 }
 
-func has(host view.Host, model, state string) bool {
-	return slices.ContainsFunc(host.Report().GetVersions(), func(held *wire.VersionState) bool {
-		return held.GetModel() == model && held.GetState() == state
+// hasVersion reports whether the host has a version of the model in the state.
+func hasVersion(host view.Host, model, state string) bool {
+	return slices.ContainsFunc(host.Report().GetVersions(), func(version *wire.VersionState) bool {
+		return version.GetModel() == model && version.GetState() == state
 	})
 }
 
-// score is that of package placement: the planner, back after the outage, then
-// prefers the same hosts.
+// score returns the rendezvous score of the host for the model. Package
+// placement uses the same score, so that the planner prefers the same hosts
+// after the outage.
 func score(model *wire.Model, host string) uint64 {
 	return rendezvous.Score(rendezvous.Seed(model.GetName()), rendezvous.Seed(host))
 }
 
-// settle decides which holders keep their place. One that serves goes only
-// where enough others serve: a planned host that came back empty is not yet a
-// replica. One that does not serve yet goes where enough others will.
-func (d *demand) settle() {
+// chooseKept decides which holders keep their replica slot. A holder that serves
+// the model loses its slot only if enough other hosts serve it: a planned host
+// that came back empty is not yet a replica. A holder that does not serve yet
+// loses its slot if enough other hosts are going to serve.
+func (d *demand) chooseKept() {
 	slices.SortFunc(d.holders, func(a, b holder) int {
 		if a.serving != b.serving {
 			if a.serving {
@@ -186,19 +200,19 @@
 		}
 		return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(a.id, b.id))
 	})
-	for _, out := range d.holders {
+	for _, h := range d.holders {
 		others := d.planned
-		if out.serving {
-			others = d.planServing
+		if h.serving {
+			others = d.plannedServing
 		}
 		if others+len(d.kept) < d.count {
-			d.kept[out.id] = true
+			d.kept[h.id] = true
 		}
 	}
 }
 
-// keeps returns the model whose place the host has already; nil: none.
-func (dom *domain) keeps(id string) *wire.Model {
+// keptModel returns the model whose replica slot the host keeps; nil if none.
+func (dom *domain) keptModel(id string) *wire.Model {
 	for _, want := range dom.demands {
 		if want.kept[id] {
 			return want.model
@@ -207,37 +221,40 @@
 	return nil
 }
 
-// takes divides the empty places among the idle hosts and returns the host's
-// share; nil: none. The model furthest from its count goes first, as in
-// package placement.
-func (dom *domain) takes(id string) *wire.Model {
+// modelForIdleHost assigns the vacant replica slots to the idle hosts and
+// returns the model assigned to the given host; nil if none. The model with the
+// smallest share of its replicas filled goes first, as in package placement.
+func (dom *domain) modelForIdleHost(id string) *wire.Model {
 	for len(dom.idle) > 0 {
-		neediest := dom.neediest()
-		if neediest == nil {
+		leastFilled := dom.leastFilled()
+		if leastFilled == nil {
 			return nil
 		}
 		best := slices.MaxFunc(dom.idle, func(a, b string) int {
-			return cmp.Or(cmp.Compare(score(neediest.model, a), score(neediest.model, b)), strings.Compare(b, a))
+			return cmp.Or(cmp.Compare(score(leastFilled.model, a), score(leastFilled.model, b)), strings.Compare(b, a))
 		})
 		if best == id {
-			return neediest.model
+			return leastFilled.model
 		}
-		neediest.kept[best] = true
+		leastFilled.kept[best] = true
 		dom.idle = slices.DeleteFunc(dom.idle, func(idle string) bool { return idle == best })
 	}
 	return nil
 }
 
-func (dom *domain) neediest() *demand {
-	var neediest *demand
+// leastFilled returns the demand with vacancies that has the smallest share of
+// its replicas filled; nil if there are no vacancies.
+func (dom *domain) leastFilled() *demand {
+	var leastFilled *demand
 	for _, want := range dom.demands {
-		if want.missing() > 0 && (neediest == nil || needier(want, neediest)) {
-			neediest = want
+		if want.vacancies() > 0 && (leastFilled == nil || lessFilled(want, leastFilled)) {
+			leastFilled = want
 		}
 	}
-	return neediest
+	return leastFilled
 }
 
-func needier(a, b *demand) bool {
-	return (a.count-a.missing())*b.count < (b.count-b.missing())*a.count
+// lessFilled reports whether a has a smaller share of its replicas filled than b.
+func lessFilled(a, b *demand) bool {
+	return (a.count-a.vacancies())*b.count < (b.count-b.vacancies())*a.count
 }
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -13,64 +13,67 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Times of the run, in steps of one second.
+// Durations in steps of one second.
 const (
-	fetchSteps    = 20 // a model's bytes and its load
-	unwantedSteps = 30 // agent/internal/orders gives weights up after these
-	lostSteps     = 4  // a home entry's report that a host is silent
+	fetchSteps    = 20 // fetching and loading a model
+	unwantedSteps = 30 // after which agent/internal/orders drops unwanted weights
+	lostSteps     = 4  // until a host's home entry reports that it is lost
 )
 
-// machine is one host: what its agent would do.
-type machine struct {
+// simHost simulates a host and its agent.
+type simHost struct {
 	id       string
 	alive    bool
 	diedAt   int
-	last     *wire.HostReport // before it died
+	last     *wire.HostReport // last report before it died
 	servesAt int              // step in which it began to serve
-	want     string           // model; empty: nothing
+	want     string           // model to serve; empty if none
 	has      string           // model that the engine serves
 	fetched  int              // steps spent on want
-	unwanted int              // steps since nothing is wanted
-	taken    string           // model given by the strategy, not by the plan
+	unwanted int              // steps since want became empty
+	taken    string           // model assigned by the strategy instead of the plan
 	core     *Core
-	// sees is this host's knowledge of the others.
-	sees map[string]sighting
+	// observed contains this host's latest observation of each other host.
+	observed map[string]observation
 }
 
-type sighting struct {
+// observation is what one host knows about another.
+type observation struct {
 	report *wire.HostReport
 	at     int
 	lost   bool
 }
 
-// run is one failure domain with its planner and service.
+// run simulates a failure domain with its planner and the key-value service.
 type run struct {
-	rng      *rand.Rand
-	step     int
-	up       bool // the service
-	upFor    int
-	confirm  int
-	doc      *wire.Document
-	plan     *wire.Plan
-	machines map[string]*machine
-	order    []string       // ids, sorted
-	away     map[string]int // the planner's own record
-	// fresh is the chance in a step that one host's view of another is renewed.
-	fresh float64
-	// strategy fills machine.taken.
-	strategy func(r *run, m *machine)
-	switches int // hosts that left a model that they served for another
-	missing  int // replicas missing, summed over the steps
-	over     int // most replicas beyond the count in a step
-	born     int
-	// replanOff leaves the planner out.
-	replanOff bool
+	rng           *rand.Rand
+	step          int
+	up            bool // whether the service is available
+	upFor         int
+	confirmedStep int
+	doc           *wire.Document
+	plan          *wire.Plan
+	hosts         map[string]*simHost
+	order         []string       // sorted host IDs
+	absentSteps   map[string]int // steps for which the planner has seen each host absent
+	// reportChance is the probability, per step, that a host receives a report
+	// of another host.
+	reportChance float64
+	// strategy sets simHost.taken.
+	strategy     func(r *run, h *simHost)
+	switches     int // number of times a host left a model that it served for another
+	missing      int // missing replicas, summed over the steps
+	maxExcess    int // largest number of replicas beyond the count in a step
+	hostsCreated int
+	// plannerOff disables the planner.
+	plannerOff bool
 }
 
-func newRun(seed uint64, hosts int, counts map[string]int, strategy func(r *run, m *machine)) *run {
+// newRun creates a run and advances it by 60 steps, so that it starts settled.
+func newRun(seed uint64, hosts int, counts map[string]int, strategy func(r *run, h *simHost)) *run {
 	r := &run{
 		rng: rand.New(rand.NewPCG(seed, 1)), up: true, doc: &wire.Document{},
-		machines: map[string]*machine{}, away: map[string]int{}, fresh: 1, strategy: strategy,
+		hosts: map[string]*simHost{}, absentSteps: map[string]int{}, reportChance: 1, strategy: strategy,
 	}
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		r.doc.Models = append(r.doc.Models, &wire.Model{
@@ -83,77 +86,81 @@
 	for range 60 {
 		r.advance()
 	}
-	r.switches, r.missing, r.over = 0, 0, 0
+	r.switches, r.missing, r.maxExcess = 0, 0, 0
 	return r
 }
 
-// add starts a host under a new id.
-func (r *run) add() *machine {
-	m := &machine{id: fmt.Sprintf("h%03d", r.born), alive: true, core: New(DefaultLimits()), sees: map[string]sighting{}}
-	r.born++
-	r.machines[m.id] = m
-	r.order = append(r.order, m.id)
-	return m
+// add starts a host under a new ID.
+func (r *run) add() *simHost {
+	h := &simHost{id: fmt.Sprintf("h%03d", r.hostsCreated), alive: true, core: New(DefaultLimits()), observed: map[string]observation{}}
+	r.hostsCreated++
+	r.hosts[h.id] = h
+	r.order = append(r.order, h.id)
+	return h
 }
 
+// kill stops a host, which loses its model.
 func (r *run) kill(id string) {
-	m := r.machines[id]
-	m.last = r.report(m)
-	m.alive, m.diedAt = false, r.step
-	m.want, m.has, m.taken, m.fetched = "", "", "", 0
+	h := r.hosts[id]
+	h.last = r.report(h)
+	h.alive, h.diedAt = false, r.step
+	h.want, h.has, h.taken, h.fetched = "", "", "", 0
 }
 
-// back starts a dead host again under its id, empty.
-func (r *run) back(id string) {
-	m := r.machines[id]
-	m.alive, m.core, m.sees = true, New(DefaultLimits()), map[string]sighting{}
+// restart starts a dead host again under the same ID, without a model.
+func (r *run) restart(id string) {
+	h := r.hosts[id]
+	h.alive, h.core, h.observed = true, New(DefaultLimits()), map[string]observation{}
 }
 
+// advance simulates one step.
 func (r *run) advance() {
 	r.step++
 	r.upFor++
 	if r.up {
-		r.confirm = r.step
-		if !r.replanOff {
+		r.confirmedStep = r.step
+		if !r.plannerOff {
 			r.replan()
 		}
 	}
-	r.look()
+	r.exchangeReports()
 	for _, id := range r.order {
-		if m := r.machines[id]; m.alive {
-			m.taken = ""
-			if planned(r.plan, id) {
-				m.core.Decide(r.input(m))
+		if h := r.hosts[id]; h.alive {
+			h.taken = ""
+			if isPlanned(r.plan, id) {
+				h.core.Decide(r.input(h))
 			} else {
-				r.strategy(r, m)
+				r.strategy(r, h)
 			}
-			r.obey(m)
+			r.runAgent(h)
 		}
 	}
 	r.measure()
 }
 
+// outage sets whether the service is available; up ends the outage.
 func (r *run) outage(up bool) { r.up, r.upFor = up, 0 }
 
 func (r *run) now() time.Time { return start.Add(time.Duration(r.step) * time.Second) }
 
-// replan is the planner: it counts absence from when it took charge.
+// replan simulates the planner, which counts a host's absence from when it
+// became the planner.
 func (r *run) replan() {
 	if r.upFor <= 1 {
-		clear(r.away)
+		clear(r.absentSteps)
 	}
 	var hosts []placement.Host
 	for _, id := range r.order {
-		m := r.machines[id]
-		host := placement.Host{ID: id, FailureDomain: "a", ServingModel: m.has}
-		if m.has != "" {
+		h := r.hosts[id]
+		host := placement.Host{ID: id, FailureDomain: "a", ServingModel: h.has}
+		if h.has != "" {
 			host.ServingVersion, host.Whole = "v1", []string{"v1"}
 		}
-		if m.alive {
-			delete(r.away, id)
-		} else if r.step-m.diedAt > lostSteps {
-			r.away[id]++
-			host.Away = time.Duration(r.away[id]) * time.Second
+		if h.alive {
+			delete(r.absentSteps, id)
+		} else if r.step-h.diedAt > lostSteps {
+			r.absentSteps[id]++
+			host.Away = time.Duration(r.absentSteps[id]) * time.Second
 		}
 		hosts = append(hosts, host)
 	}
@@ -163,43 +170,46 @@
 	}
 }
 
-func (r *run) report(m *machine) *wire.HostReport {
-	report := &wire.HostReport{Node: &wire.Node{Id: m.id, FailureDomain: "a"}}
-	if m.has != "" {
-		report.Versions = append(report.Versions, &wire.VersionState{Model: m.has, Version: "v1", State: stateServing})
+// report returns the host's current report.
+func (r *run) report(h *simHost) *wire.HostReport {
+	report := &wire.HostReport{Node: &wire.Node{Id: h.id, FailureDomain: "a"}}
+	if h.has != "" {
+		report.Versions = append(report.Versions, &wire.VersionState{Model: h.has, Version: "v1", State: stateServing})
 	}
-	if m.want != "" && m.want != m.has {
-		report.Versions = append(report.Versions, &wire.VersionState{Model: m.want, Version: "v1", State: "fetching"})
+	if h.want != "" && h.want != h.has {
+		report.Versions = append(report.Versions, &wire.VersionState{Model: h.want, Version: "v1", State: "fetching"})
 	}
 	return report
 }
 
-// look renews what each host sees of the others, or not.
-func (r *run) look() {
+// exchangeReports updates each host's observation of each other host with the
+// probability reportChance.
+func (r *run) exchangeReports() {
 	reports := make(map[string]*wire.HostReport, len(r.order))
 	for _, id := range r.order {
-		reports[id] = r.report(r.machines[id])
+		reports[id] = r.report(r.hosts[id])
 	}
 	for _, id := range r.order {
-		m := r.machines[id]
+		h := r.hosts[id]
 		for _, other := range r.order {
-			if other == id || r.rng.Float64() >= r.fresh {
+			if other == id || r.rng.Float64() >= r.reportChance {
 				continue
 			}
-			at := r.machines[other]
-			if at.alive {
-				m.sees[other] = sighting{report: reports[other], at: r.step}
-			} else if r.step-at.diedAt > lostSteps {
-				m.sees[other] = sighting{report: at.last, at: at.diedAt, lost: true}
+			peer := r.hosts[other]
+			if peer.alive {
+				h.observed[other] = observation{report: reports[other], at: r.step}
+			} else if r.step-peer.diedAt > lostSteps {
+				h.observed[other] = observation{report: peer.last, at: peer.diedAt, lost: true}
 			}
 		}
 	}
 }
 
-func (r *run) input(m *machine) Input {
-	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirm) * time.Second), Own: r.report(m)}
+// input returns the input of the host's Core.
+func (r *run) input(h *simHost) Input {
+	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirmedStep) * time.Second), Own: r.report(h)}
 	for _, id := range r.order {
-		seen, known := m.sees[id]
+		seen, known := h.observed[id]
 		if !known {
 			continue
 		}
@@ -208,59 +218,59 @@
 	return in
 }
 
-// obey is the agent's runner in short.
-func (r *run) obey(m *machine) {
-	want := m.taken
+// runAgent is a simplified version of the agent's runner.
+func (r *run) runAgent(h *simHost) {
+	want := h.taken
 	for _, assignment := range r.plan.GetAssignments() {
-		if assignment.GetHost() == m.id {
+		if assignment.GetHost() == h.id {
 			want = assignment.GetModel()
 		}
 	}
-	if want != m.want {
-		m.want, m.fetched, m.unwanted = want, 0, 0
+	if want != h.want {
+		h.want, h.fetched, h.unwanted = want, 0, 0
 	}
 	switch {
 	case want == "":
-		if m.unwanted++; m.unwanted >= unwantedSteps {
-			m.has = ""
+		if h.unwanted++; h.unwanted >= unwantedSteps {
+			h.has = ""
 		}
-	case want != m.has:
-		if m.fetched++; m.fetched < fetchSteps {
+	case want != h.has:
+		if h.fetched++; h.fetched < fetchSteps {
 			return
 		}
-		if m.has != "" {
+		if h.has != "" {
 			r.switches++
 		}
-		m.has, m.servesAt = want, r.step
+		h.has, h.servesAt = want, r.step
 	}
 }
 
-// measure sums what the users notice.
+// measure updates the counts of missing and excess replicas.
 func (r *run) measure() {
 	for _, model := range r.doc.GetModels() {
 		count := int(model.GetReplicas()[0].GetCount())
-		serving, out := 0, 0
-		for _, m := range r.machines {
-			if m.alive && m.has == model.GetName() {
+		serving, assigned := 0, 0
+		for _, h := range r.hosts {
+			if h.alive && h.has == model.GetName() {
 				serving++
 			}
-			if m.alive && m.want == model.GetName() {
-				out++
+			if h.alive && h.want == model.GetName() {
+				assigned++
 			}
 		}
 		r.missing += max(0, count-serving)
-		r.over = max(r.over, out-count)
+		r.maxExcess = max(r.maxExcess, assigned-count)
 	}
 }
 
-// none is strategy (a): an unplanned host stays empty.
-func none(*run, *machine) {}
+// neverFallback is strategy (a): an unplanned host stays empty.
+func neverFallback(*run, *simHost) {}
 
-// always is strategy (b): a pure function of the document and the hosts seen,
-// at all times; the plan is not looked at.
-func always(r *run, m *machine) {
-	free := []string{m.id}
-	for id, seen := range m.sees {
+// rendezvousOnly is strategy (b): always a pure function of the document and the
+// hosts seen, ignoring the plan.
+func rendezvousOnly(r *run, h *simHost) {
+	free := []string{h.id}
+	for id, seen := range h.observed {
 		if !seen.lost {
 			free = append(free, id)
 		}
@@ -268,15 +278,15 @@
 	slices.Sort(free)
 	for _, model := range r.doc.GetModels() {
 		top := rendezvous.Top(model.GetName(), free, int(model.GetReplicas()[0].GetCount()))
-		if slices.Contains(top, m.id) {
-			m.taken = model.GetName()
+		if slices.Contains(top, h.id) {
+			h.taken = model.GetName()
 			return
 		}
 		free = slices.DeleteFunc(free, func(id string) bool { return slices.Contains(top, id) })
 	}
 }
 
-// inOutage is strategy (c): this package.
-func inOutage(r *run, m *machine) {
-	m.taken = m.core.Decide(r.input(m)).GetModel()
+// fallbackInOutage is strategy (c): this package.
+func fallbackInOutage(r *run, h *simHost) {
+	h.taken = h.core.Decide(r.input(h)).GetModel()
 }
--- a/relay/lease/holder_test.go
+++ b/relay/lease/holder_test.go
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-func init() { onBroken = func() { panic("invariant broke") } }
+func init() { onInvariantViolation = func() { panic("invariant broke") } }
 
 const (
 	testTTL    = 10 * time.Second
@@ -27,8 +27,9 @@
 	return Run(ctx, store, clockwork.NewRealClock(), "x", incarnation, testTTL, testMargin, slog.New(slog.DiscardHandler))
 }
 
-// TestPausedHolder: a holder whose calls hang for a minute, as if it were
-// paused, must not be in charge when its successor is, nor when it wakes.
+// TestPausedHolder checks that a holder whose calls hang for a minute, as in a
+// paused process, does not hold the lease while its successor does, nor after
+// it resumes.
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := kv.NewMemoryService(clockwork.NewRealClock())
@@ -45,7 +46,7 @@
 		time.Sleep(2 * time.Second)
 		before, ok := former.Holding()
 		if !ok {
-			t.Fatal("got no holder, want the only candidate")
+			t.Fatal("got no holder, want the only candidate to hold the lease")
 		}
 		next := start(t.Context(), service.Store(), "next")
 		paused.Store(true)
@@ -59,22 +60,22 @@
 			}
 		}
 		if overlaps > 0 {
-			t.Errorf("got two in charge %d times, want never", overlaps)
+			t.Errorf("got two holders at once %d times, want never", overlaps)
 		}
 		paused.Store(false)
 		after, ok := next.Holding()
 		if !ok || after <= before {
-			t.Errorf("got fence %d (in charge: %t) after %d, want a larger one in charge", after, ok, before)
+			t.Errorf("got fence %d (holding: %t) after %d, want a larger one, holding", after, ok, before)
 		}
 		if _, ok := former.Holding(); ok {
-			t.Error("got the former holder in charge, want its successor only")
+			t.Error("got the former holder still holding, want its successor only")
 		}
 	})
 }
 
-// TestEndGivesBack: a process that ends must not let its successor wait for the
-// whole of the lease's time.
-func TestEndGivesBack(t *testing.T) {
+// TestShutdownRevokesLease checks that a process revokes its lease when it
+// ends, so that its successor does not wait for the whole ttl.
+func TestShutdownRevokesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kv.NewMemory(clockwork.NewRealClock())
 		ctx, cancel := context.WithCancel(t.Context())
@@ -85,23 +86,23 @@
 		cancel()
 		<-former.Done()
 		if _, ok := former.Holding(); ok {
-			t.Error("got the ended process in charge, want it out")
+			t.Error("got the ended process still holding, want it not to hold")
 		}
 		<-next.Changes()
 		if _, ok := next.Holding(); !ok {
-			t.Error("got the successor not in charge after its signal, want it in charge")
+			t.Error("got the successor not holding after its signal, want it holding")
 		}
 	})
 }
 
-// TestReturnOfTheService: the service is down for an hour, then comes back to
-// nine processes that all want four leases. The symptom of a herd would be a
-// second with more calls than the service takes; nobody may be in charge
-// meanwhile, and somebody must be soon after.
-func TestReturnOfTheService(t *testing.T) {
+// TestServiceRecovery guards against a thundering herd: the service is down for
+// an hour, then recovers while nine processes compete for four leases. No
+// second may have more calls than the service handles. No process may hold a
+// lease during the outage, and each lease must have a holder soon after it.
+func TestServiceRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		platform := &flaky{service: kv.NewMemoryService(clock)}
+		platform := &faultyService{service: kv.NewMemoryService(clock)}
 		var holders []*Holder
 		for i := range 9 {
 			store := platform.store(budget.New(budget.Options{Role: "entry", Clock: clock}))
@@ -111,14 +112,14 @@
 			}
 		}
 		time.Sleep(10 * time.Second)
-		wantInCharge(t, holders, 4)
+		checkHolderCount(t, holders, 4)
 		platform.down.Store(true)
 		time.Sleep(time.Hour)
-		wantInCharge(t, holders, 0)
+		checkHolderCount(t, holders, 0)
 		platform.down.Store(false)
 		time.Sleep(testTTL)
-		wantInCharge(t, holders, 4)
-		reads, writes := platform.busiest()
+		checkHolderCount(t, holders, 4)
+		reads, writes := platform.peakRates()
 		t.Logf("busiest second: %d reads, %d writes", reads, writes)
 		if reads > 200 || writes > 100 {
 			t.Errorf("got %d reads and %d writes in the busiest second, want at most 200 and 100", reads, writes)
@@ -126,13 +127,14 @@
 	})
 }
 
-// TestSlowService: every call takes three seconds, more than half of the
-// lease's time. The symptom of leases of a fixed time: nobody is ever in charge,
-// so no plan is made and no watch is kept, although the service works.
+// TestSlowService checks that a lease is held although every call takes three
+// seconds, more than half of the ttl. With a fixed ttl no process would ever
+// hold the lease, so no plan would be made and no watch kept although the
+// service works.
 func TestSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		platform := &flaky{service: kv.NewMemoryService(clock)}
+		platform := &faultyService{service: kv.NewMemoryService(clock)}
 		platform.delay.Store(int64(3 * time.Second))
 		var holders []*Holder
 		for _, incarnation := range []string{"a", "b", "c"} {
@@ -150,24 +152,25 @@
 				}
 			}
 		}
-		t.Logf("somebody in charge in %d of 600 s", covered)
+		t.Logf("lease held in %d of 600 s", covered)
 		if covered < 540 || covered > 600 {
-			t.Errorf("got one in charge in %d of 600 s, want at least 540, and never two", covered)
+			t.Errorf("got the lease held in %d of 600 s, want at least 540, and never two holders", covered)
 		}
 		platform.delay.Store(0)
 		time.Sleep(2 * time.Minute)
 		for _, holder := range holders {
 			holder.mu.Lock()
 			if holder.state == Holding && holder.deadline.Sub(clock.Now()) > 5*time.Second {
-				t.Error("got a long lease in a quick service, want the usual time")
+				t.Error("got an extended lease with a fast service, want the configured ttl")
 			}
 			holder.mu.Unlock()
 		}
-		wantInCharge(t, holders, 1)
+		checkHolderCount(t, holders, 1)
 	})
 }
 
-func wantInCharge(t *testing.T, holders []*Holder, want int) {
+// checkHolderCount checks how many of the holders hold their lease.
+func checkHolderCount(t *testing.T, holders []*Holder, want int) {
 	t.Helper()
 	got := 0
 	for _, holder := range holders {
@@ -176,21 +179,22 @@
 		}
 	}
 	if got != want {
-		t.Errorf("got %d in charge, want %d", got, want)
+		t.Errorf("got %d holders, want %d", got, want)
 	}
 }
 
-// flaky is a service with an outage that counts the calls of each second.
-type flaky struct {
+// faultyService wraps a service with outages and delays, and counts the calls
+// in each second.
+type faultyService struct {
 	service *kv.Memory
 	down    atomic.Bool
-	delay   atomic.Int64 // of each call, nanoseconds
+	delay   atomic.Int64 // added to each call, in nanoseconds
 
 	mu            sync.Mutex
 	reads, writes map[int64]int
 }
 
-func (f *flaky) call(ctx context.Context, limit *budget.Budget, kind budget.Kind) error {
+func (f *faultyService) call(ctx context.Context, limit *budget.Budget, kind budget.Kind) error {
 	if err := limit.Wait(ctx, budget.Call{Kind: kind, Key: Key("x")}); err != nil {
 		return err
 	}
@@ -206,7 +210,7 @@
 	return nil
 }
 
-func (f *flaky) count(kind budget.Kind) {
+func (f *faultyService) count(kind budget.Kind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.reads == nil {
@@ -219,7 +223,8 @@
 	f.reads[time.Now().Unix()]++
 }
 
-func (f *flaky) busiest() (reads, writes int) {
+// peakRates returns the largest numbers of reads and of writes in one second.
+func (f *faultyService) peakRates() (reads, writes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.reads {
@@ -231,7 +236,7 @@
 	return reads, writes
 }
 
-func (f *flaky) store(limit *budget.Budget) *kv.Store {
+func (f *faultyService) store(limit *budget.Budget) *kv.Store {
 	direct := f.service.Store()
 	return &kv.Store{
 		Get: func(ctx context.Context, key string) (kv.Entry, bool, error) {
--- a/relay/lease/machine_test.go
+++ b/relay/lease/machine_test.go
@@ -11,8 +11,9 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// TestMachine replays scripts: "next" asks the machine, "done" answers its
-// action, "advance" moves the clock.
+// TestMachine runs the scripts in testdata. The command "next" requests an
+// action from the machine, "done" passes the action's result, and "advance"
+// moves the clock.
 func TestMachine(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		script := newScript()
@@ -36,7 +37,7 @@
 			margin:      time.Second,
 			jitter:      func() float64 { return 0.5 },
 		}),
-		now: time.Now(), // carries a monotonic reading; its value does not matter
+		now: time.Now(), // has a monotonic reading; the value does not matter
 	}
 }
 
@@ -47,7 +48,7 @@
 		s.act = s.machine.next(s.now)
 		return s.describe(s.act) + "\n"
 	case "done":
-		s.machine.done(s.act, parseResult(t, data), s.now)
+		s.machine.handleResult(s.act, parseResult(t, data), s.now)
 		return s.status() + "\n"
 	case "advance":
 		s.now = s.now.Add(parseDuration(t, data.CmdArgs[0].Key))
@@ -71,7 +72,7 @@
 		return string(s.machine.state)
 	}
 	if expired(deadline, s.now) {
-		return "holding in name only: its time is over"
+		return "holding, but past its deadline"
 	}
 	return fmt.Sprintf("holding fence=%d for %s", fence, deadline.Sub(s.now))
 }
