--- a/relay/placement/domain.go
+++ b/relay/placement/domain.go
@@ -13,26 +13,26 @@
 	model *wire.Model
 	count int
 	// holders serve the model in the new plan.
-	holders []*Host
+	assigned []*Host
 	// waiting held it, are away too long, and keep it until somebody replaces
 	// them: a planner cut off from a region must not empty it.
-	waiting []*Host
+	unreplaced []*Host
 }
 
-func (d *demand) missing() int { return d.count - len(d.holders) }
+func (d *demand) missing() int { return d.count - len(d.assigned) }
 
 // domain is the placement of one failure domain.
 type domain struct {
-	name    string
-	limits  Limits
-	before  map[string]*wire.Assignment
-	hosts   map[string]*Host
-	taken   map[string]bool
-	demands []*demand // by model name
+	name     string
+	limits   Limits
+	previous map[string]*wire.Assignment
+	hosts    map[string]*Host
+	inUse    map[string]bool
+	demands  []*demand // by model name
 }
 
-func newDomain(in Input, name string, before map[string]*wire.Assignment) *domain {
-	dom := &domain{name: name, limits: in.Limits, before: before, hosts: map[string]*Host{}, taken: map[string]bool{}}
+func newDomain(in Input, name string, previous map[string]*wire.Assignment) *domain {
+	dom := &domain{name: name, limits: in.Limits, previous: previous, hosts: map[string]*Host{}, inUse: map[string]bool{}}
 	for i := range in.Hosts {
 		if in.Hosts[i].FailureDomain == name {
 			dom.hosts[in.Hosts[i].ID] = &in.Hosts[i]
@@ -62,97 +62,97 @@
 // assign returns the failure domain's part of the plan.
 func (dom *domain) assign() []*wire.Assignment {
 	for _, want := range dom.demands {
-		dom.keep(want)
+		dom.retainPlacements(want)
 	}
-	for dom.fill() {
+	for dom.assignFreeHost() {
 	}
 	var assignments []*wire.Assignment
 	for _, want := range dom.demands {
-		keepWaiting(want)
-		assignments = append(assignments, dom.write(want)...)
+		retainUnreplaced(want)
+		assignments = append(assignments, dom.buildAssignments(want)...)
 	}
 	return assignments
 }
 
 // keep leaves the model where it was, up to the count wanted.
-func (dom *domain) keep(want *demand) {
+func (dom *domain) retainPlacements(want *demand) {
 	var held []*Host
 	for id, host := range dom.hosts {
-		if dom.before[id].GetModel() == want.model.GetName() && dom.before[id].GetFailureDomain() == dom.name {
+		if dom.previous[id].GetModel() == want.model.GetName() && dom.previous[id].GetFailureDomain() == dom.name {
 			held = append(held, host)
 		}
 	}
 	slices.SortFunc(held, func(a, b *Host) int {
-		if order := cmp.Compare(dom.standing(a), dom.standing(b)); order != 0 {
+		if order := cmp.Compare(dom.availability(a), dom.availability(b)); order != 0 {
 			return order
 		}
 		return compareFor(want.model)(a, b)
 	})
 	for _, host := range held {
-		dom.taken[host.ID] = true
+		dom.inUse[host.ID] = true
 		switch {
-		case dom.standing(host) == standingGone:
-			want.waiting = append(want.waiting, host)
-		case len(want.holders) < want.count:
-			want.holders = append(want.holders, host)
+		case dom.availability(host) == hostExpired:
+			want.unreplaced = append(want.unreplaced, host)
+		case len(want.assigned) < want.count:
+			want.assigned = append(want.assigned, host)
 		default:
-			dom.taken[host.ID] = false
+			dom.inUse[host.ID] = false
 		}
 	}
 }
 
 // Standings of a host, best first.
 const (
-	standingUsable = iota
-	standingAway   // away, but perhaps back soon
-	standingGone   // away for too long
+	hostAvailable   = iota
+	hostUnavailable // away, but perhaps back soon
+	hostExpired     // away for too long
 )
 
-func (dom *domain) standing(host *Host) int {
+func (dom *domain) availability(host *Host) int {
 	limit := dom.limits.LostAfter
 	if host.Leaving {
 		limit = dom.limits.LeavingAfter
 	}
 	switch {
 	case host.Away <= 0 && !host.Leaving:
-		return standingUsable
+		return hostAvailable
 	case host.Away < limit:
-		return standingAway
+		return hostUnavailable
 	default:
-		return standingGone
+		return hostExpired
 	}
 }
 
 // fill gives one free host to the model that is furthest from its count and
 // reports whether it could.
-func (dom *domain) fill() bool {
+func (dom *domain) assignFreeHost() bool {
 	var neediest *demand
 	for _, want := range dom.demands {
-		if want.missing() > 0 && (neediest == nil || needier(want, neediest)) {
+		if want.missing() > 0 && (neediest == nil || lessReplicated(want, neediest)) {
 			neediest = want
 		}
 	}
 	if neediest == nil {
 		return false
 	}
-	host := dom.bestFree(neediest.model)
+	host := dom.bestFreeHost(neediest.model)
 	if host == nil {
 		return false
 	}
-	dom.taken[host.ID] = true
-	neediest.holders = append(neediest.holders, host)
+	dom.inUse[host.ID] = true
+	neediest.assigned = append(neediest.assigned, host)
 	return true
 }
 
-func needier(a, b *demand) bool {
-	return len(a.holders)*b.count < len(b.holders)*a.count
+func lessReplicated(a, b *demand) bool {
+	return len(a.assigned)*b.count < len(b.assigned)*a.count
 }
 
-func (dom *domain) bestFree(model *wire.Model) *Host {
+func (dom *domain) bestFreeHost(model *wire.Model) *Host {
 	var best *Host
 	better := compareFor(model)
 	for id, host := range dom.hosts {
-		if dom.taken[id] || dom.standing(host) != standingUsable {
+		if dom.inUse[id] || dom.availability(host) != hostAvailable {
 			continue
 		}
 		if best == nil || better(host, best) < 0 {
@@ -164,18 +164,18 @@
 
 // keepWaiting leaves the model on silent hosts that nobody could replace. A
 // host that leaves is not kept: its agent ends what it runs and goes.
-func keepWaiting(want *demand) {
-	for _, host := range want.waiting {
+func retainUnreplaced(want *demand) {
+	for _, host := range want.unreplaced {
 		if want.missing() > 0 && !host.Leaving {
-			want.holders = append(want.holders, host)
+			want.assigned = append(want.assigned, host)
 		}
 	}
 }
 
-func (dom *domain) write(want *demand) []*wire.Assignment {
-	waves := dom.waves(want)
-	assignments := make([]*wire.Assignment, 0, len(want.holders))
-	for _, host := range want.holders {
+func (dom *domain) buildAssignments(want *demand) []*wire.Assignment {
+	waves := dom.assignWaves(want)
+	assignments := make([]*wire.Assignment, 0, len(want.assigned))
+	for _, host := range want.assigned {
 		assignments = append(assignments, &wire.Assignment{
 			Host:          host.ID,
 			Model:         want.model.GetName(),
@@ -193,18 +193,18 @@
 // most maxUnavailable are out of service at once. A host keeps its number
 // while the version stays: renumbering a roll half done would let two waves
 // turn together.
-func (dom *domain) waves(want *demand) map[string]uint32 {
+func (dom *domain) assignWaves(want *demand) map[string]uint32 {
 	waves := map[string]uint32{}
-	var turning []*Host
+	var upgrading []*Host
 	down := 0
-	for _, host := range want.holders {
-		held := dom.before[host.ID]
+	for _, host := range want.assigned {
+		held := dom.previous[host.ID]
 		sameModel := held.GetModel() == want.model.GetName() && held.GetFailureDomain() == dom.name
 		switch {
 		case sameModel && held.GetVersion() == want.model.GetVersion():
 			waves[host.ID] = held.GetWave()
-		case sameModel && host.ServingModel == want.model.GetName() && dom.standing(host) == standingUsable:
-			turning = append(turning, host)
+		case sameModel && host.ServingModel == want.model.GetName() && dom.availability(host) == hostAvailable:
+			upgrading = append(upgrading, host)
 		default:
 			// It serves nobody yet: its loading takes nothing out of service.
 			if sameModel {
@@ -212,10 +212,10 @@
 			}
 		}
 	}
-	slices.SortFunc(turning, compareFor(want.model))
+	slices.SortFunc(upgrading, compareFor(want.model))
 	limit := max(1, int(want.model.GetMaxUnavailable()))
 	first := min(down, limit)
-	for i, host := range turning {
+	for i, host := range upgrading {
 		waves[host.ID] = uint32((first + i) / limit)
 	}
 	return waves
--- a/relay/placement/observer.go
+++ b/relay/placement/observer.go
@@ -20,11 +20,11 @@
 type Observer struct {
 	// since is when each host that is leaving, lost or unheard was first seen
 	// so; bounded to hosts that exist or are in the plan.
-	since map[string]time.Time
+	unavailableSince map[string]time.Time
 }
 
 // NewObserver returns an Observer that has seen nothing.
-func NewObserver() *Observer { return &Observer{since: map[string]time.Time{}} }
+func NewObserver() *Observer { return &Observer{unavailableSince: map[string]time.Time{}} }
 
 // Hosts returns the engine hosts of the view, with those of the plan that
 // nobody has learned of: a process that just started knows few, and must not take
@@ -36,45 +36,45 @@
 		id := host.Report().GetNode().GetId()
 		known[id] = true
 		if document.IsEngine(snap.Document, host.Report()) {
-			hosts = append(hosts, observed(host, o.away(id, host.Leaving() || host.Lost(), now)))
+			hosts = append(hosts, newHost(host, o.unavailableFor(id, host.Leaving() || host.Lost(), now)))
 		}
 	}
 	for _, assignment := range plan.GetAssignments() {
 		if id := assignment.GetHost(); !known[id] {
-			hosts = append(hosts, Host{ID: id, FailureDomain: assignment.GetFailureDomain(), Away: o.away(id, true, now)})
+			hosts = append(hosts, Host{ID: id, FailureDomain: assignment.GetFailureDomain(), Away: o.unavailableFor(id, true, now)})
 		}
 	}
-	o.forget(plan, known)
+	o.prune(plan, known)
 	return hosts
 }
 
 // away returns how long the host has been out of use, as far as seen here; more
 // than 0 from the first moment on.
-func (o *Observer) away(id string, out bool, now time.Time) time.Duration {
-	if !out {
-		delete(o.since, id)
+func (o *Observer) unavailableFor(id string, unavailable bool, now time.Time) time.Duration {
+	if !unavailable {
+		delete(o.unavailableSince, id)
 		return 0
 	}
-	began, known := o.since[id]
+	began, known := o.unavailableSince[id]
 	if !known {
-		o.since[id] = now
+		o.unavailableSince[id] = now
 		return 1
 	}
 	return max(1, now.Sub(began))
 }
 
-func (o *Observer) forget(plan *wire.Plan, known map[string]bool) {
+func (o *Observer) prune(plan *wire.Plan, known map[string]bool) {
 	planned := byHost(plan)
-	for id := range o.since {
+	for id := range o.unavailableSince {
 		if !known[id] && planned[id] == nil {
-			delete(o.since, id)
+			delete(o.unavailableSince, id)
 		}
 	}
 }
 
-func observed(host view.Host, away time.Duration) Host {
+func newHost(host view.Host, away time.Duration) Host {
 	report := host.Report()
-	placed := Host{
+	result := Host{
 		ID:            report.GetNode().GetId(),
 		FailureDomain: report.GetNode().GetFailureDomain(),
 		Leaving:       host.Leaving(),
@@ -83,11 +83,11 @@
 	for _, state := range report.GetVersions() {
 		switch state.GetState() {
 		case stateServing:
-			placed.ServingModel, placed.ServingVersion = state.GetModel(), state.GetVersion()
-			placed.Whole = append(placed.Whole, state.GetVersion())
+			result.ServingModel, result.ServingVersion = state.GetModel(), state.GetVersion()
+			result.Whole = append(result.Whole, state.GetVersion())
 		case stateWhole, stateLoading:
-			placed.Whole = append(placed.Whole, state.GetVersion())
+			result.Whole = append(result.Whole, state.GetVersion())
 		}
 	}
-	return placed
+	return result
 }
--- a/relay/placement/placement.go
+++ b/relay/placement/placement.go
@@ -66,10 +66,10 @@
 	if in.Document == nil {
 		return nil
 	}
-	before := byHost(in.Previous)
+	previous := byHost(in.Previous)
 	var assignments []*wire.Assignment
 	for _, domain := range domainsOf(in) {
-		assignments = append(assignments, newDomain(in, domain, before).assign()...)
+		assignments = append(assignments, newDomain(in, domain, previous).assign()...)
 	}
 	slices.SortFunc(assignments, func(a, b *wire.Assignment) int { return strings.Compare(a.GetHost(), b.GetHost()) })
 	if in.Previous != nil && equal(assignments, in.Previous.GetAssignments()) {
--- a/relay/placement/placement_test.go
+++ b/relay/placement/placement_test.go
@@ -15,15 +15,15 @@
 )
 
 // stage is the document, hosts and plan that a script works on.
-type stage struct {
+type fixture struct {
 	doc   *wire.Document
 	hosts map[string]*Host
 	plan  *wire.Plan
 }
 
-func newStage() *stage { return &stage{doc: &wire.Document{}, hosts: map[string]*Host{}} }
+func newFixture() *fixture { return &fixture{doc: &wire.Document{}, hosts: map[string]*Host{}} }
 
-func (s *stage) next() *wire.Plan {
+func (s *fixture) next() *wire.Plan {
 	var hosts []Host
 	for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
 		hosts = append(hosts, *s.hosts[id])
@@ -31,7 +31,7 @@
 	return Next(Input{Document: s.doc, Revision: 1, Hosts: hosts, Previous: s.plan, Fence: 7, Limits: DefaultLimits()})
 }
 
-func (s *stage) model(name string) *wire.Model {
+func (s *fixture) model(name string) *wire.Model {
 	for _, model := range s.doc.GetModels() {
 		if model.GetName() == name {
 			return model
@@ -45,12 +45,12 @@
 // TestScripts replays testdata.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		st := newStage()
+		st := newFixture()
 		datadriven.RunTest(t, path, func(t *testing.T, cmd *datadriven.TestData) string { return st.run(t, cmd) })
 	})
 }
 
-func (s *stage) run(t *testing.T, cmd *datadriven.TestData) string {
+func (s *fixture) run(t *testing.T, cmd *datadriven.TestData) string {
 	switch cmd.Cmd {
 	case "model":
 		return s.setModel(t, cmd)
@@ -67,16 +67,16 @@
 		if next == nil {
 			return "unchanged\n"
 		}
-		moved := moves(s.plan, next)
+		moved := countMoves(s.plan, next)
 		s.plan = next
-		return fmt.Sprintf("plan %d, %d moved\n%s", next.GetPlanRevision(), moved, show(next))
+		return fmt.Sprintf("plan %d, %d moved\n%s", next.GetPlanRevision(), moved, formatPlan(next))
 	default:
 		t.Fatalf("unknown command %s", cmd.Cmd)
 	}
 	return ""
 }
 
-func (s *stage) setModel(t *testing.T, cmd *datadriven.TestData) string {
+func (s *fixture) setModel(t *testing.T, cmd *datadriven.TestData) string {
 	name, version, replicas, most := "", "", "", 0
 	cmd.ScanArgs(t, "name", &name)
 	cmd.ScanArgs(t, "version", &version)
@@ -94,7 +94,7 @@
 }
 
 // setHosts sets the hosts named: "hosts domain=a away=5s leaving ids=(h1,h2)".
-func (s *stage) setHosts(t *testing.T, cmd *datadriven.TestData) string {
+func (s *fixture) setHosts(t *testing.T, cmd *datadriven.TestData) string {
 	domain, away := "", "0s"
 	var ids []string
 	cmd.ScanArgs(t, "domain", &domain)
@@ -120,7 +120,7 @@
 }
 
 // serve lets every host do what the plan says.
-func (s *stage) serve() {
+func (s *fixture) serve() {
 	for _, assignment := range s.plan.GetAssignments() {
 		if host := s.hosts[assignment.GetHost()]; host != nil && host.Away == 0 {
 			host.ServingModel, host.ServingVersion = assignment.GetModel(), assignment.GetVersion()
@@ -129,7 +129,7 @@
 	}
 }
 
-func show(plan *wire.Plan) string {
+func formatPlan(plan *wire.Plan) string {
 	var out strings.Builder
 	for _, assignment := range plan.GetAssignments() {
 		fmt.Fprintf(&out, "%s %s %s/%s wave %d\n", assignment.GetFailureDomain(), assignment.GetHost(),
@@ -139,8 +139,8 @@
 }
 
 // moves counts the hosts that get a model that they did not have.
-func moves(before, after *wire.Plan) int {
-	held := byHost(before)
+func countMoves(previous, after *wire.Plan) int {
+	held := byHost(previous)
 	count := 0
 	for _, assignment := range after.GetAssignments() {
 		if held[assignment.GetHost()].GetModel() != assignment.GetModel() {
@@ -155,16 +155,16 @@
 // while a model lacks one, and nothing moves without need.
 func TestPlansHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		st := newStage()
+		st := newFixture()
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			change(t, st)
+			applyRandomChange(t, st)
 			next := st.next()
 			if next == nil {
 				next = st.plan
 			}
-			check(t, st, next)
-			if again := (&stage{doc: st.doc, hosts: st.hosts, plan: next}).next(); next != nil && again != nil {
-				t.Fatalf("got another plan from the same state, want the first to stand:\n%s\n%s", show(next), show(again))
+			checkPlan(t, st, next)
+			if again := (&fixture{doc: st.doc, hosts: st.hosts, plan: next}).next(); next != nil && again != nil {
+				t.Fatalf("got another plan from the same state, want the first to stand:\n%s\n%s", formatPlan(next), formatPlan(again))
 			}
 			st.plan = next
 			if rapid.Bool().Draw(t, "serve") {
@@ -174,7 +174,7 @@
 	})
 }
 
-func change(t *rapid.T, st *stage) {
+func applyRandomChange(t *rapid.T, st *fixture) {
 	domain := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain")
 	switch rapid.IntRange(0, 2).Draw(t, "change") {
 	case 0:
@@ -194,26 +194,26 @@
 	}
 }
 
-func check(t *rapid.T, st *stage, plan *wire.Plan) {
-	held, before := byHost(plan), byHost(st.plan)
+func checkPlan(t *rapid.T, st *fixture, plan *wire.Plan) {
+	held, previous := byHost(plan), byHost(st.plan)
 	if len(held) != len(plan.GetAssignments()) {
-		t.Fatalf("got a host with two models:\n%s", show(plan))
+		t.Fatalf("got a host with two models:\n%s", formatPlan(plan))
 	}
 	for _, model := range st.doc.GetModels() {
 		for _, wanted := range model.GetReplicas() {
-			checkModel(t, st, model, wanted, held, before)
+			checkModel(t, st, model, wanted, held, previous)
 		}
 	}
 }
 
-func checkModel(t *rapid.T, st *stage, model *wire.Model, wanted *wire.Replicas, held, before map[string]*wire.Assignment) {
+func checkModel(t *rapid.T, st *fixture, model *wire.Model, wanted *wire.Replicas, held, previous map[string]*wire.Assignment) {
 	count, kept, left := 0, 0, 0
 	for id, host := range st.hosts {
 		if host.FailureDomain != wanted.GetFailureDomain() {
 			continue
 		}
 		has := held[id].GetModel() == model.GetName()
-		had := before[id].GetModel() == model.GetName()
+		had := previous[id].GetModel() == model.GetName()
 		switch {
 		case has && had:
 			kept++
@@ -233,7 +233,7 @@
 	if left > 0 && kept+left > count && count > kept {
 		t.Fatalf("got %s taken from %d usable hosts and given to %d others", model.GetName(), left, count-kept)
 	}
-	checkWaves(t, model, wanted, held, before, st)
+	checkWaves(t, model, wanted, held, previous, st)
 }
 
 func countOf(held map[string]*wire.Assignment, model *wire.Model, wanted *wire.Replicas) int {
@@ -248,17 +248,17 @@
 
 // checkWaves: of the hosts that serve the model and turn in this plan, at most
 // maxUnavailable share a wave.
-func checkWaves(t *rapid.T, model *wire.Model, wanted *wire.Replicas, held, before map[string]*wire.Assignment, st *stage) {
-	turning := map[uint32]int{}
+func checkWaves(t *rapid.T, model *wire.Model, wanted *wire.Replicas, held, previous map[string]*wire.Assignment, st *fixture) {
+	upgrading := map[uint32]int{}
 	for id, assignment := range held {
-		old := before[id]
-		turns := old.GetModel() == model.GetName() && assignment.GetModel() == model.GetName() && old.GetVersion() != assignment.GetVersion()
-		if turns && assignment.GetFailureDomain() == wanted.GetFailureDomain() && st.hosts[id].ServingModel == model.GetName() && st.hosts[id].Away == 0 {
-			turning[assignment.GetWave()]++
+		old := previous[id]
+		upgrades := old.GetModel() == model.GetName() && assignment.GetModel() == model.GetName() && old.GetVersion() != assignment.GetVersion()
+		if upgrades && assignment.GetFailureDomain() == wanted.GetFailureDomain() && st.hosts[id].ServingModel == model.GetName() && st.hosts[id].Away == 0 {
+			upgrading[assignment.GetWave()]++
 		}
 	}
 	limit := max(1, int(model.GetMaxUnavailable()))
-	for wave, count := range turning {
+	for wave, count := range upgrading {
 		if count > limit {
 			t.Fatalf("got %d hosts of %s in wave %d, want at most %d", count, model.GetName(), wave, limit)
 		}
@@ -270,7 +270,7 @@
 // plan): rendezvous order alone.
 func TestDisturbance(t *testing.T) {
 	const domains, perDomain, models = 34, 35, 4
-	st := newStage()
+	st := newFixture()
 	for d := range domains {
 		for h := range perDomain {
 			id := fmt.Sprintf("d%02d-h%02d", d, h)
@@ -293,10 +293,10 @@
 			lost++
 		}
 		next := st.next()
-		planned += moves(st.plan, next)
+		planned += countMoves(st.plan, next)
 		st.plan = next
-		fresh := (&stage{doc: st.doc, hosts: st.hosts}).next()
-		functional += moves(pure, fresh)
+		fresh := (&fixture{doc: st.doc, hosts: st.hosts}).next()
+		functional += countMoves(pure, fresh)
 		pure = fresh
 	}
 	t.Logf("lost %d of %d hosts: the sticky plan moved %d replicas, the pure function %d", lost, domains*perDomain, planned, functional)
