--- a/relay/placement/domain.go
+++ b/relay/placement/domain.go
@@ -8,20 +8,22 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// demand is one model's wish within one failure domain.
+// demand is the number of replicas that one model needs in one failure domain,
+// with the hosts found for them so far.
 type demand struct {
 	model *wire.Model
 	count int
-	// holders serve the model in the new plan.
+	// assigned lists the hosts that serve the model in the new plan.
 	assigned []*Host
-	// waiting held it, are away too long, and keep it until somebody replaces
-	// them: a planner cut off from a region must not empty it.
+	// unreplaced lists the previous hosts that have been unavailable for too long.
+	// They keep the model until another host replaces them, so that a planner
+	// partitioned from a region does not remove all replicas there.
 	unreplaced []*Host
 }
 
 func (d *demand) missing() int { return d.count - len(d.assigned) }
 
-// domain is the placement of one failure domain.
+// domain computes the placement within one failure domain.
 type domain struct {
 	name     string
 	limits   Limits
@@ -59,7 +61,7 @@
 	return count
 }
 
-// assign returns the failure domain's part of the plan.
+// assign returns the assignments of this failure domain.
 func (dom *domain) assign() []*wire.Assignment {
 	for _, want := range dom.demands {
 		dom.retainPlacements(want)
@@ -74,7 +76,8 @@
 	return assignments
 }
 
-// keep leaves the model where it was, up to the count wanted.
+// retainPlacements leaves the model on its previous hosts, up to the replica
+// count.
 func (dom *domain) retainPlacements(want *demand) {
 	var held []*Host
 	for id, host := range dom.hosts {
@@ -101,11 +104,11 @@
 	}
 }
 
-// Standings of a host, best first.
+// Availability of a host, best first.
 const (
 	hostAvailable   = iota
-	hostUnavailable // away, but perhaps back soon
-	hostExpired     // away for too long
+	hostUnavailable // unavailable for less than the limit; may return soon
+	hostExpired     // unavailable for at least the limit
 )
 
 func (dom *domain) availability(host *Host) int {
@@ -123,8 +126,8 @@
 	}
 }
 
-// fill gives one free host to the model that is furthest from its count and
-// reports whether it could.
+// assignFreeHost gives one free host to the model with the lowest share of its
+// replicas and reports whether it found one.
 func (dom *domain) assignFreeHost() bool {
 	var neediest *demand
 	for _, want := range dom.demands {
@@ -162,8 +165,9 @@
 	return best
 }
 
-// keepWaiting leaves the model on silent hosts that nobody could replace. A
-// host that leaves is not kept: its agent ends what it runs and goes.
+// retainUnreplaced keeps the model on lost hosts for which there was no
+// replacement. It skips leaving hosts: their agents finish the requests in
+// progress and exit.
 func retainUnreplaced(want *demand) {
 	for _, host := range want.unreplaced {
 		if want.missing() > 0 && !host.Leaving {
@@ -189,10 +193,10 @@
 	return assignments
 }
 
-// waves numbers the hosts that turn from one version to the next, so that at
-// most maxUnavailable are out of service at once. A host keeps its number
-// while the version stays: renumbering a roll half done would let two waves
-// turn together.
+// assignWaves numbers the hosts that change to a new version, so that at most
+// maxUnavailable are out of service at once. A host keeps its wave number while
+// its version is unchanged: renumbering during a rollout would let two waves
+// upgrade at the same time.
 func (dom *domain) assignWaves(want *demand) map[string]uint32 {
 	waves := map[string]uint32{}
 	var upgrading []*Host
@@ -206,7 +210,8 @@
 		case sameModel && host.ServingModel == want.model.GetName() && dom.availability(host) == hostAvailable:
 			upgrading = append(upgrading, host)
 		default:
-			// It serves nobody yet: its loading takes nothing out of service.
+			// The host does not serve the model now, so loading takes nothing out
+			// of service.
 			if sameModel {
 				down++
 			}
--- a/relay/placement/observer.go
+++ b/relay/placement/observer.go
@@ -8,27 +8,27 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// States of a version on a host that placement looks at.
+// States of a model version on a host that affect placement.
 const (
 	stateServing = "serving"
 	stateWhole   = "whole"
 	stateLoading = "loading"
 )
 
-// Observer turns views into Hosts: it remembers since when each host has been
-// out of use. It is not safe for concurrent use.
+// Observer converts view snapshots to Hosts and tracks how long each host has
+// been unavailable. It is not safe for concurrent use.
 type Observer struct {
-	// since is when each host that is leaving, lost or unheard was first seen
-	// so; bounded to hosts that exist or are in the plan.
+	// unavailableSince is when each host was first seen as leaving, lost or
+	// unknown. It is bounded to hosts that are known or in the plan.
 	unavailableSince map[string]time.Time
 }
 
-// NewObserver returns an Observer that has seen nothing.
+// NewObserver returns an Observer without history.
 func NewObserver() *Observer { return &Observer{unavailableSince: map[string]time.Time{}} }
 
-// Hosts returns the engine hosts of the view, with those of the plan that
-// nobody has learned of: a process that just started knows few, and must not take
-// the others for gone.
+// Hosts returns the engine hosts of the view and the planned hosts that the view
+// lacks. A process that just started knows few hosts and must not treat the
+// others as gone; they count as unavailable from now on.
 func (o *Observer) Hosts(snap *view.Snapshot, plan *wire.Plan, now time.Time) []Host {
 	hosts := make([]Host, 0, len(snap.Hosts))
 	known := make(map[string]bool, len(snap.Hosts))
@@ -48,8 +48,8 @@
 	return hosts
 }
 
-// away returns how long the host has been out of use, as far as seen here; more
-// than 0 from the first moment on.
+// unavailableFor returns how long this Observer has seen the host unavailable. It
+// is 0 for an available host and at least 1 ns for any other.
 func (o *Observer) unavailableFor(id string, unavailable bool, now time.Time) time.Duration {
 	if !unavailable {
 		delete(o.unavailableSince, id)
--- a/relay/placement/placement.go
+++ b/relay/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which host serves which model: the plan that one
-// lease-holder computes and every process follows.
+// Package placement decides which host serves which model. The holder of the
+// planning lease computes the plan, and every process follows it.
 package placement
 
 import (
@@ -15,33 +15,34 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// RoleBoth is the engine role of a host that prefills and decodes.
+// RoleBoth is the engine role of a host that runs both prefill and decode.
 const RoleBoth = "both"
 
-// Host is one engine host as placement sees it.
+// Host is the state of one engine host that placement depends on.
 type Host struct {
 	ID            string
 	FailureDomain string
-	// Leaving hosts are those that leave, by themselves or by an operator.
+	// Leaving is set when the host shuts down or an operator drains it.
 	Leaving bool
-	// Away is how long the host has been leaving or silent; 0: usable.
+	// Away is how long the host has been leaving or silent; 0 if usable.
 	Away time.Duration
-	// ServingModel and ServingVersion are what its engine serves now.
+	// ServingModel and ServingVersion are what the host's engine serves now.
 	ServingModel, ServingVersion string
-	// Whole lists the versions whose bytes are whole on the host.
+	// Whole lists the model versions that the host has downloaded completely.
 	Whole []string
 }
 
-// Limits are the times after which a host's replicas move elsewhere.
+// Limits are the periods of unavailability after which a host's replicas move.
 type Limits struct {
-	// LeavingAfter is short: who leaves does not come back by itself.
+	// LeavingAfter applies to leaving hosts. It is short, because such a host
+	// does not come back by itself.
 	LeavingAfter time.Duration
-	// LostAfter is longer: most silent hosts are back soon, and a move costs a
-	// whole model's bytes.
+	// LostAfter applies to silent hosts. It is longer, because most of them are
+	// back soon and a move transfers all bytes of a model.
 	LostAfter time.Duration
 }
 
-// DefaultLimits returns the times used in production.
+// DefaultLimits returns the limits used in production.
 func DefaultLimits() Limits {
 	return Limits{LeavingAfter: 2 * time.Second, LostAfter: 30 * time.Second}
 }
@@ -49,7 +50,7 @@
 // Input is everything that a plan depends on.
 type Input struct {
 	Document *wire.Document
-	// Revision is the document's.
+	// Revision is the revision of Document.
 	Revision uint32
 	Hosts    []Host
 	// Previous is the plan in force, or nil.
@@ -58,10 +59,10 @@
 	Limits   Limits
 }
 
-// Next returns the plan that follows, or nil where the previous one stands.
-// It moves as little as it can: a host keeps its model while the model is
-// wanted in its failure domain, and a silent host keeps it until a usable one
-// takes over.
+// Next returns the next plan, or nil if the previous plan stays in force. It
+// minimizes moves: a host keeps its model while the document wants the model in
+// the host's failure domain, and a silent host keeps it until a usable host
+// replaces it.
 func Next(in Input) *wire.Plan {
 	if in.Document == nil {
 		return nil
@@ -108,14 +109,14 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// score orders the hosts for one model: the rendezvous hash makes every
-// planner choose the same hosts, whatever order it learned of them in.
+// score ranks the hosts for one model by rendezvous hash, so that every planner
+// chooses the same hosts regardless of the order in which it learned of them.
 func score(model, host string) uint64 {
 	return rendezvous.Score(rendezvous.Seed(model), rendezvous.Seed(host))
 }
 
-// preference is how little a model would have to move to a host: 2 where it
-// serves the version, 1 where the bytes are whole there, else 0.
+// preference rates how little data the model needs on a host: 2 if the host
+// serves the version, 1 if it has downloaded the version, otherwise 0.
 func preference(host *Host, model *wire.Model) int {
 	if host.ServingModel == model.GetName() && host.ServingVersion == model.GetVersion() {
 		return 2
@@ -126,7 +127,8 @@
 	return 0
 }
 
-// compareFor sorts the best host for the model first.
+// compareFor returns a comparison function that sorts the best host for the
+// model first.
 func compareFor(model *wire.Model) func(a, b *Host) int {
 	return func(a, b *Host) int {
 		if order := cmp.Compare(preference(b, model), preference(a, model)); order != 0 {
--- a/relay/placement/placement_test.go
+++ b/relay/placement/placement_test.go
@@ -14,7 +14,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// stage is the document, hosts and plan that a script works on.
+// fixture holds the document, hosts and plan that a test script changes.
 type fixture struct {
 	doc   *wire.Document
 	hosts map[string]*Host
@@ -42,7 +42,7 @@
 	return model
 }
 
-// TestScripts replays testdata.
+// TestScripts runs the scripts in testdata.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		st := newFixture()
@@ -93,7 +93,7 @@
 	return ""
 }
 
-// setHosts sets the hosts named: "hosts domain=a away=5s leaving ids=(h1,h2)".
+// setHosts runs a command such as "hosts domain=a away=5s leaving ids=(h1,h2)".
 func (s *fixture) setHosts(t *testing.T, cmd *datadriven.TestData) string {
 	domain, away := "", "0s"
 	var ids []string
@@ -119,7 +119,7 @@
 	return ""
 }
 
-// serve lets every host do what the plan says.
+// serve makes every available host serve its assignment in the plan.
 func (s *fixture) serve() {
 	for _, assignment := range s.plan.GetAssignments() {
 		if host := s.hosts[assignment.GetHost()]; host != nil && host.Away == 0 {
@@ -138,7 +138,7 @@
 	return out.String()
 }
 
-// moves counts the hosts that get a model that they did not have.
+// countMoves counts the hosts whose model is not the one of the previous plan.
 func countMoves(previous, after *wire.Plan) int {
 	held := byHost(previous)
 	count := 0
@@ -150,9 +150,10 @@
 	return count
 }
 
-// TestPlansHold: whatever comes and goes, no host serves two models, no model
-// has more hosts than wanted in a failure domain, a usable host is not idle
-// while a model lacks one, and nothing moves without need.
+// TestPlansHold applies random changes and checks that no host serves two
+// models, that no model exceeds its replica count in a failure domain, that no
+// usable host is idle while a model lacks replicas, and that no replica moves
+// unnecessarily.
 func TestPlansHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		st := newFixture()
@@ -246,8 +247,8 @@
 	return count
 }
 
-// checkWaves: of the hosts that serve the model and turn in this plan, at most
-// maxUnavailable share a wave.
+// checkWaves checks that at most maxUnavailable of the hosts that serve the model
+// and change its version in this plan share a wave.
 func checkWaves(t *rapid.T, model *wire.Model, wanted *wire.Replicas, held, previous map[string]*wire.Assignment, st *fixture) {
 	upgrading := map[uint32]int{}
 	for id, assignment := range held {
@@ -265,9 +266,9 @@
 	}
 }
 
-// TestDisturbance measures what a change costs in moved replicas, against a
-// plan that is a pure function of document and hosts (no memory of the last
-// plan): rendezvous order alone.
+// TestDisturbance counts the replicas moved after host losses and compares the
+// count with that of a planner without a previous plan, which places replicas by
+// rendezvous order alone.
 func TestDisturbance(t *testing.T) {
 	const domains, perDomain, models = 34, 35, 4
 	st := newFixture()
