--- a/relay/rollout/target.go
+++ b/relay/rollout/target.go
@@ -5,12 +5,12 @@
 const (
 	// leastUse is the time for which a version should be usable once it is loaded: a
 	// load takes a host half a second or more, and the next one waits for it.
-	leastUse = time.Second
+	minUsableTime = time.Second
 	// leastGain is by how much sooner a host must serve with the version before the
 	// newest to go back to it, and leastLate by how much the newest must be too late:
 	// estimates are no better, and who goes back and then forth again has it last.
-	leastGain = time.Second
-	leastLate = 1500 * time.Millisecond
+	minGain     = time.Second
+	minLateness = 1500 * time.Millisecond
 )
 
 // Progress is how far a version is on its way, as far as this host knows.
@@ -31,10 +31,10 @@
 }
 
 // of returns the progress of a version; ok is false where its manifest is unknown.
-func (f Fetch) of(version uint64) (Progress, bool) {
-	for _, one := range f.Progress {
-		if one.Version == version {
-			return one, true
+func (f Fetch) progressOf(version uint64) (Progress, bool) {
+	for _, item := range f.Progress {
+		if item.Version == version {
+			return item, true
 		}
 	}
 	return Progress{Version: version}, false
@@ -57,31 +57,31 @@
 	if now.Before(newest.At) {
 		now = newest.At
 	}
-	ready := now.Add(move.left(host.of(newest.Version)))
-	tooLate := ready.Add(move.Load + margin).Sub(deadline)
-	if tooLate <= 0 || host.Current == newest.Version && tooLate < leastLate {
+	newestReady := now.Add(move.remaining(host.progressOf(newest.Version)))
+	tooLate := newestReady.Add(move.Load + deadlineMargin).Sub(deadline)
+	if tooLate <= 0 || host.Current == newest.Version && tooLate < minLateness {
 		return newest.Version
 	}
 	if former.Version == host.Current && host.Whole {
-		return orNewest(former, newest, now.Add(move.Load+leastUse), newest.At.Add(bound))
+		return formerIfUsable(former, newest, now.Add(move.Load+minUsableTime), newest.At.Add(bound))
 	}
-	progress, known := host.of(former.Version)
+	progress, known := host.progressOf(former.Version)
 	if !known {
 		// Nothing says how far it is: it is taken for on its way as usual.
 		if former.Version == host.Current && !now.After(deadline) {
-			return orNewest(former, newest, now.Add(move.Load+leastUse), newest.At.Add(bound))
+			return formerIfUsable(former, newest, now.Add(move.Load+minUsableTime), newest.At.Add(bound))
 		}
 		return newest.Version
 	}
-	formerReady := now.Add(move.left(progress, true))
-	gain := leastGain
+	formerReady := now.Add(move.remaining(progress, true))
+	gain := minGain
 	if former.Version == host.Current {
 		gain = 0
 	}
-	if formerReady.Add(gain).After(ready) {
+	if formerReady.Add(gain).After(newestReady) {
 		return newest.Version
 	}
-	return orNewest(former, newest, formerReady.Add(move.Load+leastUse), newest.At.Add(bound))
+	return formerIfUsable(former, newest, formerReady.Add(move.Load+minUsableTime), newest.At.Add(bound))
 }
 
 // newestTwo returns the newest version declared and the one declared before it.
@@ -97,8 +97,8 @@
 }
 
 // orNewest returns the former version if it may be used until the moment given.
-func orNewest(former, newest Declared, used, ends time.Time) uint64 {
-	if used.After(ends) {
+func formerIfUsable(former, newest Declared, usableUntil, ends time.Time) uint64 {
+	if usableUntil.After(ends) {
 		return newest.Version
 	}
 	return former.Version
@@ -106,10 +106,10 @@
 
 // left returns how long a version takes yet until most hosts are whole: all of it where
 // its manifest is unknown.
-func (m Move) left(progress Progress, known bool) time.Duration {
+func (m Move) remaining(progress Progress, known bool) time.Duration {
 	if !known {
-		return m.whole(usualSpread)
+		return m.completeAfter(mostHostsSpread)
 	}
 	missing := 1 - progress.Held
-	return max(scale(m.Origin, 1-progress.Drawn), scale(m.Host, missing)) + scale(m.Host, usualSpread*missing)
+	return max(scale(m.Origin, 1-progress.Drawn), scale(m.Host, missing)) + scale(m.Host, mostHostsSpread*missing)
 }
--- a/relay/rollout/wave.go
+++ b/relay/rollout/wave.go
@@ -14,26 +14,26 @@
 const (
 	// firstSpread is the time from the origin's last chunk until the first host
 	// has them all, as a multiple of what the version takes on a host's link.
-	firstSpread = 0.65
+	firstHostSpread = 0.65
 	// usualSpread is the same until most hosts have them, with room for narrow
 	// links.
-	usualSpread = 1.1
+	mostHostsSpread = 1.1
 	// pullSpread is how much later the last host begins to fetch from others
 	// than the first, in the same unit. Were all hosts ready at once, all
 	// would load at once.
 	pullSpread = 0.85
 	// inTimePart is the part of the hosts that load before the deadline.
-	inTimePart = 0.75
+	onTimeFraction = 0.75
 	// afterSpan is the time after the deadline in which the others begin.
-	afterSpan = 500 * time.Millisecond
+	lateStartSpread = 500 * time.Millisecond
 	// dryTime is how long these wait for what runs.
-	dryTime = 1500 * time.Millisecond
+	drainTimeout = 1500 * time.Millisecond
 	// finalWait is how long a host lets its turn pass at most: the turns of many would come
 	// together otherwise.
-	finalWait = 1200 * time.Millisecond
+	maxPostponement = 1200 * time.Millisecond
 	// margin is left between the last load's end and the time at which an older
 	// version may no longer be used.
-	margin = 700 * time.Millisecond
+	deadlineMargin = 700 * time.Millisecond
 )
 
 // Declared is one version as its declaration became known.
@@ -51,7 +51,7 @@
 
 // whole returns the time from the declaration until a host is whole: every chunk
 // leaves the origin once and then spreads.
-func (m Move) whole(spread float64) time.Duration {
+func (m Move) completeAfter(spread float64) time.Duration {
 	return max(m.Origin, m.Host) + scale(m.Host, spread)
 }
 
@@ -94,32 +94,34 @@
 // deadline: they get nothing new before it, run dry and cut nothing off.
 func Start(declared, deadline time.Time, move Move, place float64) time.Time {
 	if RunsDry(place) {
-		return deadline.Add(scale(afterSpan, (place-inTimePart)/(1-inTimePart)))
+		return deadline.Add(scale(lateStartSpread, (place-onTimeFraction)/(1-onTimeFraction)))
 	}
-	first := declared.Add(move.whole(firstSpread))
-	last := latest(deadline, move)
+	first := declared.Add(move.completeAfter(firstHostSpread))
+	last := latestLoadStart(deadline, move)
 	if !last.After(first) {
 		return first
 	}
-	return first.Add(scale(last.Sub(first), place/inTimePart))
+	return first.Add(scale(last.Sub(first), place/onTimeFraction))
 }
 
 // LetsPass reports whether a host lets its turn pass for requests in progress that a load would
 // end for good.
 func LetsPass(now, start, deadline time.Time, move Move) bool {
-	return now.Before(start.Add(finalWait)) && now.Before(latest(deadline, move))
+	return now.Before(start.Add(maxPostponement)) && now.Before(latestLoadStart(deadline, move))
 }
 
 // latest returns when a load begins at the latest that ends before the deadline.
-func latest(deadline time.Time, move Move) time.Time { return deadline.Add(-move.Load - margin) }
+func latestLoadStart(deadline time.Time, move Move) time.Time {
+	return deadline.Add(-move.Load - deadlineMargin)
+}
 
 // RunsDry reports whether a host at the place waits for what runs before it loads.
-func RunsDry(place float64) bool { return place >= inTimePart }
+func RunsDry(place float64) bool { return place >= onTimeFraction }
 
 // MayCut reports whether a load may cut off what runs: before the deadline, and
 // some time after it where something still runs.
 func MayCut(now, deadline time.Time) bool {
-	return now.Before(deadline) || now.After(deadline.Add(dryTime))
+	return now.Before(deadline) || now.After(deadline.Add(drainTimeout))
 }
 
 func scale(span time.Duration, factor float64) time.Duration {
--- a/relay/rollout/wave_test.go
+++ b/relay/rollout/wave_test.go
@@ -63,8 +63,8 @@
 			if !ok {
 				return "no deadline"
 			}
-			begun := rollout.Start(history[len(history)-1].At, deadline, move, arg("place"))
-			return fmt.Sprintf("%.2f of %.2f", begun.Sub(start).Seconds(), deadline.Sub(start).Seconds())
+			loadStart := rollout.Start(history[len(history)-1].At, deadline, move, arg("place"))
+			return fmt.Sprintf("%.2f of %.2f", loadStart.Sub(start).Seconds(), deadline.Sub(start).Seconds())
 		}
 		t.Fatalf("got the command %s, want one that this test knows", td.Cmd)
 		return ""
@@ -79,11 +79,11 @@
 			continue
 		}
 		for _, text := range arg.Vals {
-			var one rollout.Progress
-			if _, err := fmt.Sscanf(text, "%d:%f:%f", &one.Version, &one.Drawn, &one.Held); err != nil {
+			var item rollout.Progress
+			if _, err := fmt.Sscanf(text, "%d:%f:%f", &item.Version, &item.Drawn, &item.Held); err != nil {
 				t.Fatalf("%s: %v", text, err)
 			}
-			found = append(found, one)
+			found = append(found, item)
 		}
 	}
 	return found
@@ -97,19 +97,19 @@
 		load := time.Duration(rapid.IntRange(0, 1000).Draw(t, "loadMillis")) * time.Millisecond
 		deadline := at(8)
 		before := time.Time{}
-		inTime := 0
+		onTime := 0
 		for i := range hosts {
-			begun := rollout.Start(start, deadline, rollout.Move{Host: 2600 * time.Millisecond, Load: load}, float64(i)/float64(hosts))
-			if begun.Before(before) {
+			loadStart := rollout.Start(start, deadline, rollout.Move{Host: 2600 * time.Millisecond, Load: load}, float64(i)/float64(hosts))
+			if loadStart.Before(before) {
 				t.Fatalf("got host %d before host %d, want the order of places", i, i-1)
 			}
-			before = begun
-			if begun.Add(load).Before(deadline) {
-				inTime++
+			before = loadStart
+			if loadStart.Add(load).Before(deadline) {
+				onTime++
 			}
 		}
-		if 4*inTime < 3*hosts-4 {
-			t.Errorf("got %d of %d hosts in time, want three of four", inTime, hosts)
+		if 4*onTime < 3*hosts-4 {
+			t.Errorf("got %d of %d hosts in time, want three of four", onTime, hosts)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 // their turns pass until all load at once or too late.
 func TestTurnPassesForWhatALoadWouldEndForGood(t *testing.T) {
 	move := rollout.Move{Load: time.Second}
-	for _, one := range []struct {
+	for _, item := range []struct {
 		name            string
 		turn, now, ends float64
 		want            bool
@@ -152,8 +152,8 @@
 		{"its turn is long over", 2, 3.3, 8, false},
 		{"a load must begin", 6, 6.4, 8, false},
 	} {
-		if got := rollout.LetsPass(at(one.now), at(one.turn), at(one.ends), move); got != one.want {
-			t.Errorf("%s: got %v, want %v", one.name, got, one.want)
+		if got := rollout.LetsPass(at(item.now), at(item.turn), at(item.ends), move); got != item.want {
+			t.Errorf("%s: got %v, want %v", item.name, got, item.want)
 		}
 	}
 }
