--- a/relay/membership/amend.go
+++ b/relay/membership/amend.go
@@ -8,15 +8,15 @@
 
 // shortLength is how many of an incarnation's last characters name it to those
 // who know the host: of a UUIDv7 they are random, 32 bits.
-const shortLength = 8
+const shortIncarnationLength = 8
 
-func short(incarnation string) string {
-	return incarnation[max(0, len(incarnation)-shortLength):]
+func shortIncarnation(incarnation string) string {
+	return incarnation[max(0, len(incarnation)-shortIncarnationLength):]
 }
 
 // sameIncarnation compares a held incarnation with a whole or a short one.
-func sameIncarnation(held, reported string) bool {
-	return reported != "" && (held == reported || len(reported) >= shortLength && strings.HasSuffix(held, reported))
+func sameIncarnation(stored, reported string) bool {
+	return reported != "" && (stored == reported || len(reported) >= shortIncarnationLength && strings.HasSuffix(stored, reported))
 }
 
 // Amend returns what of a report changes from second to second, as an amendment
@@ -25,7 +25,7 @@
 func Amend(report *wire.HostReport, base uint64) *wire.HostReport {
 	node := report.GetNode()
 	return &wire.HostReport{
-		Node:     &wire.Node{Id: node.GetId(), Incarnation: short(node.GetIncarnation())},
+		Node:     &wire.Node{Id: node.GetId(), Incarnation: shortIncarnation(node.GetIncarnation())},
 		Sequence: report.GetSequence(), BaseSequence: base,
 		Running: report.GetRunning(), Queued: report.GetQueued(),
 		TokensPerSecond: report.GetTokensPerSecond(), TokenGapMillis: report.GetTokenGapMillis(),
@@ -42,11 +42,11 @@
 
 // WholeSequence returns the sequence of the newest whole report that a held one
 // was made of.
-func WholeSequence(held *wire.HostReport) uint64 {
-	if base := held.GetBaseSequence(); base > 0 {
+func WholeSequence(stored *wire.HostReport) uint64 {
+	if base := stored.GetBaseSequence(); base > 0 {
 		return base
 	}
-	return held.GetSequence()
+	return stored.GetSequence()
 }
 
 // Complete returns a report made whole from what is held of the host; false
@@ -60,23 +60,23 @@
 	if member == nil || member.report == nil {
 		return nil, false
 	}
-	held := member.report
-	if !sameIncarnation(held.GetNode().GetIncarnation(), report.GetNode().GetIncarnation()) || WholeSequence(held) < report.GetBaseSequence() {
+	stored := member.report
+	if !sameIncarnation(stored.GetNode().GetIncarnation(), report.GetNode().GetIncarnation()) || WholeSequence(stored) < report.GetBaseSequence() {
 		return nil, false
 	}
-	return complete(held, report), true
+	return complete(stored, report), true
 }
 
-func complete(held, amendment *wire.HostReport) *wire.HostReport {
+func complete(stored, amendment *wire.HostReport) *wire.HostReport {
 	home := amendment.GetHome()
 	if home == "" {
-		home = held.GetHome()
+		home = stored.GetHome()
 	}
 	return &wire.HostReport{
-		Node: held.GetNode(), Versions: held.GetVersions(), Endpoint: held.GetEndpoint(), Service: held.GetService(),
-		EngineRole: held.GetEngineRole(), Slots: held.GetSlots(), OriginBytes: held.GetOriginBytes(),
-		PeerBytes: held.GetPeerBytes(), SentBytes: held.GetSentBytes(), Prefixes: held.GetPrefixes(), Fence: held.GetFence(),
-		BaseSequence: WholeSequence(held),
+		Node: stored.GetNode(), Versions: stored.GetVersions(), Endpoint: stored.GetEndpoint(), Service: stored.GetService(),
+		EngineRole: stored.GetEngineRole(), Slots: stored.GetSlots(), OriginBytes: stored.GetOriginBytes(),
+		PeerBytes: stored.GetPeerBytes(), SentBytes: stored.GetSentBytes(), Prefixes: stored.GetPrefixes(), Fence: stored.GetFence(),
+		BaseSequence: WholeSequence(stored),
 
 		Sequence: amendment.GetSequence(), Running: amendment.GetRunning(), Queued: amendment.GetQueued(),
 		TokensPerSecond: amendment.GetTokensPerSecond(), TokenGapMillis: amendment.GetTokenGapMillis(),
@@ -88,12 +88,12 @@
 // CompleteEntry returns an entry's report with its description; false where the
 // report lacks that and it is not known.
 func (t *Table) CompleteEntry(report *wire.EntryReport) (*wire.EntryReport, bool) {
-	named := report.GetNode()
-	if !IsNameOnly(named) {
+	partial := report.GetNode()
+	if !IsNameOnly(partial) {
 		return report, true
 	}
-	node := t.Node(named.GetId(), named.GetIncarnation())
-	if node == nil || node.GetRole() != named.GetRole() {
+	node := t.Node(partial.GetId(), partial.GetIncarnation())
+	if node == nil || node.GetRole() != partial.GetRole() {
 		return nil, false
 	}
 	return &wire.EntryReport{
@@ -106,11 +106,11 @@
 // Node returns the description of the process that was seen under the id and
 // incarnation, or nil: a message need not repeat it.
 func (t *Table) Node(id, incarnation string) *wire.Node {
-	held := t.members[id]
-	if held == nil {
+	stored := t.members[id]
+	if stored == nil {
 		return nil
 	}
-	for _, node := range []*wire.Node{held.entry.GetNode(), held.report.GetNode()} {
+	for _, node := range []*wire.Node{stored.entry.GetNode(), stored.report.GetNode()} {
 		if sameIncarnation(node.GetIncarnation(), incarnation) {
 			return node
 		}
@@ -120,7 +120,7 @@
 
 // NameOnly returns the part of a node that identifies it to those who know it.
 func NameOnly(node *wire.Node) *wire.Node {
-	return &wire.Node{Id: node.GetId(), Incarnation: short(node.GetIncarnation()), Role: node.GetRole()}
+	return &wire.Node{Id: node.GetId(), Incarnation: shortIncarnation(node.GetIncarnation()), Role: node.GetRole()}
 }
 
 // IsNameOnly reports whether the node's description was left out.
--- a/relay/membership/amend_test.go
+++ b/relay/membership/amend_test.go
@@ -35,15 +35,15 @@
 		states := map[string][]int{}
 		var sent []*wire.HostReport
 		for _, incarnation := range []string{first, second} {
-			base, held := uint64(0), 0
+			base, stored := uint64(0), 0
 			states[incarnation] = []int{0}
 			for sequence := uint64(1); sequence <= 8; sequence++ {
 				changed := sequence == 1 || rapid.Bool().Draw(t, "changed")
 				if changed {
-					held = rapid.IntRange(0, 3).Draw(t, "states")
+					stored = rapid.IntRange(0, 3).Draw(t, "states")
 				}
-				states[incarnation] = append(states[incarnation], held)
-				report := wholeReport(incarnation, sequence, held)
+				states[incarnation] = append(states[incarnation], stored)
+				report := wholeReport(incarnation, sequence, stored)
 				if changed {
 					base = sequence
 				} else {
--- a/relay/membership/membership.go
+++ b/relay/membership/membership.go
@@ -32,7 +32,7 @@
 	// FarLostAfter and FarLostPerHost bound the silence about a host that
 	// reports to another entry: its unchanged reports are passed on rarely, the
 	// more so the more hosts there are.
-	FarLostAfter, FarLostPerHost time.Duration
+	RemoteLostAfter, RemoteLostPerHost time.Duration
 	// EntryLostAfter and EntryLostPerEntry bound the silence about an entry;
 	// many entries learn of each other through others, and less often.
 	EntryLostAfter, EntryLostPerEntry time.Duration
@@ -44,9 +44,9 @@
 // DefaultLimits suit reports once a second: two may go missing.
 func DefaultLimits() Limits {
 	return Limits{
-		LostAfter:      4 * time.Second,
-		FarLostAfter:   60 * time.Second,
-		FarLostPerHost: 300 * time.Millisecond,
+		LostAfter:         4 * time.Second,
+		RemoteLostAfter:   60 * time.Second,
+		RemoteLostPerHost: 300 * time.Millisecond,
 
 		EntryLostAfter:    7 * time.Second,
 		EntryLostPerEntry: 150 * time.Millisecond,
@@ -88,15 +88,15 @@
 // EntryCount returns how many entries are known.
 func (t *Table) EntryCount() int {
 	count := 0
-	for _, held := range t.members {
-		if held.entry != nil {
+	for _, stored := range t.members {
+		if stored.entry != nil {
 			count++
 		}
 	}
 	return count
 }
 
-func (t *Table) at(id string) *member {
+func (t *Table) memberFor(id string) *member {
 	found := t.members[id]
 	if found == nil {
 		found = &member{}
@@ -108,11 +108,11 @@
 // Newer reports whether a report of (incarnation, sequence) replaces the held
 // one. Incarnations are UUIDv7 texts: a restarted process sorts behind the one
 // it replaces.
-func Newer(incarnation string, sequence uint64, heldIncarnation string, heldSequence uint64) bool {
-	if incarnation != heldIncarnation {
-		return incarnation > heldIncarnation
+func Newer(incarnation string, sequence uint64, storedIncarnation string, storedSequence uint64) bool {
+	if incarnation != storedIncarnation {
+		return incarnation > storedIncarnation
 	}
-	return sequence > heldSequence
+	return sequence > storedSequence
 }
 
 // ObserveHost takes a host's whole report and returns whether it was news; see
@@ -122,31 +122,31 @@
 	if id == "" || report.GetNode().GetIncarnation() == "" || IsAmendment(report) {
 		return false
 	}
-	held := t.at(id)
-	if held.report != nil && !replaces(report, held.report) {
+	stored := t.memberFor(id)
+	if stored.report != nil && !replaces(report, stored.report) {
 		return false
 	}
-	held.report = report
-	held.seenAt = later(held.seenAt, madeAt(report.GetAgeMillis(), now))
+	stored.report = report
+	stored.seenAt = laterTime(stored.seenAt, reportTime(report.GetAgeMillis(), now))
 	return true
 }
 
 // replaces reports whether a report is news. The report that a host is lost comes
 // from its home entry and bears the last sequence number that the host used.
-func replaces(report, held *wire.HostReport) bool {
-	incarnation, heldIncarnation := report.GetNode().GetIncarnation(), held.GetNode().GetIncarnation()
-	if incarnation == heldIncarnation && report.GetSequence() == held.GetSequence() {
-		return report.GetLost() && !held.GetLost()
+func replaces(report, stored *wire.HostReport) bool {
+	incarnation, storedIncarnation := report.GetNode().GetIncarnation(), stored.GetNode().GetIncarnation()
+	if incarnation == storedIncarnation && report.GetSequence() == stored.GetSequence() {
+		return report.GetLost() && !stored.GetLost()
 	}
-	return Newer(incarnation, report.GetSequence(), heldIncarnation, held.GetSequence())
+	return Newer(incarnation, report.GetSequence(), storedIncarnation, stored.GetSequence())
 }
 
 // Touch notes that the host's process was seen, without a report: a call of
 // it ended here.
 func (t *Table) Touch(id, incarnation string, now time.Time) {
-	held := t.members[id]
-	if held != nil && held.report != nil && held.report.GetNode().GetIncarnation() == incarnation {
-		held.seenAt = later(held.seenAt, now)
+	stored := t.members[id]
+	if stored != nil && stored.report != nil && stored.report.GetNode().GetIncarnation() == incarnation {
+		stored.seenAt = laterTime(stored.seenAt, now)
 	}
 }
 
@@ -157,25 +157,25 @@
 	if id == "" || report.GetNode().GetIncarnation() == "" {
 		return false
 	}
-	held := t.at(id)
-	if held.entry != nil && !Newer(report.GetNode().GetIncarnation(), report.GetSequence(),
-		held.entry.GetNode().GetIncarnation(), held.entry.GetSequence()) {
+	stored := t.memberFor(id)
+	if stored.entry != nil && !Newer(report.GetNode().GetIncarnation(), report.GetSequence(),
+		stored.entry.GetNode().GetIncarnation(), stored.entry.GetSequence()) {
 		return false
 	}
-	held.entry = report
-	held.seenAt = later(held.seenAt, madeAt(report.GetAgeMillis(), now))
+	stored.entry = report
+	stored.seenAt = laterTime(stored.seenAt, reportTime(report.GetAgeMillis(), now))
 	return true
 }
 
 // later keeps a clock that jumped back from making a member look silent.
-func later(held, seen time.Time) time.Time {
-	if seen.Before(held) {
-		return held
+func laterTime(stored, seen time.Time) time.Time {
+	if seen.Before(stored) {
+		return stored
 	}
 	return seen
 }
 
-func madeAt(ageMillis uint32, now time.Time) time.Time {
+func reportTime(ageMillis uint32, now time.Time) time.Time {
 	return now.Add(-time.Duration(ageMillis) * time.Millisecond)
 }
 
@@ -186,12 +186,12 @@
 	if total == 0 {
 		return
 	}
-	for _, held := range t.members {
-		held.listed = nil
+	for _, stored := range t.members {
+		stored.listed = nil
 	}
 	for i := range list {
 		if id := list[i].Node.GetId(); id != "" {
-			t.at(id).listed = &list[i]
+			t.memberFor(id).listed = &list[i]
 		}
 	}
 	t.Forget(now)
@@ -201,9 +201,9 @@
 // (paused, or its clock jumped): otherwise it would wake, find the whole deployment
 // silent and route to nobody until every host has reported again.
 func (t *Table) Adjust(jump time.Duration) {
-	for _, held := range t.members {
-		if !held.seenAt.IsZero() {
-			held.seenAt = held.seenAt.Add(jump)
+	for _, stored := range t.members {
+		if !stored.seenAt.IsZero() {
+			stored.seenAt = stored.seenAt.Add(jump)
 		}
 	}
 }
@@ -214,8 +214,8 @@
 // Forget drops the members that were silent for long and that the newest list
 // lacks; it bounds the table.
 func (t *Table) Forget(now time.Time) {
-	for id, held := range t.members {
-		if held.listed == nil && now.Sub(held.seenAt) > t.limits.ForgetAfter {
+	for id, stored := range t.members {
+		if stored.listed == nil && now.Sub(stored.seenAt) > t.limits.ForgetAfter {
 			delete(t.members, id)
 		}
 	}
@@ -235,41 +235,41 @@
 
 // lostHost trusts the home entry of a far host: its report or its own loss counts
 // for more than silence about the host, which is the rule there.
-func (t *Table) lostHost(held *member, now time.Time, out Outlook) bool {
-	silence := now.Sub(held.seenAt)
-	home := held.report.GetHome()
+func (t *Table) isHostLost(stored *member, now time.Time, out Outlook) bool {
+	silence := now.Sub(stored.seenAt)
+	home := stored.report.GetHome()
 	switch {
-	case held.report.GetLost():
+	case stored.report.GetLost():
 		return true
 	case home == "" || home == out.Self || out.LostEntries[home]:
 		return silence > t.limits.LostAfter
 	}
-	return silence > t.limits.FarLostAfter+time.Duration(out.HostCount)*t.limits.FarLostPerHost
+	return silence > t.limits.RemoteLostAfter+time.Duration(out.HostCount)*t.limits.RemoteLostPerHost
 }
 
-func (t *Table) lostEntry(held *member, now time.Time, entryCount int) bool {
-	if held.seenAt.IsZero() {
+func (t *Table) isEntryLost(stored *member, now time.Time, entryCount int) bool {
+	if stored.seenAt.IsZero() {
 		return true
 	}
-	return now.Sub(held.seenAt) > t.limits.EntryLostAfter+time.Duration(entryCount)*t.limits.EntryLostPerEntry
+	return now.Sub(stored.seenAt) > t.limits.EntryLostAfter+time.Duration(entryCount)*t.limits.EntryLostPerEntry
 }
 
 // leaving joins the three sources: any one of them stops new work. A host's
 // own newest report counts, so that one that was taken back, or restarted, is
 // back at once.
-func leaving(held *member, said, drained bool) bool {
-	return said || drained || (held.listed != nil && held.listed.State == StateLeaving)
+func leaving(stored *member, reportedLeaving, drained bool) bool {
+	return reportedLeaving || drained || (stored.listed != nil && stored.listed.State == StateLeaving)
 }
 
 // Hosts returns the hosts that reported at least once, in no order.
 func (t *Table) Hosts(now time.Time, out Outlook) []view.Host {
 	hosts := make([]view.Host, 0, len(t.members))
-	for id, held := range t.members {
-		if held.report == nil {
+	for id, stored := range t.members {
+		if stored.report == nil {
 			continue
 		}
-		away := leaving(held, held.report.GetLeaving(), out.Drained[id])
-		hosts = append(hosts, view.NewHost(held.report, held.seenAt, away, t.lostHost(held, now, out)))
+		isLeaving := leaving(stored, stored.report.GetLeaving(), out.Drained[id])
+		hosts = append(hosts, view.NewHost(stored.report, stored.seenAt, isLeaving, t.isHostLost(stored, now, out)))
 	}
 	return hosts
 }
@@ -278,12 +278,12 @@
 // entryCount is the number in all shards.
 func (t *Table) Entries(now time.Time, entryCount int) []view.Peer {
 	var entries []view.Peer
-	for _, held := range t.members {
-		if held.entry == nil {
+	for _, stored := range t.members {
+		if stored.entry == nil {
 			continue
 		}
-		away := leaving(held, held.entry.GetDraining(), false)
-		entries = append(entries, view.NewPeer(held.entry, held.seenAt, away, t.lostEntry(held, now, entryCount)))
+		isLeaving := leaving(stored, stored.entry.GetDraining(), false)
+		entries = append(entries, view.NewPeer(stored.entry, stored.seenAt, isLeaving, t.isEntryLost(stored, now, entryCount)))
 	}
 	return entries
 }
@@ -307,40 +307,40 @@
 // first that answers.
 func (t *Table) Reachable(now time.Time) []*wire.Node {
 	var nodes []*wire.Node
-	for _, held := range t.members {
-		if node := reachable(held); node != nil && !t.gone(held, now) {
+	for _, stored := range t.members {
+		if node := dialTarget(stored); node != nil && !t.isExpired(stored, now) {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-func reachable(held *member) *wire.Node {
-	if held.entry != nil {
-		return held.entry.GetNode()
+func dialTarget(stored *member) *wire.Node {
+	if stored.entry != nil {
+		return stored.entry.GetNode()
 	}
-	if held.listed != nil && held.listed.Node.GetRole() == roleEntry {
-		return held.listed.Node
+	if stored.listed != nil && stored.listed.Node.GetRole() == roleEntry {
+		return stored.listed.Node
 	}
 	return nil
 }
 
 // gone leaves out an entry that fell silent long ago and is not listed.
-func (t *Table) gone(held *member, now time.Time) bool {
-	return held.entry != nil && held.listed == nil && now.Sub(held.seenAt) > t.limits.FarLostAfter
+func (t *Table) isExpired(stored *member, now time.Time) bool {
+	return stored.entry != nil && stored.listed == nil && now.Sub(stored.seenAt) > t.limits.RemoteLostAfter
 }
 
 // ListedEngines counts, by failure domain, the engine hosts that the platform
 // lists or that reported, into the map given.
 func (t *Table) ListedEngines(count map[string]int) {
-	for _, held := range t.members {
+	for _, stored := range t.members {
 		switch {
-		case held.report != nil:
-			if held.report.GetService() == "" {
-				count[held.report.GetNode().GetFailureDomain()]++
+		case stored.report != nil:
+			if stored.report.GetService() == "" {
+				count[stored.report.GetNode().GetFailureDomain()]++
 			}
-		case held.listed != nil && held.listed.Node.GetRole() == roleAgent && held.listed.Service == "":
-			count[held.listed.Node.GetFailureDomain()]++
+		case stored.listed != nil && stored.listed.Node.GetRole() == roleAgent && stored.listed.Service == "":
+			count[stored.listed.Node.GetFailureDomain()]++
 		}
 	}
 }
--- a/relay/membership/membership_test.go
+++ b/relay/membership/membership_test.go
@@ -13,15 +13,15 @@
 )
 
 // scene is one entry's table.
-type scene struct {
+type fixture struct {
 	table   *Table
 	now     time.Time
 	drained map[string]bool
 	lost    map[string]bool
 }
 
-func newScene() *scene {
-	return &scene{
+func newFixture() *fixture {
+	return &fixture{
 		table:   New(DefaultLimits()),
 		now:     time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC),
 		drained: map[string]bool{},
@@ -32,12 +32,12 @@
 // TestScripts replays testdata.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		sc := newScene()
+		sc := newFixture()
 		datadriven.RunTest(t, path, func(t *testing.T, cmd *datadriven.TestData) string { return sc.run(t, cmd) })
 	})
 }
 
-func (s *scene) run(t *testing.T, cmd *datadriven.TestData) string {
+func (s *fixture) run(t *testing.T, cmd *datadriven.TestData) string {
 	text := func(key, fallback string) string {
 		cmd.MaybeScanArgs(t, key, &fallback)
 		return fallback
@@ -50,15 +50,15 @@
 	node := &wire.Node{Id: text("id", ""), Incarnation: text("incarnation", "i1"), Role: text("role", "agent")}
 	switch cmd.Cmd {
 	case "host":
-		news := s.table.ObserveHost(&wire.HostReport{
+		updated := s.table.ObserveHost(&wire.HostReport{
 			Node: node, Sequence: uint64(number("sequence")), Leaving: cmd.HasArg("leaving"), Lost: cmd.HasArg("lost"),
 			Home: text("home", "self"), AgeMillis: uint32(number("ageMillis")),
 		}, s.now)
-		return fmt.Sprintf("news: %t\n", news)
+		return fmt.Sprintf("news: %t\n", updated)
 	case "entry":
 		node.Role = "entry"
-		news := s.table.ObserveEntry(&wire.EntryReport{Node: node, Sequence: uint64(number("sequence")), Draining: cmd.HasArg("draining")}, s.now)
-		return fmt.Sprintf("news: %t\n", news)
+		updated := s.table.ObserveEntry(&wire.EntryReport{Node: node, Sequence: uint64(number("sequence")), Draining: cmd.HasArg("draining")}, s.now)
+		return fmt.Sprintf("news: %t\n", updated)
 	case "list":
 		s.list(cmd)
 	case "drain":
@@ -78,7 +78,7 @@
 }
 
 // list takes "list live=(a,b) leaving=(c)".
-func (s *scene) list(cmd *datadriven.TestData) {
+func (s *fixture) list(cmd *datadriven.TestData) {
 	var listed []Listed
 	for _, arg := range cmd.CmdArgs {
 		for _, id := range arg.Vals {
@@ -88,23 +88,23 @@
 	s.table.ObserveList(listed, len(listed), s.now)
 }
 
-func (s *scene) show() string {
+func (s *fixture) show() string {
 	var out strings.Builder
 	outlook := Outlook{Self: "self", Drained: s.drained, LostEntries: s.lost, HostCount: 10}
 	hosts := s.table.Hosts(s.now, outlook)
 	SortHosts(hosts)
 	for _, host := range hosts {
-		fmt.Fprintf(&out, "%s/%s%s\n", host.Report().GetNode().GetId(), host.Report().GetNode().GetIncarnation(), words(host.Leaving(), host.Lost()))
+		fmt.Fprintf(&out, "%s/%s%s\n", host.Report().GetNode().GetId(), host.Report().GetNode().GetIncarnation(), statusText(host.Leaving(), host.Lost()))
 	}
 	entries := s.table.Entries(s.now, 2)
 	SortEntries(entries)
 	for _, entry := range entries {
-		fmt.Fprintf(&out, "entry %s/%s%s\n", entry.Report().GetNode().GetId(), entry.Report().GetNode().GetIncarnation(), words(entry.Leaving(), entry.Lost()))
+		fmt.Fprintf(&out, "entry %s/%s%s\n", entry.Report().GetNode().GetId(), entry.Report().GetNode().GetIncarnation(), statusText(entry.Leaving(), entry.Lost()))
 	}
 	return out.String()
 }
 
-func words(leaving, lost bool) string {
+func statusText(leaving, lost bool) string {
 	out := ""
 	if leaving {
 		out += " leaving"
@@ -122,23 +122,23 @@
 // any order and repeated; the newest of the newest incarnation must win.
 func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sc := newScene()
-		best := &wire.HostReport{}
+		sc := newFixture()
+		newest := &wire.HostReport{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			report := &wire.HostReport{
 				Node:     &wire.Node{Id: "a", Incarnation: fmt.Sprintf("i%d", rapid.IntRange(1, 3).Draw(t, "incarnation"))},
 				Sequence: uint64(rapid.IntRange(1, 5).Draw(t, "sequence")),
 			}
-			if best.GetNode() == nil || Newer(report.GetNode().GetIncarnation(), report.GetSequence(),
-				best.GetNode().GetIncarnation(), best.GetSequence()) {
-				best = report
+			if newest.GetNode() == nil || Newer(report.GetNode().GetIncarnation(), report.GetSequence(),
+				newest.GetNode().GetIncarnation(), newest.GetSequence()) {
+				newest = report
 			}
 			sc.table.ObserveHost(report, sc.now)
 		}
-		held := sc.table.Hosts(sc.now, Outlook{})[0].Report()
-		if held.GetNode().GetIncarnation() != best.GetNode().GetIncarnation() || held.GetSequence() != best.GetSequence() {
-			t.Fatalf("got %s/%d, want %s/%d", held.GetNode().GetIncarnation(), held.GetSequence(),
-				best.GetNode().GetIncarnation(), best.GetSequence())
+		stored := sc.table.Hosts(sc.now, Outlook{})[0].Report()
+		if stored.GetNode().GetIncarnation() != newest.GetNode().GetIncarnation() || stored.GetSequence() != newest.GetSequence() {
+			t.Fatalf("got %s/%d, want %s/%d", stored.GetNode().GetIncarnation(), stored.GetSequence(),
+				newest.GetNode().GetIncarnation(), newest.GetSequence())
 		}
 	})
 }
