--- a/relay/peer/keys.go
+++ b/relay/peer/keys.go
@@ -25,7 +25,7 @@
 	mu      sync.Mutex
 	pair    tls.Certificate
 	pool    *x509.CertPool
-	stamps  [keyFiles]stamp // of the files in use, taken before they were read
+	stamps  [keyFiles]fileStamp // of the files in use, taken before they were read
 	checked time.Time
 }
 
@@ -35,7 +35,7 @@
 // stamp identifies one content of a file. The newest time of all files
 // would not do: a file that is moved into place keeps its own, perhaps older,
 // time.
-type stamp struct {
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
@@ -53,7 +53,7 @@
 // read takes the stamps first: a file that is replaced while it is read then
 // differs from its stamp and is read again.
 func (k *Keys) read() error {
-	stamps := k.look()
+	stamps := k.statFiles()
 	pair, err := tls.LoadX509KeyPair(k.files.GetCertificateFile(), k.files.GetKeyFile())
 	if err != nil {
 		return failure.Wrap(err, failure.Invalid, "cannot read the process's certificate and key",
@@ -73,11 +73,11 @@
 	return nil
 }
 
-func (k *Keys) look() (stamps [keyFiles]stamp) {
+func (k *Keys) statFiles() (stamps [keyFiles]fileStamp) {
 	names := [keyFiles]string{k.files.GetCertificateFile(), k.files.GetKeyFile(), k.files.GetAuthorityFile()}
 	for i, name := range names {
 		if info, err := os.Stat(name); err == nil {
-			stamps[i] = stamp{modified: info.ModTime(), size: info.Size()}
+			stamps[i] = fileStamp{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return stamps
@@ -92,7 +92,7 @@
 	now := k.clock.Now()
 	if now.Sub(k.checked) >= keyCheckInterval {
 		k.checked = now
-		if k.look() != k.stamps {
+		if k.statFiles() != k.stamps {
 			_ = k.read()
 		}
 	}
--- a/relay/peer/keys_test.go
+++ b/relay/peer/keys_test.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-func load(t testing.TB, files *wire.TlsSettings, clock clockwork.Clock) *Keys {
+func loadKeys(t testing.TB, files *wire.TlsSettings, clock clockwork.Clock) *Keys {
 	t.Helper()
 	keys, err := NewKeys(files, clock)
 	if err != nil {
@@ -24,12 +24,12 @@
 func TestOnlyTheDeploymentsAuthorityIsAccepted(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deployment, other := newAuthority(t), newAuthority(t)
-	entry := load(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
-	stranger := load(t, other.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	entry := loadKeys(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	foreign := loadKeys(t, other.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), answering())
-	theirs := listen(t, "127.0.0.1:0")
-	serve(t, theirs, load(t, other.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), answering())
+	serve(t, lis, loadKeys(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), newReplyingServer())
+	foreignListener := listen(t, "127.0.0.1:0")
+	serve(t, foreignListener, loadKeys(t, other.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), newReplyingServer())
 	for _, test := range []struct {
 		name    string
 		keys    *Keys
@@ -37,8 +37,8 @@
 		works   bool
 	}{
 		{"the deployment's keys", entry, lis.Addr().String(), true},
-		{"another authority's client", stranger, lis.Addr().String(), false},
-		{"another authority's server", entry, theirs.Addr().String(), false},
+		{"another authority's client", foreign, lis.Addr().String(), false},
+		{"another authority's server", entry, foreignListener.Addr().String(), false},
 		{"clear text to a server with keys", nil, lis.Addr().String(), false},
 	} {
 		if err := call(t, test.keys, test.address); (err == nil) != test.works {
@@ -76,9 +76,9 @@
 	before, after := newAuthority(t), newAuthority(t)
 	files := before.issue(t, t.TempDir(), "agent-1", RoleAgent)
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, files, clock), answering())
-	old := load(t, before.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
-	fresh := load(t, after.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	serve(t, lis, loadKeys(t, files, clock), newReplyingServer())
+	old := loadKeys(t, before.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	fresh := loadKeys(t, after.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	replaceAll(t, files, after, t.TempDir())
 	if err := call(t, old, lis.Addr().String()); err != nil {
 		t.Errorf("got %v before the files are looked at again, want the old keys in use", err)
@@ -98,7 +98,7 @@
 func TestHalfWrittenFileKeepsTheOldKeys(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deployment := newAuthority(t)
-	entry := load(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	entry := loadKeys(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	for _, half := range []string{"certificate", "key", "authority"} {
 		t.Run(half, func(t *testing.T) {
 			files := deployment.issue(t, t.TempDir(), "agent-1", RoleAgent)
@@ -106,7 +106,7 @@
 				"certificate": files.GetCertificateFile(), "key": files.GetKeyFile(), "authority": files.GetAuthorityFile(),
 			}[half]
 			lis := listen(t, "127.0.0.1:0")
-			serve(t, lis, load(t, files, clock), answering())
+			serve(t, lis, loadKeys(t, files, clock), newReplyingServer())
 			text, err := os.ReadFile(name)
 			if err != nil {
 				t.Fatal(err)
@@ -119,7 +119,7 @@
 			next := newAuthority(t)
 			replaceAll(t, files, next, t.TempDir())
 			clock.Advance(keyCheckInterval)
-			if err := call(t, load(t, next.issue(t, t.TempDir(), "entry-1", RoleEntry), clock), lis.Addr().String()); err != nil {
+			if err := call(t, loadKeys(t, next.issue(t, t.TempDir(), "entry-1", RoleEntry), clock), lis.Addr().String()); err != nil {
 				t.Errorf("got %v once all files are whole, want the new keys in use", err)
 			}
 		})
@@ -144,9 +144,9 @@
 		return &wire.HaveReply{}, Require(ctx, true, RoleEntry)
 	}}
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), server)
+	serve(t, lis, loadKeys(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), server)
 	for role, works := range map[string]bool{RoleEntry: true, RoleAgent: false, "operator": false, "": false} {
-		keys := load(t, deployment.issue(t, t.TempDir(), "node-1", role), clock)
+		keys := loadKeys(t, deployment.issue(t, t.TempDir(), "node-1", role), clock)
 		if err := call(t, keys, lis.Addr().String()); (err == nil) != works {
 			t.Errorf("role %q: got error %v, want it to work: %t", role, err, works)
 		}
--- a/relay/peer/meter.go
+++ b/relay/peer/meter.go
@@ -37,9 +37,9 @@
 // known holds the traffic of each call of the wire types. Calls that a peer
 // makes up are refused by the mux and counted nowhere, so that they cannot fill
 // the memory.
-var known = trafficOf(wire.DRPCControlDescription{}, wire.DRPCHostDescription{})
+var trafficByCall = newTrafficByCall(wire.DRPCControlDescription{}, wire.DRPCHostDescription{})
 
-func trafficOf(services ...drpc.Description) map[string]*traffic {
+func newTrafficByCall(services ...drpc.Description) map[string]*traffic {
 	byCall := map[string]*traffic{}
 	for _, service := range services {
 		for n := range service.NumMethods() {
@@ -97,7 +97,7 @@
 type meteredConn struct{ drpc.Conn }
 
 func (c meteredConn) Invoke(ctx context.Context, call string, enc drpc.Encoding, in, out drpc.Message) error {
-	if count := known[call]; count != nil {
+	if count := trafficByCall[call]; count != nil {
 		count.made.Add(1)
 		enc = count
 	}
@@ -105,7 +105,7 @@
 }
 
 func (c meteredConn) NewStream(ctx context.Context, call string, enc drpc.Encoding) (drpc.Stream, error) {
-	count := known[call]
+	count := trafficByCall[call]
 	if count == nil {
 		return c.Conn.NewStream(ctx, call, enc)
 	}
@@ -136,7 +136,7 @@
 type meteredHandler struct{ drpc.Handler }
 
 func (h meteredHandler) HandleRPC(stream drpc.Stream, call string) error {
-	if count := known[call]; count != nil {
+	if count := trafficByCall[call]; count != nil {
 		count.served.Add(1)
 		stream = meteredStream{stream, count}
 	}
--- a/relay/peer/meter_test.go
+++ b/relay/peer/meter_test.go
@@ -15,16 +15,16 @@
 )
 
 // figures of one call, in the order made, served, in, out.
-type figures [4]int64
+type callCounts [4]int64
 
-func figuresOf(name string) (now figures) {
+func callCountsOf(name string) (now callCounts) {
 	for i, all := range []*expvar.Map{callsMade, callsServed, bytesIn, bytesOut} {
 		now[i] = all.Get(name).(*expvar.Int).Value()
 	}
 	return now
 }
 
-func (f figures) since(before figures) (diff figures) {
+func (f callCounts) since(before callCounts) (diff callCounts) {
 	for i := range f {
 		diff[i] = f[i] - before[i]
 	}
@@ -37,7 +37,7 @@
 	frame := &wire.Frame{RequestId: "r", Tokens: []string{"un", "dos"}}
 	attempt := &wire.Attempt{Prompt: "a letter from Xela"}
 	request, reply := &wire.HaveRequest{Version: "v"}, &wire.HaveReply{UploadQueue: 7}
-	server := answering()
+	server := newReplyingServer()
 	server.run = func(_ *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		for range 3 {
 			if err := stream.Send(frame); err != nil {
@@ -48,12 +48,12 @@
 	}
 	clock, deployment := clockwork.NewFakeClock(), newAuthority(t)
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), server)
-	keys := load(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	serve(t, lis, loadKeys(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), server)
+	keys := loadKeys(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	pool := NewPool(keys)
 	defer pool.Close()
 	client := wire.NewDRPCHostClient(pool.Conn(t.Context(), lis.Addr().String()))
-	have, run, wired := figuresOf("hostHave"), figuresOf("hostRun"), connectionBytesOut.Value()
+	have, run, connectionBytes := callCountsOf("hostHave"), callCountsOf("hostRun"), connectionBytesOut.Value()
 	if _, err := client.Have(t.Context(), request); err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 		_, err = stream.Recv()
 	}
 	haveBytes := int64(proto.Size(request) + proto.Size(reply))
-	if got, want := figuresOf("hostHave").since(have), (figures{1, 1, haveBytes, haveBytes}); got != want {
+	if got, want := callCountsOf("hostHave").since(have), (callCounts{1, 1, haveBytes, haveBytes}); got != want {
 		t.Errorf("got made, served, in, out %v for hostHave, want %v", got, want)
 	}
 	runBytes := int64(proto.Size(attempt) + 3*proto.Size(frame))
-	if got, want := figuresOf("hostRun").since(run), (figures{1, 1, runBytes, runBytes}); got != want {
+	if got, want := callCountsOf("hostRun").since(run), (callCounts{1, 1, runBytes, runBytes}); got != want {
 		t.Errorf("got made, served, in, out %v for hostRun, want %v", got, want)
 	}
-	if got, least := connectionBytesOut.Value()-wired, haveBytes+runBytes; got <= least {
+	if got, least := connectionBytesOut.Value()-connectionBytes, haveBytes+runBytes; got <= least {
 		t.Errorf("got %d bytes out over all connections, want more than the messages' %d", got, least)
 	}
 }
@@ -81,41 +81,41 @@
 // the memory with their counters.
 func TestInventedCallsAreNotCounted(t *testing.T) {
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, nil, answering())
+	serve(t, lis, nil, newReplyingServer())
 	pool := NewPool(nil)
 	defer pool.Close()
 	conn := pool.Conn(t.Context(), lis.Addr().String())
-	encoding := known["/comfreyrelay.wire.Host/Have"].encoding
+	encoding := trafficByCall["/comfreyrelay.wire.Host/Have"].encoding
 	err := conn.Invoke(t.Context(), "/made.Up/Name", encoding, &wire.HaveRequest{}, &wire.HaveReply{})
 	if err == nil {
 		t.Error("got no error for a call that nobody serves, want one")
 	}
 	count := 0
 	callsServed.Do(func(expvar.KeyValue) { count++ })
-	if got, want := count, len(known); got != want {
+	if got, want := count, len(trafficByCall); got != want {
 		t.Errorf("got %d counters, want one for each of the %d calls", got, want)
 	}
 }
 
 // plain is a stream without a connection, to measure the counters alone.
-type plain struct {
+type bufferStream struct {
 	drpc.Stream
 
 	data []byte
 }
 
-func (p *plain) MsgSend(msg drpc.Message, enc drpc.Encoding) (err error) {
+func (p *bufferStream) MsgSend(msg drpc.Message, enc drpc.Encoding) (err error) {
 	p.data, err = enc.(*traffic).MarshalAppend(p.data[:0], msg)
 	return err
 }
 
-func (p *plain) Context() context.Context { return context.Background() }
+func (p *bufferStream) Context() context.Context { return context.Background() }
 
 func BenchmarkFrame(b *testing.B) {
 	frame := &wire.Frame{RequestId: "0192d1f0-0000-7000-8000-000000000000", Sequence: 9, Kind: "tokens", Tokens: []string{"carta"}}
-	count := known["/comfreyrelay.wire.Host/Run"]
+	count := trafficByCall["/comfreyrelay.wire.Host/Run"]
 	b.Run("metered", func(b *testing.B) {
-		stream := meteredStream{&plain{}, count}
+		stream := meteredStream{&bufferStream{}, count}
 		for b.Loop() {
 			if err := stream.MsgSend(frame, nil); err != nil {
 				b.Fatal(err)
@@ -138,7 +138,7 @@
 func BenchmarkCall(b *testing.B) {
 	const frames = 64
 	frame := &wire.Frame{RequestId: "0192d1f0-0000-7000-8000-000000000000", Sequence: 9, Kind: "tokens", Tokens: []string{"carta"}}
-	server := answering()
+	server := newReplyingServer()
 	server.run = func(_ *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 		for range frames {
 			if err := stream.Send(frame); err != nil {
--- a/relay/peer/pki_test.go
+++ b/relay/peer/pki_test.go
@@ -133,7 +133,7 @@
 	return lis
 }
 
-func answering() *hostServer {
+func newReplyingServer() *hostServer {
 	return &hostServer{have: func(context.Context, *wire.HaveRequest) (*wire.HaveReply, error) {
 		return &wire.HaveReply{UploadQueue: 7}, nil
 	}}
--- a/relay/peer/pool_test.go
+++ b/relay/peer/pool_test.go
@@ -11,13 +11,13 @@
 )
 
 // recorded remembers the connections that a listener accepted, to cut them.
-type recorded struct {
+type recordingListener struct {
 	net.Listener
 
 	conns chan net.Conn
 }
 
-func (l recorded) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.conns <- conn
@@ -29,10 +29,10 @@
 // dies while it runs a call; a library sends the call again on another
 // connection. Cause: the library takes any broken connection for a stale one.
 func TestCallToDyingPeerIsNotSentAgain(t *testing.T) {
-	var begun atomic.Int32
-	lis := recorded{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
+	var started atomic.Int32
+	lis := recordingListener{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
 	server := &hostServer{have: func(context.Context, *wire.HaveRequest) (*wire.HaveReply, error) {
-		if begun.Add(1) > 1 {
+		if started.Add(1) > 1 {
 			return &wire.HaveReply{}, nil
 		}
 		_ = (<-lis.conns).Close()
@@ -43,7 +43,7 @@
 		t.Error("got no error from a peer that died in the call, want one")
 	}
 	stop()
-	if got, want := begun.Load(), int32(1); got != want {
+	if got, want := started.Load(), int32(1); got != want {
 		t.Errorf("got the call begun %d times, want %d", got, want)
 	}
 }
@@ -51,10 +51,10 @@
 // Symptom: as above, for a stream. Sequence: the peer dies after the first
 // frame. Cause: a stream that is opened anew repeats its request.
 func TestStreamOfDyingPeerBreaks(t *testing.T) {
-	var begun atomic.Int32
-	lis := recorded{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
+	var started atomic.Int32
+	lis := recordingListener{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
 	server := &hostServer{run: func(_ *wire.Attempt, stream wire.DRPCHost_RunStream) error {
-		begun.Add(1)
+		started.Add(1)
 		if err := stream.Send(&wire.Frame{Kind: "begin"}); err != nil {
 			return err
 		}
@@ -73,8 +73,8 @@
 			frames++
 		}
 	}
-	if frames > 1 || begun.Load() != 1 {
-		t.Errorf("got %d frames of %d runs, want at most 1 of 1", frames, begun.Load())
+	if frames > 1 || started.Load() != 1 {
+		t.Errorf("got %d frames of %d runs, want at most 1 of 1", frames, started.Load())
 	}
 }
 
@@ -82,9 +82,9 @@
 // the pool holds a connection to a process that is replaced at the same
 // address. Cause: the pool believes its idle connection.
 func TestReplacedPeer(t *testing.T) {
-	var begun atomic.Int32
+	var started atomic.Int32
 	counting := &hostServer{have: func(context.Context, *wire.HaveRequest) (*wire.HaveReply, error) {
-		begun.Add(1)
+		started.Add(1)
 		return &wire.HaveReply{}, nil
 	}}
 	lis := listen(t, "127.0.0.1:0")
@@ -103,7 +103,7 @@
 	if _, err := client.Have(t.Context(), &wire.HaveRequest{}); err != nil {
 		t.Errorf("got %v from the peer's successor, want an answer", err)
 	}
-	if got, want := begun.Load(), int32(2); got != want {
+	if got, want := started.Load(), int32(2); got != want {
 		t.Errorf("got %d runs for 2 calls that were answered, want %d", got, want)
 	}
 }
--- a/relay/peer/server.go
+++ b/relay/peer/server.go
@@ -17,21 +17,21 @@
 // Without it a connection whose first frame begins no call, or that never ends
 // its TLS handshake, is never read again: the server would not even notice that
 // the peer is gone, and hold its descriptor and goroutines for ever.
-const quietTimeout = 4 * idleExpiration
+const inactivityTimeout = 4 * idleExpiration
 
 // Serve answers drpc calls on the listener until ctx ends. Nil keys mean clear
 // text.
 func Serve(ctx context.Context, lis net.Listener, keys *Keys, mux *drpcmux.Mux, log *slog.Logger) error {
-	return serveWithin(ctx, lis, keys, mux, log, quietTimeout)
+	return serveWithTimeout(ctx, lis, keys, mux, log, inactivityTimeout)
 }
 
-func serveWithin(ctx context.Context, lis net.Listener, keys *Keys, mux *drpcmux.Mux, log *slog.Logger, quiet time.Duration) error {
+func serveWithTimeout(ctx context.Context, lis net.Listener, keys *Keys, mux *drpcmux.Mux, log *slog.Logger, inactivity time.Duration) error {
 	lis = meteredListener{lis}
 	if keys != nil {
 		lis = tls.NewListener(lis, keys.ServerConfig())
 	}
 	options := managerOptions()
-	options.InactivityTimeout = quiet
+	options.InactivityTimeout = inactivity
 	srv := drpcserver.NewWithOptions(meteredHandler{mux}, drpcserver.Options{
 		Manager: options,
 		Log: func(err error) {
--- a/relay/peer/server_test.go
+++ b/relay/peer/server_test.go
@@ -13,30 +13,30 @@
 )
 
 // closing notes when the server closes a connection.
-type closing struct {
+type closeNotifyConn struct {
 	net.Conn
 
 	closed chan struct{}
 }
 
-func (c closing) Close() error {
+func (c closeNotifyConn) Close() error {
 	defer close(c.closed)
 	return c.Conn.Close()
 }
 
 // closingListener accepts such connections.
-type closingListener struct {
+type closeNotifyListener struct {
 	net.Listener
 
 	closed chan struct{}
 }
 
-func (l closingListener) Accept() (net.Conn, error) {
+func (l closeNotifyListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return closing{conn, l.closed}, nil
+	return closeNotifyConn{conn, l.closed}, nil
 }
 
 // Symptom: a process runs out of file descriptors. Sequence: a peer's first frame
@@ -46,7 +46,7 @@
 	message := drpcwire.AppendFrame(nil, drpcwire.Frame{
 		ID: drpcwire.ID{Stream: 1, Message: 1}, Kind: drpcwire.KindMessage, Done: true,
 	})
-	keys := load(t, newAuthority(t).issue(t, t.TempDir(), "entry-1", RoleEntry), clockwork.NewRealClock())
+	keys := loadKeys(t, newAuthority(t).issue(t, t.TempDir(), "entry-1", RoleEntry), clockwork.NewRealClock())
 	tests := []struct {
 		name  string
 		keys  *Keys
@@ -54,12 +54,12 @@
 	}{{"message first", nil, message}, {"no handshake", keys, nil}}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			lis := closingListener{listen(t, "127.0.0.1:0"), make(chan struct{})}
+			lis := closeNotifyListener{listen(t, "127.0.0.1:0"), make(chan struct{})}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				_ = serveWithin(ctx, lis, test.keys, drpcmux.New(), slog.New(slog.DiscardHandler), 10*time.Millisecond)
+				_ = serveWithTimeout(ctx, lis, test.keys, drpcmux.New(), slog.New(slog.DiscardHandler), 10*time.Millisecond)
 			}()
 			conn, err := net.Dial("tcp", lis.Addr().String())
 			if err != nil {
