--- a/relay/kv/calls.go
+++ b/relay/kv/calls.go
@@ -46,13 +46,13 @@
 }
 
 // do waits for the budget, makes the call once and decodes a 200 into answer.
-func (c *caller) do(ctx context.Context, call call, answer any) error {
+func (c *caller) send(ctx context.Context, call call, answer any) error {
 	if err := c.budget.Wait(ctx, budget.Call{Kind: call.kind, Key: call.key}); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
-	status, text, err := c.send(ctx, call)
+	status, text, err := c.roundTrip(ctx, call)
 	if err != nil {
 		return err
 	}
@@ -63,14 +63,14 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, answer); err != nil {
-		return lost(err, call)
+		return answerLost(err, call)
 	}
 	return nil
 }
 
 // send returns the whole answer. A write that fails after it got a connection
 // may have taken effect; one that never got a connection has not.
-func (c *caller) send(ctx context.Context, call call) (int, []byte, error) {
+func (c *caller) roundTrip(ctx context.Context, call call) (int, []byte, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request, err := c.request(httptrace.WithClientTrace(ctx, trace), call)
@@ -82,22 +82,22 @@
 		return 0, nil, unavailable(err)
 	}
 	if err != nil {
-		return 0, nil, lost(err, call)
+		return 0, nil, answerLost(err, call)
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
-		return 0, nil, lost(err, call)
+		return 0, nil, answerLost(err, call)
 	}
 	return answer.StatusCode, text, nil
 }
 
 func (c *caller) request(ctx context.Context, call call) (*http.Request, error) {
-	at := c.base + (&url.URL{Path: call.path}).EscapedPath()
+	target := c.base + (&url.URL{Path: call.path}).EscapedPath()
 	if len(call.query) > 0 {
-		at += "?" + call.query.Encode()
+		target += "?" + call.query.Encode()
 	}
-	request, err := http.NewRequestWithContext(ctx, call.method, at, bytes.NewReader(call.body))
+	request, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 		return unavailable(nil)
 	}
 	if status >= http.StatusInternalServerError {
-		return lost(nil, call)
+		return answerLost(nil, call)
 	}
 	return failure.New(failure.Invalid, "the key-value service refused "+call.path+": "+http.StatusText(status),
 		"check the key and that the value has at most 1 MiB")
@@ -134,7 +134,7 @@
 }
 
 // lost is the error of a call that went out and whose answer did not come back.
-func lost(cause error, call call) error {
+func answerLost(cause error, call call) error {
 	if !call.kind.Writes() {
 		return unavailable(cause)
 	}
--- a/relay/kv/http.go
+++ b/relay/kv/http.go
@@ -59,7 +59,7 @@
 
 func (c *caller) get(ctx context.Context, key string) (Entry, bool, error) {
 	var body entryBody
-	err := c.do(ctx, call{kind: budget.Get, key: key, method: http.MethodGet, path: "/kv/" + key, timeout: callTimeout}, &body)
+	err := c.send(ctx, call{kind: budget.Get, key: key, method: http.MethodGet, path: "/kv/" + key, timeout: callTimeout}, &body)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
 		return Entry{}, false, nil
 	}
@@ -73,7 +73,7 @@
 	var body struct {
 		Entries []entryBody `json:"entries"`
 	}
-	err := c.do(ctx, call{kind: budget.List, key: prefix, method: http.MethodGet, path: "/kv",
+	err := c.send(ctx, call{kind: budget.List, key: prefix, method: http.MethodGet, path: "/kv",
 		query: url.Values{"prefix": {prefix}}, timeout: callTimeout}, &body)
 	if err != nil {
 		return nil, err
@@ -89,13 +89,13 @@
 	var body struct {
 		Revision uint64 `json:"revision"`
 	}
-	err := c.do(ctx, call{kind: budget.Swap, key: key, method: http.MethodPut, path: "/kv/" + key,
+	err := c.send(ctx, call{kind: budget.Swap, key: key, method: http.MethodPut, path: "/kv/" + key,
 		query: query, body: value, timeout: callTimeout}, &body)
 	return body.Revision, err
 }
 
 func (c *caller) delete(ctx context.Context, key string, ifRevision uint64) error {
-	return c.do(ctx, call{kind: budget.Delete, key: key, method: http.MethodDelete, path: "/kv/" + key,
+	return c.send(ctx, call{kind: budget.Delete, key: key, method: http.MethodDelete, path: "/kv/" + key,
 		query: url.Values{"ifRevision": {strconv.FormatUint(ifRevision, 10)}}, timeout: callTimeout}, nil)
 }
 
@@ -109,7 +109,7 @@
 		Changes  []entryBody `json:"changes"`
 		Revision uint64      `json:"revision"`
 	}
-	err := c.do(ctx, call{kind: budget.Watch, key: prefix, method: http.MethodGet, path: "/watch",
+	err := c.send(ctx, call{kind: budget.Watch, key: prefix, method: http.MethodGet, path: "/watch",
 		query: query, timeout: wait + watchGrace}, &body)
 	if err != nil {
 		return nil, after, err
@@ -121,16 +121,16 @@
 	var body struct {
 		Lease string `json:"lease"`
 	}
-	err := c.do(ctx, call{kind: budget.Grant, method: http.MethodPost, path: "/leases",
+	err := c.send(ctx, call{kind: budget.Grant, method: http.MethodPost, path: "/leases",
 		query: url.Values{"ttlMillis": {strconv.FormatInt(ttl.Milliseconds(), 10)}}, timeout: callTimeout}, &body)
 	return body.Lease, err
 }
 
 func (c *caller) keepAlive(ctx context.Context, lease string) error {
-	return c.do(ctx, call{kind: budget.KeepAlive, method: http.MethodPost, path: "/leases/" + lease + "/keepalive",
+	return c.send(ctx, call{kind: budget.KeepAlive, method: http.MethodPost, path: "/leases/" + lease + "/keepalive",
 		timeout: callTimeout}, nil)
 }
 
 func (c *caller) revoke(ctx context.Context, lease string) error {
-	return c.do(ctx, call{kind: budget.Revoke, method: http.MethodDelete, path: "/leases/" + lease, timeout: callTimeout}, nil)
+	return c.send(ctx, call{kind: budget.Revoke, method: http.MethodDelete, path: "/leases/" + lease, timeout: callTimeout}, nil)
 }
--- a/relay/kv/http_test.go
+++ b/relay/kv/http_test.go
@@ -21,10 +21,10 @@
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	return clientOf(server.URL)
+	return newClient(server.URL)
 }
 
-func clientOf(url string) *Store {
+func newClient(url string) *Store {
 	limit := budget.New(budget.Options{
 		Role: "test", ReadsPerSecond: 1e6, WritesPerSecond: 1e6,
 		Clock: clockwork.NewRealClock(), Jitter: func() float64 { return 0 },
@@ -111,7 +111,7 @@
 func TestNeverSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
-	_, err := clientOf(server.URL).Swap(t.Context(), "a", nil, 0, "")
+	_, err := newClient(server.URL).Swap(t.Context(), "a", nil, 0, "")
 	if got := failure.KindOf(err); got != failure.Unavailable {
 		t.Errorf("got kind %s without a connection, want %s", got, failure.Unavailable)
 	}
@@ -120,15 +120,15 @@
 // TestTimeOutIsAmbiguous: a write whose caller gives up waiting may be on its
 // way still.
 func TestTimeOutIsAmbiguous(t *testing.T) {
-	arrived := make(chan struct{})
+	received := make(chan struct{})
 	store := newTestStore(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // so that the server notices the client's leave
-		close(arrived)
+		close(received)
 		<-r.Context().Done()
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-arrived
+		<-received
 		cancel()
 	}()
 	_, err := store.Swap(ctx, "a", []byte("v"), 0, "")
--- a/relay/kv/memory.go
+++ b/relay/kv/memory.go
@@ -28,22 +28,22 @@
 type Memory struct {
 	clock clockwork.Clock
 
-	mu        sync.Mutex
-	revision  uint64            // of the last change
-	entries   map[string]Entry  // the live keys
-	bound     map[string]string // key -> lease
-	leases    map[string]*memoryLease
-	granted   int           // leases ever made; names the next
-	history   []Entry       // changes after compacted, by revision
-	compacted uint64        // the revision that the history starts after
-	changed   chan struct{} // closed and replaced at every change
+	mu            sync.Mutex
+	revision      uint64            // of the last change
+	entries       map[string]Entry  // the live keys
+	leaseByKey    map[string]string // key -> lease
+	leases        map[string]*memoryLease
+	leasesGranted int           // leases ever made; names the next
+	history       []Entry       // changes after compacted, by revision
+	compacted     uint64        // the revision that the history starts after
+	changed       chan struct{} // closed and replaced at every change
 }
 
 // memoryLease lapses at until, unless that moved meanwhile.
 type memoryLease struct {
-	ttl   time.Duration
-	until time.Time
-	keys  map[string]bool
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]bool
 }
 
 // NewMemory returns a Store over a service of its own; a test puts faults into
@@ -53,11 +53,11 @@
 // NewMemoryService returns an empty service.
 func NewMemoryService(clock clockwork.Clock) *Memory {
 	return &Memory{
-		clock:   clock,
-		entries: map[string]Entry{},
-		bound:   map[string]string{},
-		leases:  map[string]*memoryLease{},
-		changed: make(chan struct{}),
+		clock:      clock,
+		entries:    map[string]Entry{},
+		leaseByKey: map[string]string{},
+		leases:     map[string]*memoryLease{},
+		changed:    make(chan struct{}),
 	}
 }
 
@@ -90,19 +90,19 @@
 
 // lock takes m.mu and ends the leases that are due, so that no call sees a
 // lease that lapsed a moment before its timer ran.
-func (m *Memory) lock() {
+func (m *Memory) lockAndExpire() {
 	m.mu.Lock()
 	now := m.clock.Now()
 	for _, name := range slices.Sorted(maps.Keys(m.leases)) {
-		if !m.leases[name].until.After(now) {
-			m.end(name)
+		if !m.leases[name].expiresAt.After(now) {
+			m.endLease(name)
 		}
 	}
 }
 
 // Get returns the entry of a live key.
 func (m *Memory) Get(key string) (Entry, bool) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	entry, found := m.entries[key]
 	return entry, found
@@ -110,7 +110,7 @@
 
 // List returns the live entries below the prefix by key, and the revision.
 func (m *Memory) List(prefix string) ([]Entry, uint64) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	var found []Entry
 	for key, entry := range m.entries {
@@ -128,17 +128,17 @@
 	if len(value) > MaxValueBytes {
 		return 0, failure.New(failure.Invalid, "the value is over 1 MiB", "split it into parts")
 	}
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	if current := m.entries[key].revision; current != ifRevision {
-		return current, conflict(key)
+		return current, conflictError(key)
 	}
 	if _, alive := m.leases[lease]; lease != "" && !alive {
-		return 0, lapsed(lease)
+		return 0, leaseExpired(lease)
 	}
-	m.unbind(key)
+	m.detachLease(key)
 	if lease != "" {
-		m.bound[key] = lease
+		m.leaseByKey[key] = lease
 		m.leases[lease].keys[key] = true
 	}
 	m.record(Entry{key: key, value: slices.Clone(value)})
@@ -147,20 +147,20 @@
 
 // Delete removes the key if its revision is ifRevision.
 func (m *Memory) Delete(key string, ifRevision uint64) error {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	current, found := m.entries[key]
 	if !found || current.revision != ifRevision {
-		return conflict(key)
+		return conflictError(key)
 	}
-	m.remove(key)
+	m.deleteKey(key)
 	return nil
 }
 
 // Changes returns what changed below the prefix after the revision, the present
 // revision, and a channel that closes at the next change of any key.
 func (m *Memory) Changes(prefix string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	if after < m.compacted {
 		return nil, m.revision, nil, failure.New(failure.Stale, "the history is compacted", "list the keys again")
@@ -200,37 +200,37 @@
 
 // Grant makes a lease.
 func (m *Memory) Grant(ttl time.Duration) string {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
-	m.granted++
-	name := fmt.Sprintf("lease-%d", m.granted)
-	m.leases[name] = &memoryLease{ttl: ttl, until: m.clock.Now().Add(ttl), keys: map[string]bool{}}
+	m.leasesGranted++
+	name := fmt.Sprintf("lease-%d", m.leasesGranted)
+	m.leases[name] = &memoryLease{ttl: ttl, expiresAt: m.clock.Now().Add(ttl), keys: map[string]bool{}}
 	m.clock.AfterFunc(ttl, func() { m.expire(name) })
 	return name
 }
 
 // KeepAlive renews the lease; kind NotFound where it lapsed.
 func (m *Memory) KeepAlive(name string) error {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	lease, alive := m.leases[name]
 	if !alive {
-		return lapsed(name)
+		return leaseExpired(name)
 	}
-	lease.until = m.clock.Now().Add(lease.ttl)
+	lease.expiresAt = m.clock.Now().Add(lease.ttl)
 	return nil
 }
 
 // Revoke ends the lease and deletes its keys.
 func (m *Memory) Revoke(name string) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
-	m.end(name)
+	m.endLease(name)
 }
 
 // Compact forgets the history of changes.
 func (m *Memory) Compact() {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	m.history = nil
 	m.compacted = m.revision
@@ -244,37 +244,37 @@
 	if !alive {
 		return
 	}
-	if left := lease.until.Sub(m.clock.Now()); left > 0 {
-		m.clock.AfterFunc(left, func() { m.expire(name) })
+	if remaining := lease.expiresAt.Sub(m.clock.Now()); remaining > 0 {
+		m.clock.AfterFunc(remaining, func() { m.expire(name) })
 		return
 	}
-	m.end(name)
+	m.endLease(name)
 }
 
-func (m *Memory) end(name string) {
+func (m *Memory) endLease(name string) {
 	lease, alive := m.leases[name]
 	if !alive {
 		return
 	}
 	delete(m.leases, name)
 	for _, key := range slices.Sorted(maps.Keys(lease.keys)) {
-		m.remove(key)
+		m.deleteKey(key)
 	}
 }
 
-func (m *Memory) remove(key string) {
-	m.unbind(key)
+func (m *Memory) deleteKey(key string) {
+	m.detachLease(key)
 	m.record(Entry{key: key, deleted: true})
 }
 
-func (m *Memory) unbind(key string) {
-	lease, found := m.bound[key]
+func (m *Memory) detachLease(key string) {
+	lease, found := m.leaseByKey[key]
 	if !found {
 		return
 	}
-	delete(m.bound, key)
-	if owner, alive := m.leases[lease]; alive {
-		delete(owner.keys, key)
+	delete(m.leaseByKey, key)
+	if boundLease, alive := m.leases[lease]; alive {
+		delete(boundLease.keys, key)
 	}
 }
 
@@ -296,10 +296,10 @@
 	m.changed = make(chan struct{})
 }
 
-func conflict(key string) error {
+func conflictError(key string) error {
 	return failure.New(failure.Conflict, "the key "+key+" was changed by somebody else", "read it again and decide anew")
 }
 
-func lapsed(lease string) error {
+func leaseExpired(lease string) error {
 	return failure.New(failure.NotFound, "the lease "+lease+" lapsed", "ask for a new one")
 }
