--- a/relay/rollout/target.go
+++ b/relay/rollout/target.go
@@ -3,34 +3,36 @@
 import "time"
 
 const (
-	// leastUse is the time for which a version should be usable once it is loaded: a
-	// load takes a host half a second or more, and the next one waits for it.
+	// minUsableTime is how long a version must stay usable after it is loaded. A
+	// load takes a host half a second or more, and the next load waits for it.
 	minUsableTime = time.Second
-	// leastGain is by how much sooner a host must serve with the version before the
-	// newest to go back to it, and leastLate by how much the newest must be too late:
-	// estimates are no better, and who goes back and then forth again has it last.
+	// A host switches back from the newest version to the one before it only if
+	// that version is ready at least minGain sooner and the newest misses the
+	// deadline by at least minLateness. The estimates are no more accurate than
+	// this, and a host that switches back and forth is ready last.
 	minGain     = time.Second
 	minLateness = 1500 * time.Millisecond
 )
 
-// Progress is how far a version is on its way, as far as this host knows.
+// Progress is the download progress of a version as known to this host.
 type Progress struct {
 	Version uint64
-	Drawn   float64 // part of its chunks that left the origin
-	Held    float64 // part of them that this host holds
+	Drawn   float64 // fraction of its chunks that the origin has sent
+	Held    float64 // fraction of its chunks that this host has
 }
 
-// Fetch is how far a host is with its versions.
+// Fetch is the state of a host's loaded and fetched versions.
 type Fetch struct {
 	Now     time.Time
-	Loaded  uint64 // 0: none
-	Current uint64 // being fetched
-	Whole   bool   // the current one lies ready to be loaded
-	// Progress is of versions whose manifest is known.
+	Loaded  uint64 // 0 if no version is loaded
+	Current uint64 // version being fetched
+	Whole   bool   // Current is fetched completely and ready to load
+	// Progress lists the versions whose manifest is known.
 	Progress []Progress
 }
 
-// of returns the progress of a version; ok is false where its manifest is unknown.
+// progressOf returns the progress of a version. The second result is false if
+// the version's manifest is unknown.
 func (f Fetch) progressOf(version uint64) (Progress, bool) {
 	for _, item := range f.Progress {
 		if item.Version == version {
@@ -40,13 +42,15 @@
 	return Progress{Version: version}, false
 }
 
-// Target returns the version to fetch: the newest, unless a host whose loaded version
-// ends before that one can be loaded has the one before it sooner. Such a host takes
-// both. To have the newest whole by then is not enough, it has to be loaded too. And what
-// was in time when it was named may be so no more, since its origin may go away: hosts
-// that leave a version nearly whole for one that can't come serve nothing meanwhile.
+// Target returns the version to fetch. This is the newest version, unless the loaded
+// version expires before the newest can be fetched and loaded and the version before
+// the newest is ready sooner. The host then takes both, one after the other.
 //
-// Only the newest two can still be drawn.
+// The estimate is repeated after the declaration, because a newest version that was
+// in time may become late when its origin goes away. Hosts that abandon a nearly
+// complete version for one that they can't fetch serve nothing meanwhile.
+//
+// Only the newest two versions can still be fetched.
 func Target(history []Declared, host Fetch, bound time.Duration, move Move) uint64 {
 	newest, former := newestTwo(history)
 	deadline, ends := Deadline(history, host.Loaded, bound)
@@ -67,7 +71,7 @@
 	}
 	progress, known := host.progressOf(former.Version)
 	if !known {
-		// Nothing says how far it is: it is taken for on its way as usual.
+		// Its progress is unknown: assume that the fetch goes on as usual.
 		if former.Version == host.Current && !now.After(deadline) {
 			return formerIfUsable(former, newest, now.Add(move.Load+minUsableTime), newest.At.Add(bound))
 		}
@@ -96,7 +100,8 @@
 	return newest, former
 }
 
-// orNewest returns the former version if it may be used until the moment given.
+// formerIfUsable returns the former version if it does not expire, at ends, before
+// usableUntil; otherwise the newest.
 func formerIfUsable(former, newest Declared, usableUntil, ends time.Time) uint64 {
 	if usableUntil.After(ends) {
 		return newest.Version
@@ -104,8 +109,8 @@
 	return former.Version
 }
 
-// left returns how long a version takes yet until most hosts are whole: all of it where
-// its manifest is unknown.
+// remaining returns the estimated time until most hosts have the complete version. It
+// is the time of a whole fetch if the version's manifest is unknown.
 func (m Move) remaining(progress Progress, known bool) time.Duration {
 	if !known {
 		return m.completeAfter(mostHostsSpread)
--- a/relay/rollout/wave.go
+++ b/relay/rollout/wave.go
@@ -1,7 +1,7 @@
 // Package rollout decides when each host fetches and loads a new version of its
-// weights, so that few are out of service at once and none serves an old version
-// too long. It is pure: every host computes its own part from what all hosts
-// know.
+// weights, so that few hosts are out of service at once and none serves an old
+// version for too long. Its functions are pure: each host computes its own
+// schedule from data that all hosts share.
 package rollout
 
 import (
@@ -12,51 +12,52 @@
 )
 
 const (
-	// firstSpread is the time from the origin's last chunk until the first host
-	// has them all, as a multiple of what the version takes on a host's link.
+	// firstHostSpread is the time from the origin's last chunk until the first
+	// host has all chunks, as a multiple of Move.Host.
 	firstHostSpread = 0.65
-	// usualSpread is the same until most hosts have them, with room for narrow
-	// links.
+	// mostHostsSpread is the same time until most hosts have all chunks, with a
+	// reserve for slow links.
 	mostHostsSpread = 1.1
-	// pullSpread is how much later the last host begins to fetch from others
-	// than the first, in the same unit. Were all hosts ready at once, all
-	// would load at once.
+	// pullSpread is how much later the last host begins to fetch from other
+	// hosts than the first, as a multiple of Move.Host. If all hosts were ready
+	// at once, all would load at once.
 	pullSpread = 0.85
-	// inTimePart is the part of the hosts that load before the deadline.
+	// onTimeFraction is the fraction of hosts that load before the deadline.
 	onTimeFraction = 0.75
-	// afterSpan is the time after the deadline in which the others begin.
+	// lateStartSpread is the period after the deadline over which the other
+	// hosts begin to load.
 	lateStartSpread = 500 * time.Millisecond
-	// dryTime is how long these wait for what runs.
+	// drainTimeout is how long these hosts wait for running requests.
 	drainTimeout = 1500 * time.Millisecond
-	// finalWait is how long a host lets its turn pass at most: the turns of many would come
-	// together otherwise.
+	// maxPostponement is how long a host may postpone its load. Without a limit
+	// the loads of many hosts would coincide.
 	maxPostponement = 1200 * time.Millisecond
-	// margin is left between the last load's end and the time at which an older
-	// version may no longer be used.
+	// deadlineMargin is the reserve between the end of the last load and the
+	// time at which the older version may no longer be used.
 	deadlineMargin = 700 * time.Millisecond
 )
 
-// Declared is one version as its declaration became known.
+// Declared is a version and the time at which its declaration became known.
 type Declared struct {
 	Version uint64
 	At      time.Time
 }
 
-// Move is how long the weights of one version take on their way.
+// Move holds the transfer and load times of one version's weights.
 type Move struct {
-	Host   time.Duration // over the host's link alone; 0: unknown
-	Origin time.Duration // over the origin's link alone; 0: unknown
+	Host   time.Duration // over the host's link alone; 0 if unknown
+	Origin time.Duration // over the origin's link alone; 0 if unknown
 	Load   time.Duration // into the engine
 }
 
-// whole returns the time from the declaration until a host is whole: every chunk
-// leaves the origin once and then spreads.
+// completeAfter returns the time from the declaration until a host has the complete
+// version: the origin sends every chunk once, then the hosts exchange the chunks.
 func (m Move) completeAfter(spread float64) time.Duration {
 	return max(m.Origin, m.Host) + scale(m.Host, spread)
 }
 
-// Floor returns the lowest version that may still be used: the newest of those
-// that were declared the bound ago or earlier; 0 where there is none.
+// Floor returns the lowest version that may still be used: the newest version that
+// was declared at least bound ago, or 0 if there is none.
 func Floor(history []Declared, now time.Time, bound time.Duration) uint64 {
 	floor := uint64(0)
 	for _, decl := range history {
@@ -67,9 +68,8 @@
 	return floor
 }
 
-// Deadline returns when a host that has a version loaded may no longer use it:
-// the bound after the first newer one was declared. ok is false where no newer
-// one is known.
+// Deadline returns when a host may no longer use its loaded version: bound after
+// the first newer version was declared. ok is false if no newer version is known.
 func Deadline(history []Declared, loaded uint64, bound time.Duration) (deadline time.Time, ok bool) {
 	for _, decl := range history {
 		if decl.Version <= loaded {
@@ -82,16 +82,17 @@
 	return deadline, ok
 }
 
-// PullDelay returns how long a host at the place leaves the links to those
-// before it.
+// PullDelay returns how long a host waits before it fetches from other hosts, so
+// that hosts with a lower place can use the links first.
 func PullDelay(move Move, place float64) time.Duration {
 	return scale(move.Host, pullSpread*place)
 }
 
-// Start returns when a host at the place should load a version that lies ready.
-// Most hosts take their turns from the time at which the first has it to the
-// deadline, less the time that a load takes. The last ones come after the
-// deadline: they get nothing new before it, run dry and cut nothing off.
+// Start returns when a host with the given place should load a fetched version.
+// The loads of most hosts are spread from the time at which the first host has the
+// version to the deadline, less the time for a load. The last hosts load after the
+// deadline: they get no new requests before it, finish the running ones and
+// interrupt none.
 func Start(declared, deadline time.Time, move Move, place float64) time.Time {
 	if RunsDry(place) {
 		return deadline.Add(scale(lateStartSpread, (place-onTimeFraction)/(1-onTimeFraction)))
@@ -104,22 +105,24 @@
 	return first.Add(scale(last.Sub(first), place/onTimeFraction))
 }
 
-// LetsPass reports whether a host lets its turn pass for requests in progress that a load would
-// end for good.
+// LetsPass reports whether a host may postpone its load for requests in progress that
+// the load would end without another attempt.
 func LetsPass(now, start, deadline time.Time, move Move) bool {
 	return now.Before(start.Add(maxPostponement)) && now.Before(latestLoadStart(deadline, move))
 }
 
-// latest returns when a load begins at the latest that ends before the deadline.
+// latestLoadStart returns the latest start of a load that still ends before the
+// deadline.
 func latestLoadStart(deadline time.Time, move Move) time.Time {
 	return deadline.Add(-move.Load - deadlineMargin)
 }
 
-// RunsDry reports whether a host at the place waits for what runs before it loads.
+// RunsDry reports whether a host with the given place finishes its running requests
+// before it loads.
 func RunsDry(place float64) bool { return place >= onTimeFraction }
 
-// MayCut reports whether a load may cut off what runs: before the deadline, and
-// some time after it where something still runs.
+// MayCut reports whether a load may interrupt running requests: before the deadline,
+// and again once drainTimeout has passed after it.
 func MayCut(now, deadline time.Time) bool {
 	return now.Before(deadline) || now.After(deadline.Add(drainTimeout))
 }
@@ -128,8 +131,9 @@
 	return time.Duration(float64(span) * factor)
 }
 
-// Place returns the host's place among all, 0 to 1. It is the same for every
-// version, so that who loads one early fetches the next one early.
+// Place returns the host's position in the rollout order, from 0 (first) to 1. It is
+// the same for every version, so that a host that loads one version early fetches
+// the next one early.
 func Place(host string, hosts []string) float64 {
 	count := len(hosts)
 	if !slices.Contains(hosts, host) {
@@ -138,10 +142,10 @@
 	return float64(rendezvous.Rank(orderKey, host, hosts)) / float64(count)
 }
 
-// orderKey is the key of the order in which hosts take their turns.
+// orderKey is the rendezvous key of the rollout order.
 const orderKey = "rollout"
 
-// Places returns the places of all hosts.
+// Places returns the position of each host in the rollout order; see Place.
 func Places(hosts []string) map[string]float64 {
 	places := make(map[string]float64, len(hosts))
 	for rank, host := range rendezvous.Top(orderKey, hosts, len(hosts)) {
--- a/relay/rollout/wave_test.go
+++ b/relay/rollout/wave_test.go
@@ -17,8 +17,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// TestScripts runs testdata/rollout. Each line of a "declared" block is a version
-// and the second of its declaration; the bound is 8 s and a fetch 2.6 s.
+// TestScripts runs testdata/rollout. Each line of a "declared" block holds a version
+// and the time of its declaration in seconds. The bound is 8 s, a fetch takes 2.6 s.
 func TestScripts(t *testing.T) {
 	var history []rollout.Declared
 	move := rollout.Move{Host: 2600 * time.Millisecond, Load: 300 * time.Millisecond}
@@ -48,7 +48,7 @@
 		case "floor":
 			return fmt.Sprint(rollout.Floor(history, at(arg("now")), bound))
 		case "origin":
-			// Bytes come as slowly from the origin from here on.
+			// From here on the origin takes this long to send a version.
 			move.Origin = time.Duration(arg("seconds") * float64(time.Second))
 			return "ok"
 		case "target":
@@ -66,7 +66,7 @@
 			loadStart := rollout.Start(history[len(history)-1].At, deadline, move, arg("place"))
 			return fmt.Sprintf("%.2f of %.2f", loadStart.Sub(start).Seconds(), deadline.Sub(start).Seconds())
 		}
-		t.Fatalf("got the command %s, want one that this test knows", td.Cmd)
+		t.Fatalf("unknown command %s", td.Cmd)
 		return ""
 	})
 }
@@ -89,8 +89,8 @@
 	return found
 }
 
-// TestTurnsAreSpreadAndKeepTheDeadline: three hosts of four begin in time for the
-// deadline, and no two neighbours in the order begin together.
+// TestTurnsAreSpreadAndKeepTheDeadline checks that three of four hosts complete
+// their load before the deadline and that hosts begin in the order of their places.
 func TestTurnsAreSpreadAndKeepTheDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(4, 400).Draw(t, "hosts")
@@ -138,8 +138,8 @@
 	}
 }
 
-// Guards against answers that two loads in a row break off for good, and against hosts that let
-// their turns pass until all load at once or too late.
+// Guards against requests that fail because two loads in a row interrupt them, and
+// against hosts that postpone their loads until all load at once or too late.
 func TestTurnPassesForWhatALoadWouldEndForGood(t *testing.T) {
 	move := rollout.Move{Load: time.Second}
 	for _, item := range []struct {
@@ -147,10 +147,10 @@
 		turn, now, ends float64
 		want            bool
 	}{
-		{"its turn", 2, 2, 8, true},
-		{"some time later", 2, 3.1, 8, true},
-		{"its turn is long over", 2, 3.3, 8, false},
-		{"a load must begin", 6, 6.4, 8, false},
+		{"at its start time", 2, 2, 8, true},
+		{"shortly after its start time", 2, 3.1, 8, true},
+		{"postponed for too long", 2, 3.3, 8, false},
+		{"latest start before the deadline has passed", 6, 6.4, 8, false},
 	} {
 		if got := rollout.LetsPass(at(item.now), at(item.turn), at(item.ends), move); got != item.want {
 			t.Errorf("%s: got %v, want %v", item.name, got, item.want)
