--- a/relay/membership/amend.go
+++ b/relay/membership/amend.go
@@ -6,22 +6,25 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// shortLength is how many of an incarnation's last characters name it to those
-// who know the host: of a UUIDv7 they are random, 32 bits.
+// shortIncarnationLength is the number of trailing characters that identify an
+// incarnation to receivers that know the host. In a UUIDv7 these characters are
+// 32 random bits.
 const shortIncarnationLength = 8
 
 func shortIncarnation(incarnation string) string {
 	return incarnation[max(0, len(incarnation)-shortIncarnationLength):]
 }
 
-// sameIncarnation compares a held incarnation with a whole or a short one.
+// sameIncarnation reports whether a stored incarnation equals the reported one,
+// which may be complete or shortened.
 func sameIncarnation(stored, reported string) bool {
 	return reported != "" && (stored == reported || len(reported) >= shortIncarnationLength && strings.HasSuffix(stored, reported))
 }
 
-// Amend returns what of a report changes from second to second, as an amendment
-// of the whole report with the base sequence. The receiver may hold a later one
-// as well, from another sender: between the two nothing else changed.
+// Amend returns an amendment: the fields of a report that change from second to
+// second, relative to the whole report with sequence base. The receiver may also
+// apply it to a later whole report from another sender, because no other field
+// changed between the two.
 func Amend(report *wire.HostReport, base uint64) *wire.HostReport {
 	node := report.GetNode()
 	return &wire.HostReport{
@@ -34,14 +37,14 @@
 	}
 }
 
-// IsAmendment reports whether a report lacks what the whole one says. A
-// completed one bears the base too, and the host's description.
+// IsAmendment reports whether a report holds only the fields that Amend keeps. A
+// completed report has a base sequence too, but also the host's description.
 func IsAmendment(report *wire.HostReport) bool {
 	return report.GetBaseSequence() > 0 && report.GetNode().GetRole() == ""
 }
 
-// WholeSequence returns the sequence of the newest whole report that a held one
-// was made of.
+// WholeSequence returns the sequence of the whole report on which a stored report
+// is based.
 func WholeSequence(stored *wire.HostReport) uint64 {
 	if base := stored.GetBaseSequence(); base > 0 {
 		return base
@@ -49,9 +52,9 @@
 	return stored.GetSequence()
 }
 
-// Complete returns a report made whole from what is held of the host; false
-// where that is too old, or of another incarnation: the whole one must be asked
-// for.
+// Complete merges an amendment with the stored report of the host. It returns false
+// if the stored report is too old or of another incarnation; the caller must then
+// request the whole report.
 func (t *Table) Complete(report *wire.HostReport) (*wire.HostReport, bool) {
 	if !IsAmendment(report) {
 		return report, true
@@ -85,8 +88,8 @@
 	}
 }
 
-// CompleteEntry returns an entry's report with its description; false where the
-// report lacks that and it is not known.
+// CompleteEntry returns an entry's report with the entry's description. It returns
+// false if the report lacks the description and the table does not have it.
 func (t *Table) CompleteEntry(report *wire.EntryReport) (*wire.EntryReport, bool) {
 	partial := report.GetNode()
 	if !IsNameOnly(partial) {
@@ -103,8 +106,8 @@
 	}, true
 }
 
-// Node returns the description of the process that was seen under the id and
-// incarnation, or nil: a message need not repeat it.
+// Node returns the description of the process with the id and incarnation, or nil
+// if it is unknown, so that messages need not repeat the description.
 func (t *Table) Node(id, incarnation string) *wire.Node {
 	stored := t.members[id]
 	if stored == nil {
@@ -118,12 +121,13 @@
 	return nil
 }
 
-// NameOnly returns the part of a node that identifies it to those who know it.
+// NameOnly returns the part of a node that identifies it to receivers that have its
+// description.
 func NameOnly(node *wire.Node) *wire.Node {
 	return &wire.Node{Id: node.GetId(), Incarnation: shortIncarnation(node.GetIncarnation()), Role: node.GetRole()}
 }
 
-// IsNameOnly reports whether the node's description was left out.
+// IsNameOnly reports whether the node lacks its description.
 func IsNameOnly(node *wire.Node) bool {
 	return node.GetControlAddress() == "" && node.GetRegion() == "" && node.GetFailureDomain() == ""
 }
--- a/relay/membership/amend_test.go
+++ b/relay/membership/amend_test.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// wholeReport is one of a host whose states are as many as asked for.
+// wholeReport returns a host's whole report with the given number of version states.
 func wholeReport(incarnation string, sequence uint64, states int) *wire.HostReport {
 	report := &wire.HostReport{
 		Node:     &wire.Node{Id: "h", Incarnation: incarnation, Role: "agent", ControlAddress: "10.0.0.1:1"},
@@ -22,16 +22,16 @@
 	return report
 }
 
-// Symptom: an entry routes by a state that the host left, though its reports
-// come. Sequence: whole reports and amendments of two incarnations, each lost,
-// doubled or late. Cause: an amendment applied to another whole report than the
-// one it amends.
+// Symptom: an entry routes by an outdated state of a host although the host's
+// reports arrive. Sequence: whole reports and amendments of two incarnations are
+// lost, duplicated or delayed. Cause: an amendment was applied to a whole report
+// other than its base.
 func TestAmendmentsNeverMixReports(t *testing.T) {
 	const first, second = "0190-aaaaaaaa", "0191-bbbbbbbb"
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		table := New(DefaultLimits())
-		// states[incarnation][sequence] is what the host truly held then.
+		// states[incarnation][sequence] is the host's actual number of states then.
 		states := map[string][]int{}
 		var sent []*wire.HostReport
 		for _, incarnation := range []string{first, second} {
@@ -57,7 +57,7 @@
 			whole, ok := table.Complete(report)
 			if !ok {
 				if !IsAmendment(report) {
-					t.Fatal("a whole report was asked for again")
+					t.Fatal("got a whole report refused, want it accepted")
 				}
 				continue
 			}
@@ -68,19 +68,19 @@
 				t.Fatalf("got %d states at sequence %d, want %d", len(got.GetVersions()), got.GetSequence(), want)
 			}
 			if got.GetRunning() != uint32(got.GetSequence()) || got.GetNode().GetControlAddress() == "" {
-				t.Fatalf("got %v, want the newest load and the host's description", got)
+				t.Fatalf("got %v, want the load of its sequence and the host's description", got)
 			}
 		}
 	})
 }
 
-// An amendment that nobody made whole must not replace what is held.
+// An amendment that was not completed must not replace the stored report.
 func TestAmendmentAloneIsNoReport(t *testing.T) {
 	table := New(DefaultLimits())
 	if table.ObserveHost(Amend(wholeReport("i-1", 5, 1), 4), time.Unix(1000, 0)) {
-		t.Error("got an amendment taken as a report, want it ignored")
+		t.Error("got an amendment stored as a report, want it ignored")
 	}
 	if _, ok := table.Complete(Amend(wholeReport("i-1", 5, 1), 4)); ok {
-		t.Error("got an amendment made whole out of nothing, want the whole report asked for")
+		t.Error("got an amendment completed without a stored report, want the whole report requested")
 	}
 }
--- a/relay/membership/membership.go
+++ b/relay/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership decides which hosts and entries exist and may get work,
-// from three sources of unlike quality: the hosts' own reports, the platform's
-// lagging list and the operators' drain marks.
+// Package membership decides which hosts and entries exist and may get work. It
+// combines three sources of different reliability: the hosts' own reports, the
+// platform's list, which lags, and the operators' drain marks.
 package membership
 
 import (
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// States that the platform's list gives a host.
+// States of a host in the platform's list.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
@@ -24,24 +24,24 @@
 	roleAgent = "agent"
 )
 
-// Limits are the times that the decisions use.
+// Limits are the periods of silence after which members count as lost.
 type Limits struct {
-	// LostAfter is the silence after which a host is not relied on, where it
-	// reports to this process.
+	// LostAfter is the silence after which a host that reports to this process
+	// counts as lost.
 	LostAfter time.Duration
-	// FarLostAfter and FarLostPerHost bound the silence about a host that
-	// reports to another entry: its unchanged reports are passed on rarely, the
-	// more so the more hosts there are.
+	// RemoteLostAfter and RemoteLostPerHost bound the silence of a host that
+	// reports to another entry. Entries forward unchanged reports rarely, and
+	// the more rarely the more hosts there are.
 	RemoteLostAfter, RemoteLostPerHost time.Duration
-	// EntryLostAfter and EntryLostPerEntry bound the silence about an entry;
-	// many entries learn of each other through others, and less often.
+	// EntryLostAfter and EntryLostPerEntry bound the silence of an entry. In a
+	// large deployment entries learn of each other indirectly and less often.
 	EntryLostAfter, EntryLostPerEntry time.Duration
-	// ForgetAfter is the silence after which a host that the platform's list
-	// lacks is forgotten; it bounds the table.
+	// ForgetAfter is the silence after which a member that the platform's list
+	// lacks is removed; it bounds the size of the table.
 	ForgetAfter time.Duration
 }
 
-// DefaultLimits suit reports once a second: two may go missing.
+// DefaultLimits returns limits for one report a second, of which two may be lost.
 func DefaultLimits() Limits {
 	return Limits{
 		LostAfter:         4 * time.Second,
@@ -55,23 +55,23 @@
 	}
 }
 
-// Listed is one line of the platform's list.
+// Listed is one entry of the platform's list.
 type Listed struct {
 	Node    *wire.Node // without incarnation
 	State   string
 	Service string // empty for engine hosts and entries
 }
 
-// member is what is known of one host or entry.
+// member holds the latest information on one host or entry.
 type member struct {
-	report *wire.HostReport  // nil for entries and for hosts never seen
-	entry  *wire.EntryReport // nil for hosts and for entries never seen
-	seenAt time.Time         // zero: never seen
-	listed *Listed           // nil: the newest list lacks it
+	report *wire.HostReport  // nil for entries and for hosts that never reported
+	entry  *wire.EntryReport // nil for hosts and for entries that never reported
+	seenAt time.Time         // zero if never seen
+	listed *Listed           // nil if the newest list lacks it
 }
 
-// Table holds the members. It is not safe for concurrent use: programs keep
-// one for each shard, under the shard's lock.
+// Table holds the members. It is not safe for concurrent use: programs keep one
+// table for each shard and guard it by the shard's lock.
 type Table struct {
 	limits  Limits
 	members map[string]*member
@@ -82,10 +82,10 @@
 	return &Table{limits: limits, members: map[string]*member{}}
 }
 
-// Len returns how many members are known.
+// Len returns the number of members.
 func (t *Table) Len() int { return len(t.members) }
 
-// EntryCount returns how many entries are known.
+// EntryCount returns the number of entries that have reported.
 func (t *Table) EntryCount() int {
 	count := 0
 	for _, stored := range t.members {
@@ -105,9 +105,9 @@
 	return found
 }
 
-// Newer reports whether a report of (incarnation, sequence) replaces the held
-// one. Incarnations are UUIDv7 texts: a restarted process sorts behind the one
-// it replaces.
+// Newer reports whether a report with the incarnation and sequence replaces the
+// stored one. Incarnations are UUIDv7 strings, so that the incarnation of a
+// restarted process sorts after the previous one.
 func Newer(incarnation string, sequence uint64, storedIncarnation string, storedSequence uint64) bool {
 	if incarnation != storedIncarnation {
 		return incarnation > storedIncarnation
@@ -115,8 +115,8 @@
 	return sequence > storedSequence
 }
 
-// ObserveHost takes a host's whole report and returns whether it was news; see
-// Complete for an amendment.
+// ObserveHost stores a host's whole report and returns whether it was newer than
+// the stored one. It ignores amendments; see Complete.
 func (t *Table) ObserveHost(report *wire.HostReport, now time.Time) bool {
 	id := report.GetNode().GetId()
 	if id == "" || report.GetNode().GetIncarnation() == "" || IsAmendment(report) {
@@ -131,8 +131,9 @@
 	return true
 }
 
-// replaces reports whether a report is news. The report that a host is lost comes
-// from its home entry and bears the last sequence number that the host used.
+// replaces reports whether a report supersedes the stored one. The report that a
+// host is lost comes from its home entry and has the last sequence number that the
+// host used.
 func replaces(report, stored *wire.HostReport) bool {
 	incarnation, storedIncarnation := report.GetNode().GetIncarnation(), stored.GetNode().GetIncarnation()
 	if incarnation == storedIncarnation && report.GetSequence() == stored.GetSequence() {
@@ -141,8 +142,8 @@
 	return Newer(incarnation, report.GetSequence(), storedIncarnation, stored.GetSequence())
 }
 
-// Touch notes that the host's process was seen, without a report: a call of
-// it ended here.
+// Touch records that the host's process was seen without a report, when a call
+// from it ended here.
 func (t *Table) Touch(id, incarnation string, now time.Time) {
 	stored := t.members[id]
 	if stored != nil && stored.report != nil && stored.report.GetNode().GetIncarnation() == incarnation {
@@ -150,8 +151,8 @@
 	}
 }
 
-// ObserveEntry takes an entry's report and returns whether it was news; see
-// CompleteEntry for one without description.
+// ObserveEntry stores an entry's report and returns whether it was newer than the
+// stored one. Reports without description go through CompleteEntry first.
 func (t *Table) ObserveEntry(report *wire.EntryReport, now time.Time) bool {
 	id := report.GetNode().GetId()
 	if id == "" || report.GetNode().GetIncarnation() == "" {
@@ -167,7 +168,8 @@
 	return true
 }
 
-// later keeps a clock that jumped back from making a member look silent.
+// laterTime returns the later of both times, so that a member does not look silent
+// when the clock jumps back.
 func laterTime(stored, seen time.Time) time.Time {
 	if seen.Before(stored) {
 		return stored
@@ -179,9 +181,9 @@
 	return now.Add(-time.Duration(ageMillis) * time.Millisecond)
 }
 
-// ObserveList takes the platform's list, or the table's share of it; absence alone
-// changes no host's use. total is the length of the whole list: an empty one is
-// an outage of the list, not of the deployment, and changes nothing.
+// ObserveList stores the platform's list, or the table's share of it. Absence from
+// the list alone makes no host unusable. total is the length of the whole list: an
+// empty list means an outage of the list, not of the deployment, and is ignored.
 func (t *Table) ObserveList(list []Listed, total int, now time.Time) {
 	if total == 0 {
 		return
@@ -197,9 +199,9 @@
 	t.Forget(now)
 }
 
-// Adjust moves the times last seen after this process itself stood still
-// (paused, or its clock jumped): otherwise it would wake, find the whole deployment
-// silent and route to nobody until every host has reported again.
+// Adjust shifts all last-seen times after this process was paused or its clock
+// jumped. Otherwise the process would treat the whole deployment as silent and
+// route to no host until the hosts have reported again.
 func (t *Table) Adjust(jump time.Duration) {
 	for _, stored := range t.members {
 		if !stored.seenAt.IsZero() {
@@ -208,11 +210,11 @@
 	}
 }
 
-// Knows reports whether the host or entry is known.
+// Knows reports whether the table has the host or entry.
 func (t *Table) Knows(id string) bool { return t.members[id] != nil }
 
-// Forget drops the members that were silent for long and that the newest list
-// lacks; it bounds the table.
+// Forget removes the members that have been silent for longer than ForgetAfter and
+// that the newest list lacks. This bounds the size of the table.
 func (t *Table) Forget(now time.Time) {
 	for id, stored := range t.members {
 		if stored.listed == nil && now.Sub(stored.seenAt) > t.limits.ForgetAfter {
@@ -221,20 +223,21 @@
 	}
 }
 
-// Outlook is what the judgement of hosts needs from outside the table.
+// Outlook holds the inputs from outside the table that the state of hosts depends on.
 type Outlook struct {
-	// Self is the id of the entry that judges.
+	// Self is the id of this entry.
 	Self string
-	// Drained are the hosts that operators took out.
+	// Drained holds the ids of hosts that operators drain.
 	Drained map[string]bool
-	// LostEntries are the ids of entries that fell silent.
+	// LostEntries holds the ids of entries that are lost.
 	LostEntries map[string]bool
 	// HostCount is the number of hosts in all shards.
 	HostCount int
 }
 
-// lostHost trusts the home entry of a far host: its report or its own loss counts
-// for more than silence about the host, which is the rule there.
+// isHostLost reports whether a host counts as lost. For a host that reports to
+// another entry, its home entry, long silence is normal. There it relies on that
+// entry's report of the loss, or applies LostAfter once that entry itself is lost.
 func (t *Table) isHostLost(stored *member, now time.Time, out Outlook) bool {
 	silence := now.Sub(stored.seenAt)
 	home := stored.report.GetHome()
@@ -254,14 +257,14 @@
 	return now.Sub(stored.seenAt) > t.limits.EntryLostAfter+time.Duration(entryCount)*t.limits.EntryLostPerEntry
 }
 
-// leaving joins the three sources: any one of them stops new work. A host's
-// own newest report counts, so that one that was taken back, or restarted, is
-// back at once.
+// leaving combines the three sources, each of which stops new work. Of a host's own
+// reports only the newest counts, so that a host that withdraws its leave or
+// restarts is usable again at once.
 func leaving(stored *member, reportedLeaving, drained bool) bool {
 	return reportedLeaving || drained || (stored.listed != nil && stored.listed.State == StateLeaving)
 }
 
-// Hosts returns the hosts that reported at least once, in no order.
+// Hosts returns the hosts that reported at least once, in unspecified order.
 func (t *Table) Hosts(now time.Time, out Outlook) []view.Host {
 	hosts := make([]view.Host, 0, len(t.members))
 	for id, stored := range t.members {
@@ -274,8 +277,8 @@
 	return hosts
 }
 
-// Entries returns the entries that reported at least once, in no order.
-// entryCount is the number in all shards.
+// Entries returns the entries that reported at least once, in unspecified order.
+// entryCount is the number of entries in all shards.
 func (t *Table) Entries(now time.Time, entryCount int) []view.Peer {
 	var entries []view.Peer
 	for _, stored := range t.members {
@@ -288,23 +291,23 @@
 	return entries
 }
 
-// SortHosts sorts by id.
+// SortHosts sorts hosts by id.
 func SortHosts(hosts []view.Host) {
 	slices.SortFunc(hosts, func(a, b view.Host) int {
 		return strings.Compare(a.Report().GetNode().GetId(), b.Report().GetNode().GetId())
 	})
 }
 
-// SortEntries sorts by id.
+// SortEntries sorts entries by id.
 func SortEntries(entries []view.Peer) {
 	slices.SortFunc(entries, func(a, b view.Peer) int {
 		return strings.Compare(a.Report().GetNode().GetId(), b.Report().GetNode().GetId())
 	})
 }
 
-// Reachable returns the entries worth calling, seen or only listed, in no
-// order: an entry starts with the platform's list and learns the rest from the
-// first that answers.
+// Reachable returns the entries to call, whether they reported or are only listed,
+// in unspecified order. An entry starts with the platform's list and learns of the
+// other entries from the first one that answers.
 func (t *Table) Reachable(now time.Time) []*wire.Node {
 	var nodes []*wire.Node
 	for _, stored := range t.members {
@@ -325,13 +328,14 @@
 	return nil
 }
 
-// gone leaves out an entry that fell silent long ago and is not listed.
+// isExpired reports whether an entry is not listed and has been silent for longer
+// than RemoteLostAfter.
 func (t *Table) isExpired(stored *member, now time.Time) bool {
 	return stored.entry != nil && stored.listed == nil && now.Sub(stored.seenAt) > t.limits.RemoteLostAfter
 }
 
-// ListedEngines counts, by failure domain, the engine hosts that the platform
-// lists or that reported, into the map given.
+// ListedEngines adds the number of engine hosts that reported or that the platform
+// lists to count, by failure domain.
 func (t *Table) ListedEngines(count map[string]int) {
 	for _, stored := range t.members {
 		switch {
--- a/relay/membership/membership_test.go
+++ b/relay/membership/membership_test.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// scene is one entry's table.
+// fixture holds the table of one entry and the inputs that a script changes.
 type fixture struct {
 	table   *Table
 	now     time.Time
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestScripts replays testdata.
+// TestScripts runs the scripts in testdata.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		sc := newFixture()
@@ -54,11 +54,11 @@
 			Node: node, Sequence: uint64(number("sequence")), Leaving: cmd.HasArg("leaving"), Lost: cmd.HasArg("lost"),
 			Home: text("home", "self"), AgeMillis: uint32(number("ageMillis")),
 		}, s.now)
-		return fmt.Sprintf("news: %t\n", updated)
+		return fmt.Sprintf("updated: %t\n", updated)
 	case "entry":
 		node.Role = "entry"
 		updated := s.table.ObserveEntry(&wire.EntryReport{Node: node, Sequence: uint64(number("sequence")), Draining: cmd.HasArg("draining")}, s.now)
-		return fmt.Sprintf("news: %t\n", updated)
+		return fmt.Sprintf("updated: %t\n", updated)
 	case "list":
 		s.list(cmd)
 	case "drain":
@@ -77,7 +77,7 @@
 	return s.show()
 }
 
-// list takes "list live=(a,b) leaving=(c)".
+// list runs a command such as "list live=(a,b) leaving=(c)".
 func (s *fixture) list(cmd *datadriven.TestData) {
 	var listed []Listed
 	for _, arg := range cmd.CmdArgs {
@@ -118,8 +118,9 @@
 	return out
 }
 
-// TestOrderOfReportsDoesNotMatter: reports reach an entry by several ways, in
-// any order and repeated; the newest of the newest incarnation must win.
+// TestOrderOfReportsDoesNotMatter checks that the newest report of the newest
+// incarnation wins, since reports reach an entry over several paths, in any order
+// and more than once.
 func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sc := newFixture()
