--- a/relay/peer/identity.go
+++ b/relay/peer/identity.go
@@ -9,16 +9,16 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Roles that a certificate may name in its organisational unit.
+// Roles that a certificate's organisational unit may contain.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
 )
 
-// Identity is who is at the other end of a call, proved by its certificate.
+// Identity identifies the caller by its verified certificate.
 type Identity struct {
-	node string // common name: the node's id
-	role string // organisational unit: RoleEntry or RoleAgent
+	node string // node id, from the common name
+	role string // RoleEntry or RoleAgent, from the organisational unit
 }
 
 // Node returns the caller's node id.
@@ -27,8 +27,8 @@
 // Role returns the caller's role.
 func (i Identity) Role() string { return i.role }
 
-// CallerOf returns the identity behind a served call. Without TLS (settings
-// with insecure set) the identity is empty and known is false.
+// CallerOf returns the identity of the caller of a served call. Without TLS
+// (insecure is set in the settings) the identity is empty and known is false.
 func CallerOf(ctx context.Context) (caller Identity, known bool) {
 	transport, ok := drpcctx.Transport(ctx)
 	if !ok {
@@ -50,8 +50,8 @@
 	return caller, true
 }
 
-// Require returns an error unless the call comes from one of the roles. A
-// process that runs insecure accepts all, as its settings say.
+// Require returns an error unless the caller has one of the roles. It accepts every
+// caller if secure is false, as in a process whose settings set insecure.
 func Require(ctx context.Context, secure bool, roles ...string) error {
 	if !secure {
 		return nil
--- a/relay/peer/keys.go
+++ b/relay/peer/keys.go
@@ -16,8 +16,9 @@
 // keyCheckInterval is how often the key files' modification times are read.
 const keyCheckInterval = 2 * time.Second
 
-// Keys holds a process's certificate and authority and reads the files again
-// when they change, so that keys are replaced without a restart.
+// Keys holds a process's certificate and key and the certificate authority. It
+// reloads the files when they change, so that keys can be replaced without a
+// restart.
 type Keys struct {
 	files *wire.TlsSettings
 	clock clockwork.Clock
@@ -25,22 +26,22 @@
 	mu      sync.Mutex
 	pair    tls.Certificate
 	pool    *x509.CertPool
-	stamps  [keyFiles]fileStamp // of the files in use, taken before they were read
+	stamps  [keyFiles]fileStamp // of the loaded files, taken before they were read
 	checked time.Time
 }
 
-// keyFiles is the number of files that keys are read from.
+// keyFiles is the number of key files: certificate, key and authority.
 const keyFiles = 3
 
-// stamp identifies one content of a file. The newest time of all files
-// would not do: a file that is moved into place keeps its own, perhaps older,
-// time.
+// fileStamp detects changes of a file. Comparing the newest modification time of
+// all files would not suffice: a file moved into place keeps its own, possibly
+// older, time.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// NewKeys reads the key files once; later reads happen on use.
+// NewKeys reads the key files. Later uses of the Keys check them for changes.
 func NewKeys(files *wire.TlsSettings, clock clockwork.Clock) (*Keys, error) {
 	k := &Keys{files: files, clock: clock}
 	if err := k.read(); err != nil {
@@ -50,8 +51,8 @@
 	return k, nil
 }
 
-// read takes the stamps first: a file that is replaced while it is read then
-// differs from its stamp and is read again.
+// read loads the key files. It takes the stamps first, so that a file replaced while
+// it is read differs from its stamp and is read again.
 func (k *Keys) read() error {
 	stamps := k.statFiles()
 	pair, err := tls.LoadX509KeyPair(k.files.GetCertificateFile(), k.files.GetKeyFile())
@@ -83,9 +84,9 @@
 	return stamps
 }
 
-// current returns the keys in use. Files that are half written while being
-// replaced would fail to parse and cut every connection; the last good keys
-// stay in use until the new ones parse.
+// current returns the keys in use, after reloading changed files. Files that are
+// half written during a replacement fail to parse; the last valid keys then stay in
+// use until the new ones parse, since connections would fail without keys.
 func (k *Keys) current() (tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,8 +100,8 @@
 	return k.pair, k.pool
 }
 
-// ServerConfig returns a configuration that demands a certificate of the same
-// authority from every client.
+// ServerConfig returns a configuration that requires from every client a
+// certificate signed by the same authority.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -116,9 +117,9 @@
 	}
 }
 
-// ClientConfig returns a configuration for dialling a process by IP number:
-// certificates name the process, not its address, so the chain is verified
-// here and the host name is not.
+// ClientConfig returns a configuration for dialling a process by IP address.
+// Certificates name the process, not its address, so the client verifies the
+// certificate chain but not the host name.
 func (k *Keys) ClientConfig() *tls.Config {
 	pair, pool := k.current()
 	return &tls.Config{
--- a/relay/peer/keys_test.go
+++ b/relay/peer/keys_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// replaceAll gives a server's keys a new authority, file by file, with times
-// that are older than those of the files before: as a move into place keeps
-// them.
+// replaceAll replaces a server's key files by those of a new authority, one file at
+// a time. The new files have older modification times than the previous ones, as
+// after a move into place.
 func replaceAll(t *testing.T, files *wire.TlsSettings, next *authority, dir string) {
 	t.Helper()
 	fresh := next.issue(t, dir, "agent-1", RoleAgent)
@@ -69,8 +69,9 @@
 }
 
 // Symptom: after a change of the authority every call failed until a restart.
-// Sequence: the files of a running process are replaced by older ones, moved
-// into place. Cause: keys read once, or again only for a newer time.
+// Sequence: the key files of a running process are replaced by files with older
+// modification times. Cause: keys were read only once, or again only if a file had
+// a newer time.
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	before, after := newAuthority(t), newAuthority(t)
@@ -81,20 +82,20 @@
 	fresh := loadKeys(t, after.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	replaceAll(t, files, after, t.TempDir())
 	if err := call(t, old, lis.Addr().String()); err != nil {
-		t.Errorf("got %v before the files are looked at again, want the old keys in use", err)
+		t.Errorf("got %v before the files are checked again, want the old keys in use", err)
 	}
 	clock.Advance(keyCheckInterval)
 	if err := call(t, fresh, lis.Addr().String()); err != nil {
 		t.Errorf("got %v with the new authority's keys, want them accepted", err)
 	}
 	if err := call(t, old, lis.Addr().String()); err == nil {
-		t.Error("got a call through with the old authority's keys, want it refused")
+		t.Error("got a call accepted with the old authority's keys, want it refused")
 	}
 }
 
-// Symptom: all connections of a process broke while its keys were replaced.
-// Sequence: the certificate is written in two pieces, and somebody connects in
-// between. Cause: the process dropped its good keys for files that do not parse.
+// Symptom: all connections of a process failed while its keys were replaced.
+// Sequence: the certificate is written in two parts, and a peer connects in
+// between. Cause: the process dropped its valid keys for files that do not parse.
 func TestHalfWrittenFileKeepsTheOldKeys(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deployment := newAuthority(t)
@@ -120,7 +121,7 @@
 			replaceAll(t, files, next, t.TempDir())
 			clock.Advance(keyCheckInterval)
 			if err := call(t, loadKeys(t, next.issue(t, t.TempDir(), "entry-1", RoleEntry), clock), lis.Addr().String()); err != nil {
-				t.Errorf("got %v once all files are whole, want the new keys in use", err)
+				t.Errorf("got %v once all files are complete, want the new keys in use", err)
 			}
 		})
 	}
--- a/relay/peer/meter.go
+++ b/relay/peer/meter.go
@@ -12,31 +12,32 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// What this process sent to and received from others, by call: the names are
-// "controlSync", "hostRun" and so on. Bytes are those of the encoded messages;
-// the drpc frames (5 to 10 bytes each, and the call's name once) and the TLS
-// records and handshakes are only in the sums of all connections, and the
-// headers of TCP and IP are in none.
+// Traffic between this process and others, by call; the keys are "controlSync",
+// "hostRun" and so on. The bytes by call are those of the encoded messages. The
+// drpc frames (5 to 10 bytes each, and the call's name once), TLS records and TLS
+// handshakes count only in the totals of all connections. TCP and IP headers are
+// not counted.
 var (
 	callsMade   = expvar.NewMap("peerCallsMade")
 	callsServed = expvar.NewMap("peerCallsServed")
 	bytesIn     = expvar.NewMap("peerBytesIn")
 	bytesOut    = expvar.NewMap("peerBytesOut")
-	// connectionBytesIn and connectionBytesOut count below TLS.
+	// connectionBytesIn and connectionBytesOut count the bytes on TCP
+	// connections, including TLS.
 	connectionBytesIn  = expvar.NewInt("peerConnectionBytesIn")
 	connectionBytesOut = expvar.NewInt("peerConnectionBytesOut")
 )
 
-// traffic counts one call's messages. It stands in for the call's encoding,
-// which every message passes once.
+// traffic counts the messages of one call. It wraps the call's encoding, which
+// processes every message once.
 type traffic struct {
 	encoding              drpc.Encoding
 	made, served, in, out *expvar.Int
 }
 
-// known holds the traffic of each call of the wire types. Calls that a peer
-// makes up are refused by the mux and counted nowhere, so that they cannot fill
-// the memory.
+// trafficByCall holds the counters of each call that package wire defines. The mux
+// refuses unknown calls. They are not counted, so that a peer cannot exhaust the
+// memory with invented names.
 var trafficByCall = newTrafficByCall(wire.DRPCControlDescription{}, wire.DRPCHostDescription{})
 
 func newTrafficByCall(services ...drpc.Description) map[string]*traffic {
@@ -73,27 +74,27 @@
 	return strings.ToLower(service[:1]) + service[1:] + method
 }
 
-// Marshal encodes a message that goes out.
+// Marshal encodes an outgoing message and counts its bytes.
 func (t *traffic) Marshal(msg drpc.Message) ([]byte, error) {
 	data, err := t.encoding.Marshal(msg)
 	t.out.Add(int64(len(data)))
 	return data, err
 }
 
-// MarshalAppend spares drpc a copy, as the generated encodings do.
+// MarshalAppend saves drpc a copy, as in the generated encodings.
 func (t *traffic) MarshalAppend(buf []byte, msg drpc.Message) ([]byte, error) {
 	data, err := drpcenc.MarshalAppend(msg, t.encoding, buf)
 	t.out.Add(int64(max(0, len(data)-len(buf))))
 	return data, err
 }
 
-// Unmarshal decodes a message that came in.
+// Unmarshal decodes an incoming message and counts its bytes.
 func (t *traffic) Unmarshal(buf []byte, msg drpc.Message) error {
 	t.in.Add(int64(len(buf)))
 	return t.encoding.Unmarshal(buf, msg)
 }
 
-// meteredConn counts the calls made over a connection.
+// meteredConn counts the calls made over a connection and their messages.
 type meteredConn struct{ drpc.Conn }
 
 func (c meteredConn) Invoke(ctx context.Context, call string, enc drpc.Encoding, in, out drpc.Message) error {
@@ -132,7 +133,7 @@
 	return s.Stream.MsgRecv(msg, s.count)
 }
 
-// meteredHandler counts the calls served.
+// meteredHandler counts the calls served and their messages.
 type meteredHandler struct{ drpc.Handler }
 
 func (h meteredHandler) HandleRPC(stream drpc.Stream, call string) error {
@@ -143,7 +144,7 @@
 	return h.Handler.HandleRPC(stream, call)
 }
 
-// meteredTransport counts what goes over one connection, TLS included.
+// meteredTransport counts the bytes of one connection, including TLS.
 type meteredTransport struct{ net.Conn }
 
 func (t meteredTransport) Read(buf []byte) (int, error) {
@@ -158,7 +159,7 @@
 	return n, err
 }
 
-// meteredListener meters the connections that it accepts.
+// meteredListener counts the bytes of the connections that it accepts.
 type meteredListener struct{ net.Listener }
 
 func (l meteredListener) Accept() (net.Conn, error) {
--- a/relay/peer/meter_test.go
+++ b/relay/peer/meter_test.go
@@ -14,7 +14,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// figures of one call, in the order made, served, in, out.
+// callCounts holds the counters of one call: calls made, calls served, bytes in and
+// bytes out.
 type callCounts [4]int64
 
 func callCountsOf(name string) (now callCounts) {
@@ -31,8 +32,8 @@
 	return diff
 }
 
-// TestTrafficByCall: caller and callee share this test's process, so that each
-// message counts once out and once in.
+// TestTrafficByCall checks the counters of a call and a stream. Caller and callee
+// share this test's process, so each message counts once as out and once as in.
 func TestTrafficByCall(t *testing.T) {
 	frame := &wire.Frame{RequestId: "r", Tokens: []string{"un", "dos"}}
 	attempt := &wire.Attempt{Prompt: "a letter from Xela"}
@@ -77,8 +78,8 @@
 	}
 }
 
-// TestInventedCallsAreNotCounted: a peer that calls ever new names would fill
-// the memory with their counters.
+// TestInventedCallsAreNotCounted guards against counters for unknown calls: a peer
+// that invents ever new names would exhaust the memory.
 func TestInventedCallsAreNotCounted(t *testing.T) {
 	lis := listen(t, "127.0.0.1:0")
 	serve(t, lis, nil, newReplyingServer())
@@ -97,7 +98,7 @@
 	}
 }
 
-// plain is a stream without a connection, to measure the counters alone.
+// bufferStream is a stream without a connection, to measure the counters alone.
 type bufferStream struct {
 	drpc.Stream
 
--- a/relay/peer/pki_test.go
+++ b/relay/peer/pki_test.go
@@ -22,7 +22,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// authority signs certificates of one deployment.
+// authority is a certificate authority that signs the certificates of a deployment.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -51,7 +51,7 @@
 	return &authority{cert: cert, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// issue writes a node's keys into the directory and returns their names.
+// issue writes a node's key files into the directory and returns their paths.
 func (a *authority) issue(t testing.TB, dir, id, role string) *wire.TlsSettings {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -90,7 +90,7 @@
 	}
 }
 
-// hostServer answers Host calls; the functions are seams.
+// hostServer answers Host calls with the functions that a test sets.
 type hostServer struct {
 	wire.DRPCHostUnimplementedServer
 
@@ -106,7 +106,7 @@
 	return s.run(req, stream)
 }
 
-// serve serves on the loopback until the returned function is called.
+// serve runs a server on the listener until the returned function is called.
 func serve(t testing.TB, lis net.Listener, keys *Keys, server *hostServer) (stop func()) {
 	t.Helper()
 	mux := drpcmux.New()
@@ -139,7 +139,7 @@
 	}}
 }
 
-// call makes one call over a fresh pool.
+// call makes one call over a new pool.
 func call(t testing.TB, keys *Keys, address string) error {
 	t.Helper()
 	pool := NewPool(keys)
--- a/relay/peer/pool.go
+++ b/relay/peer/pool.go
@@ -1,5 +1,5 @@
-// Package peer carries drpc calls between the system's own processes: pooled
-// connections out, one listener in, mutual TLS on both.
+// Package peer transports drpc calls between the system's own processes. It pools
+// outgoing connections, serves incoming ones and uses mutual TLS for both.
 package peer
 
 import (
@@ -17,23 +17,23 @@
 )
 
 const (
-	// idleExpiration closes pooled connections that nobody used meanwhile.
+	// idleExpiration is the idle time after which a pooled connection is closed.
 	idleExpiration = 30 * time.Second
-	// connectionsPerPeer bounds idle connections kept for one address.
+	// connectionsPerPeer limits the idle connections kept for one address.
 	connectionsPerPeer = 64
-	// dialTimeout bounds the TCP and TLS handshakes together.
+	// dialTimeout limits the TCP and TLS handshakes together.
 	dialTimeout = 2 * time.Second
-	// cancelGrace lets a send in progress finish so that a cancelled call does
-	// not cost its connection.
+	// cancelGrace lets a send in progress finish, so that a cancelled call does
+	// not close its connection.
 	cancelGrace = 5 * time.Millisecond
-	// maximumMessage bounds one message on the wire, bytes.
+	// maximumMessage is the largest message on the wire, in bytes.
 	maximumMessage = 4 << 20
 )
 
 // Pool keeps connections to other processes by address. A drpc connection
 // carries one call at a time, so the pool holds several for one address.
 type Pool struct {
-	keys *Keys // nil: clear text
+	keys *Keys // nil for clear text
 	pool *drpcpool.Pool[string, *drpcconn.Conn]
 }
 
@@ -49,7 +49,7 @@
 }
 
 // Conn returns a connection to the address ("ip:port"). It dials on use and
-// puts the connection back after each call.
+// returns the connection to the pool after each call.
 func (p *Pool) Conn(ctx context.Context, address string) drpc.Conn {
 	return meteredConn{p.pool.Get(ctx, address, p.dial)}
 }
--- a/relay/peer/pool_test.go
+++ b/relay/peer/pool_test.go
@@ -10,7 +10,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// recorded remembers the connections that a listener accepted, to cut them.
+// recordingListener records the connections that it accepts, so that a test can
+// close them.
 type recordingListener struct {
 	net.Listener
 
@@ -26,8 +27,8 @@
 }
 
 // Symptom: a request marked as not repeatable ran twice. Sequence: the peer
-// dies while it runs a call; a library sends the call again on another
-// connection. Cause: the library takes any broken connection for a stale one.
+// crashes while it runs a call, and a library sends the call again on another
+// connection. Cause: the library treats every broken connection as a stale one.
 func TestCallToDyingPeerIsNotSentAgain(t *testing.T) {
 	var started atomic.Int32
 	lis := recordingListener{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
@@ -40,16 +41,16 @@
 	}}
 	stop := serve(t, lis, nil, server)
 	if err := call(t, nil, lis.Addr().String()); err == nil {
-		t.Error("got no error from a peer that died in the call, want one")
+		t.Error("got no error from a peer that crashed during the call, want one")
 	}
 	stop()
 	if got, want := started.Load(), int32(1); got != want {
-		t.Errorf("got the call begun %d times, want %d", got, want)
+		t.Errorf("got the call started %d times, want %d", got, want)
 	}
 }
 
-// Symptom: as above, for a stream. Sequence: the peer dies after the first
-// frame. Cause: a stream that is opened anew repeats its request.
+// Symptom: a request marked as not repeatable ran twice, as a stream. Sequence: the
+// peer crashes after the first frame. Cause: reopening a stream repeats its request.
 func TestStreamOfDyingPeerBreaks(t *testing.T) {
 	var started atomic.Int32
 	lis := recordingListener{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
@@ -79,8 +80,8 @@
 }
 
 // Symptom: the first call after a peer's restart ran twice or hung. Sequence:
-// the pool holds a connection to a process that is replaced at the same
-// address. Cause: the pool believes its idle connection.
+// the pool holds a connection to a process that is replaced at the same address.
+// Cause: the pool uses its idle connection without checking it.
 func TestReplacedPeer(t *testing.T) {
 	var started atomic.Int32
 	counting := &hostServer{have: func(context.Context, *wire.HaveRequest) (*wire.HaveReply, error) {
@@ -97,11 +98,11 @@
 	}
 	stop()
 	if _, err := client.Have(t.Context(), &wire.HaveRequest{}); err == nil {
-		t.Error("got an answer while nobody listens, want an error")
+		t.Error("got an answer without a listener, want an error")
 	}
 	serve(t, listen(t, lis.Addr().String()), nil, counting)
 	if _, err := client.Have(t.Context(), &wire.HaveRequest{}); err != nil {
-		t.Errorf("got %v from the peer's successor, want an answer", err)
+		t.Errorf("got %v from the replaced peer, want an answer", err)
 	}
 	if got, want := started.Load(), int32(2); got != want {
 		t.Errorf("got %d runs for 2 calls that were answered, want %d", got, want)
@@ -121,6 +122,6 @@
 	defer pool.Close()
 	_, err := wire.NewDRPCHostClient(pool.Conn(ctx, address)).Have(ctx, &wire.HaveRequest{})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v with a cancelled context, want that it was cancelled", err)
+		t.Errorf("got %v with a cancelled context, want context.Canceled", err)
 	}
 }
--- a/relay/peer/server.go
+++ b/relay/peer/server.go
@@ -11,15 +11,16 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// quietTimeout closes a connection on which no call begins. It is longer than the
-// time that a client keeps an idle connection, so that no call meets the close.
+// inactivityTimeout is the time after which the server closes a connection on which
+// no call begins. It is longer than clients keep an idle connection, so that no
+// call is sent on a connection that the server closes.
 //
-// Without it a connection whose first frame begins no call, or that never ends
-// its TLS handshake, is never read again: the server would not even notice that
-// the peer is gone, and hold its descriptor and goroutines for ever.
+// Without this timeout a connection whose first frame begins no call, or whose TLS
+// handshake never completes, is never read again: the server would not notice that
+// the peer is gone and would keep the descriptor and goroutines forever.
 const inactivityTimeout = 4 * idleExpiration
 
-// Serve answers drpc calls on the listener until ctx ends. Nil keys mean clear
+// Serve answers drpc calls on the listener until ctx is done. Nil keys mean clear
 // text.
 func Serve(ctx context.Context, lis net.Listener, keys *Keys, mux *drpcmux.Mux, log *slog.Logger) error {
 	return serveWithTimeout(ctx, lis, keys, mux, log, inactivityTimeout)
--- a/relay/peer/server_test.go
+++ b/relay/peer/server_test.go
@@ -12,7 +12,7 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// closing notes when the server closes a connection.
+// closeNotifyConn signals when the server closes the connection.
 type closeNotifyConn struct {
 	net.Conn
 
@@ -24,7 +24,7 @@
 	return c.Conn.Close()
 }
 
-// closingListener accepts such connections.
+// closeNotifyListener wraps accepted connections in closeNotifyConn.
 type closeNotifyListener struct {
 	net.Listener
 
@@ -40,8 +40,9 @@
 }
 
 // Symptom: a process runs out of file descriptors. Sequence: a peer's first frame
-// begins no call (or it never ends its TLS handshake), and the peer goes. Cause:
-// the server waits for the call and reads nothing meanwhile, not even the end.
+// begins no call, or its TLS handshake never completes, and the peer disconnects.
+// Cause: the server waits for the call and does not read, so it misses the end of
+// the connection.
 func TestConnectionWithoutCallIsClosed(t *testing.T) {
 	message := drpcwire.AppendFrame(nil, drpcwire.Frame{
 		ID: drpcwire.ID{Stream: 1, Message: 1}, Kind: drpcwire.KindMessage, Done: true,
@@ -69,7 +70,7 @@
 			if _, err := conn.Write(test.first); err != nil {
 				t.Fatal(err)
 			}
-			<-lis.closed // else the test's own time limit ends it
+			<-lis.closed // if it is never closed, the test's timeout fails it
 			cancel()
 			<-done
 		})
