--- a/relay/kv/calls.go
+++ b/relay/kv/calls.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// callTimeout ends a call whose context has no nearer end, so that a
-	// service that accepts calls and never answers is noticed.
+	// callTimeout limits a call whose context has no earlier deadline, so that
+	// calls to a service that accepts them and never answers fail.
 	callTimeout = 10 * time.Second
-	// watchGrace is what a watch may take beyond the wait it asked for; longer
-	// means that the watch went silent.
+	// watchGrace is how much longer than its requested wait a watch may take
+	// before the client treats it as failed.
 	watchGrace = 5 * time.Second
-	// maxAnswerBytes bounds what is read of one answer.
+	// maxAnswerBytes limits the bytes read from one answer.
 	maxAnswerBytes = 64 << 20
 )
 
-// caller makes the HTTP calls to the service.
+// caller sends HTTP requests to the service.
 type caller struct {
 	base   string // without a trailing slash
 	agent  string // User-Agent
 	budget *budget.Budget
-	client *http.Client // never follows a redirect: that would send a write twice
+	client *http.Client // must not follow redirects, which would send a write twice
 }
 
-// call is one HTTP call before it is made.
+// call describes one HTTP request.
 type call struct {
 	kind    budget.Kind
 	key     string
@@ -45,7 +45,8 @@
 	timeout time.Duration
 }
 
-// do waits for the budget, makes the call once and decodes a 200 into answer.
+// send waits for the budget, makes the call once and decodes the body of a 200 into
+// answer.
 func (c *caller) send(ctx context.Context, call call, answer any) error {
 	if err := c.budget.Wait(ctx, budget.Call{Kind: call.kind, Key: call.key}); err != nil {
 		return err
@@ -68,14 +69,15 @@
 	return nil
 }
 
-// send returns the whole answer. A write that fails after it got a connection
-// may have taken effect; one that never got a connection has not.
+// roundTrip makes the call and returns the status and body of the answer. A write
+// that fails after it got a connection may have taken effect; a write that never got
+// one has not.
 func (c *caller) roundTrip(ctx context.Context, call call) (int, []byte, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request, err := c.request(httptrace.WithClientTrace(ctx, trace), call)
 	if err != nil {
-		return 0, nil, failure.Wrap(err, failure.Invalid, "the key-value call cannot be formed", "check kvUrl in the settings")
+		return 0, nil, failure.Wrap(err, failure.Invalid, "cannot build the request to the key-value service", "check kvUrl in the settings")
 	}
 	answer, err := c.client.Do(request)
 	if err != nil && !connected.Load() {
@@ -101,13 +103,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport cannot send the body a second time by itself.
+	// Without GetBody the transport cannot resend the body on its own.
 	request.GetBody = nil
 	request.Header.Set("User-Agent", c.agent)
 	return request, nil
 }
 
-// statusError maps the service's status to an error; nil for 200.
+// statusError maps an HTTP status to an error, or nil for 200.
 func statusError(call call, status int) error {
 	switch status {
 	case http.StatusOK:
@@ -115,7 +117,7 @@
 	case http.StatusNotFound:
 		return failure.New(failure.NotFound, "the key-value service does not know "+call.path, "create it first")
 	case http.StatusConflict:
-		return failure.New(failure.Conflict, "the key "+call.key+" was changed by somebody else", "read it again and decide anew")
+		return failure.New(failure.Conflict, "the key "+call.key+" was changed by another client", "read it again and retry with the new revision")
 	case http.StatusGone:
 		return failure.New(failure.Stale, "the history of "+call.key+" is compacted", "list the keys again")
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -129,11 +131,12 @@
 }
 
 func unavailable(cause error) error {
-	return failure.Wrap(cause, failure.Unavailable, "the key-value service cannot be reached or is over its rate",
+	return failure.Wrap(cause, failure.Unavailable, "the key-value service cannot be reached or has reached its rate limit",
 		"try again later; nothing was changed")
 }
 
-// lost is the error of a call that went out and whose answer did not come back.
+// answerLost returns the error for a call that was sent but got no usable answer. A
+// write is then Ambiguous.
 func answerLost(cause error, call call) error {
 	if !call.kind.Writes() {
 		return unavailable(cause)
--- a/relay/kv/http.go
+++ b/relay/kv/http.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// entryBody is an entry as the service sends it.
+// entryBody is the JSON form of an entry in the service's answers.
 type entryBody struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -30,10 +30,9 @@
 	return out
 }
 
-// NewHTTP returns the Store of the service at baseURL. The caller goes into
-// the User-Agent, for the service's own accounts. Each call waits for the
-// budget first. The client's redirects are turned off and nothing is sent
-// again: a write goes out at most once.
+// NewHTTP returns a Store for the service at baseURL. The caller becomes the
+// User-Agent, by which the service accounts for calls. Each call first waits for the
+// budget. Redirects and retries are disabled, so that a write is sent at most once.
 func NewHTTP(baseURL, caller string, limit *budget.Budget, client *http.Client) *Store {
 	return newHTTP(newCaller(baseURL, caller, limit, client))
 }
--- a/relay/kv/http_test.go
+++ b/relay/kv/http_test.go
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// newTestStore returns a client of the handler with a large budget.
+// newTestStore returns a client with a large budget for the handler.
 func newTestStore(t *testing.T, handler http.HandlerFunc) *Store {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -32,13 +32,13 @@
 	return NewHTTP(url, "test", limit, &http.Client{Transport: &http.Transport{}})
 }
 
-// TestSwapGoesOutOnce: a write runs twice although its caller made it once.
-// The service takes the write on a connection that served before and cuts it
-// without a reply; a transport that sends again by itself would repeat it.
+// TestSwapGoesOutOnce guards against a write that runs twice although its caller
+// made it once. The service accepts the write on a reused connection and closes it
+// without a reply; a transport that retries on its own would repeat the write.
 func TestSwapGoesOutOnce(t *testing.T) {
 	var writes atomic.Int32
 	store := newTestStore(t, func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // the test looks at the count only
+		_, _ = io.Copy(io.Discard, r.Body) // the test checks only the count
 		if r.Method == http.MethodGet {
 			w.WriteHeader(http.StatusNotFound)
 			return
@@ -51,14 +51,15 @@
 	}
 	_, err := store.Swap(t.Context(), "a", []byte("v"), 0, "")
 	if got := failure.KindOf(err); got != failure.Ambiguous {
-		t.Errorf("got kind %s of a lost reply, want %s", got, failure.Ambiguous)
+		t.Errorf("got kind %s for a lost reply, want %s", got, failure.Ambiguous)
 	}
 	if got := writes.Load(); got != 1 {
 		t.Errorf("got %d writes at the service, want 1", got)
 	}
 }
 
-// TestRedirectIsNotFollowed: a redirect would send the write a second time.
+// TestRedirectIsNotFollowed guards against redirects, which would send a write a
+// second time.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var writes atomic.Int32
 	store := newTestStore(t, func(w http.ResponseWriter, r *http.Request) {
@@ -66,15 +67,15 @@
 		http.Redirect(w, r, "/kv/b", http.StatusTemporaryRedirect)
 	})
 	if _, err := store.Swap(t.Context(), "a", nil, 0, ""); err == nil {
-		t.Error("got no error of a redirect, want one")
+		t.Error("got no error for a redirect, want one")
 	}
 	if got := writes.Load(); got != 1 {
 		t.Errorf("got %d writes at the service, want 1", got)
 	}
 }
 
-// TestKinds: each status must show its caller whether the write may have taken
-// effect; a wrong kind makes the caller guess.
+// TestKinds checks the error kind for each status. The kind tells the caller whether
+// the write may have taken effect.
 func TestKinds(t *testing.T) {
 	for status, want := range map[int]failure.Kind{
 		http.StatusConflict:              failure.Conflict,
@@ -84,7 +85,7 @@
 		http.StatusBadGateway:            failure.Ambiguous,
 		http.StatusGatewayTimeout:        failure.Ambiguous,
 		http.StatusRequestEntityTooLarge: failure.Invalid,
-		http.StatusNotFound:              failure.NotFound, // the lease lapsed
+		http.StatusNotFound:              failure.NotFound, // the lease expired
 	} {
 		store := newTestStore(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 		_, err := store.Swap(t.Context(), "a", nil, 0, "")
@@ -94,20 +95,22 @@
 	}
 }
 
-// TestUnreadableReply: the service took the write, but the reply says nothing.
+// TestUnreadableReply covers a reply that cannot be decoded although the service may
+// have made the write.
 func TestUnreadableReply(t *testing.T) {
 	store := newTestStore(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) })
 	_, err := store.Swap(t.Context(), "a", nil, 0, "")
 	if got := failure.KindOf(err); got != failure.Ambiguous {
-		t.Errorf("got kind %s of half a reply to a write, want %s", got, failure.Ambiguous)
+		t.Errorf("got kind %s for a truncated reply to a write, want %s", got, failure.Ambiguous)
 	}
 	_, _, err = store.Get(t.Context(), "a")
 	if got := failure.KindOf(err); got != failure.Unavailable {
-		t.Errorf("got kind %s of half a reply to a read, want %s", got, failure.Unavailable)
+		t.Errorf("got kind %s for a truncated reply to a read, want %s", got, failure.Unavailable)
 	}
 }
 
-// TestNeverSent: where no connection was made, nothing was written.
+// TestNeverSent checks that a write without a connection counts as having had no
+// effect.
 func TestNeverSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
@@ -117,12 +120,12 @@
 	}
 }
 
-// TestTimeOutIsAmbiguous: a write whose caller gives up waiting may be on its
-// way still.
+// TestTimeOutIsAmbiguous checks that a write whose caller stops waiting counts as
+// ambiguous, since it may still take effect.
 func TestTimeOutIsAmbiguous(t *testing.T) {
 	received := make(chan struct{})
 	store := newTestStore(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // so that the server notices the client's leave
+		_, _ = io.Copy(io.Discard, r.Body) // so that the server notices when the client disconnects
 		close(received)
 		<-r.Context().Done()
 	})
@@ -140,8 +143,8 @@
 	}
 }
 
-// TestKeysWithOddCharacters: a key that the address cannot hold as it is would
-// be another key at the service.
+// TestKeysWithOddCharacters checks that keys with reserved characters are escaped;
+// otherwise the service would use another key.
 func TestKeysWithOddCharacters(t *testing.T) {
 	const key = "once/a b?c#d%2F//../e"
 	var got string
@@ -157,8 +160,8 @@
 	}
 }
 
-// TestMemoryLeases: the twin must end a lapsed lease's keys, and refuse to bind
-// a key to it.
+// TestMemoryLeases checks that the in-memory service deletes the keys of an expired
+// lease and refuses to bind a key to it.
 func TestMemoryLeases(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := NewMemoryService(clock)
@@ -169,14 +172,14 @@
 	}
 	clock.Advance(time.Second)
 	if _, found := service.Get("a"); found {
-		t.Error("got a key of a lapsed lease, want none")
+		t.Error("got a key of an expired lease, want none")
 	}
 	if got := failure.KindOf(service.KeepAlive(lease)); got != failure.NotFound {
-		t.Errorf("got kind %s of a lapsed lease, want %s", got, failure.NotFound)
+		t.Errorf("got kind %s for an expired lease, want %s", got, failure.NotFound)
 	}
 	_, err = service.Swap("a", nil, 0, lease)
 	if got := failure.KindOf(err); got != failure.NotFound {
-		t.Errorf("got kind %s binding to a lapsed lease, want %s", got, failure.NotFound)
+		t.Errorf("got kind %s for a key bound to an expired lease, want %s", got, failure.NotFound)
 	}
 	changes, now, _, err := service.Changes("a", 0)
 	if err != nil || now != 2 || len(changes) != 2 || !changes[1].Deleted() {
@@ -184,7 +187,7 @@
 	}
 	service.Compact()
 	if _, _, _, err := service.Changes("a", 1); failure.KindOf(err) != failure.Stale {
-		t.Errorf("got %v before the compaction, want kind %s", err, failure.Stale)
+		t.Errorf("got %v for a compacted revision, want kind %s", err, failure.Stale)
 	}
 	if _, now, err := service.Watch(t.Context(), "a", Latest, 0); err != nil || now != 2 {
 		t.Errorf("got latest %d, %v, want 2", now, err)
--- a/relay/kv/memory.go
+++ b/relay/kv/memory.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// MaxValueBytes is the largest value that the service holds.
+	// MaxValueBytes is the size limit of a value.
 	MaxValueBytes = 1 << 20
-	// historyLength is how many changes a Memory keeps at least for its watches.
+	// historyLength is the least number of recent changes that a Memory keeps
+	// for its watches.
 	historyLength = 10000
 )
 
-// Memory is the service's state machine in memory, for tests and the stand-in;
-// no program of the product uses it. Its methods fail with the kinds that
-// Store documents, but never with Unavailable or Ambiguous.
+// Memory implements the service in memory, for tests and the stand-in; no production
+// program uses it. Its methods fail with the kinds that Store documents, but never
+// with Ambiguous, and with Unavailable only for a cancelled Watch.
 type Memory struct {
 	clock clockwork.Clock
 
 	mu            sync.Mutex
-	revision      uint64            // of the last change
+	revision      uint64            // revision of the last change
 	entries       map[string]Entry  // the live keys
 	leaseByKey    map[string]string // key -> lease
 	leases        map[string]*memoryLease
-	leasesGranted int           // leases ever made; names the next
+	leasesGranted int           // number of leases ever granted; names the next one
 	history       []Entry       // changes after compacted, by revision
-	compacted     uint64        // the revision that the history starts after
-	changed       chan struct{} // closed and replaced at every change
+	compacted     uint64        // history holds the changes after this revision
+	changed       chan struct{} // closed and replaced on every change
 }
 
-// memoryLease lapses at until, unless that moved meanwhile.
+// memoryLease is a lease that expires at expiresAt, which each renewal extends.
 type memoryLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 	keys      map[string]bool
 }
 
-// NewMemory returns a Store over a service of its own; a test puts faults into
-// it by wrapping the Store's fields.
+// NewMemory returns a Store with an in-memory service of its own. Tests inject faults
+// by wrapping the Store's fields.
 func NewMemory(clock clockwork.Clock) *Store { return NewMemoryService(clock).Store() }
 
-// NewMemoryService returns an empty service.
+// NewMemoryService returns an empty in-memory service.
 func NewMemoryService(clock clockwork.Clock) *Memory {
 	return &Memory{
 		clock:      clock,
@@ -88,8 +89,8 @@
 	}
 }
 
-// lock takes m.mu and ends the leases that are due, so that no call sees a
-// lease that lapsed a moment before its timer ran.
+// lockAndExpire locks m.mu and ends the expired leases, so that no call sees a lease
+// that expired just before its timer ran.
 func (m *Memory) lockAndExpire() {
 	m.mu.Lock()
 	now := m.clock.Now()
@@ -108,7 +109,8 @@
 	return entry, found
 }
 
-// List returns the live entries below the prefix by key, and the revision.
+// List returns the live entries below the prefix, sorted by key, and the service's
+// revision.
 func (m *Memory) List(prefix string) ([]Entry, uint64) {
 	m.lockAndExpire()
 	defer m.mu.Unlock()
@@ -122,11 +124,11 @@
 	return found, m.revision
 }
 
-// Swap writes the value if the key's revision is ifRevision; see Store.Swap.
-// Where it fails with kind Conflict the revision is the present one.
+// Swap writes the value if the key's revision is ifRevision; see Store.Swap. If it
+// fails with kind Conflict, it returns the key's current revision.
 func (m *Memory) Swap(key string, value []byte, ifRevision uint64, lease string) (uint64, error) {
 	if len(value) > MaxValueBytes {
-		return 0, failure.New(failure.Invalid, "the value is over 1 MiB", "split it into parts")
+		return 0, failure.New(failure.Invalid, "the value is over 1 MiB", "split it into several values")
 	}
 	m.lockAndExpire()
 	defer m.mu.Unlock()
@@ -157,8 +159,8 @@
 	return nil
 }
 
-// Changes returns what changed below the prefix after the revision, the present
-// revision, and a channel that closes at the next change of any key.
+// Changes returns the changes below the prefix after the given revision, the current
+// revision, and a channel that is closed on the next change of any key.
 func (m *Memory) Changes(prefix string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
 	m.lockAndExpire()
 	defer m.mu.Unlock()
@@ -193,12 +195,12 @@
 		case <-timeout:
 			return nil, now, nil
 		case <-ctx.Done():
-			return nil, after, failure.Wrap(ctx.Err(), failure.Unavailable, "the watch was given up", "watch again")
+			return nil, after, failure.Wrap(ctx.Err(), failure.Unavailable, "the watch was cancelled", "watch again")
 		}
 	}
 }
 
-// Grant makes a lease.
+// Grant creates a lease that expires after ttl unless renewed.
 func (m *Memory) Grant(ttl time.Duration) string {
 	m.lockAndExpire()
 	defer m.mu.Unlock()
@@ -209,7 +211,7 @@
 	return name
 }
 
-// KeepAlive renews the lease; kind NotFound where it lapsed.
+// KeepAlive renews the lease. It fails with kind NotFound if the lease has expired.
 func (m *Memory) KeepAlive(name string) error {
 	m.lockAndExpire()
 	defer m.mu.Unlock()
@@ -228,7 +230,7 @@
 	m.endLease(name)
 }
 
-// Compact forgets the history of changes.
+// Compact discards the history of changes.
 func (m *Memory) Compact() {
 	m.lockAndExpire()
 	defer m.mu.Unlock()
@@ -236,7 +238,8 @@
 	m.compacted = m.revision
 }
 
-// expire ends the lease once its time has come, else comes back then.
+// expire ends the lease if it has expired. If the lease was renewed, expire runs
+// again at the new time.
 func (m *Memory) expire(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -278,7 +281,7 @@
 	}
 }
 
-// record gives the change the next revision, stores it and wakes the watches.
+// record assigns the next revision to the change, stores it and wakes the watches.
 func (m *Memory) record(entry Entry) {
 	m.revision++
 	entry.revision = m.revision
@@ -297,9 +300,9 @@
 }
 
 func conflictError(key string) error {
-	return failure.New(failure.Conflict, "the key "+key+" was changed by somebody else", "read it again and decide anew")
+	return failure.New(failure.Conflict, "the key "+key+" was changed by another client", "read it again and retry with the new revision")
 }
 
 func leaseExpired(lease string) error {
-	return failure.New(failure.NotFound, "the lease "+lease+" lapsed", "ask for a new one")
+	return failure.New(failure.NotFound, "the lease "+lease+" expired", "grant a new one")
 }
--- a/relay/kv/store.go
+++ b/relay/kv/store.go
@@ -1,4 +1,5 @@
-// Package kv is the client of the platform's key-value service.
+// Package kv implements a client of the platform's key-value service and an
+// in-memory service for tests.
 package kv
 
 import (
@@ -7,20 +8,20 @@
 	"time"
 )
 
-// Latest is a revision to give to Watch, which then answers at once with
-// no changes and the service's present revision. The greatest revision of a
-// List is no substitute: it may lie before the start of a compacted history.
+// Latest is a revision for Watch, which then returns at once with no changes and the
+// service's current revision. The greatest revision in a List is no substitute: it
+// may precede the start of a compacted history.
 const Latest = math.MaxUint64
 
-// Entry is one key's value at one revision.
+// Entry is the value of a key at one revision.
 type Entry struct {
 	key      string
-	value    []byte // empty where the key was deleted
-	revision uint64 // of the key's last change; grows across the whole service
+	value    []byte // empty if the key was deleted
+	revision uint64 // of the key's last change; increases across the whole service
 	deleted  bool
 }
 
-// NewEntry makes an Entry; fakes in tests use it too.
+// NewEntry returns an Entry. Fakes in tests use it too.
 func NewEntry(key string, value []byte, revision uint64, deleted bool) Entry {
 	return Entry{key: key, value: value, revision: revision, deleted: deleted}
 }
@@ -28,7 +29,7 @@
 // Key returns the key.
 func (e Entry) Key() string { return e.key }
 
-// Value returns the value; the caller does not change it.
+// Value returns the value, which the caller must not modify.
 func (e Entry) Value() []byte { return e.value }
 
 // Revision returns the service-wide revision of the last change.
@@ -37,33 +38,36 @@
 // Deleted reports whether the entry is a deletion.
 func (e Entry) Deleted() bool { return e.deleted }
 
-// Store is the service as the system uses it. Its fields are the seams: NewHTTP
-// fills them for the real service, tests with fakes. Errors are
-// failure.Errors: Conflict where a condition did not hold, Unavailable where
-// the call surely had no effect, Ambiguous where it may have had, Exhausted
-// where this process's own budget is used up.
+// Store holds the operations of the service as functions, so that tests can replace
+// each one; NewHTTP sets them for the real service. Errors are failure.Errors of
+// kind Conflict if a condition did not hold, Unavailable if the call certainly had
+// no effect, Ambiguous if it may have had one, and Exhausted if this process's own
+// budget is used up.
 type Store struct {
-	// Get returns the entry; found is false where the key does not exist.
+	// Get returns the entry of the key; found is false if the key does not exist.
 	Get func(ctx context.Context, key string) (entry Entry, found bool, err error)
-	// List returns the entries below the prefix, by key.
+	// List returns the entries below the prefix, sorted by key.
 	List func(ctx context.Context, prefix string) ([]Entry, error)
-	// Page returns entries below the prefix whose keys come after one, as many as an answer
-	// holds, and whether others follow. nil where the service answers whole lists alone.
+	// Page returns one page of the entries below the prefix whose keys sort after the
+	// key after, and whether more follow. It is nil if the service only returns whole
+	// lists.
 	Page func(ctx context.Context, prefix, after string) (entries []Entry, more bool, err error)
-	// Swap writes the value if the key's revision is still ifRevision (0: it
-	// does not exist) and returns the new one. A lease id that is not empty
+	// Swap writes the value if the key's revision is still ifRevision (0 if the
+	// key must not exist) and returns the new revision. A non-empty lease id
 	// binds the key to the lease.
 	Swap func(ctx context.Context, key string, value []byte, ifRevision uint64, lease string) (revision uint64, err error)
 	// Delete removes the key if its revision is still ifRevision.
 	Delete func(ctx context.Context, key string, ifRevision uint64) error
-	// Watch waits until a key below the prefix changed after the service
-	// revision and returns the changes and the revision to go on from; none
-	// after the wait. Kind Stale: the history is compacted; learn the present
-	// revision with Latest, List, and watch from that revision.
+	// Watch waits until a key below the prefix changes after the given service
+	// revision. It returns the changes and the revision to continue from, and no
+	// changes if none happen within the wait. It fails with kind Stale if the
+	// history is compacted. The caller then gets the current revision with
+	// Latest, calls List and watches from that revision.
 	Watch func(ctx context.Context, prefix string, after uint64, wait time.Duration) (changes []Entry, now uint64, err error)
-	// Grant makes a lease that lapses unless kept alive within the time.
+	// Grant creates a lease that expires unless renewed within ttl.
 	Grant func(ctx context.Context, ttl time.Duration) (lease string, err error)
-	// KeepAlive renews the lease; kind NotFound where it lapsed.
+	// KeepAlive renews the lease. It fails with kind NotFound if the lease has
+	// expired.
 	KeepAlive func(ctx context.Context, lease string) error
 	// Revoke ends the lease and deletes its keys.
 	Revoke func(ctx context.Context, lease string) error
