--- a/relay/kv/memory.go
+++ b/relay/kv/memory.go
@@ -16,48 +16,49 @@
 )
 
 const (
-	// MaxValueBytes is the largest value that the service holds.
+	// MaxValueBytes is the size limit of a value.
 	MaxValueBytes = 1 << 20
-	// historyLength is how many changes a Memory keeps at least for its watches.
+	// historyLength is the least number of recent changes that a Memory keeps
+	// for its watches.
 	historyLength = 10000
 )
 
-// Memory is the service's state machine in memory, for tests and the stand-in;
-// no program of the product uses it. Its methods fail with the kinds that
-// Store documents, but never with Unavailable or Ambiguous.
+// Memory implements the service in memory, for tests and the stand-in; no production
+// program uses it. Its methods fail with the kinds that Store documents, but never
+// with Ambiguous, and with Unavailable only for a cancelled Watch.
 type Memory struct {
 	clock clockwork.Clock
 
-	mu        sync.Mutex
-	revision  uint64            // of the last change
-	entries   map[string]Entry  // the live keys
-	bound     map[string]string // key -> lease
-	leases    map[string]*memoryLease
-	granted   int           // leases ever made; names the next
-	history   []Entry       // changes after compacted, by revision
-	compacted uint64        // the revision that the history starts after
-	changed   chan struct{} // closed and replaced at every change
+	mu            sync.Mutex
+	revision      uint64            // revision of the last change
+	entries       map[string]Entry  // the live keys
+	leaseByKey    map[string]string // key -> lease
+	leases        map[string]*memoryLease
+	leasesGranted int           // number of leases ever granted; names the next one
+	history       []Entry       // changes after compacted, by revision
+	compacted     uint64        // history holds the changes after this revision
+	changed       chan struct{} // closed and replaced on every change
 }
 
-// memoryLease lapses at until, unless that moved meanwhile.
+// memoryLease is a lease that expires at expiresAt, which each renewal extends.
 type memoryLease struct {
-	ttl   time.Duration
-	until time.Time
-	keys  map[string]bool
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]bool
 }
 
-// NewMemory returns a Store over a service of its own; a test puts faults into
-// it by wrapping the Store's fields.
+// NewMemory returns a Store with an in-memory service of its own. Tests inject faults
+// by wrapping the Store's fields.
 func NewMemory(clock clockwork.Clock) *Store { return NewMemoryService(clock).Store() }
 
-// NewMemoryService returns an empty service.
+// NewMemoryService returns an empty in-memory service.
 func NewMemoryService(clock clockwork.Clock) *Memory {
 	return &Memory{
-		clock:   clock,
-		entries: map[string]Entry{},
-		bound:   map[string]string{},
-		leases:  map[string]*memoryLease{},
-		changed: make(chan struct{}),
+		clock:      clock,
+		entries:    map[string]Entry{},
+		leaseByKey: map[string]string{},
+		leases:     map[string]*memoryLease{},
+		changed:    make(chan struct{}),
 	}
 }
 
@@ -88,29 +89,30 @@
 	}
 }
 
-// lock takes m.mu and ends the leases that are due, so that no call sees a
-// lease that lapsed a moment before its timer ran.
-func (m *Memory) lock() {
+// lockAndExpire locks m.mu and ends the expired leases, so that no call sees a lease
+// that expired just before its timer ran.
+func (m *Memory) lockAndExpire() {
 	m.mu.Lock()
 	now := m.clock.Now()
 	for _, name := range slices.Sorted(maps.Keys(m.leases)) {
-		if !m.leases[name].until.After(now) {
-			m.end(name)
+		if !m.leases[name].expiresAt.After(now) {
+			m.endLease(name)
 		}
 	}
 }
 
 // Get returns the entry of a live key.
 func (m *Memory) Get(key string) (Entry, bool) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	entry, found := m.entries[key]
 	return entry, found
 }
 
-// List returns the live entries below the prefix by key, and the revision.
+// List returns the live entries below the prefix, sorted by key, and the service's
+// revision.
 func (m *Memory) List(prefix string) ([]Entry, uint64) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	var found []Entry
 	for key, entry := range m.entries {
@@ -122,23 +124,23 @@
 	return found, m.revision
 }
 
-// Swap writes the value if the key's revision is ifRevision; see Store.Swap.
-// Where it fails with kind Conflict the revision is the present one.
+// Swap writes the value if the key's revision is ifRevision; see Store.Swap. If it
+// fails with kind Conflict, it returns the key's current revision.
 func (m *Memory) Swap(key string, value []byte, ifRevision uint64, lease string) (uint64, error) {
 	if len(value) > MaxValueBytes {
-		return 0, failure.New(failure.Invalid, "the value is over 1 MiB", "split it into parts")
+		return 0, failure.New(failure.Invalid, "the value is over 1 MiB", "split it into several values")
 	}
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	if current := m.entries[key].revision; current != ifRevision {
-		return current, conflict(key)
+		return current, conflictError(key)
 	}
 	if _, alive := m.leases[lease]; lease != "" && !alive {
-		return 0, lapsed(lease)
+		return 0, leaseExpired(lease)
 	}
-	m.unbind(key)
+	m.detachLease(key)
 	if lease != "" {
-		m.bound[key] = lease
+		m.leaseByKey[key] = lease
 		m.leases[lease].keys[key] = true
 	}
 	m.record(Entry{key: key, value: slices.Clone(value)})
@@ -147,20 +149,20 @@
 
 // Delete removes the key if its revision is ifRevision.
 func (m *Memory) Delete(key string, ifRevision uint64) error {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	current, found := m.entries[key]
 	if !found || current.revision != ifRevision {
-		return conflict(key)
+		return conflictError(key)
 	}
-	m.remove(key)
+	m.deleteKey(key)
 	return nil
 }
 
-// Changes returns what changed below the prefix after the revision, the present
-// revision, and a channel that closes at the next change of any key.
+// Changes returns the changes below the prefix after the given revision, the current
+// revision, and a channel that is closed on the next change of any key.
 func (m *Memory) Changes(prefix string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	if after < m.compacted {
 		return nil, m.revision, nil, failure.New(failure.Stale, "the history is compacted", "list the keys again")
@@ -193,50 +195,51 @@
 		case <-timeout:
 			return nil, now, nil
 		case <-ctx.Done():
-			return nil, after, failure.Wrap(ctx.Err(), failure.Unavailable, "the watch was given up", "watch again")
+			return nil, after, failure.Wrap(ctx.Err(), failure.Unavailable, "the watch was cancelled", "watch again")
 		}
 	}
 }
 
-// Grant makes a lease.
+// Grant creates a lease that expires after ttl unless renewed.
 func (m *Memory) Grant(ttl time.Duration) string {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
-	m.granted++
-	name := fmt.Sprintf("lease-%d", m.granted)
-	m.leases[name] = &memoryLease{ttl: ttl, until: m.clock.Now().Add(ttl), keys: map[string]bool{}}
+	m.leasesGranted++
+	name := fmt.Sprintf("lease-%d", m.leasesGranted)
+	m.leases[name] = &memoryLease{ttl: ttl, expiresAt: m.clock.Now().Add(ttl), keys: map[string]bool{}}
 	m.clock.AfterFunc(ttl, func() { m.expire(name) })
 	return name
 }
 
-// KeepAlive renews the lease; kind NotFound where it lapsed.
+// KeepAlive renews the lease. It fails with kind NotFound if the lease has expired.
 func (m *Memory) KeepAlive(name string) error {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	lease, alive := m.leases[name]
 	if !alive {
-		return lapsed(name)
+		return leaseExpired(name)
 	}
-	lease.until = m.clock.Now().Add(lease.ttl)
+	lease.expiresAt = m.clock.Now().Add(lease.ttl)
 	return nil
 }
 
 // Revoke ends the lease and deletes its keys.
 func (m *Memory) Revoke(name string) {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
-	m.end(name)
+	m.endLease(name)
 }
 
-// Compact forgets the history of changes.
+// Compact discards the history of changes.
 func (m *Memory) Compact() {
-	m.lock()
+	m.lockAndExpire()
 	defer m.mu.Unlock()
 	m.history = nil
 	m.compacted = m.revision
 }
 
-// expire ends the lease once its time has come, else comes back then.
+// expire ends the lease if it has expired. If the lease was renewed, expire runs
+// again at the new time.
 func (m *Memory) expire(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -244,41 +247,41 @@
 	if !alive {
 		return
 	}
-	if left := lease.until.Sub(m.clock.Now()); left > 0 {
-		m.clock.AfterFunc(left, func() { m.expire(name) })
+	if remaining := lease.expiresAt.Sub(m.clock.Now()); remaining > 0 {
+		m.clock.AfterFunc(remaining, func() { m.expire(name) })
 		return
 	}
-	m.end(name)
+	m.endLease(name)
 }
 
-func (m *Memory) end(name string) {
+func (m *Memory) endLease(name string) {
 	lease, alive := m.leases[name]
 	if !alive {
 		return
 	}
 	delete(m.leases, name)
 	for _, key := range slices.Sorted(maps.Keys(lease.keys)) {
-		m.remove(key)
+		m.deleteKey(key)
 	}
 }
 
-func (m *Memory) remove(key string) {
-	m.unbind(key)
+func (m *Memory) deleteKey(key string) {
+	m.detachLease(key)
 	m.record(Entry{key: key, deleted: true})
 }
 
-func (m *Memory) unbind(key string) {
-	lease, found := m.bound[key]
+func (m *Memory) detachLease(key string) {
+	lease, found := m.leaseByKey[key]
 	if !found {
 		return
 	}
-	delete(m.bound, key)
-	if owner, alive := m.leases[lease]; alive {
-		delete(owner.keys, key)
+	delete(m.leaseByKey, key)
+	if boundLease, alive := m.leases[lease]; alive {
+		delete(boundLease.keys, key)
 	}
 }
 
-// record gives the change the next revision, stores it and wakes the watches.
+// record assigns the next revision to the change, stores it and wakes the watches.
 func (m *Memory) record(entry Entry) {
 	m.revision++
 	entry.revision = m.revision
@@ -296,10 +299,10 @@
 	m.changed = make(chan struct{})
 }
 
-func conflict(key string) error {
-	return failure.New(failure.Conflict, "the key "+key+" was changed by somebody else", "read it again and decide anew")
+func conflictError(key string) error {
+	return failure.New(failure.Conflict, "the key "+key+" was changed by another client", "read it again and retry with the new revision")
 }
 
-func lapsed(lease string) error {
-	return failure.New(failure.NotFound, "the lease "+lease+" lapsed", "ask for a new one")
+func leaseExpired(lease string) error {
+	return failure.New(failure.NotFound, "the lease "+lease+" expired", "grant a new one")
 }
--- a/relay/membership/amend.go
+++ b/relay/membership/amend.go
@@ -6,26 +6,29 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// shortLength is how many of an incarnation's last characters name it to those
-// who know the host: of a UUIDv7 they are random, 32 bits.
-const shortLength = 8
+// shortIncarnationLength is the number of trailing characters that identify an
+// incarnation to receivers that know the host. In a UUIDv7 these characters are
+// 32 random bits.
+const shortIncarnationLength = 8
 
-func short(incarnation string) string {
-	return incarnation[max(0, len(incarnation)-shortLength):]
+func shortIncarnation(incarnation string) string {
+	return incarnation[max(0, len(incarnation)-shortIncarnationLength):]
 }
 
-// sameIncarnation compares a held incarnation with a whole or a short one.
-func sameIncarnation(held, reported string) bool {
-	return reported != "" && (held == reported || len(reported) >= shortLength && strings.HasSuffix(held, reported))
+// sameIncarnation reports whether a stored incarnation equals the reported one,
+// which may be complete or shortened.
+func sameIncarnation(stored, reported string) bool {
+	return reported != "" && (stored == reported || len(reported) >= shortIncarnationLength && strings.HasSuffix(stored, reported))
 }
 
-// Amend returns what of a report changes from second to second, as an amendment
-// of the whole report with the base sequence. The receiver may hold a later one
-// as well, from another sender: between the two nothing else changed.
+// Amend returns an amendment: the fields of a report that change from second to
+// second, relative to the whole report with sequence base. The receiver may also
+// apply it to a later whole report from another sender, because no other field
+// changed between the two.
 func Amend(report *wire.HostReport, base uint64) *wire.HostReport {
 	node := report.GetNode()
 	return &wire.HostReport{
-		Node:     &wire.Node{Id: node.GetId(), Incarnation: short(node.GetIncarnation())},
+		Node:     &wire.Node{Id: node.GetId(), Incarnation: shortIncarnation(node.GetIncarnation())},
 		Sequence: report.GetSequence(), BaseSequence: base,
 		Running: report.GetRunning(), Queued: report.GetQueued(),
 		TokensPerSecond: report.GetTokensPerSecond(), TokenGapMillis: report.GetTokenGapMillis(),
@@ -34,24 +37,24 @@
 	}
 }
 
-// IsAmendment reports whether a report lacks what the whole one says. A
-// completed one bears the base too, and the host's description.
+// IsAmendment reports whether a report holds only the fields that Amend keeps. A
+// completed report has a base sequence too, but also the host's description.
 func IsAmendment(report *wire.HostReport) bool {
 	return report.GetBaseSequence() > 0 && report.GetNode().GetRole() == ""
 }
 
-// WholeSequence returns the sequence of the newest whole report that a held one
-// was made of.
-func WholeSequence(held *wire.HostReport) uint64 {
-	if base := held.GetBaseSequence(); base > 0 {
+// WholeSequence returns the sequence of the whole report on which a stored report
+// is based.
+func WholeSequence(stored *wire.HostReport) uint64 {
+	if base := stored.GetBaseSequence(); base > 0 {
 		return base
 	}
-	return held.GetSequence()
+	return stored.GetSequence()
 }
 
-// Complete returns a report made whole from what is held of the host; false
-// where that is too old, or of another incarnation: the whole one must be asked
-// for.
+// Complete merges an amendment with the stored report of the host. It returns false
+// if the stored report is too old or of another incarnation; the caller must then
+// request the whole report.
 func (t *Table) Complete(report *wire.HostReport) (*wire.HostReport, bool) {
 	if !IsAmendment(report) {
 		return report, true
@@ -60,23 +63,23 @@
 	if member == nil || member.report == nil {
 		return nil, false
 	}
-	held := member.report
-	if !sameIncarnation(held.GetNode().GetIncarnation(), report.GetNode().GetIncarnation()) || WholeSequence(held) < report.GetBaseSequence() {
+	stored := member.report
+	if !sameIncarnation(stored.GetNode().GetIncarnation(), report.GetNode().GetIncarnation()) || WholeSequence(stored) < report.GetBaseSequence() {
 		return nil, false
 	}
-	return complete(held, report), true
+	return complete(stored, report), true
 }
 
-func complete(held, amendment *wire.HostReport) *wire.HostReport {
+func complete(stored, amendment *wire.HostReport) *wire.HostReport {
 	home := amendment.GetHome()
 	if home == "" {
-		home = held.GetHome()
+		home = stored.GetHome()
 	}
 	return &wire.HostReport{
-		Node: held.GetNode(), Versions: held.GetVersions(), Endpoint: held.GetEndpoint(), Service: held.GetService(),
-		EngineRole: held.GetEngineRole(), Slots: held.GetSlots(), OriginBytes: held.GetOriginBytes(),
-		PeerBytes: held.GetPeerBytes(), SentBytes: held.GetSentBytes(), Prefixes: held.GetPrefixes(), Fence: held.GetFence(),
-		BaseSequence: WholeSequence(held),
+		Node: stored.GetNode(), Versions: stored.GetVersions(), Endpoint: stored.GetEndpoint(), Service: stored.GetService(),
+		EngineRole: stored.GetEngineRole(), Slots: stored.GetSlots(), OriginBytes: stored.GetOriginBytes(),
+		PeerBytes: stored.GetPeerBytes(), SentBytes: stored.GetSentBytes(), Prefixes: stored.GetPrefixes(), Fence: stored.GetFence(),
+		BaseSequence: WholeSequence(stored),
 
 		Sequence: amendment.GetSequence(), Running: amendment.GetRunning(), Queued: amendment.GetQueued(),
 		TokensPerSecond: amendment.GetTokensPerSecond(), TokenGapMillis: amendment.GetTokenGapMillis(),
@@ -85,15 +88,15 @@
 	}
 }
 
-// CompleteEntry returns an entry's report with its description; false where the
-// report lacks that and it is not known.
+// CompleteEntry returns an entry's report with the entry's description. It returns
+// false if the report lacks the description and the table does not have it.
 func (t *Table) CompleteEntry(report *wire.EntryReport) (*wire.EntryReport, bool) {
-	named := report.GetNode()
-	if !IsNameOnly(named) {
+	partial := report.GetNode()
+	if !IsNameOnly(partial) {
 		return report, true
 	}
-	node := t.Node(named.GetId(), named.GetIncarnation())
-	if node == nil || node.GetRole() != named.GetRole() {
+	node := t.Node(partial.GetId(), partial.GetIncarnation())
+	if node == nil || node.GetRole() != partial.GetRole() {
 		return nil, false
 	}
 	return &wire.EntryReport{
@@ -103,14 +106,14 @@
 	}, true
 }
 
-// Node returns the description of the process that was seen under the id and
-// incarnation, or nil: a message need not repeat it.
+// Node returns the description of the process with the id and incarnation, or nil
+// if it is unknown, so that messages need not repeat the description.
 func (t *Table) Node(id, incarnation string) *wire.Node {
-	held := t.members[id]
-	if held == nil {
+	stored := t.members[id]
+	if stored == nil {
 		return nil
 	}
-	for _, node := range []*wire.Node{held.entry.GetNode(), held.report.GetNode()} {
+	for _, node := range []*wire.Node{stored.entry.GetNode(), stored.report.GetNode()} {
 		if sameIncarnation(node.GetIncarnation(), incarnation) {
 			return node
 		}
@@ -118,12 +121,13 @@
 	return nil
 }
 
-// NameOnly returns the part of a node that identifies it to those who know it.
+// NameOnly returns the part of a node that identifies it to receivers that have its
+// description.
 func NameOnly(node *wire.Node) *wire.Node {
-	return &wire.Node{Id: node.GetId(), Incarnation: short(node.GetIncarnation()), Role: node.GetRole()}
+	return &wire.Node{Id: node.GetId(), Incarnation: shortIncarnation(node.GetIncarnation()), Role: node.GetRole()}
 }
 
-// IsNameOnly reports whether the node's description was left out.
+// IsNameOnly reports whether the node lacks its description.
 func IsNameOnly(node *wire.Node) bool {
 	return node.GetControlAddress() == "" && node.GetRegion() == "" && node.GetFailureDomain() == ""
 }
--- a/relay/peer/keys_test.go
+++ b/relay/peer/keys_test.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-func load(t testing.TB, files *wire.TlsSettings, clock clockwork.Clock) *Keys {
+func loadKeys(t testing.TB, files *wire.TlsSettings, clock clockwork.Clock) *Keys {
 	t.Helper()
 	keys, err := NewKeys(files, clock)
 	if err != nil {
@@ -24,12 +24,12 @@
 func TestOnlyTheDeploymentsAuthorityIsAccepted(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deployment, other := newAuthority(t), newAuthority(t)
-	entry := load(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
-	stranger := load(t, other.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	entry := loadKeys(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	foreign := loadKeys(t, other.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), answering())
-	theirs := listen(t, "127.0.0.1:0")
-	serve(t, theirs, load(t, other.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), answering())
+	serve(t, lis, loadKeys(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), newReplyingServer())
+	foreignListener := listen(t, "127.0.0.1:0")
+	serve(t, foreignListener, loadKeys(t, other.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), newReplyingServer())
 	for _, test := range []struct {
 		name    string
 		keys    *Keys
@@ -37,8 +37,8 @@
 		works   bool
 	}{
 		{"the deployment's keys", entry, lis.Addr().String(), true},
-		{"another authority's client", stranger, lis.Addr().String(), false},
-		{"another authority's server", entry, theirs.Addr().String(), false},
+		{"another authority's client", foreign, lis.Addr().String(), false},
+		{"another authority's server", entry, foreignListener.Addr().String(), false},
 		{"clear text to a server with keys", nil, lis.Addr().String(), false},
 	} {
 		if err := call(t, test.keys, test.address); (err == nil) != test.works {
@@ -47,9 +47,9 @@
 	}
 }
 
-// replaceAll gives a server's keys a new authority, file by file, with times
-// that are older than those of the files before: as a move into place keeps
-// them.
+// replaceAll replaces a server's key files by those of a new authority, one file at
+// a time. The new files have older modification times than the previous ones, as
+// after a move into place.
 func replaceAll(t *testing.T, files *wire.TlsSettings, next *authority, dir string) {
 	t.Helper()
 	fresh := next.issue(t, dir, "agent-1", RoleAgent)
@@ -69,36 +69,37 @@
 }
 
 // Symptom: after a change of the authority every call failed until a restart.
-// Sequence: the files of a running process are replaced by older ones, moved
-// into place. Cause: keys read once, or again only for a newer time.
+// Sequence: the key files of a running process are replaced by files with older
+// modification times. Cause: keys were read only once, or again only if a file had
+// a newer time.
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	before, after := newAuthority(t), newAuthority(t)
 	files := before.issue(t, t.TempDir(), "agent-1", RoleAgent)
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, files, clock), answering())
-	old := load(t, before.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
-	fresh := load(t, after.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	serve(t, lis, loadKeys(t, files, clock), newReplyingServer())
+	old := loadKeys(t, before.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	fresh := loadKeys(t, after.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	replaceAll(t, files, after, t.TempDir())
 	if err := call(t, old, lis.Addr().String()); err != nil {
-		t.Errorf("got %v before the files are looked at again, want the old keys in use", err)
+		t.Errorf("got %v before the files are checked again, want the old keys in use", err)
 	}
 	clock.Advance(keyCheckInterval)
 	if err := call(t, fresh, lis.Addr().String()); err != nil {
 		t.Errorf("got %v with the new authority's keys, want them accepted", err)
 	}
 	if err := call(t, old, lis.Addr().String()); err == nil {
-		t.Error("got a call through with the old authority's keys, want it refused")
+		t.Error("got a call accepted with the old authority's keys, want it refused")
 	}
 }
 
-// Symptom: all connections of a process broke while its keys were replaced.
-// Sequence: the certificate is written in two pieces, and somebody connects in
-// between. Cause: the process dropped its good keys for files that do not parse.
+// Symptom: all connections of a process failed while its keys were replaced.
+// Sequence: the certificate is written in two parts, and a peer connects in
+// between. Cause: the process dropped its valid keys for files that do not parse.
 func TestHalfWrittenFileKeepsTheOldKeys(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deployment := newAuthority(t)
-	entry := load(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
+	entry := loadKeys(t, deployment.issue(t, t.TempDir(), "entry-1", RoleEntry), clock)
 	for _, half := range []string{"certificate", "key", "authority"} {
 		t.Run(half, func(t *testing.T) {
 			files := deployment.issue(t, t.TempDir(), "agent-1", RoleAgent)
@@ -106,7 +107,7 @@
 				"certificate": files.GetCertificateFile(), "key": files.GetKeyFile(), "authority": files.GetAuthorityFile(),
 			}[half]
 			lis := listen(t, "127.0.0.1:0")
-			serve(t, lis, load(t, files, clock), answering())
+			serve(t, lis, loadKeys(t, files, clock), newReplyingServer())
 			text, err := os.ReadFile(name)
 			if err != nil {
 				t.Fatal(err)
@@ -119,8 +120,8 @@
 			next := newAuthority(t)
 			replaceAll(t, files, next, t.TempDir())
 			clock.Advance(keyCheckInterval)
-			if err := call(t, load(t, next.issue(t, t.TempDir(), "entry-1", RoleEntry), clock), lis.Addr().String()); err != nil {
-				t.Errorf("got %v once all files are whole, want the new keys in use", err)
+			if err := call(t, loadKeys(t, next.issue(t, t.TempDir(), "entry-1", RoleEntry), clock), lis.Addr().String()); err != nil {
+				t.Errorf("got %v once all files are complete, want the new keys in use", err)
 			}
 		})
 	}
@@ -144,9 +145,9 @@
 		return &wire.HaveReply{}, Require(ctx, true, RoleEntry)
 	}}
 	lis := listen(t, "127.0.0.1:0")
-	serve(t, lis, load(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), server)
+	serve(t, lis, loadKeys(t, deployment.issue(t, t.TempDir(), "agent-1", RoleAgent), clock), server)
 	for role, works := range map[string]bool{RoleEntry: true, RoleAgent: false, "operator": false, "": false} {
-		keys := load(t, deployment.issue(t, t.TempDir(), "node-1", role), clock)
+		keys := loadKeys(t, deployment.issue(t, t.TempDir(), "node-1", role), clock)
 		if err := call(t, keys, lis.Addr().String()); (err == nil) != works {
 			t.Errorf("role %q: got error %v, want it to work: %t", role, err, works)
 		}
--- a/relay/peer/pool_test.go
+++ b/relay/peer/pool_test.go
@@ -10,14 +10,15 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// recorded remembers the connections that a listener accepted, to cut them.
-type recorded struct {
+// recordingListener records the connections that it accepts, so that a test can
+// close them.
+type recordingListener struct {
 	net.Listener
 
 	conns chan net.Conn
 }
 
-func (l recorded) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.conns <- conn
@@ -26,13 +27,13 @@
 }
 
 // Symptom: a request marked as not repeatable ran twice. Sequence: the peer
-// dies while it runs a call; a library sends the call again on another
-// connection. Cause: the library takes any broken connection for a stale one.
+// crashes while it runs a call, and a library sends the call again on another
+// connection. Cause: the library treats every broken connection as a stale one.
 func TestCallToDyingPeerIsNotSentAgain(t *testing.T) {
-	var begun atomic.Int32
-	lis := recorded{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
+	var started atomic.Int32
+	lis := recordingListener{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
 	server := &hostServer{have: func(context.Context, *wire.HaveRequest) (*wire.HaveReply, error) {
-		if begun.Add(1) > 1 {
+		if started.Add(1) > 1 {
 			return &wire.HaveReply{}, nil
 		}
 		_ = (<-lis.conns).Close()
@@ -40,21 +41,21 @@
 	}}
 	stop := serve(t, lis, nil, server)
 	if err := call(t, nil, lis.Addr().String()); err == nil {
-		t.Error("got no error from a peer that died in the call, want one")
+		t.Error("got no error from a peer that crashed during the call, want one")
 	}
 	stop()
-	if got, want := begun.Load(), int32(1); got != want {
-		t.Errorf("got the call begun %d times, want %d", got, want)
+	if got, want := started.Load(), int32(1); got != want {
+		t.Errorf("got the call started %d times, want %d", got, want)
 	}
 }
 
-// Symptom: as above, for a stream. Sequence: the peer dies after the first
-// frame. Cause: a stream that is opened anew repeats its request.
+// Symptom: a request marked as not repeatable ran twice, as a stream. Sequence: the
+// peer crashes after the first frame. Cause: reopening a stream repeats its request.
 func TestStreamOfDyingPeerBreaks(t *testing.T) {
-	var begun atomic.Int32
-	lis := recorded{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
+	var started atomic.Int32
+	lis := recordingListener{listen(t, "127.0.0.1:0"), make(chan net.Conn, 16)}
 	server := &hostServer{run: func(_ *wire.Attempt, stream wire.DRPCHost_RunStream) error {
-		begun.Add(1)
+		started.Add(1)
 		if err := stream.Send(&wire.Frame{Kind: "begin"}); err != nil {
 			return err
 		}
@@ -73,18 +74,18 @@
 			frames++
 		}
 	}
-	if frames > 1 || begun.Load() != 1 {
-		t.Errorf("got %d frames of %d runs, want at most 1 of 1", frames, begun.Load())
+	if frames > 1 || started.Load() != 1 {
+		t.Errorf("got %d frames of %d runs, want at most 1 of 1", frames, started.Load())
 	}
 }
 
 // Symptom: the first call after a peer's restart ran twice or hung. Sequence:
-// the pool holds a connection to a process that is replaced at the same
-// address. Cause: the pool believes its idle connection.
+// the pool holds a connection to a process that is replaced at the same address.
+// Cause: the pool uses its idle connection without checking it.
 func TestReplacedPeer(t *testing.T) {
-	var begun atomic.Int32
+	var started atomic.Int32
 	counting := &hostServer{have: func(context.Context, *wire.HaveRequest) (*wire.HaveReply, error) {
-		begun.Add(1)
+		started.Add(1)
 		return &wire.HaveReply{}, nil
 	}}
 	lis := listen(t, "127.0.0.1:0")
@@ -97,13 +98,13 @@
 	}
 	stop()
 	if _, err := client.Have(t.Context(), &wire.HaveRequest{}); err == nil {
-		t.Error("got an answer while nobody listens, want an error")
+		t.Error("got an answer without a listener, want an error")
 	}
 	serve(t, listen(t, lis.Addr().String()), nil, counting)
 	if _, err := client.Have(t.Context(), &wire.HaveRequest{}); err != nil {
-		t.Errorf("got %v from the peer's successor, want an answer", err)
+		t.Errorf("got %v from the replaced peer, want an answer", err)
 	}
-	if got, want := begun.Load(), int32(2); got != want {
+	if got, want := started.Load(), int32(2); got != want {
 		t.Errorf("got %d runs for 2 calls that were answered, want %d", got, want)
 	}
 }
@@ -121,6 +122,6 @@
 	defer pool.Close()
 	_, err := wire.NewDRPCHostClient(pool.Conn(ctx, address)).Have(ctx, &wire.HaveRequest{})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v with a cancelled context, want that it was cancelled", err)
+		t.Errorf("got %v with a cancelled context, want context.Canceled", err)
 	}
 }
