--- a/entry/internal/onsite/bounds.go
+++ b/entry/internal/onsite/bounds.go
@@ -21,7 +21,7 @@
 	revokeMargin = 400 * time.Millisecond
 	// freshTTL is how long callers should keep an answer at most: an entry that
 	// is gone is named for so long.
-	freshTTL = 2 * time.Second
+	maxDirectoryTTL = 2 * time.Second
 )
 
 // bounds are the platform's promises in the process's terms.
@@ -31,19 +31,19 @@
 	directoryTTL time.Duration
 }
 
-func boundsOf(set *wire.SiteBounds) bounds {
-	ttl := seconds(set.GetDirectoryTtlSeconds(), defaultTTL)
+func newBounds(cfg *wire.SiteBounds) bounds {
+	ttl := seconds(cfg.GetDirectoryTtlSeconds(), defaultTTL)
 	return bounds{
 		gateway: gateway.Bounds{
-			Revoke:  max(revokeMargin, millis(set.GetRevokeMillis(), defaultRevoke)-revokeMargin),
-			Apply:   millis(set.GetApplyMillis(), defaultApply),
-			Version: millis(set.GetVersionMillis(), defaultVersion),
-			Ratio:   orDefault(set.GetRetryRatio(), defaultRatio),
-			Slack:   orDefault(set.GetRetrySlack(), defaultSlack),
-			Window:  seconds(set.GetRetryWindowSeconds(), defaultWindow),
+			Revoke:  max(revokeMargin, millis(cfg.GetRevokeMillis(), defaultRevoke)-revokeMargin),
+			Apply:   millis(cfg.GetApplyMillis(), defaultApply),
+			Version: millis(cfg.GetVersionMillis(), defaultVersion),
+			Ratio:   orDefault(cfg.GetRetryRatio(), defaultRatio),
+			Slack:   orDefault(cfg.GetRetrySlack(), defaultSlack),
+			Window:  seconds(cfg.GetRetryWindowSeconds(), defaultWindow),
 		},
-		grace:        millis(set.GetGraceMillis(), defaultGrace),
-		directoryTTL: min(freshTTL, ttl),
+		grace:        millis(cfg.GetGraceMillis(), defaultGrace),
+		directoryTTL: min(maxDirectoryTTL, ttl),
 	}
 }
 
--- a/entry/internal/onsite/compress.go
+++ b/entry/internal/onsite/compress.go
@@ -13,70 +13,70 @@
 const (
 	// packFrom is the size of a value from which on it is compressed: a configuration, which
 	// repeats itself a great deal, and not what describes one host.
-	packFrom = 4 << 10
+	minCompressBytes = 4 << 10
 	// maxUnpacked bounds what is made of a compressed value: some times what the store holds
 	// under one key.
-	maxUnpacked = 8 << 20
+	maxDecompressedBytes = 8 << 20
 	// maxPacked bounds the values that are kept compressed: a configuration, and reports that
 	// are as large now and then.
-	maxPacked = 16
+	maxCachedValues = 16
 )
 
 // packer compresses large values once for all who follow. A source sends each of its followers
 // all of a configuration, and where one comes every second its own link is what makes them
 // late. The zero packer is ready; it is safe for concurrent use.
-type packer struct {
-	mu     sync.Mutex
-	packed map[string]packedValue // by key
+type compressor struct {
+	mu    sync.Mutex
+	cache map[string]compressedValue // by key
 }
 
 // packedValue is a value as it was at a revision, compressed; no bytes where that gains nothing.
-type packedValue struct {
+type compressedValue struct {
 	revision uint64
 	bytes    []byte
 }
 
 // pack returns a value compressed; nil where it goes as it is.
-func (p *packer) pack(entry kv.Entry) []byte {
-	if len(entry.Value()) < packFrom {
+func (p *compressor) compress(entry kv.Entry) []byte {
+	if len(entry.Value()) < minCompressBytes {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known, ok := p.packed[entry.Key()]; ok && known.revision == entry.Revision() {
-		return known.bytes
+	if cached, ok := p.cache[entry.Key()]; ok && cached.revision == entry.Revision() {
+		return cached.bytes
 	}
-	packed := deflate(entry.Value())
-	if len(packed) >= len(entry.Value()) {
-		packed = nil
+	compressed := deflate(entry.Value())
+	if len(compressed) >= len(entry.Value()) {
+		compressed = nil
 	}
-	if p.packed == nil || len(p.packed) >= maxPacked {
-		p.packed = map[string]packedValue{}
+	if p.cache == nil || len(p.cache) >= maxCachedValues {
+		p.cache = map[string]compressedValue{}
 	}
-	p.packed[entry.Key()] = packedValue{revision: entry.Revision(), bytes: packed}
-	return packed
+	p.cache[entry.Key()] = compressedValue{revision: entry.Revision(), bytes: compressed}
+	return compressed
 }
 
 func deflate(value []byte) []byte {
-	var packed bytes.Buffer
+	var compressed bytes.Buffer
 	// The level is one of the library's, and a buffer takes all that is written.
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return value
 	}
 	if _, err := writer.Write(value); err != nil || writer.Close() != nil {
 		return value
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
 // unpack returns the value that was compressed.
-func unpack(packed []byte) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked+1))
+func decompress(compressed []byte) ([]byte, error) {
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Corrupt, "a compressed value cannot be read", "the stream is begun again")
 	}
-	if len(value) > maxUnpacked {
+	if len(value) > maxDecompressedBytes {
 		return nil, failure.New(failure.Corrupt, "a compressed value is too large", "the stream is begun again")
 	}
 	return value, nil
--- a/entry/internal/onsite/compress_test.go
+++ b/entry/internal/onsite/compress_test.go
@@ -11,7 +11,7 @@
 )
 
 // configuration is a document of many routes that are much alike, as operators write them.
-func configuration(routes int) []byte {
+func repetitiveConfiguration(routes int) []byte {
 	var text strings.Builder
 	for i := range routes {
 		fmt.Fprintf(&text, `{"name":"r-%x","host":"h%d.example","path_prefix":"/%x/","kind":"streaming","timeout_ms":6000},`, i*7919, i%7, i*104729)
@@ -24,16 +24,16 @@
 // entries of the region read each from the store and send it to nine others, 3 MB over a link
 // of 40 Mbit/s; an entry that gets it late asks the store too, over the link between regions. Cause: a
 // configuration went to each follower as it is, though it repeats itself nearly everywhere.
-func TestFollowersGetConfigurationsCompressed(t *testing.T) {
-	value := configuration(3000)
-	source := newKnower()
+func TestConfigurationsAreSentCompressed(t *testing.T) {
+	value := repetitiveConfiguration(3000)
+	source := newReplica()
 	source.mirror.Apply(0, []kv.Entry{kv.NewEntry("config", value, 1, false), kv.NewEntry("host", []byte("small"), 2, false)}, 2, true)
 	server := &newsServer{state: source.state, mirror: source.mirror}
 	changes, _ := source.mirror.Since(0)
 	sent, plain := 0, 0
-	follower := newKnower()
+	follower := newReplica()
 	reader := &newsReader{state: follower.state, mirror: follower.mirror}
-	for _, reply := range server.batches(changes) {
+	for _, reply := range server.buildReplies(changes) {
 		for _, one := range reply.GetChanges() {
 			sent += len(one.GetValue()) + len(one.GetPacked())
 			plain += len(one.GetValue())
@@ -57,29 +57,29 @@
 }
 
 func TestValueIsCompressedOnce(t *testing.T) {
-	var once packer
-	first := once.pack(kv.NewEntry("config", configuration(100), 1, false))
-	if again := once.pack(kv.NewEntry("config", configuration(100), 1, false)); &again[0] != &first[0] {
+	var once compressor
+	first := once.compress(kv.NewEntry("config", repetitiveConfiguration(100), 1, false))
+	if again := once.compress(kv.NewEntry("config", repetitiveConfiguration(100), 1, false)); &again[0] != &first[0] {
 		t.Error("got it compressed anew, want what was made before")
 	}
-	if newer := once.pack(kv.NewEntry("config", configuration(200), 2, false)); bytes.Equal(newer, first) {
+	if newer := once.compress(kv.NewEntry("config", repetitiveConfiguration(200), 2, false)); bytes.Equal(newer, first) {
 		t.Error("got an older value, want the newer one")
 	}
-	for i := range 3 * maxPacked {
-		once.pack(kv.NewEntry(fmt.Sprint("report-", i), configuration(100), 3, false))
+	for i := range 3 * maxCachedValues {
+		once.compress(kv.NewEntry(fmt.Sprint("report-", i), repetitiveConfiguration(100), 3, false))
 	}
-	if got := len(once.packed); got > maxPacked {
-		t.Errorf("got %d values kept, want %d at most", got, maxPacked)
+	if got := len(once.cache); got > maxCachedValues {
+		t.Errorf("got %d values kept, want %d at most", got, maxCachedValues)
 	}
 }
 
 // What can't be read, or grows beyond all bounds, is taken for a source that leaves something out.
-func TestSpoiltCompressedValueIsRefused(t *testing.T) {
-	whole := deflate(configuration(100))
+func TestCorruptCompressedValueIsRejected(t *testing.T) {
+	whole := deflate(repetitiveConfiguration(100))
 	for name, packed := range map[string][]byte{
-		"cut": whole[:len(whole)/2], "garbage": []byte("not compressed"), "too large": deflate(make([]byte, maxUnpacked+1)),
+		"cut": whole[:len(whole)/2], "garbage": []byte("not compressed"), "too large": deflate(make([]byte, maxDecompressedBytes+1)),
 	} {
-		k := newKnower()
+		k := newReplica()
 		reader := &newsReader{state: k.state, mirror: k.mirror}
 		reply := &wire.NewsReply{Revision: 1, Changes: []*wire.StoredValue{{Key: "config", Packed: packed, Revision: 1}}}
 		if reader.receive(reply) || k.mirror.Revision() != 0 {
--- a/entry/internal/onsite/delay_meter.go
+++ b/entry/internal/onsite/delay_meter.go
@@ -8,16 +8,16 @@
 const (
 	// clockDrift is how much two steady clocks may run apart, as a part of the
 	// time: a few times what crystals do.
-	clockDrift = 0.0005
+	maxClockDrift = 0.0005
 	// echoTime is how long an agent may take to send a message back where that is
 	// not known yet: the longest time between two of its states. Later it is
 	// twice what it took lately and echoSlack more.
-	echoTime  = 250 * time.Millisecond
-	echoSlack = 30 * time.Millisecond
+	maxEchoHold   = 250 * time.Millisecond
+	echoHoldSlack = 30 * time.Millisecond
 	// heldWeight is the part of a new time in what it took lately.
-	heldWeight = 0.25
+	holdSmoothing = 0.25
 	// reportStep is the least change of the delay that an agent should learn of at once.
-	reportStep = 80 * time.Millisecond
+	minReportedChange = 80 * time.Millisecond
 )
 
 // delayMeter learns how long messages to and from an agent are on their way beyond the
@@ -28,116 +28,116 @@
 type delayMeter struct {
 	mu sync.Mutex
 
-	agent int64         // when the agent started; another one has another clock
-	least time.Duration // of arrival less sending, from the agent
-	at    time.Duration // arrival of the newest message
-	known bool
+	agentStarted int64         // when the agent started; another one has another clock
+	minOffset    time.Duration // of arrival less sending, from the agent
+	lastArrival  time.Duration // arrival of the newest message
+	known        bool
 
-	trip  time.Duration // least time there and back; 0: none came back
-	asked time.Duration // when the first message was sent that did not come back; 0: none
-	last  time.Duration // when the newest one was sent
+	minRoundTrip   time.Duration // least time there and back; 0: none came back
+	oldestUnechoed time.Duration // when the first message was sent that did not come back; 0: none
+	lastSent       time.Duration // when the newest one was sent
 	// echoed is the message that came back newest, and held the smoothed time for
 	// which the agent keeps one; 0: none came back.
-	echoed, held time.Duration
+	lastEcho, smoothedHold time.Duration
 
-	newest   time.Duration // delay found last
+	latest   time.Duration // delay found last
 	reported time.Duration // delay that was sent to the agent last
-	moved    chan struct{} // buffered by one: the delay changed much since
+	changed  chan struct{} // buffered by one: the delay changed much since
 }
 
-func newDelayMeter() *delayMeter { return &delayMeter{moved: make(chan struct{}, 1)} }
+func newDelayMeter() *delayMeter { return &delayMeter{changed: make(chan struct{}, 1)} }
 
 // report returns the delay that the agent should receive.
-func (m *delayMeter) report() time.Duration {
+func (m *delayMeter) delayToReport() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reported = m.newest
+	m.reported = m.latest
 	return m.reported
 }
 
 // ask notes that a message is sent.
-func (m *delayMeter) ask(now time.Duration) {
+func (m *delayMeter) recordSent(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.asked == 0 {
-		m.asked = now
+	if m.oldestUnechoed == 0 {
+		m.oldestUnechoed = now
 	}
-	m.last = now
+	m.lastSent = now
 }
 
 // restart forgets what was sent: with the stream it is lost.
-func (m *delayMeter) restart() {
+func (m *delayMeter) resetSent() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked, m.last = 0, 0
+	m.oldestUnechoed, m.lastSent = 0, 0
 }
 
 // messageTimes is the times of one message from an agent.
 type messageTimes struct {
-	agent      int64         // when the agent started
-	sent       time.Duration // by the agent's clock
-	echo, held time.Duration // the newest message that it had, by this entry's clock, and for how long; 0: none
+	agentStarted int64         // when the agent started
+	sent         time.Duration // by the agent's clock
+	echo, held   time.Duration // the newest message that it had, by this entry's clock, and for how long; 0: none
 }
 
 // delay takes a message's times and returns what the way there or back takes beyond
 // the least.
-func (m *delayMeter) delay(now time.Duration, msg messageTimes) time.Duration {
+func (m *delayMeter) update(now time.Duration, msg messageTimes) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.newest = max(m.back(now, msg), m.round(now, msg))
-	if (m.newest - m.reported).Abs() >= reportStep {
+	m.latest = max(m.oneWayDelay(now, msg), m.roundTripDelay(now, msg))
+	if (m.latest - m.reported).Abs() >= minReportedChange {
 		select {
-		case m.moved <- struct{}{}:
+		case m.changed <- struct{}{}:
 		default:
 		}
 	}
-	return m.newest
+	return m.latest
 }
 
 // back returns the delay of the message alone.
-func (m *delayMeter) back(now time.Duration, msg messageTimes) time.Duration {
-	took := now - msg.sent
-	m.least += time.Duration(clockDrift * float64(now-m.at))
-	if !m.known || msg.agent != m.agent || took < m.least {
-		m.least = took
+func (m *delayMeter) oneWayDelay(now time.Duration, msg messageTimes) time.Duration {
+	offset := now - msg.sent
+	m.minOffset += time.Duration(maxClockDrift * float64(now-m.lastArrival))
+	if !m.known || msg.agentStarted != m.agentStarted || offset < m.minOffset {
+		m.minOffset = offset
 	}
-	m.agent, m.at, m.known = msg.agent, now, true
-	return took - m.least
+	m.agentStarted, m.lastArrival, m.known = msg.agentStarted, now, true
+	return offset - m.minOffset
 }
 
 // round returns the delay of what came back or should have.
-func (m *delayMeter) round(now time.Duration, msg messageTimes) time.Duration {
-	found := time.Duration(0)
+func (m *delayMeter) roundTripDelay(now time.Duration, msg messageTimes) time.Duration {
+	delay := time.Duration(0)
 	if msg.echo > 0 {
-		took := now - msg.echo - msg.held
-		if m.trip == 0 || took < m.trip {
-			m.trip = max(took, time.Nanosecond)
+		roundTrip := now - msg.echo - msg.held
+		if m.minRoundTrip == 0 || roundTrip < m.minRoundTrip {
+			m.minRoundTrip = max(roundTrip, time.Nanosecond)
 		}
-		found = took - m.trip
-		if msg.echo != m.echoed {
+		delay = roundTrip - m.minRoundTrip
+		if msg.echo != m.lastEcho {
 			// What comes back again says how long ago it came, not how long it was kept.
-			if m.echoed == 0 {
-				m.held = msg.held
+			if m.lastEcho == 0 {
+				m.smoothedHold = msg.held
 			}
-			m.echoed = msg.echo
-			m.held += time.Duration(heldWeight * float64(msg.held-m.held))
+			m.lastEcho = msg.echo
+			m.smoothedHold += time.Duration(holdSmoothing * float64(msg.held-m.smoothedHold))
 		}
-		if msg.echo >= m.last {
-			m.asked = 0
-		} else if msg.echo >= m.asked {
-			m.asked = m.last
+		if msg.echo >= m.lastSent {
+			m.oldestUnechoed = 0
+		} else if msg.echo >= m.oldestUnechoed {
+			m.oldestUnechoed = m.lastSent
 		}
 	}
-	if m.asked > 0 {
-		found = max(found, now-m.asked-m.trip-m.keeps())
+	if m.oldestUnechoed > 0 {
+		delay = max(delay, now-m.oldestUnechoed-m.minRoundTrip-m.expectedHold())
 	}
-	return found
+	return delay
 }
 
 // keeps returns how long the agent may keep a message before it sends it back.
-func (m *delayMeter) keeps() time.Duration {
-	if m.echoed == 0 {
-		return echoTime
+func (m *delayMeter) expectedHold() time.Duration {
+	if m.lastEcho == 0 {
+		return maxEchoHold
 	}
-	return min(echoTime, 2*m.held+echoSlack)
+	return min(maxEchoHold, 2*m.smoothedHold+echoHoldSlack)
 }
--- a/entry/internal/onsite/directory.go
+++ b/entry/internal/onsite/directory.go
@@ -11,7 +11,7 @@
 const (
 	// nearEnough is the entries of a caller's own failure domain that are
 	// enough for it: with one alone its loss would hit all of them.
-	nearEnough = 2
+	minLocalEntries = 2
 	// maxAddresses bounds an answer.
 	maxAddresses = 64
 )
@@ -22,29 +22,29 @@
 	self  site.Entry
 	id    string
 	// open reports whether this entry itself takes callers.
-	open func() bool
+	acceptsCallers func() bool
 	// keep returns how long callers should keep an answer.
-	keep func() time.Duration
+	ttl func() time.Duration
 }
 
 // choose returns the entries near the caller, or all where too few are near.
-func (d *directory) choose(place platform.Place) ([]string, time.Duration) {
+func (d *directory) selectAddresses(place platform.Place) ([]string, time.Duration) {
 	entries := d.state.Entries()
 	delete(entries, d.id)
-	if d.open() {
+	if d.acceptsCallers() {
 		entries[d.id] = d.self
 	}
-	var near, all []string
+	var local, all []string
 	for _, entry := range entries {
 		all = append(all, entry.CallersAddress)
 		if entry.FailureDomain == place.FailureDomain {
-			near = append(near, entry.CallersAddress)
+			local = append(local, entry.CallersAddress)
 		}
 	}
-	chosen := all
-	if len(near) >= nearEnough {
-		chosen = near
+	selected := all
+	if len(local) >= minLocalEntries {
+		selected = local
 	}
-	sort.Strings(chosen)
-	return chosen[:min(maxAddresses, len(chosen))], d.keep()
+	sort.Strings(selected)
+	return selected[:min(maxAddresses, len(selected))], d.ttl()
 }
--- a/entry/internal/onsite/feed.go
+++ b/entry/internal/onsite/feed.go
@@ -13,85 +13,85 @@
 
 const (
 	// feedRetry is the mean pause before a feed is begun again.
-	feedRetry = 250 * time.Millisecond
+	feedRetryPause = 250 * time.Millisecond
 	// homeGap, nearGap and farGap are the least times between two states of an engine
 	// that is home to this entry, of another one of its failure domain, and of one of
 	// another domain, to which little is sent and whose bytes are dear.
-	homeGap = 25 * time.Millisecond
-	nearGap = 60 * time.Millisecond
-	farGap  = 250 * time.Millisecond
+	homeInterval = 25 * time.Millisecond
+	nearInterval = 60 * time.Millisecond
+	farInterval  = 250 * time.Millisecond
 	// guideGap is the same of an engine to which this entry sends nothing: it says
 	// that the host is still connected.
-	guideGap = time.Second
+	outsideInterval = time.Second
 	// feedSilence ends a feed that brings nothing: agents send at least four times as
 	// often, so the connection is dead though nothing says so. guideSilence is the same
 	// where they send each guideGap.
-	feedSilence  = time.Second
-	guideSilence = 3500 * time.Millisecond
+	feedTimeout        = time.Second
+	outsideFeedTimeout = 3500 * time.Millisecond
 )
 
 // feed follows the agent of one engine.
 type feed struct {
-	feeds  *feeds
-	engine fleet.Engine
-	path   *delayMeter
-	cancel context.CancelFunc
-	moved  chan struct{} // buffered by one: part or brief changed
+	manager *feedManager
+	engine  fleet.Engine
+	delays  *delayMeter
+	cancel  context.CancelFunc
+	changed chan struct{} // buffered by one: part or brief changed
 
-	mu    sync.Mutex
-	part  deal.Part
-	brief *brief
+	mu       sync.Mutex
+	part     deal.Part
+	guidance *guidanceSnapshot
 }
 
 // begin follows an engine until its feed is cancelled.
-func (f *feeds) begin(ctx context.Context, eng fleet.Engine) *feed {
+func (f *feedManager) startFeed(ctx context.Context, eng fleet.Engine) *feed {
 	ctx, cancel := context.WithCancel(ctx)
-	one := &feed{feeds: f, engine: eng, path: newDelayMeter(), cancel: cancel, moved: make(chan struct{}, 1)}
-	go one.run(ctx)
-	return one
+	started := &feed{manager: f, engine: eng, delays: newDelayMeter(), cancel: cancel, changed: make(chan struct{}, 1)}
+	go started.run(ctx)
+	return started
 }
 
 // heed takes over this entry's part in the engine and what its host should know.
-func (d *feed) heed(part deal.Part, newest *brief) {
+func (d *feed) setAssignment(part deal.Part, newest *guidanceSnapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if part == d.part && newest.digest == d.brief.sum() {
+	if part == d.part && newest.digest == d.guidance.digestOrZero() {
 		return
 	}
 	changed := part != d.part || part.Guide
-	d.part, d.brief = part, newest
+	d.part, d.guidance = part, newest
 	if !changed {
 		return
 	}
 	select {
-	case d.moved <- struct{}{}:
+	case d.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (d *feed) orders() (deal.Part, *brief) {
+func (d *feed) assignment() (deal.Part, *guidanceSnapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.part, d.brief
+	return d.part, d.guidance
 }
 
 // sends reports whether this entry sends requests to the engine.
-func (d *feed) sends() bool {
-	part, _ := d.orders()
+func (d *feed) sendsRequests() bool {
+	part, _ := d.assignment()
 	return part.Reach != deal.Outside
 }
 
 // silence returns after how long without a state the feed is dead.
-func (d *feed) silence() time.Duration {
-	if d.sends() {
-		return feedSilence
+func (d *feed) silenceTimeout() time.Duration {
+	if d.sendsRequests() {
+		return feedTimeout
 	}
-	return guideSilence
+	return outsideFeedTimeout
 }
 
 // run keeps the feed, begun again whenever it ends.
 func (d *feed) run(ctx context.Context) {
-	f := d.feeds
+	f := d.manager
 	address := f.agentAddress(d.engine.Address)
 	up := false
 	for ctx.Err() == nil {
@@ -100,154 +100,154 @@
 			f.log.Warn("dependency lost", "dependency", "agent", "address", address, "error", err)
 			up = false
 		}
-		f.sleep(ctx, feedRetry/2+rand.N(feedRetry), nil)
+		f.sleep(ctx, feedRetryPause/2+rand.N(feedRetryPause), nil)
 	}
 }
 
 func (d *feed) stream(ctx context.Context, address string, up *bool) error {
-	f := d.feeds
+	f := d.manager
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchdog := f.clock.AfterFunc(d.silence(), cancel)
+	watchdog := f.clock.AfterFunc(d.silenceTimeout(), cancel)
 	defer watchdog.Stop()
 	stream, err := wire.NewDRPCFeedClient(f.pool.Conn(ctx, address)).Follow(ctx)
 	if err != nil {
 		return err
 	}
-	d.path.restart()
-	go d.guide(ctx, cancel, stream)
+	d.delays.resetSent()
+	go d.sendGuidance(ctx, cancel, stream)
 	for {
 		state, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		watchdog.Reset(d.silence())
+		watchdog.Reset(d.silenceTimeout())
 		if !*up {
 			*up = true
 			f.log.Info("dependency regained", "dependency", "agent", "address", address)
 		}
-		for _, one := range state.GetDeclared() {
-			f.state.DeclaredFor(one.GetModel(), one.GetVersion(), time.Duration(one.GetAgeMillis())*time.Millisecond)
+		for _, weights := range state.GetDeclared() {
+			f.state.DeclaredFor(weights.GetModel(), weights.GetVersion(), time.Duration(weights.GetAgeMillis())*time.Millisecond)
 		}
-		if d.sends() {
-			d.take(state)
+		if d.sendsRequests() {
+			d.observe(state)
 		}
 	}
 }
 
 // take takes over an engine's state.
-func (d *feed) take(state *wire.EngineState) {
-	f := d.feeds
-	observed := stateOf(state)
+func (d *feed) observe(state *wire.EngineState) {
+	f := d.manager
+	engineState := engineStateOf(state)
 	// An entry that sends there seldom learns from the others.
-	observed.Delay = max(d.path.delay(f.clock.Since(f.began), timesOf(state)), time.Duration(state.GetLagMillis())*time.Millisecond)
-	f.state.Fleet().Observe(d.engine.Service, d.engine.Address, observed)
+	engineState.Delay = max(d.delays.update(f.clock.Since(f.startedAt), messageTimesOf(state)), time.Duration(state.GetLagMillis())*time.Millisecond)
+	f.state.Fleet().Observe(d.engine.Service, d.engine.Address, engineState)
 }
 
 // guide reports to the agent how much of what this entry sent there is not read yet, how
 // often it wants states and, if it is one of the host's guides, what is wanted, at
 // once and after each change.
-func (d *feed) guide(ctx context.Context, cancel context.CancelFunc, stream wire.DRPCFeed_FollowClient) {
+func (d *feed) sendGuidance(ctx context.Context, cancel context.CancelFunc, stream wire.DRPCFeed_FollowClient) {
 	defer cancel()
-	f := d.feeds
-	reading := f.state.Fleet().Group(d.engine.Service).ReadingChanged(d.engine.Address)
-	sender := &guidanceSender{feed: d, reading: -1}
-	lagged := false
+	f := d.manager
+	readingChanged := f.state.Fleet().Group(d.engine.Service).ReadingChanged(d.engine.Address)
+	sender := &guidanceSender{feed: d, unreadTokens: -1}
+	delayChanged := false
 	for ctx.Err() == nil {
 		message, wait := sender.next(f.clock.Now())
-		if message == nil && lagged {
+		if message == nil && delayChanged {
 			message = sender.readingOnly()
 		}
-		if lagged = false; message != nil {
-			d.stamp(message)
+		if delayChanged = false; message != nil {
+			d.addTimestamps(message)
 			if stream.Send(message) != nil {
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-reading:
-		case <-d.moved:
-		case <-d.path.moved:
-			lagged = true
+		case <-readingChanged:
+		case <-d.changed:
+		case <-d.delays.changed:
+			delayChanged = true
 		case <-f.clock.After(wait):
 		}
 	}
 }
 
 // stamp lets the agent's next states report how long the message was on its way.
-func (d *feed) stamp(message *wire.Guidance) {
-	part, _ := d.orders()
+func (d *feed) addTimestamps(message *wire.Guidance) {
+	part, _ := d.assignment()
 	if part.Reach == deal.Outside {
 		return
 	}
-	now := d.feeds.clock.Since(d.feeds.began)
+	now := d.manager.clock.Since(d.manager.startedAt)
 	message.Near = part.Reach >= deal.Near
-	message.DelayMillis = uint32(d.path.report().Milliseconds())
-	d.path.ask(now.Truncate(time.Millisecond))
+	message.DelayMillis = uint32(d.delays.delayToReport().Milliseconds())
+	d.delays.recordSent(now.Truncate(time.Millisecond))
 	message.SentMillis = uint64(now.Milliseconds())
 }
 
 // gapOf returns how often an entry with the part wants states.
-func gapOf(part deal.Part) time.Duration {
+func stateInterval(part deal.Part) time.Duration {
 	switch part.Reach {
 	case deal.Home:
-		return homeGap
+		return homeInterval
 	case deal.Near:
-		return nearGap
+		return nearInterval
 	case deal.Far:
-		return farGap
+		return farInterval
 	}
-	return guideGap
+	return outsideInterval
 }
 
 // guidanceSender holds what was sent to one agent.
 type guidanceSender struct {
-	feed    *feed
-	sent    *brief // nil: none, or others send it
-	sentAt  time.Time
-	gap     time.Duration
-	reading int
-	last    int // requests in progress that can't go on elsewhere
+	feed           *feed
+	sentGuidance   *guidanceSnapshot // nil: none, or others send it
+	sentAt         time.Time
+	interval       time.Duration
+	unreadTokens   int
+	pinnedRequests int // requests in progress that can't go on elsewhere
 }
 
 // next returns what the agent does not know yet, nil where it knows all, and how
 // long that holds if nothing changes.
 func (t *guidanceSender) next(now time.Time) (*wire.Guidance, time.Duration) {
-	part, newest := t.feed.orders()
-	message, wait := t.guidance(now, part, newest)
-	known := t.feed.feeds.state.Fleet()
-	reading := known.Reading(t.feed.engine.Service, t.feed.engine.Address)
-	last := known.Last(t.feed.engine.Service, t.feed.engine.Address)
-	gap := gapOf(part)
-	if message == nil && reading == t.reading && last == t.last && gap == t.gap {
+	part, newest := t.feed.assignment()
+	message, wait := t.nextGuidance(now, part, newest)
+	engines := t.feed.manager.state.Fleet()
+	unreadTokens := engines.Reading(t.feed.engine.Service, t.feed.engine.Address)
+	pinnedRequests := engines.Last(t.feed.engine.Service, t.feed.engine.Address)
+	interval := stateInterval(part)
+	if message == nil && unreadTokens == t.unreadTokens && pinnedRequests == t.pinnedRequests && interval == t.interval {
 		return nil, wait
 	}
-	t.reading, t.last = reading, last
+	t.unreadTokens, t.pinnedRequests = unreadTokens, pinnedRequests
 	if message == nil {
 		message = t.readingOnly()
 	}
-	message.Reading, message.Last = uint32(reading), uint32(last)
-	if gap != t.gap {
-		t.gap, message.GapMillis = gap, uint32(gap.Milliseconds())
+	message.Reading, message.Last = uint32(unreadTokens), uint32(pinnedRequests)
+	if interval != t.interval {
+		t.interval, message.GapMillis = interval, uint32(interval.Milliseconds())
 	}
 	return message, wait
 }
 
 func (t *guidanceSender) readingOnly() *wire.Guidance {
-	return &wire.Guidance{ReadingOnly: true, Reading: uint32(max(0, t.reading)), Last: uint32(t.last)}
+	return &wire.Guidance{ReadingOnly: true, Reading: uint32(max(0, t.unreadTokens)), Last: uint32(t.pinnedRequests)}
 }
 
 // guidance returns what to send to the host now; nil where it was sent, or where
 // that is for other entries.
-func (t *guidanceSender) guidance(now time.Time, part deal.Part, newest *brief) (*wire.Guidance, time.Duration) {
+func (t *guidanceSender) nextGuidance(now time.Time, part deal.Part, newest *guidanceSnapshot) (*wire.Guidance, time.Duration) {
 	if !part.Guide {
-		t.sent = nil
-		return nil, guideInterval
+		t.sentGuidance = nil
+		return nil, guidanceInterval
 	}
-	if wait := t.sent.stays(newest, now.Sub(t.sentAt)); wait > 0 {
+	if wait := t.sentGuidance.delayUntilUpdate(newest, now.Sub(t.sentAt)); wait > 0 {
 		return nil, wait
 	}
-	t.sent, t.sentAt = newest, now
-	return newest.message(t.feed.feeds), guideInterval
+	t.sentGuidance, t.sentAt = newest, now
+	return newest.withCurrentAges(t.feed.manager), guidanceInterval
 }
--- a/entry/internal/onsite/guidance.go
+++ b/entry/internal/onsite/guidance.go
@@ -18,21 +18,21 @@
 
 const (
 	// guideInterval is how often an agent receives again what did not change.
-	guideInterval = 10 * time.Second
+	guidanceInterval = 10 * time.Second
 	// hostsGap is the least time between two lists of hosts to one agent where nothing else is
 	// new, so that one list holds the hosts that register together.
-	hostsGap = 400 * time.Millisecond
+	minHostListInterval = 400 * time.Millisecond
 )
 
 // brief is what hosts are to know, as one plan found it.
-type brief struct {
+type guidanceSnapshot struct {
 	guidance *wire.Guidance // without ages; never changed
 	// wanted sums up what must be sent at once, digest all of it: ages and revisions
 	// alone are nothing new.
-	wanted, digest uint64
+	urgentDigest, digest uint64
 }
 
-func (b *brief) sum() uint64 {
+func (b *guidanceSnapshot) digestOrZero() uint64 {
 	if b == nil {
 		return 0
 	}
@@ -41,41 +41,41 @@
 
 // stays returns for how long a host that received this brief so long ago need not
 // receive a newer one.
-func (b *brief) stays(newest *brief, age time.Duration) time.Duration {
+func (b *guidanceSnapshot) delayUntilUpdate(newest *guidanceSnapshot, age time.Duration) time.Duration {
 	switch {
-	case b == nil || b.wanted != newest.wanted:
+	case b == nil || b.urgentDigest != newest.urgentDigest:
 		return 0
 	case b.digest != newest.digest:
-		return hostsGap - age
+		return minHostListInterval - age
 	}
-	return guideInterval - age
+	return guidanceInterval - age
 }
 
 // message returns the brief with the ages of this moment.
-func (b *brief) message(f *feeds) *wire.Guidance {
+func (b *guidanceSnapshot) withCurrentAges(f *feedManager) *wire.Guidance {
 	guidance := proto.CloneOf(b.guidance)
-	for _, one := range guidance.GetWanted() {
-		if want, ok := f.state.WantedOf(one.GetModel()); ok && want.Version == one.GetVersion() {
-			one.AgeMillis = uint32(f.clock.Since(want.Since).Milliseconds())
+	for _, weights := range guidance.GetWanted() {
+		if want, ok := f.state.WantedOf(weights.GetModel()); ok && want.Version == weights.GetVersion() {
+			weights.AgeMillis = uint32(f.clock.Since(want.Since).Milliseconds())
 		}
 	}
 	return guidance
 }
 
 // brief puts together what hosts are to know now.
-func (f *feeds) brief(engines []fleet.Engine) *brief {
+func (f *feedManager) buildGuidance(engines []fleet.Engine) *guidanceSnapshot {
 	guidance := &wire.Guidance{Revision: f.state.Revision()}
 	if cat := f.state.Catalog(); cat != nil {
-		f.addWeights(guidance, cat)
+		f.addWantedWeights(guidance, cat)
 	}
-	found := &brief{guidance: guidance}
-	found.wanted = digestOf(guidance)
-	guidance.Hosts = f.hosts(engines)
-	found.digest = digestOf(guidance)
-	return found
+	snapshot := &guidanceSnapshot{guidance: guidance}
+	snapshot.urgentDigest = guidanceDigest(guidance)
+	guidance.Hosts = f.hostGroups(engines)
+	snapshot.digest = guidanceDigest(guidance)
+	return snapshot
 }
 
-func (f *feeds) addWeights(guidance *wire.Guidance, cat *catalog.Catalog) {
+func (f *feedManager) addWantedWeights(guidance *wire.Guidance, cat *catalog.Catalog) {
 	if origin, rate := cat.Origin(); origin != "" {
 		guidance.OriginUrl, guidance.OriginRate = "http://"+origin, rate
 	}
@@ -86,28 +86,28 @@
 		}
 		for _, model := range slices.Sorted(maps.Keys(svc.Engine.Loads)) {
 			load := svc.Engine.Loads[model]
-			guidance.Wanted = append(guidance.Wanted, f.wanted(svc, model, loaded[model], load, cat.Resumable(svc.Name)))
+			guidance.Wanted = append(guidance.Wanted, f.wantedWeights(svc, model, loaded[model], load, cat.Resumable(svc.Name)))
 		}
 	})
 }
 
 // wanted is the version declared, or the newest that an engine has where none
 // was declared.
-func (f *feeds) wanted(svc *catalog.Service, model string, newest uint64, load time.Duration, cutover bool) *wire.WantedWeights {
-	guidance := &wire.WantedWeights{
-		Model: model, Version: max(1, newest), LoadSeconds: load.Seconds(),
+func (f *feedManager) wantedWeights(svc *catalog.Service, model string, newestLoaded uint64, load time.Duration, cutover bool) *wire.WantedWeights {
+	weights := &wire.WantedWeights{
+		Model: model, Version: max(1, newestLoaded), LoadSeconds: load.Seconds(),
 		Chunks: uint32(svc.Engine.Chunks), ChunkBytes: uint32(svc.Engine.ChunkBytes), Cutover: cutover,
 	}
-	if want, ok := f.state.WantedOf(model); ok && want.Version >= guidance.Version {
-		guidance.Version, guidance.Fence = want.Version, want.Revision
+	if declared, ok := f.state.WantedOf(model); ok && declared.Version >= weights.Version {
+		weights.Version, weights.Fence = declared.Version, declared.Revision
 	}
-	return guidance
+	return weights
 }
 
 // hosts lists the hosts by failure domain that are to hold weights. One that leaves is
 // left out: chunks that were its turn to draw would wait for it. So is one whose address
 // is no IPv4 address: platforms give no others.
-func (f *feeds) hosts(engines []fleet.Engine) []*wire.HostGroup {
+func (f *feedManager) hostGroups(engines []fleet.Engine) []*wire.HostGroup {
 	groups := map[string]*wire.HostGroup{}
 	sorted := slices.SortedFunc(slices.Values(engines), func(left, right fleet.Engine) int { return cmp.Compare(left.Address, right.Address) })
 	for _, eng := range sorted {
@@ -121,7 +121,7 @@
 		}
 		group := groups[eng.FailureDomain]
 		if group == nil {
-			group = &wire.HostGroup{Region: f.regionOf(eng.FailureDomain), FailureDomain: eng.FailureDomain, AgentPort: f.port}
+			group = &wire.HostGroup{Region: f.regionOf(eng.FailureDomain), FailureDomain: eng.FailureDomain, AgentPort: f.agentPort}
 			groups[eng.FailureDomain] = group
 		}
 		ip := address.Addr().As4()
@@ -136,13 +136,13 @@
 }
 
 // digestOf sums up guidance but for its revision.
-func digestOf(guidance *wire.Guidance) uint64 {
-	dup := &wire.Guidance{
+func guidanceDigest(guidance *wire.Guidance) uint64 {
+	content := &wire.Guidance{
 		Wanted: guidance.GetWanted(), Hosts: guidance.GetHosts(), OriginUrl: guidance.GetOriginUrl(), OriginRate: guidance.GetOriginRate(),
 	}
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(dup)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
 	if err != nil {
 		return 0
 	}
-	return xxhash.Sum64(text)
+	return xxhash.Sum64(encoded)
 }
--- a/entry/internal/onsite/limit_test.go
+++ b/entry/internal/onsite/limit_test.go
@@ -16,32 +16,32 @@
 	limitFactor = 1.5
 	limitSlack  = 5
 	// limitNotice is how long after a limit was first named the bound holds.
-	limitNotice = 3 * time.Second
+	limitGracePeriod = 3 * time.Second
 )
 
 // mostWithin returns the most moments within a window, of those after the time given.
-func mostWithin(times []time.Time, after time.Time, window time.Duration) int {
-	most, first := 0, 0
+func maxInWindow(times []time.Time, after time.Time, window time.Duration) int {
+	largest, first := 0, 0
 	for last, at := range times {
 		for times[first].Before(after) && first < last || at.Sub(times[first]) > window {
 			first++
 		}
 		if !at.Before(after) {
-			most = max(most, last-first+1)
+			largest = max(largest, last-first+1)
 		}
 	}
-	return most
+	return largest
 }
 
 // used waits until an endpoint receives requests from each entry, while callers ask all of them.
-func (f *fleetOfEntries) used(t *testing.T, end *platformtest.Worker) {
+func (f *testFleet) awaitUseByAllEntries(t *testing.T, worker *platformtest.Worker) {
 	t.Helper()
 	eventually(t, "each entry uses the endpoint", func() error {
 		var idle []string
 		for _, to := range f.entries {
-			body := "from " + to.set.GetNode().GetId()
+			body := "from " + to.cfg.GetNode().GetId()
 			f.send(to, body)
-			if end.Seen(body) == 0 {
+			if worker.Seen(body) == 0 {
 				idle = append(idle, body)
 			}
 		}
@@ -56,14 +56,14 @@
 // all of them together, and against entries that keep away from it once it lifted the limit.
 func TestRateLimitOfAnEndpointHoldsForAllEntries(t *testing.T) {
 	const perSecond = 1
-	f := newFleetOfEntries(t, 9, 3, nil)
+	f := newTestFleet(t, 9, 3, nil)
 	limited := f.workers[0]
 	limited.Limit("1")
 	began := time.Now()
 	var callers sync.WaitGroup
 	for _, to := range f.entries {
 		callers.Go(func() {
-			for time.Since(began) < limitNotice+limitWindow+time.Second {
+			for time.Since(began) < limitGracePeriod+limitWindow+time.Second {
 				if got := f.send(to, "body"); got != http.StatusOK {
 					t.Errorf("got %d while two endpoints have no limit, want 200", got)
 				}
@@ -74,12 +74,12 @@
 	callers.Wait()
 	arrivals := limited.Arrivals()
 	allowed := int(limitFactor*perSecond*limitWindow.Seconds()) + limitSlack
-	if got := mostWithin(arrivals, began.Add(limitNotice), limitWindow); got > allowed {
+	if got := maxInWindow(arrivals, began.Add(limitGracePeriod), limitWindow); got > allowed {
 		t.Errorf("got %d requests in %v at an endpoint that accepts %d a second, want %d at most", got, limitWindow, perSecond, allowed)
 	}
 	limited.Limit("")
-	f.used(t, limited)
-	if last := arrivals[len(arrivals)-1]; last.Before(began.Add(limitNotice)) {
+	f.awaitUseByAllEntries(t, limited)
+	if last := arrivals[len(arrivals)-1]; last.Before(began.Add(limitGracePeriod)) {
 		t.Errorf("got no request after %v at an endpoint that accepts some, want what it accepts", last.Sub(began))
 	}
 }
--- a/entry/internal/onsite/news.go
+++ b/entry/internal/onsite/news.go
@@ -17,21 +17,21 @@
 	// newsGap is the least time between two replies with changes to one entry:
 	// of a series of configurations only the newest then crosses a source's
 	// link, and a change still comes well within its bound.
-	newsGap = 150 * time.Millisecond
+	minNewsInterval = 150 * time.Millisecond
 	// batchBytes bounds the values in one reply, far below a message's bound;
 	// one value may be larger.
-	batchBytes = 256 << 10
+	maxBatchBytes = 256 << 10
 	// partBytes is what a reply holds of a value that comes in parts: a link that many share
 	// carries it well before the follower takes the source for silent.
-	partBytes = 32 << 10
+	maxPartBytes = 32 << 10
 )
 
 // newsServer sends other entries what this one knows: wire.News.
 type newsServer struct {
-	state  *site.State
-	mirror *site.Mirror
-	clock  clockwork.Clock
-	packer packer
+	state      *site.State
+	mirror     *site.Mirror
+	clock      clockwork.Clock
+	compressor compressor
 }
 
 // Share sends what is known and its age until the caller goes.
@@ -42,9 +42,9 @@
 	if err != nil {
 		return err
 	}
-	asked := make(chan struct{}, 1)
-	newest := &atomic.Uint64{}
-	newest.Store(first.GetNumber())
+	requested := make(chan struct{}, 1)
+	newestRequest := &atomic.Uint64{}
+	newestRequest.Store(first.GetNumber())
 	go func() {
 		defer cancel()
 		for {
@@ -52,25 +52,25 @@
 			if err != nil {
 				return
 			}
-			newest.Store(request.GetNumber())
+			newestRequest.Store(request.GetNumber())
 			select {
-			case asked <- struct{}{}:
+			case requested <- struct{}{}:
 			default:
 			}
 		}
 	}()
-	sent, parts := first.GetRevision(), first.GetParts()
+	sent, acceptsParts := first.GetRevision(), first.GetParts()
 	sentAt := time.Time{} // when changes were last sent
 	for {
 		before := sent
-		changed, err := s.send(stream, newest.Load(), &sent, parts)
+		changed, err := s.send(stream, newestRequest.Load(), &sent, acceptsParts)
 		if err != nil {
 			return err
 		}
 		if sent != before {
 			sentAt = s.clock.Now()
 		}
-		if !s.pause(ctx, changed, asked, sentAt) {
+		if !s.waitForUpdate(ctx, changed, requested, sentAt) {
 			return nil
 		}
 	}
@@ -79,18 +79,18 @@
 // pause waits for a request, or for a change and until newsGap after the changes
 // sent last; false says that the caller is gone. A change that comes alone is sent
 // at once.
-func (s *newsServer) pause(ctx context.Context, changed, asked <-chan struct{}, sentAt time.Time) bool {
+func (s *newsServer) waitForUpdate(ctx context.Context, changed, requested <-chan struct{}, sentAt time.Time) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-asked:
+	case <-requested:
 		return true
 	case <-changed:
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.clock.After(max(0, newsGap-s.clock.Since(sentAt))):
+	case <-s.clock.After(max(0, minNewsInterval-s.clock.Since(sentAt))):
 	}
 	return true
 }
@@ -99,16 +99,16 @@
 // changes, so that these hold all that the proof speaks of.
 //
 // Rule AGEFIRST of spec/freshness.pml.
-func (s *newsServer) send(stream wire.DRPCNews_ShareStream, answers uint64, sent *uint64, parts bool) (<-chan struct{}, error) {
+func (s *newsServer) send(stream wire.DRPCNews_ShareStream, requestNumber uint64, sent *uint64, acceptsParts bool) (<-chan struct{}, error) {
 	age, proven := s.state.Fresh().Age()
 	changes, changed := s.mirror.Since(*sent)
-	replies := s.batches(changes)
-	if parts {
-		replies = inParts(replies)
+	replies := s.buildReplies(changes)
+	if acceptsParts {
+		replies = splitLargeValues(replies)
 	}
 	for i, reply := range replies {
 		if i == len(replies)-1 {
-			reply.Answers, reply.Proven, reply.AgeMicros = answers, proven, uint64(age.Microseconds())+1
+			reply.Answers, reply.Proven, reply.AgeMicros = requestNumber, proven, uint64(age.Microseconds())+1
 			reply.SettleMillis = uint32(s.state.Settling().Milliseconds())
 			reply.StoreLost = s.state.StoreLost()
 		}
@@ -121,17 +121,17 @@
 }
 
 // batches cuts changes into replies; the last alone bears the revision.
-func (s *newsServer) batches(changes site.Changes) []*wire.NewsReply {
+func (s *newsServer) buildReplies(changes site.Changes) []*wire.NewsReply {
 	reply := &wire.NewsReply{Whole: changes.Whole}
 	replies := []*wire.NewsReply{reply}
 	bytes := 0
 	for _, entry := range changes.Entries {
-		if bytes >= batchBytes {
+		if bytes >= maxBatchBytes {
 			reply, bytes = &wire.NewsReply{Whole: changes.Whole}, 0
 			replies = append(replies, reply)
 		}
 		stored := &wire.StoredValue{Key: entry.Key(), Revision: entry.Revision(), Deleted: entry.Deleted()}
-		if stored.Packed = s.packer.pack(entry); stored.Packed == nil {
+		if stored.Packed = s.compressor.compress(entry); stored.Packed == nil {
 			stored.Value = entry.Value()
 		}
 		bytes += len(entry.Key()) + len(stored.Value) + len(stored.Packed)
@@ -142,70 +142,70 @@
 }
 
 // inParts cuts large values, each part into a reply of its own.
-func inParts(replies []*wire.NewsReply) []*wire.NewsReply {
-	var cut []*wire.NewsReply
+func splitLargeValues(replies []*wire.NewsReply) []*wire.NewsReply {
+	var split []*wire.NewsReply
 	for _, reply := range replies {
-		var whole []*wire.StoredValue
-		for _, one := range reply.GetChanges() {
-			for len(one.GetValue())+len(one.GetPacked()) > partBytes {
-				part := &wire.StoredValue{Key: one.GetKey(), Revision: one.GetRevision(), Continues: true}
-				part.Value, one.Value = cutAt(one.GetValue())
-				part.Packed, one.Packed = cutAt(one.GetPacked())
-				cut = append(cut, &wire.NewsReply{Whole: reply.GetWhole(), Changes: append(whole, part)})
-				whole = nil
+		var complete []*wire.StoredValue
+		for _, stored := range reply.GetChanges() {
+			for len(stored.GetValue())+len(stored.GetPacked()) > maxPartBytes {
+				part := &wire.StoredValue{Key: stored.GetKey(), Revision: stored.GetRevision(), Continues: true}
+				part.Value, stored.Value = splitPart(stored.GetValue())
+				part.Packed, stored.Packed = splitPart(stored.GetPacked())
+				split = append(split, &wire.NewsReply{Whole: reply.GetWhole(), Changes: append(complete, part)})
+				complete = nil
 			}
-			whole = append(whole, one)
+			complete = append(complete, stored)
 		}
-		reply.Changes = whole
-		cut = append(cut, reply)
+		reply.Changes = complete
+		split = append(split, reply)
 	}
-	return cut
+	return split
 }
 
 // cutAt returns the first part of some bytes and the rest.
-func cutAt(all []byte) (part, rest []byte) {
-	at := min(partBytes, len(all))
-	return all[:at], all[at:]
+func splitPart(value []byte) (part, rest []byte) {
+	at := min(maxPartBytes, len(value))
+	return value[:at], value[at:]
 }
 
 // errGap says that a source left something out.
-var errGap = failure.New(failure.Internal, "a source left changes out or sent what cannot be read", "the stream is begun again")
+var errIncompleteStream = failure.New(failure.Internal, "a source left changes out or sent what cannot be read", "the stream is begun again")
 
 // newsReader takes over what one other entry sends.
 type newsReader struct {
 	state  *site.State
 	mirror *site.Mirror
 
-	known   uint64 // revision that the changes still to come follow on
-	pending []kv.Entry
-	part    []byte // what came of a value that goes on
+	revision uint64 // revision that the changes still to come follow on
+	pending  []kv.Entry
+	partial  []byte // what came of a value that goes on
 	// asked is when each request was sent, on the clock of the proofs; requests
 	// answered are dropped.
-	asked map[uint64]time.Duration
+	requestTimes map[uint64]time.Duration
 }
 
 // receive takes over one reply; false says that something between is missing.
 func (r *newsReader) receive(reply *wire.NewsReply) bool {
-	for _, one := range reply.GetChanges() {
-		if one.GetContinues() {
-			r.part = append(append(r.part, one.GetValue()...), one.GetPacked()...)
-			if len(r.part) > maxUnpacked {
+	for _, stored := range reply.GetChanges() {
+		if stored.GetContinues() {
+			r.partial = append(append(r.partial, stored.GetValue()...), stored.GetPacked()...)
+			if len(r.partial) > maxDecompressedBytes {
 				return false
 			}
 			continue
 		}
-		value := one.GetValue()
-		if len(r.part) > 0 {
-			value = append(r.part, value...)
+		value := stored.GetValue()
+		if len(r.partial) > 0 {
+			value = append(r.partial, value...)
 		}
-		if len(one.GetPacked()) > 0 {
+		if len(stored.GetPacked()) > 0 {
 			var err error
-			if value, err = unpack(append(r.part, one.GetPacked()...)); err != nil {
+			if value, err = decompress(append(r.partial, stored.GetPacked()...)); err != nil {
 				return false
 			}
 		}
-		r.part = nil
-		r.pending = append(r.pending, kv.NewEntry(one.GetKey(), value, one.GetRevision(), one.GetDeleted()))
+		r.partial = nil
+		r.pending = append(r.pending, kv.NewEntry(stored.GetKey(), value, stored.GetRevision(), stored.GetDeleted()))
 	}
 	if reply.GetRevision() == 0 {
 		return true
@@ -217,11 +217,11 @@
 	}
 	if reply.GetWhole() {
 		r.mirror.Reset(changes, reply.GetRevision())
-	} else if !r.mirror.Apply(r.known, changes, reply.GetRevision(), true) {
+	} else if !r.mirror.Apply(r.revision, changes, reply.GetRevision(), true) {
 		return false
 	}
-	r.known = reply.GetRevision()
-	r.prove(reply)
+	r.revision = reply.GetRevision()
+	r.updateFreshness(reply)
 	return true
 }
 
@@ -229,15 +229,15 @@
 // had read the request, and so after that was sent.
 //
 // Rule SENT of spec/freshness.pml.
-func (r *newsReader) prove(reply *wire.NewsReply) {
-	sent, ok := r.asked[reply.GetAnswers()]
+func (r *newsReader) updateFreshness(reply *wire.NewsReply) {
+	sentAt, ok := r.requestTimes[reply.GetAnswers()]
 	if !ok || !reply.GetProven() {
 		return
 	}
-	r.state.Fresh().Prove(sent - time.Duration(reply.GetAgeMicros())*time.Microsecond)
-	for number := range r.asked {
+	r.state.Fresh().Prove(sentAt - time.Duration(reply.GetAgeMicros())*time.Microsecond)
+	for number := range r.requestTimes {
 		if number < reply.GetAnswers() {
-			delete(r.asked, number)
+			delete(r.requestTimes, number)
 		}
 	}
 }
--- a/entry/internal/onsite/news_test.go
+++ b/entry/internal/onsite/news_test.go
@@ -26,14 +26,14 @@
 )
 
 // knower is what one entry knows, with a clock of its own for proofs.
-type knower struct {
+type replica struct {
 	state  *site.State
 	mirror *site.Mirror
 	now    atomic.Int64 // nanoseconds
 }
 
-func newKnower() *knower {
-	k := &knower{}
+func newReplica() *replica {
+	k := &replica{}
 	clock := clockwork.NewFakeClock()
 	fresh := freshness.NewTracker(func() time.Duration { return time.Duration(k.now.Load()) })
 	k.state = site.NewState(clock.Now, fleet.New(clock.Now), fresh)
@@ -45,7 +45,7 @@
 }
 
 // serve lets others follow the knower and returns where; stop ends it.
-func (k *knower) serve(t *testing.T) (address string, stop context.CancelFunc) {
+func (k *replica) serve(t *testing.T) (address string, stop context.CancelFunc) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 	return k.serveAt(t, lis)
 }
 
-func (k *knower) serveAt(t *testing.T, lis net.Listener) (address string, stop context.CancelFunc) {
+func (k *replica) serveAt(t *testing.T, lis net.Listener) (address string, stop context.CancelFunc) {
 	t.Helper()
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterNews(mux, &newsServer{state: k.state, mirror: k.mirror, clock: clockwork.NewRealClock()}); err != nil {
@@ -73,37 +73,37 @@
 
 // follow returns an entry that follows the one at the address. Before its stream
 // begins the store must not be left alone: nothing was received.
-func follow(t *testing.T, address string) (*knower, *sources) {
+func startFollowing(t *testing.T, address string) (*replica, *newsClient) {
 	t.Helper()
-	k := newKnower()
-	others := &sources{
-		state: k.state, mirror: k.mirror, pool: peer.NewPool(nil), self: "self", clock: clockwork.NewRealClock(),
+	k := newReplica()
+	client := &newsClient{
+		state: k.state, mirror: k.mirror, pool: peer.NewPool(nil), entryID: "self", clock: clockwork.NewRealClock(),
 		log: slog.New(slog.DiscardHandler), apply: func() time.Duration { return 3 * time.Second },
 	}
-	if got := others.led(); got != 0 {
+	if got := client.storeNotNeededFor(); got != 0 {
 		t.Errorf("got the store left alone for %v before anything was heard, want 0", got)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		others.follow(ctx, "source", address)
+		client.follow(ctx, "source", address)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return k, others
+	return k, client
 }
 
 // Symptom: each configuration crosses the links between regions once for each
 // entry. Here an entry learns all from another one, with proof, and asks the store
 // itself once that one's proof is old or its stream ends.
 func TestEntryFollowsAnother(t *testing.T) {
-	source := newKnower()
+	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", []byte("v"), 5, false)}, 7)
 	source.state.Fresh().Prove(0)
 	address, stop := source.serve(t)
-	reader, others := follow(t, address)
+	reader, client := startFollowing(t, address)
 	eventually(t, "all that there is", func() error {
-		if reader.mirror.Revision() == 7 && len(reader.state.Entries()) == 1 && others.led() > 0 {
+		if reader.mirror.Revision() == 7 && len(reader.state.Entries()) == 1 && client.storeNotNeededFor() > 0 {
 			return nil
 		}
 		return errors.New("not yet")
@@ -120,21 +120,21 @@
 	source.now.Add(int64(5 * time.Second))
 	reader.now.Add(int64(5 * time.Second))
 	eventually(t, "the store is asked", func() error {
-		if others.led() == 0 {
+		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
 		return errors.New("still led by old knowledge")
 	})
 	source.state.Fresh().Prove(5 * time.Second)
 	eventually(t, "led again", func() error {
-		if others.led() > 0 {
+		if client.storeNotNeededFor() > 0 {
 			return nil
 		}
 		return errors.New("not yet")
 	})
 	stop()
 	eventually(t, "the store is asked after the stream ended", func() error {
-		if others.led() == 0 {
+		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
 		return errors.New("still led by nobody")
@@ -145,8 +145,8 @@
 // of a source stands in a link for seconds; it reports an age of moments. Cause: the
 // age was counted from the reply's arrival instead of from its request.
 func TestProofOfAReplyCountsFromItsRequest(t *testing.T) {
-	k := newKnower()
-	reader := &newsReader{state: k.state, mirror: k.mirror, asked: map[uint64]time.Duration{1: 0, 2: time.Second}}
+	k := newReplica()
+	reader := &newsReader{state: k.state, mirror: k.mirror, requestTimes: map[uint64]time.Duration{1: 0, 2: time.Second}}
 	k.now.Store(int64(4 * time.Second))
 	reply := &wire.NewsReply{Answers: 1, Proven: true, AgeMicros: 500_000, Revision: 3, Whole: true}
 	if !reader.receive(reply) {
@@ -159,8 +159,8 @@
 	if age, _ := k.state.Fresh().Age(); age < 3*time.Second || age > 3001*time.Millisecond {
 		t.Errorf("got age %v, want that of the request at 1 s", age)
 	}
-	if len(reader.asked) != 1 {
-		t.Errorf("got %d requests remembered, want the newest", len(reader.asked))
+	if len(reader.requestTimes) != 1 {
+		t.Errorf("got %d requests remembered, want the newest", len(reader.requestTimes))
 	}
 	if reader.receive(&wire.NewsReply{Answers: 9, Proven: false, Revision: 3}); k.state.Revision() != 3 {
 		t.Errorf("got revision %d, want 3", k.state.Revision())
@@ -170,19 +170,19 @@
 // Symptom: entries that follow others learn of a version 150 ms later than those
 // that watch the store. Sequence: one key changes after a quiet second. Cause: each
 // change waited for others, not only one that follows another shortly.
-func TestChangeThatComesAloneIsSentAtOnce(t *testing.T) {
+func TestSingleChangeIsSentImmediately(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	server := &newsServer{clock: clock}
 	changed := make(chan struct{})
 	close(changed)
 	sent := clock.Now()
 	clock.Advance(time.Second)
-	if !server.pause(t.Context(), changed, nil, sent) {
+	if !server.waitForUpdate(t.Context(), changed, nil, sent) {
 		t.Error("got the caller gone, want the change sent")
 	}
 	done := make(chan bool, 1)
 	sent = clock.Now()
-	go func() { done <- server.pause(t.Context(), changed, nil, sent) }()
+	go func() { done <- server.waitForUpdate(t.Context(), changed, nil, sent) }()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
@@ -191,29 +191,29 @@
 		t.Error("got a change sent right after another, want it to wait for more")
 	default:
 	}
-	clock.Advance(newsGap)
+	clock.Advance(minNewsInterval)
 	if !<-done {
 		t.Error("got the caller gone, want the change sent")
 	}
 }
 
-func TestLargeReadingsComeInParts(t *testing.T) {
+func TestLargeReadingsAreSentInSeveralReplies(t *testing.T) {
 	var entries []kv.Entry
 	// Values that can't be made smaller.
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 5 {
-		value := make([]byte, batchBytes)
+		value := make([]byte, maxBatchBytes)
 		if _, err := random.Read(value); err != nil {
 			t.Fatal(err)
 		}
 		entries = append(entries, kv.NewEntry("k"+strings.Repeat("x", i), value, uint64(i+1), false))
 	}
-	replies := (&newsServer{}).batches(site.Changes{Entries: entries, Revision: 6, Whole: true})
+	replies := (&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 6, Whole: true})
 	if len(replies) != len(entries) {
 		t.Fatalf("got %d replies, want one a value", len(replies))
 	}
-	k := newKnower()
-	reader := &newsReader{state: k.state, mirror: k.mirror, asked: map[uint64]time.Duration{}}
+	k := newReplica()
+	reader := &newsReader{state: k.state, mirror: k.mirror, requestTimes: map[uint64]time.Duration{}}
 	for i, reply := range replies {
 		if got := len(k.state.Entries()); got != 0 {
 			t.Errorf("got %d keys before part %d, want none: a part is not the whole", got, i)
@@ -227,12 +227,12 @@
 
 // Guards against an entry that gets a large value never, since it takes longer on its way than a
 // source may be silent, and each new stream begins with it again.
-func TestLargeValueComesOverANarrowLink(t *testing.T) {
+func TestLargeValueArrivesOverNarrowLink(t *testing.T) {
 	value := make([]byte, 1<<20)
 	if _, err := rand.NewChaCha8([32]byte{1}).Read(value); err != nil {
 		t.Fatal(err)
 	}
-	source := newKnower()
+	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", value, 5, false), kv.NewEntry("e-2", []byte("v"), 6, false)}, 7)
 	source.state.Fresh().Prove(0)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -240,7 +240,7 @@
 		t.Fatal(err)
 	}
 	address, _ := source.serveAt(t, platformtest.NewNarrowLink(lis, 500<<10))
-	reader, _ := follow(t, address)
+	reader, _ := startFollowing(t, address)
 	eventually(t, "the value comes", func() error {
 		if reader.mirror.Revision() != 7 {
 			return errors.New("not yet")
@@ -253,11 +253,11 @@
 	}
 }
 
-func TestValuesInPartsArePutTogether(t *testing.T) {
+func TestSplitValuesAreReassembled(t *testing.T) {
 	text := []byte(strings.Repeat("a configuration repeats itself, with numbers: ", 1))
 	var entries []kv.Entry
 	random := rand.NewChaCha8([32]byte{2})
-	for i, size := range []int{0, 1, partBytes - 1, partBytes, partBytes + 1, 3*partBytes + 7} {
+	for i, size := range []int{0, 1, maxPartBytes - 1, maxPartBytes, maxPartBytes + 1, 3*maxPartBytes + 7} {
 		value := make([]byte, size)
 		if _, err := random.Read(value); err != nil {
 			t.Fatal(err)
@@ -266,17 +266,17 @@
 	}
 	packs := bytes.Repeat(append(text, entries[5].Value()...), 3)
 	entries = append(entries, kv.NewEntry("k6", packs, 7, false), kv.NewEntry("k7", nil, 8, true))
-	replies := inParts((&newsServer{}).batches(site.Changes{Entries: entries, Revision: 9, Whole: false}))
-	k := newKnower()
+	replies := splitLargeValues((&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 9, Whole: false}))
+	k := newReplica()
 	k.mirror.Reset(nil, 1)
-	reader := &newsReader{state: k.state, mirror: k.mirror, known: 1, asked: map[uint64]time.Duration{}}
+	reader := &newsReader{state: k.state, mirror: k.mirror, revision: 1, requestTimes: map[uint64]time.Duration{}}
 	for i, reply := range replies {
 		size := 0
 		for _, one := range reply.GetChanges() {
 			size = max(size, len(one.GetValue())+len(one.GetPacked()))
 		}
-		if size > partBytes {
-			t.Errorf("reply %d: got a value of %d bytes, want %d at most", i, size, partBytes)
+		if size > maxPartBytes {
+			t.Errorf("reply %d: got a value of %d bytes, want %d at most", i, size, maxPartBytes)
 		}
 		if !reader.receive(reply) {
 			t.Fatalf("reply %d: got it refused", i)
@@ -299,14 +299,14 @@
 // all ask the store at once for what changed, a configuration of 53 KB and registrations, over a
 // link between regions, and one traced has it 0.7 s later. Cause: that a source lost the store was not reported, only the age of what it knows,
 // which is no older than a long watch makes it. Proof: the entries' logs of that day, twice.
-func TestFollowersOfSourcesThatLostTheStoreAskItSooner(t *testing.T) {
-	source := newKnower()
+func TestFollowersWatchStoreSoonerWhenSourceLosesIt(t *testing.T) {
+	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", []byte("v"), 5, false)}, 7)
 	source.state.Fresh().Prove(0)
 	address, _ := source.serve(t)
-	reader, others := follow(t, address)
+	reader, client := startFollowing(t, address)
 	eventually(t, "led", func() error {
-		if reader.mirror.Revision() == 7 && others.led() > 0 {
+		if reader.mirror.Revision() == 7 && client.storeNotNeededFor() > 0 {
 			return nil
 		}
 		return errors.New("not yet")
@@ -315,12 +315,12 @@
 	const age = 1500 * time.Millisecond
 	source.now.Add(int64(age))
 	reader.now.Add(int64(age))
-	if others.led() == 0 {
+	if client.storeNotNeededFor() == 0 {
 		t.Errorf("got the store asked %v after the last proof of a source that follows it, want it left alone", age)
 	}
 	source.state.Lost()
 	eventually(t, "the store is asked", func() error {
-		if others.led() == 0 {
+		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
 		return errors.New("still led by one that lost the store")
@@ -328,7 +328,7 @@
 	source.state.Regained()
 	source.state.Fresh().Prove(age)
 	eventually(t, "led again", func() error {
-		if others.led() > 0 {
+		if client.storeNotNeededFor() > 0 {
 			return nil
 		}
 		return errors.New("not yet")
--- a/entry/internal/onsite/onsite_test.go
+++ b/entry/internal/onsite/onsite_test.go
@@ -27,32 +27,32 @@
 
 func newRegistrar(t *testing.T) (*registrar, *platformtest.Store) {
 	t.Helper()
-	standIn := platformtest.NewStore()
-	server := httptest.NewServer(standIn)
+	kvStore := platformtest.NewStore()
+	server := httptest.NewServer(kvStore)
 	t.Cleanup(server.Close)
 	return &registrar{
 		store: platform.NewStore(server.URL, server.Client()), key: platform.EntryKey("entry-1"),
 		value: site.Entry{CallersAddress: "10.0.0.1:80", Incarnation: "one"},
 		ready: func() error { return nil }, clock: clockwork.NewFakeClock(), log: slog.New(slog.DiscardHandler),
-	}, standIn
+	}, kvStore
 }
 
-func (r *registrar) steps(count int) {
+func (r *registrar) advanceTimes(count int) {
 	for range count {
-		_ = r.step(context.Background())
+		_ = r.advance(context.Background())
 	}
 }
 
 func TestEntryRegistersRenewsAndLeaves(t *testing.T) {
 	reg, standIn := newRegistrar(t)
-	reg.steps(3)
+	reg.advanceTimes(3)
 	if got, want := standIn.Keys(""), []string{platform.EntryKey("entry-1")}; !slices.Equal(got, want) {
 		t.Errorf("got keys %v, want %v", got, want)
 	}
 	if got, want := standIn.Calls("/kv-txn"), 1; got != want {
 		t.Errorf("got %d writes, want %d", got, want)
 	}
-	reg.end()
+	reg.revoke()
 	if got := standIn.Keys(""); len(got) != 0 {
 		t.Errorf("got keys %v after the end, want none", got)
 	}
@@ -61,7 +61,7 @@
 func TestEntryThatIsNotReadyDoesNotRegister(t *testing.T) {
 	reg, standIn := newRegistrar(t)
 	reg.ready = func() error { return errors.New("not yet") }
-	reg.steps(3)
+	reg.advanceTimes(3)
 	if got := standIn.Keys(""); len(got) != 0 {
 		t.Errorf("got keys %v, want none", got)
 	}
@@ -69,9 +69,9 @@
 
 func TestLapsedRegistrationIsMadeAgain(t *testing.T) {
 	reg, standIn := newRegistrar(t)
-	reg.steps(1)
+	reg.advanceTimes(1)
 	standIn.EndLeases()
-	reg.steps(2)
+	reg.advanceTimes(2)
 	if got, want := len(standIn.Keys("")), 1; got != want {
 		t.Errorf("got %d keys, want %d", got, want)
 	}
@@ -80,7 +80,7 @@
 // Symptom: an entry is missing from the directory for ever, or its write is done
 // twice. Sequence: the store writes the registration; the answer is lost. Cause:
 // the entry takes the conflict of its second try for another entry's key.
-func TestRegistrationWhoseAnswerWasLostIsSettled(t *testing.T) {
+func TestRegistrationWithLostAnswerIsRecognized(t *testing.T) {
 	reg, standIn := newRegistrar(t)
 	lost := true
 	standIn.SetFault(func(r *http.Request) platformtest.Fault {
@@ -90,8 +90,8 @@
 		}
 		return platformtest.None
 	})
-	reg.steps(3)
-	if !reg.held {
+	reg.advanceTimes(3)
+	if !reg.registered {
 		t.Errorf("got the registration open, want it held")
 	}
 	if got, want := standIn.Calls("/kv-txn"), 2; got != want {
@@ -99,10 +99,10 @@
 	}
 }
 
-func TestRegistrationOfAnEarlierLifeIsReplaced(t *testing.T) {
+func TestRegistrationOfEarlierIncarnationIsReplaced(t *testing.T) {
 	reg, standIn := newRegistrar(t)
 	standIn.Put(platform.EntryKey("entry-1"), site.Entry{CallersAddress: "10.0.0.9:80", Incarnation: "zero"})
-	reg.steps(2)
+	reg.advanceTimes(2)
 	found, _, err := reg.store.Get(context.Background(), reg.key)
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	return state
 }
 
-func TestCallersAreSentNearWhereTwoAreNear(t *testing.T) {
+func TestDirectoryPrefersFailureDomainWithTwoEntries(t *testing.T) {
 	state := newState(map[string]site.Entry{
 		"a": {CallersAddress: "1", FailureDomain: "d1"}, "b": {CallersAddress: "2", FailureDomain: "d1"},
 		"c": {CallersAddress: "3", FailureDomain: "d2"}, "self": {CallersAddress: "4", FailureDomain: "d2"},
@@ -132,11 +132,11 @@
 	open := true
 	dir := &directory{
 		state: state, id: "self", self: site.Entry{CallersAddress: "4", FailureDomain: "d2"},
-		open: func() bool { return open }, keep: func() time.Duration { return time.Second },
+		acceptsCallers: func() bool { return open }, ttl: func() time.Duration { return time.Second },
 	}
 	check := func(domain string, want ...string) {
 		t.Helper()
-		if got, _ := dir.choose(platform.Place{FailureDomain: domain}); !slices.Equal(got, want) {
+		if got, _ := dir.selectAddresses(platform.Place{FailureDomain: domain}); !slices.Equal(got, want) {
 			t.Errorf("%s: got %v, want %v", domain, got, want)
 		}
 	}
@@ -149,8 +149,8 @@
 }
 
 // guidance returns the current guidance.
-func (f *feeds) guidance() *wire.Guidance {
-	return f.brief(f.state.Fleet().Engines()).message(f)
+func (f *feedManager) currentGuidance() *wire.Guidance {
+	return f.buildGuidance(f.state.Fleet().Engines()).withCurrentAges(f)
 }
 
 func TestGuidanceHasDeclaredWeightsAndHosts(t *testing.T) {
@@ -164,8 +164,8 @@
 			ID: "i-1", Service: "llm", Address: "10.0.0.1:80", FailureDomain: "d1", Slots: 4, Loaded: map[string]uint64{"m": 3},
 		}},
 	}, 5)
-	streams := &feeds{state: state, port: 7700, clock: clockwork.NewFakeClock(), regions: map[string]string{"d1": "north"}}
-	guidance := streams.guidance()
+	manager := &feedManager{state: state, agentPort: 7700, clock: clockwork.NewFakeClock(), regions: map[string]string{"d1": "north"}}
+	guidance := manager.currentGuidance()
 	if len(guidance.GetWanted()) != 1 || guidance.GetWanted()[0].GetVersion() != 3 || guidance.GetWanted()[0].GetFence() != 0 {
 		t.Errorf("got %v, want version 3, which is loaded, and no fence", guidance.GetWanted())
 	}
@@ -179,38 +179,38 @@
 	leaving := engineRecord(2)
 	leaving.Endpoint.Leaving = true
 	state.Apply([]site.Record{leaving}, 6)
-	if guidance := streams.guidance(); !proto.Equal(guidance.GetHosts()[0], want) {
+	if guidance := manager.currentGuidance(); !proto.Equal(guidance.GetHosts()[0], want) {
 		t.Errorf("got %v, want no host whose engine leaves", guidance.GetHosts())
 	}
 	state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 4}}, 9)
-	guidance = streams.guidance()
+	guidance = manager.currentGuidance()
 	if guidance.GetWanted()[0].GetVersion() != 4 || guidance.GetWanted()[0].GetFence() != 9 {
 		t.Errorf("got %v, want version 4 with fence 9", guidance.GetWanted())
 	}
 }
 
 // guided is an entry's feed of one engine as the entry's plans set it.
-type guided struct {
-	feeds  *feeds
-	clock  *clockwork.FakeClock
-	feed   *feed
-	sender *guidanceSender
+type testFeed struct {
+	manager *feedManager
+	clock   *clockwork.FakeClock
+	feed    *feed
+	sender  *guidanceSender
 }
 
-func newGuided(state *site.State, engine string) *guided {
+func newTestFeed(state *site.State, engine string) *testFeed {
 	clock := clockwork.NewFakeClock()
-	streams := &feeds{
-		state: state, clock: clock, log: slog.New(slog.DiscardHandler), self: "self", domain: "d1", region: "north",
+	manager := &feedManager{
+		state: state, clock: clock, log: slog.New(slog.DiscardHandler), entryID: "self", domain: "d1", region: "north",
 		regions: map[string]string{"d1": "north"},
 	}
-	one := &feed{feeds: streams, engine: fleet.Engine{Service: "llm", Address: engine}, path: newDelayMeter(), moved: make(chan struct{}, 1)}
-	return &guided{feeds: streams, clock: clock, feed: one, sender: &guidanceSender{feed: one, reading: -1}}
+	engineFeed := &feed{manager: manager, engine: fleet.Engine{Service: "llm", Address: engine}, delays: newDelayMeter(), changed: make(chan struct{}, 1)}
+	return &testFeed{manager: manager, clock: clock, feed: engineFeed, sender: &guidanceSender{feed: engineFeed, unreadTokens: -1}}
 }
 
 // next makes a plan and returns what is sent to the agent then.
-func (g *guided) next() *wire.Guidance {
-	found := g.feeds.plan()
-	g.feed.heed(found.parts[g.feed.engine.Address], found.brief)
+func (g *testFeed) next() *wire.Guidance {
+	plan := g.manager.computePlan()
+	g.feed.setAssignment(plan.parts[g.feed.engine.Address], plan.guidance)
 	guidance, _ := g.sender.next(g.clock.Now())
 	return guidance
 }
@@ -236,7 +236,7 @@
 func TestGuidanceIsSentWhenItChanges(t *testing.T) {
 	state := newState(nil)
 	state.Apply([]site.Record{engineCatalog(1, ""), engineRecord(1)}, 1)
-	target := newGuided(state, "10.0.0.1:80")
+	target := newTestFeed(state, "10.0.0.1:80")
 	if got := target.next(); got == nil || got.GetReadingOnly() {
 		t.Fatalf("got %v at first, want all", got)
 	}
@@ -253,24 +253,24 @@
 // Symptom: hosts that were added get their weights seconds late. Sequence: a hundred
 // are added in five seconds; each that registers has five entries send the whole list
 // to each host, of whose link that takes most. Cause: each change was sent by itself.
-func TestHostsThatComeByTensAreSentTogether(t *testing.T) {
+func TestHostsThatRegisterTogetherAreSentInFewLists(t *testing.T) {
 	state := newState(nil)
 	state.Apply([]site.Record{engineCatalog(1, ""), engineRecord(1)}, 1)
-	target := newGuided(state, "10.0.0.1:80")
+	target := newTestFeed(state, "10.0.0.1:80")
 	target.next()
 	lists, hosts := 0, 0
 	for i := range 100 {
 		state.Apply([]site.Record{engineRecord(2 + i)}, uint64(2+i))
-		target.clock.Advance(planGap)
+		target.clock.Advance(minPlanInterval)
 		if guidance := target.next(); guidance != nil {
 			lists++
 			hosts = len(guidance.GetHosts()[0].GetIp())
 		}
 	}
-	if most := int(100*planGap/hostsGap) + 1; lists > most {
-		t.Errorf("got %d lists of hosts in %v, want at most %d", lists, 100*planGap, most)
+	if most := int(100*minPlanInterval/minHostListInterval) + 1; lists > most {
+		t.Errorf("got %d lists of hosts in %v, want at most %d", lists, 100*minPlanInterval, most)
 	}
-	target.clock.Advance(hostsGap)
+	target.clock.Advance(minHostListInterval)
 	if guidance := target.next(); guidance != nil {
 		hosts = len(guidance.GetHosts()[0].GetIp())
 	}
@@ -287,7 +287,7 @@
 // Symptom: an engine's host learns of no version after its guides were lost.
 // Sequence: entries that are its guides end; their registrations go.
 // Cause: another entry did not look whether it is its turn now.
-func TestEntryGuidesHostsThatOthersLeft(t *testing.T) {
+func TestEntryTakesOverGuidanceWhenOtherEntriesLeave(t *testing.T) {
 	others := map[string]site.Entry{}
 	for i := range 12 {
 		others["other-"+strconv.Itoa(i)] = site.Entry{Region: "north", FailureDomain: "d1"}
@@ -299,14 +299,14 @@
 		engines = append(engines, engineRecord(i))
 	}
 	state.Apply(engines, 2)
-	var target *guided
+	var target *testFeed
 	for i := range engines {
-		target = newGuided(state, "10.0.0."+strconv.Itoa(i)+":80")
-		if target.feeds.plan().parts[target.feed.engine.Address] == (deal.Part{}) {
+		target = newTestFeed(state, "10.0.0."+strconv.Itoa(i)+":80")
+		if target.manager.computePlan().parts[target.feed.engine.Address] == (deal.Part{}) {
 			break
 		}
 	}
-	if got := target.next(); got == nil || !got.GetReadingOnly() || got.GetGapMillis() != uint32(guideGap.Milliseconds()) {
+	if got := target.next(); got == nil || !got.GetReadingOnly() || got.GetGapMillis() != uint32(outsideInterval.Milliseconds()) {
 		t.Errorf("got %v of an engine that is left to others, want nothing of what is wanted", got)
 	}
 	var gone []site.Record
@@ -317,26 +317,26 @@
 	if got := target.next(); got == nil || got.GetReadingOnly() {
 		t.Errorf("got %v after the others went, want all", got)
 	}
-	target.clock.Advance(hostsGap)
+	target.clock.Advance(minHostListInterval)
 	if got := target.next(); got != nil {
 		t.Errorf("got %v again without a change, want nothing", got)
 	}
 }
 
 func TestBoundsHaveDefaults(t *testing.T) {
-	got := boundsOf(nil)
+	got := newBounds(nil)
 	if got.grace != 8*time.Second || got.gateway.Revoke != 4600*time.Millisecond || got.directoryTTL != 2*time.Second {
 		t.Errorf("got %+v, want the defaults", got)
 	}
-	got = boundsOf(&wire.SiteBounds{RevokeMillis: 100, DirectoryTtlSeconds: 0.5, GraceMillis: 3000})
+	got = newBounds(&wire.SiteBounds{RevokeMillis: 100, DirectoryTtlSeconds: 0.5, GraceMillis: 3000})
 	if got.gateway.Revoke <= 0 || got.directoryTTL != 500*time.Millisecond || got.grace != 3*time.Second {
 		t.Errorf("got %+v, want what is given", got)
 	}
 }
 
 // Guards against an agent's report that its engine leaves and that the entry drops.
-func TestReportOfAnEngineThatLeavesIsTaken(t *testing.T) {
-	if got := stateOf(&wire.EngineState{Leaving: true}); !got.Leaving {
+func TestLeavingStateOfEngineIsKept(t *testing.T) {
+	if got := engineStateOf(&wire.EngineState{Leaving: true}); !got.Leaving {
 		t.Errorf("got an engine that stays, want one that leaves")
 	}
 }
--- a/entry/internal/onsite/quarantine_test.go
+++ b/entry/internal/onsite/quarantine_test.go
@@ -16,30 +16,30 @@
 )
 
 // deadly is the body of the request that ends each endpoint that begins to run it.
-const deadly = "deadly"
+const crashBody = "deadly"
 
 // fleetOfEntries is entries of one deployment between a store and workers.
-type fleetOfEntries struct {
+type testFleet struct {
 	t       *testing.T
 	store   *platformtest.Store
 	url     string
 	workers []*platformtest.Worker
 	entries []*runningEntry
 
-	mu  sync.Mutex
-	ids int
+	mu            sync.Mutex
+	lastRequestID int
 }
 
 // runningEntry is one entry of the test's process.
 type runningEntry struct {
-	set  *wire.EntrySettings
+	cfg  *wire.EntrySettings
 	kill context.CancelFunc
 	done chan struct{}
 }
 
-func newFleetOfEntries(t *testing.T, entries, workers int, hold func(body []byte)) *fleetOfEntries {
+func newTestFleet(t *testing.T, entries, workers int, hold func(body []byte)) *testFleet {
 	t.Helper()
-	f := &fleetOfEntries{t: t, store: platformtest.NewStore()}
+	f := &testFleet{t: t, store: platformtest.NewStore()}
 	server := httptest.NewServer(f.store)
 	t.Cleanup(server.Close)
 	f.url = server.URL
@@ -55,7 +55,7 @@
 	for i := range workers {
 		id := fmt.Sprintf("i-%d", i)
 		one, err := platformtest.NewWorker(id, platformtest.Behaviour{
-			Crashes: func(body []byte) bool { return string(body) == deadly }, Hold: hold,
+			Crashes: func(body []byte) bool { return string(body) == crashBody }, Hold: hold,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -71,15 +71,15 @@
 }
 
 // start adds an entry and waits until it is ready.
-func (f *fleetOfEntries) start() *runningEntry {
+func (f *testFleet) start() *runningEntry {
 	f.t.Helper()
-	one := f.begin(f.settings(len(f.entries)))
-	f.await(one)
-	return one
+	started := f.startAsync(f.settings(len(f.entries)))
+	f.awaitReady(started)
+	return started
 }
 
 // settings returns those of an entry, which listens at addresses of its own.
-func (f *fleetOfEntries) settings(number int) *wire.EntrySettings {
+func (f *testFleet) settings(number int) *wire.EntrySettings {
 	id := fmt.Sprintf("entry-%d", number)
 	return &wire.EntrySettings{
 		Node: &wire.NodeSettings{
@@ -94,44 +94,44 @@
 }
 
 // begin starts an entry.
-func (f *fleetOfEntries) begin(set *wire.EntrySettings) *runningEntry {
+func (f *testFleet) startAsync(cfg *wire.EntrySettings) *runningEntry {
 	ctx, kill := context.WithCancel(context.Background())
-	one := &runningEntry{set: set, kill: kill, done: make(chan struct{})}
+	started := &runningEntry{cfg: cfg, kill: kill, done: make(chan struct{})}
 	go func() {
-		defer close(one.done)
-		if err := Run(ctx, ctx, set, &lines{}); err != nil {
-			f.t.Errorf("%s ended: %v", set.GetNode().GetId(), err)
+		defer close(started.done)
+		if err := Run(ctx, ctx, cfg, &logBuffer{}); err != nil {
+			f.t.Errorf("%s ended: %v", cfg.GetNode().GetId(), err)
 		}
 	}()
-	f.t.Cleanup(func() { one.end() })
-	f.entries = append(f.entries, one)
-	return one
+	f.t.Cleanup(func() { started.stop() })
+	f.entries = append(f.entries, started)
+	return started
 }
 
 // await waits until an entry is ready.
-func (f *fleetOfEntries) await(one *runningEntry) {
+func (f *testFleet) awaitReady(entry *runningEntry) {
 	f.t.Helper()
-	eventually(f.t, one.set.GetNode().GetId()+" is ready", func() error {
-		return status("http://"+one.set.GetSite().GetReadyAddress()+"/ready", 200)
+	eventually(f.t, entry.cfg.GetNode().GetId()+" is ready", func() error {
+		return checkStatus("http://"+entry.cfg.GetSite().GetReadyAddress()+"/ready", 200)
 	})
 }
 
 // end stops the entry and waits until it is gone.
-func (e *runningEntry) end() {
+func (e *runningEntry) stop() {
 	e.kill()
 	<-e.done
 }
 
 // send sends a request to an entry and returns the status; 0: the connection broke off.
-func (f *fleetOfEntries) send(to *runningEntry, body string) int {
+func (f *testFleet) send(to *runningEntry, body string) int {
 	f.t.Helper()
-	req, err := http.NewRequest(http.MethodPost, "http://"+to.set.GetCallersAddress()+"/x/y", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+to.cfg.GetCallersAddress()+"/x/y", strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.mu.Lock()
-	f.ids++
-	id := fmt.Sprint("id-", f.ids)
+	f.lastRequestID++
+	id := fmt.Sprint("id-", f.lastRequestID)
 	f.mu.Unlock()
 	req.Host = "a.example"
 	req.Header.Set("X-Attempt-Id", id)
@@ -147,7 +147,7 @@
 }
 
 // seen returns how often a body reached workers.
-func (f *fleetOfEntries) seen(body string) int {
+func (f *testFleet) timesReceived(body string) int {
 	seen := 0
 	for _, one := range f.workers {
 		seen += one.Seen(body)
@@ -168,26 +168,26 @@
 // the entries may learn of them; then at most three sends more may happen, also at an entry
 // that is new, and though the entry that saw the first ends is gone.
 func TestRequestThatEndsEndpointsIsStopped(t *testing.T) {
-	f := newFleetOfEntries(t, 9, 40, nil)
+	f := newTestFleet(t, 9, 40, nil)
 	first, second := f.entries[0], f.entries[1]
 	for _, to := range []*runningEntry{first, second} {
-		if got := f.send(to, deadly); got == http.StatusOK {
+		if got := f.send(to, crashBody); got == http.StatusOK {
 			t.Fatalf("got %d for a request that ends what runs it", got)
 		}
 	}
-	if got := f.seen(deadly); got < 3 {
+	if got := f.timesReceived(crashBody); got < 3 {
 		t.Fatalf("got %d sends by two entries, want the three ends that show what it does", got)
 	}
-	f.spread()
-	first.end()
+	f.awaitPropagation()
+	first.stop()
 	newcomer := f.start()
-	before := f.seen(deadly)
+	before := f.timesReceived(crashBody)
 	for _, to := range append(f.entries[1:9:9], newcomer) {
-		if got := f.send(to, deadly); got == http.StatusOK {
+		if got := f.send(to, crashBody); got == http.StatusOK {
 			t.Errorf("got %d for a request that ends what runs it", got)
 		}
 	}
-	if got, want := f.seen(deadly)-before, 3; got > want {
+	if got, want := f.timesReceived(crashBody)-before, 3; got > want {
 		t.Errorf("got %d sends after three endpoints ended under it and all could know, want %d at most", got, want)
 	}
 	for _, to := range append(f.entries[1:9:9], newcomer) {
@@ -200,16 +200,16 @@
 // Symptom: what ran beside a request that ends endpoints is lost with it, or refused as if it
 // were to blame. Here requests are in progress at all endpoints when two of these end; each of
 // them is served, by another endpoint where its own ended.
-func TestWhatRanBesideIsServed(t *testing.T) {
-	const beside = 12
+func TestConcurrentRequestsSurviveEndpointCrash(t *testing.T) {
+	const concurrent = 12
 	release := make(chan struct{})
-	f := newFleetOfEntries(t, 1, 6, func(body []byte) {
+	f := newTestFleet(t, 1, 6, func(body []byte) {
 		if strings.HasPrefix(string(body), "beside") {
 			<-release
 		}
 	})
 	var callers sync.WaitGroup
-	for i := range beside {
+	for i := range concurrent {
 		body := fmt.Sprintf("beside-%d", i)
 		callers.Go(func() {
 			if got := f.send(f.entries[0], body); got != http.StatusOK {
@@ -219,32 +219,32 @@
 	}
 	inProgress := func() int {
 		count := 0
-		for i := range beside {
-			count += f.seen(fmt.Sprintf("beside-%d", i))
+		for i := range concurrent {
+			count += f.timesReceived(fmt.Sprintf("beside-%d", i))
 		}
 		return count
 	}
 	eventually(t, "all in progress", func() error {
-		if inProgress() < beside {
+		if inProgress() < concurrent {
 			return errors.New("not yet")
 		}
 		return nil
 	})
-	f.send(f.entries[0], deadly)
-	broken := 0
+	f.send(f.entries[0], crashBody)
+	interrupted := 0
 	for _, one := range f.workers {
 		if one.Ends() == 0 {
 			continue
 		}
-		for i := range beside {
-			broken += one.Seen(fmt.Sprintf("beside-%d", i))
+		for i := range concurrent {
+			interrupted += one.Seen(fmt.Sprintf("beside-%d", i))
 		}
 	}
-	if broken == 0 {
+	if interrupted == 0 {
 		t.Fatalf("got nothing in progress where endpoints ended, want some")
 	}
 	eventually(t, "sent elsewhere", func() error {
-		if got, want := inProgress(), beside+broken; got < want {
+		if got, want := inProgress(), concurrent+interrupted; got < want {
 			return fmt.Errorf("%d of %d", got, want)
 		}
 		return nil
@@ -255,9 +255,9 @@
 
 // spread waits until what entries report to one another through the store has come to all: a mark
 // that was written after it is in force at each.
-func (f *fleetOfEntries) spread() {
+func (f *testFleet) awaitPropagation() {
 	f.t.Helper()
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	f.store.Put("op/config", map[string]any{
 		"version": 2,
 		"routes": []map[string]any{
@@ -271,7 +271,7 @@
 	})
 	for _, one := range f.entries {
 		eventually(f.t, "the mark is in force", func() error {
-			req, err := http.NewRequest(http.MethodPost, "http://"+one.set.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
+			req, err := http.NewRequest(http.MethodPost, "http://"+one.cfg.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
 			if err != nil {
 				return err
 			}
@@ -293,4 +293,4 @@
 
 // spreadTime is the least bound within which entries must have learned of an end: the
 // platform's time for contact.
-const spreadTime = 3 * time.Second
+const propagationTime = 3 * time.Second
--- a/entry/internal/onsite/registrar.go
+++ b/entry/internal/onsite/registrar.go
@@ -19,9 +19,9 @@
 	registrationTTL = 4 * time.Second
 	renewInterval   = 1200 * time.Millisecond
 	// registerRetry is the pause after a failed call.
-	registerRetry = 300 * time.Millisecond
+	registerRetryPause = 300 * time.Millisecond
 	// endTimeout bounds giving the registration back at the end.
-	endTimeout = 600 * time.Millisecond
+	revokeTimeout = 600 * time.Millisecond
 )
 
 // registrar keeps this entry's registration in the store: a key under a lease.
@@ -33,8 +33,8 @@
 	clock clockwork.Clock
 	log   *slog.Logger
 
-	lease string // empty: none
-	held  bool   // the key is written under the lease
+	lease      string // empty: none
+	registered bool   // the key is written under the lease
 }
 
 // run keeps the registration while the entry is ready, and gives it back when
@@ -42,8 +42,8 @@
 func (r *registrar) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := renewInterval
-		if err := r.step(ctx); err != nil {
-			wait = registerRetry
+		if err := r.advance(ctx); err != nil {
+			wait = registerRetryPause
 			if ctx.Err() == nil {
 				r.log.Debug("the registration could not be kept", "error", err)
 			}
@@ -53,15 +53,15 @@
 		case <-r.clock.After(wait):
 		}
 	}
-	r.end()
+	r.revoke()
 }
 
 // step does what is missing next.
-func (r *registrar) step(ctx context.Context) error {
+func (r *registrar) advance(ctx context.Context) error {
 	if r.ready() != nil {
 		return nil
 	}
-	if r.held {
+	if r.registered {
 		return r.renew(ctx)
 	}
 	if r.lease == "" {
@@ -78,7 +78,7 @@
 	err := r.store.KeepAlive(ctx, r.lease)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
 		r.log.Warn("the registration lapsed", "lease", r.lease)
-		r.lease, r.held = "", false
+		r.lease, r.registered = "", false
 	}
 	return err
 }
@@ -87,43 +87,43 @@
 // answer was lost is settled by reading the key.
 func (r *registrar) write(ctx context.Context) error {
 	r.value.Lease = r.lease
-	text, err := json.Marshal(r.value)
+	encoded, err := json.Marshal(r.value)
 	if err != nil {
 		return err
 	}
-	_, err = r.store.Swap(ctx, r.key, text, 0, r.lease)
+	_, err = r.store.Swap(ctx, r.key, encoded, 0, r.lease)
 	if err != nil && failure.KindOf(err) == failure.Conflict {
-		err = r.replace(ctx, text)
+		err = r.overwrite(ctx, encoded)
 	}
 	if err != nil && failure.KindOf(err) == failure.NotFound {
 		r.lease = ""
 	}
 	if err == nil {
-		r.held = true
+		r.registered = true
 		r.log.Info("registered", "key", r.key, "lease", r.lease)
 	}
 	return err
 }
 
-func (r *registrar) replace(ctx context.Context, text []byte) error {
-	found, exists, err := r.store.Get(ctx, r.key)
+func (r *registrar) overwrite(ctx context.Context, encoded []byte) error {
+	current, exists, err := r.store.Get(ctx, r.key)
 	if err != nil {
 		return err
 	}
-	old := site.Entry{}
-	if exists && json.Unmarshal(found.Value(), &old) == nil && old.Incarnation == r.value.Incarnation && old.Lease == r.lease {
+	registration := site.Entry{}
+	if exists && json.Unmarshal(current.Value(), &registration) == nil && registration.Incarnation == r.value.Incarnation && registration.Lease == r.lease {
 		return nil
 	}
-	_, err = r.store.Swap(ctx, r.key, text, found.Revision(), r.lease)
+	_, err = r.store.Swap(ctx, r.key, encoded, current.Revision(), r.lease)
 	return err
 }
 
 // end takes the registration back, so that callers are sent elsewhere at once.
-func (r *registrar) end() {
+func (r *registrar) revoke() {
 	if r.lease == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	if err := r.store.Revoke(ctx, r.lease); err != nil {
 		r.log.Warn("the registration could not be taken back; it lapses", "error", err)
--- a/entry/internal/onsite/reporter_test.go
+++ b/entry/internal/onsite/reporter_test.go
@@ -23,14 +23,14 @@
 )
 
 // deadlyPrint is the fingerprint of a request under which endpoints ended.
-var deadlyPrint = quarantine.Of("customer", "POST", "host", "/deadly", nil)
+var crashFingerprint = quarantine.Of("customer", "POST", "host", "/deadly", nil)
 
 func oneEntry() int { return 1 }
 
 func newTestReporter(t *testing.T) (*reporter, *platformtest.Store) {
 	t.Helper()
-	standIn := platformtest.NewStore()
-	server := httptest.NewServer(standIn)
+	kvStore := platformtest.NewStore()
+	server := httptest.NewServer(kvStore)
 	t.Cleanup(server.Close)
 	rep := newReporter(platform.NewStore(server.URL, storeClient()), platform.ReportPrefix("entry-1", "one"), oneEntry,
 		clockwork.NewRealClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -41,12 +41,12 @@
 		rep.run(ctx)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return rep, standIn
+	return rep, kvStore
 }
 
 // learned reports whether an entry that starts now learns from the store that the request is
 // held.
-func learned(store *kv.Store) error {
+func requestHeld(store *kv.Store) error {
 	entries, err := store.List(context.Background(), "")
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	state := site.NewState(time.Now, fleet.New(time.Now), freshness.NewTracker(func() time.Duration { return 0 }))
 	mirror := site.NewMirror(state, platform.DecodeRecord, clockwork.NewRealClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	mirror.Reset(entries, 1)
-	if _, held := state.Ledger().Held(deadlyPrint); !held {
+	if _, held := state.Ledger().Held(crashFingerprint); !held {
 		return fmt.Errorf("%d keys, not held", len(entries))
 	}
 	return nil
@@ -62,7 +62,7 @@
 
 func endReport(number int) site.Report {
 	return site.Report{Report: quarantine.Report{
-		End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", number)}, Suspects: []quarantine.Fingerprint{deadlyPrint},
+		End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", number)}, Suspects: []quarantine.Fingerprint{crashFingerprint},
 	}}
 }
 
@@ -97,7 +97,7 @@
 			for i := range 3 {
 				rep.publish(endReport(i))
 			}
-			eventually(t, "held at an entry that starts", func() error { return learned(rep.store) })
+			eventually(t, "held at an entry that starts", func() error { return requestHeld(rep.store) })
 		})
 	}
 }
@@ -115,34 +115,34 @@
 	for i := range 3 {
 		rep.publish(endReport(i))
 	}
-	eventually(t, "held at an entry that starts", func() error { return learned(rep.store) })
+	eventually(t, "held at an entry that starts", func() error { return requestHeld(rep.store) })
 }
 
 // Symptom: an entry that the store can't be reached by grows. Cause: its reports wait
 // without a bound.
-func TestReportsThatWaitAreBounded(t *testing.T) {
+func TestReportQueueIsBounded(t *testing.T) {
 	rep := newReporter(nil, "p/", oneEntry, clockwork.NewFakeClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for i := range 3 * maxUnsent {
+	for i := range 3 * maxQueued {
 		rep.publish(endReport(i))
 	}
-	if got := len(rep.waiting); got != maxUnsent {
-		t.Errorf("got %d reports that wait, want %d", got, maxUnsent)
+	if got := len(rep.queue); got != maxQueued {
+		t.Errorf("got %d reports that wait, want %d", got, maxQueued)
 	}
-	if got, want := rep.waiting[maxUnsent-1].End.Endpoint, fmt.Sprintf("i-%d", 3*maxUnsent-1); got != want {
+	if got, want := rep.queue[maxQueued-1].End.Endpoint, fmt.Sprintf("i-%d", 3*maxQueued-1); got != want {
 		t.Errorf("got %s as the newest, want %s", got, want)
 	}
 	written := 0
-	for batch := rep.next(); len(batch) > 0; batch = rep.next() {
+	for batch := rep.nextBatch(); len(batch) > 0; batch = rep.nextBatch() {
 		written += len(batch)
 	}
-	if written != maxUnsent {
-		t.Errorf("got %d reports in batches, want %d", written, maxUnsent)
+	if written != maxQueued {
+		t.Errorf("got %d reports in batches, want %d", written, maxQueued)
 	}
 }
 
 // Guards against reports that fill the store in a flood of ends: an entry that starts reads all
 // of them over the link that everything else uses.
-func TestReportsInTheStoreAreBounded(t *testing.T) {
+func TestStoredReportsAreBounded(t *testing.T) {
 	const entries, flood = 98, 4000
 	standIn := platformtest.NewStore()
 	server := httptest.NewServer(standIn)
@@ -155,25 +155,25 @@
 			rep.publish(endReport(sent))
 			sent++
 		}
-		rep.bring(t.Context(), rep.next())
+		rep.writeBatch(t.Context(), rep.nextBatch())
 		rep.prune(t.Context())
-		clock.Advance(time.Second / writeRate)
+		clock.Advance(time.Second / maxWritesPerSecond)
 	}
 	// What is young stays, for entries that follow others.
-	most := max(maxBatch, maxKept/entries) + 3*writeRate*int(keepLeast/time.Second)
+	most := max(maxBatchReports, maxStoredReports/entries) + 3*maxWritesPerSecond*int(minKeyAge/time.Second)
 	kept := 0
-	for _, one := range rep.kept {
+	for _, one := range rep.storedKeys {
 		kept += one.reports
 	}
-	if got := len(standIn.Keys("comfrey/ends/")); kept > most || got != len(rep.kept) {
-		t.Errorf("got %d reports in %d keys, want %d at most in %d keys", kept, got, most, len(rep.kept))
+	if got := len(standIn.Keys("comfrey/ends/")); kept > most || got != len(rep.storedKeys) {
+		t.Errorf("got %d reports in %d keys, want %d at most in %d keys", kept, got, most, len(rep.storedKeys))
 	}
-	clock.Advance(keepLeast)
+	clock.Advance(minKeyAge)
 	rep.prune(t.Context())
-	if got, want := len(standIn.Keys("comfrey/ends/")), maxBatch; got > want {
+	if got, want := len(standIn.Keys("comfrey/ends/")), maxBatchReports; got > want {
 		t.Errorf("got %d keys after the flood, want %d at most", got, want)
 	}
-	if err := learned(rep.store); err != nil {
+	if err := requestHeld(rep.store); err != nil {
 		t.Errorf("got %v at an entry that starts, want the newest reports", err)
 	}
 }
@@ -186,7 +186,7 @@
 	size := 0
 	for entry := range entries {
 		var batch []site.Report
-		for i := range maxBatch {
+		for i := range maxBatchReports {
 			one := site.Report{Report: quarantine.Report{End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", i), Born: 1796287200000}}}
 			for j := range requests {
 				one.Suspects = append(one.Suspects, quarantine.Of("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
--- a/entry/internal/onsite/run.go
+++ b/entry/internal/onsite/run.go
@@ -36,41 +36,41 @@
 	// headerTime bounds the reading of a request's head; idleTime closes
 	// callers' connections that nobody uses, well after any that operators
 	// declare.
-	headerTime = 10 * time.Second
-	idleTime   = 5 * time.Minute
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 5 * time.Minute
 	// maxHeader bounds a request's head, bytes.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// memoryPart is the part of the host's memory at which the collector works
 	// hardest.
-	memoryPart = 0.5
+	memoryLimitFraction = 0.5
 	// announceTime is how long a stopping entry goes on taking requests: callers use an
 	// address that they were given for some time.
-	announceTime = 2500 * time.Millisecond
+	drainAcceptPeriod = 2500 * time.Millisecond
 	// refuseTime is how long it refuses afterwards at least: callers that hold
 	// its address get proof that nothing was run.
-	refuseTime = 700 * time.Millisecond
+	drainRejectPeriod = 700 * time.Millisecond
 	// endMargin is left of the time until the platform's kill.
-	endMargin = 900 * time.Millisecond
+	killMargin = 900 * time.Millisecond
 	// drainLook is how often a draining entry looks whether it is done.
-	drainLook = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	// shutdownTime bounds the end of answers whose handlers have returned: the library writes
 	// what is left of them after that.
-	shutdownTime = 300 * time.Millisecond
+	shutdownTimeout = 300 * time.Millisecond
 )
 
 // Run runs an entry until drain ends, then lets requests finish; it stops at once
 // when kill ends.
-func Run(drain, kill context.Context, set *wire.EntrySettings, out io.Writer) error {
-	lines := logging.NewBounded(out)
-	defer func() { _ = lines.Close() }()
-	log := logging.New(lines, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
-	debug.SetMemoryLimit(int64(memoryPart * float64(set.GetSite().GetMemoryMegabytes()) * (1 << 20)))
-	return newEntry(set, log).run(drain, kill)
+func Run(drain, kill context.Context, cfg *wire.EntrySettings, out io.Writer) error {
+	logWriter := logging.NewBounded(out)
+	defer func() { _ = logWriter.Close() }()
+	log := logging.New(logWriter, cfg.GetNode().GetLogLevel(), program, cfg.GetNode().GetId())
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(cfg.GetSite().GetMemoryMegabytes()) * (1 << 20)))
+	return newEntry(cfg, log).run(drain, kill)
 }
 
 // entry holds the parts of a running entry.
 type entry struct {
-	set      *wire.EntrySettings
+	cfg      *wire.EntrySettings
 	log      *slog.Logger
 	clock    clockwork.Clock
 	bounds   atomic.Pointer[bounds]
@@ -83,37 +83,37 @@
 	draining atomic.Bool
 }
 
-func newEntry(set *wire.EntrySettings, log *slog.Logger) *entry {
+func newEntry(cfg *wire.EntrySettings, log *slog.Logger) *entry {
 	clock := clockwork.NewRealClock()
-	self := node.Describe(set.GetNode(), peer.RoleEntry, set.GetCallersAddress())
+	self := node.Describe(cfg.GetNode(), peer.RoleEntry, cfg.GetCallersAddress())
 	e := &entry{
-		set: set, log: log, clock: clock,
+		cfg: cfg, log: log, clock: clock,
 		state: site.NewState(clock.Now, fleet.New(clock.Now), freshness.NewTracker(freshness.BootClock)),
 		self: site.Entry{
-			CallersAddress: set.GetCallersAddress(), Region: self.GetRegion(),
+			CallersAddress: cfg.GetCallersAddress(), Region: self.GetRegion(),
 			FailureDomain: self.GetFailureDomain(), Incarnation: self.GetIncarnation(),
-			ControlAddress: set.GetNode().GetControlAddress(),
+			ControlAddress: cfg.GetNode().GetControlAddress(),
 		},
 	}
 	e.mirror = site.NewMirror(e.state, platform.DecodeRecord, clock, log)
-	e.apply(set)
-	e.store = platform.NewStore(set.GetKvUrl(), storeClient())
-	entries := func() int { return max(1, len(e.state.Entries())) }
-	e.reporter = newReporter(e.store, platform.ReportPrefix(set.GetNode().GetId(), e.self.Incarnation), entries, clock, log)
+	e.applySettings(cfg)
+	e.store = platform.NewStore(cfg.GetKvUrl(), storeClient())
+	entryCount := func() int { return max(1, len(e.state.Entries())) }
+	e.reporter = newReporter(e.store, platform.ReportPrefix(cfg.GetNode().GetId(), e.self.Incarnation), entryCount, clock, log)
 	e.gateway = gateway.New(gateway.Config{
 		State: e.state, Pool: upstream.NewPool(clock.Now), Wire: platform.Wire(), Clock: clock, Log: log,
 		Domain:  self.GetFailureDomain(),
 		Publish: e.reporter.publish,
 		Bounds:  func() gateway.Bounds { return e.bounds.Load().gateway },
-		Entries: entries,
+		Entries: entryCount,
 	})
 	return e
 }
 
 // apply takes over settings that may change while the entry runs: the bounds.
-func (e *entry) apply(set *wire.EntrySettings) {
-	found := boundsOf(set.GetSite().GetBounds())
-	e.bounds.Store(&found)
+func (e *entry) applySettings(cfg *wire.EntrySettings) {
+	newBounds := newBounds(cfg.GetSite().GetBounds())
+	e.bounds.Store(&newBounds)
 }
 
 // storeClient makes connections to the store that end when it goes silent.
@@ -136,17 +136,17 @@
 	defer stop()
 	group, ctx := errgroup.WithContext(ctx)
 	pool := peer.NewPool(nil)
-	others := &sources{
-		state: e.state, mirror: e.mirror, pool: pool, self: e.set.GetNode().GetId(), entry: e.self,
+	news := &newsClient{
+		state: e.state, mirror: e.mirror, pool: pool, entryID: e.cfg.GetNode().GetId(), entry: e.self,
 		clock: e.clock, log: e.log, apply: func() time.Duration { return e.bounds.Load().gateway.Apply },
 	}
 	follower := &site.Follower{
-		Store: e.store, State: e.state, Mirror: e.mirror, Clock: e.clock, Log: e.log, Led: others.led, Wait: others.wait,
-		EntriesPrefix: platform.EntryPrefix, Follows: others.follows, Brings: others.brings,
+		Store: e.store, State: e.state, Mirror: e.mirror, Clock: e.clock, Log: e.log, Led: news.storeNotNeededFor, Wait: news.watchWait,
+		EntriesPrefix: platform.EntryPrefix, Follows: news.followsOthers, Brings: news.sourceHasStore,
 	}
-	streams := &feeds{state: e.state, pool: pool, port: e.set.GetSite().GetAgentPort(),
-		self: e.set.GetNode().GetId(), domain: e.self.FailureDomain,
-		region: e.self.Region, regions: e.set.GetSite().GetRegions(), clock: e.clock, log: e.log, began: e.clock.Now()}
+	agentFeeds := &feedManager{state: e.state, pool: pool, agentPort: e.cfg.GetSite().GetAgentPort(),
+		entryID: e.cfg.GetNode().GetId(), domain: e.self.FailureDomain,
+		region: e.self.Region, regions: e.cfg.GetSite().GetRegions(), clock: e.clock, log: e.log, startedAt: e.clock.Now()}
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterNews(mux, &newsServer{state: e.state, mirror: e.mirror, clock: e.clock}); err != nil {
 		return failure.Wrap(err, failure.Internal, "cannot register the calls of other entries", "report it")
@@ -158,25 +158,25 @@
 		}
 		return err
 	})
-	group.Go(func() error { others.run(ctx); return nil })
+	group.Go(func() error { news.run(ctx); return nil })
 	group.Go(func() error { follower.Run(ctx); return nil })
-	group.Go(func() error { streams.run(ctx); return nil })
+	group.Go(func() error { agentFeeds.run(ctx); return nil })
 	group.Go(func() error { e.reporter.run(ctx); return nil })
 	reloader := &settings.Reloader[*wire.EntrySettings]{
-		File: platform.SettingsFile(), Load: settings.LoadEntry, Apply: e.apply, Clock: e.clock, Log: e.log,
+		File: platform.SettingsFile(), Load: settings.LoadEntry, Apply: e.applySettings, Clock: e.clock, Log: e.log,
 	}
 	group.Go(func() error { reloader.Run(ctx); return nil })
 	e.register(ctx, drain, group)
 	e.serve(ctx, group, listeners.callers, e.gateway)
 	e.serve(ctx, group, listeners.ready, platform.ReadyHandler(e.ready))
-	e.serve(ctx, group, listeners.directory, platform.DirectoryHandler(e.directory().choose))
+	e.serve(ctx, group, listeners.directory, platform.DirectoryHandler(e.directory().selectAddresses))
 	e.serve(ctx, group, listeners.operators, node.OperatorsRouter(node.Health{Ready: e.ready}))
 	e.gateway.Publish()
 	e.log.Info("started", "incarnation", e.self.Incarnation, "callersAddress", e.self.CallersAddress,
 		"revokeMillis", e.bounds.Load().gateway.Revoke.Milliseconds(), "versionMillis", e.bounds.Load().gateway.Version.Milliseconds())
 	group.Go(func() error {
 		defer stop()
-		e.awaitEnd(ctx, drain, kill)
+		e.waitAndDrain(ctx, drain, kill)
 		return nil
 	})
 	err = group.Wait()
@@ -189,7 +189,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	context.AfterFunc(drain, cancel)
 	reg := &registrar{
-		store: e.store, key: platform.EntryKey(e.set.GetNode().GetId()), value: e.self,
+		store: e.store, key: platform.EntryKey(e.cfg.GetNode().GetId()), value: e.self,
 		ready: e.ready, clock: e.clock, log: e.log,
 	}
 	group.Go(func() error {
@@ -201,8 +201,8 @@
 
 func (e *entry) directory() *directory {
 	return &directory{
-		state: e.state, self: e.self, id: e.set.GetNode().GetId(),
-		open: func() bool { return e.ready() == nil }, keep: func() time.Duration { return e.bounds.Load().directoryTTL },
+		state: e.state, self: e.self, id: e.cfg.GetNode().GetId(),
+		acceptsCallers: func() bool { return e.ready() == nil }, ttl: func() time.Duration { return e.bounds.Load().directoryTTL },
 	}
 }
 
@@ -210,51 +210,51 @@
 type listeners struct{ callers, ready, directory, operators, control net.Listener }
 
 func (e *entry) listen() (*listeners, error) {
-	all := &listeners{}
-	for _, one := range []struct {
-		into         *net.Listener
-		address, key string
+	opened := &listeners{}
+	for _, spec := range []struct {
+		target           *net.Listener
+		address, setting string
 	}{
-		{&all.callers, e.set.GetCallersAddress(), "callersAddress"},
-		{&all.ready, e.set.GetSite().GetReadyAddress(), "site.readyAddress"},
-		{&all.directory, e.set.GetSite().GetDirectoryAddress(), "site.directoryAddress"},
-		{&all.operators, e.set.GetNode().GetOperatorsAddress(), "node.operatorsAddress"},
-		{&all.control, e.set.GetNode().GetControlAddress(), "node.controlAddress"},
+		{&opened.callers, e.cfg.GetCallersAddress(), "callersAddress"},
+		{&opened.ready, e.cfg.GetSite().GetReadyAddress(), "site.readyAddress"},
+		{&opened.directory, e.cfg.GetSite().GetDirectoryAddress(), "site.directoryAddress"},
+		{&opened.operators, e.cfg.GetNode().GetOperatorsAddress(), "node.operatorsAddress"},
+		{&opened.control, e.cfg.GetNode().GetControlAddress(), "node.controlAddress"},
 	} {
-		lis, err := net.Listen("tcp", one.address)
+		lis, err := net.Listen("tcp", spec.address)
 		if err != nil {
-			return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+one.key,
+			return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+spec.setting,
 				"stop the process that has the port, or give another")
 		}
-		*one.into = lis
+		*spec.target = lis
 	}
-	return all, nil
+	return opened, nil
 }
 
 // serve answers requests until ctx ends and the answers in progress are written.
 func (e *entry) serve(ctx context.Context, group *errgroup.Group, lis net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHeader,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(e.log.Handler(), slog.LevelWarn),
 	}
 	group.Go(func() error {
-		ended := make(chan struct{})
-		release := context.AfterFunc(ctx, func() {
-			defer close(ended)
+		shutdownDone := make(chan struct{})
+		cancelShutdown := context.AfterFunc(ctx, func() {
+			defer close(shutdownDone)
 			shutdown(server)
 		})
 		err := server.Serve(lis)
-		if release() {
+		if cancelShutdown() {
 			return err
 		}
-		<-ended
+		<-shutdownDone
 		return nil
 	})
 }
 
 // shutdown closes idle connections at once and the others once their answers are written.
 func shutdown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close()
@@ -276,23 +276,23 @@
 }
 
 // awaitEnd waits for the signal and drains.
-func (e *entry) awaitEnd(ctx, drain, kill context.Context) {
+func (e *entry) waitAndDrain(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-drain.Done():
 	}
-	began := e.clock.Now()
+	startedAt := e.clock.Now()
 	e.draining.Store(true)
 	e.gateway.Leave()
 	e.log.Info("draining", "inFlight", e.gateway.InFlight(), "graceMillis", e.bounds.Load().grace.Milliseconds())
-	e.sleep(kill, announceTime)
+	e.sleep(kill, drainAcceptPeriod)
 	e.gateway.Drain()
-	e.sleep(kill, refuseTime)
-	for kill.Err() == nil && e.gateway.InFlight() > 0 && e.clock.Since(began) < e.bounds.Load().grace-endMargin {
-		e.sleep(kill, drainLook)
+	e.sleep(kill, drainRejectPeriod)
+	for kill.Err() == nil && e.gateway.InFlight() > 0 && e.clock.Since(startedAt) < e.bounds.Load().grace-killMargin {
+		e.sleep(kill, drainPollInterval)
 	}
-	e.log.Info("drained", "inFlight", e.gateway.InFlight(), "tookMillis", e.clock.Since(began).Milliseconds())
+	e.log.Info("drained", "inFlight", e.gateway.InFlight(), "tookMillis", e.clock.Since(startedAt).Milliseconds())
 }
 
 func (e *entry) sleep(ctx context.Context, wait time.Duration) {
--- a/entry/internal/onsite/run_test.go
+++ b/entry/internal/onsite/run_test.go
@@ -21,18 +21,18 @@
 )
 
 // lines takes a process's log.
-type lines struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(text []byte) (int, error) {
+func (l *logBuffer) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(text)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -80,9 +80,9 @@
 // TestWholePath runs one entry between stand-ins of the platform: it finds the
 // configuration and the endpoints in the store, names itself to callers, serves
 // a request, follows a change, and ends when it is asked to.
-func TestWholePath(t *testing.T) {
-	standIn := platformtest.NewStore()
-	store := httptest.NewServer(standIn)
+func TestRunEndToEnd(t *testing.T) {
+	kvStore := platformtest.NewStore()
+	store := httptest.NewServer(kvStore)
 	defer store.Close()
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
@@ -101,11 +101,11 @@
 			"tenants":  []map[string]any{{"name": "deployment", "api_keys": keys}},
 		}
 	}
-	standIn.Put("op/config", config(1, "key-1"))
-	standIn.Put("servers/i-1", map[string]any{
+	kvStore.Put("op/config", config(1, "key-1"))
+	kvStore.Put("servers/i-1", map[string]any{
 		"service": "app", "address": strings.TrimPrefix(worker.URL, "http://"), "zone": "d1", "slots": 4, "state": "ready",
 	})
-	set := &wire.EntrySettings{
+	cfg := &wire.EntrySettings{
 		Node: &wire.NodeSettings{
 			Id: "entry-1", Region: "r", FailureDomain: "d1", ControlAddress: "127.0.0.1:0", OperatorsAddress: "127.0.0.1:0", LogLevel: "info",
 		},
@@ -115,63 +115,63 @@
 			Bounds: &wire.SiteBounds{GraceMillis: 8000},
 		},
 	}
-	drain, stop := context.WithCancel(context.Background())
-	kill, end := context.WithCancel(context.Background())
-	defer end()
-	log := &lines{}
-	ended := make(chan error, 1)
-	go func() { ended <- Run(drain, kill, set, log) }()
+	drain, startDrain := context.WithCancel(context.Background())
+	kill, killNow := context.WithCancel(context.Background())
+	defer killNow()
+	log := &logBuffer{}
+	runResult := make(chan error, 1)
+	go func() { runResult <- Run(drain, kill, cfg, log) }()
 
-	eventually(t, "ready", func() error { return status("http://"+set.GetSite().GetReadyAddress()+"/ready", 200) })
+	eventually(t, "ready", func() error { return checkStatus("http://"+cfg.GetSite().GetReadyAddress()+"/ready", 200) })
 	eventually(t, "registered", func() error {
-		if len(standIn.Keys("comfrey/entries/")) == 1 {
+		if len(kvStore.Keys("comfrey/entries/")) == 1 {
 			return nil
 		}
 		return fmt.Errorf("no registration")
 	})
-	var answer struct {
+	var resolved struct {
 		Addresses []string `json:"addresses"`
 		TTL       float64  `json:"ttl_s"`
 	}
-	resp, err := http.Get("http://" + set.GetSite().GetDirectoryAddress() + "/resolve?name=a.example&region=r&zone=d1")
+	resp, err := http.Get("http://" + cfg.GetSite().GetDirectoryAddress() + "/resolve?name=a.example&region=r&zone=d1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&resolved); err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	if len(answer.Addresses) != 1 || answer.Addresses[0] != set.GetCallersAddress() || answer.TTL <= 0 {
-		t.Errorf("got %+v, want this entry for some time", answer)
+	if len(resolved.Addresses) != 1 || resolved.Addresses[0] != cfg.GetCallersAddress() || resolved.TTL <= 0 {
+		t.Errorf("got %+v, want this entry for some time", resolved)
 	}
-	got, body := call(t, set, "key-1")
+	got, body := call(t, cfg, "key-1")
 	if got != 200 || body != "/x/y?z=1 for deployment" {
 		t.Errorf("got %d %q, want the worker's answer", got, body)
 	}
 
-	standIn.Put("op/config", config(2, "key-2"))
+	kvStore.Put("op/config", config(2, "key-2"))
 	eventually(t, "the key taken away", func() error {
-		if got, _ := call(t, set, "key-1"); got != 401 {
+		if got, _ := call(t, cfg, "key-1"); got != 401 {
 			return fmt.Errorf("status %d", got)
 		}
 		return nil
 	})
-	if got, _ := call(t, set, "key-2"); got != 200 {
+	if got, _ := call(t, cfg, "key-2"); got != 200 {
 		t.Errorf("got %d with the new key, want 200", got)
 	}
 
-	stop()
-	eventually(t, "not ready", func() error { return status("http://"+set.GetSite().GetReadyAddress()+"/ready", 503) })
+	startDrain()
+	eventually(t, "not ready", func() error { return checkStatus("http://"+cfg.GetSite().GetReadyAddress()+"/ready", 503) })
 	eventually(t, "registration taken back", func() error {
-		if keys := standIn.Keys("comfrey/entries/"); len(keys) > 0 {
+		if keys := kvStore.Keys("comfrey/entries/"); len(keys) > 0 {
 			return fmt.Errorf("got %v", keys)
 		}
 		return nil
 	})
-	if got, _ := call(t, set, "key-2"); got != 200 {
+	if got, _ := call(t, cfg, "key-2"); got != 200 {
 		t.Errorf("got %d right after the signal, want 200: callers had this entry on their list", got)
 	}
-	if err := <-ended; err != nil {
+	if err := <-runResult; err != nil {
 		t.Errorf("got %v, want a clean end", err)
 	}
 	for _, want := range []string{"msg=started", "msg=learned", "msg=registered", "msg=answered", "msg=draining", "msg=drained", "msg=stopped"} {
@@ -184,7 +184,7 @@
 	}
 }
 
-func status(address string, want int) error {
+func checkStatus(address string, want int) error {
 	resp, err := http.Get(address)
 	if err != nil {
 		return err
@@ -196,9 +196,9 @@
 	return nil
 }
 
-func call(t *testing.T, set *wire.EntrySettings, key string) (int, string) {
+func call(t *testing.T, cfg *wire.EntrySettings, key string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodPost, "http://"+set.GetCallersAddress()+"/x/y?z=1", strings.NewReader("body"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+cfg.GetCallersAddress()+"/x/y?z=1", strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/internal/onsite/shutdown_test.go
+++ b/entry/internal/onsite/shutdown_test.go
@@ -13,23 +13,23 @@
 )
 
 // lateListener takes connections of a process that gets its turn late: each write waits.
-type lateListener struct{ net.Listener }
+type slowListener struct{ net.Listener }
 
-func (l lateListener) Accept() (net.Conn, error) {
+func (l slowListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return lateConn{conn}, err
+	return slowConn{conn}, err
 }
 
-type lateConn struct{ net.Conn }
+type slowConn struct{ net.Conn }
 
-func (c lateConn) Write(bytes []byte) (int, error) {
+func (c slowConn) Write(bytes []byte) (int, error) {
 	time.Sleep(100 * time.Millisecond)
 	return c.Conn.Write(bytes)
 }
 
 // Guards against an answer that is lost though its request was served: the entry ends as its
 // last handler returns, and the library writes the end of the answer only after that.
-func TestEntryThatEndsWritesItsLastAnswerWhole(t *testing.T) {
+func TestShutdownWritesLastAnswerCompletely(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	defer end()
 	var group errgroup.Group
 	one := &entry{log: slog.New(slog.DiscardHandler)}
-	one.serve(ctx, &group, lateListener{lis}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	one.serve(ctx, &group, slowListener{lis}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "whole")
 		end()
 	}))
--- a/entry/internal/onsite/simultaneous_start_test.go
+++ b/entry/internal/onsite/simultaneous_start_test.go
@@ -18,54 +18,54 @@
 	// linkMegabits is the link between the store and the region that all entries share.
 	linkMegabits = 26
 	// encoded is by how much the store's encoding makes a value longer.
-	encoded = 4.0 / 3
+	encodingFactor = 4.0 / 3
 	// readerPart of the entries may read a configuration over the link: two do, and a few more on
 	// a machine that is slow enough that they take their sources for silent.
-	readerPart = 1.0 / 3
+	readerFraction = 1.0 / 3
 	// registrationBytes is what one entry reads of another one's registration, more than once.
 	registrationBytes = 1 << 10
 )
 
 // region is entries that start together, as after a loss of power: their registrations are
 // still in the store, which stands behind a narrow link.
-type region struct {
-	fleet   *fleetOfEntries
+type startGroup struct {
+	fleet   *testFleet
 	link    *platformtest.NarrowLink
 	config  map[string]any
 	sources []*runningEntry
 }
 
-func newRegion(t *testing.T, entries, valueBytes int) *region {
+func newStartGroup(t *testing.T, entries, valueBytes int) *startGroup {
 	t.Helper()
 	store := platformtest.NewStore()
 	store.Run()
 	server := httptest.NewUnstartedServer(store)
-	r := &region{link: platformtest.NewNarrowLink(server.Listener, linkMegabits*1e6/8), config: configOf(valueBytes)}
+	r := &startGroup{link: platformtest.NewNarrowLink(server.Listener, linkMegabits*1e6/8), config: incompressibleConfig(valueBytes)}
 	server.Listener = r.link
 	server.Start()
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	r.fleet = &fleetOfEntries{t: t, store: store, url: server.URL}
-	r.put(1)
-	known := map[string]site.Entry{}
-	var sets []*wire.EntrySettings
+	r.fleet = &testFleet{t: t, store: store, url: server.URL}
+	r.putConfig(1)
+	registrations := map[string]site.Entry{}
+	var cfgs []*wire.EntrySettings
 	for i := range entries {
-		set := r.fleet.settings(i)
-		id := set.GetNode().GetId()
-		known[id] = site.Entry{CallersAddress: set.GetCallersAddress(), Region: "r", FailureDomain: "d1", ControlAddress: set.GetNode().GetControlAddress()}
-		store.Put(platform.EntryKey(id), known[id])
-		sets = append(sets, set)
+		cfg := r.fleet.settings(i)
+		id := cfg.GetNode().GetId()
+		registrations[id] = site.Entry{CallersAddress: cfg.GetCallersAddress(), Region: "r", FailureDomain: "d1", ControlAddress: cfg.GetNode().GetControlAddress()}
+		store.Put(platform.EntryKey(id), registrations[id])
+		cfgs = append(cfgs, cfg)
 	}
-	for _, set := range sets {
-		one := r.fleet.begin(set)
-		if len(site.Sources(set.GetNode().GetId(), "r", known)) == 0 {
-			r.sources = append(r.sources, one)
+	for _, cfg := range cfgs {
+		started := r.fleet.startAsync(cfg)
+		if len(site.Sources(cfg.GetNode().GetId(), "r", registrations)) == 0 {
+			r.sources = append(r.sources, started)
 		}
 	}
 	return r
 }
 
 // configOf returns a configuration of about so many bytes that can't be compressed well.
-func configOf(valueBytes int) map[string]any {
+func incompressibleConfig(valueBytes int) map[string]any {
 	random := rand.New(rand.NewPCG(1, 2))
 	var routes []map[string]any
 	for size := 0; size < valueBytes; size += 180 {
@@ -77,29 +77,29 @@
 	return map[string]any{"routes": routes, "services": []map[string]any{{"name": "app"}}}
 }
 
-func (r *region) put(version int) {
+func (r *startGroup) putConfig(version int) {
 	r.config["version"] = version
 	r.fleet.store.Put(platform.ConfigKey, r.config)
 }
 
 // check waits until all entries serve and compares what crossed the link with what a part of them
 // reads of so many configurations.
-func (r *region) check(t *testing.T, valueBytes, configurations int) {
+func (r *startGroup) checkLinkUsage(t *testing.T, valueBytes, configurations int) {
 	t.Helper()
 	began := time.Now()
 	entries := len(r.fleet.entries)
-	for _, one := range r.fleet.entries {
+	for _, entry := range r.fleet.entries {
 		select {
-		case <-one.done:
+		case <-entry.done:
 		default:
-			r.fleet.await(one)
+			r.fleet.awaitReady(entry)
 		}
 	}
-	copies := readerPart * float64(entries*configurations)
-	got, want := r.link.Sent(), int64(copies*encoded*float64(valueBytes))+int64(entries*entries*registrationBytes)
+	copies := readerFraction * float64(entries*configurations)
+	got, limit := r.link.Sent(), int64(copies*encodingFactor*float64(valueBytes))+int64(entries*entries*registrationBytes)
 	t.Logf("%d entries, %d KB: all ready after %v, %d KB over the link", entries, valueBytes>>10, time.Since(began).Round(time.Millisecond), got>>10)
-	if got > want {
-		t.Errorf("got %d KB over the link, want %d KB at most", got>>10, want>>10)
+	if got > limit {
+		t.Errorf("got %d KB over the link, want %d KB at most", got>>10, limit>>10)
 	}
 }
 
@@ -108,36 +108,36 @@
 func TestEntriesThatStartTogetherReadALargeConfigurationFewTimes(t *testing.T) {
 	for _, one := range []struct{ entries, kilobytes int }{{12, 396}, {33, 396}, {12, 980}} {
 		t.Run(fmt.Sprintf("%d entries, %d KB", one.entries, one.kilobytes), func(t *testing.T) {
-			r := newRegion(t, one.entries, one.kilobytes<<10)
-			r.check(t, one.kilobytes<<10, 1)
+			r := newStartGroup(t, one.entries, one.kilobytes<<10)
+			r.checkLinkUsage(t, one.kilobytes<<10, 1)
 		})
 	}
 }
 
 // Guards against entries that all read the store because one of the two that read it for them
 // ended in the middle.
-func TestEntriesThatStartTogetherBearTheEndOfASource(t *testing.T) {
-	r := newRegion(t, 12, 396<<10)
-	r.sources[0].end()
-	r.check(t, 396<<10, 1)
+func TestEntriesThatStartTogetherSurviveLossOfSource(t *testing.T) {
+	r := newStartGroup(t, 12, 396<<10)
+	r.sources[0].stop()
+	r.checkLinkUsage(t, 396<<10, 1)
 }
 
 // Guards against readings that begin anew, all at once, as the store comes back or the
 // configuration changes meanwhile.
-func TestEntriesThatStartTogetherWhileTheStoreGoesAway(t *testing.T) {
-	r := newRegion(t, 12, 396<<10)
+func TestEntriesThatStartTogetherDuringStoreOutage(t *testing.T) {
+	r := newStartGroup(t, 12, 396<<10)
 	r.fleet.store.SetFault(func(*http.Request) platformtest.Fault { return platformtest.Busy })
 	time.Sleep(300 * time.Millisecond)
 	r.fleet.store.SetFault(nil)
-	r.check(t, 396<<10, 2)
+	r.checkLinkUsage(t, 396<<10, 2)
 }
 
-func TestEntriesThatStartTogetherWhileTheConfigurationChanges(t *testing.T) {
-	r := newRegion(t, 12, 396<<10)
+func TestEntriesThatStartTogetherDuringConfigurationChange(t *testing.T) {
+	r := newStartGroup(t, 12, 396<<10)
 	const changes = 2
 	for version := range changes {
 		time.Sleep(300 * time.Millisecond)
-		r.put(2 + version)
+		r.putConfig(2 + version)
 	}
-	r.check(t, 396<<10, 2*(1+changes))
+	r.checkLinkUsage(t, 396<<10, 2*(1+changes))
 }
--- a/entry/internal/onsite/startup_test.go
+++ b/entry/internal/onsite/startup_test.go
@@ -12,7 +12,7 @@
 )
 
 // wholeReadings counts the readings of everything from now on.
-func wholeReadings(store *platformtest.Store) *atomic.Int64 {
+func countFullReads(store *platformtest.Store) *atomic.Int64 {
 	count := &atomic.Int64{}
 	store.SetFault(func(r *http.Request) platformtest.Fault {
 		query := r.URL.Query()
@@ -26,9 +26,9 @@
 
 // Guards against entries of a region that each read a large configuration over the same link
 // when they start.
-func TestEntryThatStartsIsBroughtWhatOthersKnow(t *testing.T) {
+func TestStartingEntryReadsFromOtherEntries(t *testing.T) {
 	const running, newcomers = 6, 3
-	f := newFleetOfEntries(t, running, 1, nil)
+	f := newTestFleet(t, running, 1, nil)
 	entries := map[string]site.Entry{}
 	for i := range running {
 		entries[fmt.Sprint("entry-", i)] = site.Entry{Region: "r", ControlAddress: "127.0.0.1:1"}
@@ -43,7 +43,7 @@
 			return nil
 		})
 		entries[id] = site.Entry{Region: "r", ControlAddress: "127.0.0.1:1"}
-		readings := wholeReadings(f.store)
+		readings := countFullReads(f.store)
 		f.start()
 		if len(site.Sources(id, "r", entries)) == 0 {
 			continue
@@ -59,8 +59,8 @@
 }
 
 // Guards against an entry that waits for others which are gone.
-func TestEntryThatIsBroughtNothingReadsTheStore(t *testing.T) {
-	f := newFleetOfEntries(t, 0, 1, nil)
+func TestEntryReadsStoreWhenSourcesAreGone(t *testing.T) {
+	f := newTestFleet(t, 0, 1, nil)
 	entries := map[string]site.Entry{"entry-0": {Region: "r", ControlAddress: "127.0.0.1:1"}}
 	for i := range 12 {
 		entries[fmt.Sprint("former-", i)] = entries["entry-0"]
@@ -71,7 +71,7 @@
 	if len(site.Sources("entry-0", "r", entries)) == 0 {
 		t.Fatalf("got an entry that follows nobody, want another id")
 	}
-	readings := wholeReadings(f.store)
+	readings := countFullReads(f.store)
 	f.start()
 	if got := readings.Load(); got == 0 {
 		t.Errorf("got a ready entry without a reading of the store")
