--- a/entry/internal/onsite/bounds.go
+++ b/entry/internal/onsite/bounds.go
@@ -7,7 +7,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Defaults of bounds that the platform does not state.
+// Defaults for bounds that the platform does not set.
 const (
 	defaultRevoke  = 5 * time.Second
 	defaultApply   = 2 * time.Second
@@ -17,20 +17,22 @@
 	defaultSlack   = 20.0
 	defaultTTL     = 5 * time.Second
 	defaultWindow  = 10 * time.Second
-	// revokeMargin is left of the time for revoked keys for a request's way to its endpoint.
+	// revokeMargin is subtracted from the time within which revoked keys must be rejected. It
+	// allows for the time that a request takes to reach its endpoint.
 	revokeMargin = 400 * time.Millisecond
-	// freshTTL is how long callers should keep an answer at most: an entry that
-	// is gone is named for so long.
+	// maxDirectoryTTL limits how long callers may cache a directory answer, because they keep
+	// using an entry that is gone for as long.
 	maxDirectoryTTL = 2 * time.Second
 )
 
-// bounds are the platform's promises in the process's terms.
+// bounds holds the limits that the platform guarantees, converted for this process.
 type bounds struct {
 	gateway      gateway.Bounds
 	grace        time.Duration
 	directoryTTL time.Duration
 }
 
+// newBounds converts the bounds in the settings and fills in defaults.
 func newBounds(cfg *wire.SiteBounds) bounds {
 	ttl := seconds(cfg.GetDirectoryTtlSeconds(), defaultTTL)
 	return bounds{
--- a/entry/internal/onsite/compress.go
+++ b/entry/internal/onsite/compress.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// packFrom is the size of a value from which on it is compressed: a configuration, which
-	// repeats itself a great deal, and not what describes one host.
+	// minCompressBytes is the minimum size of values to compress. It includes configurations,
+	// which are highly repetitive, and excludes records of single hosts.
 	minCompressBytes = 4 << 10
-	// maxUnpacked bounds what is made of a compressed value: some times what the store holds
-	// under one key.
+	// maxDecompressedBytes limits the size of a decompressed value. It is several times the
+	// largest value that the store accepts under one key.
 	maxDecompressedBytes = 8 << 20
-	// maxPacked bounds the values that are kept compressed: a configuration, and reports that
-	// are as large now and then.
+	// maxCachedValues limits the compressed values in the cache: a configuration, and the
+	// occasional report of that size.
 	maxCachedValues = 16
 )
 
-// packer compresses large values once for all who follow. A source sends each of its followers
-// all of a configuration, and where one comes every second its own link is what makes them
-// late. The zero packer is ready; it is safe for concurrent use.
+// compressor compresses large values once for all followers. A source sends every configuration
+// to each of its followers, and with a new configuration each second its own uplink would delay
+// them. The zero value is ready for use; it is safe for concurrent use.
 type compressor struct {
 	mu    sync.Mutex
 	cache map[string]compressedValue // by key
 }
 
-// packedValue is a value as it was at a revision, compressed; no bytes where that gains nothing.
+// compressedValue is the compressed form of a value at a revision; bytes is nil if compression
+// does not make it smaller.
 type compressedValue struct {
 	revision uint64
 	bytes    []byte
 }
 
-// pack returns a value compressed; nil where it goes as it is.
+// compress returns the compressed value, or nil if the value should be sent uncompressed.
 func (p *compressor) compress(entry kv.Entry) []byte {
 	if len(entry.Value()) < minCompressBytes {
 		return nil
@@ -57,9 +58,10 @@
 	return compressed
 }
 
+// deflate compresses a value, optimizing for speed.
 func deflate(value []byte) []byte {
 	var compressed bytes.Buffer
-	// The level is one of the library's, and a buffer takes all that is written.
+	// An error is not expected: the level is valid and a bytes.Buffer accepts all writes.
 	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return value
@@ -70,14 +72,14 @@
 	return compressed.Bytes()
 }
 
-// unpack returns the value that was compressed.
+// decompress reverses deflate.
 func decompress(compressed []byte) ([]byte, error) {
 	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecompressedBytes+1))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Corrupt, "a compressed value cannot be read", "the stream is begun again")
+		return nil, failure.Wrap(err, failure.Corrupt, "cannot decompress a value", "the stream is restarted")
 	}
 	if len(value) > maxDecompressedBytes {
-		return nil, failure.New(failure.Corrupt, "a compressed value is too large", "the stream is begun again")
+		return nil, failure.New(failure.Corrupt, "a decompressed value is too large", "the stream is restarted")
 	}
 	return value, nil
 }
--- a/entry/internal/onsite/delay_meter.go
+++ b/entry/internal/onsite/delay_meter.go
@@ -6,48 +6,47 @@
 )
 
 const (
-	// clockDrift is how much two steady clocks may run apart, as a part of the
-	// time: a few times what crystals do.
+	// maxClockDrift is the assumed maximum drift between two monotonic clocks, as a fraction of
+	// elapsed time. It is a few times the drift of crystal oscillators.
 	maxClockDrift = 0.0005
-	// echoTime is how long an agent may take to send a message back where that is
-	// not known yet: the longest time between two of its states. Later it is
-	// twice what it took lately and echoSlack more.
+	// maxEchoHold is the longest time for which an agent holds a message before it echoes it: the
+	// maximum time between two of its states. It is the estimate until the first echo; afterwards
+	// the estimate is twice the smoothed recent hold time plus echoHoldSlack.
 	maxEchoHold   = 250 * time.Millisecond
 	echoHoldSlack = 30 * time.Millisecond
-	// heldWeight is the part of a new time in what it took lately.
+	// holdSmoothing is the weight of a new sample in the smoothed hold time.
 	holdSmoothing = 0.25
-	// reportStep is the least change of the delay that an agent should learn of at once.
+	// minReportedChange is the smallest change of the delay that is sent to the agent at once.
 	minReportedChange = 80 * time.Millisecond
 )
 
-// delayMeter learns how long messages to and from an agent are on their way beyond the
-// least time seen. It is kept over the streams to the agent: one that is begun
-// behind a squeezed link has no message yet that came in the least time, and would
-// take the link's queue for usual. Times are of steady clocks, which count from a
-// moment of their own each. It is safe for concurrent use.
+// delayMeter measures how much longer messages to and from an agent take than the minimum seen so
+// far. It is kept across streams to the agent: a stream that starts on a congested link has no
+// message yet that took the minimum time, so the link's queueing delay would count as normal. All
+// times are from monotonic clocks with different zero points. It is safe for concurrent use.
 type delayMeter struct {
 	mu sync.Mutex
 
-	agentStarted int64         // when the agent started; another one has another clock
-	minOffset    time.Duration // of arrival less sending, from the agent
-	lastArrival  time.Duration // arrival of the newest message
+	agentStarted int64         // start time of the agent, whose clock restarts with it
+	minOffset    time.Duration // minimum of arrival minus send time for messages from the agent
+	lastArrival  time.Duration // arrival of the latest message
 	known        bool
 
-	minRoundTrip   time.Duration // least time there and back; 0: none came back
-	oldestUnechoed time.Duration // when the first message was sent that did not come back; 0: none
-	lastSent       time.Duration // when the newest one was sent
-	// echoed is the message that came back newest, and held the smoothed time for
-	// which the agent keeps one; 0: none came back.
+	minRoundTrip   time.Duration // minimum round-trip time without the hold time; 0 before the first echo
+	oldestUnechoed time.Duration // send time of the oldest message without an echo; 0 if there is none
+	lastSent       time.Duration // send time of the latest message
+	// lastEcho is the send time of the message that was echoed last, and smoothedHold the
+	// smoothed time for which the agent holds messages; both are 0 before the first echo.
 	lastEcho, smoothedHold time.Duration
 
-	latest   time.Duration // delay found last
-	reported time.Duration // delay that was sent to the agent last
-	changed  chan struct{} // buffered by one: the delay changed much since
+	latest   time.Duration // latest measured delay
+	reported time.Duration // delay last sent to the agent
+	changed  chan struct{} // capacity 1; signals a change of at least minReportedChange since then
 }
 
 func newDelayMeter() *delayMeter { return &delayMeter{changed: make(chan struct{}, 1)} }
 
-// report returns the delay that the agent should receive.
+// delayToReport returns the delay to send to the agent and records it as reported.
 func (m *delayMeter) delayToReport() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -55,7 +54,7 @@
 	return m.reported
 }
 
-// ask notes that a message is sent.
+// recordSent records that a message is sent.
 func (m *delayMeter) recordSent(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,22 +64,22 @@
 	m.lastSent = now
 }
 
-// restart forgets what was sent: with the stream it is lost.
+// resetSent discards the messages in flight, which are lost with their stream.
 func (m *delayMeter) resetSent() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.oldestUnechoed, m.lastSent = 0, 0
 }
 
-// messageTimes is the times of one message from an agent.
+// messageTimes holds the times in a message from an agent.
 type messageTimes struct {
-	agentStarted int64         // when the agent started
-	sent         time.Duration // by the agent's clock
-	echo, held   time.Duration // the newest message that it had, by this entry's clock, and for how long; 0: none
+	agentStarted int64         // start time of the agent
+	sent         time.Duration // on the agent's clock
+	echo, held   time.Duration // send time of the latest message received from this entry, on this entry's clock, and how long ago it arrived; 0 if none
 }
 
-// delay takes a message's times and returns what the way there or back takes beyond
-// the least.
+// update records a message's times and returns the delay beyond the minimum, in whichever
+// direction it is larger.
 func (m *delayMeter) update(now time.Duration, msg messageTimes) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +93,7 @@
 	return m.latest
 }
 
-// back returns the delay of the message alone.
+// oneWayDelay returns the delay of the message itself, from the agent to this entry.
 func (m *delayMeter) oneWayDelay(now time.Duration, msg messageTimes) time.Duration {
 	offset := now - msg.sent
 	m.minOffset += time.Duration(maxClockDrift * float64(now-m.lastArrival))
@@ -105,7 +104,7 @@
 	return offset - m.minOffset
 }
 
-// round returns the delay of what came back or should have.
+// roundTripDelay returns the delay of the latest echo, or of an overdue echo if that is larger.
 func (m *delayMeter) roundTripDelay(now time.Duration, msg messageTimes) time.Duration {
 	delay := time.Duration(0)
 	if msg.echo > 0 {
@@ -115,7 +114,8 @@
 		}
 		delay = roundTrip - m.minRoundTrip
 		if msg.echo != m.lastEcho {
-			// What comes back again says how long ago it came, not how long it was kept.
+			// A repeated echo has the time since arrival as its hold time, so only the first one
+			// is a sample.
 			if m.lastEcho == 0 {
 				m.smoothedHold = msg.held
 			}
@@ -134,7 +134,7 @@
 	return delay
 }
 
-// keeps returns how long the agent may keep a message before it sends it back.
+// expectedHold returns how long the agent is expected to hold a message before it echoes it.
 func (m *delayMeter) expectedHold() time.Duration {
 	if m.lastEcho == 0 {
 		return maxEchoHold
--- a/entry/internal/onsite/directory.go
+++ b/entry/internal/onsite/directory.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// nearEnough is the entries of a caller's own failure domain that are
-	// enough for it: with one alone its loss would hit all of them.
+	// minLocalEntries is how many entries a caller's failure domain must have for an answer that
+	// lists only these: with a single entry, its failure would affect all callers of the domain.
 	minLocalEntries = 2
-	// maxAddresses bounds an answer.
+	// maxAddresses limits the number of addresses in an answer.
 	maxAddresses = 64
 )
 
-// directory answers which entries a caller should use.
+// directory selects the entries that a caller should use.
 type directory struct {
 	state *site.State
 	self  site.Entry
 	id    string
-	// open reports whether this entry itself takes callers.
+	// acceptsCallers reports whether this entry itself accepts callers.
 	acceptsCallers func() bool
-	// keep returns how long callers should keep an answer.
+	// ttl returns how long callers may cache an answer.
 	ttl func() time.Duration
 }
 
-// choose returns the entries near the caller, or all where too few are near.
+// selectAddresses returns the entries in the caller's failure domain, or all entries if the
+// domain has too few, and how long the answer may be cached.
 func (d *directory) selectAddresses(place platform.Place) ([]string, time.Duration) {
 	entries := d.state.Entries()
 	delete(entries, d.id)
--- a/entry/internal/onsite/feed.go
+++ b/entry/internal/onsite/feed.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// feedRetry is the mean pause before a feed is begun again.
+	// feedRetryPause is the mean pause before a feed is reopened.
 	feedRetryPause = 250 * time.Millisecond
-	// homeGap, nearGap and farGap are the least times between two states of an engine
-	// that is home to this entry, of another one of its failure domain, and of one of
-	// another domain, to which little is sent and whose bytes are dear.
+	// homeInterval, nearInterval and farInterval are the minimum times between two state messages
+	// from an engine: one whose home is this entry, another engine in this entry's failure
+	// domain, and an engine in another domain. The last kind gets few requests, and its traffic
+	// crosses costly links.
 	homeInterval = 25 * time.Millisecond
 	nearInterval = 60 * time.Millisecond
 	farInterval  = 250 * time.Millisecond
-	// guideGap is the same of an engine to which this entry sends nothing: it says
-	// that the host is still connected.
+	// outsideInterval is the same for an engine to which this entry sends no requests. These
+	// messages only show that the host is still connected.
 	outsideInterval = time.Second
-	// feedSilence ends a feed that brings nothing: agents send at least four times as
-	// often, so the connection is dead though nothing says so. guideSilence is the same
-	// where they send each guideGap.
+	// feedTimeout ends a feed without messages. Agents send at least four times as often, so the
+	// connection is dead even if no error is reported. outsideFeedTimeout is the same for agents
+	// that send every outsideInterval.
 	feedTimeout        = time.Second
 	outsideFeedTimeout = 3500 * time.Millisecond
 )
 
-// feed follows the agent of one engine.
+// feed receives the state of one engine from its host's agent and sends guidance to that agent.
 type feed struct {
 	manager *feedManager
 	engine  fleet.Engine
 	delays  *delayMeter
 	cancel  context.CancelFunc
-	changed chan struct{} // buffered by one: part or brief changed
+	changed chan struct{} // capacity 1; signals that part or guidance changed
 
 	mu       sync.Mutex
 	part     deal.Part
 	guidance *guidanceSnapshot
 }
 
-// begin follows an engine until its feed is cancelled.
+// startFeed starts a feed, which runs until it is cancelled.
 func (f *feedManager) startFeed(ctx context.Context, eng fleet.Engine) *feed {
 	ctx, cancel := context.WithCancel(ctx)
 	started := &feed{manager: f, engine: eng, delays: newDelayMeter(), cancel: cancel, changed: make(chan struct{}, 1)}
@@ -51,7 +52,7 @@
 	return started
 }
 
-// heed takes over this entry's part in the engine and what its host should know.
+// setAssignment sets this entry's part in the engine and the guidance for its host.
 func (d *feed) setAssignment(part deal.Part, newest *guidanceSnapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,19 +70,20 @@
 	}
 }
 
+// assignment returns what setAssignment set last.
 func (d *feed) assignment() (deal.Part, *guidanceSnapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.part, d.guidance
 }
 
-// sends reports whether this entry sends requests to the engine.
+// sendsRequests reports whether this entry sends requests to the engine.
 func (d *feed) sendsRequests() bool {
 	part, _ := d.assignment()
 	return part.Reach != deal.Outside
 }
 
-// silence returns after how long without a state the feed is dead.
+// silenceTimeout returns the time without messages after which the feed counts as dead.
 func (d *feed) silenceTimeout() time.Duration {
 	if d.sendsRequests() {
 		return feedTimeout
@@ -89,7 +91,7 @@
 	return outsideFeedTimeout
 }
 
-// run keeps the feed, begun again whenever it ends.
+// run keeps the feed open and reopens it when it ends.
 func (d *feed) run(ctx context.Context) {
 	f := d.manager
 	address := f.agentAddress(d.engine.Address)
@@ -104,6 +106,7 @@
 	}
 }
 
+// stream opens the feed once and processes its messages until it fails. It sets *up at the first message.
 func (d *feed) stream(ctx context.Context, address string, up *bool) error {
 	f := d.manager
 	ctx, cancel := context.WithCancel(ctx)
@@ -135,18 +138,18 @@
 	}
 }
 
-// take takes over an engine's state.
+// observe records a state message of the engine.
 func (d *feed) observe(state *wire.EngineState) {
 	f := d.manager
 	engineState := engineStateOf(state)
-	// An entry that sends there seldom learns from the others.
+	// An entry that sends few messages to the agent uses the delay that other entries measured.
 	engineState.Delay = max(d.delays.update(f.clock.Since(f.startedAt), messageTimesOf(state)), time.Duration(state.GetLagMillis())*time.Millisecond)
 	f.state.Fleet().Observe(d.engine.Service, d.engine.Address, engineState)
 }
 
-// guide reports to the agent how much of what this entry sent there is not read yet, how
-// often it wants states and, if it is one of the host's guides, what is wanted, at
-// once and after each change.
+// sendGuidance tells the agent how many prompt tokens from this entry the engine has not read yet
+// and how often to send states. If this entry guides the host, it also sends the guidance, first
+// at once and then after each change.
 func (d *feed) sendGuidance(ctx context.Context, cancel context.CancelFunc, stream wire.DRPCFeed_FollowClient) {
 	defer cancel()
 	f := d.manager
@@ -175,7 +178,8 @@
 	}
 }
 
-// stamp lets the agent's next states report how long the message was on its way.
+// addTimestamps adds the time of sending, so that later states of the agent show how long the
+// message took.
 func (d *feed) addTimestamps(message *wire.Guidance) {
 	part, _ := d.assignment()
 	if part.Reach == deal.Outside {
@@ -188,7 +192,7 @@
 	message.SentMillis = uint64(now.Milliseconds())
 }
 
-// gapOf returns how often an entry with the part wants states.
+// stateInterval returns the interval of state messages to request for the given part.
 func stateInterval(part deal.Part) time.Duration {
 	switch part.Reach {
 	case deal.Home:
@@ -201,18 +205,18 @@
 	return outsideInterval
 }
 
-// guidanceSender holds what was sent to one agent.
+// guidanceSender builds the messages to one agent and tracks what it was sent.
 type guidanceSender struct {
 	feed           *feed
-	sentGuidance   *guidanceSnapshot // nil: none, or others send it
+	sentGuidance   *guidanceSnapshot // nil if none was sent or other entries guide the host
 	sentAt         time.Time
 	interval       time.Duration
 	unreadTokens   int
-	pinnedRequests int // requests in progress that can't go on elsewhere
+	pinnedRequests int // requests in progress that no other engine can continue
 }
 
-// next returns what the agent does not know yet, nil where it knows all, and how
-// long that holds if nothing changes.
+// next returns a message with what the agent does not know yet, or nil if it is up to date, and
+// how long the result stays valid if nothing changes.
 func (t *guidanceSender) next(now time.Time) (*wire.Guidance, time.Duration) {
 	part, newest := t.feed.assignment()
 	message, wait := t.nextGuidance(now, part, newest)
@@ -234,12 +238,13 @@
 	return message, wait
 }
 
+// readingOnly returns a message that has only the counts of unread tokens and pinned requests.
 func (t *guidanceSender) readingOnly() *wire.Guidance {
 	return &wire.Guidance{ReadingOnly: true, Reading: uint32(max(0, t.unreadTokens)), Last: uint32(t.pinnedRequests)}
 }
 
-// guidance returns what to send to the host now; nil where it was sent, or where
-// that is for other entries.
+// nextGuidance returns the guidance to send to the host now. It returns nil if the host has it
+// already or if other entries guide the host. The duration is the time until the next check.
 func (t *guidanceSender) nextGuidance(now time.Time, part deal.Part, newest *guidanceSnapshot) (*wire.Guidance, time.Duration) {
 	if !part.Guide {
 		t.sentGuidance = nil
--- a/entry/internal/onsite/feeds.go
+++ b/entry/internal/onsite/feeds.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	// planGap is the least time between two plans, so that one plan covers the hosts or entries
-	// that register together.
+	// minPlanInterval is the minimum time between two plans, so that one plan covers hosts or
+	// entries that register together.
 	minPlanInterval = 50 * time.Millisecond
-	// planInterval is how often a plan is made beside each change of what is known:
-	// registrations that lapsed in an outage end without one.
+	// maxPlanInterval is the maximum time between two plans. Plans are also made without a change
+	// of state because registrations that expire during a store outage are removed without one.
 	maxPlanInterval = 2 * time.Second
 )
 
-// feeds follows the agents of the engines that this entry has a part in, and sends
-// the hosts that it guides what is wanted.
+// feedManager runs a feed for each engine in which this entry has a part and provides the
+// guidance for the hosts that it guides.
 type feedManager struct {
 	state     *site.State
 	pool      *peer.Pool
-	agentPort uint32 // at which agents serve
-	// region of this entry; regions are those of the failure domains.
-	entryID   string // id of this entry
-	domain    string // its failure domain
+	agentPort uint32 // port of the agents on all hosts
+	// region is the region of this entry, regions the region of each failure domain.
+	entryID   string // ID of this entry
+	domain    string // failure domain of this entry
 	region    string
 	regions   map[string]string
 	clock     clockwork.Clock
 	log       *slog.Logger
-	startedAt time.Time // of this entry
+	startedAt time.Time // start of this entry, the zero of its message times
 }
 
-// plan is what follows from the knowledge of one moment.
+// plan is the assignment of engines and guidance computed from one state.
 type plan struct {
-	otherEntries     []string             // ids of the other entries
-	parts            map[string]deal.Part // by engine's address
-	engines          []fleet.Engine       // those with a part
+	otherEntries     []string             // IDs of the other entries
+	parts            map[string]deal.Part // by engine address
+	engines          []fleet.Engine       // engines in which this entry has a part
 	guidance         *guidanceSnapshot
-	rolloutPositions map[string]float64 // hosts' places in a rollout, by engine's address
+	rolloutPositions map[string]float64 // position of each host in a rollout, by engine address
 }
 
-// run follows the engines that are known until ctx ends.
+// run makes plans and runs the feeds that they require, until ctx is cancelled.
 func (f *feedManager) run(ctx context.Context) {
 	following := map[string]*feed{}
 	for ctx.Err() == nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// sleep waits for so long, or until ctx or woken is closed.
+// sleep waits for the given time, or until ctx is cancelled or woken is closed.
 func (f *feedManager) sleep(ctx context.Context, wait time.Duration, woken <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -89,7 +89,7 @@
 	}
 }
 
-// plan shares the engines out and puts together what is sent to hosts.
+// computePlan divides the engines among the entries and builds the guidance for hosts.
 func (f *feedManager) computePlan() plan {
 	engines := f.state.Fleet().Engines()
 	enginePlaces := make([]deal.Place, 0, len(engines))
@@ -115,7 +115,8 @@
 	return result
 }
 
-// staying returns the addresses of the engines whose hosts are to hold weights.
+// remainingAddresses returns the addresses of the engines that are not leaving. Their hosts
+// should hold weights.
 func remainingAddresses(engines []fleet.Engine) []string {
 	var addresses []string
 	for _, eng := range engines {
@@ -126,6 +127,7 @@
 	return addresses
 }
 
+// agentAddress returns the address of the agent on the engine's host.
 func (f *feedManager) agentAddress(engine string) string {
 	host, _, err := net.SplitHostPort(engine)
 	if err != nil {
@@ -134,8 +136,8 @@
 	return net.JoinHostPort(host, strconv.FormatUint(uint64(f.agentPort), 10))
 }
 
-// regionOf returns the region of a failure domain; one that is not declared
-// counts as a region of its own.
+// regionOf returns the region of a failure domain. A domain without a configured region counts as
+// a region of its own.
 func (f *feedManager) regionOf(domain string) string {
 	if region := f.regions[domain]; region != "" {
 		return region
@@ -143,6 +145,7 @@
 	return domain
 }
 
+// messageTimesOf returns the times in a state message.
 func messageTimesOf(state *wire.EngineState) messageTimes {
 	return messageTimes{
 		agentStarted: state.GetAgentBorn(), sent: time.Duration(state.GetSentMillis()) * time.Millisecond,
@@ -151,6 +154,7 @@
 	}
 }
 
+// engineStateOf converts a state message. Unread tokens from this entry are not counted, as it tracks them itself.
 func engineStateOf(state *wire.EngineState) fleet.EngineState {
 	result := fleet.EngineState{
 		Born: state.GetBorn(), Alive: state.GetAlive(), Running: int(state.GetRunning()), Queued: int(state.GetQueued()),
--- a/entry/internal/onsite/guidance.go
+++ b/entry/internal/onsite/guidance.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// guideInterval is how often an agent receives again what did not change.
+	// guidanceInterval is how often unchanged guidance is sent to an agent again.
 	guidanceInterval = 10 * time.Second
-	// hostsGap is the least time between two lists of hosts to one agent where nothing else is
-	// new, so that one list holds the hosts that register together.
+	// minHostListInterval is the minimum time between two messages to an agent in which only the
+	// list of hosts changed, so that hosts that register together are sent in one list.
 	minHostListInterval = 400 * time.Millisecond
 )
 
-// brief is what hosts are to know, as one plan found it.
+// guidanceSnapshot is the guidance for agents as of one plan.
 type guidanceSnapshot struct {
-	guidance *wire.Guidance // without ages; never changed
-	// wanted sums up what must be sent at once, digest all of it: ages and revisions
-	// alone are nothing new.
+	guidance *wire.Guidance // without ages; read-only
+	// urgentDigest covers the content that must be sent at once, digest all of it. Ages and
+	// revisions are in neither, since a change of these alone is not sent.
 	urgentDigest, digest uint64
 }
 
+// digestOrZero returns the digest, or 0 for a nil snapshot.
 func (b *guidanceSnapshot) digestOrZero() uint64 {
 	if b == nil {
 		return 0
@@ -39,8 +40,8 @@
 	return b.digest
 }
 
-// stays returns for how long a host that received this brief so long ago need not
-// receive a newer one.
+// delayUntilUpdate returns how long a host that received b the given time ago can wait for
+// newest. Zero or less means that newest is due.
 func (b *guidanceSnapshot) delayUntilUpdate(newest *guidanceSnapshot, age time.Duration) time.Duration {
 	switch {
 	case b == nil || b.urgentDigest != newest.urgentDigest:
@@ -51,7 +52,7 @@
 	return guidanceInterval - age
 }
 
-// message returns the brief with the ages of this moment.
+// withCurrentAges returns a copy of the guidance with the current age of each wanted version.
 func (b *guidanceSnapshot) withCurrentAges(f *feedManager) *wire.Guidance {
 	guidance := proto.CloneOf(b.guidance)
 	for _, weights := range guidance.GetWanted() {
@@ -62,7 +63,7 @@
 	return guidance
 }
 
-// brief puts together what hosts are to know now.
+// buildGuidance builds the guidance for agents from the current state.
 func (f *feedManager) buildGuidance(engines []fleet.Engine) *guidanceSnapshot {
 	guidance := &wire.Guidance{Revision: f.state.Revision()}
 	if cat := f.state.Catalog(); cat != nil {
@@ -75,6 +76,7 @@
 	return snapshot
 }
 
+// addWantedWeights adds the origin and the wanted version of every model that engines load.
 func (f *feedManager) addWantedWeights(guidance *wire.Guidance, cat *catalog.Catalog) {
 	if origin, rate := cat.Origin(); origin != "" {
 		guidance.OriginUrl, guidance.OriginRate = "http://"+origin, rate
@@ -91,8 +93,8 @@
 	})
 }
 
-// wanted is the version declared, or the newest that an engine has where none
-// was declared.
+// wantedWeights returns the declared version of a model's weights, or the newest version loaded
+// on any engine if none is declared.
 func (f *feedManager) wantedWeights(svc *catalog.Service, model string, newestLoaded uint64, load time.Duration, cutover bool) *wire.WantedWeights {
 	weights := &wire.WantedWeights{
 		Model: model, Version: max(1, newestLoaded), LoadSeconds: load.Seconds(),
@@ -104,9 +106,9 @@
 	return weights
 }
 
-// hosts lists the hosts by failure domain that are to hold weights. One that leaves is
-// left out: chunks that were its turn to draw would wait for it. So is one whose address
-// is no IPv4 address: platforms give no others.
+// hostGroups returns the hosts that should hold weights, grouped by failure domain. It omits
+// hosts that are leaving, because other hosts would wait for the chunks assigned to them, and
+// hosts without an IPv4 address, which no platform uses.
 func (f *feedManager) hostGroups(engines []fleet.Engine) []*wire.HostGroup {
 	groups := map[string]*wire.HostGroup{}
 	sorted := slices.SortedFunc(slices.Values(engines), func(left, right fleet.Engine) int { return cmp.Compare(left.Address, right.Address) })
@@ -116,7 +118,7 @@
 		}
 		address, err := netip.ParseAddrPort(eng.Address)
 		if err != nil || !address.Addr().Is4() {
-			f.log.Warn("an engine's address can't be sent to other hosts", "address", eng.Address, "error", err)
+			f.log.Warn("the engine's address is not a valid IPv4 address and port, omitting its host from the host list", "address", eng.Address, "error", err)
 			continue
 		}
 		group := groups[eng.FailureDomain]
@@ -135,7 +137,7 @@
 	return list
 }
 
-// digestOf sums up guidance but for its revision.
+// guidanceDigest returns a hash of the guidance without its revision.
 func guidanceDigest(guidance *wire.Guidance) uint64 {
 	content := &wire.Guidance{
 		Wanted: guidance.GetWanted(), Hosts: guidance.GetHosts(), OriginUrl: guidance.GetOriginUrl(), OriginRate: guidance.GetOriginRate(),
--- a/entry/internal/onsite/news.go
+++ b/entry/internal/onsite/news.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// newsGap is the least time between two replies with changes to one entry:
-	// of a series of configurations only the newest then crosses a source's
-	// link, and a change still comes well within its bound.
+	// minNewsInterval is the minimum time between two replies with changes to one follower. In a
+	// series of configurations only the latest is sent over the source's link, and a change still
+	// arrives well within its time limit.
 	minNewsInterval = 150 * time.Millisecond
-	// batchBytes bounds the values in one reply, far below a message's bound;
-	// one value may be larger.
+	// maxBatchBytes is the size of the values in a reply from which on the next reply is started.
+	// It is far below the size limit of a message. A single value may exceed it.
 	maxBatchBytes = 256 << 10
-	// partBytes is what a reply holds of a value that comes in parts: a link that many share
-	// carries it well before the follower takes the source for silent.
+	// maxPartBytes limits the part of a split value in one reply. A shared link transfers it well
+	// before the follower's timeout for the source.
 	maxPartBytes = 32 << 10
 )
 
-// newsServer sends other entries what this one knows: wire.News.
+// newsServer implements wire.News: it sends this entry's copy of the store to other entries.
 type newsServer struct {
 	state      *site.State
 	mirror     *site.Mirror
@@ -34,7 +34,7 @@
 	compressor compressor
 }
 
-// Share sends what is known and its age until the caller goes.
+// Share sends changes and the age of the data until the caller disconnects.
 func (s *newsServer) Share(stream wire.DRPCNews_ShareStream) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
@@ -76,9 +76,9 @@
 	}
 }
 
-// pause waits for a request, or for a change and until newsGap after the changes
-// sent last; false says that the caller is gone. A change that comes alone is sent
-// at once.
+// waitForUpdate waits for a request, or for a change and until minNewsInterval has passed since
+// the last changes were sent. A single change after a quiet period is thus sent at once. It
+// returns false if the caller has disconnected.
 func (s *newsServer) waitForUpdate(ctx context.Context, changed, requested <-chan struct{}, sentAt time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -95,8 +95,8 @@
 	return true
 }
 
-// send sends what changed after the revision sent. The age is taken before the
-// changes, so that these hold all that the proof speaks of.
+// send sends the changes after the revision *sent. It reads the age before the changes, so that
+// they contain everything that was known at that age.
 //
 // Rule AGEFIRST of spec/freshness.pml.
 func (s *newsServer) send(stream wire.DRPCNews_ShareStream, requestNumber uint64, sent *uint64, acceptsParts bool) (<-chan struct{}, error) {
@@ -120,7 +120,7 @@
 	return changed, nil
 }
 
-// batches cuts changes into replies; the last alone bears the revision.
+// buildReplies distributes changes over replies. Only the last reply has the revision.
 func (s *newsServer) buildReplies(changes site.Changes) []*wire.NewsReply {
 	reply := &wire.NewsReply{Whole: changes.Whole}
 	replies := []*wire.NewsReply{reply}
@@ -141,7 +141,7 @@
 	return replies
 }
 
-// inParts cuts large values, each part into a reply of its own.
+// splitLargeValues splits values above maxPartBytes; every part but the last ends a reply.
 func splitLargeValues(replies []*wire.NewsReply) []*wire.NewsReply {
 	var split []*wire.NewsReply
 	for _, reply := range replies {
@@ -162,29 +162,30 @@
 	return split
 }
 
-// cutAt returns the first part of some bytes and the rest.
+// splitPart returns the first maxPartBytes of a value and the rest.
 func splitPart(value []byte) (part, rest []byte) {
 	at := min(maxPartBytes, len(value))
 	return value[:at], value[at:]
 }
 
-// errGap says that a source left something out.
-var errIncompleteStream = failure.New(failure.Internal, "a source left changes out or sent what cannot be read", "the stream is begun again")
+// errIncompleteStream reports that a source omitted changes or sent data that cannot be decoded.
+var errIncompleteStream = failure.New(failure.Internal, "a source omitted changes or sent data that cannot be decoded", "the stream is restarted")
 
-// newsReader takes over what one other entry sends.
+// newsReader applies the replies of one source to the local copy of the store.
 type newsReader struct {
 	state  *site.State
 	mirror *site.Mirror
 
-	revision uint64 // revision that the changes still to come follow on
+	revision uint64 // revision on which the next changes are based
 	pending  []kv.Entry
-	partial  []byte // what came of a value that goes on
-	// asked is when each request was sent, on the clock of the proofs; requests
-	// answered are dropped.
+	partial  []byte // parts received so far of a split value
+	// requestTimes holds the send time of each request by number, on the clock of the freshness
+	// tracker. Requests older than the last one answered are removed.
 	requestTimes map[uint64]time.Duration
 }
 
-// receive takes over one reply; false says that something between is missing.
+// receive applies one reply. It returns false if changes are missing or a value cannot be
+// decoded.
 func (r *newsReader) receive(reply *wire.NewsReply) bool {
 	for _, stored := range reply.GetChanges() {
 		if stored.GetContinues() {
@@ -225,8 +226,8 @@
 	return true
 }
 
-// prove takes over the age of what the source knows: it made the reply after it
-// had read the request, and so after that was sent.
+// updateFreshness records the age of the source's data. The age counts from when the answered
+// request was sent, because the source made the reply after it read the request.
 //
 // Rule SENT of spec/freshness.pml.
 func (r *newsReader) updateFreshness(reply *wire.NewsReply) {
--- a/entry/internal/onsite/news_client.go
+++ b/entry/internal/onsite/news_client.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// askInterval is how often an entry asks those that it follows for the age of
-	// their knowledge.
+	// newsRequestInterval is how often an entry asks its sources for the age of their data.
 	newsRequestInterval = 300 * time.Millisecond
-	// newsSilence ends a stream that answers nothing for three requests.
+	// newsTimeout ends a stream after three requests without a reply.
 	newsTimeout = 3 * newsRequestInterval
-	// newsRetry is the mean pause before a stream is begun again.
+	// newsRetryPause is the mean pause before a stream is reopened.
 	newsRetryPause = 200 * time.Millisecond
-	// sourcesInterval is how often an entry looks whom to follow beside each
-	// change of what is known.
+	// sourceCheckInterval is how often an entry selects its sources anew, in addition to each
+	// change of the state.
 	sourceCheckInterval = time.Second
 )
 
-// sources follows other entries in place of the store where the region has many.
+// newsClient receives changes from other entries, its sources, in regions with so many entries
+// that not all of them read the store themselves.
 type newsClient struct {
 	state   *site.State
 	mirror  *site.Mirror
 	pool    *peer.Pool
-	entryID string // id of this entry
+	entryID string // ID of this entry
 	entry   site.Entry
 	clock   clockwork.Clock
 	log     *slog.Logger
-	// apply returns the time within which a change must be in force.
+	// apply returns the time limit within which a change must take effect.
 	apply func() time.Duration
 
-	liveStreams          atomic.Int64 // streams that bring something
-	storeBackedStreams   atomic.Int64 // those of them whose source has the store
-	followed             atomic.Bool  // the region is large enough that some follow others
-	lastStoreBackedReply atomic.Int64 // when one that has the store answered last, Unix nanoseconds
+	liveStreams          atomic.Int64 // streams on which a reply arrived
+	storeBackedStreams   atomic.Int64 // streams whose source reaches the store
+	followed             atomic.Bool  // whether the region is large enough for entries to follow others
+	lastStoreBackedReply atomic.Int64 // time of the last reply from a source that reaches the store, Unix nanoseconds
 }
 
-// led returns for how long the store need not be asked: others send what it holds,
-// and their knowledge is new enough.
+// storeNotNeededFor returns how long this entry need not watch the store itself, because its
+// sources send changes and their data is recent enough.
 func (s *newsClient) storeNotNeededFor() time.Duration {
 	age, known := s.state.Fresh().Age()
 	if s.liveStreams.Load() == 0 || !known {
@@ -60,18 +60,18 @@
 	return max(0, maxAge-age)
 }
 
-// follows reports whether this entry follows others of those known.
+// followsOthers reports whether this entry has sources among the known entries.
 func (s *newsClient) followsOthers() bool { return len(s.wantedSources()) > 0 }
 
-// brings reports whether an entry that this one follows answers and has the store.
+// sourceHasStore reports whether a source that reaches the store replied recently.
 func (s *newsClient) sourceHasStore() bool {
 	return s.clock.Now().UnixNano()-s.lastStoreBackedReply.Load() < int64(newsTimeout)
 }
 
-// wait returns how long this entry's own watches wait.
+// watchWait returns the wait time of this entry's own watches of the store.
 func (s *newsClient) watchWait() time.Duration { return site.WatchWait(s.apply(), s.followed.Load()) }
 
-// run keeps a stream from each entry to follow until ctx ends.
+// run keeps a stream open to each source until ctx is cancelled.
 func (s *newsClient) run(ctx context.Context) {
 	following := map[string]context.CancelFunc{}
 	var streams sync.WaitGroup
@@ -103,7 +103,7 @@
 	}
 }
 
-// wanted returns the control addresses of the entries to follow by their ids.
+// wantedSources returns the control addresses of the sources by entry ID.
 func (s *newsClient) wantedSources() map[string]string {
 	entries := s.state.Entries()
 	entries[s.entryID] = s.entry
@@ -115,7 +115,7 @@
 	return wanted
 }
 
-// follow keeps one stream, begun again whenever it ends.
+// follow keeps the stream to one source open and reopens it when it ends.
 func (s *newsClient) follow(ctx context.Context, id, address string) {
 	for ctx.Err() == nil {
 		err := s.stream(ctx, id, address)
@@ -130,6 +130,7 @@
 	}
 }
 
+// stream opens the stream to one source and applies its replies until it fails.
 func (s *newsClient) stream(ctx context.Context, id, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -176,7 +177,7 @@
 	}
 }
 
-// count counts a stream among those whose source has the store, or no longer.
+// countStoreBacked adds a stream to the streams whose source reaches the store, or removes it.
 func (s *newsClient) countStoreBacked(counted *bool, storeBacked bool) {
 	if *counted == storeBacked {
 		return
@@ -189,16 +190,16 @@
 	}
 }
 
-// newsAsker sends the requests of one stream and passes the replies to its reader.
+// newsRequester sends the requests on one stream and passes the replies to the stream's reader.
 type newsRequester struct {
 	stream wire.DRPCNews_ShareClient
 
 	mu     sync.Mutex
 	reader *newsReader
-	number uint64 // of the newest request
+	number uint64 // of the latest request
 }
 
-// ask sends one request. Its time is noted before it is sent.
+// sendRequest sends one request. It records the time before sending.
 func (a *newsRequester) sendRequest() error {
 	a.mu.Lock()
 	a.number++
@@ -211,6 +212,7 @@
 	return a.stream.Send(request)
 }
 
+// run sends a request every newsRequestInterval until ctx is cancelled or sending fails.
 func (a *newsRequester) run(ctx context.Context, clock clockwork.Clock) {
 	for {
 		select {
@@ -224,6 +226,7 @@
 	}
 }
 
+// receive passes a reply to the reader, which is shared with sendRequest.
 func (a *newsRequester) receive(reply *wire.NewsReply) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/entry/internal/onsite/registrar.go
+++ b/entry/internal/onsite/registrar.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// registrationTTL is how long an entry that died is still named to callers;
-	// three renewals may be lost within it.
+	// registrationTTL is how long a crashed entry is still listed for callers. Three renewals may
+	// fail within it.
 	registrationTTL = 4 * time.Second
 	renewInterval   = 1200 * time.Millisecond
-	// registerRetry is the pause after a failed call.
+	// registerRetryPause is the pause after a failed call.
 	registerRetryPause = 300 * time.Millisecond
-	// endTimeout bounds giving the registration back at the end.
+	// revokeTimeout limits the time for removing the registration on shutdown.
 	revokeTimeout = 600 * time.Millisecond
 )
 
-// registrar keeps this entry's registration in the store: a key under a lease.
+// registrar keeps this entry registered in the store, as a key that is bound to a lease.
 type registrar struct {
 	store *kv.Store
 	key   string
@@ -33,19 +33,19 @@
 	clock clockwork.Clock
 	log   *slog.Logger
 
-	lease      string // empty: none
-	registered bool   // the key is written under the lease
+	lease      string // empty if none is granted
+	registered bool   // whether the key is written under the lease
 }
 
-// run keeps the registration while the entry is ready, and gives it back when
-// ctx ends.
+// run keeps the entry registered while it is ready and removes the registration when ctx is
+// cancelled.
 func (r *registrar) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := renewInterval
 		if err := r.advance(ctx); err != nil {
 			wait = registerRetryPause
 			if ctx.Err() == nil {
-				r.log.Debug("the registration could not be kept", "error", err)
+				r.log.Debug("cannot update the registration", "error", err)
 			}
 		}
 		select {
@@ -56,7 +56,8 @@
 	r.revoke()
 }
 
-// step does what is missing next.
+// advance takes the next step that the registration needs: getting a lease and writing the key,
+// or renewing the lease.
 func (r *registrar) advance(ctx context.Context) error {
 	if r.ready() != nil {
 		return nil
@@ -74,6 +75,7 @@
 	return r.write(ctx)
 }
 
+// renew extends the lease and drops the registration if the lease has expired.
 func (r *registrar) renew(ctx context.Context) error {
 	err := r.store.KeepAlive(ctx, r.lease)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
@@ -83,8 +85,8 @@
 	return err
 }
 
-// write makes the key, over one that an earlier incarnation left. A write whose
-// answer was lost is settled by reading the key.
+// write creates the key or replaces one that an earlier incarnation left. If the response to a
+// write was lost, the next write conflicts with it, and overwrite recognizes the key as its own.
 func (r *registrar) write(ctx context.Context) error {
 	r.value.Lease = r.lease
 	encoded, err := json.Marshal(r.value)
@@ -105,6 +107,7 @@
 	return err
 }
 
+// overwrite replaces an existing key, unless it is already this entry's under the current lease.
 func (r *registrar) overwrite(ctx context.Context, encoded []byte) error {
 	current, exists, err := r.store.Get(ctx, r.key)
 	if err != nil {
@@ -118,7 +121,7 @@
 	return err
 }
 
-// end takes the registration back, so that callers are sent elsewhere at once.
+// revoke removes the registration, so that callers are directed to other entries at once.
 func (r *registrar) revoke() {
 	if r.lease == "" {
 		return
@@ -126,6 +129,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	if err := r.store.Revoke(ctx, r.lease); err != nil {
-		r.log.Warn("the registration could not be taken back; it lapses", "error", err)
+		r.log.Warn("cannot revoke the registration, it remains until its lease expires", "error", err)
 	}
 }
--- a/entry/internal/onsite/reporter.go
+++ b/entry/internal/onsite/reporter.go
@@ -18,56 +18,57 @@
 )
 
 const (
-	// maxUnsent bounds the reports that wait for the store, a few hundred bytes each: the ends
-	// of all endpoints that one entry sends to, several times.
+	// maxQueued limits the queued reports, which have a few hundred bytes each. It is several
+	// times the number of endpoints to which one entry sends.
 	maxQueued = 256
-	// maxBatch bounds the reports in one value, which stays far below a message's bound.
+	// maxBatchReports limits the reports in one value, to keep it far below the size limit of a
+	// message.
 	maxBatchReports = 32
-	// reportRetry is the pause after a failed call. It delays the reports of an entry that
-	// reaches the store again.
+	// reportRetryPause is the pause after a failed call. It also delays reports after the store
+	// is reachable again.
 	reportRetryPause = 300 * time.Millisecond
-	// reportLease is how long a report stays readable for entries that start later, though
-	// the one that wrote it is gone. A lease is used for reports of a half of that time.
+	// reportLeaseTTL is how long entries that start later can read a report, even if its author
+	// is gone. A lease is used for new reports during the first half of its TTL only.
 	reportLeaseTTL = quarantine.HoldTime
-	// writeRate bounds the writes of one entry, keys a second: in a flood of ends all entries
-	// together stay below the calls that the store accepts.
+	// maxWritesPerSecond limits the keys that one entry writes per second, so that all entries
+	// together stay below the call rate that the store accepts even when many endpoints crash.
 	maxWritesPerSecond = 10
-	// maxKept bounds the reports that all entries together leave in the store, about what
-	// one entry can remember: an entry that starts reads all of them.
+	// maxStoredReports limits the reports of all entries in the store, because an entry reads all
+	// of them at startup. It is about the number that one entry can hold in memory.
 	maxStoredReports = 3072
-	// keepLeast is how long a key stays at least, so that entries which follow others in
-	// place of the store receive it.
+	// minKeyAge is the minimum age at which a key may be removed, so that it reaches entries that
+	// follow other entries instead of the store.
 	minKeyAge = 5 * time.Second
 )
 
-// reporter writes what this entry saw of endpoints' ends to the store, through which all
-// entries learn it, new ones too. Each report is a key that nobody else writes: a write whose
-// answer is lost is made again, and one that is done late changes nothing.
+// reporter writes the endpoint crashes that this entry observed to the store, from which all
+// entries read them, also those that start later. Each key is written by one entry only, so a
+// write whose response was lost can be repeated, and a delayed write does no harm.
 type reporter struct {
 	store *kv.Store
-	// prefix of the keys, different for each incarnation of an entry.
+	// prefix is the prefix of the keys. It is different for each incarnation of an entry.
 	prefix string
 	clock  clockwork.Clock
 	log    *slog.Logger
-	wake   chan struct{} // buffered by one
+	wake   chan struct{} // capacity 1; signals that the queue is not empty
 
 	mu    sync.Mutex
 	queue []site.Report
 
-	lease        string // empty: none
+	lease        string // empty if none is granted
 	leasedAt     time.Time
-	keysWritten  int // keys
+	keysWritten  int // number of keys written, for the next key's name
 	writeLimiter limit.Bucket
-	// kept is the keys that this entry wrote and did not remove, in order.
+	// storedKeys lists the keys that this entry wrote and has not removed, oldest first.
 	storedKeys []storedKey
-	// entries returns how many entries write reports.
+	// entryCount returns how many entries write reports.
 	entryCount func() int
 }
 
-// keptKey is a key in the store.
+// storedKey is a key that this entry wrote to the store.
 type storedKey struct {
 	key       string
-	revision  uint64 // 0: unknown, its write was not answered
+	revision  uint64 // 0 if unknown, because the response to the write was lost
 	reports   int
 	writtenAt time.Time
 }
@@ -76,12 +77,12 @@
 	return &reporter{store: store, prefix: prefix, entryCount: entryCount, clock: clock, log: log, wake: make(chan struct{}, 1)}
 }
 
-// publish queues a report; it never waits.
+// publish queues a report without blocking. If the queue is full, it drops the oldest one.
 func (r *reporter) publish(report site.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.queue) == maxQueued {
-		r.log.Warn("a report is left out, too many wait for the store", "endpoint", r.queue[0].End.Endpoint)
+		r.log.Warn("report queue is full, dropping the oldest report", "endpoint", r.queue[0].End.Endpoint)
 		r.queue = r.queue[1:]
 	}
 	r.queue = append(r.queue, report)
@@ -91,7 +92,7 @@
 	}
 }
 
-// run writes reports until ctx ends.
+// run writes queued reports until ctx is cancelled.
 func (r *reporter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -103,7 +104,8 @@
 	}
 }
 
-// writeAll writes what waits. What comes while a write waits for its turn goes with it.
+// flush writes all queued reports. Reports that are queued while it waits for the rate limiter
+// are written too.
 func (r *reporter) flush(ctx context.Context) {
 	for r.hasQueued() {
 		r.sleep(ctx, r.writeLimiter.Wait(r.clock.Now(), maxWritesPerSecond, 1))
@@ -116,14 +118,15 @@
 	}
 }
 
+// hasQueued reports whether reports are queued.
 func (r *reporter) hasQueued() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.queue) > 0
 }
 
-// prune removes the oldest keys where this entry keeps more than its part. What can't be
-// removed ends with its lease.
+// prune removes the oldest keys if this entry stores more than its share of maxStoredReports. A
+// key that cannot be removed expires with its lease.
 func (r *reporter) prune(ctx context.Context) {
 	stored := 0
 	for _, key := range r.storedKeys {
@@ -138,7 +141,7 @@
 			continue
 		}
 		err := r.store.Delete(ctx, oldest.key, oldest.revision)
-		r.log.Debug("old reports removed", "key", oldest.key, "reports", oldest.reports, "kept", stored, "error", err)
+		r.log.Debug("removed old reports", "key", oldest.key, "reports", oldest.reports, "kept", stored, "error", err)
 	}
 }
 
@@ -152,6 +155,7 @@
 	}
 }
 
+// nextBatch removes up to maxBatchReports reports from the queue and returns them.
 func (r *reporter) nextBatch() []site.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,12 +165,12 @@
 	return batch
 }
 
-// bring writes one batch, again until the store has it.
+// writeBatch writes one batch and retries until it succeeds or ctx is cancelled.
 func (r *reporter) writeBatch(ctx context.Context, batch []site.Report) {
 	startedAt := r.clock.Now()
 	value, err := json.Marshal(batch)
 	if err != nil {
-		r.log.Error("reports cannot be encoded", "error", err)
+		r.log.Error("cannot encode reports", "error", err)
 		return
 	}
 	r.keysWritten++
@@ -178,7 +182,7 @@
 			r.log.Info("reported", "key", key, "reports", len(batch), "lease", r.lease, "tookMillis", r.clock.Since(startedAt).Milliseconds())
 			return
 		}
-		r.log.Debug("reports could not be written", "key", key, "error", err)
+		r.log.Debug("cannot write reports, retrying", "key", key, "error", err)
 		r.sleep(ctx, reportRetryPause)
 		if ctx.Err() != nil {
 			return
@@ -186,8 +190,8 @@
 	}
 }
 
-// write writes a key that nobody else writes and returns its revision; 0 where an earlier
-// write was done whose answer was lost.
+// writeKey writes a key and returns its revision, or 0 if the key exists: an earlier attempt
+// wrote it and its response was lost.
 func (r *reporter) writeKey(ctx context.Context, key string, value []byte) (uint64, error) {
 	if r.lease == "" || r.clock.Since(r.leasedAt) > reportLeaseTTL/2 {
 		requestedAt := r.clock.Now()
@@ -205,7 +209,7 @@
 	case failure.Conflict:
 		return 0, nil
 	case failure.NotFound:
-		r.lease = "" // it ended in an outage
+		r.lease = "" // it expired during a store outage
 	}
 	return 0, err
 }
--- a/entry/internal/onsite/run.go
+++ b/entry/internal/onsite/run.go
@@ -1,5 +1,5 @@
-// Package onsite runs an entry on a platform: it follows the platform's store,
-// answers callers and lists for them which entries to use.
+// Package onsite runs an entry on a platform. It keeps a copy of the platform's store, serves
+// callers and answers which entries a caller should use.
 package onsite
 
 import (
@@ -33,33 +33,34 @@
 
 const (
 	program = "comfreyentry"
-	// headerTime bounds the reading of a request's head; idleTime closes
-	// callers' connections that nobody uses, well after any that operators
-	// declare.
+	// headerTimeout limits how long a request's header may take to arrive. idleTimeout closes
+	// idle connections of callers; it is well above the idle times that operators configure for
+	// them.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 5 * time.Minute
-	// maxHeader bounds a request's head, bytes.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// memoryPart is the part of the host's memory at which the collector works
-	// hardest.
+	// memoryLimitFraction is the fraction of the host's memory that is set as the soft memory
+	// limit of the garbage collector.
 	memoryLimitFraction = 0.5
-	// announceTime is how long a stopping entry goes on taking requests: callers use an
-	// address that they were given for some time.
+	// drainAcceptPeriod is how long a draining entry still accepts requests, because callers use
+	// an address for some time after they received it.
 	drainAcceptPeriod = 2500 * time.Millisecond
-	// refuseTime is how long it refuses afterwards at least: callers that hold
-	// its address get proof that nothing was run.
+	// drainRejectPeriod is the minimum time for which a draining entry rejects requests
+	// afterwards, so that callers that still use its address are told that nothing was run.
 	drainRejectPeriod = 700 * time.Millisecond
-	// endMargin is left of the time until the platform's kill.
+	// killMargin is subtracted from the grace period, so that the entry exits before the platform
+	// kills it.
 	killMargin = 900 * time.Millisecond
-	// drainLook is how often a draining entry looks whether it is done.
+	// drainPollInterval is how often a draining entry checks for requests in flight.
 	drainPollInterval = 20 * time.Millisecond
-	// shutdownTime bounds the end of answers whose handlers have returned: the library writes
-	// what is left of them after that.
+	// shutdownTimeout limits the time for writing the remainder of responses whose handlers have
+	// returned: net/http may still be writing them at that point.
 	shutdownTimeout = 300 * time.Millisecond
 )
 
-// Run runs an entry until drain ends, then lets requests finish; it stops at once
-// when kill ends.
+// Run runs an entry until drain is cancelled, then waits for requests in flight. It stops at once
+// when kill is cancelled.
 func Run(drain, kill context.Context, cfg *wire.EntrySettings, out io.Writer) error {
 	logWriter := logging.NewBounded(out)
 	defer func() { _ = logWriter.Close() }()
@@ -68,7 +69,7 @@
 	return newEntry(cfg, log).run(drain, kill)
 }
 
-// entry holds the parts of a running entry.
+// entry holds the components of a running entry.
 type entry struct {
 	cfg      *wire.EntrySettings
 	log      *slog.Logger
@@ -110,13 +111,14 @@
 	return e
 }
 
-// apply takes over settings that may change while the entry runs: the bounds.
+// applySettings applies the settings that may change at runtime, which are the bounds.
 func (e *entry) applySettings(cfg *wire.EntrySettings) {
 	newBounds := newBounds(cfg.GetSite().GetBounds())
 	e.bounds.Store(&newBounds)
 }
 
-// storeClient makes connections to the store that end when it goes silent.
+// storeClient returns an HTTP client for the store whose connections are closed when the store
+// stops responding.
 func storeClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -149,7 +151,7 @@
 		region: e.self.Region, regions: e.cfg.GetSite().GetRegions(), clock: e.clock, log: e.log, startedAt: e.clock.Now()}
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterNews(mux, &newsServer{state: e.state, mirror: e.mirror, clock: e.clock}); err != nil {
-		return failure.Wrap(err, failure.Internal, "cannot register the calls of other entries", "report it")
+		return failure.Wrap(err, failure.Internal, "cannot register the RPC service for other entries", "report it")
 	}
 	group.Go(func() error {
 		err := peer.Serve(ctx, listeners.control, nil, mux, e.log)
@@ -184,7 +186,7 @@
 	return err
 }
 
-// register keeps the registration until the drain begins.
+// register keeps the entry registered in the store until draining begins.
 func (e *entry) register(ctx, drain context.Context, group *errgroup.Group) {
 	ctx, cancel := context.WithCancel(ctx)
 	context.AfterFunc(drain, cancel)
@@ -206,7 +208,7 @@
 	}
 }
 
-// listeners are the addresses that an entry serves.
+// listeners holds a listener for each address that an entry serves.
 type listeners struct{ callers, ready, directory, operators, control net.Listener }
 
 func (e *entry) listen() (*listeners, error) {
@@ -224,14 +226,14 @@
 		lis, err := net.Listen("tcp", spec.address)
 		if err != nil {
 			return nil, failure.Wrap(err, failure.Unavailable, "cannot listen at "+spec.setting,
-				"stop the process that has the port, or give another")
+				"stop the process that uses the port, or configure another port")
 		}
 		*spec.target = lis
 	}
 	return opened, nil
 }
 
-// serve answers requests until ctx ends and the answers in progress are written.
+// serve handles HTTP requests until ctx is cancelled and the pending responses are written.
 func (e *entry) serve(ctx context.Context, group *errgroup.Group, lis net.Listener, handler http.Handler) {
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -252,7 +254,8 @@
 	})
 }
 
-// shutdown closes idle connections at once and the others once their answers are written.
+// shutdown closes idle connections at once and the others after their responses are written, but
+// after shutdownTimeout at the latest.
 func shutdown(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -261,21 +264,21 @@
 	}
 }
 
-// ready reports whether this entry knows what is in force and takes callers.
+// ready returns nil if the entry has a current configuration and accepts callers.
 func (e *entry) ready() error {
 	if e.draining.Load() {
-		return failure.New(failure.Leaving, "the entry drains", "use another")
+		return failure.New(failure.Leaving, "the entry is draining", "use another entry")
 	}
 	if e.state.Catalog() == nil {
-		return failure.New(failure.Unavailable, "no configuration is known yet", "check kvUrl")
+		return failure.New(failure.Unavailable, "no configuration has been read yet", "check kvUrl")
 	}
 	if age, known := e.state.Fresh().Age(); !known || age > e.bounds.Load().gateway.Revoke {
-		return failure.New(failure.Unavailable, "what is known is too old", "check that the store can be reached")
+		return failure.New(failure.Unavailable, "the data from the store is too old", "check that the store can be reached")
 	}
 	return nil
 }
 
-// awaitEnd waits for the signal and drains.
+// waitAndDrain waits for the drain signal, then drains the entry.
 func (e *entry) waitAndDrain(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
