--- a/entry/internal/onsite/compress_test.go
+++ b/entry/internal/onsite/compress_test.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// configuration is a document of many routes that are much alike, as operators write them.
+// repetitiveConfiguration returns a document of many similar routes, as operators write them.
 func repetitiveConfiguration(routes int) []byte {
 	var text strings.Builder
 	for i := range routes {
@@ -19,11 +19,11 @@
 	return []byte(text.String())
 }
 
-// Symptom: entries of a region handle requests by a configuration 3 to 5 s old, and keys that were
-// taken away open routes for as long. Sequence: configurations of 346 KB come each 1.5 s; two
-// entries of the region read each from the store and send it to nine others, 3 MB over a link
-// of 40 Mbit/s; an entry that gets it late asks the store too, over the link between regions. Cause: a
-// configuration went to each follower as it is, though it repeats itself nearly everywhere.
+// Guards against followers that get configurations late because these are sent uncompressed
+// although they are highly repetitive. Configurations of 346 KB came every 1.5 s; two entries of
+// the region read each from the store and sent it to nine others, 3 MB over a link of 40 Mbit/s.
+// Entries that got it late read the store too, over the link between regions. Requests were
+// handled with configurations 3 to 5 s old, and revoked keys were accepted for as long.
 func TestConfigurationsAreSentCompressed(t *testing.T) {
 	value := repetitiveConfiguration(3000)
 	source := newReplica()
@@ -39,19 +39,19 @@
 			plain += len(one.GetValue())
 		}
 		if !reader.receive(reply) {
-			t.Fatal("got a reply refused, want it taken over")
+			t.Fatal("got a reply rejected, want it applied")
 		}
 	}
 	if most := len(value) / 5; sent > most {
 		t.Errorf("got %d bytes for a configuration of %d, want %d at most", sent, len(value), most)
 	}
 	if got, want := plain, len("small"); got != want {
-		t.Errorf("got %d bytes as they are, want %d", got, want)
+		t.Errorf("got %d uncompressed bytes, want %d", got, want)
 	}
 	entries, _ := follower.mirror.Since(0)
 	for i, entry := range entries.Entries {
 		if !bytes.Equal(entry.Value(), changes.Entries[i].Value()) {
-			t.Errorf("got another value under %s, want the one that the source has", entry.Key())
+			t.Errorf("got a different value under %s, want the value of the source", entry.Key())
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	var once compressor
 	first := once.compress(kv.NewEntry("config", repetitiveConfiguration(100), 1, false))
 	if again := once.compress(kv.NewEntry("config", repetitiveConfiguration(100), 1, false)); &again[0] != &first[0] {
-		t.Error("got it compressed anew, want what was made before")
+		t.Error("got the value compressed again, want the cached result")
 	}
 	if newer := once.compress(kv.NewEntry("config", repetitiveConfiguration(200), 2, false)); bytes.Equal(newer, first) {
 		t.Error("got an older value, want the newer one")
@@ -69,11 +69,12 @@
 		once.compress(kv.NewEntry(fmt.Sprint("report-", i), repetitiveConfiguration(100), 3, false))
 	}
 	if got := len(once.cache); got > maxCachedValues {
-		t.Errorf("got %d values kept, want %d at most", got, maxCachedValues)
+		t.Errorf("got %d cached values, want %d at most", got, maxCachedValues)
 	}
 }
 
-// What can't be read, or grows beyond all bounds, is taken for a source that leaves something out.
+// A value that cannot be decompressed, or is too large when decompressed, is treated like missing
+// changes.
 func TestCorruptCompressedValueIsRejected(t *testing.T) {
 	whole := deflate(repetitiveConfiguration(100))
 	for name, packed := range map[string][]byte{
@@ -83,7 +84,7 @@
 		reader := &newsReader{state: k.state, mirror: k.mirror}
 		reply := &wire.NewsReply{Revision: 1, Changes: []*wire.StoredValue{{Key: "config", Packed: packed, Revision: 1}}}
 		if reader.receive(reply) || k.mirror.Revision() != 0 {
-			t.Errorf("%s: got it taken over, want it refused", name)
+			t.Errorf("%s: got the reply applied, want it rejected", name)
 		}
 	}
 }
--- a/entry/internal/onsite/limit_test.go
+++ b/entry/internal/onsite/limit_test.go
@@ -10,16 +10,17 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// The platform's bound on requests to an endpoint that named a limit.
+// The platform's limits for requests to an endpoint that announced a rate limit.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitNotice is how long after a limit was first named the bound holds.
+	// limitGracePeriod is the time after the first announcement of a limit before the limit is
+	// enforced.
 	limitGracePeriod = 3 * time.Second
 )
 
-// mostWithin returns the most moments within a window, of those after the time given.
+// maxInWindow returns the maximum number of times within any window, ignoring times before after.
 func maxInWindow(times []time.Time, after time.Time, window time.Duration) int {
 	largest, first := 0, 0
 	for last, at := range times {
@@ -33,7 +34,8 @@
 	return largest
 }
 
-// used waits until an endpoint receives requests from each entry, while callers ask all of them.
+// awaitUseByAllEntries sends requests through all entries until the endpoint has received one
+// from each.
 func (f *testFleet) awaitUseByAllEntries(t *testing.T, worker *platformtest.Worker) {
 	t.Helper()
 	eventually(t, "each entry uses the endpoint", func() error {
@@ -46,14 +48,14 @@
 			}
 		}
 		if len(idle) > 0 {
-			return fmt.Errorf("none %v", idle)
+			return fmt.Errorf("no request %v", idle)
 		}
 		return nil
 	})
 }
 
-// Guards against entries that send an endpoint more requests than the rate limit it names for
-// all of them together, and against entries that keep away from it once it lifted the limit.
+// Guards against entries that together exceed the rate limit that an endpoint announces for all
+// of them, and against entries that still avoid the endpoint after it lifted the limit.
 func TestRateLimitOfAnEndpointHoldsForAllEntries(t *testing.T) {
 	const perSecond = 1
 	f := newTestFleet(t, 9, 3, nil)
@@ -80,6 +82,6 @@
 	limited.Limit("")
 	f.awaitUseByAllEntries(t, limited)
 	if last := arrivals[len(arrivals)-1]; last.Before(began.Add(limitGracePeriod)) {
-		t.Errorf("got no request after %v at an endpoint that accepts some, want what it accepts", last.Sub(began))
+		t.Errorf("got no request after %v at a rate-limited endpoint, want requests up to its limit", last.Sub(began))
 	}
 }
--- a/entry/internal/onsite/news_test.go
+++ b/entry/internal/onsite/news_test.go
@@ -25,7 +25,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// knower is what one entry knows, with a clock of its own for proofs.
+// replica is one entry's copy of the store, with its own clock for freshness.
 type replica struct {
 	state  *site.State
 	mirror *site.Mirror
@@ -44,7 +44,7 @@
 	return k
 }
 
-// serve lets others follow the knower and returns where; stop ends it.
+// serve lets other entries follow the replica and returns its address; stop ends the server.
 func (k *replica) serve(t *testing.T) (address string, stop context.CancelFunc) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,6 +54,7 @@
 	return k.serveAt(t, lis)
 }
 
+// serveAt is serve on a given listener.
 func (k *replica) serveAt(t *testing.T, lis net.Listener) (address string, stop context.CancelFunc) {
 	t.Helper()
 	mux := drpcmux.New()
@@ -71,8 +72,8 @@
 	return lis.Addr().String(), stop
 }
 
-// follow returns an entry that follows the one at the address. Before its stream
-// begins the store must not be left alone: nothing was received.
+// startFollowing returns a replica that follows the entry at the address. It checks that the
+// store is needed before the first reply.
 func startFollowing(t *testing.T, address string) (*replica, *newsClient) {
 	t.Helper()
 	k := newReplica()
@@ -81,7 +82,7 @@
 		log: slog.New(slog.DiscardHandler), apply: func() time.Duration { return 3 * time.Second },
 	}
 	if got := client.storeNotNeededFor(); got != 0 {
-		t.Errorf("got the store left alone for %v before anything was heard, want 0", got)
+		t.Errorf("got the store not needed for %v before the first reply, want 0", got)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -93,83 +94,83 @@
 	return k, client
 }
 
-// Symptom: each configuration crosses the links between regions once for each
-// entry. Here an entry learns all from another one, with proof, and asks the store
-// itself once that one's proof is old or its stream ends.
+// Guards against each configuration crossing the link between regions once per entry. An entry
+// gets everything from another entry, with its age, and watches the store itself when that data
+// becomes too old or the stream ends.
 func TestEntryFollowsAnother(t *testing.T) {
 	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", []byte("v"), 5, false)}, 7)
 	source.state.Fresh().Prove(0)
 	address, stop := source.serve(t)
 	reader, client := startFollowing(t, address)
-	eventually(t, "all that there is", func() error {
+	eventually(t, "the full state", func() error {
 		if reader.mirror.Revision() == 7 && len(reader.state.Entries()) == 1 && client.storeNotNeededFor() > 0 {
 			return nil
 		}
 		return errors.New("not yet")
 	})
 	source.mirror.Apply(7, []kv.Entry{kv.NewEntry("e-1", nil, 9, true), kv.NewEntry("e-2", nil, 8, false)}, 9, true)
-	eventually(t, "a change", func() error {
+	eventually(t, "the changes", func() error {
 		if _, ok := reader.state.Entries()["e-2"]; ok && reader.mirror.Revision() == 9 && len(reader.state.Entries()) == 1 {
 			return nil
 		}
 		return errors.New("not yet")
 	})
-	// The source is cut off from the store; its proof grows old. The reader's
-	// clock goes on alike.
+	// The source loses the store, so the age of its data grows. The clock of the reader advances
+	// equally.
 	source.now.Add(int64(5 * time.Second))
 	reader.now.Add(int64(5 * time.Second))
-	eventually(t, "the store is asked", func() error {
+	eventually(t, "the store is needed", func() error {
 		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
-		return errors.New("still led by old knowledge")
+		return errors.New("the store is not needed although the data is old")
 	})
 	source.state.Fresh().Prove(5 * time.Second)
-	eventually(t, "led again", func() error {
+	eventually(t, "the store is not needed again", func() error {
 		if client.storeNotNeededFor() > 0 {
 			return nil
 		}
 		return errors.New("not yet")
 	})
 	stop()
-	eventually(t, "the store is asked after the stream ended", func() error {
+	eventually(t, "the store is needed after the stream ended", func() error {
 		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
-		return errors.New("still led by nobody")
+		return errors.New("the store is not needed although no stream is open")
 	})
 }
 
-// Symptom: a key that was taken away opens a route for too long. Sequence: a reply
-// of a source stands in a link for seconds; it reports an age of moments. Cause: the
-// age was counted from the reply's arrival instead of from its request.
+// Guards against an age that is counted from the arrival of a reply instead of the sending of its
+// request. A reply that reported a small age was queued on a link for seconds, and a revoked key
+// was accepted for too long.
 func TestProofOfAReplyCountsFromItsRequest(t *testing.T) {
 	k := newReplica()
 	reader := &newsReader{state: k.state, mirror: k.mirror, requestTimes: map[uint64]time.Duration{1: 0, 2: time.Second}}
 	k.now.Store(int64(4 * time.Second))
 	reply := &wire.NewsReply{Answers: 1, Proven: true, AgeMicros: 500_000, Revision: 3, Whole: true}
 	if !reader.receive(reply) {
-		t.Fatal("got a whole reading refused")
+		t.Fatal("got a full reading rejected")
 	}
 	if age, known := k.state.Fresh().Age(); !known || age != 4500*time.Millisecond {
 		t.Errorf("got age %v, %v, want 4.5s: half a second before the request at 0", age, known)
 	}
 	reader.receive(&wire.NewsReply{Answers: 2, Proven: true, AgeMicros: 1, Revision: 3})
 	if age, _ := k.state.Fresh().Age(); age < 3*time.Second || age > 3001*time.Millisecond {
-		t.Errorf("got age %v, want that of the request at 1 s", age)
+		t.Errorf("got age %v, want the age from the request at 1 s", age)
 	}
 	if len(reader.requestTimes) != 1 {
-		t.Errorf("got %d requests remembered, want the newest", len(reader.requestTimes))
+		t.Errorf("got %d stored request times, want only the latest", len(reader.requestTimes))
 	}
 	if reader.receive(&wire.NewsReply{Answers: 9, Proven: false, Revision: 3}); k.state.Revision() != 3 {
 		t.Errorf("got revision %d, want 3", k.state.Revision())
 	}
 }
 
-// Symptom: entries that follow others learn of a version 150 ms later than those
-// that watch the store. Sequence: one key changes after a quiet second. Cause: each
-// change waited for others, not only one that follows another shortly.
+// Guards against delaying every change to combine it with later ones, instead of only a change
+// that shortly follows another. Entries that follow others learned of a single change after a
+// quiet second 150 ms later than entries that watch the store.
 func TestSingleChangeIsSentImmediately(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	server := &newsServer{clock: clock}
@@ -178,7 +179,7 @@
 	sent := clock.Now()
 	clock.Advance(time.Second)
 	if !server.waitForUpdate(t.Context(), changed, nil, sent) {
-		t.Error("got the caller gone, want the change sent")
+		t.Error("got false from waitForUpdate, want the change sent")
 	}
 	done := make(chan bool, 1)
 	sent = clock.Now()
@@ -188,18 +189,18 @@
 	}
 	select {
 	case <-done:
-		t.Error("got a change sent right after another, want it to wait for more")
+		t.Error("got a change sent right after another, want it delayed to combine it with later changes")
 	default:
 	}
 	clock.Advance(minNewsInterval)
 	if !<-done {
-		t.Error("got the caller gone, want the change sent")
+		t.Error("got false from waitForUpdate, want the change sent")
 	}
 }
 
 func TestLargeReadingsAreSentInSeveralReplies(t *testing.T) {
 	var entries []kv.Entry
-	// Values that can't be made smaller.
+	// Random values cannot be compressed.
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 5 {
 		value := make([]byte, maxBatchBytes)
@@ -210,13 +211,13 @@
 	}
 	replies := (&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 6, Whole: true})
 	if len(replies) != len(entries) {
-		t.Fatalf("got %d replies, want one a value", len(replies))
+		t.Fatalf("got %d replies, want one per value", len(replies))
 	}
 	k := newReplica()
 	reader := &newsReader{state: k.state, mirror: k.mirror, requestTimes: map[uint64]time.Duration{}}
 	for i, reply := range replies {
 		if got := len(k.state.Entries()); got != 0 {
-			t.Errorf("got %d keys before part %d, want none: a part is not the whole", got, i)
+			t.Errorf("got %d keys before reply %d, want none before the last reply", got, i)
 		}
 		reader.receive(reply)
 	}
@@ -225,8 +226,8 @@
 	}
 }
 
-// Guards against an entry that gets a large value never, since it takes longer on its way than a
-// source may be silent, and each new stream begins with it again.
+// Guards against an entry that never gets a large value, because its transfer takes longer than
+// newsTimeout and each new stream starts with it again.
 func TestLargeValueArrivesOverNarrowLink(t *testing.T) {
 	value := make([]byte, 1<<20)
 	if _, err := rand.NewChaCha8([32]byte{1}).Read(value); err != nil {
@@ -241,7 +242,7 @@
 	}
 	address, _ := source.serveAt(t, platformtest.NewNarrowLink(lis, 500<<10))
 	reader, _ := startFollowing(t, address)
-	eventually(t, "the value comes", func() error {
+	eventually(t, "the value arrives", func() error {
 		if reader.mirror.Revision() != 7 {
 			return errors.New("not yet")
 		}
@@ -249,7 +250,7 @@
 	})
 	found, _ := reader.mirror.Since(0)
 	if len(found.Entries) != 2 || !bytes.Equal(found.Entries[0].Value(), value) {
-		t.Errorf("got %d values, want both as they were", len(found.Entries))
+		t.Errorf("got %d values, want both unchanged", len(found.Entries))
 	}
 }
 
@@ -279,7 +280,7 @@
 			t.Errorf("reply %d: got a value of %d bytes, want %d at most", i, size, maxPartBytes)
 		}
 		if !reader.receive(reply) {
-			t.Fatalf("reply %d: got it refused", i)
+			t.Fatalf("reply %d: got it rejected", i)
 		}
 	}
 	found, _ := k.mirror.Since(1)
@@ -293,12 +294,13 @@
 	}
 }
 
-// Symptom: requests reach an engine 3.0 to 3.2 s after it wrote to the store that it leaves, where 3
-// are allowed (DRAIN of the platform's rules), from entries that are well. Sequence: the store
-// turns both sources of a region away; the others go on until what they know is 2.4 s old, then
-// all ask the store at once for what changed, a configuration of 53 KB and registrations, over a
-// link between regions, and one traced has it 0.7 s later. Cause: that a source lost the store was not reported, only the age of what it knows,
-// which is no older than a long watch makes it. Proof: the entries' logs of that day, twice.
+// Guards against a source that does not report that it lost the store, but only the age of its
+// data, which is no older than after a long watch. The store rejected both sources of a region.
+// Their followers carried on until their data was 2.4 s old, then all asked the store at once for
+// the changes, a configuration of 53 KB and registrations, over a link between regions; one of
+// them, which was traced, had the changes 0.7 s later. Requests reached an engine 3.0 to 3.2 s
+// after it wrote to the store that it was leaving, from healthy entries; 3 s are allowed (DRAIN
+// of the platform's rules). The entries' logs showed this twice.
 func TestFollowersWatchStoreSoonerWhenSourceLosesIt(t *testing.T) {
 	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", []byte("v"), 5, false)}, 7)
@@ -311,23 +313,23 @@
 		}
 		return errors.New("not yet")
 	})
-	// A long watch makes knowledge so old that is still good.
+	// Data of this age is still valid, as a long watch makes it that old.
 	const age = 1500 * time.Millisecond
 	source.now.Add(int64(age))
 	reader.now.Add(int64(age))
 	if client.storeNotNeededFor() == 0 {
-		t.Errorf("got the store asked %v after the last proof of a source that follows it, want it left alone", age)
+		t.Errorf("got the store needed with data %v old from a source that watches it, want it not needed", age)
 	}
 	source.state.Lost()
-	eventually(t, "the store is asked", func() error {
+	eventually(t, "the store is needed", func() error {
 		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
-		return errors.New("still led by one that lost the store")
+		return errors.New("the store is not needed although the source lost it")
 	})
 	source.state.Regained()
 	source.state.Fresh().Prove(age)
-	eventually(t, "led again", func() error {
+	eventually(t, "the store is not needed again", func() error {
 		if client.storeNotNeededFor() > 0 {
 			return nil
 		}
--- a/entry/internal/onsite/onsite_test.go
+++ b/entry/internal/onsite/onsite_test.go
@@ -37,6 +37,7 @@
 	}, kvStore
 }
 
+// advanceTimes calls advance the given number of times and ignores its errors.
 func (r *registrar) advanceTimes(count int) {
 	for range count {
 		_ = r.advance(context.Background())
@@ -54,7 +55,7 @@
 	}
 	reg.revoke()
 	if got := standIn.Keys(""); len(got) != 0 {
-		t.Errorf("got keys %v after the end, want none", got)
+		t.Errorf("got keys %v after revoke, want none", got)
 	}
 }
 
@@ -77,9 +78,9 @@
 	}
 }
 
-// Symptom: an entry is missing from the directory for ever, or its write is done
-// twice. Sequence: the store writes the registration; the answer is lost. Cause:
-// the entry takes the conflict of its second try for another entry's key.
+// Guards against an entry that takes the conflict of its second write for another entry's key,
+// after the store made the first write and its response was lost. The entry would be missing from
+// the directory for ever, or would write its registration twice.
 func TestRegistrationWithLostAnswerIsRecognized(t *testing.T) {
 	reg, standIn := newRegistrar(t)
 	lost := true
@@ -92,10 +93,10 @@
 	})
 	reg.advanceTimes(3)
 	if !reg.registered {
-		t.Errorf("got the registration open, want it held")
+		t.Errorf("got registered false, want true")
 	}
 	if got, want := standIn.Calls("/kv-txn"), 2; got != want {
-		t.Errorf("got %d writes, want %d: the one whose answer was lost, and the one that met it", got, want)
+		t.Errorf("got %d writes, want %d: the one whose response was lost and the one that conflicted", got, want)
 	}
 }
 
@@ -143,12 +144,12 @@
 	check("d1", "1", "2")
 	check("d2", "3", "4")
 	check("d9", "1", "2", "3", "4")
-	// An entry that leaves names itself no more, and one alone is not enough.
+	// A draining entry omits itself, and a single entry in the domain is not enough.
 	open = false
 	check("d2", "1", "2", "3")
 }
 
-// guidance returns the current guidance.
+// currentGuidance returns the guidance for the current state.
 func (f *feedManager) currentGuidance() *wire.Guidance {
 	return f.buildGuidance(f.state.Fleet().Engines()).withCurrentAges(f)
 }
@@ -167,7 +168,7 @@
 	manager := &feedManager{state: state, agentPort: 7700, clock: clockwork.NewFakeClock(), regions: map[string]string{"d1": "north"}}
 	guidance := manager.currentGuidance()
 	if len(guidance.GetWanted()) != 1 || guidance.GetWanted()[0].GetVersion() != 3 || guidance.GetWanted()[0].GetFence() != 0 {
-		t.Errorf("got %v, want version 3, which is loaded, and no fence", guidance.GetWanted())
+		t.Errorf("got %v, want version 3, which is loaded, without a fence", guidance.GetWanted())
 	}
 	if got, want := guidance.GetOriginUrl(), "http://10.0.0.9:70"; got != want {
 		t.Errorf("got origin %q, want %q", got, want)
@@ -180,7 +181,7 @@
 	leaving.Endpoint.Leaving = true
 	state.Apply([]site.Record{leaving}, 6)
 	if guidance := manager.currentGuidance(); !proto.Equal(guidance.GetHosts()[0], want) {
-		t.Errorf("got %v, want no host whose engine leaves", guidance.GetHosts())
+		t.Errorf("got %v, want no host whose engine is leaving", guidance.GetHosts())
 	}
 	state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 4}}, 9)
 	guidance = manager.currentGuidance()
@@ -189,7 +190,7 @@
 	}
 }
 
-// guided is an entry's feed of one engine as the entry's plans set it.
+// testFeed is the feed of one engine, with the assignment from its manager's plans.
 type testFeed struct {
 	manager *feedManager
 	clock   *clockwork.FakeClock
@@ -207,7 +208,7 @@
 	return &testFeed{manager: manager, clock: clock, feed: engineFeed, sender: &guidanceSender{feed: engineFeed, unreadTokens: -1}}
 }
 
-// next makes a plan and returns what is sent to the agent then.
+// next makes a plan and returns the message that is sent to the agent, or nil.
 func (g *testFeed) next() *wire.Guidance {
 	plan := g.manager.computePlan()
 	g.feed.setAssignment(plan.parts[g.feed.engine.Address], plan.guidance)
@@ -230,29 +231,30 @@
 	return site.Record{Kind: site.CatalogRecord, Catalog: catalog.New(catalog.Spec{Version: version, Services: services})}
 }
 
-// Symptom: bytes between regions are several times those of the requests.
-// Sequence: any key of the store changes. Cause: every entry sends every agent
-// again of all hosts.
+// Guards against sending the full guidance, with all hosts, from every entry to every agent
+// whenever any key of the store changes. The traffic between regions was several times that of
+// the requests.
 func TestGuidanceIsSentWhenItChanges(t *testing.T) {
 	state := newState(nil)
 	state.Apply([]site.Record{engineCatalog(1, ""), engineRecord(1)}, 1)
 	target := newTestFeed(state, "10.0.0.1:80")
 	if got := target.next(); got == nil || got.GetReadingOnly() {
-		t.Fatalf("got %v at first, want all", got)
+		t.Fatalf("got %v at first, want the full guidance", got)
 	}
 	state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "other"}}, 2)
 	if got := target.next(); got != nil {
-		t.Errorf("got %v after a change that agents need not know, want nothing", got)
+		t.Errorf("got %v after a change that does not affect agents, want nothing", got)
 	}
 	state.Apply([]site.Record{engineCatalog(2, "10.0.0.9:70")}, 3)
 	if got := target.next(); got == nil || got.GetOriginUrl() == "" {
-		t.Errorf("got %v after a change of the origin, want it sent", got)
+		t.Errorf("got %v after a change of the origin, want guidance with the new origin", got)
 	}
 }
 
-// Symptom: hosts that were added get their weights seconds late. Sequence: a hundred
-// are added in five seconds; each that registers has five entries send the whole list
-// to each host, of whose link that takes most. Cause: each change was sent by itself.
+// Guards against sending the list of hosts once for each host that registers. When a hundred
+// hosts were added within five seconds, five entries sent the whole list to each host for every
+// registration. This filled most of the hosts' links, and the new hosts got their weights seconds
+// late.
 func TestHostsThatRegisterTogetherAreSentInFewLists(t *testing.T) {
 	state := newState(nil)
 	state.Apply([]site.Record{engineCatalog(1, ""), engineRecord(1)}, 1)
@@ -275,18 +277,17 @@
 		hosts = len(guidance.GetHosts()[0].GetIp())
 	}
 	if got, want := hosts, 101; got != want {
-		t.Errorf("got %d hosts sent in the end, want %d", got, want)
+		t.Errorf("got %d hosts in the last list, want %d", got, want)
 	}
-	// A version does not wait for that.
+	// A change other than to hosts is not delayed.
 	state.Apply([]site.Record{engineCatalog(2, "10.0.0.9:70"), engineRecord(200)}, 300)
 	if got := target.next(); got == nil || got.GetOriginUrl() == "" {
-		t.Errorf("got %v right after a list, want what is wanted sent at once", got)
+		t.Errorf("got %v right after a host list, want the new origin sent at once", got)
 	}
 }
 
-// Symptom: an engine's host learns of no version after its guides were lost.
-// Sequence: entries that are its guides end; their registrations go.
-// Cause: another entry did not look whether it is its turn now.
+// Guards against a host that gets no new versions after the entries that guide it ended and their
+// registrations were removed, because no other entry checks whether it has to take over.
 func TestEntryTakesOverGuidanceWhenOtherEntriesLeave(t *testing.T) {
 	others := map[string]site.Entry{}
 	for i := range 12 {
@@ -307,7 +308,7 @@
 		}
 	}
 	if got := target.next(); got == nil || !got.GetReadingOnly() || got.GetGapMillis() != uint32(outsideInterval.Milliseconds()) {
-		t.Errorf("got %v of an engine that is left to others, want nothing of what is wanted", got)
+		t.Errorf("got %v for an engine that other entries guide, want no guidance", got)
 	}
 	var gone []site.Record
 	for id := range others {
@@ -315,11 +316,11 @@
 	}
 	state.Apply(gone, 3)
 	if got := target.next(); got == nil || got.GetReadingOnly() {
-		t.Errorf("got %v after the others went, want all", got)
+		t.Errorf("got %v after the other entries left, want the full guidance", got)
 	}
 	target.clock.Advance(minHostListInterval)
 	if got := target.next(); got != nil {
-		t.Errorf("got %v again without a change, want nothing", got)
+		t.Errorf("got %v without a change, want nothing", got)
 	}
 }
 
@@ -330,13 +331,13 @@
 	}
 	got = newBounds(&wire.SiteBounds{RevokeMillis: 100, DirectoryTtlSeconds: 0.5, GraceMillis: 3000})
 	if got.gateway.Revoke <= 0 || got.directoryTTL != 500*time.Millisecond || got.grace != 3*time.Second {
-		t.Errorf("got %+v, want what is given", got)
+		t.Errorf("got %+v, want the configured values", got)
 	}
 }
 
-// Guards against an agent's report that its engine leaves and that the entry drops.
+// Guards against dropping an agent's report that its engine is leaving.
 func TestLeavingStateOfEngineIsKept(t *testing.T) {
 	if got := engineStateOf(&wire.EngineState{Leaving: true}); !got.Leaving {
-		t.Errorf("got an engine that stays, want one that leaves")
+		t.Errorf("got an engine that is not leaving, want a leaving one")
 	}
 }
--- a/entry/internal/onsite/quarantine_test.go
+++ b/entry/internal/onsite/quarantine_test.go
@@ -15,10 +15,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// deadly is the body of the request that ends each endpoint that begins to run it.
+// crashBody is the body of a request that crashes every endpoint that starts to run it.
 const crashBody = "deadly"
 
-// fleetOfEntries is entries of one deployment between a store and workers.
+// testFleet is the entries of one deployment, with a store and workers.
 type testFleet struct {
 	t       *testing.T
 	store   *platformtest.Store
@@ -30,13 +30,14 @@
 	lastRequestID int
 }
 
-// runningEntry is one entry of the test's process.
+// runningEntry is an entry that runs in the test process.
 type runningEntry struct {
 	cfg  *wire.EntrySettings
 	kill context.CancelFunc
 	done chan struct{}
 }
 
+// newTestFleet starts the given numbers of entries and workers. hold blocks a worker's request until it returns; it may be nil.
 func newTestFleet(t *testing.T, entries, workers int, hold func(body []byte)) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, store: platformtest.NewStore()}
@@ -78,7 +79,7 @@
 	return started
 }
 
-// settings returns those of an entry, which listens at addresses of its own.
+// settings returns the settings of an entry with its own addresses.
 func (f *testFleet) settings(number int) *wire.EntrySettings {
 	id := fmt.Sprintf("entry-%d", number)
 	return &wire.EntrySettings{
@@ -93,7 +94,7 @@
 	}
 }
 
-// begin starts an entry.
+// startAsync starts an entry without waiting until it is ready.
 func (f *testFleet) startAsync(cfg *wire.EntrySettings) *runningEntry {
 	ctx, kill := context.WithCancel(context.Background())
 	started := &runningEntry{cfg: cfg, kill: kill, done: make(chan struct{})}
@@ -108,7 +109,7 @@
 	return started
 }
 
-// await waits until an entry is ready.
+// awaitReady waits until an entry is ready.
 func (f *testFleet) awaitReady(entry *runningEntry) {
 	f.t.Helper()
 	eventually(f.t, entry.cfg.GetNode().GetId()+" is ready", func() error {
@@ -116,13 +117,13 @@
 	})
 }
 
-// end stops the entry and waits until it is gone.
+// stop stops the entry and waits until Run returns.
 func (e *runningEntry) stop() {
 	e.kill()
 	<-e.done
 }
 
-// send sends a request to an entry and returns the status; 0: the connection broke off.
+// send sends a request to an entry and returns the status, or 0 if the connection failed.
 func (f *testFleet) send(to *runningEntry, body string) int {
 	f.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+to.cfg.GetCallersAddress()+"/x/y", strings.NewReader(body))
@@ -146,7 +147,7 @@
 	return resp.StatusCode
 }
 
-// seen returns how often a body reached workers.
+// timesReceived returns how often workers received a body.
 func (f *testFleet) timesReceived(body string) int {
 	seen := 0
 	for _, one := range f.workers {
@@ -155,28 +156,28 @@
 	return seen
 }
 
-// Symptom: engines end one after another under one customer's request, 54 in half a minute; a
-// third of what others ask meanwhile is late or lost. Sequence: it comes to an entry, which
-// sends it to two engines; both end as they begin to run it, and the caller gets 502. It comes
-// again under a new id, at any entry, and ends two more. Cause: an entry forgot a request with
-// its answer and received nothing of what others saw, so nobody knew that it had ended an engine.
-// Proof: with a stand-in that ends under one body, the tries at nine entries bear one
-// fingerprint and each ended two endpoints; with the ends counted by fingerprint and reported
-// through the store, none is sent after the third.
+// Guards against a request that crashes one engine after another because its retries are not
+// recognized. The entry sent it to two engines, both crashed as they started to run it, and the
+// caller got 502. The caller retried with a new ID at any entry, which crashed two more. Entries
+// forgot a request with its response and were not told what others saw. Under one customer's
+// request 54 engines crashed in half a minute, and a third of the other requests were late or
+// lost. In a test with a simulated engine that crashes on one body, the attempts at nine entries
+// had the same fingerprint and each crashed two endpoints; with crashes counted by fingerprint
+// and reported through the store, none was sent after the third crash.
 //
-// Here it comes to each of nine entries in turn. After three ends a moment is left in which
-// the entries may learn of them; then at most three sends more may happen, also at an entry
-// that is new, and though the entry that saw the first ends is gone.
+// The test sends the request to nine entries in turn. After three crashes the entries get time to
+// learn of them; then at most three more sends are allowed, including those by a new entry, even
+// though the entry that saw the first crashes is gone.
 func TestRequestThatEndsEndpointsIsStopped(t *testing.T) {
 	f := newTestFleet(t, 9, 40, nil)
 	first, second := f.entries[0], f.entries[1]
 	for _, to := range []*runningEntry{first, second} {
 		if got := f.send(to, crashBody); got == http.StatusOK {
-			t.Fatalf("got %d for a request that ends what runs it", got)
+			t.Fatalf("got %d for a request that crashes every endpoint", got)
 		}
 	}
 	if got := f.timesReceived(crashBody); got < 3 {
-		t.Fatalf("got %d sends by two entries, want the three ends that show what it does", got)
+		t.Fatalf("got %d sends by two entries, want at least the three crashes that identify the request", got)
 	}
 	f.awaitPropagation()
 	first.stop()
@@ -184,11 +185,11 @@
 	before := f.timesReceived(crashBody)
 	for _, to := range append(f.entries[1:9:9], newcomer) {
 		if got := f.send(to, crashBody); got == http.StatusOK {
-			t.Errorf("got %d for a request that ends what runs it", got)
+			t.Errorf("got %d for a request that crashes every endpoint", got)
 		}
 	}
 	if got, want := f.timesReceived(crashBody)-before, 3; got > want {
-		t.Errorf("got %d sends after three endpoints ended under it and all could know, want %d at most", got, want)
+		t.Errorf("got %d sends after three crashes that all entries could know of, want %d at most", got, want)
 	}
 	for _, to := range append(f.entries[1:9:9], newcomer) {
 		if got := f.send(to, "harmless"); got != http.StatusOK {
@@ -197,9 +198,9 @@
 	}
 }
 
-// Symptom: what ran beside a request that ends endpoints is lost with it, or refused as if it
-// were to blame. Here requests are in progress at all endpoints when two of these end; each of
-// them is served, by another endpoint where its own ended.
+// Guards against requests that are lost or rejected because they ran on the same endpoint as a
+// request that crashes endpoints. Requests are in progress at all endpoints when two of these
+// crash. Each request must succeed, on another endpoint if its own crashed.
 func TestConcurrentRequestsSurviveEndpointCrash(t *testing.T) {
 	const concurrent = 12
 	release := make(chan struct{})
@@ -213,7 +214,7 @@
 		body := fmt.Sprintf("beside-%d", i)
 		callers.Go(func() {
 			if got := f.send(f.entries[0], body); got != http.StatusOK {
-				t.Errorf("got %d for %s, which ran beside what ends endpoints, want 200", got, body)
+				t.Errorf("got %d for %s, which ran concurrently with a crashing request, want 200", got, body)
 			}
 		})
 	}
@@ -224,7 +225,7 @@
 		}
 		return count
 	}
-	eventually(t, "all in progress", func() error {
+	eventually(t, "all requests in progress", func() error {
 		if inProgress() < concurrent {
 			return errors.New("not yet")
 		}
@@ -241,9 +242,9 @@
 		}
 	}
 	if interrupted == 0 {
-		t.Fatalf("got nothing in progress where endpoints ended, want some")
+		t.Fatalf("got no request in progress on the crashed endpoints, want some")
 	}
-	eventually(t, "sent elsewhere", func() error {
+	eventually(t, "interrupted requests sent to other endpoints", func() error {
 		if got, want := inProgress(), concurrent+interrupted; got < want {
 			return fmt.Errorf("%d of %d", got, want)
 		}
@@ -253,8 +254,8 @@
 	callers.Wait()
 }
 
-// spread waits until what entries report to one another through the store has come to all: a mark
-// that was written after it is in force at each.
+// awaitPropagation waits until the reports of entries have reached all entries through the store:
+// it changes the configuration after them and waits until that is in use at each entry.
 func (f *testFleet) awaitPropagation() {
 	f.t.Helper()
 	time.Sleep(propagationTime)
@@ -270,7 +271,7 @@
 		"tenants":  []map[string]any{{"name": "deployment", "api_keys": []string{"key-1"}}},
 	})
 	for _, one := range f.entries {
-		eventually(f.t, "the mark is in force", func() error {
+		eventually(f.t, "the route of the new configuration is in use", func() error {
 			req, err := http.NewRequest(http.MethodPost, "http://"+one.cfg.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
 			if err != nil {
 				return err
@@ -291,6 +292,6 @@
 	}
 }
 
-// spreadTime is the least bound within which entries must have learned of an end: the
-// platform's time for contact.
+// propagationTime is the minimum limit within which entries must learn of a crash: the platform's
+// time for contact.
 const propagationTime = 3 * time.Second
--- a/entry/internal/onsite/reporter.go
+++ b/entry/internal/onsite/reporter.go
@@ -182,7 +182,7 @@
 			r.log.Info("reported", "key", key, "reports", len(batch), "lease", r.lease, "tookMillis", r.clock.Since(startedAt).Milliseconds())
 			return
 		}
-		r.log.Debug("cannot write reports, retrying", "key", key, "error", err)
+		r.log.Debug("cannot write reports", "key", key, "error", err)
 		r.sleep(ctx, reportRetryPause)
 		if ctx.Err() != nil {
 			return
--- a/entry/internal/onsite/reporter_test.go
+++ b/entry/internal/onsite/reporter_test.go
@@ -22,7 +22,7 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// deadlyPrint is the fingerprint of a request under which endpoints ended.
+// crashFingerprint is the fingerprint of a request that crashed endpoints.
 var crashFingerprint = quarantine.Of("customer", "POST", "host", "/deadly", nil)
 
 func oneEntry() int { return 1 }
@@ -44,8 +44,8 @@
 	return rep, kvStore
 }
 
-// learned reports whether an entry that starts now learns from the store that the request is
-// held.
+// requestHeld returns nil if an entry that starts now reads from the store that the request is
+// quarantined.
 func requestHeld(store *kv.Store) error {
 	entries, err := store.List(context.Background(), "")
 	if err != nil {
@@ -55,7 +55,7 @@
 	mirror := site.NewMirror(state, platform.DecodeRecord, clockwork.NewRealClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	mirror.Reset(entries, 1)
 	if _, held := state.Ledger().Held(crashFingerprint); !held {
-		return fmt.Errorf("%d keys, not held", len(entries))
+		return fmt.Errorf("%d keys, request not quarantined", len(entries))
 	}
 	return nil
 }
@@ -66,8 +66,9 @@
 	}}
 }
 
-// An entry that starts later learns what others saw, whatever became of single calls: answers
-// that were lost, a store that was away, a lease that ended in an outage.
+// An entry that starts later learns what others observed even if single calls failed: responses
+// were lost or the store was unavailable. TestReportsAreWrittenAfterALeaseEnded covers a lease
+// that expired in an outage.
 func TestReportsReachEntriesThatStartLater(t *testing.T) {
 	for name, fault := range map[string]func(call int) platformtest.Fault{
 		"sound": func(int) platformtest.Fault { return platformtest.None },
@@ -97,7 +98,7 @@
 			for i := range 3 {
 				rep.publish(endReport(i))
 			}
-			eventually(t, "held at an entry that starts", func() error { return requestHeld(rep.store) })
+			eventually(t, "request quarantined at a starting entry", func() error { return requestHeld(rep.store) })
 		})
 	}
 }
@@ -115,21 +116,21 @@
 	for i := range 3 {
 		rep.publish(endReport(i))
 	}
-	eventually(t, "held at an entry that starts", func() error { return requestHeld(rep.store) })
+	eventually(t, "request quarantined at a starting entry", func() error { return requestHeld(rep.store) })
 }
 
-// Symptom: an entry that the store can't be reached by grows. Cause: its reports wait
-// without a bound.
+// Guards against a queue of reports that grows without limit while an entry cannot reach the
+// store.
 func TestReportQueueIsBounded(t *testing.T) {
 	rep := newReporter(nil, "p/", oneEntry, clockwork.NewFakeClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i := range 3 * maxQueued {
 		rep.publish(endReport(i))
 	}
 	if got := len(rep.queue); got != maxQueued {
-		t.Errorf("got %d reports that wait, want %d", got, maxQueued)
+		t.Errorf("got %d queued reports, want %d", got, maxQueued)
 	}
 	if got, want := rep.queue[maxQueued-1].End.Endpoint, fmt.Sprintf("i-%d", 3*maxQueued-1); got != want {
-		t.Errorf("got %s as the newest, want %s", got, want)
+		t.Errorf("got %s as the latest report, want %s", got, want)
 	}
 	written := 0
 	for batch := rep.nextBatch(); len(batch) > 0; batch = rep.nextBatch() {
@@ -140,8 +141,8 @@
 	}
 }
 
-// Guards against reports that fill the store in a flood of ends: an entry that starts reads all
-// of them over the link that everything else uses.
+// Guards against reports that fill the store when many endpoints crash: an entry reads all of
+// them at startup, over a link that it shares with all other traffic.
 func TestStoredReportsAreBounded(t *testing.T) {
 	const entries, flood = 98, 4000
 	standIn := platformtest.NewStore()
@@ -159,7 +160,7 @@
 		rep.prune(t.Context())
 		clock.Advance(time.Second / maxWritesPerSecond)
 	}
-	// What is young stays, for entries that follow others.
+	// Keys younger than minKeyAge are not removed, so that they reach entries that follow others.
 	most := max(maxBatchReports, maxStoredReports/entries) + 3*maxWritesPerSecond*int(minKeyAge/time.Second)
 	kept := 0
 	for _, one := range rep.storedKeys {
@@ -174,12 +175,12 @@
 		t.Errorf("got %d keys after the flood, want %d at most", got, want)
 	}
 	if err := requestHeld(rep.store); err != nil {
-		t.Errorf("got %v at an entry that starts, want the newest reports", err)
+		t.Errorf("got %v at a starting entry, want the latest reports", err)
 	}
 }
 
-// BenchmarkStartWithReports measures an entry that starts while 98 entries keep all the reports
-// that they may, of twelve requests each.
+// BenchmarkStartWithReports measures the startup of an entry when 98 entries store the maximum
+// number of reports, with twelve requests each.
 func BenchmarkStartWithReports(b *testing.B) {
 	const entries, requests = 98, 12
 	var stored []kv.Entry
--- a/entry/internal/onsite/run_test.go
+++ b/entry/internal/onsite/run_test.go
@@ -20,7 +20,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// lines takes a process's log.
+// logBuffer collects the log of a process.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -38,11 +38,12 @@
 	return l.text.String()
 }
 
-// nextPort is the next port that freeAddress tries, different for each test process.
+// nextPort counts the ports that freeAddress has tried; the process ID is added, so that test
+// processes use different ports.
 var nextPort atomic.Uint32
 
-// The ports that freeAddress hands out are below those that the kernel gives to connections,
-// which would otherwise take a port between its choice and its use.
+// freeAddress returns ports below the ephemeral port range of the kernel, so that no outgoing
+// connection takes a port between its choice and its use.
 const (
 	firstPort = 10000
 	portCount = 20000
@@ -59,11 +60,11 @@
 		_ = lis.Close()
 		return lis.Addr().String()
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port")
 	return ""
 }
 
-// eventually calls check until it returns no error.
+// eventually calls check until it returns nil, for 30 s at most.
 func eventually(t *testing.T, what string, check func() error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -71,15 +72,15 @@
 	for err := check(); err != nil; err = check() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("%s: got %v, want it to come about", what, err)
+			t.Fatalf("%s: got %v, want it to succeed within 30 s", what, err)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// TestWholePath runs one entry between stand-ins of the platform: it finds the
-// configuration and the endpoints in the store, names itself to callers, serves
-// a request, follows a change, and ends when it is asked to.
+// TestRunEndToEnd runs one entry against a simulated platform. The entry reads the configuration
+// and the endpoints from the store, lists itself in the directory, serves a request, applies a
+// change and stops on request.
 func TestRunEndToEnd(t *testing.T) {
 	kvStore := platformtest.NewStore()
 	store := httptest.NewServer(kvStore)
@@ -142,7 +143,7 @@
 	}
 	_ = resp.Body.Close()
 	if len(resolved.Addresses) != 1 || resolved.Addresses[0] != cfg.GetCallersAddress() || resolved.TTL <= 0 {
-		t.Errorf("got %+v, want this entry for some time", resolved)
+		t.Errorf("got %+v, want this entry with a positive TTL", resolved)
 	}
 	got, body := call(t, cfg, "key-1")
 	if got != 200 || body != "/x/y?z=1 for deployment" {
@@ -150,7 +151,7 @@
 	}
 
 	kvStore.Put("op/config", config(2, "key-2"))
-	eventually(t, "the key taken away", func() error {
+	eventually(t, "the key is revoked", func() error {
 		if got, _ := call(t, cfg, "key-1"); got != 401 {
 			return fmt.Errorf("status %d", got)
 		}
@@ -162,25 +163,25 @@
 
 	startDrain()
 	eventually(t, "not ready", func() error { return checkStatus("http://"+cfg.GetSite().GetReadyAddress()+"/ready", 503) })
-	eventually(t, "registration taken back", func() error {
+	eventually(t, "registration removed", func() error {
 		if keys := kvStore.Keys("comfrey/entries/"); len(keys) > 0 {
 			return fmt.Errorf("got %v", keys)
 		}
 		return nil
 	})
 	if got, _ := call(t, cfg, "key-2"); got != 200 {
-		t.Errorf("got %d right after the signal, want 200: callers had this entry on their list", got)
+		t.Errorf("got %d right after the signal, want 200: callers still use the address", got)
 	}
 	if err := <-runResult; err != nil {
-		t.Errorf("got %v, want a clean end", err)
+		t.Errorf("got %v, want no error from Run", err)
 	}
 	for _, want := range []string{"msg=started", "msg=learned", "msg=registered", "msg=answered", "msg=draining", "msg=drained", "msg=stopped"} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("got a log without %q", want)
+			t.Errorf("got no %q in the log", want)
 		}
 	}
 	if strings.Contains(log.String(), "key-1") {
-		t.Errorf("got a key in the log")
+		t.Errorf("got an API key in the log")
 	}
 }
 
--- a/entry/internal/onsite/shutdown_test.go
+++ b/entry/internal/onsite/shutdown_test.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// lateListener takes connections of a process that gets its turn late: each write waits.
+// slowListener accepts connections whose writes are delayed, as in a process that gets little CPU
+// time.
 type slowListener struct{ net.Listener }
 
 func (l slowListener) Accept() (net.Conn, error) {
@@ -27,8 +28,8 @@
 	return c.Conn.Write(bytes)
 }
 
-// Guards against an answer that is lost though its request was served: the entry ends as its
-// last handler returns, and the library writes the end of the answer only after that.
+// Guards against a response that is lost although its request was served: the entry exits when
+// its last handler returns, but net/http writes the end of the response only after that.
 func TestShutdownWritesLastAnswerCompletely(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,13 +45,13 @@
 	}))
 	resp, err := http.Get("http://" + lis.Addr().String())
 	if err != nil {
-		t.Fatalf("got %v, want the answer", err)
+		t.Fatalf("got %v, want a response", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "whole" {
-		t.Errorf("got %q, %v; want the whole answer", body, err)
+		t.Errorf("got %q, %v; want the complete response", body, err)
 	}
 	if err := group.Wait(); err != nil {
-		t.Errorf("got %v, want a clean end", err)
+		t.Errorf("got %v, want no error from serve", err)
 	}
 }
--- a/entry/internal/onsite/simultaneous_start_test.go
+++ b/entry/internal/onsite/simultaneous_start_test.go
@@ -15,19 +15,21 @@
 )
 
 const (
-	// linkMegabits is the link between the store and the region that all entries share.
+	// linkMegabits is the capacity in Mbit/s of the link to the store, which all entries of the
+	// region share.
 	linkMegabits = 26
-	// encoded is by how much the store's encoding makes a value longer.
+	// encodingFactor is the factor by which the store's encoding enlarges a value.
 	encodingFactor = 4.0 / 3
-	// readerPart of the entries may read a configuration over the link: two do, and a few more on
-	// a machine that is slow enough that they take their sources for silent.
+	// readerFraction is the fraction of entries that may read a configuration over the link. Two
+	// do, plus a few more on a machine that is so slow that entries time out their sources.
 	readerFraction = 1.0 / 3
-	// registrationBytes is what one entry reads of another one's registration, more than once.
+	// registrationBytes is the allowance for reading one registration, which one entry does more
+	// than once.
 	registrationBytes = 1 << 10
 )
 
-// region is entries that start together, as after a loss of power: their registrations are
-// still in the store, which stands behind a narrow link.
+// startGroup is a region whose entries start together, as after a power failure: their
+// registrations are still in the store, which is behind a narrow link.
 type startGroup struct {
 	fleet   *testFleet
 	link    *platformtest.NarrowLink
@@ -64,7 +66,7 @@
 	return r
 }
 
-// configOf returns a configuration of about so many bytes that can't be compressed well.
+// incompressibleConfig returns a configuration of about the given size that compresses badly.
 func incompressibleConfig(valueBytes int) map[string]any {
 	random := rand.New(rand.NewPCG(1, 2))
 	var routes []map[string]any
@@ -82,8 +84,8 @@
 	r.fleet.store.Put(platform.ConfigKey, r.config)
 }
 
-// check waits until all entries serve and compares what crossed the link with what a part of them
-// reads of so many configurations.
+// checkLinkUsage waits until all entries are ready and checks that no more bytes crossed the link
+// than readerFraction of the entries need to read the given number of configurations.
 func (r *startGroup) checkLinkUsage(t *testing.T, valueBytes, configurations int) {
 	t.Helper()
 	began := time.Now()
@@ -103,8 +105,8 @@
 	}
 }
 
-// Guards against entries that start together and each read a large configuration over the link
-// that they share, so that none has it for seconds.
+// Guards against entries that start together and each read a large configuration over their
+// shared link, so that none has it for seconds.
 func TestEntriesThatStartTogetherReadALargeConfigurationFewTimes(t *testing.T) {
 	for _, one := range []struct{ entries, kilobytes int }{{12, 396}, {33, 396}, {12, 980}} {
 		t.Run(fmt.Sprintf("%d entries, %d KB", one.entries, one.kilobytes), func(t *testing.T) {
@@ -114,16 +116,16 @@
 	}
 }
 
-// Guards against entries that all read the store because one of the two that read it for them
-// ended in the middle.
+// Guards against all entries reading the store because one of the two entries that read it for
+// them stopped during the transfer.
 func TestEntriesThatStartTogetherSurviveLossOfSource(t *testing.T) {
 	r := newStartGroup(t, 12, 396<<10)
 	r.sources[0].stop()
 	r.checkLinkUsage(t, 396<<10, 1)
 }
 
-// Guards against readings that begin anew, all at once, as the store comes back or the
-// configuration changes meanwhile.
+// Guards against readings that all restart at once when the store is available again or the
+// configuration changes during the start.
 func TestEntriesThatStartTogetherDuringStoreOutage(t *testing.T) {
 	r := newStartGroup(t, 12, 396<<10)
 	r.fleet.store.SetFault(func(*http.Request) platformtest.Fault { return platformtest.Busy })
--- a/entry/internal/onsite/startup_test.go
+++ b/entry/internal/onsite/startup_test.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// wholeReadings counts the readings of everything from now on.
+// countFullReads counts the requests that read the entire store from now on.
 func countFullReads(store *platformtest.Store) *atomic.Int64 {
 	count := &atomic.Int64{}
 	store.SetFault(func(r *http.Request) platformtest.Fault {
@@ -24,8 +24,8 @@
 	return count
 }
 
-// Guards against entries of a region that each read a large configuration over the same link
-// when they start.
+// Guards against each starting entry of a region reading a large configuration over the same
+// link.
 func TestStartingEntryReadsFromOtherEntries(t *testing.T) {
 	const running, newcomers = 6, 3
 	f := newTestFleet(t, running, 1, nil)
@@ -36,7 +36,7 @@
 	following := 0
 	for i := range newcomers {
 		id := fmt.Sprint("entry-", running+i)
-		eventually(t, "all are registered", func() error {
+		eventually(t, "all entries are registered", func() error {
 			if got := len(f.store.Keys(platform.EntryPrefix)); got < running+i {
 				return fmt.Errorf("%d of %d", got, running+i)
 			}
@@ -50,15 +50,15 @@
 		}
 		following++
 		if got := readings.Load(); got > 0 {
-			t.Errorf("got %d readings of everything as %s starts, want none", got, id)
+			t.Errorf("got %d full reads of the store as %s starts, want none", got, id)
 		}
 	}
 	if following == 0 {
-		t.Fatalf("got no entry that follows others among %d", newcomers)
+		t.Fatalf("got no entry that follows others among %d new ones", newcomers)
 	}
 }
 
-// Guards against an entry that waits for others which are gone.
+// Guards against an entry that waits for data from entries that are gone.
 func TestEntryReadsStoreWhenSourcesAreGone(t *testing.T) {
 	f := newTestFleet(t, 0, 1, nil)
 	entries := map[string]site.Entry{"entry-0": {Region: "r", ControlAddress: "127.0.0.1:1"}}
@@ -69,11 +69,11 @@
 		})
 	}
 	if len(site.Sources("entry-0", "r", entries)) == 0 {
-		t.Fatalf("got an entry that follows nobody, want another id")
+		t.Fatalf("got an entry without sources, want an ID that has some")
 	}
 	readings := countFullReads(f.store)
 	f.start()
 	if got := readings.Load(); got == 0 {
-		t.Errorf("got a ready entry without a reading of the store")
+		t.Errorf("got a ready entry without a full read of the store")
 	}
 }
