--- a/entry/internal/onsite/compress_test.go
+++ b/entry/internal/onsite/compress_test.go
@@ -34,16 +34,16 @@
 	follower := newReplica()
 	reader := &newsReader{state: follower.state, mirror: follower.mirror}
 	for _, reply := range server.buildReplies(changes) {
-		for _, one := range reply.GetChanges() {
-			sent += len(one.GetValue()) + len(one.GetPacked())
-			plain += len(one.GetValue())
+		for _, stored := range reply.GetChanges() {
+			sent += len(stored.GetValue()) + len(stored.GetPacked())
+			plain += len(stored.GetValue())
 		}
 		if !reader.receive(reply) {
 			t.Fatal("got a reply rejected, want it applied")
 		}
 	}
-	if most := len(value) / 5; sent > most {
-		t.Errorf("got %d bytes for a configuration of %d, want %d at most", sent, len(value), most)
+	if limit := len(value) / 5; sent > limit {
+		t.Errorf("got %d bytes for a configuration of %d, want %d at most", sent, len(value), limit)
 	}
 	if got, want := plain, len("small"); got != want {
 		t.Errorf("got %d uncompressed bytes, want %d", got, want)
--- a/entry/internal/onsite/delay_meter_test.go
+++ b/entry/internal/onsite/delay_meter_test.go
@@ -13,7 +13,7 @@
 // waited there for a second and more.
 func TestDelayIsTimeBeyondMinimum(t *testing.T) {
 	m := newDelayMeter()
-	for i, one := range []struct {
+	for i, message := range []struct {
 		agentStarted        int64
 		arrived, sent, want time.Duration
 	}{
@@ -21,7 +21,7 @@
 		// A new stream on the congested link, then a restarted agent, whose clock starts at zero.
 		{1, 2400, 8290, 1009}, {2, 3000, 50, 0}, {2, 3300, 100, 250},
 	} {
-		if got, want := m.update(one.arrived*ms, messageTimes{agentStarted: one.agentStarted, sent: one.sent * ms}).Round(ms), one.want*ms; got != want {
+		if got, want := m.update(message.arrived*ms, messageTimes{agentStarted: message.agentStarted, sent: message.sent * ms}).Round(ms), message.want*ms; got != want {
 			t.Errorf("message %d: got %v, want %v", i, got, want)
 		}
 	}
--- a/entry/internal/onsite/leaving_test.go
+++ b/entry/internal/onsite/leaving_test.go
@@ -10,13 +10,13 @@
 
 // sendFromEachEntry sends requests through all entries at the same time, in sequence at each
 // entry, and returns how many of them the worker received. All requests must succeed.
-func (f *testFleet) sendFromEachEntry(t *testing.T, worker *platformtest.Worker, each int) int {
+func (f *testFleet) sendFromEachEntry(t *testing.T, worker *platformtest.Worker, perEntry int) int {
 	t.Helper()
 	before := len(worker.Arrivals())
 	var callers sync.WaitGroup
 	for _, to := range f.entries {
 		callers.Go(func() {
-			for range each {
+			for range perEntry {
 				if got := f.send(to, "body"); got != http.StatusOK {
 					t.Errorf("got %d while two endpoints accept requests, want 200", got)
 				}
--- a/entry/internal/onsite/limit_test.go
+++ b/entry/internal/onsite/limit_test.go
@@ -61,11 +61,11 @@
 	f := newTestFleet(t, 9, 3, nil)
 	limited := f.workers[0]
 	limited.Limit("1")
-	began := time.Now()
+	startedAt := time.Now()
 	var callers sync.WaitGroup
 	for _, to := range f.entries {
 		callers.Go(func() {
-			for time.Since(began) < limitGracePeriod+limitWindow+time.Second {
+			for time.Since(startedAt) < limitGracePeriod+limitWindow+time.Second {
 				if got := f.send(to, "body"); got != http.StatusOK {
 					t.Errorf("got %d while two endpoints have no limit, want 200", got)
 				}
@@ -76,12 +76,12 @@
 	callers.Wait()
 	arrivals := limited.Arrivals()
 	allowed := int(limitFactor*perSecond*limitWindow.Seconds()) + limitSlack
-	if got := maxInWindow(arrivals, began.Add(limitGracePeriod), limitWindow); got > allowed {
+	if got := maxInWindow(arrivals, startedAt.Add(limitGracePeriod), limitWindow); got > allowed {
 		t.Errorf("got %d requests in %v at an endpoint that accepts %d a second, want %d at most", got, limitWindow, perSecond, allowed)
 	}
 	limited.Limit("")
 	f.awaitUseByAllEntries(t, limited)
-	if last := arrivals[len(arrivals)-1]; last.Before(began.Add(limitGracePeriod)) {
-		t.Errorf("got no request after %v at a rate-limited endpoint, want requests up to its limit", last.Sub(began))
+	if last := arrivals[len(arrivals)-1]; last.Before(startedAt.Add(limitGracePeriod)) {
+		t.Errorf("got no request after %v at a rate-limited endpoint, want requests up to its limit", last.Sub(startedAt))
 	}
 }
--- a/entry/internal/onsite/news_test.go
+++ b/entry/internal/onsite/news_test.go
@@ -248,9 +248,9 @@
 		}
 		return nil
 	})
-	found, _ := reader.mirror.Since(0)
-	if len(found.Entries) != 2 || !bytes.Equal(found.Entries[0].Value(), value) {
-		t.Errorf("got %d values, want both unchanged", len(found.Entries))
+	changes, _ := reader.mirror.Since(0)
+	if len(changes.Entries) != 2 || !bytes.Equal(changes.Entries[0].Value(), value) {
+		t.Errorf("got %d values, want both unchanged", len(changes.Entries))
 	}
 }
 
@@ -273,8 +273,8 @@
 	reader := &newsReader{state: k.state, mirror: k.mirror, revision: 1, requestTimes: map[uint64]time.Duration{}}
 	for i, reply := range replies {
 		size := 0
-		for _, one := range reply.GetChanges() {
-			size = max(size, len(one.GetValue())+len(one.GetPacked()))
+		for _, stored := range reply.GetChanges() {
+			size = max(size, len(stored.GetValue())+len(stored.GetPacked()))
 		}
 		if size > maxPartBytes {
 			t.Errorf("reply %d: got a value of %d bytes, want %d at most", i, size, maxPartBytes)
@@ -283,13 +283,13 @@
 			t.Fatalf("reply %d: got it rejected", i)
 		}
 	}
-	found, _ := k.mirror.Since(1)
-	for i, entry := range found.Entries {
+	changes, _ := k.mirror.Since(1)
+	for i, entry := range changes.Entries {
 		if want := entries[i+1]; entry.Key() != want.Key() || !bytes.Equal(entry.Value(), want.Value()) || entry.Deleted() != want.Deleted() {
 			t.Errorf("got %s with %d bytes, want %s with %d", entry.Key(), len(entry.Value()), want.Key(), len(want.Value()))
 		}
 	}
-	if got, want := len(found.Entries), len(entries)-1; got != want {
+	if got, want := len(changes.Entries), len(entries)-1; got != want {
 		t.Errorf("got %d values, want %d", got, want)
 	}
 }
--- a/entry/internal/onsite/onsite_test.go
+++ b/entry/internal/onsite/onsite_test.go
@@ -104,12 +104,12 @@
 	reg, standIn := newRegistrar(t)
 	standIn.Put(platform.EntryKey("entry-1"), site.Entry{CallersAddress: "10.0.0.9:80", Incarnation: "zero"})
 	reg.advanceTimes(2)
-	found, _, err := reg.store.Get(context.Background(), reg.key)
+	current, _, err := reg.store.Get(context.Background(), reg.key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	value := site.Entry{}
-	if err := json.Unmarshal(found.Value(), &value); err != nil || value.Incarnation != "one" {
+	if err := json.Unmarshal(current.Value(), &value); err != nil || value.Incarnation != "one" {
 		t.Errorf("got %+v, %v, want incarnation one", value, err)
 	}
 }
@@ -269,8 +269,8 @@
 			hosts = len(guidance.GetHosts()[0].GetIp())
 		}
 	}
-	if most := int(100*minPlanInterval/minHostListInterval) + 1; lists > most {
-		t.Errorf("got %d lists of hosts in %v, want at most %d", lists, 100*minPlanInterval, most)
+	if limit := int(100*minPlanInterval/minHostListInterval) + 1; lists > limit {
+		t.Errorf("got %d lists of hosts in %v, want at most %d", lists, 100*minPlanInterval, limit)
 	}
 	target.clock.Advance(minHostListInterval)
 	if guidance := target.next(); guidance != nil {
@@ -289,11 +289,11 @@
 // Guards against a host that gets no new versions after the entries that guide it ended and their
 // registrations were removed, because no other entry checks whether it has to take over.
 func TestEntryTakesOverGuidanceWhenOtherEntriesLeave(t *testing.T) {
-	others := map[string]site.Entry{}
+	otherEntries := map[string]site.Entry{}
 	for i := range 12 {
-		others["other-"+strconv.Itoa(i)] = site.Entry{Region: "north", FailureDomain: "d1"}
+		otherEntries["other-"+strconv.Itoa(i)] = site.Entry{Region: "north", FailureDomain: "d1"}
 	}
-	state := newState(others)
+	state := newState(otherEntries)
 	state.Apply([]site.Record{engineCatalog(1, "")}, 1)
 	var engines []site.Record
 	for i := range 20 {
@@ -311,7 +311,7 @@
 		t.Errorf("got %v for an engine that other entries guide, want no guidance", got)
 	}
 	var gone []site.Record
-	for id := range others {
+	for id := range otherEntries {
 		gone = append(gone, site.Record{Kind: site.EntryRecord, ID: id, Gone: true})
 	}
 	state.Apply(gone, 3)
--- a/entry/internal/onsite/quarantine_test.go
+++ b/entry/internal/onsite/quarantine_test.go
@@ -55,15 +55,15 @@
 	})
 	for i := range workers {
 		id := fmt.Sprintf("i-%d", i)
-		one, err := platformtest.NewWorker(id, platformtest.Behaviour{
+		worker, err := platformtest.NewWorker(id, platformtest.Behaviour{
 			Crashes: func(body []byte) bool { return string(body) == crashBody }, Hold: hold,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(one.End)
-		f.workers = append(f.workers, one)
-		f.store.Put("servers/"+id, one.Registration("app", "d1", 4))
+		t.Cleanup(worker.End)
+		f.workers = append(f.workers, worker)
+		f.store.Put("servers/"+id, worker.Registration("app", "d1", 4))
 	}
 	for range entries {
 		f.start()
@@ -149,11 +149,11 @@
 
 // timesReceived returns how often workers received a body.
 func (f *testFleet) timesReceived(body string) int {
-	seen := 0
-	for _, one := range f.workers {
-		seen += one.Seen(body)
+	count := 0
+	for _, worker := range f.workers {
+		count += worker.Seen(body)
 	}
-	return seen
+	return count
 }
 
 // Guards against a request that crashes one engine after another because its retries are not
@@ -233,12 +233,12 @@
 	})
 	f.send(f.entries[0], crashBody)
 	interrupted := 0
-	for _, one := range f.workers {
-		if one.Ends() == 0 {
+	for _, worker := range f.workers {
+		if worker.Ends() == 0 {
 			continue
 		}
 		for i := range concurrent {
-			interrupted += one.Seen(fmt.Sprintf("beside-%d", i))
+			interrupted += worker.Seen(fmt.Sprintf("beside-%d", i))
 		}
 	}
 	if interrupted == 0 {
@@ -270,9 +270,9 @@
 		"services": []map[string]any{{"name": "app"}},
 		"tenants":  []map[string]any{{"name": "deployment", "api_keys": []string{"key-1"}}},
 	})
-	for _, one := range f.entries {
+	for _, entry := range f.entries {
 		eventually(f.t, "the route of the new configuration is in use", func() error {
-			req, err := http.NewRequest(http.MethodPost, "http://"+one.cfg.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
+			req, err := http.NewRequest(http.MethodPost, "http://"+entry.cfg.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
 			if err != nil {
 				return err
 			}
--- a/entry/internal/onsite/reporter_test.go
+++ b/entry/internal/onsite/reporter_test.go
@@ -144,14 +144,14 @@
 // Guards against reports that fill the store when many endpoints crash: an entry reads all of
 // them at startup, over a link that it shares with all other traffic.
 func TestStoredReportsAreBounded(t *testing.T) {
-	const entries, flood = 98, 4000
+	const entries, total = 98, 4000
 	standIn := platformtest.NewStore()
 	server := httptest.NewServer(standIn)
 	t.Cleanup(server.Close)
 	clock := clockwork.NewFakeClock()
 	rep := newReporter(platform.NewStore(server.URL, storeClient()), platform.ReportPrefix("entry-1", "one"),
 		func() int { return entries }, clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for sent := 0; sent < flood; {
+	for sent := 0; sent < total; {
 		for range 3 {
 			rep.publish(endReport(sent))
 			sent++
@@ -161,13 +161,13 @@
 		clock.Advance(time.Second / maxWritesPerSecond)
 	}
 	// Keys younger than minKeyAge are not removed, so that they reach entries that follow others.
-	most := max(maxBatchReports, maxStoredReports/entries) + 3*maxWritesPerSecond*int(minKeyAge/time.Second)
-	kept := 0
-	for _, one := range rep.storedKeys {
-		kept += one.reports
+	limit := max(maxBatchReports, maxStoredReports/entries) + 3*maxWritesPerSecond*int(minKeyAge/time.Second)
+	reports := 0
+	for _, stored := range rep.storedKeys {
+		reports += stored.reports
 	}
-	if got := len(standIn.Keys("comfrey/ends/")); kept > most || got != len(rep.storedKeys) {
-		t.Errorf("got %d reports in %d keys, want %d at most in %d keys", kept, got, most, len(rep.storedKeys))
+	if got := len(standIn.Keys("comfrey/ends/")); reports > limit || got != len(rep.storedKeys) {
+		t.Errorf("got %d reports in %d keys, want %d at most in %d keys", reports, got, limit, len(rep.storedKeys))
 	}
 	clock.Advance(minKeyAge)
 	rep.prune(t.Context())
@@ -188,11 +188,11 @@
 	for entry := range entries {
 		var batch []site.Report
 		for i := range maxBatchReports {
-			one := site.Report{Report: quarantine.Report{End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", i), Born: 1796287200000}}}
+			report := site.Report{Report: quarantine.Report{End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", i), Born: 1796287200000}}}
 			for j := range requests {
-				one.Suspects = append(one.Suspects, quarantine.Of("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
+				report.Suspects = append(report.Suspects, quarantine.Of("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
 			}
-			batch = append(batch, one)
+			batch = append(batch, report)
 		}
 		value, err := json.Marshal(batch)
 		if err != nil {
--- a/entry/internal/onsite/shutdown_test.go
+++ b/entry/internal/onsite/shutdown_test.go
@@ -38,8 +38,8 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	var group errgroup.Group
-	one := &entry{log: slog.New(slog.DiscardHandler)}
-	one.serve(ctx, &group, slowListener{lis}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := &entry{log: slog.New(slog.DiscardHandler)}
+	server.serve(ctx, &group, slowListener{lis}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "whole")
 		end()
 	}))
--- a/entry/internal/onsite/simultaneous_start_test.go
+++ b/entry/internal/onsite/simultaneous_start_test.go
@@ -88,7 +88,7 @@
 // than readerFraction of the entries need to read the given number of configurations.
 func (r *startGroup) checkLinkUsage(t *testing.T, valueBytes, configurations int) {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	entries := len(r.fleet.entries)
 	for _, entry := range r.fleet.entries {
 		select {
@@ -99,7 +99,7 @@
 	}
 	copies := readerFraction * float64(entries*configurations)
 	got, limit := r.link.Sent(), int64(copies*encodingFactor*float64(valueBytes))+int64(entries*entries*registrationBytes)
-	t.Logf("%d entries, %d KB: all ready after %v, %d KB over the link", entries, valueBytes>>10, time.Since(began).Round(time.Millisecond), got>>10)
+	t.Logf("%d entries, %d KB: all ready after %v, %d KB over the link", entries, valueBytes>>10, time.Since(startedAt).Round(time.Millisecond), got>>10)
 	if got > limit {
 		t.Errorf("got %d KB over the link, want %d KB at most", got>>10, limit>>10)
 	}
@@ -108,10 +108,10 @@
 // Guards against entries that start together and each read a large configuration over their
 // shared link, so that none has it for seconds.
 func TestEntriesThatStartTogetherReadALargeConfigurationFewTimes(t *testing.T) {
-	for _, one := range []struct{ entries, kilobytes int }{{12, 396}, {33, 396}, {12, 980}} {
-		t.Run(fmt.Sprintf("%d entries, %d KB", one.entries, one.kilobytes), func(t *testing.T) {
-			r := newStartGroup(t, one.entries, one.kilobytes<<10)
-			r.checkLinkUsage(t, one.kilobytes<<10, 1)
+	for _, size := range []struct{ entries, kilobytes int }{{12, 396}, {33, 396}, {12, 980}} {
+		t.Run(fmt.Sprintf("%d entries, %d KB", size.entries, size.kilobytes), func(t *testing.T) {
+			r := newStartGroup(t, size.entries, size.kilobytes<<10)
+			r.checkLinkUsage(t, size.kilobytes<<10, 1)
 		})
 	}
 }
