--- a/entry/internal/onsite/bounds.go
+++ b/entry/internal/onsite/bounds.go
@@ -7,7 +7,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Defaults of bounds that the platform does not state.
+// Defaults for bounds that the platform does not set.
 const (
 	defaultRevoke  = 5 * time.Second
 	defaultApply   = 2 * time.Second
@@ -17,33 +17,35 @@
 	defaultSlack   = 20.0
 	defaultTTL     = 5 * time.Second
 	defaultWindow  = 10 * time.Second
-	// revokeMargin is left of the time for revoked keys for a request's way to its endpoint.
+	// revokeMargin is subtracted from the time within which revoked keys must be rejected. It
+	// allows for the time that a request takes to reach its endpoint.
 	revokeMargin = 400 * time.Millisecond
-	// freshTTL is how long callers should keep an answer at most: an entry that
-	// is gone is named for so long.
-	freshTTL = 2 * time.Second
+	// maxDirectoryTTL limits how long callers may cache a directory answer, because they keep
+	// using an entry that is gone for as long.
+	maxDirectoryTTL = 2 * time.Second
 )
 
-// bounds are the platform's promises in the process's terms.
+// bounds holds the limits that the platform guarantees, converted for this process.
 type bounds struct {
 	gateway      gateway.Bounds
 	grace        time.Duration
 	directoryTTL time.Duration
 }
 
-func boundsOf(set *wire.SiteBounds) bounds {
-	ttl := seconds(set.GetDirectoryTtlSeconds(), defaultTTL)
+// newBounds converts the bounds in the settings and fills in defaults.
+func newBounds(cfg *wire.SiteBounds) bounds {
+	ttl := seconds(cfg.GetDirectoryTtlSeconds(), defaultTTL)
 	return bounds{
 		gateway: gateway.Bounds{
-			Revoke:  max(revokeMargin, millis(set.GetRevokeMillis(), defaultRevoke)-revokeMargin),
-			Apply:   millis(set.GetApplyMillis(), defaultApply),
-			Version: millis(set.GetVersionMillis(), defaultVersion),
-			Ratio:   orDefault(set.GetRetryRatio(), defaultRatio),
-			Slack:   orDefault(set.GetRetrySlack(), defaultSlack),
-			Window:  seconds(set.GetRetryWindowSeconds(), defaultWindow),
+			Revoke:  max(revokeMargin, millis(cfg.GetRevokeMillis(), defaultRevoke)-revokeMargin),
+			Apply:   millis(cfg.GetApplyMillis(), defaultApply),
+			Version: millis(cfg.GetVersionMillis(), defaultVersion),
+			Ratio:   orDefault(cfg.GetRetryRatio(), defaultRatio),
+			Slack:   orDefault(cfg.GetRetrySlack(), defaultSlack),
+			Window:  seconds(cfg.GetRetryWindowSeconds(), defaultWindow),
 		},
-		grace:        millis(set.GetGraceMillis(), defaultGrace),
-		directoryTTL: min(freshTTL, ttl),
+		grace:        millis(cfg.GetGraceMillis(), defaultGrace),
+		directoryTTL: min(maxDirectoryTTL, ttl),
 	}
 }
 
--- a/entry/internal/onsite/directory.go
+++ b/entry/internal/onsite/directory.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// nearEnough is the entries of a caller's own failure domain that are
-	// enough for it: with one alone its loss would hit all of them.
-	nearEnough = 2
-	// maxAddresses bounds an answer.
+	// minLocalEntries is how many entries a caller's failure domain must have for an answer that
+	// lists only these: with a single entry, its failure would affect all callers of the domain.
+	minLocalEntries = 2
+	// maxAddresses limits the number of addresses in an answer.
 	maxAddresses = 64
 )
 
-// directory answers which entries a caller should use.
+// directory selects the entries that a caller should use.
 type directory struct {
 	state *site.State
 	self  site.Entry
 	id    string
-	// open reports whether this entry itself takes callers.
-	open func() bool
-	// keep returns how long callers should keep an answer.
-	keep func() time.Duration
+	// acceptsCallers reports whether this entry itself accepts callers.
+	acceptsCallers func() bool
+	// ttl returns how long callers may cache an answer.
+	ttl func() time.Duration
 }
 
-// choose returns the entries near the caller, or all where too few are near.
-func (d *directory) choose(place platform.Place) ([]string, time.Duration) {
+// selectAddresses returns the entries in the caller's failure domain, or all entries if the
+// domain has too few, and how long the answer may be cached.
+func (d *directory) selectAddresses(place platform.Place) ([]string, time.Duration) {
 	entries := d.state.Entries()
 	delete(entries, d.id)
-	if d.open() {
+	if d.acceptsCallers() {
 		entries[d.id] = d.self
 	}
-	var near, all []string
+	var local, all []string
 	for _, entry := range entries {
 		all = append(all, entry.CallersAddress)
 		if entry.FailureDomain == place.FailureDomain {
-			near = append(near, entry.CallersAddress)
+			local = append(local, entry.CallersAddress)
 		}
 	}
-	chosen := all
-	if len(near) >= nearEnough {
-		chosen = near
+	selected := all
+	if len(local) >= minLocalEntries {
+		selected = local
 	}
-	sort.Strings(chosen)
-	return chosen[:min(maxAddresses, len(chosen))], d.keep()
+	sort.Strings(selected)
+	return selected[:min(maxAddresses, len(selected))], d.ttl()
 }
--- a/entry/internal/onsite/quarantine_test.go
+++ b/entry/internal/onsite/quarantine_test.go
@@ -15,31 +15,32 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// deadly is the body of the request that ends each endpoint that begins to run it.
-const deadly = "deadly"
+// crashBody is the body of a request that crashes every endpoint that starts to run it.
+const crashBody = "deadly"
 
-// fleetOfEntries is entries of one deployment between a store and workers.
-type fleetOfEntries struct {
+// testFleet is the entries of one deployment, with a store and workers.
+type testFleet struct {
 	t       *testing.T
 	store   *platformtest.Store
 	url     string
 	workers []*platformtest.Worker
 	entries []*runningEntry
 
-	mu  sync.Mutex
-	ids int
+	mu            sync.Mutex
+	lastRequestID int
 }
 
-// runningEntry is one entry of the test's process.
+// runningEntry is an entry that runs in the test process.
 type runningEntry struct {
-	set  *wire.EntrySettings
+	cfg  *wire.EntrySettings
 	kill context.CancelFunc
 	done chan struct{}
 }
 
-func newFleetOfEntries(t *testing.T, entries, workers int, hold func(body []byte)) *fleetOfEntries {
+// newTestFleet starts the given numbers of entries and workers. hold blocks a worker's request until it returns; it may be nil.
+func newTestFleet(t *testing.T, entries, workers int, hold func(body []byte)) *testFleet {
 	t.Helper()
-	f := &fleetOfEntries{t: t, store: platformtest.NewStore()}
+	f := &testFleet{t: t, store: platformtest.NewStore()}
 	server := httptest.NewServer(f.store)
 	t.Cleanup(server.Close)
 	f.url = server.URL
@@ -54,15 +55,15 @@
 	})
 	for i := range workers {
 		id := fmt.Sprintf("i-%d", i)
-		one, err := platformtest.NewWorker(id, platformtest.Behaviour{
-			Crashes: func(body []byte) bool { return string(body) == deadly }, Hold: hold,
+		worker, err := platformtest.NewWorker(id, platformtest.Behaviour{
+			Crashes: func(body []byte) bool { return string(body) == crashBody }, Hold: hold,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(one.End)
-		f.workers = append(f.workers, one)
-		f.store.Put("servers/"+id, one.Registration("app", "d1", 4))
+		t.Cleanup(worker.End)
+		f.workers = append(f.workers, worker)
+		f.store.Put("servers/"+id, worker.Registration("app", "d1", 4))
 	}
 	for range entries {
 		f.start()
@@ -71,15 +72,15 @@
 }
 
 // start adds an entry and waits until it is ready.
-func (f *fleetOfEntries) start() *runningEntry {
+func (f *testFleet) start() *runningEntry {
 	f.t.Helper()
-	one := f.begin(f.settings(len(f.entries)))
-	f.await(one)
-	return one
+	started := f.startAsync(f.settings(len(f.entries)))
+	f.awaitReady(started)
+	return started
 }
 
-// settings returns those of an entry, which listens at addresses of its own.
-func (f *fleetOfEntries) settings(number int) *wire.EntrySettings {
+// settings returns the settings of an entry with its own addresses.
+func (f *testFleet) settings(number int) *wire.EntrySettings {
 	id := fmt.Sprintf("entry-%d", number)
 	return &wire.EntrySettings{
 		Node: &wire.NodeSettings{
@@ -93,45 +94,45 @@
 	}
 }
 
-// begin starts an entry.
-func (f *fleetOfEntries) begin(set *wire.EntrySettings) *runningEntry {
+// startAsync starts an entry without waiting until it is ready.
+func (f *testFleet) startAsync(cfg *wire.EntrySettings) *runningEntry {
 	ctx, kill := context.WithCancel(context.Background())
-	one := &runningEntry{set: set, kill: kill, done: make(chan struct{})}
+	started := &runningEntry{cfg: cfg, kill: kill, done: make(chan struct{})}
 	go func() {
-		defer close(one.done)
-		if err := Run(ctx, ctx, set, &lines{}); err != nil {
-			f.t.Errorf("%s ended: %v", set.GetNode().GetId(), err)
+		defer close(started.done)
+		if err := Run(ctx, ctx, cfg, &logBuffer{}); err != nil {
+			f.t.Errorf("%s ended: %v", cfg.GetNode().GetId(), err)
 		}
 	}()
-	f.t.Cleanup(func() { one.end() })
-	f.entries = append(f.entries, one)
-	return one
+	f.t.Cleanup(func() { started.stop() })
+	f.entries = append(f.entries, started)
+	return started
 }
 
-// await waits until an entry is ready.
-func (f *fleetOfEntries) await(one *runningEntry) {
+// awaitReady waits until an entry is ready.
+func (f *testFleet) awaitReady(entry *runningEntry) {
 	f.t.Helper()
-	eventually(f.t, one.set.GetNode().GetId()+" is ready", func() error {
-		return status("http://"+one.set.GetSite().GetReadyAddress()+"/ready", 200)
+	eventually(f.t, entry.cfg.GetNode().GetId()+" is ready", func() error {
+		return checkStatus("http://"+entry.cfg.GetSite().GetReadyAddress()+"/ready", 200)
 	})
 }
 
-// end stops the entry and waits until it is gone.
-func (e *runningEntry) end() {
+// stop stops the entry and waits until Run returns.
+func (e *runningEntry) stop() {
 	e.kill()
 	<-e.done
 }
 
-// send sends a request to an entry and returns the status; 0: the connection broke off.
-func (f *fleetOfEntries) send(to *runningEntry, body string) int {
+// send sends a request to an entry and returns the status, or 0 if the connection failed.
+func (f *testFleet) send(to *runningEntry, body string) int {
 	f.t.Helper()
-	req, err := http.NewRequest(http.MethodPost, "http://"+to.set.GetCallersAddress()+"/x/y", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+to.cfg.GetCallersAddress()+"/x/y", strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.mu.Lock()
-	f.ids++
-	id := fmt.Sprint("id-", f.ids)
+	f.lastRequestID++
+	id := fmt.Sprint("id-", f.lastRequestID)
 	f.mu.Unlock()
 	req.Host = "a.example"
 	req.Header.Set("X-Attempt-Id", id)
@@ -146,49 +147,49 @@
 	return resp.StatusCode
 }
 
-// seen returns how often a body reached workers.
-func (f *fleetOfEntries) seen(body string) int {
-	seen := 0
-	for _, one := range f.workers {
-		seen += one.Seen(body)
+// timesReceived returns how often workers received a body.
+func (f *testFleet) timesReceived(body string) int {
+	count := 0
+	for _, worker := range f.workers {
+		count += worker.Seen(body)
 	}
-	return seen
+	return count
 }
 
-// Symptom: engines end one after another under one customer's request, 54 in half a minute; a
-// third of what others ask meanwhile is late or lost. Sequence: it comes to an entry, which
-// sends it to two engines; both end as they begin to run it, and the caller gets 502. It comes
-// again under a new id, at any entry, and ends two more. Cause: an entry forgot a request with
-// its answer and received nothing of what others saw, so nobody knew that it had ended an engine.
-// Proof: with a stand-in that ends under one body, the tries at nine entries bear one
-// fingerprint and each ended two endpoints; with the ends counted by fingerprint and reported
-// through the store, none is sent after the third.
+// Guards against a request that crashes one engine after another because its retries are not
+// recognized. The entry sent it to two engines, both crashed as they started to run it, and the
+// caller got 502. The caller retried with a new ID at any entry, which crashed two more. Entries
+// forgot a request with its response and were not told what others saw. Under one customer's
+// request 54 engines crashed in half a minute, and a third of the other requests were late or
+// lost. In a test with a simulated engine that crashes on one body, the attempts at nine entries
+// had the same fingerprint and each crashed two endpoints; with crashes counted by fingerprint
+// and reported through the store, none was sent after the third crash.
 //
-// Here it comes to each of nine entries in turn. After three ends a moment is left in which
-// the entries may learn of them; then at most three sends more may happen, also at an entry
-// that is new, and though the entry that saw the first ends is gone.
+// The test sends the request to nine entries in turn. After three crashes the entries get time to
+// learn of them; then at most three more sends are allowed, including those by a new entry, even
+// though the entry that saw the first crashes is gone.
 func TestRequestThatEndsEndpointsIsStopped(t *testing.T) {
-	f := newFleetOfEntries(t, 9, 40, nil)
+	f := newTestFleet(t, 9, 40, nil)
 	first, second := f.entries[0], f.entries[1]
 	for _, to := range []*runningEntry{first, second} {
-		if got := f.send(to, deadly); got == http.StatusOK {
-			t.Fatalf("got %d for a request that ends what runs it", got)
+		if got := f.send(to, crashBody); got == http.StatusOK {
+			t.Fatalf("got %d for a request that crashes every endpoint", got)
 		}
 	}
-	if got := f.seen(deadly); got < 3 {
-		t.Fatalf("got %d sends by two entries, want the three ends that show what it does", got)
+	if got := f.timesReceived(crashBody); got < 3 {
+		t.Fatalf("got %d sends by two entries, want at least the three crashes that identify the request", got)
 	}
-	f.spread()
-	first.end()
+	f.awaitPropagation()
+	first.stop()
 	newcomer := f.start()
-	before := f.seen(deadly)
+	before := f.timesReceived(crashBody)
 	for _, to := range append(f.entries[1:9:9], newcomer) {
-		if got := f.send(to, deadly); got == http.StatusOK {
-			t.Errorf("got %d for a request that ends what runs it", got)
+		if got := f.send(to, crashBody); got == http.StatusOK {
+			t.Errorf("got %d for a request that crashes every endpoint", got)
 		}
 	}
-	if got, want := f.seen(deadly)-before, 3; got > want {
-		t.Errorf("got %d sends after three endpoints ended under it and all could know, want %d at most", got, want)
+	if got, want := f.timesReceived(crashBody)-before, 3; got > want {
+		t.Errorf("got %d sends after three crashes that all entries could know of, want %d at most", got, want)
 	}
 	for _, to := range append(f.entries[1:9:9], newcomer) {
 		if got := f.send(to, "harmless"); got != http.StatusOK {
@@ -197,54 +198,54 @@
 	}
 }
 
-// Symptom: what ran beside a request that ends endpoints is lost with it, or refused as if it
-// were to blame. Here requests are in progress at all endpoints when two of these end; each of
-// them is served, by another endpoint where its own ended.
-func TestWhatRanBesideIsServed(t *testing.T) {
-	const beside = 12
+// Guards against requests that are lost or rejected because they ran on the same endpoint as a
+// request that crashes endpoints. Requests are in progress at all endpoints when two of these
+// crash. Each request must succeed, on another endpoint if its own crashed.
+func TestConcurrentRequestsSurviveEndpointCrash(t *testing.T) {
+	const concurrent = 12
 	release := make(chan struct{})
-	f := newFleetOfEntries(t, 1, 6, func(body []byte) {
+	f := newTestFleet(t, 1, 6, func(body []byte) {
 		if strings.HasPrefix(string(body), "beside") {
 			<-release
 		}
 	})
 	var callers sync.WaitGroup
-	for i := range beside {
+	for i := range concurrent {
 		body := fmt.Sprintf("beside-%d", i)
 		callers.Go(func() {
 			if got := f.send(f.entries[0], body); got != http.StatusOK {
-				t.Errorf("got %d for %s, which ran beside what ends endpoints, want 200", got, body)
+				t.Errorf("got %d for %s, which ran concurrently with a crashing request, want 200", got, body)
 			}
 		})
 	}
 	inProgress := func() int {
 		count := 0
-		for i := range beside {
-			count += f.seen(fmt.Sprintf("beside-%d", i))
+		for i := range concurrent {
+			count += f.timesReceived(fmt.Sprintf("beside-%d", i))
 		}
 		return count
 	}
-	eventually(t, "all in progress", func() error {
-		if inProgress() < beside {
+	eventually(t, "all requests in progress", func() error {
+		if inProgress() < concurrent {
 			return errors.New("not yet")
 		}
 		return nil
 	})
-	f.send(f.entries[0], deadly)
-	broken := 0
-	for _, one := range f.workers {
-		if one.Ends() == 0 {
+	f.send(f.entries[0], crashBody)
+	interrupted := 0
+	for _, worker := range f.workers {
+		if worker.Ends() == 0 {
 			continue
 		}
-		for i := range beside {
-			broken += one.Seen(fmt.Sprintf("beside-%d", i))
+		for i := range concurrent {
+			interrupted += worker.Seen(fmt.Sprintf("beside-%d", i))
 		}
 	}
-	if broken == 0 {
-		t.Fatalf("got nothing in progress where endpoints ended, want some")
+	if interrupted == 0 {
+		t.Fatalf("got no request in progress on the crashed endpoints, want some")
 	}
-	eventually(t, "sent elsewhere", func() error {
-		if got, want := inProgress(), beside+broken; got < want {
+	eventually(t, "interrupted requests sent to other endpoints", func() error {
+		if got, want := inProgress(), concurrent+interrupted; got < want {
 			return fmt.Errorf("%d of %d", got, want)
 		}
 		return nil
@@ -253,11 +254,11 @@
 	callers.Wait()
 }
 
-// spread waits until what entries report to one another through the store has come to all: a mark
-// that was written after it is in force at each.
-func (f *fleetOfEntries) spread() {
+// awaitPropagation waits until the reports of entries have reached all entries through the store:
+// it changes the configuration after them and waits until that is in use at each entry.
+func (f *testFleet) awaitPropagation() {
 	f.t.Helper()
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	f.store.Put("op/config", map[string]any{
 		"version": 2,
 		"routes": []map[string]any{
@@ -269,9 +270,9 @@
 		"services": []map[string]any{{"name": "app"}},
 		"tenants":  []map[string]any{{"name": "deployment", "api_keys": []string{"key-1"}}},
 	})
-	for _, one := range f.entries {
-		eventually(f.t, "the mark is in force", func() error {
-			req, err := http.NewRequest(http.MethodPost, "http://"+one.set.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
+	for _, entry := range f.entries {
+		eventually(f.t, "the route of the new configuration is in use", func() error {
+			req, err := http.NewRequest(http.MethodPost, "http://"+entry.cfg.GetCallersAddress()+"/mark/", strings.NewReader("mark"))
 			if err != nil {
 				return err
 			}
@@ -291,6 +292,6 @@
 	}
 }
 
-// spreadTime is the least bound within which entries must have learned of an end: the
-// platform's time for contact.
-const spreadTime = 3 * time.Second
+// propagationTime is the minimum limit within which entries must learn of a crash: the platform's
+// time for contact.
+const propagationTime = 3 * time.Second
--- a/entry/internal/onsite/reporter_test.go
+++ b/entry/internal/onsite/reporter_test.go
@@ -22,15 +22,15 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// deadlyPrint is the fingerprint of a request under which endpoints ended.
-var deadlyPrint = quarantine.Of("customer", "POST", "host", "/deadly", nil)
+// crashFingerprint is the fingerprint of a request that crashed endpoints.
+var crashFingerprint = quarantine.Of("customer", "POST", "host", "/deadly", nil)
 
 func oneEntry() int { return 1 }
 
 func newTestReporter(t *testing.T) (*reporter, *platformtest.Store) {
 	t.Helper()
-	standIn := platformtest.NewStore()
-	server := httptest.NewServer(standIn)
+	kvStore := platformtest.NewStore()
+	server := httptest.NewServer(kvStore)
 	t.Cleanup(server.Close)
 	rep := newReporter(platform.NewStore(server.URL, storeClient()), platform.ReportPrefix("entry-1", "one"), oneEntry,
 		clockwork.NewRealClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -41,12 +41,12 @@
 		rep.run(ctx)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return rep, standIn
+	return rep, kvStore
 }
 
-// learned reports whether an entry that starts now learns from the store that the request is
-// held.
-func learned(store *kv.Store) error {
+// requestHeld returns nil if an entry that starts now reads from the store that the request is
+// quarantined.
+func requestHeld(store *kv.Store) error {
 	entries, err := store.List(context.Background(), "")
 	if err != nil {
 		return err
@@ -54,20 +54,21 @@
 	state := site.NewState(time.Now, fleet.New(time.Now), freshness.NewTracker(func() time.Duration { return 0 }))
 	mirror := site.NewMirror(state, platform.DecodeRecord, clockwork.NewRealClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	mirror.Reset(entries, 1)
-	if _, held := state.Ledger().Held(deadlyPrint); !held {
-		return fmt.Errorf("%d keys, not held", len(entries))
+	if _, held := state.Ledger().Held(crashFingerprint); !held {
+		return fmt.Errorf("%d keys, request not quarantined", len(entries))
 	}
 	return nil
 }
 
 func endReport(number int) site.Report {
 	return site.Report{Report: quarantine.Report{
-		End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", number)}, Suspects: []quarantine.Fingerprint{deadlyPrint},
+		End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", number)}, Suspects: []quarantine.Fingerprint{crashFingerprint},
 	}}
 }
 
-// An entry that starts later learns what others saw, whatever became of single calls: answers
-// that were lost, a store that was away, a lease that ended in an outage.
+// An entry that starts later learns what others observed even if single calls failed: responses
+// were lost or the store was unavailable. TestReportsAreWrittenAfterALeaseEnded covers a lease
+// that expired in an outage.
 func TestReportsReachEntriesThatStartLater(t *testing.T) {
 	for name, fault := range map[string]func(call int) platformtest.Fault{
 		"sound": func(int) platformtest.Fault { return platformtest.None },
@@ -97,7 +98,7 @@
 			for i := range 3 {
 				rep.publish(endReport(i))
 			}
-			eventually(t, "held at an entry that starts", func() error { return learned(rep.store) })
+			eventually(t, "request quarantined at a starting entry", func() error { return requestHeld(rep.store) })
 		})
 	}
 }
@@ -115,83 +116,83 @@
 	for i := range 3 {
 		rep.publish(endReport(i))
 	}
-	eventually(t, "held at an entry that starts", func() error { return learned(rep.store) })
+	eventually(t, "request quarantined at a starting entry", func() error { return requestHeld(rep.store) })
 }
 
-// Symptom: an entry that the store can't be reached by grows. Cause: its reports wait
-// without a bound.
-func TestReportsThatWaitAreBounded(t *testing.T) {
+// Guards against a queue of reports that grows without limit while an entry cannot reach the
+// store.
+func TestReportQueueIsBounded(t *testing.T) {
 	rep := newReporter(nil, "p/", oneEntry, clockwork.NewFakeClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for i := range 3 * maxUnsent {
+	for i := range 3 * maxQueued {
 		rep.publish(endReport(i))
 	}
-	if got := len(rep.waiting); got != maxUnsent {
-		t.Errorf("got %d reports that wait, want %d", got, maxUnsent)
+	if got := len(rep.queue); got != maxQueued {
+		t.Errorf("got %d queued reports, want %d", got, maxQueued)
 	}
-	if got, want := rep.waiting[maxUnsent-1].End.Endpoint, fmt.Sprintf("i-%d", 3*maxUnsent-1); got != want {
-		t.Errorf("got %s as the newest, want %s", got, want)
+	if got, want := rep.queue[maxQueued-1].End.Endpoint, fmt.Sprintf("i-%d", 3*maxQueued-1); got != want {
+		t.Errorf("got %s as the latest report, want %s", got, want)
 	}
 	written := 0
-	for batch := rep.next(); len(batch) > 0; batch = rep.next() {
+	for batch := rep.nextBatch(); len(batch) > 0; batch = rep.nextBatch() {
 		written += len(batch)
 	}
-	if written != maxUnsent {
-		t.Errorf("got %d reports in batches, want %d", written, maxUnsent)
+	if written != maxQueued {
+		t.Errorf("got %d reports in batches, want %d", written, maxQueued)
 	}
 }
 
-// Guards against reports that fill the store in a flood of ends: an entry that starts reads all
-// of them over the link that everything else uses.
-func TestReportsInTheStoreAreBounded(t *testing.T) {
-	const entries, flood = 98, 4000
+// Guards against reports that fill the store when many endpoints crash: an entry reads all of
+// them at startup, over a link that it shares with all other traffic.
+func TestStoredReportsAreBounded(t *testing.T) {
+	const entries, total = 98, 4000
 	standIn := platformtest.NewStore()
 	server := httptest.NewServer(standIn)
 	t.Cleanup(server.Close)
 	clock := clockwork.NewFakeClock()
 	rep := newReporter(platform.NewStore(server.URL, storeClient()), platform.ReportPrefix("entry-1", "one"),
 		func() int { return entries }, clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for sent := 0; sent < flood; {
+	for sent := 0; sent < total; {
 		for range 3 {
 			rep.publish(endReport(sent))
 			sent++
 		}
-		rep.bring(t.Context(), rep.next())
+		rep.writeBatch(t.Context(), rep.nextBatch())
 		rep.prune(t.Context())
-		clock.Advance(time.Second / writeRate)
+		clock.Advance(time.Second / maxWritesPerSecond)
 	}
-	// What is young stays, for entries that follow others.
-	most := max(maxBatch, maxKept/entries) + 3*writeRate*int(keepLeast/time.Second)
-	kept := 0
-	for _, one := range rep.kept {
-		kept += one.reports
+	// Keys younger than minKeyAge are not removed, so that they reach entries that follow others.
+	limit := max(maxBatchReports, maxStoredReports/entries) + 3*maxWritesPerSecond*int(minKeyAge/time.Second)
+	reports := 0
+	for _, stored := range rep.storedKeys {
+		reports += stored.reports
 	}
-	if got := len(standIn.Keys("comfrey/ends/")); kept > most || got != len(rep.kept) {
-		t.Errorf("got %d reports in %d keys, want %d at most in %d keys", kept, got, most, len(rep.kept))
+	if got := len(standIn.Keys("comfrey/ends/")); reports > limit || got != len(rep.storedKeys) {
+		t.Errorf("got %d reports in %d keys, want %d at most in %d keys", reports, got, limit, len(rep.storedKeys))
 	}
-	clock.Advance(keepLeast)
+	clock.Advance(minKeyAge)
 	rep.prune(t.Context())
-	if got, want := len(standIn.Keys("comfrey/ends/")), maxBatch; got > want {
+	if got, want := len(standIn.Keys("comfrey/ends/")), maxBatchReports; got > want {
 		t.Errorf("got %d keys after the flood, want %d at most", got, want)
 	}
-	if err := learned(rep.store); err != nil {
-		t.Errorf("got %v at an entry that starts, want the newest reports", err)
+	if err := requestHeld(rep.store); err != nil {
+		t.Errorf("got %v at a starting entry, want the latest reports", err)
 	}
 }
 
-// BenchmarkStartWithReports measures an entry that starts while 98 entries keep all the reports
-// that they may, of twelve requests each.
+// BenchmarkStartWithReports measures the startup of an entry when 98 entries store the maximum
+// number of reports, with twelve requests each.
 func BenchmarkStartWithReports(b *testing.B) {
 	const entries, requests = 98, 12
 	var stored []kv.Entry
 	size := 0
 	for entry := range entries {
 		var batch []site.Report
-		for i := range maxBatch {
-			one := site.Report{Report: quarantine.Report{End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", i), Born: 1796287200000}}}
+		for i := range maxBatchReports {
+			report := site.Report{Report: quarantine.Report{End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", i), Born: 1796287200000}}}
 			for j := range requests {
-				one.Suspects = append(one.Suspects, quarantine.Of("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
+				report.Suspects = append(report.Suspects, quarantine.Of("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
 			}
-			batch = append(batch, one)
+			batch = append(batch, report)
 		}
 		value, err := json.Marshal(batch)
 		if err != nil {
--- a/entry/internal/onsite/join_test.go
+++ b/entry/internal/onsite/startup_test.go
@@ -11,8 +11,8 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// wholeReadings counts the readings of everything from now on.
-func wholeReadings(store *platformtest.Store) *atomic.Int64 {
+// countFullReads counts the requests that read the entire store from now on.
+func countFullReads(store *platformtest.Store) *atomic.Int64 {
 	count := &atomic.Int64{}
 	store.SetFault(func(r *http.Request) platformtest.Fault {
 		query := r.URL.Query()
@@ -24,11 +24,11 @@
 	return count
 }
 
-// Guards against entries of a region that each read a large configuration over the same link
-// when they start.
-func TestEntryThatStartsIsBroughtWhatOthersKnow(t *testing.T) {
+// Guards against each starting entry of a region reading a large configuration over the same
+// link.
+func TestStartingEntryReadsFromOtherEntries(t *testing.T) {
 	const running, newcomers = 6, 3
-	f := newFleetOfEntries(t, running, 1, nil)
+	f := newTestFleet(t, running, 1, nil)
 	entries := map[string]site.Entry{}
 	for i := range running {
 		entries[fmt.Sprint("entry-", i)] = site.Entry{Region: "r", ControlAddress: "127.0.0.1:1"}
@@ -36,31 +36,31 @@
 	following := 0
 	for i := range newcomers {
 		id := fmt.Sprint("entry-", running+i)
-		eventually(t, "all are registered", func() error {
+		eventually(t, "all entries are registered", func() error {
 			if got := len(f.store.Keys(platform.EntryPrefix)); got < running+i {
 				return fmt.Errorf("%d of %d", got, running+i)
 			}
 			return nil
 		})
 		entries[id] = site.Entry{Region: "r", ControlAddress: "127.0.0.1:1"}
-		readings := wholeReadings(f.store)
+		readings := countFullReads(f.store)
 		f.start()
 		if len(site.Sources(id, "r", entries)) == 0 {
 			continue
 		}
 		following++
 		if got := readings.Load(); got > 0 {
-			t.Errorf("got %d readings of everything as %s starts, want none", got, id)
+			t.Errorf("got %d full reads of the store as %s starts, want none", got, id)
 		}
 	}
 	if following == 0 {
-		t.Fatalf("got no entry that follows others among %d", newcomers)
+		t.Fatalf("got no entry that follows others among %d new ones", newcomers)
 	}
 }
 
-// Guards against an entry that waits for others which are gone.
-func TestEntryThatIsBroughtNothingReadsTheStore(t *testing.T) {
-	f := newFleetOfEntries(t, 0, 1, nil)
+// Guards against an entry that waits for data from entries that are gone.
+func TestEntryReadsStoreWhenSourcesAreGone(t *testing.T) {
+	f := newTestFleet(t, 0, 1, nil)
 	entries := map[string]site.Entry{"entry-0": {Region: "r", ControlAddress: "127.0.0.1:1"}}
 	for i := range 12 {
 		entries[fmt.Sprint("former-", i)] = entries["entry-0"]
@@ -69,11 +69,11 @@
 		})
 	}
 	if len(site.Sources("entry-0", "r", entries)) == 0 {
-		t.Fatalf("got an entry that follows nobody, want another id")
+		t.Fatalf("got an entry without sources, want an ID that has some")
 	}
-	readings := wholeReadings(f.store)
+	readings := countFullReads(f.store)
 	f.start()
 	if got := readings.Load(); got == 0 {
-		t.Errorf("got a ready entry without a reading of the store")
+		t.Errorf("got a ready entry without a full read of the store")
 	}
 }
