--- a/relay/document/bench_test.go
+++ b/relay/document/bench_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// BenchmarkParseHostile holds the most costly bodies known, as large as allowed.
+// BenchmarkParseHostile parses the most expensive inputs known, at the maximum
+// allowed size.
 func BenchmarkParseHostile(b *testing.B) {
 	for name, piece := range map[string]string{"wrongItems": "1,", "numbers": "1e30,", "emptyObjects": "{},", "nested": "[[[[1]]]],"} {
 		const mostValues = 99_000
--- a/relay/document/check.go
+++ b/relay/document/check.go
@@ -11,14 +11,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Bounds of the deadlines.
+// Allowed range of the deadlines.
 const (
 	minDeadline = 10 * time.Millisecond
 	maxDeadline = time.Hour
 )
 
-// Check returns what is wrong in the meaning of a document that keeps to the
-// schema, every problem at once.
+// Check runs the semantic checks on a document that conforms to the schema and
+// returns all problems at once.
 func Check(doc *wire.Document) []Problem {
 	return check(doc, nil)
 }
@@ -38,10 +38,11 @@
 	return schema.Sort(check.found)
 }
 
-// checking collects the problems of one document.
+// checking collects the problems that the semantic checks find in a document.
 type checking struct {
 	doc *wire.Document
-	// Problems that the schema reported; what they touch was taken out of doc.
+	// Problems that the schema check reported. The values at their paths were
+	// removed from doc.
 	known []Problem
 	found []Problem
 	// Names of the customers in doc.
@@ -52,7 +53,7 @@
 	c.found = append(c.found, schema.NewProblem(schema.Pointer(tokens...), message, remedy))
 }
 
-// named is any item of a list that has a name.
+// named is a list item with a name.
 type named interface{ GetName() string }
 
 func uniqueNames[T named](c *checking, items []T, holder ...string) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// keys refuses a key that names two holders: a caller's customer, and an
-// operator's name in the audit trail, must be certain.
+// keys reports a key that belongs to two holders: a key must identify exactly one
+// customer, or one operator for the audit trail.
 func (c *checking) keys() {
 	holders := map[string]string{}
 	for i, customer := range c.doc.GetCustomers() {
@@ -187,9 +188,9 @@
 	}
 }
 
-// endpoints refuses classes on which a call that is not repeatable could never
-// be distinguished from one that ran: after any refusal its outcome would stay
-// unknown.
+// endpoints reports classes whose calls are not repeatable and whose refusals do
+// not prove that the call was not run: after any refusal, the outcome of the call
+// would remain unknown.
 func (c *checking) endpoints() {
 	for i, class := range c.doc.GetEndpoints() {
 		if class.GetCallsRepeatable() || class.GetRefusesBeforeRun() || class.GetKind() == "" {
--- a/relay/document/deadlines.go
+++ b/relay/document/deadlines.go
@@ -8,24 +8,24 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Deadlines in force where the document gives none.
+// Deadlines that apply if the document sets none.
 const (
 	defaultRequest = 30 * time.Second
 	defaultMax     = 5 * time.Minute
 	defaultDrain   = time.Minute
 )
 
-// DefaultRequest returns the deadline of requests that name none.
+// DefaultRequest returns the deadline of requests that specify none.
 func DefaultRequest(doc *wire.Document) time.Duration {
 	return lengthOr(doc.GetDeadlines().GetDefaultRequest(), defaultRequest)
 }
 
-// MaxRequest returns the longest deadline that a request may name.
+// MaxRequest returns the longest deadline that a request may specify.
 func MaxRequest(doc *wire.Document) time.Duration {
 	return lengthOr(doc.GetDeadlines().GetMaxRequest(), defaultMax)
 }
 
-// DrainTimeout returns how long a drained host may take to finish its work.
+// DrainTimeout returns how long a draining host may take to finish its work.
 func DrainTimeout(doc *wire.Document) time.Duration {
 	return lengthOr(doc.GetDeadlines().GetDrain(), defaultDrain)
 }
--- a/relay/document/diff.go
+++ b/relay/document/diff.go
@@ -14,14 +14,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Names of the fields that identify the items of a list.
+// itemKeys are the fields that identify the items of a list.
 var itemKeys = []protoreflect.Name{"name", "failure_domain"}
 
 const keyHashesField = "key_hashes"
 
-// Diff returns the changes from a to b, ordered by path. Either may be nil.
-// Items of lists go by their names, values of plain lists by themselves; key
-// hashes are shortened.
+// Diff returns the changes from a to b, sorted by path. Either may be nil. List
+// items are matched by name and scalar list elements by value. Key hashes are
+// shortened.
 func Diff(a, b *wire.Document) []*wire.Change {
 	d := &differ{}
 	d.messages("", Canonical(orEmpty(a)).ProtoReflect(), Canonical(orEmpty(b)).ProtoReflect())
@@ -74,7 +74,7 @@
 	d.add(path, fieldText(a, field), fieldText(b, field))
 }
 
-// fieldText returns a field's value as JSON text, empty where it is not set.
+// fieldText returns a field's value as JSON text, or "" if it is not set.
 func fieldText(holder protoreflect.Message, field protoreflect.FieldDescriptor) string {
 	if !holder.Has(field) {
 		return ""
@@ -148,7 +148,7 @@
 	return values
 }
 
-// itemText returns a whole item with its key hashes shortened.
+// itemText returns a list item as JSON text with its key hashes shortened.
 func itemText(item protoreflect.Message) string {
 	dup := proto.Clone(item.Interface()).ProtoReflect()
 	if field := dup.Descriptor().Fields().ByName(keyHashesField); field != nil {
--- a/relay/document/document.go
+++ b/relay/document/document.go
@@ -1,5 +1,5 @@
-// Package document reads, checks, compares, splits and joins the operators'
-// document: the entire desired state of one deployment.
+// Package document parses, validates, compares, splits and joins the operators'
+// document, which holds the entire desired state of one deployment.
 package document
 
 import (
@@ -14,8 +14,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// MaxBytes bounds a document's JSON text. It leaves room for the rest of a
-// submission, which entries bound at 2 MiB.
+// MaxBytes is the maximum size of a document's JSON text. Entries limit a whole
+// submission to 2 MiB; the difference is reserved for its other fields.
 const MaxBytes = 2<<20 - 16<<10
 
 // Values of the document's enumerations.
@@ -34,20 +34,20 @@
 
 var checker = schema.MustCompile("document.schema.json", schemaText)
 
-// Problem is one thing wrong in a document.
+// Problem is a validation error in a document.
 type Problem = schema.Problem
 
-// Schema returns the JSON schema's text; the caller does not change it.
+// Schema returns the text of the JSON schema. The caller must not modify it.
 func Schema() []byte { return schemaText }
 
-// Describe returns what the schema says of a path: a JSON pointer, or keys
-// joined by dots.
+// Describe returns the schema's description of the field at a path, which is a
+// JSON pointer or a list of keys joined by dots.
 func Describe(path string) (schema.Field, bool) {
 	return checker.Describe(schema.PathTokens(path))
 }
 
-// Parse reads a document's JSON text and returns every problem at once. The
-// document is nil where there are problems.
+// Parse decodes and validates a document's JSON text and returns all problems at
+// once. The document is nil if there are any problems.
 func Parse(text []byte) (*wire.Document, []Problem) {
 	if len(text) > MaxBytes {
 		return nil, []Problem{schema.NewProblem("", fmt.Sprintf("the document has %d bytes, more than %d", len(text), MaxBytes),
@@ -64,8 +64,9 @@
 	return nil, schema.Sort(append(problems, checkRest(tree, problems)...))
 }
 
-// parseClean reads a text that keeps to the schema. It decodes the text and
-// not the tree, so that a key given twice is refused and not half ignored.
+// parseClean decodes a text that conforms to the schema. It decodes the text
+// instead of the parsed tree, so that a duplicate key is rejected; the tree keeps
+// only one of the two values.
 func parseClean(text []byte) (*wire.Document, []Problem) {
 	doc := &wire.Document{}
 	if err := protojson.Unmarshal(text, doc); err != nil {
@@ -78,8 +79,8 @@
 	return doc, nil
 }
 
-// checkRest checks the meaning of what the schema left unharmed, so that the
-// operator sees all problems in one go.
+// checkRest runs the semantic checks on the values in which the schema found no
+// problem, so that the operator sees all problems at once.
 func checkRest(tree any, known []Problem) []Problem {
 	checker.Prune(tree, known)
 	text, err := json.Marshal(tree)
@@ -99,16 +100,16 @@
 	return rest
 }
 
-// Format returns the document's JSON text, indented, the same for the same
-// document everywhere.
+// Format returns the document as indented JSON. The output is deterministic
+// across processes and builds.
 func Format(doc *wire.Document) []byte {
 	text, err := protojson.Marshal(doc)
 	if err != nil {
-		// Only text that is not UTF-8 fails here, and Parse lets none in.
+		// Marshal fails only on invalid UTF-8, which Parse rejects.
 		return []byte("{}\n")
 	}
 	var out bytes.Buffer
-	// protojson varies its white space on purpose between builds of a program.
+	// protojson deliberately varies its white space between builds.
 	if err := json.Indent(&out, text, "", "  "); err != nil {
 		return []byte("{}\n")
 	}
--- a/relay/document/document_test.go
+++ b/relay/document/document_test.go
@@ -17,10 +17,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// TestScripts replays testdata/*.txt. Commands: "parse" checks the input;
-// "edit" sets the example's values by lines "<pointer> <JSON>" ("-" deletes)
-// and checks the result; "hosts" checks the edited example against counts;
-// "diff" shows the changes that the edits make.
+// TestScripts runs testdata/scripts/*.txt. "parse" validates the input. "edit"
+// changes the example by lines of the form "<pointer> <JSON>" ("-" deletes) and
+// validates the result. "hosts" checks the edited example against host counts.
+// "diff" prints the changes that the edits make.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -68,8 +68,8 @@
 	return out.String()
 }
 
-// edited returns the example with values set by pointer; "-" as a list's last
-// token appends.
+// edited returns the example with the values at the given pointers replaced. The
+// token "-" appends to a list.
 func edited(t *testing.T, input string) []byte {
 	t.Helper()
 	tree, problems := schema.ParseTree(document.Format(document.Example()))
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestSchemaKnowsEveryField fails where a wire field was added and the schema
-// was forgotten: the document could not use it.
+// TestSchemaKnowsEveryField fails if a wire field is missing from the schema,
+// because a document could not set it.
 func TestSchemaKnowsEveryField(t *testing.T) {
 	full := document.Example()
 	full.Models[0].Adapters = []*wire.Adapter{{Name: "notes", Version: full.Models[0].Version, BaseVersion: full.Models[0].Version}}
--- a/relay/document/endpoint.go
+++ b/relay/document/endpoint.go
@@ -3,8 +3,8 @@
 import "comfreyrelay.example/relay/wire"
 
 // IsEngine reports whether the host's endpoint is a model engine. Hosts of plain
-// services and bridges load no models; an endpoint that the document does not
-// name counts as an engine.
+// services and bridges load no models. An endpoint that is not in the document
+// counts as an engine.
 func IsEngine(doc *wire.Document, report *wire.HostReport) bool {
 	if report.GetService() != "" {
 		return false
--- a/relay/document/example.go
+++ b/relay/document/example.go
@@ -8,14 +8,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Bearer keys of the example's holders; anyone can read them here, so that
-// they are for tests and demonstrations only.
+// Bearer keys in the example document. They are public and therefore only for
+// tests and demonstrations.
 const (
 	ExampleOperatorKey = "example-operator-key"
 	ExampleCustomerKey = "example-customer-key"
 )
 
-// exampleVersion stands where an operator puts the hash of a manifest.
+// exampleVersion is a placeholder for the hash of a manifest.
 const exampleVersion = "0000000000000000000000000000000000000000000000000000000000000000"
 
 // Example returns a small valid document.
--- a/relay/document/fuzz_test.go
+++ b/relay/document/fuzz_test.go
@@ -11,8 +11,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// FuzzParse feeds any text as a document: it is refused with problems, each
-// with a remedy, or survives formatting, splitting and joining unchanged.
+// FuzzParse parses arbitrary text. It must be rejected with problems that each
+// have a remedy, or be unchanged after formatting, splitting and joining.
 func FuzzParse(f *testing.F) {
 	f.Add(document.Format(document.Example()))
 	f.Add([]byte(`{"objective":"cheap","originCopies":9,"models":[{"name":"a"},null,"b"],"operators":[]}`))
@@ -38,8 +38,8 @@
 	})
 }
 
-// checkPath wants the value that a problem names, or at least what holds it, to
-// be in the text: an operator looks there.
+// checkPath checks that the value at a problem's path, or at least its parent, is
+// in the text, where the operator looks for it.
 func checkPath(t *testing.T, text []byte, path string) {
 	t.Helper()
 	if path == "" {
@@ -73,8 +73,8 @@
 	}
 }
 
-// FuzzJoin feeds any bytes as a part and any root: neither panics, and no
-// byte that does not match its hash gets into a document.
+// FuzzJoin joins arbitrary roots and part contents. Join must not panic or accept
+// content that does not match its hash.
 func FuzzJoin(f *testing.F) {
 	parts := document.Split(document.Example())
 	root, err := proto.Marshal(rootOf(parts))
--- a/relay/document/hosts.go
+++ b/relay/document/hosts.go
@@ -8,9 +8,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// CheckAgainstHosts returns the replicas for which there are not enough
-// engine hosts. The counts are of hosts known by failure domain; a host
-// serves one model. Without any count nothing is known and nothing is wrong.
+// CheckAgainstHosts reports the replicas for which there are not enough engine
+// hosts. countByDomain holds the number of known hosts by failure domain; a host
+// serves one model. If countByDomain is empty, no hosts are known yet and nothing
+// is reported.
 func CheckAgainstHosts(doc *wire.Document, countByDomain map[string]int) []Problem {
 	if len(countByDomain) == 0 {
 		return nil
--- a/relay/document/join.go
+++ b/relay/document/join.go
@@ -9,12 +9,13 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// maxParts bounds what a root may list: the sections and the shards.
+// maxParts is the maximum number of parts in a root: the unsharded sections and
+// all shards of the two sharded ones.
 const maxParts = 4 + 2*maxShards
 
-// Join puts a document together from its parts. get returns a part's bytes by
-// hash, nil where they are not there. Every part is verified, so that a wrong
-// or cut part is noticed before any of it comes into force.
+// Join assembles a document from its parts. get returns the content of the part
+// with the given hash, or nil if it is not available. Join verifies the hash of
+// every part, so that a corrupt or truncated part is never applied.
 func Join(root *wire.Root, get func(hash string) []byte) (*wire.Document, error) {
 	if len(root.GetParts()) > maxParts {
 		return nil, failure.New(failure.Corrupt, fmt.Sprintf("revision %d lists %d parts, more than %d",
@@ -33,7 +34,7 @@
 	return Canonical(doc), nil
 }
 
-// mergeByName puts together what several parts say of one item.
+// mergeByName merges the items that have the same name in several parts.
 func mergeByName[T interface {
 	named
 	proto.Message
@@ -63,8 +64,8 @@
 	return piece, nil
 }
 
-// Missing returns the hashes of the root's parts for which have returns false,
-// in order and each once.
+// Missing returns the hashes of the root's parts for which have returns false, in
+// the root's order and without duplicates.
 func Missing(root *wire.Root, have func(hash string) bool) []string {
 	var hashes []string
 	seen := map[string]bool{}
--- a/relay/document/key.go
+++ b/relay/document/key.go
@@ -5,11 +5,11 @@
 	"encoding/hex"
 )
 
-// shortDigits is how much of a hash people are shown.
+// shortDigits is the number of hash digits shown in messages and diffs.
 const shortDigits = 12
 
-// KeyHash returns the form in which the document holds a bearer key: its
-// SHA-256, hexadecimal.
+// KeyHash returns the SHA-256 hash of a bearer key in hexadecimal, which the
+// document stores instead of the key.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/relay/document/split.go
+++ b/relay/document/split.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	// MaxPartBytes bounds a part well under the store's limit of 1 MiB.
+	// MaxPartBytes is the maximum size of a part, well below the store's limit of
+	// 1 MiB.
 	MaxPartBytes = 512 << 10
-	// maxShards bounds the root, which lists every part.
+	// maxShards limits the shards of a section and thus the size of the root, which
+	// lists every part.
 	maxShards = 256
 )
 
-// Sections of the stored document; models and customers are in shards behind a
-// slash.
+// Sections of the stored document. Models and customers are sharded; the shard
+// number follows the section name after a slash.
 const (
 	sectionHead      = "head"
 	sectionModels    = "models"
@@ -32,24 +34,24 @@
 	sectionCustomers = "customers"
 )
 
-// PartBytes is one piece of a document with its content.
+// PartBytes is a part of a document together with its encoded content.
 type PartBytes struct {
 	part  *wire.Part
-	bytes []byte // their BLAKE3 is the part's hash
+	bytes []byte // BLAKE3 of these is the part's hash
 }
 
-// Part returns the name, hash and size.
+// Part returns the part's name, hash and size.
 func (p PartBytes) Part() *wire.Part { return p.part }
 
-// Bytes returns the content; the caller does not change it.
+// Bytes returns the encoded content. The caller must not modify it.
 func (p PartBytes) Bytes() []byte { return p.bytes }
 
-// Canonical returns a copy with all lists in order of their names. Two
-// documents that mean the same have the same canonical form.
+// Canonical returns a copy with all lists sorted by name. Equivalent documents
+// have the same canonical form.
 func Canonical(doc *wire.Document) *wire.Document {
 	dup := proto.CloneOf(doc)
 	if proto.Size(dup.GetDeadlines()) == 0 {
-		dup.Deadlines = nil // an empty object means the same as none
+		dup.Deadlines = nil // an empty object is equivalent to an absent one
 	}
 	sortByName(dup.GetModels())
 	sortByName(dup.GetCustomers())
@@ -79,14 +81,15 @@
 	slices.SortFunc(items, func(a, b T) int { return cmp.Compare(a.GetName(), b.GetName()) })
 }
 
-// Split cuts a document into parts, ordered by name. What changes often moves
-// little: models and customers are sharded by the hash of their names, into
-// about as many shards as each shard has members, which keeps the sum of root
-// and changed part small. Who may use a model or service stands in the
-// customers' shards, so that a new version does not move long lists of names.
+// Split divides a document into parts, sorted by name, so that a frequent change
+// transfers few bytes. Models and customers are sharded by the hash of their
+// names. The number of shards is close to the number of members in each, which
+// keeps the total size of the root and one changed part small. The customers
+// allowed to use a model or service are stored in the customers' shards, so that
+// a new model version does not transfer long lists of names.
 func Split(doc *wire.Document) []PartBytes {
 	whole := Canonical(doc)
-	customers := splitCustomers(whole) // before the lists of names are cut off
+	customers := splitCustomers(whole) // before withoutCustomers clears the lists
 	parts := []PartBytes{
 		makePart(sectionHead, &wire.Document{
 			Schema: whole.GetSchema(), Objective: whole.GetObjective(),
@@ -98,14 +101,14 @@
 	}
 	parts = append(parts, makeShards(sectionModels, splitModels(whole.GetModels()))...)
 	parts = append(parts, makeShards(sectionCustomers, customers)...)
-	// An empty part says nothing, and between processes its content would look
-	// like one that the sender lacks: the document would never be assembled.
+	// Omit empty parts: a process that fetches a part from another one reads empty
+	// content as "not found", so it could never assemble the document.
 	parts = slices.DeleteFunc(parts, func(p PartBytes) bool { return len(p.bytes) == 0 })
 	slices.SortFunc(parts, func(a, b PartBytes) int { return cmp.Compare(a.part.GetName(), b.part.GetName()) })
 	return parts
 }
 
-// newShards returns as many empty pieces as the count of members asks for.
+// newShards returns the empty shards for the given number of members.
 func newShards(members int) []*wire.Document {
 	shards := make([]*wire.Document, shardCount(members))
 	for i := range shards {
@@ -127,8 +130,8 @@
 	return shards
 }
 
-// withoutCustomers cuts the lists of customers off the items, which belong to
-// the caller.
+// withoutCustomers clears the customer lists of the items in place and returns
+// the items.
 func withoutCustomers[T interface {
 	*wire.Model | *wire.Service
 	proto.Message
@@ -161,8 +164,8 @@
 	return shards
 }
 
-// allow merges an item into the last one where that has its name, else appends
-// it.
+// allow merges item into the last element if their names are equal and appends
+// it otherwise.
 func allow[T interface {
 	named
 	proto.Message
@@ -174,7 +177,8 @@
 	return append(items, item)
 }
 
-// shardCount returns the power of two whose square reaches the members.
+// shardCount returns the smallest power of two whose square is at least members,
+// at most maxShards.
 func shardCount(members int) int {
 	count := 1
 	for count*count < members && count < maxShards {
@@ -192,7 +196,7 @@
 }
 
 func makePart(name string, piece *wire.Document) PartBytes {
-	// Marshal fails only for text that is not UTF-8; Parse lets none in.
+	// Marshal fails only on invalid UTF-8, which Parse rejects.
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(piece)
 	if err != nil {
 		panic("document: " + name + " cannot be encoded: " + err.Error())
@@ -203,14 +207,14 @@
 	}
 }
 
-// HashBytes returns the BLAKE3 of a part's bytes, hexadecimal.
+// HashBytes returns the BLAKE3 hash of a part's content in hexadecimal.
 func HashBytes(content []byte) string {
 	sum := blake3.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// ContentHash returns the hash of the whole content: equal for two documents
-// exactly where they mean the same.
+// ContentHash returns a hash over all parts. Two documents have the same hash if
+// and only if they are equivalent.
 func ContentHash(parts []*wire.Part) string {
 	sorted := slices.SortedFunc(slices.Values(parts), func(a, b *wire.Part) int {
 		return cmp.Compare(a.GetName(), b.GetName())
@@ -222,7 +226,7 @@
 	return HashBytes([]byte(list.String()))
 }
 
-// Parts returns the names, hashes and sizes for a root.
+// Parts returns the names, hashes and sizes of the parts, as a root lists them.
 func Parts(pieces []PartBytes) []*wire.Part {
 	parts := make([]*wire.Part, len(pieces))
 	for i, piece := range pieces {
--- a/relay/document/split_test.go
+++ b/relay/document/split_test.go
@@ -24,7 +24,7 @@
 	return doc
 }
 
-// store keeps parts by hash.
+// store holds the contents of parts by hash.
 type store map[string][]byte
 
 func (s store) put(parts []document.PartBytes) {
@@ -39,8 +39,8 @@
 	return &wire.Root{Revision: 1, Parts: document.Parts(parts)}
 }
 
-// changeBytes bounds what one change may bring to a node: 66,000 changes a day
-// at 7 KB/s leave about 9 KB for each.
+// changeBytes is the maximum number of bytes that one change may transfer to a
+// node: 66,000 changes a day at 7 KB/s allow about 9 KB each.
 const changeBytes = 9 << 10
 
 func TestOneChangeMovesOneSmallPart(t *testing.T) {
@@ -86,9 +86,9 @@
 	}
 }
 
-// Symptom: a process would serve a mix of two documents. Events: a peer sends
-// part bytes that were cut or changed on the way. Cause: bytes taken without a
-// look at their hash.
+// Guards against a process serving a mix of two documents: a peer sends part
+// content that was truncated or changed in transit, and Join accepts it without
+// verifying its hash.
 func TestJoinRefusesWrongBytes(t *testing.T) {
 	parts := document.Split(document.Example())
 	have := store{}
@@ -149,10 +149,10 @@
 	})
 }
 
-// Symptom: no host of a deployment without services ever learns of its document.
-// Sequence: the empty section of services becomes a part without bytes; a
-// process asks another for it and gets what also means "I lack it", for ever.
-// Cause: empty parts were stored and listed.
+// Guards against hosts of a deployment without services never receiving the
+// document: if Split stored and listed an empty services section, a process that
+// requests this part would get empty content, which also means "not found", and
+// would request it forever.
 func TestSplitMakesNoEmptyPart(t *testing.T) {
 	doc := &wire.Document{Objective: "time", Operators: []*wire.Operator{{Name: "console"}}}
 	for i := range 30 {
