--- a/relay/document/check.go
+++ b/relay/document/check.go
@@ -151,8 +151,9 @@
 	}
 }
 
-// customers checks references; it holds back where a customer's own name is
-// missing, because the reference may mean that one.
+// customers reports names of customers that are not in the document. It reports
+// nothing if the name of a customer is missing or if the list of customers has
+// problems, because the reference may mean one of those.
 func (c *checking) customers(names []string, list, at string) {
 	if c.customerNames[""] || schema.Covers(c.known, "/customers") {
 		return
