--- a/relay/catalog/catalog.go
+++ b/relay/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what operators declared: routes, services, customers
-// and limits, in one immutable Catalog a version.
+// Package catalog holds the configuration that operators declare: routes,
+// services, customers and limits. Each version is an immutable Catalog.
 package catalog
 
 import (
@@ -11,40 +11,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what may be repeated of a request.
+// Kind defines whether a request may be run again after a failure.
 type Kind int
 
-// The kinds.
+// Kinds of requests.
 const (
-	// Once: at most one endpoint runs it.
+	// Once requests run on at most one endpoint.
 	Once Kind = iota
-	// Idempotent requests may run again.
+	// Idempotent requests may run again on another endpoint.
 	Idempotent
-	// Stream requests are answered event by event and run once, unless the
-	// route says that they may be resumed.
+	// Stream requests are answered with a stream of events. They run once, unless
+	// the route is resumable.
 	Stream
 )
 
-// Share is a service's part of a route's requests.
+// Share is the weight with which a route sends requests to a service.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route sends the requests of a host name and path prefix to services. It is
-// not changed once it is part of a Catalog.
+// Route maps a host name and a path prefix to services. It must not be modified
+// once it is part of a Catalog.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Resumable streams may go on at another endpoint after the last event.
+	// Resumable streams may continue on another endpoint after the last event.
 	Resumable   bool
-	Timeout     time.Duration // longest time that a caller is kept waiting
-	Target      time.Duration // latency worth the full price; to the first event of a stream
-	Gap         time.Duration // longest pause between events that is in time
-	Priority    int           // 0 first
-	MaxAttempts int           // endpoints that one request may run on
+	Timeout     time.Duration // maximum time that a caller waits
+	Target      time.Duration // latency up to which the full price is paid; of a stream, to its first event
+	Gap         time.Duration // maximum time between two events of a stream that still counts as on time
+	Priority    int           // 0 is the highest
+	MaxAttempts int           // maximum endpoints that one request may run on
 	Public      bool          // needs no key
 	Shares      []Share       // never empty
 }
@@ -55,7 +55,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service for a request: always the same for one id.
+// Service selects a service for a request by weight. The result is the same for
+// equal ids.
 func (r *Route) Service(id string) string {
 	total := 0
 	for _, share := range r.Shares {
@@ -74,20 +75,20 @@
 	return r.Shares[0].Service
 }
 
-// Engine describes the model engines of a service; see the engine package for
-// how they work.
+// Engine holds the performance parameters of a service's model engines; package
+// engine documents the model that uses them.
 type Engine struct {
-	Slots         int     // requests at once
-	Stride        int     // steps of a pass with writers
-	StepMillis    float64 // of one token step
-	PerSeqMillis  float64 // more for each writing request
-	ContextMillis float64 // more for each 1,000 tokens of context and request
-	ReadPerSecond float64 // prompt tokens
-	PairMillis    float64 // more for each million pairs of tokens
-	ChunkTokens   int     // prompt tokens read in a step at most
-	UsualPrompt   int     // mean prompt, tokens
-	UsualAnswer   int     // mean answer, tokens
-	Chunks        int     // of one version's weights
+	Slots         int     // concurrent requests
+	Stride        int     // token steps per pass while requests generate tokens
+	StepMillis    float64 // duration of one token step
+	PerSeqMillis  float64 // added for each request that generates tokens
+	ContextMillis float64 // added for each 1,000 context tokens of each request
+	ReadPerSecond float64 // prompt tokens processed per second
+	PairMillis    float64 // added for each million pairs of tokens
+	ChunkTokens   int     // maximum prompt tokens processed in a step
+	UsualPrompt   int     // mean prompt length in tokens
+	UsualAnswer   int     // mean answer length in tokens
+	Chunks        int     // chunks of one version's weights
 	ChunkBytes    int
 	Loads         map[string]time.Duration // time to load a model
 }
@@ -97,20 +98,20 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int     // connections of all callers together, each endpoint
-	Engine     *Engine // nil: a plain service
-	Origin     string  // "IP:PORT" where this is the origin of weights, else empty
-	OriginRate float64 // of the origin's link, bytes a second; 0: unknown
+	MaxConns   int     // maximum connections to each endpoint, over all callers
+	Engine     *Engine // nil for a plain service
+	Origin     string  // "IP:PORT" if this is the origin of weights, else empty
+	OriginRate float64 // bandwidth of the origin's link in bytes per second; 0 if unknown
 }
 
-// Customer is a party whose keys open the routes.
+// Customer is a tenant whose keys authorize requests.
 type Customer struct {
 	Name     string
 	Keys     []string
-	Priority int // goes before the route's
+	Priority int // takes precedence over the route's priority
 }
 
-// Limits bound what a caller may send.
+// Limits are the size and time limits of callers' requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
@@ -118,7 +119,7 @@
 	IdleTime    time.Duration
 }
 
-// Spec is what a Catalog is made of.
+// Spec is the input from which New builds a Catalog.
 type Spec struct {
 	Version   uint64
 	Routes    []Route
@@ -135,10 +136,11 @@
 	customers map[string]*Customer // by key
 	limits    Limits
 	keyed     bool            // requests need a customer's key
-	fixed     map[string]bool // services with a stream that can't go on elsewhere
+	fixed     map[string]bool // services with a route that is not repeatable
 }
 
-// New indexes a spec; it keeps the spec's slices.
+// New builds a Catalog from spec. The Catalog retains the spec's slices, which the
+// caller must not modify.
 func New(spec Spec) *Catalog {
 	cat := &Catalog{
 		version:   spec.Version,
@@ -172,14 +174,14 @@
 	return cat
 }
 
-// Version returns the operators' number of this version.
+// Version returns the version number that the operators assigned.
 func (c *Catalog) Version() uint64 { return c.version }
 
-// Limits returns what a caller may send.
+// Limits returns the limits of callers' requests.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// Match returns the route of a request: of those with the host name, the one
-// with the longest prefix that begins the path.
+// Match returns the route for a request: among the routes of the host name, the
+// one with the longest prefix of the path.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
 	for _, route := range c.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -189,7 +191,7 @@
 	return nil, false
 }
 
-// hostName drops the port and folds case.
+// hostName removes the port and converts to lower case.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -197,26 +199,26 @@
 	return strings.ToLower(host)
 }
 
-// Service returns a declared service.
+// Service returns the service with the given name.
 func (c *Catalog) Service(name string) (*Service, bool) {
 	svc, ok := c.services[name]
 	return svc, ok
 }
 
-// Resumable reports whether everything that a service runs may go on at another
-// endpoint.
+// Resumable reports whether all requests that a service runs may continue on
+// another endpoint.
 func (c *Catalog) Resumable(service string) bool { return !c.fixed[service] }
 
-// Services calls visit for each service.
+// Services calls visit for each service, in no particular order.
 func (c *Catalog) Services(visit func(*Service)) {
 	for _, svc := range c.services {
 		visit(svc)
 	}
 }
 
-// Origin returns the address of the origin of weights and the rate of its link,
-// bytes a second, 0 where that is unknown; the address is empty where there is no
-// origin.
+// Origin returns the address of the origin of weights and the bandwidth of its
+// link in bytes per second, which is 0 if unknown. The address is empty if there
+// is no origin.
 func (c *Catalog) Origin() (address string, rate float64) {
 	for _, svc := range c.services {
 		if svc.Origin != "" {
@@ -229,7 +231,7 @@
 // Keyed reports whether a request on the route needs a customer's key.
 func (c *Catalog) Keyed(route *Route) bool { return c.keyed && !route.Public }
 
-// Customer returns the holder of a key.
+// Customer returns the customer that a key belongs to.
 func (c *Catalog) Customer(key string) (*Customer, bool) {
 	customer, ok := c.customers[key]
 	return customer, ok
