--- a/relay/manifest/fuzz_test.go
+++ b/relay/manifest/fuzz_test.go
@@ -21,9 +21,9 @@
 	return encoded
 }
 
-// FuzzDecode feeds any bytes as a manifest, under their own version: they are
-// refused with a kind, or every chunk has a hash and a size within the bounds and
-// the sizes make up the whole.
+// FuzzDecode decodes arbitrary bytes under their own version. They must be
+// rejected as corrupt or invalid, or every chunk must have a hash and a size
+// within the bounds and the sizes must add up to the total.
 func FuzzDecode(f *testing.F) {
 	hash := make([]byte, manifest.HashBytes)
 	f.Add([]byte{})
@@ -62,8 +62,9 @@
 	}
 }
 
-// Symptom: a host serves weights that nobody published. Sequence: the origin or a
-// peer sends another manifest than asked for. Cause: it is taken by its own hash.
+// Guards against a host serving weights that nobody published: the origin or a
+// peer sends another manifest than the one requested, and the host accepts it
+// because it matches its own hash.
 func TestManifestOfAnotherVersionIsRefused(t *testing.T) {
 	mine := encode(t, manifest.Build("parcel", manifest.KindBase, "", 4, []byte("mine")))
 	other := encode(t, manifest.Build("parcel", manifest.KindBase, "", 4, []byte("other")))
--- a/relay/manifest/manifest.go
+++ b/relay/manifest/manifest.go
@@ -1,5 +1,5 @@
-// Package manifest names versions by content: a version is the hash of its
-// manifest, and the manifest holds the hash of every chunk.
+// Package manifest implements content-addressed versions of model weights. A
+// version is the hash of its manifest, which holds the hash of every chunk.
 package manifest
 
 import (
@@ -19,24 +19,27 @@
 	KindAdapter = "adapter"
 )
 
-// HashBytes is the size of one chunk hash.
+// HashBytes is the size of a chunk hash in bytes.
 const HashBytes = 32
 
-// MaxChunkBytes bounds a chunk, so that one fits a message between processes.
+// MaxChunkBytes is the maximum size of a chunk. A chunk must fit into one message
+// between processes.
 const MaxChunkBytes = 2 << 20
 
-// Encode returns the bytes that the origin stores and the version hashes.
+// Encode returns the deterministic encoding of a manifest, which the origin
+// stores and from which Version computes the hash.
 func Encode(man *wire.Manifest) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(man)
 }
 
-// Version returns the version that the encoded manifest names, as hexadecimal.
+// Version returns the hash of the encoded manifest in hexadecimal, which is its
+// version.
 func Version(encoded []byte) string {
 	sum := blake3.Sum256(encoded)
 	return hex.EncodeToString(sum[:])
 }
 
-// Decode checks the encoded manifest against the version and returns it.
+// Decode verifies an encoded manifest against its version and decodes it.
 func Decode(encoded []byte, version string) (*wire.Manifest, error) {
 	if Version(encoded) != version {
 		return nil, failure.New(failure.Corrupt, "the manifest does not match version "+version,
@@ -58,8 +61,8 @@
 		return failure.New(failure.Invalid, "the manifest's chunk size is out of bounds",
 			"publish it with chunks of 1 byte to 2 MiB")
 	}
-	// Rounding up by adding first would overflow: a manifest of 2^64-1 bytes
-	// would count as whole without a single chunk.
+	// Computing (total+size-1)/size would overflow: a manifest of 2^64-1 bytes
+	// would be accepted without any chunk.
 	want := man.GetTotalBytes() / size
 	if man.GetTotalBytes()%size > 0 {
 		want++
@@ -76,7 +79,7 @@
 	return nil
 }
 
-// Build cuts data into chunks and returns their manifest.
+// Build divides data into chunks and returns their manifest.
 func Build(model, kind, baseVersion string, chunkBytes int, data []byte) *wire.Manifest {
 	man := &wire.Manifest{
 		Model:       model,
@@ -93,22 +96,21 @@
 	return man
 }
 
-// Verify reports whether the bytes are the chunk that the hash names.
+// Verify reports whether hash is the hash of chunk.
 func Verify(chunk, hash []byte) bool {
 	sum := blake3.Sum256(chunk)
 	return bytes.Equal(sum[:], hash)
 }
 
-// ChunkSize returns the bytes of chunk i; the last one may be shorter.
+// ChunkSize returns the size of chunk i in bytes; the last one may be shorter.
 func ChunkSize(man *wire.Manifest, i int) int {
 	size := uint64(man.GetChunkBytes())
 	start := uint64(i) * size
 	return int(min(size, man.GetTotalBytes()-start))
 }
 
-// Named returns the manifest of a version that is named by its publisher and
-// not by its hash, with the hashes of its chunks, all but the last one of the
-// same size.
+// Named returns the manifest of a version whose name is chosen by its publisher
+// instead of derived from its hash. All chunks but the last have size chunkBytes.
 func Named(version string, chunkBytes int, hashes [][]byte) *wire.Manifest {
 	return &wire.Manifest{
 		Model: version, Kind: KindBase, ChunkBytes: uint32(chunkBytes),
@@ -116,7 +118,8 @@
 	}
 }
 
-// DecodeNamed reads an encoded manifest that Named made for the version.
+// DecodeNamed decodes a manifest that Named created and checks that it is for the
+// given version.
 func DecodeNamed(encoded []byte, version string) (*wire.Manifest, error) {
 	man := &wire.Manifest{}
 	if err := proto.Unmarshal(encoded, man); err != nil {
