--- a/relay/catalog/catalog.go
+++ b/relay/catalog/catalog.go
@@ -82,7 +82,7 @@
 	Stride        int     // token steps per pass while requests generate tokens
 	StepMillis    float64 // duration of one token step
 	PerSeqMillis  float64 // added for each request that generates tokens
-	ContextMillis float64 // added for each 1,000 context tokens of each request
+	ContextMillis float64 // added for each 1,000 context tokens, summed over all requests
 	ReadPerSecond float64 // prompt tokens processed per second
 	PairMillis    float64 // added for each million pairs of tokens
 	ChunkTokens   int     // maximum prompt tokens processed in a step
