--- a/relay/schema/bounds.go
+++ b/relay/schema/bounds.go
@@ -14,18 +14,19 @@
 	maxValues     = 100_000
 )
 
-// bounds walks a tree and collects what is too costly to check further.
+// bounds walks a JSON tree and collects the values that are too expensive to
+// validate.
 type bounds struct {
-	tokens []string // where the walk is; shared, so that depth costs nothing
+	tokens []string // path of the current value; shared by all levels to avoid copies
 	values int
 	found  []Problem
 }
 
-// checkBounds refuses numbers that are costly to compute with, and nesting and
-// counts that no text of ours has. The schema library makes exact fractions of numbers: a
-// text full of 1e999999 would hold a processor for hours, and one would notice
-// a listener that stops answering. It keeps all mistakes in memory besides, so
-// that their count is bounded by that of the values.
+// checkBounds reports numbers that are expensive to compute with, and nesting
+// depths and value counts that no valid text has. The schema library converts
+// numbers to exact fractions: a text full of 1e999999 would occupy a processor for
+// hours, and the listener would stop answering. The library also keeps all errors
+// in memory; limiting the number of values limits the number of errors.
 func checkBounds(tree any) []Problem {
 	walk := &bounds{}
 	walk.visit(tree)
--- a/relay/schema/defaults.go
+++ b/relay/schema/defaults.go
@@ -1,7 +1,7 @@
 package schema
 
-// FillDefaults writes the schema's "default" values into the tree where keys
-// are absent. Objects that are absent are not made.
+// FillDefaults sets absent keys of the tree to the schema's "default" values. It
+// does not create absent objects.
 func (c *Checker) FillDefaults(tree any) {
 	c.fill(c.raw, tree)
 }
@@ -23,12 +23,12 @@
 	}
 }
 
-// IsString reports whether the schema wants a string where the tokens lead.
+// IsString reports whether the schema requires a string at the path.
 func (c *Checker) IsString(tokens []string) bool {
 	return c.typeAt(tokens) == "string"
 }
 
-// typeAt returns the type that the schema wants where the tokens lead.
+// typeAt returns the schema's "type" of the value at the path.
 func (c *Checker) typeAt(tokens []string) any {
 	sub := c.raw
 	for _, token := range tokens {
--- a/relay/schema/describe.go
+++ b/relay/schema/describe.go
@@ -7,32 +7,33 @@
 	"strings"
 )
 
-// Field is what a schema says of one value.
+// Field is the schema's description of a value.
 type Field struct {
 	description string
-	kind        string   // JSON type, or the allowed values
-	fallback    string   // JSON text of the default; empty where there is none
-	remedy      string   // how to write it right
-	keys        []string // of an object, or of a list's items; sorted
+	kind        string   // JSON type, name of a string's definition, or the allowed values
+	fallback    string   // JSON text of the default; empty if there is none
+	remedy      string   // how to write a valid value
+	keys        []string // keys of an object or of a list's items, sorted
 }
 
-// Description returns what the field means; it may be empty.
+// Description returns the meaning of the field. It may be empty.
 func (f Field) Description() string { return f.description }
 
-// Kind returns the JSON type or the allowed values.
+// Kind returns the JSON type, the name of a string's definition, or the allowed
+// values.
 func (f Field) Kind() string { return f.kind }
 
-// Default returns the JSON text of the default, empty where there is none.
+// Default returns the JSON text of the default, or "" if there is none.
 func (f Field) Default() string { return f.fallback }
 
-// Remedy returns how to write the value.
+// Remedy returns how to write a valid value.
 func (f Field) Remedy() string { return f.remedy }
 
 // Keys returns the keys of an object or of a list's items.
 func (f Field) Keys() []string { return f.keys }
 
-// Describe returns what the schema says where the tokens lead. Indexes of list
-// items may stand between the keys or be left out.
+// Describe returns the schema's description of the value at the path. Indexes of
+// list items may be omitted.
 func (c *Checker) Describe(tokens []string) (Field, bool) {
 	sub := c.raw
 	for _, token := range tokens {
@@ -75,8 +76,8 @@
 	return found
 }
 
-// text returns a keyword's text: the schema's own, else that of what it refers
-// to.
+// text returns the value of a keyword in a schema object or else in the object
+// that it references.
 func (c *Checker) text(sub any, keyword string) string {
 	for _, level := range []any{sub, c.resolve(sub)} {
 		if text, ok := At(level, []string{keyword}); ok {
@@ -86,8 +87,8 @@
 	return ""
 }
 
-// kindOf names the allowed values, or what the schema calls a string's form, or
-// the type.
+// kindOf returns the allowed values of an enumeration, the name of the definition
+// that a string references, or the type.
 func (c *Checker) kindOf(sub any) string {
 	target := c.resolve(sub)
 	if allowed, ok := At(target, []string{"enum"}); ok {
--- a/relay/schema/format.go
+++ b/relay/schema/format.go
@@ -8,13 +8,14 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Formats that the settings use besides the standard ones.
+// formats are the custom formats that the settings use.
 var formats = []*jsonschema.Format{
 	{Name: "ip-port", Validate: onString(checkIPPort)},
 	{Name: "ip-url", Validate: onString(checkIPURL)},
 }
 
-// onString applies a check to strings; other types fail by their type already.
+// onString applies a check to strings only; the schema's "type" rejects other
+// values.
 func onString(check func(string) error) func(any) error {
 	return func(value any) error {
 		text, ok := value.(string)
--- a/relay/schema/lines.go
+++ b/relay/schema/lines.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// Lines returns the problems of a JSON text in one line each, with the line of the text
-// where the value stands, or where the object stands that lacks it.
+// Lines formats the problems of a JSON text, one per line. Each begins with the
+// line number of the value in the text or, if the value is missing, of the closest
+// parent that is present.
 func Lines(text []byte, problems []Problem) string {
 	lines := linesOf(text)
 	var messages []string
@@ -26,21 +27,22 @@
 	return strings.Join(messages, "\n")
 }
 
-// linesOf returns the line of each value of a JSON text by its pointer, as far as the
-// text can be read.
+// linesOf returns the line number of each value in a JSON text by its JSON
+// pointer. It stops at the first syntax error.
 func linesOf(text []byte) map[string]int {
 	walk := &walker{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, found: map[string]int{}}
 	walk.value("")
 	return walk.found
 }
 
+// walker records the line number of each value while it decodes a JSON text.
 type walker struct {
 	decoder *json.Decoder
 	text    []byte
 	found   map[string]int
 }
 
-// next reads a token and returns it with its line.
+// next reads a token and returns it with its line number.
 func (w *walker) next() (json.Token, int, bool) {
 	token, err := w.decoder.Token()
 	if err != nil {
@@ -49,7 +51,8 @@
 	return token, 1 + bytes.Count(w.text[:w.decoder.InputOffset()], []byte("\n")), true
 }
 
-// value reads the value at a pointer and reports whether the text goes on.
+// value reads the value at a JSON pointer. It returns false if the text cannot be
+// decoded further.
 func (w *walker) value(path string) bool {
 	token, line, ok := w.next()
 	if !ok {
--- a/relay/schema/lines_test.go
+++ b/relay/schema/lines_test.go
@@ -19,7 +19,7 @@
 			t.Errorf("%q: got %q, want it to begin with %q", one.path, got, one.want)
 		}
 	}
-	// A text that can't be read to its end names what was read.
+	// The values before a syntax error have line numbers.
 	if got := Lines([]byte("{\n\"a\": 1,\n"), []Problem{NewProblem("/a", "x", "y")}); !strings.HasPrefix(got, "line 2: ") {
 		t.Errorf("got %q, want line 2", got)
 	}
--- a/relay/schema/pointer.go
+++ b/relay/schema/pointer.go
@@ -10,7 +10,7 @@
 	unescaper = strings.NewReplacer("~1", "/", "~0", "~")
 )
 
-// Pointer joins tokens to a JSON pointer and escapes them.
+// Pointer escapes the tokens and joins them to a JSON pointer.
 func Pointer(tokens ...string) string {
 	var out strings.Builder
 	for _, token := range tokens {
@@ -32,7 +32,7 @@
 	return tokens
 }
 
-// PathTokens splits a JSON pointer, or keys joined by dots.
+// PathTokens splits a path, which is a JSON pointer or keys joined by dots.
 func PathTokens(path string) []string {
 	if path == "" || strings.HasPrefix(path, "/") {
 		return Tokens(path)
@@ -40,7 +40,7 @@
 	return strings.Split(path, ".")
 }
 
-// At returns the value that the tokens lead to, and whether there is one.
+// At returns the value at the path and whether it exists.
 func At(tree any, tokens []string) (any, bool) {
 	for _, token := range tokens {
 		child, ok := step(tree, token)
--- a/relay/schema/problem.go
+++ b/relay/schema/problem.go
@@ -9,28 +9,28 @@
 	"strings"
 )
 
-// Problem is one thing wrong in a JSON text, reported to the person who wrote it.
+// Problem is a validation error in a JSON text, reported to its author.
 type Problem struct {
 	path    string // JSON pointer; empty means the whole text
-	message string // what is wrong, without a trailing period
+	message string // description of the error, without a trailing period
 	remedy  string // what to write instead; never empty
 }
 
-// NewProblem makes a Problem at a JSON pointer.
+// NewProblem returns a Problem at a JSON pointer.
 func NewProblem(path, message, remedy string) Problem {
 	return Problem{path: path, message: message, remedy: remedy}
 }
 
-// Path returns the JSON pointer of the value that is wrong or missing.
+// Path returns the JSON pointer of the invalid or missing value.
 func (p Problem) Path() string { return p.path }
 
-// Message returns what is wrong.
+// Message returns the description of the error.
 func (p Problem) Message() string { return p.message }
 
-// Remedy returns the advice.
+// Remedy returns how to correct the error.
 func (p Problem) Remedy() string { return p.remedy }
 
-// String returns path, message and remedy in one line.
+// String returns the path, message and remedy on one line.
 func (p Problem) String() string {
 	path := p.path
 	if path == "" {
@@ -39,7 +39,7 @@
 	return path + ": " + p.message + "; " + p.remedy
 }
 
-// problemJSON is the form that the operators' API sends.
+// problemJSON is the encoding of a Problem in the operators' API.
 type problemJSON struct {
 	Path    string `json:"path"`
 	Message string `json:"message"`
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// Sort orders problems by path, then message, and drops repeated ones. Indexes
-// of list items go by their numbers.
+// Sort sorts problems by path and message and removes duplicates. Indexes of list
+// items are compared as numbers.
 func Sort(problems []Problem) []Problem {
 	slices.SortFunc(problems, func(a, b Problem) int {
 		return cmp.Or(comparePaths(a.path, b.path), cmp.Compare(a.message, b.message))
@@ -81,10 +81,11 @@
 	})
 }
 
-// maxProblems bounds what one text's answer lists.
+// maxProblems is the maximum number of problems reported for one text.
 const maxProblems = 1000
 
-// limit keeps the first problems of a long list and says how many follow.
+// limit truncates a list of problems to maxProblems and appends a problem that
+// states how many were omitted.
 func limit(problems []Problem) []Problem {
 	if len(problems) <= maxProblems {
 		return problems
@@ -94,8 +95,8 @@
 	return append(problems[:maxProblems:maxProblems], rest)
 }
 
-// Covers reports whether the path of one of the problems is, or lies above,
-// the given path.
+// Covers reports whether the path of one of the problems is the given path or a
+// parent of it.
 func Covers(problems []Problem, path string) bool {
 	return slices.ContainsFunc(problems, func(p Problem) bool {
 		return p.path == path || strings.HasPrefix(path, p.path+"/")
--- a/relay/schema/prune.go
+++ b/relay/schema/prune.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Prune takes the values at the problems' paths out of the tree, so that the
-// rest can still be checked. List items become empty instead, which keeps the
-// indexes of those behind them.
+// Prune removes the values at the problems' paths from the tree, so that the rest
+// can still be checked. It replaces list items by empty values instead, which
+// preserves the indexes of the items after them.
 func (c *Checker) Prune(tree any, problems []Problem) {
 	for _, problem := range problems {
 		tokens := Tokens(problem.path)
--- a/relay/schema/schema.go
+++ b/relay/schema/schema.go
@@ -1,9 +1,9 @@
-// Package schema checks JSON texts against a JSON schema and reports everything
-// that is wrong at once, each with its path and a remedy.
+// Package schema validates JSON texts against a JSON schema and reports all
+// problems at once, each with its path and a remedy.
 //
-// Beside the standard keywords it reads "x-remedy": the advice to give where a
-// value breaks the schema that holds it. A schema with "writeOnly" keeps its
-// values out of messages.
+// In addition to the standard keywords it supports "x-remedy", the remedy to
+// report if a value does not conform to the schema that contains the keyword. The
+// values of a schema with "writeOnly" are not shown in messages.
 package schema
 
 import (
@@ -22,18 +22,20 @@
 	"golang.org/x/text/message"
 )
 
-// maxShown bounds the part of a wrong value that a message repeats, in bytes.
+// maxShown is the maximum number of bytes of an invalid value that a message
+// shows.
 const maxShown = 60
 
 var printer = message.NewPrinter(language.English)
 
-// Checker holds one compiled schema; it is safe for concurrent use.
+// Checker validates JSON trees against a compiled schema. It is safe for
+// concurrent use.
 type Checker struct {
-	raw      any // the schema's own JSON tree; read only
+	raw      any // the schema as a JSON tree; read only
 	compiled *jsonschema.Schema
 }
 
-// MustCompile compiles an embedded schema and panics where it is wrong.
+// MustCompile compiles an embedded schema and panics if it is invalid.
 func MustCompile(name string, text []byte) *Checker {
 	raw, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -50,7 +52,8 @@
 	return &Checker{raw: raw, compiled: compiler.MustCompile(name)}
 }
 
-// ParseTree reads a JSON text into maps, lists and json.Number values.
+// ParseTree parses a JSON text into maps, slices and json.Number values, and
+// reports syntax errors and values out of bounds.
 func ParseTree(text []byte) (any, []Problem) {
 	tree, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err == nil {
@@ -65,7 +68,7 @@
 	return nil, []Problem{NewProblem("", "this is not JSON: "+err.Error()+where, "correct the JSON syntax there")}
 }
 
-// Check returns everything in which the tree breaks the schema.
+// Check returns all violations of the schema in the tree.
 func (c *Checker) Check(tree any) []Problem {
 	err := c.compiled.Validate(tree)
 	if err == nil {
@@ -78,7 +81,8 @@
 	return limit(Sort(c.collect(problem, tree, nil)))
 }
 
-// collect turns the leaves of the tree of causes into problems.
+// collect converts the leaves of a validation error's tree of causes to problems
+// and appends them to found.
 func (c *Checker) collect(problem *jsonschema.ValidationError, tree any, found []Problem) []Problem {
 	if len(problem.Causes) > 0 {
 		for _, cause := range problem.Causes {
@@ -170,14 +174,15 @@
 	return strings.ToValidUTF8(text[:maxShown], "") + "..."
 }
 
-// schemaAt returns the schema object that the problem's value breaks.
+// schemaAt returns the schema object that the value violates.
 func (c *Checker) schemaAt(problem *jsonschema.ValidationError) any {
 	_, fragment, _ := strings.Cut(problem.SchemaURL, "#")
 	found, _ := At(c.raw, Tokens(fragment))
 	return found
 }
 
-// property returns the schema of one property with references followed.
+// property returns the schema of a property of holder, or nil. It resolves a
+// reference in holder.
 func (c *Checker) property(holder any, key string) any {
 	found, _ := At(c.resolve(holder), []string{"properties", key})
 	return found
@@ -194,7 +199,8 @@
 	return keys
 }
 
-// resolve follows a reference within the schema.
+// resolve returns the target of a reference within the schema, or sub itself if
+// it is not a reference.
 func (c *Checker) resolve(sub any) any {
 	object, _ := sub.(map[string]any)
 	ref, ok := object["$ref"].(string)
@@ -211,7 +217,8 @@
 	return secret
 }
 
-// remedy returns the schema's advice: its own, else that of what it refers to.
+// remedy returns the remedy of a schema object or else of the object that it
+// references.
 func (c *Checker) remedy(sub any) string {
 	for _, level := range []any{sub, c.resolve(sub)} {
 		object, _ := level.(map[string]any)
@@ -222,8 +229,8 @@
 	return "correct it as the schema says"
 }
 
-// DecodeMessage returns protojson's error text without the space that varies
-// between builds of a program.
+// DecodeMessage returns the text of a protojson error without the prefix and with
+// normalized spaces, which protojson varies between builds.
 func DecodeMessage(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimPrefix(text, "proto: ")
--- a/relay/schema/schema_test.go
+++ b/relay/schema/schema_test.go
@@ -7,10 +7,10 @@
 	"comfreyrelay.example/relay/schema"
 )
 
-// Symptom: an entry spends seconds of processor time on one small body and
-// answers nobody. Events: a body full of numbers such as 1e999999, or of
-// a million wrong items, is validated. Cause: the schema library computes with
-// exact fractions and keeps every mistake in memory.
+// Guards against an entry that spends seconds of processor time on one small body
+// and answers no other request: the body holds numbers such as 1e999999, or a
+// million invalid items, and the schema library computes with exact fractions and
+// keeps every error in memory.
 func TestCostlyTextsAreRefused(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"a":[1e999999,{"b":-1E-400}]}`:                    2,
