--- a/relay/settings/check.go
+++ b/relay/settings/check.go
@@ -16,7 +16,8 @@
 	maxWindowBytes = 64 << 20
 	maxDuration    = time.Hour
 	minInterval    = 10 * time.Millisecond
-	// minLease leaves the holder time to notice and stop before it ends.
+	// minLease leaves the holder enough time to notice that its lease is ending and
+	// to stop before it expires.
 	minLease = 500 * time.Millisecond
 )
 
@@ -37,7 +38,8 @@
 	return schema.Sort(found)
 }
 
-// checkEntrySite asks for the listeners by which a platform finds an entry.
+// checkEntrySite reports missing addresses of the listeners that a platform calls
+// on an entry.
 func checkEntrySite(set *wire.SiteSettings) []schema.Problem {
 	if set == nil {
 		return nil
@@ -74,8 +76,8 @@
 	return schema.Sort(found)
 }
 
-// checkNode refuses clear text between processes unless it is asked for, so
-// that a forgotten key file doesn't open the system to anyone.
+// checkNode reports unencrypted connections between processes unless they are
+// enabled explicitly, so that a forgotten key file does not give everyone access.
 func checkNode(node *wire.NodeSettings) []schema.Problem {
 	if node.GetTls() == nil && !node.GetInsecure() {
 		return []schema.Problem{schema.NewProblem("/node/tls", "there are no keys for the connections between processes",
@@ -97,7 +99,8 @@
 		fmt.Sprintf("give %v to %v in seconds, for example %q", least, maxDuration, "5s"))}
 }
 
-// listeners are the addresses that one process listens on, by path.
+// listeners are the addresses that a process listens on, with their settings'
+// paths.
 type listeners []struct{ path, address string }
 
 func checkApart(list listeners) []schema.Problem {
--- a/relay/settings/fuzz_test.go
+++ b/relay/settings/fuzz_test.go
@@ -9,8 +9,8 @@
 	"comfreyrelay.example/relay/settings"
 )
 
-// FuzzLoad feeds any text as a settings file: it is refused as invalid or
-// gives settings, and never panics.
+// FuzzLoad loads arbitrary text as a settings file. It must be rejected as invalid
+// or return settings, and never panic.
 func FuzzLoad(f *testing.F) {
 	for _, name := range []string{"testdata/entry.json", "testdata/agent.json"} {
 		text, err := os.ReadFile(name)
@@ -19,7 +19,7 @@
 		}
 		f.Add(text, "node.logLevel=debug")
 	}
-	directory := f.TempDir() // one a worker
+	directory := f.TempDir() // one per worker process
 	f.Fuzz(func(t *testing.T, text []byte, override string) {
 		file := filepath.Join(directory, "settings.json")
 		if err := os.WriteFile(file, text, 0o600); err != nil {
--- a/relay/settings/man_test.go
+++ b/relay/settings/man_test.go
@@ -10,9 +10,8 @@
 	"comfreyrelay.example/relay/settings"
 )
 
-// TestManPagesListEverySetting fails where a key, its default or its meaning
-// changed and the man page was forgotten. The message holds the row to put
-// there.
+// TestManPagesListEverySetting fails if a man page does not list a key with its
+// current default and description. The message contains the missing row.
 func TestManPagesListEverySetting(t *testing.T) {
 	for page, describe := range map[string]func(string) (schema.Field, bool){
 		"comfreyentry.md": settings.DescribeEntry,
@@ -30,8 +29,7 @@
 	}
 }
 
-// rows returns a table's row for each key below the path that holds no keys
-// itself.
+// rows returns a table row for each setting below the path that is not an object.
 func rows(describe func(string) (schema.Field, bool), path string) []string {
 	field, _ := describe(path)
 	if len(field.Keys()) == 0 {
--- a/relay/settings/override.go
+++ b/relay/settings/override.go
@@ -8,8 +8,8 @@
 	"comfreyrelay.example/relay/schema"
 )
 
-// apply writes one override, "key.path=value", into the tree. A value is JSON,
-// except where the schema wants a string.
+// apply sets the value of an override "key.path=value" in the tree. The value is
+// JSON unless the schema requires a string.
 func apply(tree any, override string, checker *schema.Checker) error {
 	path, value, ok := strings.Cut(override, "=")
 	if !ok || path == "" {
@@ -31,12 +31,12 @@
 	}
 	parsed, problems := schema.ParseTree([]byte(value))
 	if len(problems) > 0 {
-		return value // an enumeration's word; else the schema refuses it
+		return value // an enumeration value, or text that the schema check rejects
 	}
 	return parsed
 }
 
-// objectAt returns the object that the tokens lead to and makes absent ones.
+// objectAt returns the object at the path and creates absent objects on the way.
 func objectAt(tree any, tokens []string, override string) (map[string]any, error) {
 	holder, ok := tree.(map[string]any)
 	for _, token := range tokens {
--- a/relay/settings/reload.go
+++ b/relay/settings/reload.go
@@ -11,24 +11,24 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// reloadInterval is how often a settings file is looked at that may change
+// reloadInterval is the interval at which a settings file is checked for changes
 // without a signal.
 const reloadInterval = 2 * time.Second
 
-// Reloader reads a settings file again when it changed, with or without SIGHUP.
-// A file that cannot be read or is wrong changes nothing and is logged.
+// Reloader reloads a settings file on SIGHUP and when it detects a change. If the
+// file is unreadable or invalid, it logs the error and keeps the settings.
 type Reloader[T any] struct {
-	File  string // empty: settings never change, SIGHUP does nothing
+	File  string // if empty, settings never change and SIGHUP is ignored
 	Load  func(file string) (T, error)
 	Apply func(T)
 	Clock clockwork.Clock
 	Log   *slog.Logger
 
-	seen time.Time // modification that was read last
+	seen time.Time // modification time at the last check
 	size int64
 }
 
-// Run reloads until ctx ends.
+// Run watches for signals and changes until ctx is done.
 func (r *Reloader[T]) Run(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -49,7 +49,8 @@
 	}
 }
 
-// changed reports whether the file is another one than at the last look.
+// changed reports whether the file's modification time or size differs from the
+// last check.
 func (r *Reloader[T]) changed() bool {
 	info, err := os.Stat(r.File)
 	if r.File == "" || err != nil || info.ModTime().Equal(r.seen) && info.Size() == r.size {
--- a/relay/settings/reload_test.go
+++ b/relay/settings/reload_test.go
@@ -15,7 +15,7 @@
 	"comfreyrelay.example/relay/settings"
 )
 
-// reloads runs a Reloader of a file whose text is the setting; "bad" is refused.
+// reloads runs a Reloader whose setting is the text of the file; it rejects "bad".
 func reloads(t *testing.T) (file string, applied chan string, clock *clockwork.FakeClock) {
 	t.Helper()
 	file = filepath.Join(t.TempDir(), "settings.json")
@@ -50,8 +50,8 @@
 	}
 }
 
-// Symptom: a process ends when its settings change. Sequence: the platform sends
-// SIGHUP. Cause: nobody takes the signal, whose default is the end.
+// Guards against a process that exits when its settings change: the platform sends
+// SIGHUP, and the default action of an unhandled SIGHUP terminates the process.
 func TestHangupReadsTheSettingsAgain(t *testing.T) {
 	file, applied, _ := reloads(t)
 	write(t, file, "two")
--- a/relay/settings/settings.go
+++ b/relay/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a process's JSON settings file, checks it against the
-// published schema and fills in the schema's defaults.
+// Package settings loads a process's JSON settings file, validates it against the
+// published schema and applies the schema's defaults.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// maxBytes bounds a settings file.
+// maxBytes is the maximum size of a settings file.
 const maxBytes = 1 << 20
 
 //go:embed entry.schema.json
@@ -31,13 +31,13 @@
 	agentChecker = schema.MustCompile("agent.schema.json", agentSchema)
 )
 
-// LoadEntry reads and checks the settings of comfreyentry.
+// LoadEntry loads and validates the settings of comfreyentry.
 func LoadEntry(name string) (*wire.EntrySettings, error) {
 	return LoadEntryWith(name, nil)
 }
 
-// LoadEntryWith is like LoadEntry, with overrides of the form "key.path=value"
-// that go before the file.
+// LoadEntryWith is like LoadEntry, but overrides of the form "key.path=value" take
+// precedence over the file.
 func LoadEntryWith(name string, overrides []string) (*wire.EntrySettings, error) {
 	set := &wire.EntrySettings{}
 	check := func() []schema.Problem { return checkEntry(set) }
@@ -47,13 +47,13 @@
 	return set, nil
 }
 
-// LoadAgent reads and checks the settings of comfreyagent.
+// LoadAgent loads and validates the settings of comfreyagent.
 func LoadAgent(name string) (*wire.AgentSettings, error) {
 	return LoadAgentWith(name, nil)
 }
 
-// LoadAgentWith is like LoadAgent, with overrides of the form "key.path=value"
-// that go before the file.
+// LoadAgentWith is like LoadAgent, but overrides of the form "key.path=value" take
+// precedence over the file.
 func LoadAgentWith(name string, overrides []string) (*wire.AgentSettings, error) {
 	set := &wire.AgentSettings{}
 	check := func() []schema.Problem { return checkAgent(set) }
@@ -63,18 +63,19 @@
 	return set, nil
 }
 
-// DescribeEntry returns what the schema of comfreyentry's settings says of a
-// path: a JSON pointer, or keys joined by dots.
+// DescribeEntry returns the description of the comfreyentry setting at a path,
+// which is a JSON pointer or keys joined by dots.
 func DescribeEntry(path string) (schema.Field, bool) {
 	return entryChecker.Describe(schema.PathTokens(path))
 }
 
-// DescribeAgent is like DescribeEntry for comfreyagent.
+// DescribeAgent is like DescribeEntry, for comfreyagent.
 func DescribeAgent(path string) (schema.Field, bool) {
 	return agentChecker.Describe(schema.PathTokens(path))
 }
 
-// load reads a file into set; check looks at the meaning of what set holds.
+// load reads a file into set. check runs the semantic checks on set once it is
+// filled.
 func load(name string, overrides []string, checker *schema.Checker, set proto.Message, check func() []schema.Problem) error {
 	text, err := read(name)
 	if err != nil {
@@ -114,9 +115,9 @@
 	return text, nil
 }
 
-// fill checks the tree's form, decodes it with the defaults and checks its
-// meaning. What breaks the form is taken out before, so that all mistakes are
-// reported at once.
+// fill validates the tree against the schema, decodes it with the defaults into
+// set and runs the semantic checks. It removes values that violate the schema
+// before decoding, so that all problems are reported at once.
 func fill(tree any, checker *schema.Checker, set proto.Message, check func() []schema.Problem) []schema.Problem {
 	known := checker.Check(tree)
 	checker.Prune(tree, known)
@@ -149,18 +150,18 @@
 	return []schema.Problem{schema.NewProblem("", "this cannot be read: "+schema.DecodeMessage(err), "correct the key that the message names")}
 }
 
-// refuseDoubleKeys notices a key that stands twice: the tree would silently
-// keep the last, and the process run with settings nobody meant.
+// refuseDoubleKeys returns an error for a duplicate key. The tree would silently
+// keep the last value, and the process would run with unintended settings.
 func refuseDoubleKeys(name string, text []byte, set proto.Message) error {
 	scratch := set.ProtoReflect().New().Interface()
 	err := protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(text, scratch)
 	if err == nil || !strings.Contains(err.Error(), "duplicate field") {
-		return nil // other mistakes are reported by the schema
+		return nil // the schema check reports other problems
 	}
 	return failure.New(failure.Invalid, name+": "+schema.DecodeMessage(err), "keep one of the two")
 }
 
-// report makes one error of all problems; nil where there are none.
+// report combines all problems into one error; it returns nil if there are none.
 func report(name string, problems []schema.Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -177,7 +178,8 @@
 		"correct them all and start again")
 }
 
-// keyPath writes a JSON pointer as overrides do, "node.controlAddress: ".
+// keyPath formats a JSON pointer like the key of an override, followed by a colon:
+// "node.controlAddress: ".
 func keyPath(pointer string) string {
 	if pointer == "" {
 		return ""
--- a/relay/settings/settings_test.go
+++ b/relay/settings/settings_test.go
@@ -16,9 +16,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// TestScripts replays testdata/scripts/*.txt: "entry" and "agent" load the
-// input as a file, with overrides from "set=(key=value,...)"; a first line "+"
-// stands for the smallest valid file, to which overrides apply.
+// TestScripts runs testdata/scripts/*.txt. "entry" and "agent" load the input as a
+// settings file. Input that begins with "+" loads the smallest valid file, with the
+// words after the "+" as overrides.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -63,7 +63,8 @@
 	return settings.LoadAgentWith(file, overrides)
 }
 
-// render writes one field a line, because protojson varies its white space.
+// render prints one field per line and normalizes the white space, which protojson
+// varies.
 func render(t *testing.T, set proto.Message) string {
 	t.Helper()
 	text, err := protojson.MarshalOptions{Multiline: true, Indent: "  "}.Marshal(set)
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestSchemasKnowEveryField fails where a wire field was added and the schema
-// was forgotten: nobody could set it.
+// TestSchemasKnowEveryField fails if a wire field is missing from the schema,
+// because it could not be set.
 func TestSchemasKnowEveryField(t *testing.T) {
 	for program, set := range map[string]proto.Message{"entry": &wire.EntrySettings{}, "agent": &wire.AgentSettings{}} {
 		text, err := os.ReadFile(program + ".schema.json")
