--- a/relay/document/diff.go
+++ b/relay/document/diff.go
@@ -24,7 +24,7 @@
 // shortened.
 func Diff(a, b *wire.Document) []*wire.Change {
 	d := &differ{}
-	d.messages("", Canonical(orEmpty(a)).ProtoReflect(), Canonical(orEmpty(b)).ProtoReflect())
+	d.diffMessages("", Canonical(orEmpty(a)).ProtoReflect(), Canonical(orEmpty(b)).ProtoReflect())
 	slices.SortStableFunc(d.changes, func(x, y *wire.Change) int { return cmp.Compare(x.GetPath(), y.GetPath()) })
 	return d.changes
 }
@@ -45,20 +45,20 @@
 	d.changes = append(d.changes, &wire.Change{Path: path, Before: before, After: after})
 }
 
-func (d *differ) messages(path string, a, b protoreflect.Message) {
+func (d *differ) diffMessages(path string, a, b protoreflect.Message) {
 	fields := a.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
-		at := path + schema.Pointer(field.JSONName())
+		fieldPath := path + schema.Pointer(field.JSONName())
 		switch {
 		case field.IsList() && field.Message() != nil:
-			d.items(at, a.Get(field).List(), b.Get(field).List())
+			d.diffItems(fieldPath, a.Get(field).List(), b.Get(field).List())
 		case field.IsList():
-			d.values(at, field, a.Get(field).List(), b.Get(field).List())
+			d.diffValues(fieldPath, field, a.Get(field).List(), b.Get(field).List())
 		case field.Message() != nil && !isDuration(field):
-			d.messages(at, a.Get(field).Message(), b.Get(field).Message())
+			d.diffMessages(fieldPath, a.Get(field).Message(), b.Get(field).Message())
 		default:
-			d.single(at, field, a, b)
+			d.diffField(fieldPath, field, a, b)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	return field.Message().FullName() == "google.protobuf.Duration"
 }
 
-func (d *differ) single(path string, field protoreflect.FieldDescriptor, a, b protoreflect.Message) {
+func (d *differ) diffField(path string, field protoreflect.FieldDescriptor, a, b protoreflect.Message) {
 	if !a.Has(field) && !b.Has(field) || a.Get(field).Equal(b.Get(field)) && a.Has(field) == b.Has(field) {
 		return
 	}
@@ -85,7 +85,7 @@
 	return valueText(holder.Get(field).Interface())
 }
 
-func (d *differ) items(path string, a, b protoreflect.List) {
+func (d *differ) diffItems(path string, a, b protoreflect.List) {
 	before, after := byKey(a), byKey(b)
 	for key, item := range before {
 		other, kept := after[key]
@@ -93,7 +93,7 @@
 			d.add(path+schema.Pointer(key), itemText(item), "")
 			continue
 		}
-		d.messages(path+schema.Pointer(key), item, other)
+		d.diffMessages(path+schema.Pointer(key), item, other)
 	}
 	for key, item := range after {
 		if _, kept := before[key]; !kept {
@@ -120,9 +120,9 @@
 	return ""
 }
 
-func (d *differ) values(path string, field protoreflect.FieldDescriptor, a, b protoreflect.List) {
-	before, after := texts(a), texts(b)
-	show := func(text string) string {
+func (d *differ) diffValues(path string, field protoreflect.FieldDescriptor, a, b protoreflect.List) {
+	before, after := listTexts(a), listTexts(b)
+	display := func(text string) string {
 		if field.Name() == keyHashesField {
 			return shortHash(text)
 		}
@@ -130,17 +130,17 @@
 	}
 	for _, text := range before {
 		if !slices.Contains(after, text) {
-			d.add(path+schema.Pointer(show(text)), valueText(show(text)), "")
+			d.add(path+schema.Pointer(display(text)), valueText(display(text)), "")
 		}
 	}
 	for _, text := range after {
 		if !slices.Contains(before, text) {
-			d.add(path+schema.Pointer(show(text)), "", valueText(show(text)))
+			d.add(path+schema.Pointer(display(text)), "", valueText(display(text)))
 		}
 	}
 }
 
-func texts(list protoreflect.List) []string {
+func listTexts(list protoreflect.List) []string {
 	values := make([]string, list.Len())
 	for i := range values {
 		values[i] = list.Get(i).String()
@@ -150,14 +150,14 @@
 
 // itemText returns a list item as JSON text with its key hashes shortened.
 func itemText(item protoreflect.Message) string {
-	dup := proto.Clone(item.Interface()).ProtoReflect()
-	if field := dup.Descriptor().Fields().ByName(keyHashesField); field != nil {
-		hashes := dup.Mutable(field).List()
+	redacted := proto.Clone(item.Interface()).ProtoReflect()
+	if field := redacted.Descriptor().Fields().ByName(keyHashesField); field != nil {
+		hashes := redacted.Mutable(field).List()
 		for i := range hashes.Len() {
 			hashes.Set(i, protoreflect.ValueOfString(shortHash(hashes.Get(i).String())))
 		}
 	}
-	return messageText(dup.Interface())
+	return messageText(redacted.Interface())
 }
 
 func messageText(msg proto.Message) string {
--- a/relay/document/document.go
+++ b/relay/document/document.go
@@ -59,15 +59,15 @@
 	}
 	problems = checker.Check(tree)
 	if len(problems) == 0 {
-		return parseClean(text)
+		return parseValid(text)
 	}
-	return nil, schema.Sort(append(problems, checkRest(tree, problems)...))
+	return nil, schema.Sort(append(problems, checkPartial(tree, problems)...))
 }
 
-// parseClean decodes a text that conforms to the schema. It decodes the text
+// parseValid decodes a text that conforms to the schema. It decodes the text
 // instead of the parsed tree, so that a duplicate key is rejected; the tree keeps
 // only one of the two values.
-func parseClean(text []byte) (*wire.Document, []Problem) {
+func parseValid(text []byte) (*wire.Document, []Problem) {
 	doc := &wire.Document{}
 	if err := protojson.Unmarshal(text, doc); err != nil {
 		return nil, []Problem{schema.NewProblem("", "the document cannot be read: "+schema.DecodeMessage(err),
@@ -79,9 +79,9 @@
 	return doc, nil
 }
 
-// checkRest runs the semantic checks on the values in which the schema found no
+// checkPartial runs the semantic checks on the values in which the schema found no
 // problem, so that the operator sees all problems at once.
-func checkRest(tree any, known []Problem) []Problem {
+func checkPartial(tree any, known []Problem) []Problem {
 	checker.Prune(tree, known)
 	text, err := json.Marshal(tree)
 	if err != nil {
@@ -91,13 +91,13 @@
 	if err := protojson.Unmarshal(text, doc); err != nil {
 		return nil
 	}
-	var rest []Problem
-	for _, problem := range check(doc, known) {
+	var found []Problem
+	for _, problem := range checkExcept(doc, known) {
 		if !schema.Covers(known, problem.Path()) {
-			rest = append(rest, problem)
+			found = append(found, problem)
 		}
 	}
-	return rest
+	return found
 }
 
 // Format returns the document as indented JSON. The output is deterministic
--- a/relay/document/document_test.go
+++ b/relay/document/document_test.go
@@ -29,10 +29,10 @@
 				_, problems := document.Parse([]byte(d.Input))
 				return render(problems)
 			case "edit":
-				_, problems := document.Parse(edited(t, d.Input))
+				_, problems := document.Parse(editedExample(t, d.Input))
 				return render(problems)
 			case "hosts":
-				doc := mustParse(t, edited(t, d.Input))
+				doc := mustParse(t, editedExample(t, d.Input))
 				counts := map[string]int{}
 				for _, arg := range d.CmdArgs {
 					var count int
@@ -41,7 +41,7 @@
 				}
 				return render(document.CheckAgainstHosts(doc, counts))
 			case "diff":
-				return renderChanges(document.Diff(document.Example(), mustParse(t, edited(t, d.Input))))
+				return renderChanges(document.Diff(document.Example(), mustParse(t, editedExample(t, d.Input))))
 			}
 			t.Fatalf("unknown command %s", d.Cmd)
 			return ""
@@ -68,9 +68,9 @@
 	return out.String()
 }
 
-// edited returns the example with the values at the given pointers replaced. The
+// editedExample returns the example with the values at the given pointers replaced. The
 // token "-" appends to a list.
-func edited(t *testing.T, input string) []byte {
+func editedExample(t *testing.T, input string) []byte {
 	t.Helper()
 	tree, problems := schema.ParseTree(document.Format(document.Example()))
 	if len(problems) > 0 {
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestSchemaKnowsEveryField fails if a wire field is missing from the schema,
+// TestSchemaHasEveryField fails if a wire field is missing from the schema,
 // because a document could not set it.
-func TestSchemaKnowsEveryField(t *testing.T) {
+func TestSchemaHasEveryField(t *testing.T) {
 	full := document.Example()
 	full.Models[0].Adapters = []*wire.Adapter{{Name: "notes", Version: full.Models[0].Version, BaseVersion: full.Models[0].Version}}
 	text, err := protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(full)
--- a/relay/document/fuzz_test.go
+++ b/relay/document/fuzz_test.go
@@ -33,7 +33,7 @@
 			checkPath(t, text, problem.Path())
 		}
 		if doc != nil {
-			checkRoundTrips(t, doc)
+			checkRoundTrip(t, doc)
 		}
 	})
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-func checkRoundTrips(t *testing.T, doc *wire.Document) {
+func checkRoundTrip(t *testing.T, doc *wire.Document) {
 	t.Helper()
 	again, problems := document.Parse(document.Format(doc))
 	if len(problems) > 0 || !proto.Equal(again, doc) {
--- a/relay/document/join.go
+++ b/relay/document/join.go
@@ -42,7 +42,7 @@
 	sortByName(items)
 	var merged []T
 	for _, item := range items {
-		merged = allow(merged, item)
+		merged = mergeOrAppend(merged, item)
 	}
 	return merged
 }
--- a/relay/document/key.go
+++ b/relay/document/key.go
@@ -5,8 +5,8 @@
 	"encoding/hex"
 )
 
-// shortDigits is the number of hash digits shown in messages and diffs.
-const shortDigits = 12
+// shortHashDigits is the number of hash digits shown in messages and diffs.
+const shortHashDigits = 12
 
 // KeyHash returns the SHA-256 hash of a bearer key in hexadecimal, which the
 // document stores instead of the key.
@@ -16,8 +16,8 @@
 }
 
 func shortHash(hash string) string {
-	if len(hash) <= shortDigits {
+	if len(hash) <= shortHashDigits {
 		return hash
 	}
-	return hash[:shortDigits] + "..."
+	return hash[:shortHashDigits] + "..."
 }
--- a/relay/document/split.go
+++ b/relay/document/split.go
@@ -49,32 +49,32 @@
 // Canonical returns a copy with all lists sorted by name. Equivalent documents
 // have the same canonical form.
 func Canonical(doc *wire.Document) *wire.Document {
-	dup := proto.CloneOf(doc)
-	if proto.Size(dup.GetDeadlines()) == 0 {
-		dup.Deadlines = nil // an empty object is equivalent to an absent one
-	}
-	sortByName(dup.GetModels())
-	sortByName(dup.GetCustomers())
-	sortByName(dup.GetOperators())
-	sortByName(dup.GetEndpoints())
-	sortByName(dup.GetServices())
-	for _, model := range dup.GetModels() {
+	canonical := proto.CloneOf(doc)
+	if proto.Size(canonical.GetDeadlines()) == 0 {
+		canonical.Deadlines = nil // an empty object is equivalent to an absent one
+	}
+	sortByName(canonical.GetModels())
+	sortByName(canonical.GetCustomers())
+	sortByName(canonical.GetOperators())
+	sortByName(canonical.GetEndpoints())
+	sortByName(canonical.GetServices())
+	for _, model := range canonical.GetModels() {
 		sortByName(model.GetAdapters())
 		slices.SortFunc(model.GetReplicas(), func(a, b *wire.Replicas) int {
 			return cmp.Compare(a.GetFailureDomain(), b.GetFailureDomain())
 		})
 		slices.Sort(model.GetCustomers())
 	}
-	for _, service := range dup.GetServices() {
+	for _, service := range canonical.GetServices() {
 		slices.Sort(service.GetCustomers())
 	}
-	for _, customer := range dup.GetCustomers() {
+	for _, customer := range canonical.GetCustomers() {
 		slices.Sort(customer.GetKeyHashes())
 	}
-	for _, operator := range dup.GetOperators() {
+	for _, operator := range canonical.GetOperators() {
 		slices.Sort(operator.GetKeyHashes())
 	}
-	return dup
+	return canonical
 }
 
 func sortByName[T named](items []T) {
@@ -88,18 +88,18 @@
 // allowed to use a model or service are stored in the customers' shards, so that
 // a new model version does not transfer long lists of names.
 func Split(doc *wire.Document) []PartBytes {
-	whole := Canonical(doc)
-	customers := splitCustomers(whole) // before withoutCustomers clears the lists
+	canonical := Canonical(doc)
+	customers := splitCustomers(canonical) // before withoutCustomers clears the lists
 	parts := []PartBytes{
 		makePart(sectionHead, &wire.Document{
-			Schema: whole.GetSchema(), Objective: whole.GetObjective(),
-			OriginCopies: whole.GetOriginCopies(), Deadlines: whole.GetDeadlines(),
+			Schema: canonical.GetSchema(), Objective: canonical.GetObjective(),
+			OriginCopies: canonical.GetOriginCopies(), Deadlines: canonical.GetDeadlines(),
 		}),
-		makePart(sectionEndpoints, &wire.Document{Endpoints: whole.GetEndpoints()}),
-		makePart(sectionServices, &wire.Document{Services: withoutCustomers(whole.GetServices())}),
-		makePart(sectionOperators, &wire.Document{Operators: whole.GetOperators()}),
+		makePart(sectionEndpoints, &wire.Document{Endpoints: canonical.GetEndpoints()}),
+		makePart(sectionServices, &wire.Document{Services: withoutCustomers(canonical.GetServices())}),
+		makePart(sectionOperators, &wire.Document{Operators: canonical.GetOperators()}),
 	}
-	parts = append(parts, makeShards(sectionModels, splitModels(whole.GetModels()))...)
+	parts = append(parts, makeShards(sectionModels, splitModels(canonical.GetModels()))...)
 	parts = append(parts, makeShards(sectionCustomers, customers)...)
 	// Omit empty parts: a process that fetches a part from another one reads empty
 	// content as "not found", so it could never assemble the document.
@@ -143,30 +143,30 @@
 	return items
 }
 
-func splitCustomers(whole *wire.Document) []*wire.Document {
-	shards := newShards(len(whole.GetCustomers()))
-	for _, customer := range whole.GetCustomers() {
+func splitCustomers(canonical *wire.Document) []*wire.Document {
+	shards := newShards(len(canonical.GetCustomers()))
+	for _, customer := range canonical.GetCustomers() {
 		piece := shardOf(customer.GetName(), shards)
 		piece.Customers = append(piece.Customers, customer)
 	}
-	for _, model := range whole.GetModels() {
+	for _, model := range canonical.GetModels() {
 		for _, customer := range model.GetCustomers() {
 			piece := shardOf(customer, shards)
-			piece.Models = allow(piece.Models, &wire.Model{Name: model.GetName(), Customers: []string{customer}})
+			piece.Models = mergeOrAppend(piece.Models, &wire.Model{Name: model.GetName(), Customers: []string{customer}})
 		}
 	}
-	for _, service := range whole.GetServices() {
+	for _, service := range canonical.GetServices() {
 		for _, customer := range service.GetCustomers() {
 			piece := shardOf(customer, shards)
-			piece.Services = allow(piece.Services, &wire.Service{Name: service.GetName(), Customers: []string{customer}})
+			piece.Services = mergeOrAppend(piece.Services, &wire.Service{Name: service.GetName(), Customers: []string{customer}})
 		}
 	}
 	return shards
 }
 
-// allow merges item into the last element if their names are equal and appends
+// mergeOrAppend merges item into the last element if their names are equal and appends
 // it otherwise.
-func allow[T interface {
+func mergeOrAppend[T interface {
 	named
 	proto.Message
 }](items []T, item T) []T {
--- a/relay/document/split_test.go
+++ b/relay/document/split_test.go
@@ -39,11 +39,11 @@
 	return &wire.Root{Revision: 1, Parts: document.Parts(parts)}
 }
 
-// changeBytes is the maximum number of bytes that one change may transfer to a
+// maxChangeBytes is the maximum number of bytes that one change may transfer to a
 // node: 66,000 changes a day at 7 KB/s allow about 9 KB each.
-const changeBytes = 9 << 10
+const maxChangeBytes = 9 << 10
 
-func TestOneChangeMovesOneSmallPart(t *testing.T) {
+func TestOneChangeTransfersOneSmallPart(t *testing.T) {
 	changes := map[string]func(*wire.Document){
 		"customer": func(doc *wire.Document) { doc.Customers[1].Priority = 5 },
 		"version":  func(doc *wire.Document) { doc.Models[0].Version = document.KeyHash("v2") },
@@ -71,7 +71,7 @@
 				}
 			}
 			t.Logf("%d customers, %s: %d bytes", count, name, moved)
-			if got, want := moved, changeBytes; got > want {
+			if got, want := moved, maxChangeBytes; got > want {
 				t.Errorf("%d customers, %s: got %d bytes moved, want at most %d", count, name, got, want)
 			}
 		}
