--- a/relay/catalog/catalog.go
+++ b/relay/catalog/catalog.go
@@ -65,10 +65,10 @@
 	if len(r.Shares) == 1 || total <= 0 {
 		return r.Shares[0].Service
 	}
-	point := int(xxhash.Sum64String(id) % uint64(total))
+	offset := int(xxhash.Sum64String(id) % uint64(total))
 	for _, share := range r.Shares {
-		point -= share.Weight
-		if point < 0 {
+		offset -= share.Weight
+		if offset < 0 {
 			return share.Service
 		}
 	}
@@ -130,32 +130,32 @@
 
 // Catalog is one version of the declared state. It is immutable.
 type Catalog struct {
-	version   uint64
-	byHost    map[string][]*Route // longest prefix first
-	services  map[string]*Service
-	customers map[string]*Customer // by key
-	limits    Limits
-	keyed     bool            // requests need a customer's key
-	fixed     map[string]bool // services with a route that is not repeatable
+	version      uint64
+	byHost       map[string][]*Route // longest prefix first
+	services     map[string]*Service
+	customers    map[string]*Customer // by key
+	limits       Limits
+	requiresKeys bool            // requests need a customer's key
+	unresumable  map[string]bool // services with a route that is not repeatable
 }
 
 // New builds a Catalog from spec. The Catalog retains the spec's slices, which the
 // caller must not modify.
 func New(spec Spec) *Catalog {
 	cat := &Catalog{
-		version:   spec.Version,
-		byHost:    map[string][]*Route{},
-		services:  map[string]*Service{},
-		customers: map[string]*Customer{},
-		limits:    spec.Limits,
-		keyed:     len(spec.Customers) > 0,
-		fixed:     map[string]bool{},
+		version:      spec.Version,
+		byHost:       map[string][]*Route{},
+		services:     map[string]*Service{},
+		customers:    map[string]*Customer{},
+		limits:       spec.Limits,
+		requiresKeys: len(spec.Customers) > 0,
+		unresumable:  map[string]bool{},
 	}
 	for i := range spec.Routes {
 		route := &spec.Routes[i]
 		cat.byHost[route.Host] = append(cat.byHost[route.Host], route)
 		for _, share := range route.Shares {
-			cat.fixed[share.Service] = cat.fixed[share.Service] || !route.Repeatable()
+			cat.unresumable[share.Service] = cat.unresumable[share.Service] || !route.Repeatable()
 		}
 	}
 	for _, routes := range cat.byHost {
@@ -183,7 +183,7 @@
 // Match returns the route for a request: among the routes of the host name, the
 // one with the longest prefix of the path.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
-	for _, route := range c.byHost[hostName(host)] {
+	for _, route := range c.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
@@ -191,8 +191,8 @@
 	return nil, false
 }
 
-// hostName removes the port and converts to lower case.
-func hostName(host string) string {
+// normalizeHost removes the port and converts to lower case.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
@@ -207,7 +207,7 @@
 
 // Resumable reports whether all requests that a service runs may continue on
 // another endpoint.
-func (c *Catalog) Resumable(service string) bool { return !c.fixed[service] }
+func (c *Catalog) Resumable(service string) bool { return !c.unresumable[service] }
 
 // Services calls visit for each service, in no particular order.
 func (c *Catalog) Services(visit func(*Service)) {
@@ -229,7 +229,7 @@
 }
 
 // Keyed reports whether a request on the route needs a customer's key.
-func (c *Catalog) Keyed(route *Route) bool { return c.keyed && !route.Public }
+func (c *Catalog) Keyed(route *Route) bool { return c.requiresKeys && !route.Public }
 
 // Customer returns the customer that a key belongs to.
 func (c *Catalog) Customer(key string) (*Customer, bool) {
--- a/relay/catalog/catalog_test.go
+++ b/relay/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	"comfreyrelay.example/relay/catalog"
 )
 
-func TestSharesAreKeptAndStayWithARequest(t *testing.T) {
+func TestSharesFollowWeightsAndAreStablePerRequest(t *testing.T) {
 	route := catalog.Route{Shares: []catalog.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 2000 {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestServiceWithAStreamThatCannotGoOnIsNotCut(t *testing.T) {
+func TestServiceWithUnresumableStreamIsNotResumable(t *testing.T) {
 	cat := catalog.New(catalog.Spec{Routes: []catalog.Route{
 		{Name: "a", Host: "h", Prefix: "/a/", Kind: catalog.Stream, Resumable: true, Shares: []catalog.Share{{Service: "x"}}},
 		{Name: "b", Host: "h", Prefix: "/b/", Kind: catalog.Stream, Shares: []catalog.Share{{Service: "y"}}},
