--- a/relay/manifest/fuzz_test.go
+++ b/relay/manifest/fuzz_test.go
@@ -65,7 +65,7 @@
 // Guards against a host serving weights that nobody published: the origin or a
 // peer sends another manifest than the one requested, and the host accepts it
 // because it matches its own hash.
-func TestManifestOfAnotherVersionIsRefused(t *testing.T) {
+func TestDecodeRejectsOtherVersions(t *testing.T) {
 	mine := encode(t, manifest.Build("parcel", manifest.KindBase, "", 4, []byte("mine")))
 	other := encode(t, manifest.Build("parcel", manifest.KindBase, "", 4, []byte("other")))
 	for name, text := range map[string][]byte{
--- a/relay/manifest/manifest.go
+++ b/relay/manifest/manifest.go
@@ -63,11 +63,11 @@
 	}
 	// Computing (total+size-1)/size would overflow: a manifest of 2^64-1 bytes
 	// would be accepted without any chunk.
-	want := man.GetTotalBytes() / size
+	wantChunks := man.GetTotalBytes() / size
 	if man.GetTotalBytes()%size > 0 {
-		want++
+		wantChunks++
 	}
-	if uint64(len(man.GetChunkHashes())) != want {
+	if uint64(len(man.GetChunkHashes())) != wantChunks {
 		return failure.New(failure.Invalid, "the manifest's chunk count does not match its size",
 			"publish it again")
 	}
