--- a/relay/schema/bounds.go
+++ b/relay/schema/bounds.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	maxNumberText = 40
-	maxExponent   = 30
-	maxDepth      = 32
-	maxValues     = 100_000
+	maxNumberChars = 40
+	maxExponent    = 30
+	maxDepth       = 32
+	maxValues      = 100_000
 )
 
-// bounds walks a JSON tree and collects the values that are too expensive to
+// boundsWalker walks a JSON tree and collects the values that are too expensive to
 // validate.
-type bounds struct {
+type boundsWalker struct {
 	tokens []string // path of the current value; shared by all levels to avoid copies
 	values int
 	found  []Problem
@@ -28,7 +28,7 @@
 // hours, and the listener would stop answering. The library also keeps all errors
 // in memory; limiting the number of values limits the number of errors.
 func checkBounds(tree any) []Problem {
-	walk := &bounds{}
+	walk := &boundsWalker{}
 	walk.visit(tree)
 	if walk.values > maxValues {
 		walk.tokens = nil
@@ -37,7 +37,7 @@
 	return Sort(walk.found)
 }
 
-func (b *bounds) visit(tree any) {
+func (b *boundsWalker) visit(tree any) {
 	b.values++
 	if b.values > maxValues {
 		return
@@ -48,9 +48,9 @@
 	}
 	switch node := tree.(type) {
 	case json.Number:
-		if isCostly(node.String()) {
+		if isExpensiveNumber(node.String()) {
 			b.add("the number is out of bounds: "+shorten(node.String()),
-				fmt.Sprintf("write it with at most %d characters and an exponent of at most %d", maxNumberText, maxExponent))
+				fmt.Sprintf("write it with at most %d characters and an exponent of at most %d", maxNumberChars, maxExponent))
 		}
 	case map[string]any:
 		for key, child := range node {
@@ -63,18 +63,18 @@
 	}
 }
 
-func (b *bounds) enter(token string, child any) {
+func (b *boundsWalker) enter(token string, child any) {
 	b.tokens = append(b.tokens, token)
 	b.visit(child)
 	b.tokens = b.tokens[:len(b.tokens)-1]
 }
 
-func (b *bounds) add(message, remedy string) {
+func (b *boundsWalker) add(message, remedy string) {
 	b.found = append(b.found, NewProblem(Pointer(b.tokens...), message, remedy))
 }
 
-func isCostly(text string) bool {
-	if len(text) > maxNumberText {
+func isExpensiveNumber(text string) bool {
+	if len(text) > maxNumberChars {
 		return true
 	}
 	_, exponent, ok := strings.Cut(strings.ToLower(text), "e")
--- a/relay/schema/defaults.go
+++ b/relay/schema/defaults.go
@@ -3,23 +3,23 @@
 // FillDefaults sets absent keys of the tree to the schema's "default" values. It
 // does not create absent objects.
 func (c *Checker) FillDefaults(tree any) {
-	c.fill(c.raw, tree)
+	c.fillDefaults(c.raw, tree)
 }
 
-func (c *Checker) fill(sub, tree any) {
+func (c *Checker) fillDefaults(subschema, tree any) {
 	object, ok := tree.(map[string]any)
 	if !ok {
 		return
 	}
-	for _, key := range c.knownKeys(sub) {
-		property := c.property(sub, key)
+	for _, key := range c.knownKeys(subschema) {
+		property := c.property(subschema, key)
 		if _, present := object[key]; !present {
 			if value, has := At(property, []string{"default"}); has {
 				object[key] = value
 			}
 			continue
 		}
-		c.fill(property, object[key])
+		c.fillDefaults(property, object[key])
 	}
 }
 
@@ -30,15 +30,15 @@
 
 // typeAt returns the schema's "type" of the value at the path.
 func (c *Checker) typeAt(tokens []string) any {
-	sub := c.raw
+	subschema := c.raw
 	for _, token := range tokens {
-		holder := c.resolve(sub)
+		holder := c.resolve(subschema)
 		if items, ok := At(holder, []string{"items"}); ok {
-			sub = items
+			subschema = items
 			continue
 		}
-		sub = c.property(holder, token)
+		subschema = c.property(holder, token)
 	}
-	kind, _ := At(c.resolve(sub), []string{"type"})
+	kind, _ := At(c.resolve(subschema), []string{"type"})
 	return kind
 }
--- a/relay/schema/describe.go
+++ b/relay/schema/describe.go
@@ -11,7 +11,7 @@
 type Field struct {
 	description string
 	kind        string   // JSON type, name of a string's definition, or the allowed values
-	fallback    string   // JSON text of the default; empty if there is none
+	defaultText string   // JSON text of the default; empty if there is none
 	remedy      string   // how to write a valid value
 	keys        []string // keys of an object or of a list's items, sorted
 }
@@ -24,7 +24,7 @@
 func (f Field) Kind() string { return f.kind }
 
 // Default returns the JSON text of the default, or "" if there is none.
-func (f Field) Default() string { return f.fallback }
+func (f Field) Default() string { return f.defaultText }
 
 // Remedy returns how to write a valid value.
 func (f Field) Remedy() string { return f.remedy }
@@ -35,26 +35,26 @@
 // Describe returns the schema's description of the value at the path. Indexes of
 // list items may be omitted.
 func (c *Checker) Describe(tokens []string) (Field, bool) {
-	sub := c.raw
+	subschema := c.raw
 	for _, token := range tokens {
-		next, ok := c.descend(sub, token)
+		next, ok := c.childSchema(subschema, token)
 		if !ok {
 			return Field{}, false
 		}
-		sub = next
+		subschema = next
 	}
-	return c.field(sub), true
+	return c.field(subschema), true
 }
 
-func (c *Checker) descend(sub any, token string) (any, bool) {
-	items, isList := At(c.resolve(sub), []string{"items"})
+func (c *Checker) childSchema(subschema any, token string) (any, bool) {
+	items, isList := At(c.resolve(subschema), []string{"items"})
 	if isList && isIndex(token) {
 		return items, true
 	}
 	if isList {
-		sub = items
+		subschema = items
 	}
-	next := c.property(sub, token)
+	next := c.property(subschema, token)
 	return next, next != nil
 }
 
@@ -63,11 +63,11 @@
 	return err == nil || token == "-"
 }
 
-func (c *Checker) field(sub any) Field {
-	target := c.resolve(sub)
-	found := Field{description: c.text(sub, "description"), remedy: c.remedy(sub), kind: c.kindOf(sub)}
-	if value, ok := At(sub, []string{"default"}); ok {
-		found.fallback = jsonText(value)
+func (c *Checker) field(subschema any) Field {
+	target := c.resolve(subschema)
+	found := Field{description: c.keywordText(subschema, "description"), remedy: c.remedy(subschema), kind: c.kindOf(subschema)}
+	if value, ok := At(subschema, []string{"default"}); ok {
+		found.defaultText = jsonText(value)
 	}
 	if items, ok := At(target, []string{"items"}); ok {
 		target = items
@@ -76,10 +76,10 @@
 	return found
 }
 
-// text returns the value of a keyword in a schema object or else in the object
+// keywordText returns the value of a keyword in a schema object or else in the object
 // that it references.
-func (c *Checker) text(sub any, keyword string) string {
-	for _, level := range []any{sub, c.resolve(sub)} {
+func (c *Checker) keywordText(subschema any, keyword string) string {
+	for _, level := range []any{subschema, c.resolve(subschema)} {
 		if text, ok := At(level, []string{keyword}); ok {
 			return fmt.Sprint(text)
 		}
@@ -89,8 +89,8 @@
 
 // kindOf returns the allowed values of an enumeration, the name of the definition
 // that a string references, or the type.
-func (c *Checker) kindOf(sub any) string {
-	target := c.resolve(sub)
+func (c *Checker) kindOf(subschema any) string {
+	target := c.resolve(subschema)
 	if allowed, ok := At(target, []string{"enum"}); ok {
 		return "one of " + strings.ReplaceAll(strings.Trim(jsonText(allowed), "[]"), ",", ", ")
 	}
@@ -98,7 +98,7 @@
 	if list, ok := kind.([]any); ok {
 		return fmt.Sprint(list[0])
 	}
-	if ref, ok := At(sub, []string{"$ref"}); ok && kind == "string" {
+	if ref, ok := At(subschema, []string{"$ref"}); ok && kind == "string" {
 		return path.Base(fmt.Sprint(ref))
 	}
 	return fmt.Sprint(kind)
--- a/relay/schema/lines.go
+++ b/relay/schema/lines.go
@@ -12,7 +12,7 @@
 // line number of the value in the text or, if the value is missing, of the closest
 // parent that is present.
 func Lines(text []byte, problems []Problem) string {
-	lines := linesOf(text)
+	lines := lineNumbers(text)
 	var messages []string
 	for _, problem := range problems {
 		line := 1
@@ -27,23 +27,23 @@
 	return strings.Join(messages, "\n")
 }
 
-// linesOf returns the line number of each value in a JSON text by its JSON
+// lineNumbers returns the line number of each value in a JSON text by its JSON
 // pointer. It stops at the first syntax error.
-func linesOf(text []byte) map[string]int {
-	walk := &walker{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, found: map[string]int{}}
+func lineNumbers(text []byte) map[string]int {
+	walk := &lineScanner{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, found: map[string]int{}}
 	walk.value("")
 	return walk.found
 }
 
-// walker records the line number of each value while it decodes a JSON text.
-type walker struct {
+// lineScanner records the line number of each value while it decodes a JSON text.
+type lineScanner struct {
 	decoder *json.Decoder
 	text    []byte
 	found   map[string]int
 }
 
 // next reads a token and returns it with its line number.
-func (w *walker) next() (json.Token, int, bool) {
+func (w *lineScanner) next() (json.Token, int, bool) {
 	token, err := w.decoder.Token()
 	if err != nil {
 		return nil, 0, false
@@ -53,7 +53,7 @@
 
 // value reads the value at a JSON pointer. It returns false if the text cannot be
 // decoded further.
-func (w *walker) value(path string) bool {
+func (w *lineScanner) value(path string) bool {
 	token, line, ok := w.next()
 	if !ok {
 		return false
@@ -68,7 +68,7 @@
 	return true
 }
 
-func (w *walker) object(path string) bool {
+func (w *lineScanner) object(path string) bool {
 	for w.decoder.More() {
 		key, _, ok := w.next()
 		name, isText := key.(string)
@@ -80,7 +80,7 @@
 	return ok
 }
 
-func (w *walker) list(path string) bool {
+func (w *lineScanner) list(path string) bool {
 	for i := 0; w.decoder.More(); i++ {
 		if !w.value(path + Pointer(strconv.Itoa(i))) {
 			return false
--- a/relay/schema/lines_test.go
+++ b/relay/schema/lines_test.go
@@ -7,16 +7,16 @@
 
 func TestProblemsNameTheirLine(t *testing.T) {
 	text := []byte("{\n  \"a\": [1,\n    2],\n  \"b~/c\": {\n    \"d\": true}\n}\n")
-	for _, one := range []struct {
+	for _, test := range []struct {
 		path string
 		want string
 	}{
 		{"", "line 1: "}, {"/a", "line 2: "}, {"/a/1", "line 3: "}, {"/b~0~1c/d", "line 5: "},
 		{"/b~0~1c/missing", "line 4: "}, {"/missing", "line 1: "},
 	} {
-		got := Lines(text, []Problem{NewProblem(one.path, "it is wrong", "correct it")})
-		if !strings.HasPrefix(got, one.want) {
-			t.Errorf("%q: got %q, want it to begin with %q", one.path, got, one.want)
+		got := Lines(text, []Problem{NewProblem(test.path, "it is wrong", "correct it")})
+		if !strings.HasPrefix(got, test.want) {
+			t.Errorf("%q: got %q, want it to begin with %q", test.path, got, test.want)
 		}
 	}
 	// The values before a syntax error have line numbers.
--- a/relay/schema/pointer.go
+++ b/relay/schema/pointer.go
@@ -43,16 +43,16 @@
 // At returns the value at the path and whether it exists.
 func At(tree any, tokens []string) (any, bool) {
 	for _, token := range tokens {
-		child, ok := step(tree, token)
+		next, ok := child(tree, token)
 		if !ok {
 			return nil, false
 		}
-		tree = child
+		tree = next
 	}
 	return tree, true
 }
 
-func step(tree any, token string) (any, bool) {
+func child(tree any, token string) (any, bool) {
 	switch node := tree.(type) {
 	case map[string]any:
 		child, ok := node[token]
--- a/relay/schema/problem.go
+++ b/relay/schema/problem.go
@@ -84,9 +84,9 @@
 // maxProblems is the maximum number of problems reported for one text.
 const maxProblems = 1000
 
-// limit truncates a list of problems to maxProblems and appends a problem that
+// truncate shortens a list of problems to maxProblems and appends a problem that
 // states how many were omitted.
-func limit(problems []Problem) []Problem {
+func truncate(problems []Problem) []Problem {
 	if len(problems) <= maxProblems {
 		return problems
 	}
--- a/relay/schema/schema.go
+++ b/relay/schema/schema.go
@@ -22,9 +22,9 @@
 	"golang.org/x/text/message"
 )
 
-// maxShown is the maximum number of bytes of an invalid value that a message
+// maxShownBytes is the maximum number of bytes of an invalid value that a message
 // shows.
-const maxShown = 60
+const maxShownBytes = 60
 
 var printer = message.NewPrinter(language.English)
 
@@ -57,7 +57,7 @@
 func ParseTree(text []byte) (any, []Problem) {
 	tree, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err == nil {
-		return tree, limit(checkBounds(tree))
+		return tree, truncate(checkBounds(tree))
 	}
 	where := ""
 	var syntax *json.SyntaxError
@@ -78,7 +78,7 @@
 	if !errors.As(err, &problem) {
 		return []Problem{NewProblem("", err.Error(), "correct the text")}
 	}
-	return limit(Sort(c.collect(problem, tree, nil)))
+	return truncate(Sort(c.collect(problem, tree, nil)))
 }
 
 // collect converts the leaves of a validation error's tree of causes to problems
@@ -90,14 +90,14 @@
 		}
 		return found
 	}
-	switch broken := problem.ErrorKind.(type) {
+	switch violation := problem.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		return append(found, c.unknownKeys(problem, broken.Properties)...)
+		return append(found, c.unknownKeys(problem, violation.Properties)...)
 	case *kind.Required:
-		return append(found, c.missingKeys(problem, broken.Missing)...)
+		return append(found, c.missingKeys(problem, violation.Missing)...)
 	}
 	path := Pointer(problem.InstanceLocation...)
-	return append(found, NewProblem(path, c.describe(problem, tree), c.remedy(c.schemaAt(problem))))
+	return append(found, NewProblem(path, c.violationMessage(problem, tree), c.remedy(c.schemaAt(problem))))
 }
 
 func (c *Checker) unknownKeys(problem *jsonschema.ValidationError, keys []string) []Problem {
@@ -121,31 +121,31 @@
 	return found
 }
 
-func (c *Checker) describe(problem *jsonschema.ValidationError, tree any) string {
+func (c *Checker) violationMessage(problem *jsonschema.ValidationError, tree any) string {
 	text := problem.ErrorKind.LocalizedString(printer)
 	value, ok := At(tree, problem.InstanceLocation)
 	if !ok || c.isSecret(c.schemaAt(problem)) {
 		value = nil
 	}
-	switch broken := problem.ErrorKind.(type) {
+	switch violation := problem.ErrorKind.(type) {
 	case *kind.Pattern:
 		text = "the value does not have the right form"
 	case *kind.Format:
-		text = "the value " + broken.Err.Error()
+		text = "the value " + violation.Err.Error()
 	case *kind.Type:
-		return fmt.Sprintf("the value's type is %s, not %s", broken.Got, strings.Join(broken.Want, " or "))
+		return fmt.Sprintf("the value's type is %s, not %s", violation.Got, strings.Join(violation.Want, " or "))
 	case *kind.Enum:
 		text = "the value is not one of those allowed"
 	case *kind.Minimum:
-		text = "the value is less than " + number(broken.Want)
+		text = "the value is less than " + formatNumber(violation.Want)
 	case *kind.Maximum:
-		text = "the value is more than " + number(broken.Want)
+		text = "the value is more than " + formatNumber(violation.Want)
 	case *kind.MinItems:
-		return fmt.Sprintf("the list has %d items, %d at least are needed", broken.Got, broken.Want)
+		return fmt.Sprintf("the list has %d items, %d at least are needed", violation.Got, violation.Want)
 	case *kind.MaxItems:
-		return fmt.Sprintf("the list has %d items, %d at most are allowed", broken.Got, broken.Want)
+		return fmt.Sprintf("the list has %d items, %d at most are allowed", violation.Got, violation.Want)
 	case *kind.UniqueItems:
-		return fmt.Sprintf("items %d and %d are equal", broken.Duplicates[0], broken.Duplicates[1])
+		return fmt.Sprintf("items %d and %d are equal", violation.Duplicates[0], violation.Duplicates[1])
 	}
 	switch value.(type) {
 	case string, json.Number, bool:
@@ -162,16 +162,16 @@
 	return string(text)
 }
 
-func number(value *big.Rat) string {
+func formatNumber(value *big.Rat) string {
 	float, _ := value.Float64()
 	return strconv.FormatFloat(float, 'f', -1, 64)
 }
 
 func shorten(text string) string {
-	if len(text) <= maxShown {
+	if len(text) <= maxShownBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxShown], "") + "..."
+	return strings.ToValidUTF8(text[:maxShownBytes], "") + "..."
 }
 
 // schemaAt returns the schema object that the value violates.
@@ -199,28 +199,28 @@
 	return keys
 }
 
-// resolve returns the target of a reference within the schema, or sub itself if
+// resolve returns the target of a reference within the schema, or subschema itself if
 // it is not a reference.
-func (c *Checker) resolve(sub any) any {
-	object, _ := sub.(map[string]any)
+func (c *Checker) resolve(subschema any) any {
+	object, _ := subschema.(map[string]any)
 	ref, ok := object["$ref"].(string)
 	if !ok {
-		return sub
+		return subschema
 	}
 	target, _ := At(c.raw, Tokens(strings.TrimPrefix(ref, "#")))
 	return target
 }
 
-func (c *Checker) isSecret(sub any) bool {
-	object, _ := sub.(map[string]any)
+func (c *Checker) isSecret(subschema any) bool {
+	object, _ := subschema.(map[string]any)
 	secret, _ := object["writeOnly"].(bool)
 	return secret
 }
 
 // remedy returns the remedy of a schema object or else of the object that it
 // references.
-func (c *Checker) remedy(sub any) string {
-	for _, level := range []any{sub, c.resolve(sub)} {
+func (c *Checker) remedy(subschema any) string {
+	for _, level := range []any{subschema, c.resolve(subschema)} {
 		object, _ := level.(map[string]any)
 		if advice, ok := object["x-remedy"].(string); ok {
 			return advice
--- a/relay/schema/schema_test.go
+++ b/relay/schema/schema_test.go
@@ -11,7 +11,7 @@
 // and answers no other request: the body holds numbers such as 1e999999, or a
 // million invalid items, and the schema library computes with exact fractions and
 // keeps every error in memory.
-func TestCostlyTextsAreRefused(t *testing.T) {
+func TestExpensiveTextsAreRejected(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"a":[1e999999,{"b":-1E-400}]}`:                    2,
 		`[` + strings.Repeat("9", 41) + `]`:                 1,
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestSortCountsListItems(t *testing.T) {
+func TestSortComparesIndexesAsNumbers(t *testing.T) {
 	var problems []schema.Problem
 	for _, path := range []string{"/models/10", "/models/2", "", "/customers/0", "/models/2"} {
 		problems = append(problems, schema.NewProblem(path, "wrong", "correct it"))
