--- a/relay/settings/check.go
+++ b/relay/settings/check.go
@@ -28,7 +28,7 @@
 	found = append(found, checkDuration(set.GetLeaseTtl(), minLease, "leaseTtl")...)
 	found = append(found, checkDuration(set.GetDrainTimeout(), 0, "drainTimeout")...)
 	found = append(found, checkEntrySite(set.GetSite())...)
-	found = append(found, checkApart(listeners{
+	found = append(found, checkDistinctAddresses(listeners{
 		{"/node/controlAddress", set.GetNode().GetControlAddress()},
 		{"/node/operatorsAddress", set.GetNode().GetOperatorsAddress()},
 		{"/callersAddress", set.GetCallersAddress()},
@@ -61,7 +61,7 @@
 	found := checkNode(set.GetNode())
 	found = append(found, checkDuration(set.GetSyncInterval(), minInterval, "syncInterval")...)
 	found = append(found, checkDuration(set.GetDrainTimeout(), 0, "drainTimeout")...)
-	found = append(found, checkApart(listeners{
+	found = append(found, checkDistinctAddresses(listeners{
 		{"/node/controlAddress", set.GetNode().GetControlAddress()},
 		{"/node/operatorsAddress", set.GetNode().GetOperatorsAddress()},
 	})...)
@@ -90,24 +90,24 @@
 	return nil
 }
 
-func checkDuration(length *durationpb.Duration, least time.Duration, key string) []schema.Problem {
-	got := length.AsDuration()
-	if got >= least && got <= maxDuration {
+func checkDuration(duration *durationpb.Duration, minimum time.Duration, key string) []schema.Problem {
+	got := duration.AsDuration()
+	if got >= minimum && got <= maxDuration {
 		return nil
 	}
 	return []schema.Problem{schema.NewProblem(schema.Pointer(key), fmt.Sprintf("%v is out of bounds", got),
-		fmt.Sprintf("give %v to %v in seconds, for example %q", least, maxDuration, "5s"))}
+		fmt.Sprintf("give %v to %v in seconds, for example %q", minimum, maxDuration, "5s"))}
 }
 
 // listeners are the addresses that a process listens on, with their settings'
 // paths.
 type listeners []struct{ path, address string }
 
-func checkApart(list listeners) []schema.Problem {
+func checkDistinctAddresses(list listeners) []schema.Problem {
 	var found []schema.Problem
 	for i, later := range list {
 		for _, earlier := range list[:i] {
-			if later.address == "" || later.address != earlier.address || anyPort(later.address) {
+			if later.address == "" || later.address != earlier.address || hasZeroPort(later.address) {
 				continue
 			}
 			found = append(found, schema.NewProblem(later.path, fmt.Sprintf("the address %s is that of another listener too", later.address),
@@ -117,7 +117,7 @@
 	return found
 }
 
-func anyPort(address string) bool {
+func hasZeroPort(address string) bool {
 	at, err := netip.ParseAddrPort(address)
 	return err == nil && at.Port() == 0
 }
--- a/relay/settings/man_test.go
+++ b/relay/settings/man_test.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, row := range rows(describe, "") {
+		for _, row := range settingRows(describe, "") {
 			if !strings.Contains(string(text), row+"\n") {
 				t.Errorf("got no such row in man/%s, want\n%s", page, row)
 			}
@@ -29,8 +29,8 @@
 	}
 }
 
-// rows returns a table row for each setting below the path that is not an object.
-func rows(describe func(string) (schema.Field, bool), path string) []string {
+// settingRows returns a table row for each setting below the path that is not an object.
+func settingRows(describe func(string) (schema.Field, bool), path string) []string {
 	field, _ := describe(path)
 	if len(field.Keys()) == 0 {
 		return []string{fmt.Sprintf("| `%s` | %s | %s | %s |", path, field.Kind(), code(field.Default()), field.Description())}
@@ -38,7 +38,7 @@
 	var found []string
 	for _, key := range field.Keys() {
 		if key != "$schema" {
-			found = append(found, rows(describe, strings.TrimPrefix(path+"."+key, "."))...)
+			found = append(found, settingRows(describe, strings.TrimPrefix(path+"."+key, "."))...)
 		}
 	}
 	return found
--- a/relay/settings/override.go
+++ b/relay/settings/override.go
@@ -8,9 +8,9 @@
 	"comfreyrelay.example/relay/schema"
 )
 
-// apply sets the value of an override "key.path=value" in the tree. The value is
+// applyOverride sets the value of an override "key.path=value" in the tree. The value is
 // JSON unless the schema requires a string.
-func apply(tree any, override string, checker *schema.Checker) error {
+func applyOverride(tree any, override string, checker *schema.Checker) error {
 	path, value, ok := strings.Cut(override, "=")
 	if !ok || path == "" {
 		return failure.New(failure.Invalid, fmt.Sprintf("the override %q has no value", override),
--- a/relay/settings/reload.go
+++ b/relay/settings/reload.go
@@ -24,8 +24,8 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 
-	seen time.Time // modification time at the last check
-	size int64
+	modTime time.Time // modification time at the last check
+	size    int64
 }
 
 // Run watches for signals and changes until ctx is done.
@@ -33,30 +33,30 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	r.changed()
+	r.fileChanged()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			r.changed()
+			r.fileChanged()
 			r.reload("signal")
 		case <-r.Clock.After(reloadInterval):
-			if r.changed() {
+			if r.fileChanged() {
 				r.reload("file")
 			}
 		}
 	}
 }
 
-// changed reports whether the file's modification time or size differs from the
+// fileChanged reports whether the file's modification time or size differs from the
 // last check.
-func (r *Reloader[T]) changed() bool {
+func (r *Reloader[T]) fileChanged() bool {
 	info, err := os.Stat(r.File)
-	if r.File == "" || err != nil || info.ModTime().Equal(r.seen) && info.Size() == r.size {
+	if r.File == "" || err != nil || info.ModTime().Equal(r.modTime) && info.Size() == r.size {
 		return false
 	}
-	r.seen, r.size = info.ModTime(), info.Size()
+	r.modTime, r.size = info.ModTime(), info.Size()
 	return true
 }
 
--- a/relay/settings/reload_test.go
+++ b/relay/settings/reload_test.go
@@ -15,8 +15,8 @@
 	"comfreyrelay.example/relay/settings"
 )
 
-// reloads runs a Reloader whose setting is the text of the file; it rejects "bad".
-func reloads(t *testing.T) (file string, applied chan string, clock *clockwork.FakeClock) {
+// startReloader runs a Reloader whose setting is the text of the file; it rejects "bad".
+func startReloader(t *testing.T) (file string, applied chan string, clock *clockwork.FakeClock) {
 	t.Helper()
 	file = filepath.Join(t.TempDir(), "settings.json")
 	write(t, file, "one")
@@ -52,8 +52,8 @@
 
 // Guards against a process that exits when its settings change: the platform sends
 // SIGHUP, and the default action of an unhandled SIGHUP terminates the process.
-func TestHangupReadsTheSettingsAgain(t *testing.T) {
-	file, applied, _ := reloads(t)
+func TestHangupReloadsTheSettings(t *testing.T) {
+	file, applied, _ := startReloader(t)
 	write(t, file, "two")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestUnannouncedChangesAreSeenAndBadOnesChangeNothing(t *testing.T) {
-	file, applied, clock := reloads(t)
+func TestFileChangesAreReloadedAndInvalidOnesIgnored(t *testing.T) {
+	file, applied, clock := startReloader(t)
 	for _, text := range []string{"bad", "three!"} {
 		write(t, file, text)
 		if err := clock.BlockUntilContext(context.Background(), 1); err != nil {
--- a/relay/settings/settings.go
+++ b/relay/settings/settings.go
@@ -77,26 +77,26 @@
 // load reads a file into set. check runs the semantic checks on set once it is
 // filled.
 func load(name string, overrides []string, checker *schema.Checker, set proto.Message, check func() []schema.Problem) error {
-	text, err := read(name)
+	text, err := readFile(name)
 	if err != nil {
 		return err
 	}
 	tree, problems := schema.ParseTree(text)
 	if len(problems) > 0 {
-		return report(name, problems)
+		return combineProblems(name, problems)
 	}
-	if err := refuseDoubleKeys(name, text, set); err != nil {
+	if err := rejectDuplicateKeys(name, text, set); err != nil {
 		return err
 	}
 	for _, override := range overrides {
-		if err := apply(tree, override, checker); err != nil {
+		if err := applyOverride(tree, override, checker); err != nil {
 			return err
 		}
 	}
-	return report(name, fill(tree, checker, set, check))
+	return combineProblems(name, decodeAndCheck(tree, checker, set, check))
 }
 
-func read(name string) ([]byte, error) {
+func readFile(name string) ([]byte, error) {
 	if name == "" {
 		return nil, failure.New(failure.Invalid, "no settings file is named", "name one with --settings FILE")
 	}
@@ -115,10 +115,10 @@
 	return text, nil
 }
 
-// fill validates the tree against the schema, decodes it with the defaults into
+// decodeAndCheck validates the tree against the schema, decodes it with the defaults into
 // set and runs the semantic checks. It removes values that violate the schema
 // before decoding, so that all problems are reported at once.
-func fill(tree any, checker *schema.Checker, set proto.Message, check func() []schema.Problem) []schema.Problem {
+func decodeAndCheck(tree any, checker *schema.Checker, set proto.Message, check func() []schema.Problem) []schema.Problem {
 	known := checker.Check(tree)
 	checker.Prune(tree, known)
 	checker.FillDefaults(tree)
@@ -150,9 +150,9 @@
 	return []schema.Problem{schema.NewProblem("", "this cannot be read: "+schema.DecodeMessage(err), "correct the key that the message names")}
 }
 
-// refuseDoubleKeys returns an error for a duplicate key. The tree would silently
+// rejectDuplicateKeys returns an error for a duplicate key. The tree would silently
 // keep the last value, and the process would run with unintended settings.
-func refuseDoubleKeys(name string, text []byte, set proto.Message) error {
+func rejectDuplicateKeys(name string, text []byte, set proto.Message) error {
 	scratch := set.ProtoReflect().New().Interface()
 	err := protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(text, scratch)
 	if err == nil || !strings.Contains(err.Error(), "duplicate field") {
@@ -161,8 +161,8 @@
 	return failure.New(failure.Invalid, name+": "+schema.DecodeMessage(err), "keep one of the two")
 }
 
-// report combines all problems into one error; it returns nil if there are none.
-func report(name string, problems []schema.Problem) error {
+// combineProblems combines all problems into one error; it returns nil if there are none.
+func combineProblems(name string, problems []schema.Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/relay/settings/settings_test.go
+++ b/relay/settings/settings_test.go
@@ -25,7 +25,7 @@
 			file := filepath.Join(t.TempDir(), d.Cmd+".json")
 			text := []byte(d.Input)
 			if strings.HasPrefix(d.Input, "+") {
-				text = smallest(t, d.Cmd)
+				text = minimalSettings(t, d.Cmd)
 			}
 			if err := os.WriteFile(file, text, 0o600); err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 	})
 }
 
-func smallest(t *testing.T, program string) []byte {
+func minimalSettings(t *testing.T, program string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + program + ".json")
 	if err != nil {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestSchemasKnowEveryField fails if a wire field is missing from the schema,
+// TestSchemasHaveEveryField fails if a wire field is missing from the schema,
 // because it could not be set.
-func TestSchemasKnowEveryField(t *testing.T) {
+func TestSchemasHaveEveryField(t *testing.T) {
 	for program, set := range map[string]proto.Message{"entry": &wire.EntrySettings{}, "agent": &wire.AgentSettings{}} {
 		text, err := os.ReadFile(program + ".schema.json")
 		if err != nil {
