--- a/relay/document/check.go
+++ b/relay/document/check.go
@@ -70,7 +70,7 @@
 			first[name] = i
 			continue
 		}
-		v.add(fmt.Sprintf("the name %q is also that of item %d", name, earlier), "give each item its own name",
+		v.add(fmt.Sprintf("the name %q is a duplicate of item %d", name, earlier), "give each item its own name",
 			append(holder, strconv.Itoa(i), "name")...)
 	}
 }
@@ -114,7 +114,7 @@
 		if other == holder {
 			continue // the schema reports a repeated item
 		}
-		v.add(fmt.Sprintf("the key %s is also that of %s", shortHash(hash), other), "make a new key for one of the two",
+		v.add(fmt.Sprintf("the key %s also belongs to %s", shortHash(hash), other), "make a new key for one of the two",
 			list, strconv.Itoa(item), "keyHashes", strconv.Itoa(i))
 	}
 }
@@ -134,7 +134,7 @@
 		if base == "" || model.GetVersion() == "" || base == model.GetVersion() {
 			continue
 		}
-		v.add(fmt.Sprintf("the adapter %q lies over version %s, the model is at %s",
+		v.add(fmt.Sprintf("the adapter %q is for base version %s, but the model has version %s",
 			adapter.GetName(), shortHash(base), shortHash(model.GetVersion())),
 			"give an adapter made for the model's version, or the version it was made for",
 			"models", index, "adapters", strconv.Itoa(i), "baseVersion")
@@ -146,7 +146,7 @@
 	for i, replicas := range model.GetReplicas() {
 		domain := replicas.GetFailureDomain()
 		if domain != "" && seen[domain] {
-			v.add(fmt.Sprintf("the failure domain %q is listed twice", domain), "add the counts up in one item",
+			v.add(fmt.Sprintf("the failure domain %q is listed twice", domain), "combine the counts in one item",
 				"models", index, "replicas", strconv.Itoa(i), "failureDomain")
 		}
 		seen[domain] = true
@@ -199,7 +199,7 @@
 		if class.GetCallsRepeatable() || class.GetRefusesBeforeRun() || class.GetKind() == "" {
 			continue
 		}
-		v.add(fmt.Sprintf("calls to %q may not be repeated, yet its refusals do not prove that a call was not run", class.GetName()),
+		v.add(fmt.Sprintf("calls to %q may not be repeated, but its refusals do not prove that a call was not run", class.GetName()),
 			"set refusesBeforeRun if it refuses before it runs a call, or callsRepeatable if a second run does no harm",
 			"endpoints", strconv.Itoa(i), "refusesBeforeRun")
 	}
@@ -211,7 +211,7 @@
 	v.checkDeadline(limits.GetMaxRequest(), "maxRequest")
 	v.checkDeadline(limits.GetDrain(), "drain")
 	if DefaultRequest(v.doc) > MaxRequest(v.doc) {
-		v.add(fmt.Sprintf("the default of %v is longer than the longest allowed, %v", DefaultRequest(v.doc), MaxRequest(v.doc)),
+		v.add(fmt.Sprintf("the default of %v exceeds the maximum of %v", DefaultRequest(v.doc), MaxRequest(v.doc)),
 			"lower defaultRequest or raise maxRequest", "deadlines", "defaultRequest")
 	}
 }
