--- a/relay/settings/check.go
+++ b/relay/settings/check.go
@@ -84,7 +84,7 @@
 			"give certificateFile, keyFile and authorityFile, or set node.insecure to true for a test")}
 	}
 	if node.GetTls() != nil && node.GetInsecure() {
-		return []schema.Problem{schema.NewProblem("/node/insecure", "clear text is asked for though keys are given",
+		return []schema.Problem{schema.NewProblem("/node/insecure", "unencrypted connections are enabled although keys are given",
 			"remove node.insecure, or node.tls for a test")}
 	}
 	return nil
--- a/relay/settings/override.go
+++ b/relay/settings/override.go
@@ -49,7 +49,7 @@
 		holder, ok = holder[token].(map[string]any)
 	}
 	if !ok {
-		return nil, failure.New(failure.Invalid, fmt.Sprintf("the override %q leads into a value that is no object", override),
+		return nil, failure.New(failure.Invalid, fmt.Sprintf("the override %q has a parent that is not an object", override),
 			"correct its key; the settings' schema lists them")
 	}
 	return holder, nil
--- a/relay/settings/reload.go
+++ b/relay/settings/reload.go
@@ -70,5 +70,5 @@
 		return
 	}
 	r.Apply(set)
-	r.Log.Info("settings read again", "cause", cause, "file", r.File)
+	r.Log.Info("settings reloaded", "cause", cause, "file", r.File)
 }
