--- a/relay/manifest/manifest.go
+++ b/relay/manifest/manifest.go
@@ -123,10 +123,10 @@
 func DecodeNamed(encoded []byte, version string) (*wire.Manifest, error) {
 	man := &wire.Manifest{}
 	if err := proto.Unmarshal(encoded, man); err != nil {
-		return nil, failure.Wrap(err, failure.Corrupt, "the manifest cannot be read", "it is drawn again")
+		return nil, failure.Wrap(err, failure.Corrupt, "the manifest cannot be read", "it is fetched again")
 	}
 	if man.GetModel() != version {
-		return nil, failure.New(failure.Corrupt, "the manifest is that of "+man.GetModel(), "it is drawn again")
+		return nil, failure.New(failure.Corrupt, "the manifest is for version "+man.GetModel(), "it is fetched again")
 	}
 	if err := check(man); err != nil {
 		return nil, err
