--- a/relay/settings/check.go
+++ b/relay/settings/check.go
@@ -110,7 +110,7 @@
 			if later.address == "" || later.address != earlier.address || hasZeroPort(later.address) {
 				continue
 			}
-			found = append(found, schema.NewProblem(later.path, fmt.Sprintf("the address %s is that of another listener too", later.address),
+			found = append(found, schema.NewProblem(later.path, fmt.Sprintf("the address %s is already used by another listener", later.address),
 				"give each listener its own port"))
 		}
 	}
