--- a/relay/document/key.go
+++ b/relay/document/key.go
@@ -5,19 +5,19 @@
 	"encoding/hex"
 )
 
-// shortDigits is how much of a hash people are shown.
-const shortDigits = 12
+// shortHashDigits is the number of hash digits shown in messages and diffs.
+const shortHashDigits = 12
 
-// KeyHash returns the form in which the document holds a bearer key: its
-// SHA-256, hexadecimal.
+// KeyHash returns the SHA-256 hash of a bearer key in hexadecimal, which the
+// document stores instead of the key.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 func shortHash(hash string) string {
-	if len(hash) <= shortDigits {
+	if len(hash) <= shortHashDigits {
 		return hash
 	}
-	return hash[:shortDigits] + "..."
+	return hash[:shortHashDigits] + "..."
 }
--- a/relay/schema/bounds.go
+++ b/relay/schema/bounds.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	maxNumberText = 40
-	maxExponent   = 30
-	maxDepth      = 32
-	maxValues     = 100_000
+	maxNumberChars = 40
+	maxExponent    = 30
+	maxDepth       = 32
+	maxValues      = 100_000
 )
 
-// bounds walks a tree and collects what is too costly to check further.
-type bounds struct {
-	tokens []string // where the walk is; shared, so that depth costs nothing
+// boundsWalker walks a JSON tree and collects the values that are too expensive to
+// validate.
+type boundsWalker struct {
+	tokens []string // path of the current value; shared by all levels to avoid copies
 	values int
 	found  []Problem
 }
 
-// checkBounds refuses numbers that are costly to compute with, and nesting and
-// counts that no text of ours has. The schema library makes exact fractions of numbers: a
-// text full of 1e999999 would hold a processor for hours, and one would notice
-// a listener that stops answering. It keeps all mistakes in memory besides, so
-// that their count is bounded by that of the values.
+// checkBounds reports numbers that are expensive to compute with, and nesting
+// depths and value counts that no valid text has. The schema library converts
+// numbers to exact fractions: a text full of 1e999999 would occupy a processor for
+// hours, and the listener would stop answering. The library also keeps all errors
+// in memory; limiting the number of values limits the number of errors.
 func checkBounds(tree any) []Problem {
-	walk := &bounds{}
+	walk := &boundsWalker{}
 	walk.visit(tree)
 	if walk.values > maxValues {
 		walk.tokens = nil
@@ -36,7 +37,7 @@
 	return Sort(walk.found)
 }
 
-func (b *bounds) visit(tree any) {
+func (b *boundsWalker) visit(tree any) {
 	b.values++
 	if b.values > maxValues {
 		return
@@ -47,9 +48,9 @@
 	}
 	switch node := tree.(type) {
 	case json.Number:
-		if isCostly(node.String()) {
+		if isExpensiveNumber(node.String()) {
 			b.add("the number is out of bounds: "+shorten(node.String()),
-				fmt.Sprintf("write it with at most %d characters and an exponent of at most %d", maxNumberText, maxExponent))
+				fmt.Sprintf("write it with at most %d characters and an exponent of at most %d", maxNumberChars, maxExponent))
 		}
 	case map[string]any:
 		for key, child := range node {
@@ -62,18 +63,18 @@
 	}
 }
 
-func (b *bounds) enter(token string, child any) {
+func (b *boundsWalker) enter(token string, child any) {
 	b.tokens = append(b.tokens, token)
 	b.visit(child)
 	b.tokens = b.tokens[:len(b.tokens)-1]
 }
 
-func (b *bounds) add(message, remedy string) {
+func (b *boundsWalker) add(message, remedy string) {
 	b.found = append(b.found, NewProblem(Pointer(b.tokens...), message, remedy))
 }
 
-func isCostly(text string) bool {
-	if len(text) > maxNumberText {
+func isExpensiveNumber(text string) bool {
+	if len(text) > maxNumberChars {
 		return true
 	}
 	_, exponent, ok := strings.Cut(strings.ToLower(text), "e")
--- a/relay/schema/describe.go
+++ b/relay/schema/describe.go
@@ -7,53 +7,54 @@
 	"strings"
 )
 
-// Field is what a schema says of one value.
+// Field is the schema's description of a value.
 type Field struct {
 	description string
-	kind        string   // JSON type, or the allowed values
-	fallback    string   // JSON text of the default; empty where there is none
-	remedy      string   // how to write it right
-	keys        []string // of an object, or of a list's items; sorted
+	kind        string   // JSON type, name of a string's definition, or the allowed values
+	defaultText string   // JSON text of the default; empty if there is none
+	remedy      string   // how to write a valid value
+	keys        []string // keys of an object or of a list's items, sorted
 }
 
-// Description returns what the field means; it may be empty.
+// Description returns the meaning of the field. It may be empty.
 func (f Field) Description() string { return f.description }
 
-// Kind returns the JSON type or the allowed values.
+// Kind returns the JSON type, the name of a string's definition, or the allowed
+// values.
 func (f Field) Kind() string { return f.kind }
 
-// Default returns the JSON text of the default, empty where there is none.
-func (f Field) Default() string { return f.fallback }
+// Default returns the JSON text of the default, or "" if there is none.
+func (f Field) Default() string { return f.defaultText }
 
-// Remedy returns how to write the value.
+// Remedy returns how to write a valid value.
 func (f Field) Remedy() string { return f.remedy }
 
 // Keys returns the keys of an object or of a list's items.
 func (f Field) Keys() []string { return f.keys }
 
-// Describe returns what the schema says where the tokens lead. Indexes of list
-// items may stand between the keys or be left out.
+// Describe returns the schema's description of the value at the path. Indexes of
+// list items may be omitted.
 func (c *Checker) Describe(tokens []string) (Field, bool) {
-	sub := c.raw
+	subschema := c.raw
 	for _, token := range tokens {
-		next, ok := c.descend(sub, token)
+		next, ok := c.childSchema(subschema, token)
 		if !ok {
 			return Field{}, false
 		}
-		sub = next
+		subschema = next
 	}
-	return c.field(sub), true
+	return c.field(subschema), true
 }
 
-func (c *Checker) descend(sub any, token string) (any, bool) {
-	items, isList := At(c.resolve(sub), []string{"items"})
+func (c *Checker) childSchema(subschema any, token string) (any, bool) {
+	items, isList := At(c.resolve(subschema), []string{"items"})
 	if isList && isIndex(token) {
 		return items, true
 	}
 	if isList {
-		sub = items
+		subschema = items
 	}
-	next := c.property(sub, token)
+	next := c.property(subschema, token)
 	return next, next != nil
 }
 
@@ -62,11 +63,11 @@
 	return err == nil || token == "-"
 }
 
-func (c *Checker) field(sub any) Field {
-	target := c.resolve(sub)
-	found := Field{description: c.text(sub, "description"), remedy: c.remedy(sub), kind: c.kindOf(sub)}
-	if value, ok := At(sub, []string{"default"}); ok {
-		found.fallback = jsonText(value)
+func (c *Checker) field(subschema any) Field {
+	target := c.resolve(subschema)
+	found := Field{description: c.keywordText(subschema, "description"), remedy: c.remedy(subschema), kind: c.kindOf(subschema)}
+	if value, ok := At(subschema, []string{"default"}); ok {
+		found.defaultText = jsonText(value)
 	}
 	if items, ok := At(target, []string{"items"}); ok {
 		target = items
@@ -75,10 +76,10 @@
 	return found
 }
 
-// text returns a keyword's text: the schema's own, else that of what it refers
-// to.
-func (c *Checker) text(sub any, keyword string) string {
-	for _, level := range []any{sub, c.resolve(sub)} {
+// keywordText returns the value of a keyword in a schema object or else in the object
+// that it references.
+func (c *Checker) keywordText(subschema any, keyword string) string {
+	for _, level := range []any{subschema, c.resolve(subschema)} {
 		if text, ok := At(level, []string{keyword}); ok {
 			return fmt.Sprint(text)
 		}
@@ -86,10 +87,10 @@
 	return ""
 }
 
-// kindOf names the allowed values, or what the schema calls a string's form, or
-// the type.
-func (c *Checker) kindOf(sub any) string {
-	target := c.resolve(sub)
+// kindOf returns the allowed values of an enumeration, the name of the definition
+// that a string references, or the type.
+func (c *Checker) kindOf(subschema any) string {
+	target := c.resolve(subschema)
 	if allowed, ok := At(target, []string{"enum"}); ok {
 		return "one of " + strings.ReplaceAll(strings.Trim(jsonText(allowed), "[]"), ",", ", ")
 	}
@@ -97,7 +98,7 @@
 	if list, ok := kind.([]any); ok {
 		return fmt.Sprint(list[0])
 	}
-	if ref, ok := At(sub, []string{"$ref"}); ok && kind == "string" {
+	if ref, ok := At(subschema, []string{"$ref"}); ok && kind == "string" {
 		return path.Base(fmt.Sprint(ref))
 	}
 	return fmt.Sprint(kind)
--- a/relay/schema/lines.go
+++ b/relay/schema/lines.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// Lines returns the problems of a JSON text in one line each, with the line of the text
-// where the value stands, or where the object stands that lacks it.
+// Lines formats the problems of a JSON text, one per line. Each begins with the
+// line number of the value in the text or, if the value is missing, of the closest
+// parent that is present.
 func Lines(text []byte, problems []Problem) string {
-	lines := linesOf(text)
+	lines := lineNumbers(text)
 	var messages []string
 	for _, problem := range problems {
 		line := 1
@@ -26,22 +27,23 @@
 	return strings.Join(messages, "\n")
 }
 
-// linesOf returns the line of each value of a JSON text by its pointer, as far as the
-// text can be read.
-func linesOf(text []byte) map[string]int {
-	walk := &walker{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, found: map[string]int{}}
+// lineNumbers returns the line number of each value in a JSON text by its JSON
+// pointer. It stops at the first syntax error.
+func lineNumbers(text []byte) map[string]int {
+	walk := &lineScanner{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, found: map[string]int{}}
 	walk.value("")
 	return walk.found
 }
 
-type walker struct {
+// lineScanner records the line number of each value while it decodes a JSON text.
+type lineScanner struct {
 	decoder *json.Decoder
 	text    []byte
 	found   map[string]int
 }
 
-// next reads a token and returns it with its line.
-func (w *walker) next() (json.Token, int, bool) {
+// next reads a token and returns it with its line number.
+func (w *lineScanner) next() (json.Token, int, bool) {
 	token, err := w.decoder.Token()
 	if err != nil {
 		return nil, 0, false
@@ -49,8 +51,9 @@
 	return token, 1 + bytes.Count(w.text[:w.decoder.InputOffset()], []byte("\n")), true
 }
 
-// value reads the value at a pointer and reports whether the text goes on.
-func (w *walker) value(path string) bool {
+// value reads the value at a JSON pointer. It returns false if the text cannot be
+// decoded further.
+func (w *lineScanner) value(path string) bool {
 	token, line, ok := w.next()
 	if !ok {
 		return false
@@ -65,7 +68,7 @@
 	return true
 }
 
-func (w *walker) object(path string) bool {
+func (w *lineScanner) object(path string) bool {
 	for w.decoder.More() {
 		key, _, ok := w.next()
 		name, isText := key.(string)
@@ -77,7 +80,7 @@
 	return ok
 }
 
-func (w *walker) list(path string) bool {
+func (w *lineScanner) list(path string) bool {
 	for i := 0; w.decoder.More(); i++ {
 		if !w.value(path + Pointer(strconv.Itoa(i))) {
 			return false
--- a/relay/schema/schema.go
+++ b/relay/schema/schema.go
@@ -1,9 +1,9 @@
-// Package schema checks JSON texts against a JSON schema and reports everything
-// that is wrong at once, each with its path and a remedy.
+// Package schema validates JSON texts against a JSON schema and reports all
+// problems at once, each with its path and a remedy.
 //
-// Beside the standard keywords it reads "x-remedy": the advice to give where a
-// value breaks the schema that holds it. A schema with "writeOnly" keeps its
-// values out of messages.
+// In addition to the standard keywords it supports "x-remedy", the remedy to
+// report if a value does not conform to the schema that contains the keyword. The
+// values of a schema with "writeOnly" are not shown in messages.
 package schema
 
 import (
@@ -22,18 +22,20 @@
 	"golang.org/x/text/message"
 )
 
-// maxShown bounds the part of a wrong value that a message repeats, in bytes.
-const maxShown = 60
+// maxShownBytes is the maximum number of bytes of an invalid value that a message
+// shows.
+const maxShownBytes = 60
 
 var printer = message.NewPrinter(language.English)
 
-// Checker holds one compiled schema; it is safe for concurrent use.
+// Checker validates JSON trees against a compiled schema. It is safe for
+// concurrent use.
 type Checker struct {
-	raw      any // the schema's own JSON tree; read only
+	raw      any // the schema as a JSON tree; read only
 	compiled *jsonschema.Schema
 }
 
-// MustCompile compiles an embedded schema and panics where it is wrong.
+// MustCompile compiles an embedded schema and panics if it is invalid.
 func MustCompile(name string, text []byte) *Checker {
 	raw, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -50,11 +52,12 @@
 	return &Checker{raw: raw, compiled: compiler.MustCompile(name)}
 }
 
-// ParseTree reads a JSON text into maps, lists and json.Number values.
+// ParseTree parses a JSON text into maps, slices and json.Number values, and
+// reports syntax errors and values out of bounds.
 func ParseTree(text []byte) (any, []Problem) {
 	tree, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err == nil {
-		return tree, limit(checkBounds(tree))
+		return tree, truncate(checkBounds(tree))
 	}
 	where := ""
 	var syntax *json.SyntaxError
@@ -65,7 +68,7 @@
 	return nil, []Problem{NewProblem("", "this is not JSON: "+err.Error()+where, "correct the JSON syntax there")}
 }
 
-// Check returns everything in which the tree breaks the schema.
+// Check returns all violations of the schema in the tree.
 func (c *Checker) Check(tree any) []Problem {
 	err := c.compiled.Validate(tree)
 	if err == nil {
@@ -75,10 +78,11 @@
 	if !errors.As(err, &problem) {
 		return []Problem{NewProblem("", err.Error(), "correct the text")}
 	}
-	return limit(Sort(c.collect(problem, tree, nil)))
+	return truncate(Sort(c.collect(problem, tree, nil)))
 }
 
-// collect turns the leaves of the tree of causes into problems.
+// collect converts the leaves of a validation error's tree of causes to problems
+// and appends them to found.
 func (c *Checker) collect(problem *jsonschema.ValidationError, tree any, found []Problem) []Problem {
 	if len(problem.Causes) > 0 {
 		for _, cause := range problem.Causes {
@@ -86,14 +90,14 @@
 		}
 		return found
 	}
-	switch broken := problem.ErrorKind.(type) {
+	switch violation := problem.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		return append(found, c.unknownKeys(problem, broken.Properties)...)
+		return append(found, c.unknownKeys(problem, violation.Properties)...)
 	case *kind.Required:
-		return append(found, c.missingKeys(problem, broken.Missing)...)
+		return append(found, c.missingKeys(problem, violation.Missing)...)
 	}
 	path := Pointer(problem.InstanceLocation...)
-	return append(found, NewProblem(path, c.describe(problem, tree), c.remedy(c.schemaAt(problem))))
+	return append(found, NewProblem(path, c.violationMessage(problem, tree), c.remedy(c.schemaAt(problem))))
 }
 
 func (c *Checker) unknownKeys(problem *jsonschema.ValidationError, keys []string) []Problem {
@@ -117,31 +121,31 @@
 	return found
 }
 
-func (c *Checker) describe(problem *jsonschema.ValidationError, tree any) string {
+func (c *Checker) violationMessage(problem *jsonschema.ValidationError, tree any) string {
 	text := problem.ErrorKind.LocalizedString(printer)
 	value, ok := At(tree, problem.InstanceLocation)
 	if !ok || c.isSecret(c.schemaAt(problem)) {
 		value = nil
 	}
-	switch broken := problem.ErrorKind.(type) {
+	switch violation := problem.ErrorKind.(type) {
 	case *kind.Pattern:
 		text = "the value does not have the right form"
 	case *kind.Format:
-		text = "the value " + broken.Err.Error()
+		text = "the value " + violation.Err.Error()
 	case *kind.Type:
-		return fmt.Sprintf("the value's type is %s, not %s", broken.Got, strings.Join(broken.Want, " or "))
+		return fmt.Sprintf("the value's type is %s, not %s", violation.Got, strings.Join(violation.Want, " or "))
 	case *kind.Enum:
 		text = "the value is not one of those allowed"
 	case *kind.Minimum:
-		text = "the value is less than " + number(broken.Want)
+		text = "the value is less than " + formatNumber(violation.Want)
 	case *kind.Maximum:
-		text = "the value is more than " + number(broken.Want)
+		text = "the value is more than " + formatNumber(violation.Want)
 	case *kind.MinItems:
-		return fmt.Sprintf("the list has %d items, %d at least are needed", broken.Got, broken.Want)
+		return fmt.Sprintf("the list has %d items, %d at least are needed", violation.Got, violation.Want)
 	case *kind.MaxItems:
-		return fmt.Sprintf("the list has %d items, %d at most are allowed", broken.Got, broken.Want)
+		return fmt.Sprintf("the list has %d items, %d at most are allowed", violation.Got, violation.Want)
 	case *kind.UniqueItems:
-		return fmt.Sprintf("items %d and %d are equal", broken.Duplicates[0], broken.Duplicates[1])
+		return fmt.Sprintf("items %d and %d are equal", violation.Duplicates[0], violation.Duplicates[1])
 	}
 	switch value.(type) {
 	case string, json.Number, bool:
@@ -158,26 +162,27 @@
 	return string(text)
 }
 
-func number(value *big.Rat) string {
+func formatNumber(value *big.Rat) string {
 	float, _ := value.Float64()
 	return strconv.FormatFloat(float, 'f', -1, 64)
 }
 
 func shorten(text string) string {
-	if len(text) <= maxShown {
+	if len(text) <= maxShownBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxShown], "") + "..."
+	return strings.ToValidUTF8(text[:maxShownBytes], "") + "..."
 }
 
-// schemaAt returns the schema object that the problem's value breaks.
+// schemaAt returns the schema object that the value violates.
 func (c *Checker) schemaAt(problem *jsonschema.ValidationError) any {
 	_, fragment, _ := strings.Cut(problem.SchemaURL, "#")
 	found, _ := At(c.raw, Tokens(fragment))
 	return found
 }
 
-// property returns the schema of one property with references followed.
+// property returns the schema of a property of holder, or nil. It resolves a
+// reference in holder.
 func (c *Checker) property(holder any, key string) any {
 	found, _ := At(c.resolve(holder), []string{"properties", key})
 	return found
@@ -194,26 +199,28 @@
 	return keys
 }
 
-// resolve follows a reference within the schema.
-func (c *Checker) resolve(sub any) any {
-	object, _ := sub.(map[string]any)
+// resolve returns the target of a reference within the schema, or subschema itself if
+// it is not a reference.
+func (c *Checker) resolve(subschema any) any {
+	object, _ := subschema.(map[string]any)
 	ref, ok := object["$ref"].(string)
 	if !ok {
-		return sub
+		return subschema
 	}
 	target, _ := At(c.raw, Tokens(strings.TrimPrefix(ref, "#")))
 	return target
 }
 
-func (c *Checker) isSecret(sub any) bool {
-	object, _ := sub.(map[string]any)
+func (c *Checker) isSecret(subschema any) bool {
+	object, _ := subschema.(map[string]any)
 	secret, _ := object["writeOnly"].(bool)
 	return secret
 }
 
-// remedy returns the schema's advice: its own, else that of what it refers to.
-func (c *Checker) remedy(sub any) string {
-	for _, level := range []any{sub, c.resolve(sub)} {
+// remedy returns the remedy of a schema object or else of the object that it
+// references.
+func (c *Checker) remedy(subschema any) string {
+	for _, level := range []any{subschema, c.resolve(subschema)} {
 		object, _ := level.(map[string]any)
 		if advice, ok := object["x-remedy"].(string); ok {
 			return advice
@@ -222,8 +229,8 @@
 	return "correct it as the schema says"
 }
 
-// DecodeMessage returns protojson's error text without the space that varies
-// between builds of a program.
+// DecodeMessage returns the text of a protojson error without the prefix and with
+// normalized spaces, which protojson varies between builds.
 func DecodeMessage(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimPrefix(text, "proto: ")
--- a/relay/settings/check.go
+++ b/relay/settings/check.go
@@ -16,7 +16,8 @@
 	maxWindowBytes = 64 << 20
 	maxDuration    = time.Hour
 	minInterval    = 10 * time.Millisecond
-	// minLease leaves the holder time to notice and stop before it ends.
+	// minLease leaves the holder enough time to notice that its lease is ending and
+	// to stop before it expires.
 	minLease = 500 * time.Millisecond
 )
 
@@ -27,7 +28,7 @@
 	found = append(found, checkDuration(set.GetLeaseTtl(), minLease, "leaseTtl")...)
 	found = append(found, checkDuration(set.GetDrainTimeout(), 0, "drainTimeout")...)
 	found = append(found, checkEntrySite(set.GetSite())...)
-	found = append(found, checkApart(listeners{
+	found = append(found, checkDistinctAddresses(listeners{
 		{"/node/controlAddress", set.GetNode().GetControlAddress()},
 		{"/node/operatorsAddress", set.GetNode().GetOperatorsAddress()},
 		{"/callersAddress", set.GetCallersAddress()},
@@ -37,7 +38,8 @@
 	return schema.Sort(found)
 }
 
-// checkEntrySite asks for the listeners by which a platform finds an entry.
+// checkEntrySite reports missing addresses of the listeners that a platform calls
+// on an entry.
 func checkEntrySite(set *wire.SiteSettings) []schema.Problem {
 	if set == nil {
 		return nil
@@ -59,7 +61,7 @@
 	found := checkNode(set.GetNode())
 	found = append(found, checkDuration(set.GetSyncInterval(), minInterval, "syncInterval")...)
 	found = append(found, checkDuration(set.GetDrainTimeout(), 0, "drainTimeout")...)
-	found = append(found, checkApart(listeners{
+	found = append(found, checkDistinctAddresses(listeners{
 		{"/node/controlAddress", set.GetNode().GetControlAddress()},
 		{"/node/operatorsAddress", set.GetNode().GetOperatorsAddress()},
 	})...)
@@ -74,47 +76,48 @@
 	return schema.Sort(found)
 }
 
-// checkNode refuses clear text between processes unless it is asked for, so
-// that a forgotten key file doesn't open the system to anyone.
+// checkNode reports unencrypted connections between processes unless they are
+// enabled explicitly, so that a forgotten key file does not give everyone access.
 func checkNode(node *wire.NodeSettings) []schema.Problem {
 	if node.GetTls() == nil && !node.GetInsecure() {
 		return []schema.Problem{schema.NewProblem("/node/tls", "there are no keys for the connections between processes",
 			"give certificateFile, keyFile and authorityFile, or set node.insecure to true for a test")}
 	}
 	if node.GetTls() != nil && node.GetInsecure() {
-		return []schema.Problem{schema.NewProblem("/node/insecure", "clear text is asked for though keys are given",
+		return []schema.Problem{schema.NewProblem("/node/insecure", "unencrypted connections are enabled although keys are given",
 			"remove node.insecure, or node.tls for a test")}
 	}
 	return nil
 }
 
-func checkDuration(length *durationpb.Duration, least time.Duration, key string) []schema.Problem {
-	got := length.AsDuration()
-	if got >= least && got <= maxDuration {
+func checkDuration(duration *durationpb.Duration, minimum time.Duration, key string) []schema.Problem {
+	got := duration.AsDuration()
+	if got >= minimum && got <= maxDuration {
 		return nil
 	}
 	return []schema.Problem{schema.NewProblem(schema.Pointer(key), fmt.Sprintf("%v is out of bounds", got),
-		fmt.Sprintf("give %v to %v in seconds, for example %q", least, maxDuration, "5s"))}
+		fmt.Sprintf("give %v to %v in seconds, for example %q", minimum, maxDuration, "5s"))}
 }
 
-// listeners are the addresses that one process listens on, by path.
+// listeners are the addresses that a process listens on, with their settings'
+// paths.
 type listeners []struct{ path, address string }
 
-func checkApart(list listeners) []schema.Problem {
+func checkDistinctAddresses(list listeners) []schema.Problem {
 	var found []schema.Problem
 	for i, later := range list {
 		for _, earlier := range list[:i] {
-			if later.address == "" || later.address != earlier.address || anyPort(later.address) {
+			if later.address == "" || later.address != earlier.address || hasZeroPort(later.address) {
 				continue
 			}
-			found = append(found, schema.NewProblem(later.path, fmt.Sprintf("the address %s is that of another listener too", later.address),
+			found = append(found, schema.NewProblem(later.path, fmt.Sprintf("the address %s is already used by another listener", later.address),
 				"give each listener its own port"))
 		}
 	}
 	return found
 }
 
-func anyPort(address string) bool {
+func hasZeroPort(address string) bool {
 	at, err := netip.ParseAddrPort(address)
 	return err == nil && at.Port() == 0
 }
--- a/relay/settings/man_test.go
+++ b/relay/settings/man_test.go
@@ -10,9 +10,8 @@
 	"comfreyrelay.example/relay/settings"
 )
 
-// TestManPagesListEverySetting fails where a key, its default or its meaning
-// changed and the man page was forgotten. The message holds the row to put
-// there.
+// TestManPagesListEverySetting fails if a man page does not list a key with its
+// current default and description. The message contains the missing row.
 func TestManPagesListEverySetting(t *testing.T) {
 	for page, describe := range map[string]func(string) (schema.Field, bool){
 		"comfreyentry.md": settings.DescribeEntry,
@@ -22,7 +21,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, row := range rows(describe, "") {
+		for _, row := range settingRows(describe, "") {
 			if !strings.Contains(string(text), row+"\n") {
 				t.Errorf("got no such row in man/%s, want\n%s", page, row)
 			}
@@ -30,9 +29,8 @@
 	}
 }
 
-// rows returns a table's row for each key below the path that holds no keys
-// itself.
-func rows(describe func(string) (schema.Field, bool), path string) []string {
+// settingRows returns a table row for each setting below the path that is not an object.
+func settingRows(describe func(string) (schema.Field, bool), path string) []string {
 	field, _ := describe(path)
 	if len(field.Keys()) == 0 {
 		return []string{fmt.Sprintf("| `%s` | %s | %s | %s |", path, field.Kind(), code(field.Default()), field.Description())}
@@ -40,7 +38,7 @@
 	var found []string
 	for _, key := range field.Keys() {
 		if key != "$schema" {
-			found = append(found, rows(describe, strings.TrimPrefix(path+"."+key, "."))...)
+			found = append(found, settingRows(describe, strings.TrimPrefix(path+"."+key, "."))...)
 		}
 	}
 	return found
--- a/relay/settings/reload.go
+++ b/relay/settings/reload.go
@@ -11,51 +11,52 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// reloadInterval is how often a settings file is looked at that may change
+// reloadInterval is the interval at which a settings file is checked for changes
 // without a signal.
 const reloadInterval = 2 * time.Second
 
-// Reloader reads a settings file again when it changed, with or without SIGHUP.
-// A file that cannot be read or is wrong changes nothing and is logged.
+// Reloader reloads a settings file on SIGHUP and when it detects a change. If the
+// file is unreadable or invalid, it logs the error and keeps the settings.
 type Reloader[T any] struct {
-	File  string // empty: settings never change, SIGHUP does nothing
+	File  string // if empty, settings never change and SIGHUP is ignored
 	Load  func(file string) (T, error)
 	Apply func(T)
 	Clock clockwork.Clock
 	Log   *slog.Logger
 
-	seen time.Time // modification that was read last
-	size int64
+	modTime time.Time // modification time at the last check
+	size    int64
 }
 
-// Run reloads until ctx ends.
+// Run watches for signals and changes until ctx is done.
 func (r *Reloader[T]) Run(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	r.changed()
+	r.fileChanged()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			r.changed()
+			r.fileChanged()
 			r.reload("signal")
 		case <-r.Clock.After(reloadInterval):
-			if r.changed() {
+			if r.fileChanged() {
 				r.reload("file")
 			}
 		}
 	}
 }
 
-// changed reports whether the file is another one than at the last look.
-func (r *Reloader[T]) changed() bool {
+// fileChanged reports whether the file's modification time or size differs from the
+// last check.
+func (r *Reloader[T]) fileChanged() bool {
 	info, err := os.Stat(r.File)
-	if r.File == "" || err != nil || info.ModTime().Equal(r.seen) && info.Size() == r.size {
+	if r.File == "" || err != nil || info.ModTime().Equal(r.modTime) && info.Size() == r.size {
 		return false
 	}
-	r.seen, r.size = info.ModTime(), info.Size()
+	r.modTime, r.size = info.ModTime(), info.Size()
 	return true
 }
 
@@ -69,5 +70,5 @@
 		return
 	}
 	r.Apply(set)
-	r.Log.Info("settings read again", "cause", cause, "file", r.File)
+	r.Log.Info("settings reloaded", "cause", cause, "file", r.File)
 }
--- a/relay/settings/settings_test.go
+++ b/relay/settings/settings_test.go
@@ -16,16 +16,16 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// TestScripts replays testdata/scripts/*.txt: "entry" and "agent" load the
-// input as a file, with overrides from "set=(key=value,...)"; a first line "+"
-// stands for the smallest valid file, to which overrides apply.
+// TestScripts runs testdata/scripts/*.txt. "entry" and "agent" load the input as a
+// settings file. Input that begins with "+" loads the smallest valid file, with the
+// words after the "+" as overrides.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			file := filepath.Join(t.TempDir(), d.Cmd+".json")
 			text := []byte(d.Input)
 			if strings.HasPrefix(d.Input, "+") {
-				text = smallest(t, d.Cmd)
+				text = minimalSettings(t, d.Cmd)
 			}
 			if err := os.WriteFile(file, text, 0o600); err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 	})
 }
 
-func smallest(t *testing.T, program string) []byte {
+func minimalSettings(t *testing.T, program string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + program + ".json")
 	if err != nil {
@@ -63,7 +63,8 @@
 	return settings.LoadAgentWith(file, overrides)
 }
 
-// render writes one field a line, because protojson varies its white space.
+// render prints one field per line and normalizes the white space, which protojson
+// varies.
 func render(t *testing.T, set proto.Message) string {
 	t.Helper()
 	text, err := protojson.MarshalOptions{Multiline: true, Indent: "  "}.Marshal(set)
@@ -89,9 +90,9 @@
 	}
 }
 
-// TestSchemasKnowEveryField fails where a wire field was added and the schema
-// was forgotten: nobody could set it.
-func TestSchemasKnowEveryField(t *testing.T) {
+// TestSchemasHaveEveryField fails if a wire field is missing from the schema,
+// because it could not be set.
+func TestSchemasHaveEveryField(t *testing.T) {
 	for program, set := range map[string]proto.Message{"entry": &wire.EntrySettings{}, "agent": &wire.AgentSettings{}} {
 		text, err := os.ReadFile(program + ".schema.json")
 		if err != nil {
