--- a/relay/revision/delta.go
+++ b/relay/revision/delta.go
@@ -7,8 +7,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Slim returns the root as it travels between processes: the audit record
-// stays in the service, but for what distinguishes two roots.
+// Slim returns the copy of root that is sent between processes. Of the audit
+// record it keeps only the fields that distinguish two roots; the rest stays in
+// the service.
 func Slim(root *wire.Root) *wire.Root {
 	return &wire.Root{
 		Revision:     root.GetRevision(),
@@ -21,7 +22,7 @@
 	}
 }
 
-// Delta returns next as its difference from base.
+// Delta encodes next as the parts that were added, changed or removed since base.
 func Delta(base, next *wire.Root) *wire.Root {
 	delta := &wire.Root{
 		Revision:     next.GetRevision(),
@@ -46,9 +47,9 @@
 	return delta
 }
 
-// Expand returns the whole root for a received one; nil where it is a
-// difference from another revision than the one held. Whether the result is
-// right its content hash shows.
+// Expand reconstructs the complete root from a received one, which may be a
+// delta. It returns nil if the delta is based on a revision other than held's.
+// It does not verify the result: the content hash does.
 func Expand(held, root *wire.Root) *wire.Root {
 	if root == nil || root.GetDeltaBase() == 0 {
 		return root
--- a/relay/revision/delta_test.go
+++ b/relay/revision/delta_test.go
@@ -20,8 +20,9 @@
 	return Slim(drawn)
 }
 
-// TestDeltaOverItsBase: whatever changed, comes or goes between two roots, the
-// difference over its base is the newer root, and over any other base nothing.
+// TestDeltaOverItsBase checks for random changes, additions and removals of
+// parts that expanding a delta over its base yields the newer root, and over any
+// other base nil.
 func TestDeltaOverItsBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, next := drawRoot(t, 4), drawRoot(t, 7)
--- a/relay/revision/revision.go
+++ b/relay/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision decides which document, plan and drain marks a process
-// holds in force, whatever its source: the key-value service, another entry or an
-// agent. What is in force never falls back to something older.
+// Package revision decides which document, plan and drain marks are current in
+// a process, whether they come from the key-value service, another entry or an
+// agent. A current value is never replaced by an older one.
 package revision
 
 import (
@@ -9,44 +9,45 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Verdict says what an offer means to its receiver.
+// Verdict is the result of comparing a received version with the current one.
 type Verdict int
 
 // The verdicts.
 const (
-	Older         Verdict = iota // the receiver knows more: keep
-	Same                         // nothing new, but perhaps a fresher confirmation
-	Newer                        // adopt
-	Contradiction                // the same revision with another content: an invariant broke
+	Older         Verdict = iota // the current version is newer and is kept
+	Same                         // the same version, though its confirmation may be more recent
+	Newer                        // the received version replaces the current one
+	Contradiction                // same revision, different content: an invariant is violated
 )
 
-// String returns the verdict as logs show it.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	return [...]string{"older", "same", "newer", "contradiction"}[v]
 }
 
-// State is what one process has in force. It is not safe for concurrent use.
+// State holds the versions that are current in one process. It is not safe for
+// concurrent use.
 type State struct {
-	root        *wire.Root       // nil: revision 0; its parts are all at hand
+	root        *wire.Root       // nil: revision 0; all of its parts are held locally
 	plan        *wire.Plan       // nil: plan revision 0
 	drains      *wire.DrainMarks // nil: none
-	confirmedAt time.Time        // never falls; zero: nobody confirmed anything yet
+	confirmedAt time.Time        // never decreases; zero: not confirmed yet
 }
 
-// Root returns the root in force, or nil.
+// Root returns the current root, or nil.
 func (s *State) Root() *wire.Root { return s.root }
 
-// Plan returns the plan in force, or nil.
+// Plan returns the current plan, or nil.
 func (s *State) Plan() *wire.Plan { return s.plan }
 
-// Drains returns the operators' marks in force, or nil.
+// Drains returns the operators' current drain marks, or nil.
 func (s *State) Drains() *wire.DrainMarks { return s.drains }
 
 // ConfirmedAt returns when the service last confirmed the root, by the local
-// clock; zero where nobody ever did.
+// clock, or the zero time if it never has.
 func (s *State) ConfirmedAt() time.Time { return s.confirmedAt }
 
-// JudgeRoot says what a root would change, without adopting it.
+// JudgeRoot compares root with the current root without adopting it.
 func (s *State) JudgeRoot(root *wire.Root) Verdict {
 	offered, held := root.GetRevision(), s.root.GetRevision()
 	if offered < held {
@@ -61,8 +62,8 @@
 	return Same
 }
 
-// AdoptRoot takes the root in force where it is newer; the caller holds all
-// its parts.
+// AdoptRoot makes root current if it is newer. The caller must already hold all
+// of its parts.
 //
 // Rule MONOTONE of spec/document.pml.
 func (s *State) AdoptRoot(root *wire.Root) Verdict {
@@ -73,13 +74,14 @@
 	return verdict
 }
 
-// contentOf identifies a root beyond its revision. Two submissions of the same
-// content are still two: the service accepted only one of them.
+// contentOf distinguishes roots of the same revision. It includes the submission
+// ID because two submissions with equal content still differ: the service
+// accepted only one of them.
 func contentOf(root *wire.Root) [2]string {
 	return [2]string{root.GetAudit().GetContentHash(), root.GetSubmissionId()}
 }
 
-// AdoptPlan takes the plan in force where it is newer.
+// AdoptPlan makes plan current if it is newer.
 func (s *State) AdoptPlan(plan *wire.Plan) Verdict {
 	offered, held := plan.GetPlanRevision(), s.plan.GetPlanRevision()
 	if offered < held {
@@ -95,7 +97,7 @@
 	return Same
 }
 
-// AdoptDrains takes the marks in force where they are newer.
+// AdoptDrains makes marks current if they are newer.
 func (s *State) AdoptDrains(marks *wire.DrainMarks) Verdict {
 	offered, held := marks.GetRevision(), s.drains.GetRevision()
 	if offered < held {
@@ -108,17 +110,17 @@
 	return Newer
 }
 
-// Confirm notes that the service confirmed the revision at the given moment:
-// only a confirmation of what is in force counts, and time never goes back
-// when the clock does.
+// Confirm records that the service confirmed revision at the given time. It
+// ignores other revisions than the current one, and times before the last
+// confirmation, so that a clock set back does not move it back.
 func (s *State) Confirm(revision uint32, at time.Time) {
 	if revision == s.root.GetRevision() && at.After(s.confirmedAt) {
 		s.confirmedAt = at
 	}
 }
 
-// Age returns how old the knowledge is; known is false where nobody ever
-// confirmed it. A clock that jumped back yields 0, never a negative age.
+// Age returns the time since the last confirmation; known is false if there was
+// none. After the clock is set back the age is 0, never negative.
 func (s *State) Age(now time.Time) (age time.Duration, known bool) {
 	if s.confirmedAt.IsZero() {
 		return 0, false
@@ -126,10 +128,11 @@
 	return max(0, now.Sub(s.confirmedAt)), true
 }
 
-// UnknownAge is what Known.AgeMillis bears while nobody confirmed anything.
+// UnknownAge is the value of Known.AgeMillis before the first confirmation.
 const UnknownAge = ^uint64(0)
 
-// Known returns what messages to other processes bear.
+// Known returns the current revisions and their age, as sent with messages to
+// other processes.
 func (s *State) Known(now time.Time) *wire.Known {
 	millis := UnknownAge
 	if age, known := s.Age(now); known {
@@ -143,7 +146,7 @@
 	}
 }
 
-// ObserveKnown takes over a confirmation that came with a message.
+// ObserveKnown records the confirmation that a received message carries.
 func (s *State) ObserveKnown(known *wire.Known, now time.Time) {
 	if known == nil || known.GetAgeMillis() == UnknownAge {
 		return
@@ -153,14 +156,14 @@
 	s.Confirm(known.GetRevision(), now.Add(-age))
 }
 
-// Lacks says what a message's sender lacks of what is in force here.
+// Lacks reports which of the current versions are newer than the sender's.
 func (s *State) Lacks(known *wire.Known) (root, plan, drains bool) {
 	return known.GetRevision() < s.root.GetRevision(),
 		known.GetPlanRevision() < s.plan.GetPlanRevision(),
 		known.GetDrainRevision() < s.drains.GetRevision()
 }
 
-// Offers says what a message's sender knows that is not in force here.
+// Offers reports whether the sender has any version newer than the current one.
 func (s *State) Offers(known *wire.Known) bool {
 	return known.GetRevision() > s.root.GetRevision() ||
 		known.GetPlanRevision() > s.plan.GetPlanRevision() ||
--- a/relay/revision/revision_test.go
+++ b/relay/revision/revision_test.go
@@ -18,7 +18,7 @@
 	return &wire.Root{Revision: revision, SubmissionId: content, Audit: &wire.Audit{ContentHash: content}}
 }
 
-// TestScripts replays testdata.
+// TestScripts runs the commands in testdata and compares their output.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		state, now := &State{}, start
@@ -72,9 +72,9 @@
 		state.Plan().GetPlanRevision(), state.Drains().GetRevision(), age)) + "\n"
 }
 
-// TestNeverFalls: whatever arrives in whatever order, from sources that lag,
-// repeat themselves or were restored from an old backup, nothing in force goes
-// back and nothing confirmed grows older than it was.
+// TestNeverFalls guards against replacing a current version or confirmation by
+// an older one when messages arrive in any order from sources that lag, repeat
+// messages or were restored from an old backup.
 func TestNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, now := &State{}, start
@@ -96,7 +96,7 @@
 			after := state.Known(now)
 			if after.GetRevision() < before.GetRevision() || after.GetPlanRevision() < before.GetPlanRevision() ||
 				after.GetDrainRevision() < before.GetDrainRevision() {
-				t.Fatalf("got %v after %v, want nothing to fall", after, before)
+				t.Fatalf("got %v after %v, want no older version", after, before)
 			}
 			if state.ConfirmedAt().Before(confirmed) {
 				t.Fatalf("got the confirmation at %v after %v, want it not to go back", state.ConfirmedAt(), confirmed)
