--- a/relay/revision/revision.go
+++ b/relay/revision/revision.go
@@ -56,7 +56,7 @@
 	if offered > held {
 		return Newer
 	}
-	if contentOf(root) != contentOf(s.root) {
+	if rootIdentity(root) != rootIdentity(s.root) {
 		return Contradiction
 	}
 	return Same
@@ -74,10 +74,10 @@
 	return verdict
 }
 
-// contentOf distinguishes roots of the same revision. It includes the submission
+// rootIdentity distinguishes roots of the same revision. It includes the submission
 // ID because two submissions with equal content still differ: the service
 // accepted only one of them.
-func contentOf(root *wire.Root) [2]string {
+func rootIdentity(root *wire.Root) [2]string {
 	return [2]string{root.GetAudit().GetContentHash(), root.GetSubmissionId()}
 }
 
