--- a/relay/drain/drain.go
+++ b/relay/drain/drain.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	l.running--
-	l.settle()
+	l.drainIfIdle()
 	return true
 }
 
@@ -81,7 +81,7 @@
 	case Cancelling, Drained:
 		return
 	}
-	l.settle()
+	l.drainIfIdle()
 }
 
 // Tick reports whether the owner must cancel what runs now; it says so once a
@@ -119,7 +119,7 @@
 	return true
 }
 
-func (l *Lane) settle() {
+func (l *Lane) drainIfIdle() {
 	if l.running > 0 || l.phase == Open {
 		return
 	}
