--- a/relay/hostlist/hostlist.go
+++ b/relay/hostlist/hostlist.go
@@ -23,8 +23,8 @@
 	maxBytes = 16 << 20
 )
 
-// line is one host of the list, as docs/PROTOCOLS.md has it.
-type line struct {
+// hostJSON is one host of the list, as docs/PROTOCOLS.md has it.
+type hostJSON struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
 	Region         string `json:"region"`
@@ -68,11 +68,11 @@
 		return nil, failure.Wrap(err, failure.Unavailable, "the platform's host list cannot be reached", "check node.hostsUrl and the list itself")
 	}
 	defer func() { _ = reply.Body.Close() }()
-	return r.take(reply)
+	return r.readReply(reply)
 }
 
-// take reads an answer. The lock is held.
-func (r *Reader) take(reply *http.Response) ([]membership.Listed, error) {
+// readReply reads an answer. The lock is held.
+func (r *Reader) readReply(reply *http.Response) ([]membership.Listed, error) {
 	switch reply.StatusCode {
 	case http.StatusNotModified:
 		return r.listed, nil
@@ -91,7 +91,7 @@
 // Parse reads the body of a list.
 func Parse(body io.Reader) ([]membership.Listed, error) {
 	var list struct {
-		Hosts []line `json:"hosts"`
+		Hosts []hostJSON `json:"hosts"`
 	}
 	if err := json.NewDecoder(body).Decode(&list); err != nil {
 		return nil, failure.Wrap(err, failure.Corrupt, "the platform's host list cannot be read", "check node.hostsUrl and the list itself")
--- a/relay/hostlist/hostlist_test.go
+++ b/relay/hostlist/hostlist_test.go
@@ -11,9 +11,9 @@
 
 // list is a fake of the platform's list with an entity tag.
 type list struct {
-	tag, body string
-	status    int
-	whole     int // answers that carried the list
+	tag, body   string
+	status      int
+	fullReplies int // answers that carried the list
 }
 
 func (l *list) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,7 @@
 			return
 		}
 	}
-	l.whole++
+	l.fullReplies++
 	_, _ = w.Write([]byte(l.body))
 }
 
@@ -52,7 +52,7 @@
 	reader := hostlist.NewReader(srv.URL, srv.Client())
 	read(t, reader, 1)
 	read(t, reader, 1)
-	if got, want := fake.whole, 1; got != want {
+	if got, want := fake.fullReplies, 1; got != want {
 		t.Errorf("whole answers: got %d, want %d", got, want)
 	}
 	fake.tag, fake.body = `"b"`, `{"hosts":[]}`
@@ -66,7 +66,7 @@
 	reader := hostlist.NewReader(srv.URL, srv.Client())
 	read(t, reader, 1)
 	read(t, reader, 1)
-	if got, want := fake.whole, 2; got != want {
+	if got, want := fake.fullReplies, 2; got != want {
 		t.Errorf("whole answers: got %d, want %d", got, want)
 	}
 }
