--- a/relay/directory/directory.go
+++ b/relay/directory/directory.go
@@ -14,9 +14,9 @@
 // Nearness weighs an entry by its distance from the one that answers: a caller
 // reaches the near one in a millisecond and is likely to have asked there.
 const (
-	weightSameDomain = 2.0
-	weightSameRegion = 1.5
-	weightElsewhere  = 1.0
+	weightSameDomain  = 2.0
+	weightSameRegion  = 1.5
+	weightOtherRegion = 1.0
 )
 
 // Entry is one entry that callers may be sent to.
@@ -51,7 +51,7 @@
 	}
 	ranked := make([]scored, 0, len(entries))
 	for _, entry := range entries {
-		weight := nearness(self, entry) * lightness(entry, mean)
+		weight := distanceWeight(self, entry) * loadWeight(entry, mean)
 		ranked = append(ranked, scored{entry, rendezvous(caller, entry.ID, weight)})
 	}
 	sort.Slice(ranked, func(i, j int) bool {
@@ -75,19 +75,19 @@
 	return float64(total) / float64(len(entries))
 }
 
-func nearness(self, entry Entry) float64 {
+func distanceWeight(self, entry Entry) float64 {
 	switch {
 	case entry.FailureDomain == self.FailureDomain:
 		return weightSameDomain
 	case entry.Region == self.Region:
 		return weightSameRegion
 	default:
-		return weightElsewhere
+		return weightOtherRegion
 	}
 }
 
-// lightness falls from 2 for an idle entry over 1 for an average one towards 0.
-func lightness(entry Entry, mean float64) float64 {
+// loadWeight falls from 2 for an idle entry over 1 for an average one towards 0.
+func loadWeight(entry Entry, mean float64) float64 {
 	return 2 / (1 + (float64(entry.InFlight)+1)/(mean+1))
 }
 
--- a/relay/directory/directory_test.go
+++ b/relay/directory/directory_test.go
@@ -15,8 +15,8 @@
 	return entries
 }
 
-// asked counts how often each entry is chosen by many callers.
-func asked(entries []Entry) map[string]int {
+// countChoices counts how often each entry is chosen by many callers.
+func countChoices(entries []Entry) map[string]int {
 	counts := make(map[string]int)
 	for caller := range 10_000 {
 		choice, _ := Choose(entries[0], fmt.Sprintf("10.0.0.%d:%d", caller%250, caller), entries)
@@ -28,7 +28,7 @@
 func TestCallersSpread(t *testing.T) {
 	entries := entriesOf(9)
 	entries[8].InFlight = 200
-	counts := asked(entries)
+	counts := countChoices(entries)
 	for _, entry := range entries[:8] {
 		if got := counts[entry.ID]; got < 500 || got > 2500 {
 			t.Errorf("%s: got %d of 10000 callers, want a fair part", entry.ID, got)
