--- a/relay/logging/bounded.go
+++ b/relay/logging/bounded.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// boundedLines is the lines that wait for a slow reader of the logs.
-const boundedLines = 4096
+// maxQueuedLines is the lines that wait for a slow reader of the logs.
+const maxQueuedLines = 4096
 
 // Bounded writes lines without ever making the writer wait: a reader of the logs
 // that stalls must not stall requests. Lines that find no room are counted and
@@ -22,7 +22,7 @@
 
 // NewBounded returns a Bounded before w; Close writes what waits.
 func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
+	b := &Bounded{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
@@ -36,17 +36,17 @@
 		case line := <-b.lines:
 			batch.Write(line)
 		case <-b.closing:
-			b.collect(&batch)
+			b.appendQueued(&batch)
 			_, _ = w.Write(batch.Bytes())
 			return
 		}
-		b.collect(&batch)
+		b.appendQueued(&batch)
 		_, _ = w.Write(batch.Bytes())
 	}
 }
 
-// collect takes what waits and the count of the lines that found no room.
-func (b *Bounded) collect(batch *bytes.Buffer) {
+// appendQueued takes what waits and the count of the lines that found no room.
+func (b *Bounded) appendQueued(batch *bytes.Buffer) {
 	for more := len(b.lines); more > 0; more-- {
 		batch.Write(<-b.lines)
 	}
