--- a/relay/wirefuzz/bounds_test.go
+++ b/relay/wirefuzz/bounds_test.go
@@ -13,13 +13,13 @@
 	// readAhead is what the server may have read beyond the bound when it
 	// notices: its buffer, which doubles.
 	readAhead = 4 << 20
-	piece     = 64 << 10
+	chunkSize = 64 << 10
 )
 
 // Symptom: a process grows until it is killed. Sequence: another one sends a
 // message that never ends. Cause: the message is gathered without a bound.
 func TestEndlessMessageIsCutOff(t *testing.T) {
-	data := make([]byte, piece)
+	data := make([]byte, chunkSize)
 	tests := []struct {
 		name  string
 		start []byte
@@ -34,7 +34,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := serve(t)
 			defer server.stop()
-			other := server.neighbour()
+			other := server.newClient()
 			defer func() { _ = other.conn.Close() }()
 			hostile := server.listener.dial()
 			defer func() { _ = hostile.Close() }()
@@ -51,7 +51,7 @@
 			if taken < maxMessage {
 				t.Errorf("got the connection closed after %d bytes, want %d allowed", taken, maxMessage)
 			}
-			other.works(t)
+			other.checkCall(t)
 		})
 	}
 }
--- a/relay/wirefuzz/frames_test.go
+++ b/relay/wirefuzz/frames_test.go
@@ -89,14 +89,14 @@
 		}
 		server := serve(t)
 		defer server.stop()
-		other := server.neighbour()
+		other := server.newClient()
 		defer func() { _ = other.conn.Close() }()
-		other.works(t)
+		other.checkCall(t)
 		hostile := server.listener.dial()
 		defer func() { _ = hostile.Close() }()
 		go func() { _, _ = io.Copy(io.Discard, hostile) }()
 		_, _ = hostile.Write(input) // the server may have closed the connection
-		other.works(t)
+		other.checkCall(t)
 	})
 }
 
--- a/relay/wirefuzz/pipe_test.go
+++ b/relay/wirefuzz/pipe_test.go
@@ -90,14 +90,14 @@
 	return &wire.ClaimReply{State: "granted", Reason: req.GetKey()}, nil
 }
 
-// served is a listener with the trivial services behind it.
-type served struct {
+// testServer is a listener with the trivial services behind it.
+type testServer struct {
 	listener *pipeListener
 	// stop ends the server and waits for all that it started.
 	stop func()
 }
 
-func serve(t testing.TB) *served {
+func serve(t testing.TB) *testServer {
 	t.Helper()
 	mux := drpcmux.New()
 	if err := errors.Join(wire.DRPCRegisterHost(mux, &hostServer{}), wire.DRPCRegisterControl(mux, &controlServer{})); err != nil {
@@ -107,21 +107,21 @@
 	lis := newPipeListener()
 	var done sync.WaitGroup
 	done.Go(func() { _ = peer.Serve(ctx, lis, nil, mux, slog.New(slog.DiscardHandler)) })
-	return &served{listener: lis, stop: func() {
+	return &testServer{listener: lis, stop: func() {
 		cancel()
 		done.Wait()
 	}}
 }
 
-// neighbour is a process whose calls must not notice the hostile ones.
-type neighbour struct {
+// client is a process whose calls must not notice the hostile ones.
+type client struct {
 	conn *drpcconn.Conn
 }
 
-func (s *served) neighbour() *neighbour { return &neighbour{conn: drpcconn.New(s.listener.dial())} }
+func (s *testServer) newClient() *client { return &client{conn: drpcconn.New(s.listener.dial())} }
 
-// works makes a call and checks its answer.
-func (n *neighbour) works(t testing.TB) {
+// checkCall makes a call and checks its answer.
+func (n *client) checkCall(t testing.TB) {
 	t.Helper()
 	reply, err := wire.NewDRPCHostClient(n.conn).Have(context.Background(), &wire.HaveRequest{Chunks: []uint64{7}})
 	if err != nil {
