--- a/relay/drain/drain.go
+++ b/relay/drain/drain.go
@@ -1,9 +1,9 @@
-// Package drain decides when work that runs may end and new work may begin
-// while a host takes its endpoint out of service: before an order that changes
-// weights, and before the process exits.
+// Package drain decides when new work is admitted and running work is cancelled
+// while a host takes its endpoint out of service: before it changes weights, and
+// before the process exits.
 //
-// Work that was let in is finished. Only past the deadline is it cancelled, and
-// only when the last of it is gone does a Lane say Drained.
+// Admitted work may finish until the deadline and is cancelled after it. A Lane
+// is Drained only once no work is running.
 package drain
 
 import "time"
@@ -13,13 +13,13 @@
 
 // The phases, in the order in which a drain goes through them.
 const (
-	// Open lets work in.
+	// Open admits work.
 	Open Phase = iota
-	// Draining lets none in and waits for what runs.
+	// Draining admits no work and waits for running work to finish.
 	Draining
-	// Cancelling is past the deadline: what runs was asked to stop.
+	// Cancelling is past the deadline: running work has been told to stop.
 	Cancelling
-	// Drained has nothing running and lets none in.
+	// Drained admits no work and has none running.
 	Drained
 )
 
@@ -28,7 +28,7 @@
 	return [...]string{"open", "draining", "cancelling", "drained"}[p]
 }
 
-// Lane counts work that runs. Its owner serialises the calls.
+// Lane admits and counts running work. It is not safe for concurrent use.
 type Lane struct {
 	phase    Phase
 	running  int       // never negative; 0 in phase Drained
@@ -41,13 +41,14 @@
 // Phase returns the phase.
 func (l *Lane) Phase() Phase { return l.phase }
 
-// Running returns how much work runs.
+// Running returns the number of pieces of work that are running.
 func (l *Lane) Running() int { return l.running }
 
-// Deadline returns when running work is cancelled; zero outside a drain.
+// Deadline returns when running work is cancelled, or the zero time outside a
+// drain.
 func (l *Lane) Deadline() time.Time { return l.deadline }
 
-// Enter counts one more piece of work, or refuses it.
+// Enter admits one piece of work. It reports false unless the lane is open.
 func (l *Lane) Enter() bool {
 	if l.phase != Open {
 		return false
@@ -56,8 +57,8 @@
 	return true
 }
 
-// Leave counts one piece of work less. It reports false where none ran, which
-// is an error of the caller.
+// Leave records that one piece of work ended. It reports false if none was
+// running, which is an error of the caller.
 func (l *Lane) Leave() bool {
 	if l.running == 0 {
 		return false
@@ -67,8 +68,8 @@
 	return true
 }
 
-// Begin starts a drain that cancels what still runs after limit. A drain that
-// is under way keeps the earlier of the two deadlines.
+// Begin starts a drain that cancels work still running after limit. If the lane
+// is already draining, the earlier of the two deadlines applies.
 func (l *Lane) Begin(now time.Time, limit time.Duration) {
 	until := now.Add(limit)
 	switch l.phase {
@@ -84,8 +85,8 @@
 	l.drainIfIdle()
 }
 
-// Tick reports whether the owner must cancel what runs now; it says so once a
-// drain.
+// Tick reports whether the caller must cancel running work now. It reports true
+// once per drain.
 func (l *Lane) Tick(now time.Time) (cancel bool) {
 	if l.phase != Draining || now.Before(l.deadline) {
 		return false
@@ -94,9 +95,8 @@
 	return true
 }
 
-// Reopen lets work in again. It reports false while work of before still runs
-// under a drain that was not given up: mixing the two would let old work run on
-// new weights.
+// Reopen admits work again after a drain. It reports false while work admitted
+// before the drain still runs, because that work would continue on new weights.
 func (l *Lane) Reopen() bool {
 	if l.phase == Cancelling {
 		return false
@@ -108,9 +108,9 @@
 	return true
 }
 
-// Abandon ends a drain whose reason is gone before anything was changed: what
-// runs goes on and new work is let in. It reports false once running work was
-// asked to stop.
+// Abandon ends a drain that is no longer needed before anything was changed:
+// running work continues and new work is admitted. It reports false if running
+// work has already been told to stop.
 func (l *Lane) Abandon() bool {
 	if l.phase == Cancelling {
 		return false
@@ -119,6 +119,7 @@
 	return true
 }
 
+// drainIfIdle moves a draining lane with no running work to Drained.
 func (l *Lane) drainIfIdle() {
 	if l.running > 0 || l.phase == Open {
 		return
--- a/relay/drain/drain_test.go
+++ b/relay/drain/drain_test.go
@@ -42,9 +42,9 @@
 	})
 }
 
-// Symptom: work of before a load runs on the weights of after it. Sequence: any
-// order of entering, leaving, draining and reopening. Cause: a lane that is
-// drained or reopened while work runs.
+// TestNeverMixes guards against work admitted before a weight change running on
+// the new weights. That happens if any order of calls makes a lane drained or
+// reopened while work runs.
 func TestNeverMixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lane := NewLane(Open)
