--- a/relay/hostlist/hostlist.go
+++ b/relay/hostlist/hostlist.go
@@ -1,6 +1,6 @@
-// Package hostlist reads the platform's lagging list of hosts. The list is
-// asked for by its entity tag, so that an unchanged one costs a few hundred
-// bytes whatever the number of hosts.
+// Package hostlist reads the platform's list of hosts, which may lag behind the
+// actual hosts. Requests are conditional on the entity tag, so that an unchanged
+// list costs a few hundred bytes whatever the number of hosts.
 package hostlist
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	// timeout bounds one read of the list.
+	// timeout limits one read of the list.
 	timeout = 3 * time.Second
-	// maxBytes bounds its size; a list of 40,000 hosts fits.
+	// maxBytes limits the size of the list; a list of 40,000 hosts fits.
 	maxBytes = 16 << 20
 )
 
-// hostJSON is one host of the list, as docs/PROTOCOLS.md has it.
+// hostJSON is one host of the list, as specified in docs/PROTOCOLS.md.
 type hostJSON struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
@@ -35,22 +35,22 @@
 	State          string `json:"state"`
 }
 
-// Reader reads one list again and again.
+// Reader reads one list repeatedly and caches the last one received.
 type Reader struct {
 	url    string
 	client *http.Client
 
 	mu     sync.Mutex
-	tag    string              // entity tag of listed; empty where the list gives none
-	listed []membership.Listed // of the last read that brought a list
+	tag    string              // entity tag of listed; empty if the platform sent none
+	listed []membership.Listed // last list received
 }
 
-// NewReader returns a Reader of the list at the base address.
+// NewReader returns a Reader for the list under baseURL.
 func NewReader(baseURL string, client *http.Client) *Reader {
 	return &Reader{url: baseURL + "/hosts", client: client}
 }
 
-// Read returns the list as it is now; the caller does not change it.
+// Read returns the current list. The caller must not modify it.
 func (r *Reader) Read(ctx context.Context) ([]membership.Listed, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,8 @@
 	return r.readReply(reply)
 }
 
-// readReply reads an answer. The lock is held.
+// readReply returns the list in reply, or the cached one if it is unchanged. The
+// caller holds r.mu.
 func (r *Reader) readReply(reply *http.Response) ([]membership.Listed, error) {
 	switch reply.StatusCode {
 	case http.StatusNotModified:
@@ -88,7 +89,7 @@
 	return listed, nil
 }
 
-// Parse reads the body of a list.
+// Parse decodes the JSON body of a list.
 func Parse(body io.Reader) ([]membership.Listed, error) {
 	var list struct {
 		Hosts []hostJSON `json:"hosts"`
--- a/relay/hostlist/hostlist_test.go
+++ b/relay/hostlist/hostlist_test.go
@@ -9,11 +9,11 @@
 	"comfreyrelay.example/relay/hostlist"
 )
 
-// list is a fake of the platform's list with an entity tag.
+// list is a fake server of the platform's list with an entity tag.
 type list struct {
 	tag, body   string
 	status      int
-	fullReplies int // answers that carried the list
+	fullReplies int // replies with the list in the body
 }
 
 func (l *list) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -71,9 +71,9 @@
 	}
 }
 
-// Symptom: after a broken answer the deployment looks as it did long ago for ever.
-// Sequence: a list that cannot be read comes with a new tag, the next read is
-// answered by "not modified". Cause: the tag was kept without the list.
+// TestBrokenListLeavesTheTag guards against serving an outdated list forever. That
+// happens if a list that cannot be parsed arrives with a new tag and the reader
+// keeps the tag without the list: the next read is answered "not modified".
 func TestBrokenListLeavesTheTag(t *testing.T) {
 	fake := &list{tag: `"a"`, body: oneHost, status: http.StatusOK}
 	srv := httptest.NewServer(fake)
