--- a/relay/directory/directory.go
+++ b/relay/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory answers callers who ask which entry to use.
+// Package directory selects the entry that a caller should use.
 package directory
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Spares is how many further entries an answer names.
+// Spares is the maximum number of alternative entries in a Choice.
 const Spares = 2
 
-// Nearness weighs an entry by its distance from the one that answers: a caller
-// reaches the near one in a millisecond and is likely to have asked there.
+// Weights of an entry by its distance from the entry that answers. A caller
+// reaches a nearby entry in a millisecond, and has probably asked a nearby one.
 const (
 	weightSameDomain  = 2.0
 	weightSameRegion  = 1.5
@@ -29,17 +29,16 @@
 	InFlight      int // requests in progress
 }
 
-// Choice is an answer.
+// Choice holds the entry to use and alternatives, best first.
 type Choice struct {
 	Use    Entry
 	Spares []Entry
 }
 
-// Choose picks among the entries for the caller by weighted rendezvous hash:
-// the same caller gets the same entry while the weights stand, different
-// callers spread by weight, and when an entry goes only its callers move.
-// Entries that drain or are lost must not be passed in. found is false where
-// there is none.
+// Choose selects entries for caller by weighted rendezvous hashing: a caller gets
+// the same entry while the weights are unchanged, callers are distributed by
+// weight, and when an entry is removed only its callers move. Entries that are
+// draining or lost must not be passed in. found is false if entries is empty.
 func Choose(self Entry, caller string, entries []Entry) (choice Choice, found bool) {
 	if len(entries) == 0 {
 		return Choice{}, false
@@ -75,6 +74,7 @@
 	return float64(total) / float64(len(entries))
 }
 
+// distanceWeight returns the weight of entry by its distance from self.
 func distanceWeight(self, entry Entry) float64 {
 	switch {
 	case entry.FailureDomain == self.FailureDomain:
@@ -86,14 +86,14 @@
 	}
 }
 
-// loadWeight falls from 2 for an idle entry over 1 for an average one towards 0.
+// loadWeight returns the weight of entry by its load: it falls towards 0 as the
+// load grows, is 1 at the mean and below 2 for an idle entry.
 func loadWeight(entry Entry, mean float64) float64 {
 	return 2 / (1 + (float64(entry.InFlight)+1)/(mean+1))
 }
 
 // rendezvous returns the weighted score of Schindelhauer and Schomaker (2005):
-// the highest of the entries' scores is each one's with a probability
-// proportional to its weight.
+// each entry has the highest score with a probability proportional to its weight.
 func rendezvous(caller, entry string, weight float64) float64 {
 	hash := xxhash.Sum64String(caller + "\x00" + entry)
 	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
--- a/relay/directory/directory_test.go
+++ b/relay/directory/directory_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// Symptom: when one entry leaves, all callers change over. Only its own do.
+// Guards against moving all callers when one entry is removed: only that entry's
+// callers may move.
 func TestOnlyTheCallersOfAGoneEntryMove(t *testing.T) {
 	entries := entriesOf(9)
 	for caller := range 1000 {
