--- a/relay/logging/bounded.go
+++ b/relay/logging/bounded.go
@@ -7,20 +7,20 @@
 	"sync/atomic"
 )
 
-// maxQueuedLines is the lines that wait for a slow reader of the logs.
+// maxQueuedLines limits the lines queued for a slow reader of the logs.
 const maxQueuedLines = 4096
 
-// Bounded writes lines without ever making the writer wait: a reader of the logs
-// that stalls must not stall requests. Lines that find no room are counted and
-// the count is written once there is room.
+// Bounded is a writer that queues lines and never blocks, so that a stalled reader
+// of the logs does not stall requests. Lines that do not fit in the queue are
+// dropped, and their number is written once there is room.
 type Bounded struct {
 	lines   chan []byte
 	lost    atomic.Int64
 	closing chan struct{} // closed by Close
-	done    chan struct{} // closed once all that waited is written
+	done    chan struct{} // closed once the queue is written
 }
 
-// NewBounded returns a Bounded before w; Close writes what waits.
+// NewBounded returns a Bounded that writes to w until Close.
 func NewBounded(w io.Writer) *Bounded {
 	b := &Bounded{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
@@ -45,7 +45,7 @@
 	}
 }
 
-// appendQueued takes what waits and the count of the lines that found no room.
+// appendQueued appends the queued lines and the number of dropped ones to batch.
 func (b *Bounded) appendQueued(batch *bytes.Buffer) {
 	for more := len(b.lines); more > 0; more-- {
 		batch.Write(<-b.lines)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Write takes one line; it never fails.
+// Write queues one line, or drops it if the queue is full. It never fails.
 func (b *Bounded) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- bytes.Clone(line):
@@ -65,8 +65,8 @@
 	return len(line), nil
 }
 
-// Close writes what waits. Requests in progress may still log: what they write afterwards is
-// dropped.
+// Close writes the queued lines. Requests in progress may still log afterwards;
+// those lines are dropped.
 func (b *Bounded) Close() error {
 	close(b.closing)
 	<-b.done
--- a/relay/logging/bounded_test.go
+++ b/relay/logging/bounded_test.go
@@ -8,8 +8,7 @@
 	"testing"
 )
 
-// Guards against a process that ends by a panic because a request in progress logs its end after
-// the log was closed.
+// Guards against a panic when a request in progress logs after the log is closed.
 func TestLineAfterTheEndIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	lines := NewBounded(&out)
--- a/relay/logging/logging.go
+++ b/relay/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging sets up log/slog: one line of key=value pairs an event.
+// Package logging sets up log/slog with one line of key=value pairs per event.
 package logging
 
 import (
