--- a/relay/freshness/freshness.go
+++ b/relay/freshness/freshness.go
@@ -1,8 +1,8 @@
-// Package freshness measures how old the proof is that a process knows the newest
-// declared state.
+// Package freshness measures the time since a process last proved that it knows
+// the newest declared state.
 //
-// Times are those of a clock that goes on while the process or its machine is
-// suspended: a process that wakes must not take its old knowledge for new.
+// The clock must keep running while the process or its machine is suspended, so
+// that a process that resumes does not treat outdated state as fresh.
 package freshness
 
 import (
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// Tracker holds the newest proof. It is safe for concurrent use.
+// Tracker holds the time of the newest proof. It is safe for concurrent use.
 type Tracker struct {
-	clock func() time.Duration // goes on during a suspension
+	clock func() time.Duration // keeps running during a suspension
 
 	mu     sync.Mutex
-	proven time.Duration // moment up to which nothing newer existed
-	known  bool          // there was a proof
+	proven time.Duration // latest time at which the known state was the newest
+	known  bool          // a proof has been recorded
 }
 
 // NewTracker returns a Tracker without a proof.
 func NewTracker(clock func() time.Duration) *Tracker { return &Tracker{clock: clock} }
 
-// Now returns the moment on the tracker's clock.
+// Now returns the current time of the tracker's clock.
 func (t *Tracker) Now() time.Duration { return t.clock() }
 
-// Prove notes that all that existed at a moment is known.
+// Prove records that the process knows all state that existed at the given time.
+// Proofs older than the newest one are ignored.
 func (t *Tracker) Prove(at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -34,8 +35,7 @@
 	}
 }
 
-// Age returns the time since the newest proof; ok is false where there was
-// none.
+// Age returns the time since the newest proof; ok is false if there was none.
 func (t *Tracker) Age() (age time.Duration, ok bool) {
 	now := t.clock()
 	t.mu.Lock()
--- a/relay/freshness/freshness_test.go
+++ b/relay/freshness/freshness_test.go
@@ -7,9 +7,10 @@
 	"comfreyrelay.example/relay/freshness"
 )
 
-// Symptom: a key that was taken away opens a route after a suspension. Sequence:
-// a process learns the keys, is suspended for a minute, wakes and answers before
-// it asked anybody. Cause: the age was measured by a clock that stood still.
+// TestAgeGrowsDuringASuspension guards against accepting a revoked key after a
+// suspension. That happens if a process reads the keys, is suspended for a minute
+// and answers on resuming before it has asked for newer ones, with the age
+// measured by a clock that stopped during the suspension.
 func TestAgeGrowsDuringASuspension(t *testing.T) {
 	now := time.Duration(0)
 	fresh := freshness.NewTracker(func() time.Duration { return now })
@@ -36,6 +37,6 @@
 func TestBootClockGoesOn(t *testing.T) {
 	before := freshness.BootClock()
 	if after := freshness.BootClock(); after < before || before <= 0 {
-		t.Errorf("got %v after %v, want a clock that goes on", after, before)
+		t.Errorf("got %v after %v, want a clock that advances", after, before)
 	}
 }
