--- a/relay/call/call.go
+++ b/relay/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds a caller's request and its parts in the product's own
-// terms, whatever wire it came on.
+// Package call defines a caller's request and the endpoint's answer independently
+// of the wire protocol.
 package call
 
 import (
@@ -7,84 +7,84 @@
 	"time"
 )
 
-// Request is one request of a caller. It is not changed after it was read.
+// Request is one request of a caller. It is not modified after it was decoded.
 type Request struct {
-	ID     string // the caller's, new for each of its own tries
+	ID     string // chosen by the caller, new for each of its retries
 	Method string
 	Host   string
 	Target string // path and query exactly as the caller sent them
 	Path   string // Target without the query
-	Key    string // opens the route; empty where none was sent
-	// Deadline is how long the caller waits from the request's arrival; 0
-	// where it did not say.
+	Key    string // authorizes the route; empty if none was sent
+	// Deadline is how long the caller waits from the request's arrival; 0 if
+	// it did not say.
 	Deadline time.Duration
-	// Header holds what is passed on as it came.
+	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// ResumeAfter is the last event of the stream that the caller has.
+	// ResumeAfter is the last event of the stream that the caller received.
 	ResumeAfter string
 	Model       string
 	Prompt      int // tokens
 	MaxAnswer   int // tokens
-	Hint        int // the caller's guess of the answer's tokens; 0 where none
+	Hint        int // the caller's estimate of the answer's tokens; 0 if none
 }
 
-// Sending is what the system adds when it sends a request to an endpoint.
+// Sending holds what the system adds to a request sent to an endpoint.
 type Sending struct {
-	Endpoint string // id that the receiver must have
+	Endpoint string // expected ID of the receiving endpoint
 	Customer string // empty on public routes
-	// Left is the time that the caller still waits.
+	// Left is the time remaining until the caller's deadline.
 	Left time.Duration
-	// Version is the version of the model that must be loaded; 0 where any
-	// may be.
+	// Version is the version of the model that must be loaded; 0 means any.
 	Version uint64
-	// Urgency is 0 for what goes first to 9.
+	// Urgency ranges from 0, which goes first, to 9.
 	Urgency int
-	// ResumeAfter replaces the request's own where it is not empty.
+	// ResumeAfter overrides the request's own if it is not empty.
 	ResumeAfter string
 }
 
-// Load is what an endpoint says of itself with an answer.
+// Load is the load that an endpoint reports with an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Answer is what the system reads from the head of an endpoint's answer.
+// Answer holds what the system reads from the headers of an endpoint's answer.
 type Answer struct {
-	ID     string // of the request that it belongs to; empty where not said
+	ID     string // of the request it belongs to; empty if not given
 	NotRun bool   // the endpoint proves that it did not run the request
-	// Elsewhere: the address belongs to another endpoint now.
+	// Elsewhere reports that the address now belongs to another endpoint.
 	Elsewhere bool
-	Signed    bool  // bears the endpoint's signature
-	Load      *Load // nil where not said
+	Signed    bool  // carries the endpoint's signature
+	Load      *Load // nil if not given
 	// Limit is the requests a second that the endpoint accepts from all entries
-	// together; valid where Limited.
+	// together; valid if Limited.
 	Limit   float64
 	Limited bool
-	// Leaving: the endpoint takes its leave and should get nothing new.
+	// Leaving reports that the endpoint is shutting down and should get no new
+	// requests.
 	Leaving bool
-	// Rest is how long the endpoint, which turned the request away, wants nothing from this
-	// entry; 0 where not said.
+	// Rest is how long an endpoint that refused the request wants no requests
+	// from this entry; 0 if not given.
 	Rest time.Duration
-	// Idle is how long the endpoint keeps an idle connection; 0 where not
-	// said.
+	// Idle is how long the endpoint keeps an idle connection open; 0 if not
+	// given.
 	Idle time.Duration
 }
 
-// Wire translates between a wire and these types; its fields are the seams.
+// Wire translates between one wire protocol and the types of this package.
 type Wire struct {
-	// Read decodes a request's head; the error says what is malformed.
+	// Read decodes a request's headers; the error says what is malformed.
 	Read func(*http.Request) (*Request, error)
-	// Encode makes the request that goes to an endpoint.
+	// Encode builds the request that is sent to an endpoint.
 	Encode func(*Request, Sending) *http.Request
-	// Decode reads the head of an endpoint's answer.
+	// Decode reads the headers of an endpoint's answer.
 	Decode func(*http.Response) Answer
-	// Relay copies the headers of an endpoint's answer that go on to the
-	// caller.
+	// Relay copies the headers of an endpoint's answer that are forwarded to
+	// the caller.
 	Relay func(to, from http.Header)
-	// Refuse adds what shows the caller that the request did not run and when
-	// to come back.
+	// Refuse adds the headers that tell the caller that the request did not
+	// run and when to retry.
 	Refuse func(to http.Header, wait time.Duration)
 }
