--- a/relay/cli/cli.go
+++ b/relay/cli/cli.go
@@ -16,26 +16,26 @@
 // Exit codes, the same in every program.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // it was tried and failed
+	ExitFailed      = 1 // the operation failed
 	ExitUsage       = 2 // arguments, settings or documents are wrong
 	ExitConflict    = 3 // somebody else changed it first
-	ExitUnavailable = 4 // a dependency is down or a limit is used up: try again
-	ExitUnknown     = 5 // it may have taken effect or not
+	ExitUnavailable = 4 // a dependency is down or a limit is reached: try again
+	ExitUnknown     = 5 // the operation may or may not have taken effect
 	ExitRefused     = 6 // the key is missing or unknown
 )
 
 // Command is one subcommand.
 type Command struct {
 	Name string
-	// Short is one line; Long may hold examples.
+	// Short is a one-line description; Long may include examples.
 	Short, Long string
 	// Options points to a struct with go-flags tags.
 	Options any
-	// Run does the work; args are those behind the options.
+	// Run executes the command; args are the arguments after the options.
 	Run func(ctx context.Context, args []string) error
 }
 
-// Execute is called by go-flags after parsing.
+// execute runs the command after Main has parsed its options.
 func (c *Command) execute(ctx context.Context, args []string) error {
 	return c.Run(ctx, args)
 }
--- a/relay/cli/daemon.go
+++ b/relay/cli/daemon.go
@@ -15,13 +15,16 @@
 // is the type of its settings.
 type Daemon[T any] struct {
 	Name string
-	// About is what --help says of the program.
+	// About is the program's description in --help.
 	About string
-	// Load reads and checks the settings file with the overrides.
+	// Load reads the settings file, applies the overrides and validates the
+	// result.
 	Load func(file string, overrides []string) (T, error)
-	// DefaultFile is the settings file where none is named; empty: one must be.
+	// DefaultFile is the settings file if --settings is not given; if empty,
+	// --settings is required.
 	DefaultFile string
-	// Run works until drain ends, then finishes; it stops at once when kill does.
+	// Run serves until drain is cancelled, then finishes running work. It stops
+	// immediately when kill is cancelled.
 	Run func(drain, kill context.Context, set T, out, errOut io.Writer) error
 }
 
