--- a/relay/node/node.go
+++ b/relay/node/node.go
@@ -1,5 +1,5 @@
-// Package node holds what every process of the system does at its start and
-// its end: identity, listeners for operators, signals.
+// Package node holds what all processes of the system share at startup and
+// shutdown: identity, the operators' HTTP routes and signal handling.
 package node
 
 import (
@@ -8,7 +8,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Describe returns the process's own description with a new incarnation.
+// Describe returns the process's own wire.Node with a new incarnation ID.
 func Describe(set *wire.NodeSettings, role, callersAddress string) *wire.Node {
 	return &wire.Node{
 		Id:             set.GetId(),
--- a/relay/node/operators.go
+++ b/relay/node/operators.go
@@ -8,9 +8,9 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Health shows the state of a process to whoever watches it.
+// Health provides the checks behind the health routes.
 type Health struct {
-	// Ready returns nil where the process can do its work now, else the reason.
+	// Ready returns nil if the process can do its work now, else the reason.
 	Ready func() error
 }
 
--- a/relay/node/signals.go
+++ b/relay/node/signals.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Signals returns two contexts: drain ends at the first SIGTERM or SIGINT, and
-// kill at the second, which means now.
+// Signals returns two contexts: drain is cancelled at the first SIGTERM or
+// SIGINT, and kill at the second, which requests an immediate stop.
 func Signals() (drain, kill context.Context) {
 	drain, drainCancel := context.WithCancel(context.Background())
 	kill, killCancel := context.WithCancel(context.Background())
