--- a/relay/failure/failure.go
+++ b/relay/failure/failure.go
@@ -1,6 +1,5 @@
-// Package failure defines the errors that the system shows to people and to
-// other processes: each has a kind that programs act on and a remedy that a
-// person can follow.
+// Package failure defines the errors that are reported to people and to other
+// processes: each has a kind for programs and a remedy for people.
 package failure
 
 import (
@@ -9,22 +8,22 @@
 	"time"
 )
 
-// Kind classifies an Error; programs compare it, they never parse messages.
+// Kind classifies an Error. Programs compare kinds and never parse messages.
 type Kind string
 
-// The kinds that cross package borders.
+// Kinds of errors that are returned across packages.
 const (
-	Invalid      Kind = "invalid"      // the input is wrong and stays wrong
+	Invalid      Kind = "invalid"      // the input is wrong; retrying does not help
 	Unauthorized Kind = "unauthorized" // the key is missing or unknown
 	Conflict     Kind = "conflict"     // somebody else changed it first
 	NotFound     Kind = "notFound"     // it does not exist
 	Unavailable  Kind = "unavailable"  // a dependency is down; try again
 	Exhausted    Kind = "exhausted"    // a limit or budget is used up
-	Stale        Kind = "stale"        // the sender's knowledge is older than ours
-	Corrupt      Kind = "corrupt"      // bytes do not match their hash
+	Stale        Kind = "stale"        // the sender's state is older than the receiver's
+	Corrupt      Kind = "corrupt"      // data does not match its hash or cannot be decoded
 	Ambiguous    Kind = "ambiguous"    // it may have taken effect or not
 	Leaving      Kind = "leaving"      // the process is shutting down
-	Internal     Kind = "internal"     // an invariant broke
+	Internal     Kind = "internal"     // an invariant is violated
 )
 
 // Error is an error with a kind, a message and a remedy.
@@ -36,7 +35,7 @@
 	cause      error
 }
 
-// New makes an Error. The remedy is advice to the person who reads it.
+// New returns an Error. The remedy tells the reader what to do.
 func New(kind Kind, message, remedy string) *Error {
 	return &Error{kind: kind, message: message, remedy: remedy}
 }
@@ -46,7 +45,7 @@
 	return &Error{kind: kind, message: message, remedy: remedy, cause: cause}
 }
 
-// WithRetryAfter returns a copy that says when trying again makes sense.
+// WithRetryAfter returns a copy of e with the time to wait before a retry.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	dup := *e
 	dup.retryAfter = wait
@@ -76,7 +75,8 @@
 	return fmt.Sprintf("%s: %v; %s", e.message, e.cause, e.remedy)
 }
 
-// KindOf returns the kind of the first Error in err's chain, else Internal.
+// KindOf returns the kind of the first Error in err's chain, or Internal if there
+// is none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
