--- a/relay/rendezvous/rendezvous.go
+++ b/relay/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous ranks nodes for a key by highest random weight hashing:
-// all who know the same nodes agree on the order, and a node that comes or goes
-// moves only the keys it ranks first for.
+// processes that know the same nodes agree on the order, and adding or removing
+// a node moves only the keys that it ranks first for.
 package rendezvous
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed returns the hash that stands for a key or a node in Score.
+// Seed returns the hash of a key or node name, as Score expects it.
 func Seed(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Score returns the weight of a node for a key, both given as seeds.
@@ -47,8 +47,8 @@
 	return best
 }
 
-// Rank returns how many nodes go before the given one for the key; it need not be among
-// them.
+// Rank returns how many of nodes rank before node for the key. The node itself
+// need not be among them.
 func Rank(key, node string, nodes []string) int {
 	seed := Seed(key)
 	own := Score(seed, Seed(node))
