--- a/relay/wirefuzz/bounds_test.go
+++ b/relay/wirefuzz/bounds_test.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxMessage is the bound that docs/PROTOCOLS.md states.
+	// maxMessage is the message size limit specified in docs/PROTOCOLS.md.
 	maxMessage = 4 << 20
-	// readAhead is what the server may have read beyond the bound when it
-	// notices: its buffer, which doubles.
+	// readAhead is how much the server may read beyond the limit before it
+	// checks it, because its read buffer grows by doubling.
 	readAhead = 4 << 20
 	chunkSize = 64 << 10
 )
 
-// Symptom: a process grows until it is killed. Sequence: another one sends a
-// message that never ends. Cause: the message is gathered without a bound.
+// TestEndlessMessageIsCutOff guards against a process that runs out of memory and
+// is killed because it buffers a message that never ends without a size limit.
 func TestEndlessMessageIsCutOff(t *testing.T) {
 	data := make([]byte, chunkSize)
 	tests := []struct {
--- a/relay/wirefuzz/doc.go
+++ b/relay/wirefuzz/doc.go
@@ -1,3 +1,3 @@
-// Package wirefuzz feeds hostile bytes to the listener between processes; it
-// holds tests only.
+// Package wirefuzz tests the listener for connections between processes with
+// malformed input. It holds only tests.
 package wirefuzz
--- a/relay/wirefuzz/frames_test.go
+++ b/relay/wirefuzz/frames_test.go
@@ -10,8 +10,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// maxInput is what the server takes with one read, so that a write of it ends
-// even where the server stops reading.
+// maxInput is the size that the server reads at once, so that writing an input
+// returns even if the server stops reading.
 const maxInput = 4096
 
 const (
@@ -20,14 +20,14 @@
 	syncCall = "/comfreyrelay.wire.Control/Sync"
 )
 
-// frame appends one whole packet.
+// frame appends one complete packet.
 func frame(buf []byte, kind drpcwire.Kind, stream, message uint64, data []byte) []byte {
 	return drpcwire.AppendFrame(buf, drpcwire.Frame{
 		ID: drpcwire.ID{Stream: stream, Message: message}, Kind: kind, Done: true, Data: data,
 	})
 }
 
-// call appends a whole call.
+// call appends the packets of a complete call.
 func call(buf []byte, stream uint64, name string, body []byte) []byte {
 	buf = frame(buf, drpcwire.KindInvoke, stream, 1, []byte(name))
 	buf = frame(buf, drpcwire.KindMessage, stream, 2, body)
@@ -43,7 +43,7 @@
 	return text
 }
 
-// seeds are calls as they should be, and each in some way as it should not.
+// seeds returns valid calls and calls that are each malformed in one way.
 func seeds(t testing.TB) [][]byte {
 	attempt := encoded(t, &wire.Attempt{RequestId: "r", Prompt: "p", ResumeTokens: []string{"a"}})
 	sync := encoded(t, &wire.SyncRequest{
@@ -55,8 +55,8 @@
 		nil,
 		whole,
 		call(call(nil, 1, syncCall, sync), 2, haveCall, encoded(t, &wire.HaveRequest{Chunks: []uint64{1}})),
-		whole[:len(whole)/2],                                                                          // cut off
-		call(nil, 1, runCall, []byte{0xff, 0xff, 0xff}),                                               // no protobuf
+		whole[:len(whole)/2],                                                                          // truncated
+		call(nil, 1, runCall, []byte{0xff, 0xff, 0xff}),                                               // not protobuf
 		call(nil, 1, runCall, []byte{0x0a, 0xff, 0xff, 0xff, 0xff, 0x0f}),                             // a length beyond the message
 		call(nil, 1, "/comfreyrelay.wire.Host/None", nil),                                             // no such call
 		call(nil, 1, "", nil),                                                                         // no name
@@ -67,18 +67,18 @@
 		frame(frame(nil, drpcwire.KindInvoke, 1, 1, []byte(runCall)), drpcwire.KindCancel, 1, 2, nil), // cancelled before its message
 		frame(frame(nil, drpcwire.KindInvoke, 1, 1, []byte(runCall)), drpcwire.KindInvoke, 1, 2, []byte(runCall)),
 		frame(frame(nil, drpcwire.KindInvoke, 1, 1, []byte(runCall)), drpcwire.KindError, 1, 2, []byte{1, 2, 3}),
-		frame(nil, drpcwire.KindInvokeMetadata, 1, 1, []byte{0x0a, 0xff, 0x01}),        // metadata cut off
+		frame(nil, drpcwire.KindInvokeMetadata, 1, 1, []byte{0x0a, 0xff, 0x01}),        // truncated metadata
 		frame(nil, drpcwire.Kind(63), 1, 1, nil),                                       // no such kind
-		{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, // a number without end
+		{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, // a varint that never ends
 		{0x03, 0x01, 0x01, 0xff, 0xff, 0xff, 0xff, 0x7f, 0x00},                         // a frame of 32 GiB
 		[]byte("GET / HTTP/1.1\r\nHost: entry\r\n\r\n"),
 		{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00, 0x01, 0xfc, 0x03, 0x03}, // TLS
 	}
 }
 
-// FuzzListener writes any bytes to a connection between processes: the process
-// lives, the other connections' calls are answered with their own answers, and
-// the server can be ended.
+// FuzzListener writes arbitrary bytes to a connection between processes and checks
+// that the process survives, that calls on other connections get their own
+// replies, and that the server can be stopped.
 func FuzzListener(f *testing.F) {
 	for _, seed := range seeds(f) {
 		f.Add(seed)
@@ -100,9 +100,9 @@
 	})
 }
 
-// FuzzMessage decodes any bytes as each message: what is taken is the same after
-// it was written and read again, so that no two processes see two contents in
-// one message.
+// FuzzMessage decodes arbitrary bytes as each message type and checks that an
+// accepted message is equal after encoding and decoding, so that two processes
+// never see different contents in one message.
 func FuzzMessage(f *testing.F) {
 	messages := []proto.Message{
 		&wire.SyncRequest{}, &wire.SyncReply{}, &wire.PartsRequest{}, &wire.PartsReply{}, &wire.ClaimRequest{}, &wire.ClaimReply{},
--- a/relay/wirefuzz/pipe_test.go
+++ b/relay/wirefuzz/pipe_test.go
@@ -15,8 +15,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// pipeListener accepts connections within the process, so that a test sees
-// exactly what the server reads.
+// pipeListener accepts in-process connections, so that a test sees exactly what
+// the server reads.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -53,7 +53,7 @@
 	return client
 }
 
-// hostServer answers the agents' calls with little.
+// hostServer implements the agents' calls with minimal replies.
 type hostServer struct {
 	wire.DRPCHostUnimplementedServer
 }
@@ -77,7 +77,7 @@
 	return &wire.HaveReply{Chunks: req.GetChunks()}, nil
 }
 
-// controlServer answers the entries' calls with little.
+// controlServer implements the entries' calls with minimal replies.
 type controlServer struct {
 	wire.DRPCControlUnimplementedServer
 }
@@ -90,10 +90,10 @@
 	return &wire.ClaimReply{State: "granted", Reason: req.GetKey()}, nil
 }
 
-// testServer is a listener with the trivial services behind it.
+// testServer serves hostServer and controlServer on a pipeListener.
 type testServer struct {
 	listener *pipeListener
-	// stop ends the server and waits for all that it started.
+	// stop stops the server and waits for its goroutines.
 	stop func()
 }
 
@@ -113,7 +113,8 @@
 	}}
 }
 
-// client is a process whose calls must not notice the hostile ones.
+// client is a well-behaved peer that malformed input on other connections must
+// not affect.
 type client struct {
 	conn *drpcconn.Conn
 }
