--- a/relay/wirefuzz/pipe_test.go
+++ b/relay/wirefuzz/pipe_test.go
@@ -122,9 +122,9 @@
 func (s *testServer) newClient() *client { return &client{conn: drpcconn.New(s.listener.dial())} }
 
 // checkCall makes a call and checks its answer.
-func (n *client) checkCall(t testing.TB) {
+func (c *client) checkCall(t testing.TB) {
 	t.Helper()
-	reply, err := wire.NewDRPCHostClient(n.conn).Have(context.Background(), &wire.HaveRequest{Chunks: []uint64{7}})
+	reply, err := wire.NewDRPCHostClient(c.conn).Have(context.Background(), &wire.HaveRequest{Chunks: []uint64{7}})
 	if err != nil {
 		t.Fatalf("got %v from the other connection, want an answer", err)
 	}
