--- a/relay/wirefuzz/pipe_test.go
+++ b/relay/wirefuzz/pipe_test.go
@@ -15,8 +15,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// pipeListener accepts connections within the process, so that a test sees
-// exactly what the server reads.
+// pipeListener accepts in-process connections, so that a test sees exactly what
+// the server reads.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -53,7 +53,7 @@
 	return client
 }
 
-// hostServer answers the agents' calls with little.
+// hostServer implements the agents' calls with minimal replies.
 type hostServer struct {
 	wire.DRPCHostUnimplementedServer
 }
@@ -77,7 +77,7 @@
 	return &wire.HaveReply{Chunks: req.GetChunks()}, nil
 }
 
-// controlServer answers the entries' calls with little.
+// controlServer implements the entries' calls with minimal replies.
 type controlServer struct {
 	wire.DRPCControlUnimplementedServer
 }
@@ -90,14 +90,14 @@
 	return &wire.ClaimReply{State: "granted", Reason: req.GetKey()}, nil
 }
 
-// served is a listener with the trivial services behind it.
-type served struct {
+// testServer serves hostServer and controlServer on a pipeListener.
+type testServer struct {
 	listener *pipeListener
-	// stop ends the server and waits for all that it started.
+	// stop stops the server and waits for its goroutines.
 	stop func()
 }
 
-func serve(t testing.TB) *served {
+func serve(t testing.TB) *testServer {
 	t.Helper()
 	mux := drpcmux.New()
 	if err := errors.Join(wire.DRPCRegisterHost(mux, &hostServer{}), wire.DRPCRegisterControl(mux, &controlServer{})); err != nil {
@@ -107,23 +107,24 @@
 	lis := newPipeListener()
 	var done sync.WaitGroup
 	done.Go(func() { _ = peer.Serve(ctx, lis, nil, mux, slog.New(slog.DiscardHandler)) })
-	return &served{listener: lis, stop: func() {
+	return &testServer{listener: lis, stop: func() {
 		cancel()
 		done.Wait()
 	}}
 }
 
-// neighbour is a process whose calls must not notice the hostile ones.
-type neighbour struct {
+// client is a well-behaved peer that malformed input on other connections must
+// not affect.
+type client struct {
 	conn *drpcconn.Conn
 }
 
-func (s *served) neighbour() *neighbour { return &neighbour{conn: drpcconn.New(s.listener.dial())} }
+func (s *testServer) newClient() *client { return &client{conn: drpcconn.New(s.listener.dial())} }
 
-// works makes a call and checks its answer.
-func (n *neighbour) works(t testing.TB) {
+// checkCall makes a call and checks its answer.
+func (c *client) checkCall(t testing.TB) {
 	t.Helper()
-	reply, err := wire.NewDRPCHostClient(n.conn).Have(context.Background(), &wire.HaveRequest{Chunks: []uint64{7}})
+	reply, err := wire.NewDRPCHostClient(c.conn).Have(context.Background(), &wire.HaveRequest{Chunks: []uint64{7}})
 	if err != nil {
 		t.Fatalf("got %v from the other connection, want an answer", err)
 	}
