--- a/relay/site/follower.go
+++ b/relay/site/follower.go
@@ -16,39 +16,39 @@
 	// watchWait is how long one watch waits: the proof that nothing changed is
 	// as old as that at most, and each watch is a call that is paid for.
 	watchWait = 1800 * time.Millisecond
-	// watchGap is the least time between two watches: changes that come close
+	// minWatchInterval is the least time between two watches: changes that come close
 	// together then cost one call. It is a part of the bounds for a change.
-	watchGap = 250 * time.Millisecond
-	// atOnceAfter is the time that a watch waited at least whose changes were made
+	minWatchInterval = 250 * time.Millisecond
+	// liveWatchThreshold is the time that a watch waited at least whose changes were made
 	// while it did: those made before it are answered sooner.
-	atOnceAfter = 100 * time.Millisecond
-	// ledLook is how often an entry that follows others looks whether they still have the store.
-	ledLook = 400 * time.Millisecond
-	// answerChanges and answerBytes are what an answer to a watch holds at least that may
+	liveWatchThreshold = 100 * time.Millisecond
+	// sourceCheckInterval is how often an entry that follows others looks whether they still have the store.
+	sourceCheckInterval = 400 * time.Millisecond
+	// truncationMinChanges and truncationMinBytes are what an answer to a watch holds at least that may
 	// lack what came after: a quarter of what the store gives in one answer.
-	answerChanges = 125
-	answerBytes   = 256 << 10
-	// historyTime is how long the store may have been away from an entry that then still asks
+	truncationMinChanges = 125
+	truncationMinBytes   = 256 << 10
+	// maxHistoryOutage is how long the store may have been away from an entry that then still asks
 	// for the history; later it reads the current state, which holds a configuration once
 	// however often it was written meanwhile.
-	historyTime = 2500 * time.Millisecond
-	// readingTime is how long a reading that broke off may be continued: its proof is as old as
+	maxHistoryOutage = 2500 * time.Millisecond
+	// maxReadDuration is how long a reading that broke off may be continued: its proof is as old as
 	// its beginning.
-	readingTime = 4 * time.Second
-	// lostInterval is the least time between two log lines of calls that fail in a row.
-	lostInterval = time.Second
-	// joinWait is the least time for which an entry that starts waits for what others bring; it
+	maxReadDuration = 4 * time.Second
+	// failureLogInterval is the least time between two log lines of calls that fail in a row.
+	failureLogInterval = time.Second
+	// minJoinWait is the least time for which an entry that starts waits for what others bring; it
 	// waits up to twice as long, so that entries which waited in vain don't read at once.
-	joinWait = time.Second
-	// longestJoin bounds that wait where they go on answering.
-	longestJoin = 8 * time.Second
-	// retryWait is the mean pause after a failed call.
-	retryWait = 120 * time.Millisecond
+	minJoinWait = time.Second
+	// maxJoinWait bounds that wait where they go on answering.
+	maxJoinWait = 8 * time.Second
+	// meanRetryDelay is the mean pause after a failed call.
+	meanRetryDelay = 120 * time.Millisecond
 )
 
 // confirm asks whether what is known is all there is, which costs next to nothing beside what
 // was reported. Where it is not, the next watch is begun at once.
-func (f *Follower) confirm(ctx context.Context) error {
+func (f *Follower) confirmLatest(ctx context.Context) error {
 	asked := f.State.Fresh().Now()
 	_, revision, err := f.Store.Watch(ctx, "", kv.Latest, 0)
 	if err != nil {
@@ -56,23 +56,23 @@
 	}
 	known := f.Mirror.Revision()
 	if revision == known {
-		f.silent = false
+		f.unwatched = false
 		f.State.Fresh().Prove(asked)
 	}
 	f.Log.Info("a large part of the history was read", "revision", known, "newest", revision)
 	return nil
 }
 
-// mayGoOn reports whether an answer to a watch is so large that the store may have left out
+// maybeTruncated reports whether an answer to a watch is so large that the store may have left out
 // what came after it. Its revision is then that of its last change, and nothing is proven by
 // it: an entry that was cut off while many configurations were written would take the last
 // one in the first answer for the one in force.
-func mayGoOn(changes []kv.Entry) bool {
+func maybeTruncated(changes []kv.Entry) bool {
 	bytes := 0
-	for _, one := range changes {
-		bytes += len(one.Key()) + len(one.Value())
+	for _, change := range changes {
+		bytes += len(change.Key()) + len(change.Value())
 	}
-	return len(changes) >= answerChanges || bytes >= answerBytes
+	return len(changes) >= truncationMinChanges || bytes >= truncationMinBytes
 }
 
 // Follower keeps a State as new as the store.
@@ -97,57 +97,57 @@
 	// Brings reports whether one of them is at it: it answers and has the store; nil: no.
 	Brings func() bool
 
-	reading *reading // that was broken off; nil: none
+	partialRead *snapshotRead // that was broken off; nil: none
 
 	down bool // the last call failed
 	// failed counts the calls that failed in a row; loggedAt is when one was last logged.
-	failed     int
-	loggedAt   time.Time
-	answeredAt time.Time // when the last call that succeeded ended
+	failures      int
+	loggedAt      time.Time
+	lastSuccessAt time.Time // when the last call that succeeded ended
 	// silent: the store was not watched, and those who did fell silent. Changes
 	// that it sends at once may have been made meanwhile.
-	silent bool
+	unwatched bool
 }
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	whole, joined := false, false
+	synced, joined := false, false
 	for ctx.Err() == nil {
 		var err error
 		if !joined {
 			if err = f.join(ctx); err != nil {
-				f.lost(ctx, err)
-				f.sleep(ctx, retryWait/2+rand.N(retryWait))
+				f.recordFailure(ctx, err)
+				f.sleep(ctx, meanRetryDelay/2+rand.N(meanRetryDelay))
 				continue
 			}
-			joined, whole = true, f.Mirror.Revision() > 0
+			joined, synced = true, f.Mirror.Revision() > 0
 		}
-		if led := f.led(); whole && led > 0 {
-			f.silent = true
-			f.sleep(ctx, min(led, ledLook))
+		if trust := f.sourceTrust(); synced && trust > 0 {
+			f.unwatched = true
+			f.sleep(ctx, min(trust, sourceCheckInterval))
 			continue
 		}
-		if f.down && f.Clock.Since(f.answeredAt) > historyTime {
-			whole = false
+		if f.down && f.Clock.Since(f.lastSuccessAt) > maxHistoryOutage {
+			synced = false
 		}
-		if whole {
+		if synced {
 			err = f.watch(ctx)
 		} else {
 			err = f.readAll(ctx)
-			whole = err == nil
+			synced = err == nil
 		}
 		if err == nil {
-			f.answeredAt = f.Clock.Now()
-			f.regained()
+			f.lastSuccessAt = f.Clock.Now()
+			f.recordSuccess()
 			continue
 		}
 		if failure.KindOf(err) == failure.Stale {
 			f.Log.Info("history is gone, reading the store again", "after", f.Mirror.Revision())
-			whole = false
+			synced = false
 			continue
 		}
-		f.lost(ctx, err)
-		f.sleep(ctx, retryWait/2+rand.N(retryWait))
+		f.recordFailure(ctx, err)
+		f.sleep(ctx, meanRetryDelay/2+rand.N(meanRetryDelay))
 	}
 }
 
@@ -161,14 +161,14 @@
 	if err != nil {
 		return err
 	}
-	f.regained()
-	f.Mirror.Introduce(entries)
+	f.recordSuccess()
+	f.Mirror.AddPartial(entries)
 	if !f.Follows() {
 		return nil
 	}
 	began := f.Clock.Now()
-	patience := f.Clock.After(joinWait + rand.N(joinWait))
-	brings := func() bool { return f.Brings != nil && f.Brings() && f.Clock.Since(began) < longestJoin }
+	timeout := f.Clock.After(minJoinWait + rand.N(minJoinWait))
+	syncing := func() bool { return f.Brings != nil && f.Brings() && f.Clock.Since(began) < maxJoinWait }
 	for {
 		changed := f.State.Changed()
 		if revision := f.Mirror.Revision(); revision > 0 {
@@ -178,9 +178,9 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-patience:
-			if brings() {
-				patience = f.Clock.After(joinWait/2 + rand.N(joinWait))
+		case <-timeout:
+			if syncing() {
+				timeout = f.Clock.After(minJoinWait/2 + rand.N(minJoinWait))
 				continue
 			}
 			f.Log.Info("other entries brought nothing, reading the store", "waitedMillis", f.Clock.Since(began).Milliseconds())
@@ -200,32 +200,32 @@
 	}
 }
 
-func (f *Follower) lost(ctx context.Context, err error) {
+func (f *Follower) recordFailure(ctx context.Context, err error) {
 	f.State.Lost()
-	f.silent = false
-	f.failed++
+	f.unwatched = false
+	f.failures++
 	message := "dependency lost"
 	if f.down {
 		message = "dependency still lost"
 	}
-	if ctx.Err() == nil && (!f.down || f.Clock.Since(f.loggedAt) >= lostInterval) {
-		f.Log.Warn(message, "dependency", "store", "revision", f.Mirror.Revision(), "failed", f.failed, "error", err)
+	if ctx.Err() == nil && (!f.down || f.Clock.Since(f.loggedAt) >= failureLogInterval) {
+		f.Log.Warn(message, "dependency", "store", "revision", f.Mirror.Revision(), "failed", f.failures, "error", err)
 		f.loggedAt = f.Clock.Now()
 	}
 	f.down = true
 }
 
-func (f *Follower) regained() {
+func (f *Follower) recordSuccess() {
 	if !f.down {
 		return
 	}
-	f.Log.Info("dependency regained", "dependency", "store", "revision", f.Mirror.Revision(), "failed", f.failed)
-	f.down, f.failed = false, 0
+	f.Log.Info("dependency regained", "dependency", "store", "revision", f.Mirror.Revision(), "failed", f.failures)
+	f.down, f.failures = false, 0
 	f.State.Regained()
 }
 
 // reading is a reading of everything that may have been broken off.
-type reading struct {
+type snapshotRead struct {
 	began    time.Duration // on the clock of the proofs
 	revision uint64        // of the store at its begin
 	entries  []kv.Entry
@@ -237,37 +237,37 @@
 // what crossed the link that they share.
 func (f *Follower) readAll(ctx context.Context) error {
 	now := f.State.Fresh().Now()
-	if f.reading == nil || now-f.reading.began > readingTime {
+	if f.partialRead == nil || now-f.partialRead.began > maxReadDuration {
 		_, revision, err := f.Store.Watch(ctx, "", kv.Latest, 0)
 		if err != nil {
 			return err
 		}
 		if known := f.Mirror.Revision(); known > 0 && revision == known {
-			f.regained()
+			f.recordSuccess()
 			f.State.Fresh().Prove(now)
 			return nil
 		}
-		f.reading = &reading{began: f.State.Fresh().Now(), revision: revision}
+		f.partialRead = &snapshotRead{began: f.State.Fresh().Now(), revision: revision}
 	}
-	whole := f.reading
+	read := f.partialRead
 	for more := true; more; {
-		found, follows, err := f.page(ctx, whole.entries)
+		found, hasMore, err := f.readPage(ctx, read.entries)
 		if err != nil {
 			return err
 		}
-		whole.entries = append(whole.entries, found...)
-		more = follows
+		read.entries = append(read.entries, found...)
+		more = hasMore
 	}
-	f.reading = nil
-	f.regained()
-	f.silent = false
-	f.Mirror.Reset(whole.entries, whole.revision)
-	f.State.Fresh().Prove(whole.began)
+	f.partialRead = nil
+	f.recordSuccess()
+	f.unwatched = false
+	f.Mirror.Reset(read.entries, read.revision)
+	f.State.Fresh().Prove(read.began)
 	return nil
 }
 
 // page returns the entries after those that were read, and whether others follow.
-func (f *Follower) page(ctx context.Context, read []kv.Entry) (entries []kv.Entry, more bool, err error) {
+func (f *Follower) readPage(ctx context.Context, read []kv.Entry) (entries []kv.Entry, more bool, err error) {
 	if f.Store.Page == nil {
 		entries, err = f.Store.List(ctx, "")
 		return entries, false, err
@@ -280,14 +280,14 @@
 }
 
 // led returns for how long the store need not be watched.
-func (f *Follower) led() time.Duration {
+func (f *Follower) sourceTrust() time.Duration {
 	if f.Led == nil {
 		return 0
 	}
 	return f.Led()
 }
 
-func (f *Follower) wait() time.Duration {
+func (f *Follower) watchTimeout() time.Duration {
 	if f.Wait == nil {
 		return watchWait
 	}
@@ -299,19 +299,19 @@
 // Rule BEGIN of spec/freshness.pml.
 func (f *Follower) watch(ctx context.Context) error {
 	began := f.State.Fresh().Now()
-	wait := f.wait()
+	wait := f.watchTimeout()
 	after := f.Mirror.Revision()
 	changes, now, err := f.Store.Watch(ctx, "", after, wait)
 	if err != nil {
 		return err
 	}
-	f.regained()
+	f.recordSuccess()
 	ended := f.State.Fresh().Now()
-	f.Mirror.Apply(after, changes, now, !f.silent || ended-began > atOnceAfter)
-	if mayGoOn(changes) {
-		return f.confirm(ctx)
+	f.Mirror.Apply(after, changes, now, !f.unwatched || ended-began > liveWatchThreshold)
+	if maybeTruncated(changes) {
+		return f.confirmLatest(ctx)
 	}
-	f.silent = false
+	f.unwatched = false
 	if len(changes) == 0 && ended-began >= wait {
 		// The store looked until the wait was over, on its own clock, which
 		// began after ours. One that answered sooner was cut and proves less.
@@ -319,6 +319,6 @@
 		return nil
 	}
 	f.State.Fresh().Prove(began)
-	f.sleep(ctx, watchGap-(ended-began))
+	f.sleep(ctx, minWatchInterval-(ended-began))
 	return nil
 }
--- a/relay/site/mirror.go
+++ b/relay/site/mirror.go
@@ -12,9 +12,9 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// maxDeleted bounds the deletions that are remembered for those who ask what
+// maxDeletions bounds the deletions that are remembered for those who ask what
 // changed: an hour of replaced hosts in a large fleet.
-const maxDeleted = 4096
+const maxDeletions = 4096
 
 // Mirror holds the store's keys as far as they are known, and is the one way by
 // which they reach a State: from the store itself, and from other entries that
@@ -29,11 +29,11 @@
 	mu       sync.Mutex
 	revision uint64 // everything up to it is known; 0: nothing was read yet
 	// keys holds deletions too, of revisions after forgotten.
-	keys      map[string]kv.Entry
-	deleted   int
-	forgotten uint64
-	updatedAt time.Time     // when the newest knowledge came; zero: none did
-	changed   chan struct{} // closed and replaced when revision grows
+	keys           map[string]kv.Entry
+	deleted        int
+	prunedRevision uint64
+	updatedAt      time.Time     // when the newest knowledge came; zero: none did
+	changed        chan struct{} // closed and replaced when revision grows
 }
 
 // NewMirror returns an empty Mirror. Decode reads a key; the zero Record is of no
@@ -54,23 +54,23 @@
 // Apply takes over all changes after one revision up to another. Changes after a
 // revision that is not known yet leave a gap and are refused. At once says that
 // they came as they were made; else they may be as old as the knowledge before.
-func (m *Mirror) Apply(after uint64, changes []kv.Entry, revision uint64, atOnce bool) bool {
+func (m *Mirror) Apply(after uint64, changes []kv.Entry, revision uint64, live bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if after > m.revision {
 		return false
 	}
-	m.take(changes, revision, atOnce)
+	m.applyLocked(changes, revision, live)
 	return true
 }
 
-// Introduce takes over some keys of the store before the first whole reading, which drops those
+// AddPartial takes over some keys of the store before the first whole reading, which drops those
 // that it lacks.
-func (m *Mirror) Introduce(entries []kv.Entry) {
+func (m *Mirror) AddPartial(entries []kv.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.revision == 0 {
-		m.take(entries, 0, true)
+		m.applyLocked(entries, 0, true)
 	}
 }
 
@@ -80,13 +80,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if revision >= m.revision {
-		entries = append(slices.Clone(entries), m.missing(entries, revision)...)
+		entries = append(slices.Clone(entries), m.deletionsMissingFrom(entries, revision)...)
 	}
-	m.take(entries, max(1, revision), true)
+	m.applyLocked(entries, max(1, revision), true)
 }
 
 // missing returns the deletions of the keys known that a reading lacks.
-func (m *Mirror) missing(entries []kv.Entry, revision uint64) []kv.Entry {
+func (m *Mirror) deletionsMissingFrom(entries []kv.Entry, revision uint64) []kv.Entry {
 	seen := map[string]bool{}
 	for _, entry := range entries {
 		seen[entry.Key()] = true
@@ -101,25 +101,25 @@
 }
 
 // take keeps what is newer than what is known; m.mu is held.
-func (m *Mirror) take(entries []kv.Entry, revision uint64, atOnce bool) {
-	late := time.Duration(0)
-	if !atOnce && !m.updatedAt.IsZero() {
-		late = m.clock.Since(m.updatedAt)
+func (m *Mirror) applyLocked(entries []kv.Entry, revision uint64, live bool) {
+	delay := time.Duration(0)
+	if !live && !m.updatedAt.IsZero() {
+		delay = m.clock.Since(m.updatedAt)
 	}
 	m.updatedAt = m.clock.Now()
 	var records []Record
 	for _, entry := range entries {
 		old, known := m.keys[entry.Key()]
-		if known && !newer(entry, old) {
+		if known && !supersedes(entry, old) {
 			continue
 		}
-		m.keep(entry, old)
-		if rec, ok := m.read(entry); ok {
-			rec.Late = late
+		m.setKey(entry, old)
+		if rec, ok := m.decodeEntry(entry); ok {
+			rec.Late = delay
 			records = append(records, rec)
 		}
 	}
-	m.forgetDeleted()
+	m.pruneDeletions()
 	m.state.Apply(records, revision)
 	if revision > m.revision {
 		m.revision = revision
@@ -131,14 +131,14 @@
 // newer reports whether an entry goes before what is known of its key. A key that
 // a reading lacks is gone at the revision of the reading, which may be that of its
 // last change.
-func newer(entry, old kv.Entry) bool {
+func supersedes(entry, old kv.Entry) bool {
 	if entry.Revision() == old.Revision() {
 		return entry.Deleted() && !old.Deleted()
 	}
 	return entry.Revision() > old.Revision()
 }
 
-func (m *Mirror) keep(entry, old kv.Entry) {
+func (m *Mirror) setKey(entry, old kv.Entry) {
 	if old.Deleted() {
 		m.deleted--
 	}
@@ -150,7 +150,7 @@
 
 // read decodes a key and logs what was learned. A record beside an error withdraws
 // what the key named.
-func (m *Mirror) read(entry kv.Entry) (Record, bool) {
+func (m *Mirror) decodeEntry(entry kv.Entry) (Record, bool) {
 	rec, err := m.decode(entry)
 	if err != nil {
 		m.log.Error("a value is left out", "key", entry.Key(), "revision", entry.Revision(), "withdrawn", rec.Withdrawn, "error", err)
@@ -164,9 +164,9 @@
 	return rec, true
 }
 
-// forgetDeleted drops the older half of the deletions where there are too many.
-func (m *Mirror) forgetDeleted() {
-	if m.deleted <= maxDeleted {
+// pruneDeletions drops the older half of the deletions where there are too many.
+func (m *Mirror) pruneDeletions() {
+	if m.deleted <= maxDeletions {
 		return
 	}
 	var deleted []kv.Entry
@@ -178,7 +178,7 @@
 	slices.SortFunc(deleted, byRevision)
 	for _, entry := range deleted[:len(deleted)/2] {
 		delete(m.keys, entry.Key())
-		m.forgotten = max(m.forgotten, entry.Revision())
+		m.prunedRevision = max(m.prunedRevision, entry.Revision())
 		m.deleted--
 	}
 }
@@ -203,7 +203,7 @@
 	if m.revision == 0 {
 		return Changes{}, m.changed // what was introduced is no reading
 	}
-	found := Changes{Revision: m.revision, Whole: revision < m.forgotten || revision == 0}
+	found := Changes{Revision: m.revision, Whole: revision < m.prunedRevision || revision == 0}
 	for _, entry := range m.keys {
 		if found.Whole && !entry.Deleted() || !found.Whole && entry.Revision() > revision {
 			found.Entries = append(found.Entries, entry)
--- a/relay/site/mirror_test.go
+++ b/relay/site/mirror_test.go
@@ -15,16 +15,16 @@
 // Symptom: an entry names a host that is gone. Sequence: an entry's own watch is
 // waiting; another entry reports that a key was deleted; the watch then brings
 // the older value. Cause: what came last was taken for newest.
-func TestOlderValueDoesNotComeBack(t *testing.T) {
-	w := newWorld()
+func TestOlderRevisionDoesNotReplaceNewer(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Reset([]kv.Entry{value("e-1", 1)}, 10)
-	w.mirror.Apply(10, []kv.Entry{gone("e-1", 15)}, 16, true)
+	w.mirror.Apply(10, []kv.Entry{deletion("e-1", 15)}, 16, true)
 	w.mirror.Apply(10, []kv.Entry{value("e-1", 12)}, 14, true)
 	if got := w.state.Entries(); len(got) != 0 {
 		t.Errorf("got %v, want nothing: it was deleted at 15", got)
 	}
 	w.mirror.Apply(16, []kv.Entry{value("e-1", 17)}, 17, true)
-	w.mirror.Apply(10, []kv.Entry{gone("e-1", 15)}, 16, true)
+	w.mirror.Apply(10, []kv.Entry{deletion("e-1", 15)}, 16, true)
 	if got := w.state.Entries(); len(got) != 1 {
 		t.Errorf("got %v, want e-1, made again at 17", got)
 	}
@@ -33,7 +33,7 @@
 // Symptom: a change is never seen. Sequence: a stream from another entry is lost
 // and begun again after later changes. Cause: the gap between was not noticed.
 func TestChangesAfterAGapAreRefused(t *testing.T) {
-	w := newWorld()
+	w := newTestSite()
 	w.mirror.Reset(nil, 10)
 	if w.mirror.Apply(12, []kv.Entry{value("e-1", 13)}, 13, true) {
 		t.Error("got changes after 12 taken where 10 is known, want them refused")
@@ -46,8 +46,8 @@
 // Symptom: requests begin on an old version after its time. Sequence: an entry
 // learns of nothing for 2 s; a version is named meanwhile; the entry counts its
 // time from when it learned of it. Cause: what was learned late was taken for new.
-func TestVersionLearnedLateCountsFromWhenItMayHaveBeenNamed(t *testing.T) {
-	w := newWorld()
+func TestVersionLearnedLateCountsFromEarliestDeclaration(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Reset(nil, 10)
 	w.clock.Advance(2 * time.Second)
 	w.mirror.Apply(10, []kv.Entry{kv.NewEntry("weights/m", []byte("22"), 11, false)}, 11, false)
@@ -63,15 +63,15 @@
 	}
 }
 
-// TestMirrorsThatFollowEachOtherAgree: whatever an entry receives from the store and
+// TestMirrorsConverge: whatever an entry receives from the store and
 // from others, in which order and how often, it knows in the end what the store
 // holds, and on the way never an older value after a newer one.
-func TestMirrorsThatFollowEachOtherAgree(t *testing.T) {
+func TestMirrorsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store, first, second := newWorld(), newWorld(), newWorld()
+		store, first, second := newTestSite(), newTestSite(), newTestSite()
 		revision := uint64(1)
 		seen := map[string]uint64{}
-		follow := func(from, to *world) {
+		follow := func(from, to *testSite) {
 			known := to.mirror.Revision()
 			if rapid.Bool().Draw(t, "asksForOlder") {
 				known = min(known, rapid.Uint64Range(0, known).Draw(t, "known"))
@@ -90,7 +90,7 @@
 				key := fmt.Sprint("e-", rapid.IntRange(0, 5).Draw(t, "key"))
 				entry := value(key, revision)
 				if rapid.Bool().Draw(t, "deleted") {
-					entry = gone(key, revision)
+					entry = deletion(key, revision)
 				}
 				store.mirror.Apply(store.mirror.Revision(), []kv.Entry{entry}, revision, true)
 			case 2:
@@ -128,13 +128,13 @@
 
 // Symptom: memory grows for as long as hosts are replaced. Cause: each deletion
 // was remembered for ever. Who asks for more than is remembered gets everything.
-func TestOldDeletionsAreForgottenAndWholeIsSent(t *testing.T) {
-	w := newWorld()
+func TestOldDeletionsArePrunedAndFullStateIsSent(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Reset([]kv.Entry{value("stays", 1)}, 1)
 	const hosts = 5000
 	for i := range uint64(hosts) {
 		w.mirror.Apply(w.mirror.Revision(), []kv.Entry{value(fmt.Sprint("host-", i), 2*i+2)}, 2*i+2, true)
-		w.mirror.Apply(w.mirror.Revision(), []kv.Entry{gone(fmt.Sprint("host-", i), 2*i+3)}, 2*i+3, true)
+		w.mirror.Apply(w.mirror.Revision(), []kv.Entry{deletion(fmt.Sprint("host-", i), 2*i+3)}, 2*i+3, true)
 	}
 	old, _ := w.mirror.Since(1)
 	if !old.Whole || len(old.Entries) != 1 {
--- a/relay/site/site_test.go
+++ b/relay/site/site_test.go
@@ -20,9 +20,9 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// world is a State that follows a scripted store; the clock stands still unless
+// testSite is a State that follows a scripted store; the clock stands still unless
 // a call moves it.
-type world struct {
+type testSite struct {
 	clock *clockwork.FakeClock
 	begun time.Time
 	state *site.State
@@ -34,9 +34,9 @@
 	latest uint64 // the store's revision; 0: ten more with each reading
 }
 
-func newWorld() *world {
+func newTestSite() *testSite {
 	clock := clockwork.NewFakeClock()
-	w := &world{clock: clock, begun: clock.Now()}
+	w := &testSite{clock: clock, begun: clock.Now()}
 	w.fresh = freshness.NewTracker(func() time.Duration { return clock.Now().Sub(w.begun) })
 	w.state = site.NewState(clock.Now, fleet.New(clock.Now), w.fresh)
 	w.mirror = site.NewMirror(w.state, decode, clock, slog.New(slog.DiscardHandler))
@@ -63,8 +63,8 @@
 }
 
 // value is a key of the store at a revision, and gone its deletion.
-func value(key string, revision uint64) kv.Entry { return kv.NewEntry(key, nil, revision, false) }
-func gone(key string, revision uint64) kv.Entry  { return kv.NewEntry(key, nil, revision, true) }
+func value(key string, revision uint64) kv.Entry    { return kv.NewEntry(key, nil, revision, false) }
+func deletion(key string, revision uint64) kv.Entry { return kv.NewEntry(key, nil, revision, true) }
 
 func catalogOf(version uint64) site.Record {
 	return site.Record{Kind: site.CatalogRecord, Catalog: catalog.New(catalog.Spec{Version: version})}
@@ -73,8 +73,8 @@
 // Symptom: a machine handles requests as an older configuration says. Sequence: a
 // list that began before a change ends after it, or history is read again from a
 // store that lags. Cause: what came last was taken for newest.
-func TestNothingFallsBack(t *testing.T) {
-	w := newWorld()
+func TestOlderRevisionsAreIgnored(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Apply(0, []kv.Entry{value("catalog", 7)}, 10, true)
 	w.mirror.Apply(0, []kv.Entry{value("catalog", 5)}, 9, true)
 	w.mirror.Reset([]kv.Entry{value("catalog", 6)}, 8)
@@ -95,8 +95,8 @@
 // leases run out while it is down; it comes back and reports the deletions; the
 // entries register again a second later. Cause: what is missing was taken for
 // gone at once.
-func TestEntriesThatLapsedInAnOutageStay(t *testing.T) {
-	w := newWorld()
+func TestEntriesThatLapsedInAnOutageAreKept(t *testing.T) {
+	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Entry: site.Entry{CallersAddress: "10.0.0.1:1"}}}, 1)
 	w.state.Lost()
 	w.clock.Advance(10 * time.Second)
@@ -111,8 +111,8 @@
 	}
 }
 
-func TestEntryThatLeavesIsDroppedAtOnce(t *testing.T) {
-	w := newWorld()
+func TestDeregisteredEntryIsDroppedAtOnce(t *testing.T) {
+	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1"}}, 1)
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Gone: true}}, 2)
 	if got := len(w.state.Entries()); got != 0 {
@@ -120,8 +120,8 @@
 	}
 }
 
-func TestResetDropsWhatTheStoreDoesNotHold(t *testing.T) {
-	w := newWorld()
+func TestResetDropsKeysMissingFromTheStore(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Reset([]kv.Entry{value("e-1", 1), value("e-3", 2), value("endpoint/i-1", 3)}, 3)
 	w.mirror.Reset([]kv.Entry{value("e-2", 4), value("e-3", 2)}, 5)
 	if _, ok := w.state.Entries()["e-1"]; ok || len(w.state.Entries()) != 2 {
@@ -133,7 +133,7 @@
 }
 
 func TestFloorFollowsEachDeclaration(t *testing.T) {
-	w := newWorld()
+	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 2}}, 1)
 	w.clock.Advance(2 * time.Second)
 	w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 4}}, 2)
@@ -149,10 +149,10 @@
 
 // Guards against old weights that are used for too long by an entry that started after newer ones
 // were declared and counts their time from its own start.
-func TestVersionIsAsOldAsHostsReport(t *testing.T) {
+func TestVersionAgeIsTakenFromHostReports(t *testing.T) {
 	for name, hostFirst := range map[string]bool{"host first": true, "store first": false} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld()
+			w := newTestSite()
 			learn := func() { w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 2}}, 1) }
 			if !hostFirst {
 				learn()
@@ -176,10 +176,10 @@
 
 // Guards against weights that are used for too long by an entry that started after two newer ones
 // were declared: the store names the newest alone, and the time of old ones ends by the first.
-func TestVersionsThatTheStoreNamesNoMoreCount(t *testing.T) {
+func TestVersionsNoLongerInTheStoreCount(t *testing.T) {
 	for name, hostFirst := range map[string]bool{"host first": true, "store first": false} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld()
+			w := newTestSite()
 			learn := func() { w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 4}}, 1) }
 			if !hostFirst {
 				learn()
@@ -204,24 +204,24 @@
 	}
 }
 
-// script answers the calls of a follower one after the other; the last answer
+// storeScript answers the calls of a follower one after the other; the last answer
 // ends the run.
-type script struct {
-	world   *world
+type storeScript struct {
+	site    *testSite
 	watches []func() ([]kv.Entry, uint64, error)
 	lists   int
 	cancel  context.CancelFunc
 }
 
-func (s *script) store() *kv.Store {
+func (s *storeScript) store() *kv.Store {
 	return &kv.Store{
 		List: func(context.Context, string) ([]kv.Entry, error) {
 			s.lists++
 			return []kv.Entry{kv.NewEntry("catalog", nil, uint64(s.lists), false)}, nil
 		},
 		Watch: func(ctx context.Context, _ string, after uint64, _ time.Duration) ([]kv.Entry, uint64, error) {
-			if after == kv.Latest && s.world.latest > 0 {
-				return nil, s.world.latest, nil
+			if after == kv.Latest && s.site.latest > 0 {
+				return nil, s.site.latest, nil
 			}
 			if after == kv.Latest {
 				return nil, uint64(10 * (s.lists + 1)), nil
@@ -237,11 +237,11 @@
 	}
 }
 
-func (w *world) follow(t *testing.T, watches ...func() ([]kv.Entry, uint64, error)) *script {
+func (w *testSite) follow(t *testing.T, watches ...func() ([]kv.Entry, uint64, error)) *storeScript {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	steps := &script{world: w, watches: watches, cancel: cancel}
+	steps := &storeScript{site: w, watches: watches, cancel: cancel}
 	done := make(chan struct{})
 	go func() {
 		// Pauses between calls end as soon as the follower waits for them.
@@ -266,8 +266,8 @@
 
 // Guards against entries that read a large store over a narrow link again and again from its first
 // key, since each page that fails drops those before.
-func TestReadingGoesOnAfterAPageThatFailed(t *testing.T) {
-	w := newWorld()
+func TestReadResumesAfterAFailedPage(t *testing.T) {
+	w := newTestSite()
 	pages := []string{"a", "b", "c"}
 	var asked []string
 	ctx, cancel := context.WithCancel(context.Background())
@@ -298,8 +298,8 @@
 	}
 }
 
-func TestLostHistoryIsReadAgain(t *testing.T) {
-	w := newWorld()
+func TestCompactedHistoryCausesFullRead(t *testing.T) {
+	w := newTestSite()
 	steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
 		return nil, 0, failure.New(failure.Stale, "history is gone", "read again")
 	})
@@ -314,7 +314,7 @@
 // as the silence, and its time was over when it was learned. While the store is
 // down nothing is declared.
 func TestVersionDeclaredAfterAnOutageIsNew(t *testing.T) {
-	w := newWorld()
+	w := newTestSite()
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
 		w.clock.Advance(8 * time.Second)
 		return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
@@ -327,8 +327,8 @@
 	}
 }
 
-func TestUnreadableValueLeavesTheLastGoodOneInForce(t *testing.T) {
-	w := newWorld()
+func TestUnreadableValueKeepsTheLastGoodOne(t *testing.T) {
+	w := newTestSite()
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
 		return []kv.Entry{kv.NewEntry("bad", nil, 11, false)}, 11, nil
 	})
@@ -342,8 +342,8 @@
 // store's return is not settled, when registrations that lapse are kept. Cause:
 // what could not be read was left out, so what was known before held. The others
 // hold, and the endpoint is back once it is written again.
-func TestSpoiltRegistrationNamesNothing(t *testing.T) {
-	w := newWorld()
+func TestUnreadableRegistrationRemovesEndpoint(t *testing.T) {
+	w := newTestSite()
 	pick := func() fleet.Verdict {
 		grant, verdict := w.state.Fleet().Group("app").Pick(fleet.Need{Entries: 1})
 		if verdict == fleet.Granted {
@@ -354,7 +354,7 @@
 	w.mirror.Apply(0, []kv.Entry{value("endpoint/a", 1)}, 1, true)
 	w.state.Lost()
 	w.state.Regained()
-	for step, one := range []struct {
+	for step, test := range []struct {
 		entries []kv.Entry
 		want    fleet.Verdict
 	}{
@@ -364,9 +364,9 @@
 		{[]kv.Entry{kv.NewEntry("endpoint/b", []byte("spoilt"), 4, false)}, fleet.Nobody},
 		{[]kv.Entry{value("endpoint/a", 5)}, fleet.Granted},
 	} {
-		w.mirror.Apply(uint64(step), one.entries, uint64(step+1), true)
-		if got := pick(); got != one.want {
-			t.Errorf("step %d: got verdict %v, want %v", step, got, one.want)
+		w.mirror.Apply(uint64(step), test.entries, uint64(step+1), true)
+		if got := pick(); got != test.want {
+			t.Errorf("step %d: got verdict %v, want %v", step, got, test.want)
 		}
 	}
 }
@@ -374,8 +374,8 @@
 // Symptom: a key that was taken away opens a route for longer than its bound.
 // Sequence: a watch is cut after a moment and reports no change. Cause: the proof
 // was taken to reach to the end of the time that it should have waited.
-func TestWatchThatEndsEarlyProvesItsBeginningOnly(t *testing.T) {
-	w := newWorld()
+func TestWatchThatEndsEarlyProvesOnlyItsStart(t *testing.T) {
+	w := newTestSite()
 	var began time.Duration
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
 		began = w.clock.Now().Sub(w.begun)
@@ -393,7 +393,7 @@
 // 40 configurations of 54 KB are written; its first watch answers with the first twenty of them
 // and their revision; it serves by the twentieth. Cause: the answer was taken for all there was,
 // so what the entry knew counted as new as the watch's beginning.
-func TestPartOfTheHistoryProvesNothing(t *testing.T) {
+func TestTruncatedHistoryProvesNothing(t *testing.T) {
 	var configs, registrations []kv.Entry
 	for revision := uint64(21); revision < 41; revision++ {
 		configs = append(configs, kv.NewEntry("config", make([]byte, 54<<10), revision, false))
@@ -403,7 +403,7 @@
 	}
 	for name, part := range map[string][]kv.Entry{"large": configs, "many": registrations} {
 		for _, newest := range []uint64{part[len(part)-1].Revision(), 999} {
-			w := newWorld()
+			w := newTestSite()
 			steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
 				w.clock.Advance(5 * time.Second)
 				return nil, 10, nil
@@ -429,25 +429,25 @@
 // turns an entry away for 13 s while 40 configurations are written, then answers it; what
 // happened meanwhile is 2 MB and comes over a link that others use for the same. Cause: who
 // had been away asked for the history, of which one configuration counts.
-func TestWhoWasAwayReadsWhatStands(t *testing.T) {
-	for _, one := range []struct {
+func TestLongOutageCausesFullRead(t *testing.T) {
+	for _, test := range []struct {
 		away  time.Duration
 		lists int
 	}{{13 * time.Second, 2}, {time.Second, 1}} {
-		w := newWorld()
+		w := newTestSite()
 		steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
-			w.clock.Advance(one.away)
+			w.clock.Advance(test.away)
 			return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
 		})
-		if got, want := steps.lists, one.lists; got != want {
-			t.Errorf("got %d readings of everything after %v, want %d", got, one.away, want)
+		if got, want := steps.lists, test.lists; got != want {
+			t.Errorf("got %d readings of everything after %v, want %d", got, test.away, want)
 		}
 	}
 }
 
 // Who was away while nothing changed reads nothing.
-func TestWhoMissedNothingReadsNothing(t *testing.T) {
-	w := newWorld()
+func TestOutageWithoutChangesCausesNoRead(t *testing.T) {
+	w := newTestSite()
 	steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
 		return []kv.Entry{value("e-1", 20)}, 20, nil
 	}, func() ([]kv.Entry, uint64, error) {
--- a/relay/site/sources.go
+++ b/relay/site/sources.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// fewEntries is the entries of a region up to which each follows the store itself:
+	// maxDirectEntries is the entries of a region up to which each follows the store itself:
 	// following one another would save few calls, and what is known would be older.
-	fewEntries = 4
+	maxDirectEntries = 4
 	// sourcesPerRegion is the entries of a larger region that follow the store.
 	// One may be cut off from it or stand still; the others still have one.
 	sourcesPerRegion = 2
 	// trustMargin is the part of the time for a change that is left to those who
 	// find that the others' knowledge is old: a call of the store and its way.
 	trustMargin = 600 * time.Millisecond
-	// leastTrust keeps the least of it.
-	leastTrust = 800 * time.Millisecond
+	// minTrust keeps the least of it.
+	minTrust = 800 * time.Millisecond
 	// watchMargin is what the age of a source's knowledge is on its way to the
 	// others: a request's time between two, and turns at processors.
 	watchMargin = 500 * time.Millisecond
-	// leastWatch bounds the calls of a source.
-	leastWatch = 300 * time.Millisecond
+	// minWatchWait bounds the calls of a source.
+	minWatchWait = 300 * time.Millisecond
 )
 
 // Sources returns the entries that the entry follows in place of the store; none
@@ -43,7 +43,7 @@
 // Followed reports whether a region is large enough that some of its entries
 // follow others.
 func Followed(region string, entries map[string]Entry) bool {
-	return len(reachable(region, entries)) > fewEntries
+	return len(reachable(region, entries)) > maxDirectEntries
 }
 
 // reachable returns the ids of a region's entries that can be followed.
@@ -59,7 +59,7 @@
 
 // Trust returns the age up to which others' knowledge is enough where a change
 // must be in force within the bound.
-func Trust(apply time.Duration) time.Duration { return max(leastTrust, apply-trustMargin) }
+func Trust(apply time.Duration) time.Duration { return max(minTrust, apply-trustMargin) }
 
 // TrustOfLost is Trust where those who follow the store for this entry lost it: nothing newer
 // will come from them, and all to whom they send ask the store at the same moment, so that an
@@ -71,5 +71,5 @@
 	if !followed {
 		return watchWait
 	}
-	return min(watchWait, max(leastWatch, Trust(apply)-watchMargin))
+	return min(watchWait, max(minWatchWait, Trust(apply)-watchMargin))
 }
--- a/relay/site/sources_test.go
+++ b/relay/site/sources_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func controlled(region string, count int) map[string]Entry {
+func regionEntries(region string, count int) map[string]Entry {
 	entries := map[string]Entry{}
 	for i := range count {
 		id := fmt.Sprintf("%s-%d", region, i)
@@ -20,29 +20,29 @@
 // 53 KB come 12 a second; each of 34 entries reads each of them over a link of 25
 // Mbit/s between regions; they come seconds late. Cause: what crosses that link
 // grew with the entries.
-func TestFewEntriesOfALargeRegionAskTheStore(t *testing.T) {
+func TestFewEntriesOfALargeRegionWatchTheStore(t *testing.T) {
 	for _, size := range []int{5, 11, 75} {
-		entries := controlled("north", size)
-		asking := 0
+		entries := regionEntries("north", size)
+		direct := 0
 		for id := range entries {
 			if sources := Sources(id, "north", entries); sources == nil {
-				asking++
+				direct++
 			} else if slices.Contains(sources, id) || len(sources) != sourcesPerRegion {
 				t.Errorf("%s follows %v, want %d others", id, sources, sourcesPerRegion)
 			}
 		}
-		if asking != sourcesPerRegion {
-			t.Errorf("%d entries: %d ask the store, want %d", size, asking, sourcesPerRegion)
+		if direct != sourcesPerRegion {
+			t.Errorf("%d entries: %d ask the store, want %d", size, direct, sourcesPerRegion)
 		}
 	}
 }
 
-func TestEntriesOfASmallRegionFollowNobody(t *testing.T) {
-	entries := controlled("north", fewEntries)
-	for id, entry := range controlled("south", 20) {
+func TestEntriesOfASmallRegionHaveNoSources(t *testing.T) {
+	entries := regionEntries("north", maxDirectEntries)
+	for id, entry := range regionEntries("south", 20) {
 		entries[id] = entry
 	}
-	for id := range controlled("north", fewEntries) {
+	for id := range regionEntries("north", maxDirectEntries) {
 		if got := Sources(id, "north", entries); got != nil {
 			t.Errorf("%s follows %v, want nobody", id, got)
 		}
@@ -55,7 +55,7 @@
 // A change must be in force within its bound although all sources of a region
 // fail right after their last proof: the age at which an entry asks the store
 // itself, and a call, fit in. And no source in health makes the others do so.
-func TestTrustLeavesTimeToAskTheStore(t *testing.T) {
+func TestTrustLeavesTimeToReadTheStore(t *testing.T) {
 	for _, apply := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 9 * time.Second} {
 		if got, most := Trust(apply), apply-500*time.Millisecond; got > most {
 			t.Errorf("bound %v: trust %v, want at most %v", apply, got, most)
--- a/relay/site/state.go
+++ b/relay/site/state.go
@@ -35,18 +35,18 @@
 	mu       sync.Mutex
 	revision uint64 // of the store, never falls
 	entries  map[string]Entry
-	missing  map[string]time.Time // entries whose registration ended, by when they are dropped
+	expiring map[string]time.Time // entries whose registration ended, by when they are dropped
 	wanted   map[string]Wanted
 	history  map[string][]rollout.Declared // by model, newest last
 	// early is what hosts reported of versions whose declaration is not known yet.
-	early   map[string][]rollout.Declared
-	settled time.Time // registrations that end before it may be back
-	changed chan struct{}
+	undeclared map[string][]rollout.Declared
+	graceUntil time.Time // registrations that end before it may be back
+	changed    chan struct{}
 }
 
-// settleTime is how long after the store came back a registration may be
+// recoveryGrace is how long after the store came back a registration may be
 // missing though its owner lives: owners write again within two seconds.
-const settleTime = 2200 * time.Millisecond
+const recoveryGrace = 2200 * time.Millisecond
 
 // maxHistory bounds the declarations remembered of one model: those still in
 // their time are a few.
@@ -56,8 +56,8 @@
 func NewState(clock func() time.Time, flt *fleet.Fleet, fresh *freshness.Tracker) *State {
 	return &State{
 		clock: clock, fleet: flt, fresh: fresh, ledger: quarantine.NewLedger(clock),
-		entries: map[string]Entry{}, missing: map[string]time.Time{}, wanted: map[string]Wanted{},
-		history: map[string][]rollout.Declared{}, early: map[string][]rollout.Declared{},
+		entries: map[string]Entry{}, expiring: map[string]time.Time{}, wanted: map[string]Wanted{},
+		history: map[string][]rollout.Declared{}, undeclared: map[string][]rollout.Declared{},
 		changed: make(chan struct{}),
 	}
 }
@@ -93,15 +93,15 @@
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropMissing(now)
+	s.dropExpired(now)
 	return maps.Clone(s.entries)
 }
 
-func (s *State) dropMissing(now time.Time) {
-	for id, at := range s.missing {
+func (s *State) dropExpired(now time.Time) {
+	for id, at := range s.expiring {
 		if !now.Before(at) {
 			delete(s.entries, id)
-			delete(s.missing, id)
+			delete(s.expiring, id)
 		}
 	}
 }
@@ -143,19 +143,19 @@
 // be back after it returns.
 func (s *State) Lost() {
 	s.storeLost.Store(true)
-	s.settle()
+	s.extendGrace()
 }
 
 // Regained notes that the store answers again.
 func (s *State) Regained() {
 	s.storeLost.Store(false)
-	s.settle()
+	s.extendGrace()
 }
 
 // StoreLost reports whether the store does not answer this process.
 func (s *State) StoreLost() bool { return s.storeLost.Load() }
 
-func (s *State) settle() { s.SettleFor(settleTime) }
+func (s *State) extendGrace() { s.SettleFor(recoveryGrace) }
 
 // SettleFor keeps registrations that end for so long at least: another entry
 // found that the store was away.
@@ -163,7 +163,7 @@
 	until := s.clock().Add(wait)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settled = laterOf(s.settled, until)
+	s.graceUntil = laterOf(s.graceUntil, until)
 }
 
 // Settling returns for how long registrations that end are still kept.
@@ -171,7 +171,7 @@
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(0, s.settled.Sub(now))
+	return max(0, s.graceUntil.Sub(now))
 }
 
 // Apply takes over changes of the store up to a revision. What is older than
@@ -181,13 +181,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision = max(s.revision, revision)
-	s.dropMissing(now)
-	planned := false // something that others plan by changed
+	s.dropExpired(now)
+	stateChanged := false // something that others plan by changed
 	for _, rec := range records {
 		s.apply(now, rec, revision)
-		planned = planned || rec.Kind != ReportRecord
+		stateChanged = stateChanged || rec.Kind != ReportRecord
 	}
-	if planned {
+	if stateChanged {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
@@ -202,20 +202,20 @@
 		}
 	case WeightsRecord:
 		if rec.Weights > s.wanted[rec.ID].Version {
-			s.declare(rec, now.Add(-rec.Late), revision)
+			s.recordDeclaration(rec, now.Add(-rec.Late), revision)
 		}
 	case EndpointRecord:
 		if rec.Gone {
-			s.fleet.Remove(rec.ID, s.goneAt(now, rec))
+			s.fleet.Remove(rec.ID, s.removalTime(now, rec))
 			return
 		}
 		s.fleet.Register(rec.Endpoint)
 	case EntryRecord:
 		if rec.Gone {
-			s.missing[rec.ID] = s.goneAt(now, rec)
+			s.expiring[rec.ID] = s.removalTime(now, rec)
 			return
 		}
-		delete(s.missing, rec.ID)
+		delete(s.expiring, rec.ID)
 		s.entries[rec.ID] = rec.Entry
 	case ReportRecord:
 		// A report that lapses is forgotten by its age.
@@ -227,23 +227,23 @@
 	}
 }
 
-// goneAt returns from when on a registration that ended is not used: one that
+// removalTime returns from when on a registration that ended is not used: one that
 // lapsed may be back until the store's return is settled.
-func (s *State) goneAt(now time.Time, rec Record) time.Time {
+func (s *State) removalTime(now time.Time, rec Record) time.Time {
 	if rec.Withdrawn {
 		return now
 	}
-	return laterOf(now, s.settled)
+	return laterOf(now, s.graceUntil)
 }
 
 // declare notes a newer version; s.mu is held. Its fencing number is the revision
 // of the declaration, the same for all who learn of it.
-func (s *State) declare(rec Record, since time.Time, revision uint64) {
+func (s *State) recordDeclaration(rec Record, since time.Time, revision uint64) {
 	if rec.Revision > 0 {
 		revision = rec.Revision
 	}
 	list := s.history[rec.ID]
-	for _, declared := range s.early[rec.ID] {
+	for _, declared := range s.undeclared[rec.ID] {
 		switch {
 		case declared.Version < rec.Weights:
 			list = append(list, declared)
@@ -251,7 +251,7 @@
 			since = declared.At
 		}
 	}
-	s.early[rec.ID] = slices.DeleteFunc(s.early[rec.ID], func(declared rollout.Declared) bool { return declared.Version <= rec.Weights })
+	s.undeclared[rec.ID] = slices.DeleteFunc(s.undeclared[rec.ID], func(declared rollout.Declared) bool { return declared.Version <= rec.Weights })
 	list = append(list, rollout.Declared{Version: rec.Weights, At: since})
 	s.history[rec.ID] = list[max(0, len(list)-maxHistory):]
 	s.wanted[rec.ID] = Wanted{Model: rec.ID, Version: rec.Weights, Revision: revision, Since: since}
@@ -287,8 +287,8 @@
 		if len(s.history[model]) < maxHistory {
 			s.history[model] = slices.Insert(s.history[model], 0, declared)
 		}
-	case len(s.early[model]) < maxHistory:
-		s.early[model] = append(s.early[model], declared)
+	case len(s.undeclared[model]) < maxHistory:
+		s.undeclared[model] = append(s.undeclared[model], declared)
 	}
 }
 
