--- a/relay/site/follower.go
+++ b/relay/site/follower.go
@@ -13,41 +13,45 @@
 )
 
 const (
-	// watchWait is how long one watch waits: the proof that nothing changed is
-	// as old as that at most, and each watch is a call that is paid for.
+	// watchWait is the default timeout of one watch. It bounds the age of the proof that
+	// nothing changed; a shorter timeout makes more calls, each of which is billed.
 	watchWait = 1800 * time.Millisecond
-	// minWatchInterval is the least time between two watches: changes that come close
-	// together then cost one call. It is a part of the bounds for a change.
+	// minWatchInterval is the minimum time between the starts of two watches, so that
+	// changes in quick succession cost one call. It counts towards the bounds on how long
+	// a change may take to apply.
 	minWatchInterval = 250 * time.Millisecond
-	// liveWatchThreshold is the time that a watch waited at least whose changes were made
-	// while it did: those made before it are answered sooner.
+	// liveWatchThreshold separates changes made during a watch from earlier ones: the
+	// store answers a watch sooner than this if the changes were made before it began.
 	liveWatchThreshold = 100 * time.Millisecond
-	// sourceCheckInterval is how often an entry that follows others looks whether they still have the store.
+	// sourceCheckInterval is how often an entry that follows other entries checks whether
+	// they still reach the store.
 	sourceCheckInterval = 400 * time.Millisecond
-	// truncationMinChanges and truncationMinBytes are what an answer to a watch holds at least that may
-	// lack what came after: a quarter of what the store gives in one answer.
+	// truncationMinChanges and truncationMinBytes are the sizes from which the answer to a
+	// watch may be truncated: a quarter of what the store returns in one answer.
 	truncationMinChanges = 125
 	truncationMinBytes   = 256 << 10
-	// maxHistoryOutage is how long the store may have been away from an entry that then still asks
-	// for the history; later it reads the current state, which holds a configuration once
-	// however often it was written meanwhile.
+	// maxHistoryOutage is the longest outage after which an entry still requests the
+	// history. After a longer one it reads the current state, which holds a configuration
+	// once however often it was written during the outage.
 	maxHistoryOutage = 2500 * time.Millisecond
-	// maxReadDuration is how long a reading that broke off may be continued: its proof is as old as
-	// its beginning.
+	// maxReadDuration is how long an interrupted read may be resumed: a read only proves
+	// what the store held when it began.
 	maxReadDuration = 4 * time.Second
-	// failureLogInterval is the least time between two log lines of calls that fail in a row.
+	// failureLogInterval is the minimum time between log lines about consecutive failures.
 	failureLogInterval = time.Second
-	// minJoinWait is the least time for which an entry that starts waits for what others bring; it
-	// waits up to twice as long, so that entries which waited in vain don't read at once.
+	// minJoinWait is the minimum time that a starting entry waits for other entries to send
+	// the store's keys. It waits up to twice as long, so that entries which waited in vain
+	// don't all read the store at the same moment.
 	minJoinWait = time.Second
-	// maxJoinWait bounds that wait where they go on answering.
+	// maxJoinWait bounds that wait while the other entries keep answering.
 	maxJoinWait = 8 * time.Second
-	// meanRetryDelay is the mean pause after a failed call.
+	// meanRetryDelay is the mean delay before a failed call is retried.
 	meanRetryDelay = 120 * time.Millisecond
 )
 
-// confirm asks whether what is known is all there is, which costs next to nothing beside what
-// was reported. Where it is not, the next watch is begun at once.
+// confirmLatest asks the store for its latest revision, after an answer that may be truncated,
+// and records the data as fresh if the mirror has reached it. The call costs next to nothing
+// compared with the answer. Otherwise the next watch begins at once.
 func (f *Follower) confirmLatest(ctx context.Context) error {
 	asked := f.State.Fresh().Now()
 	_, revision, err := f.Store.Watch(ctx, "", kv.Latest, 0)
@@ -63,10 +67,10 @@
 	return nil
 }
 
-// maybeTruncated reports whether an answer to a watch is so large that the store may have left out
-// what came after it. Its revision is then that of its last change, and nothing is proven by
-// it: an entry that was cut off while many configurations were written would take the last
-// one in the first answer for the one in force.
+// maybeTruncated reports whether an answer to a watch is so large that the store may have left
+// out later changes. Its revision is then that of its last change and proves nothing: an entry
+// that was cut off while many configurations were written would take the last one in the first
+// answer for the current one.
 func maybeTruncated(changes []kv.Entry) bool {
 	bytes := 0
 	for _, change := range changes {
@@ -75,41 +79,43 @@
 	return len(changes) >= truncationMinChanges || bytes >= truncationMinBytes
 }
 
-// Follower keeps a State as new as the store.
+// Follower keeps a State up to date with the store.
 type Follower struct {
 	Store *kv.Store
 	State *State
-	// Mirror takes what the store sends on its way to State.
+	// Mirror receives the store's keys and applies them to State.
 	Mirror *Mirror
 	Clock  clockwork.Clock
 	Log    *slog.Logger
-	// Led returns for how long others' knowledge is still enough, so that the
-	// store need not be watched; nil: never.
+	// Led returns for how long the data from other entries is still fresh enough that
+	// the store need not be watched. Nil means that it always must be.
 	Led func() time.Duration
-	// Wait returns how long one watch waits; nil stands for watchWait.
+	// Wait returns the timeout of one watch. Nil means watchWait.
 	Wait func() time.Duration
 
-	// EntriesPrefix is that of the entries' registrations; empty: one that starts reads
-	// everything by itself.
+	// EntriesPrefix is the key prefix of the entries' registrations. If it is empty, a
+	// starting entry reads the whole store itself.
 	EntriesPrefix string
-	// Follows reports whether other entries that are known bring what the store holds; nil: no.
+	// Follows reports whether this entry receives the store's keys from other known
+	// entries. Nil means no.
 	Follows func() bool
-	// Brings reports whether one of them is at it: it answers and has the store; nil: no.
+	// Brings reports whether one of those entries answers and reaches the store. Nil
+	// means no.
 	Brings func() bool
 
-	partialRead *snapshotRead // that was broken off; nil: none
+	partialRead *snapshotRead // an interrupted read of the whole store, or nil
 
 	down bool // the last call failed
-	// failed counts the calls that failed in a row; loggedAt is when one was last logged.
+	// failures counts consecutive failed calls; loggedAt is when one was last logged.
 	failures      int
 	loggedAt      time.Time
-	lastSuccessAt time.Time // when the last call that succeeded ended
-	// silent: the store was not watched, and those who did fell silent. Changes
-	// that it sends at once may have been made meanwhile.
+	lastSuccessAt time.Time // when the last successful call ended
+	// unwatched is set while other entries are followed instead of the store. If they then
+	// stop answering, changes that the store sends at once may have been made in between.
 	unwatched bool
 }
 
-// Run follows until ctx ends.
+// Run follows the store, or the entries that this one follows, until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	synced, joined := false, false
 	for ctx.Err() == nil {
@@ -142,7 +148,7 @@
 			continue
 		}
 		if failure.KindOf(err) == failure.Stale {
-			f.Log.Info("history is gone, reading the store again", "after", f.Mirror.Revision())
+			f.Log.Info("the store no longer holds the history, reading all keys again", "after", f.Mirror.Revision())
 			synced = false
 			continue
 		}
@@ -151,8 +157,9 @@
 	}
 }
 
-// join learns which entries there are and, where this one follows others, waits for what they
-// bring: entries of a region that start together would each read everything over the same link.
+// join reads the entries' registrations and, if this entry follows others, waits for them to
+// send the store's keys. Otherwise entries of a region that start together would each read
+// the whole store over the same link.
 func (f *Follower) join(ctx context.Context) error {
 	if f.EntriesPrefix == "" || f.Follows == nil {
 		return nil
@@ -190,6 +197,7 @@
 	}
 }
 
+// sleep pauses for the given time or until ctx ends.
 func (f *Follower) sleep(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -200,6 +208,8 @@
 	}
 }
 
+// recordFailure marks the store as unreachable and logs the error, at most once per
+// failureLogInterval.
 func (f *Follower) recordFailure(ctx context.Context, err error) {
 	f.State.Lost()
 	f.unwatched = false
@@ -215,6 +225,7 @@
 	f.down = true
 }
 
+// recordSuccess marks the store as reachable again after failures.
 func (f *Follower) recordSuccess() {
 	if !f.down {
 		return
@@ -224,17 +235,17 @@
 	f.State.Regained()
 }
 
-// reading is a reading of everything that may have been broken off.
+// snapshotRead is a paged read of the whole store that can be resumed after a failure.
 type snapshotRead struct {
-	began    time.Duration // on the clock of the proofs
-	revision uint64        // of the store at its begin
+	began    time.Duration // on the clock of State.Fresh
+	revision uint64        // of the store when the read began
 	entries  []kv.Entry
 }
 
-// readAll reads everything at one revision or a newer one, unless nothing changed since what is
-// known; what changed meanwhile comes again with the first watch. A reading that was broken off
-// goes on after the last page that came: entries that start together would otherwise throw away
-// what crossed the link that they share.
+// readAll reads the whole store, unless its revision is the one already known. Keys may be newer
+// than the revision of the read: what changes during it is sent again by the first watch. An
+// interrupted read resumes after the last page received, so that entries that start together do
+// not discard what already crossed the link that they share.
 func (f *Follower) readAll(ctx context.Context) error {
 	now := f.State.Fresh().Now()
 	if f.partialRead == nil || now-f.partialRead.began > maxReadDuration {
@@ -266,7 +277,8 @@
 	return nil
 }
 
-// page returns the entries after those that were read, and whether others follow.
+// readPage returns the entries after those already read, and whether there are more. A store
+// without paging returns everything at once.
 func (f *Follower) readPage(ctx context.Context, read []kv.Entry) (entries []kv.Entry, more bool, err error) {
 	if f.Store.Page == nil {
 		entries, err = f.Store.List(ctx, "")
@@ -279,7 +291,8 @@
 	return f.Store.Page(ctx, "", after)
 }
 
-// led returns for how long the store need not be watched.
+// sourceTrust returns for how long the data from other entries is fresh enough that the store
+// need not be watched.
 func (f *Follower) sourceTrust() time.Duration {
 	if f.Led == nil {
 		return 0
@@ -287,6 +300,7 @@
 	return f.Led()
 }
 
+// watchTimeout returns how long one watch waits for changes.
 func (f *Follower) watchTimeout() time.Duration {
 	if f.Wait == nil {
 		return watchWait
@@ -294,7 +308,8 @@
 	return f.Wait()
 }
 
-// watch waits for changes once.
+// watch waits once for changes after the known revision, applies them, and records how fresh
+// the data is.
 //
 // Rule BEGIN of spec/freshness.pml.
 func (f *Follower) watch(ctx context.Context) error {
@@ -313,8 +328,9 @@
 	}
 	f.unwatched = false
 	if len(changes) == 0 && ended-began >= wait {
-		// The store looked until the wait was over, on its own clock, which
-		// began after ours. One that answered sooner was cut and proves less.
+		// The store watched for the whole timeout, measured on its own clock from a
+		// later start than ours. A watch that returned sooner was cut short and
+		// proves only what held when it began.
 		f.State.Fresh().Prove(began + wait)
 		return nil
 	}
--- a/relay/site/mirror.go
+++ b/relay/site/mirror.go
@@ -12,14 +12,14 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// maxDeletions bounds the deletions that are remembered for those who ask what
-// changed: an hour of replaced hosts in a large fleet.
+// maxDeletions bounds the deletions kept for callers of Since: about one hour of replaced
+// hosts in a large fleet.
 const maxDeletions = 4096
 
-// Mirror holds the store's keys as far as they are known, and is the one way by
-// which they reach a State: from the store itself, and from other entries that
-// follow it. What both send overlaps and comes in any order; of each key only the
-// newest revision is taken. It is safe for concurrent use.
+// Mirror holds the known keys of the store and is the only path by which they reach
+// a State, whether they come from the store itself or from other entries that follow
+// it. The two overlap and arrive in any order, so only the newest revision of each key
+// is applied. It is safe for concurrent use.
 type Mirror struct {
 	state  *State
 	decode func(kv.Entry) (Record, error)
@@ -27,33 +27,34 @@
 	log    *slog.Logger
 
 	mu       sync.Mutex
-	revision uint64 // everything up to it is known; 0: nothing was read yet
-	// keys holds deletions too, of revisions after forgotten.
+	revision uint64 // all changes up to it are known; 0 before the first full read
+	// keys also holds deleted keys; deletions up to prunedRevision may have been dropped.
 	keys           map[string]kv.Entry
 	deleted        int
 	prunedRevision uint64
-	updatedAt      time.Time     // when the newest knowledge came; zero: none did
+	updatedAt      time.Time     // time of the last update; zero before the first
 	changed        chan struct{} // closed and replaced when revision grows
 }
 
-// NewMirror returns an empty Mirror. Decode reads a key; the zero Record is of no
-// concern, and an error leaves the value out unless the Record beside it withdraws
-// what the key named.
+// NewMirror returns an empty Mirror. The function decode decodes a key; a zero Record
+// means that the key is ignored. If decode returns an error, the value is ignored too,
+// unless the Record returned with it is Withdrawn: then what the key named is removed.
 func NewMirror(state *State, decode func(kv.Entry) (Record, error), clock clockwork.Clock, log *slog.Logger) *Mirror {
 	return &Mirror{state: state, decode: decode, clock: clock, log: log, keys: map[string]kv.Entry{}, changed: make(chan struct{})}
 }
 
-// Revision returns the revision up to which everything is known; 0 before the
-// first reading.
+// Revision returns the revision up to which all changes are known, or 0 before the
+// first full read.
 func (m *Mirror) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// Apply takes over all changes after one revision up to another. Changes after a
-// revision that is not known yet leave a gap and are refused. At once says that
-// they came as they were made; else they may be as old as the knowledge before.
+// Apply merges all changes after one revision up to another. If after is newer than the
+// known revision, changes in between are missing: it then applies nothing and returns
+// false. Live means that the changes were received as they were made; otherwise they may
+// have been made at any time since the previous update.
 func (m *Mirror) Apply(after uint64, changes []kv.Entry, revision uint64, live bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,8 +65,8 @@
 	return true
 }
 
-// AddPartial takes over some keys of the store before the first whole reading, which drops those
-// that it lacks.
+// AddPartial merges some keys of the store before the first full read, which removes those that
+// the store no longer holds. After the first full read it does nothing.
 func (m *Mirror) AddPartial(entries []kv.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,8 +75,8 @@
 	}
 }
 
-// Reset takes over a whole reading of the store at a revision: keys that it lacks
-// are gone.
+// Reset merges a full read of the store at a revision and treats known keys that are
+// missing from it as deleted.
 func (m *Mirror) Reset(entries []kv.Entry, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,7 +86,8 @@
 	m.applyLocked(entries, max(1, revision), true)
 }
 
-// missing returns the deletions of the keys known that a reading lacks.
+// deletionsMissingFrom returns a deletion for each known key that is missing from a full
+// read at the given revision.
 func (m *Mirror) deletionsMissingFrom(entries []kv.Entry, revision uint64) []kv.Entry {
 	seen := map[string]bool{}
 	for _, entry := range entries {
@@ -100,7 +102,8 @@
 	return gone
 }
 
-// take keeps what is newer than what is known; m.mu is held.
+// applyLocked stores the entries that are newer than the known ones and applies them to
+// the State. The caller holds m.mu.
 func (m *Mirror) applyLocked(entries []kv.Entry, revision uint64, live bool) {
 	delay := time.Duration(0)
 	if !live && !m.updatedAt.IsZero() {
@@ -128,9 +131,9 @@
 	}
 }
 
-// newer reports whether an entry goes before what is known of its key. A key that
-// a reading lacks is gone at the revision of the reading, which may be that of its
-// last change.
+// supersedes reports whether an entry replaces the known one of the same key. A key that
+// is missing from a full read counts as deleted at the revision of that read, which may
+// equal the revision of the key's last change.
 func supersedes(entry, old kv.Entry) bool {
 	if entry.Revision() == old.Revision() {
 		return entry.Deleted() && !old.Deleted()
@@ -138,6 +141,7 @@
 	return entry.Revision() > old.Revision()
 }
 
+// setKey stores an entry in place of the old one and keeps the count of deletions.
 func (m *Mirror) setKey(entry, old kv.Entry) {
 	if old.Deleted() {
 		m.deleted--
@@ -148,12 +152,13 @@
 	m.keys[entry.Key()] = entry
 }
 
-// read decodes a key and logs what was learned. A record beside an error withdraws
-// what the key named.
+// decodeEntry decodes a key and logs it. It returns false if the key is to be ignored. A record
+// returned with a decoding error is used only if it is Withdrawn, which removes what the
+// key named.
 func (m *Mirror) decodeEntry(entry kv.Entry) (Record, bool) {
 	rec, err := m.decode(entry)
 	if err != nil {
-		m.log.Error("a value is left out", "key", entry.Key(), "revision", entry.Revision(), "withdrawn", rec.Withdrawn, "error", err)
+		m.log.Error("ignoring a value that cannot be decoded", "key", entry.Key(), "revision", entry.Revision(), "withdrawn", rec.Withdrawn, "error", err)
 		return rec, rec.Withdrawn
 	}
 	if rec.Kind == 0 {
@@ -164,7 +169,7 @@
 	return rec, true
 }
 
-// pruneDeletions drops the older half of the deletions where there are too many.
+// pruneDeletions drops the older half of the deletions if there are more than maxDeletions.
 func (m *Mirror) pruneDeletions() {
 	if m.deleted <= maxDeletions {
 		return
@@ -185,23 +190,24 @@
 
 func byRevision(left, right kv.Entry) int { return cmp.Compare(left.Revision(), right.Revision()) }
 
-// Changes are the newest values of the keys that changed after a revision.
+// Changes holds the newest values of the keys that changed after a revision.
 type Changes struct {
 	Entries []kv.Entry
-	// Revision is that up to which everything is known with them.
+	// Revision is the revision up to which they include all changes.
 	Revision uint64
-	// Whole: keys that are not among the entries do not exist.
+	// Whole is set if Entries holds the full state: other keys do not exist.
 	Whole bool
 }
 
-// Since returns what changed after a revision, in the order of revisions, and a
-// channel that is closed at the next change. Several changes of one key make one:
-// who asks seldom gets little.
+// Since returns what changed after a revision, ordered by revision, and a channel that is
+// closed at the next change. It includes only the last change of each key, so that the
+// result stays small for callers that ask rarely. If the deletions after the revision are no longer all known, it
+// returns the full state.
 func (m *Mirror) Since(revision uint64) (Changes, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.revision == 0 {
-		return Changes{}, m.changed // what was introduced is no reading
+		return Changes{}, m.changed // keys from AddPartial are not a full read
 	}
 	found := Changes{Revision: m.revision, Whole: revision < m.prunedRevision || revision == 0}
 	for _, entry := range m.keys {
--- a/relay/site/mirror_test.go
+++ b/relay/site/mirror_test.go
@@ -12,40 +12,40 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// Symptom: an entry names a host that is gone. Sequence: an entry's own watch is
-// waiting; another entry reports that a key was deleted; the watch then brings
-// the older value. Cause: what came last was taken for newest.
+// Guards against a deleted host that is listed again: another entry reports that a key was
+// deleted, then the entry's own watch returns the older value, and the last value received
+// is taken for the newest.
 func TestOlderRevisionDoesNotReplaceNewer(t *testing.T) {
 	w := newTestSite()
 	w.mirror.Reset([]kv.Entry{value("e-1", 1)}, 10)
 	w.mirror.Apply(10, []kv.Entry{deletion("e-1", 15)}, 16, true)
 	w.mirror.Apply(10, []kv.Entry{value("e-1", 12)}, 14, true)
 	if got := w.state.Entries(); len(got) != 0 {
-		t.Errorf("got %v, want nothing: it was deleted at 15", got)
+		t.Errorf("got %v, want no entries: e-1 was deleted at 15", got)
 	}
 	w.mirror.Apply(16, []kv.Entry{value("e-1", 17)}, 17, true)
 	w.mirror.Apply(10, []kv.Entry{deletion("e-1", 15)}, 16, true)
 	if got := w.state.Entries(); len(got) != 1 {
-		t.Errorf("got %v, want e-1, made again at 17", got)
+		t.Errorf("got %v, want e-1, which was created again at 17", got)
 	}
 }
 
-// Symptom: a change is never seen. Sequence: a stream from another entry is lost
-// and begun again after later changes. Cause: the gap between was not noticed.
+// Guards against a change that is never seen: a stream from another entry breaks and
+// resumes after later changes, and the gap between goes unnoticed.
 func TestChangesAfterAGapAreRefused(t *testing.T) {
 	w := newTestSite()
 	w.mirror.Reset(nil, 10)
 	if w.mirror.Apply(12, []kv.Entry{value("e-1", 13)}, 13, true) {
-		t.Error("got changes after 12 taken where 10 is known, want them refused")
+		t.Error("got changes after 12 applied where 10 is known, want them refused")
 	}
 	if got, want := w.mirror.Revision(), uint64(10); got != want {
 		t.Errorf("got revision %d, want %d", got, want)
 	}
 }
 
-// Symptom: requests begin on an old version after its time. Sequence: an entry
-// learns of nothing for 2 s; a version is named meanwhile; the entry counts its
-// time from when it learned of it. Cause: what was learned late was taken for new.
+// Guards against requests that begin on an old version after its time is over: a version
+// is declared while an entry receives no changes for 2 s, and the entry counts the
+// version's age from when it received the declaration.
 func TestVersionLearnedLateCountsFromEarliestDeclaration(t *testing.T) {
 	w := newTestSite()
 	w.mirror.Reset(nil, 10)
@@ -59,13 +59,13 @@
 	w.mirror.Apply(11, []kv.Entry{kv.NewEntry("weights/m", []byte("333"), 12, false)}, 12, true)
 	want, _ = w.state.WantedOf("m")
 	if got := w.clock.Since(want.Since); got != 0 {
-		t.Errorf("got an age of %v of what came at once, want none", got)
+		t.Errorf("got an age of %v for a change received as it was made, want 0", got)
 	}
 }
 
-// TestMirrorsConverge: whatever an entry receives from the store and
-// from others, in which order and how often, it knows in the end what the store
-// holds, and on the way never an older value after a newer one.
+// TestMirrorsConverge checks that an entry ends up with the store's keys, whatever it
+// receives from the store and from other entries, in whatever order and how often, and that
+// no older value ever replaces a newer one.
 func TestMirrorsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, first, second := newTestSite(), newTestSite(), newTestSite()
@@ -126,8 +126,8 @@
 	return keys
 }
 
-// Symptom: memory grows for as long as hosts are replaced. Cause: each deletion
-// was remembered for ever. Who asks for more than is remembered gets everything.
+// Guards against memory that grows as long as hosts are replaced, because each deletion is
+// kept forever. A caller that asks for changes older than those kept gets the full state.
 func TestOldDeletionsArePrunedAndFullStateIsSent(t *testing.T) {
 	w := newTestSite()
 	w.mirror.Reset([]kv.Entry{value("stays", 1)}, 1)
@@ -138,10 +138,10 @@
 	}
 	old, _ := w.mirror.Since(1)
 	if !old.Whole || len(old.Entries) != 1 {
-		t.Errorf("got whole=%v and %d keys after revision 1, want the one key that there is", old.Whole, len(old.Entries))
+		t.Errorf("got whole=%v and %d keys after revision 1, want the full state of one key", old.Whole, len(old.Entries))
 	}
 	late, _ := w.mirror.Since(2*hosts - 10)
 	if late.Whole || len(late.Entries) == 0 {
-		t.Errorf("got whole=%v and %d changes of late, want some changes alone", late.Whole, len(late.Entries))
+		t.Errorf("got whole=%v and %d recent changes, want only some changes", late.Whole, len(late.Entries))
 	}
 }
--- a/relay/site/record.go
+++ b/relay/site/record.go
@@ -1,6 +1,5 @@
-// Package site keeps what one process knows of its deployment: the catalog in
-// force, the endpoints, the entries and the weights wanted, and how old that
-// knowledge is.
+// Package site keeps one process's view of its deployment: the current catalog, the
+// endpoints, the entries, the declared versions of the weights, and how old that view is.
 package site
 
 import (
@@ -10,10 +9,10 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-// RecordKind says what a key of the store holds.
+// RecordKind is the type of object that a key of the store holds.
 type RecordKind int
 
-// The kinds; the zero kind holds nothing of concern.
+// The kinds of records. A record of the zero kind is ignored.
 const (
 	CatalogRecord RecordKind = iota + 1
 	WeightsRecord
@@ -22,22 +21,23 @@
 	ReportRecord
 )
 
-// Record is one key of the store, decoded.
+// Record is a decoded key of the store.
 type Record struct {
 	Kind RecordKind
-	// ID is the model, the endpoint or the entry.
+	// ID names the model, the endpoint or the entry.
 	ID   string
-	Gone bool
-	// Withdrawn: what stands there now names nothing to use. Unlike one that
-	// lapsed, it was not lost in an outage and is used no more at once.
+	Gone bool // the key was deleted, or its value is unusable
+	// Withdrawn is set if the key's present value names nothing usable. Unlike a
+	// registration that lapsed, it was not lost in an outage, so its use ends at once.
 	Withdrawn bool
-	// Revision of the key's last change; 0: that of the whole reading.
+	// Revision is that of the key's last change; 0 means the revision of the update that
+	// the record came with.
 	Revision uint64
-	// Late is how long before it was learned the change may have been made.
+	// Late is the longest time that may have passed between the change and its receipt.
 	Late time.Duration
-	// Exactly the field of the kind is set, where the key is not gone.
+	// Only the field that belongs to Kind is set, and none if Gone is.
 	Catalog  *catalog.Catalog
-	Weights  uint64 // version declared
+	Weights  uint64 // declared version
 	Endpoint fleet.Registration
 	Entry    Entry
 	Reports  []Report
@@ -48,8 +48,8 @@
 	CallersAddress string `json:"callersAddress"`
 	Region         string `json:"region"`
 	FailureDomain  string `json:"failureDomain"`
-	// ControlAddress is where other entries follow this one; empty where it
-	// cannot be followed.
+	// ControlAddress is the address at which other entries follow this one. It is empty
+	// if this entry cannot be followed.
 	ControlAddress string `json:"controlAddress,omitempty"`
 	Incarnation    string `json:"incarnation"`
 	Lease          string `json:"lease"`
--- a/relay/site/site_test.go
+++ b/relay/site/site_test.go
@@ -20,18 +20,18 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// testSite is a State that follows a scripted store; the clock stands still unless
-// a call moves it.
+// testSite is a State that follows a scripted store. Its clock stands still unless a
+// test advances it.
 type testSite struct {
 	clock *clockwork.FakeClock
 	begun time.Time
 	state *site.State
-	// mirror reads the key "catalog" as a catalog of the version of its revision,
-	// those below "weights/" and "endpoint/" as their names say, and others as
-	// entries of that name; "bad" can't be read.
+	// mirror decodes the key "catalog" as a catalog whose version is the key's revision,
+	// keys below "weights/" and "endpoint/" as declared weights and endpoints, and other
+	// keys as entries of that name. The key "bad" cannot be decoded.
 	mirror *site.Mirror
 	fresh  *freshness.Tracker
-	latest uint64 // the store's revision; 0: ten more with each reading
+	latest uint64 // the store's revision; if 0, it grows by ten with each full read
 }
 
 func newTestSite() *testSite {
@@ -43,6 +43,7 @@
 	return w
 }
 
+// decode decodes the keys of the scripted store.
 func decode(entry kv.Entry) (site.Record, error) {
 	name, isWeights := strings.CutPrefix(entry.Key(), "weights/")
 	id, isEndpoint := strings.CutPrefix(entry.Key(), "endpoint/")
@@ -62,7 +63,7 @@
 	return site.Record{Kind: site.EntryRecord, ID: entry.Key(), Gone: entry.Deleted()}, nil
 }
 
-// value is a key of the store at a revision, and gone its deletion.
+// value returns a key of the store at a revision, and deletion returns its deletion.
 func value(key string, revision uint64) kv.Entry    { return kv.NewEntry(key, nil, revision, false) }
 func deletion(key string, revision uint64) kv.Entry { return kv.NewEntry(key, nil, revision, true) }
 
@@ -70,9 +71,9 @@
 	return site.Record{Kind: site.CatalogRecord, Catalog: catalog.New(catalog.Spec{Version: version})}
 }
 
-// Symptom: a machine handles requests as an older configuration says. Sequence: a
-// list that began before a change ends after it, or history is read again from a
-// store that lags. Cause: what came last was taken for newest.
+// Guards against requests that are handled by an older configuration: a list that began
+// before a change ends after it, or history is read again from a store that lags, and the
+// last value received is taken for the newest.
 func TestOlderRevisionsAreIgnored(t *testing.T) {
 	w := newTestSite()
 	w.mirror.Apply(0, []kv.Entry{value("catalog", 7)}, 10, true)
@@ -91,10 +92,9 @@
 	}
 }
 
-// Symptom: callers get an empty list of entries after an outage of the store. Sequence:
-// leases run out while it is down; it comes back and reports the deletions; the
-// entries register again a second later. Cause: what is missing was taken for
-// gone at once.
+// Guards against an empty list of entries after an outage of the store: leases expire while
+// it is down, it reports the deletions once it recovers, and the entries register again only
+// a second later.
 func TestEntriesThatLapsedInAnOutageAreKept(t *testing.T) {
 	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Entry: site.Entry{CallersAddress: "10.0.0.1:1"}}}, 1)
@@ -128,7 +128,7 @@
 		t.Errorf("got %v, want e-2 and e-3 alone", w.state.Entries())
 	}
 	if _, verdict := w.state.Fleet().Group("app").Pick(fleet.Need{}); verdict != fleet.Nobody {
-		t.Errorf("got verdict %v, want nobody", verdict)
+		t.Errorf("got verdict %v, want fleet.Nobody", verdict)
 	}
 }
 
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against old weights that are used for too long by an entry that started after newer ones
-// were declared and counts their time from its own start.
+// Guards against an entry that uses old weights for too long because it started after newer ones
+// were declared and counts their age from its own start.
 func TestVersionAgeIsTakenFromHostReports(t *testing.T) {
 	for name, hostFirst := range map[string]bool{"host first": true, "store first": false} {
 		t.Run(name, func(t *testing.T) {
@@ -168,14 +168,15 @@
 			}
 			w.clock.Advance(3 * time.Second)
 			if got, want := w.state.Floor("m", 8*time.Second), uint64(2); got != want {
-				t.Errorf("got floor %d, want %d: the time of the version before is over", got, want)
+				t.Errorf("got floor %d, want %d: the time of the previous version is over", got, want)
 			}
 		})
 	}
 }
 
-// Guards against weights that are used for too long by an entry that started after two newer ones
-// were declared: the store names the newest alone, and the time of old ones ends by the first.
+// Guards against an entry that uses old weights for too long because it started after two newer
+// versions were declared: the store holds only the newest declaration, but the old weights must
+// go out of use by the first.
 func TestVersionsNoLongerInTheStoreCount(t *testing.T) {
 	for name, hostFirst := range map[string]bool{"host first": true, "store first": false} {
 		t.Run(name, func(t *testing.T) {
@@ -204,8 +205,8 @@
 	}
 }
 
-// storeScript answers the calls of a follower one after the other; the last answer
-// ends the run.
+// storeScript answers the watches of a follower one by one. It cancels the run after the
+// last answer.
 type storeScript struct {
 	site    *testSite
 	watches []func() ([]kv.Entry, uint64, error)
@@ -237,6 +238,7 @@
 	}
 }
 
+// follow runs a follower against a store that gives the scripted answers to watches.
 func (w *testSite) follow(t *testing.T, watches ...func() ([]kv.Entry, uint64, error)) *storeScript {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -244,7 +246,7 @@
 	steps := &storeScript{site: w, watches: watches, cancel: cancel}
 	done := make(chan struct{})
 	go func() {
-		// Pauses between calls end as soon as the follower waits for them.
+		// Advance the clock as soon as the follower waits between two calls.
 		for {
 			select {
 			case <-done:
@@ -264,8 +266,8 @@
 	return steps
 }
 
-// Guards against entries that read a large store over a narrow link again and again from its first
-// key, since each page that fails drops those before.
+// Guards against entries that read a large store over a slow link again and again from its first
+// key, because a failed page discards the pages before it.
 func TestReadResumesAfterAFailedPage(t *testing.T) {
 	w := newTestSite()
 	pages := []string{"a", "b", "c"}
@@ -291,7 +293,7 @@
 	follower := &site.Follower{Store: store, State: w.state, Mirror: w.mirror, Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler)}
 	follower.Run(ctx)
 	if want := []string{"", "a", "b", "b"}; !slices.Equal(asked, want) {
-		t.Errorf("got pages asked for after %q, want %q", asked, want)
+		t.Errorf("got pages requested after %q, want %q", asked, want)
 	}
 	if got := len(w.state.Entries()); got != len(pages) {
 		t.Errorf("got %d entries, want %d", got, len(pages))
@@ -304,15 +306,14 @@
 		return nil, 0, failure.New(failure.Stale, "history is gone", "read again")
 	})
 	if got, want := steps.lists, 2; got != want {
-		t.Errorf("got %d readings of everything, want %d", got, want)
+		t.Errorf("got %d full reads, want %d", got, want)
 	}
 }
 
-// Symptom: after an outage of the store no engine may serve, although nothing
-// newer is loaded anywhere yet. Sequence: the store is down for 8 s; a version is
-// declared once it is back. Cause: what came after silence was taken to be as old
-// as the silence, and its time was over when it was learned. While the store is
-// down nothing is declared.
+// Guards against an outage of the store after which no engine may serve, although no newer
+// version is loaded yet: the store is down for 8 s, a version is declared once it recovers,
+// and that change is taken to be as old as the outage, so that the time of older versions is
+// over when it is received. While the store is down nothing can be declared.
 func TestVersionDeclaredAfterAnOutageIsNew(t *testing.T) {
 	w := newTestSite()
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
@@ -323,7 +324,7 @@
 	})
 	want, ok := w.state.WantedOf("m")
 	if age := w.clock.Since(want.Since); !ok || age > 2*time.Second {
-		t.Errorf("got a version that counts from %v ago, want from when it was learned", age)
+		t.Errorf("got a version declared %v ago, want it to count from when it was received", age)
 	}
 }
 
@@ -337,11 +338,11 @@
 	}
 }
 
-// Symptom: requests go to an address that its owner no longer names. Sequence: an
-// endpoint's registration is overwritten by what can't be read, also while the
-// store's return is not settled, when registrations that lapse are kept. Cause:
-// what could not be read was left out, so what was known before held. The others
-// hold, and the endpoint is back once it is written again.
+// Guards against requests to an address that its owner no longer registers: an endpoint's
+// registration is overwritten by a value that cannot be decoded, and the previous one stays
+// in use because such values are ignored. This also applies in the grace period after an
+// outage, when lapsed registrations are kept. Other endpoints stay, and the endpoint returns
+// once it is registered again.
 func TestUnreadableRegistrationRemovesEndpoint(t *testing.T) {
 	w := newTestSite()
 	pick := func() fleet.Verdict {
@@ -371,9 +372,9 @@
 	}
 }
 
-// Symptom: a key that was taken away opens a route for longer than its bound.
-// Sequence: a watch is cut after a moment and reports no change. Cause: the proof
-// was taken to reach to the end of the time that it should have waited.
+// Guards against a revoked key that opens a route for longer than its bound: a watch is cut
+// short and reports no change, and that is taken to prove the data fresh up to the end of the
+// watch's full timeout.
 func TestWatchThatEndsEarlyProvesOnlyItsStart(t *testing.T) {
 	w := newTestSite()
 	var began time.Duration
@@ -384,15 +385,15 @@
 	})
 	age, known := w.fresh.Age()
 	if got := w.clock.Now().Sub(w.begun) - age; !known || got != began {
-		t.Errorf("got a proof of %v, want %v", got, began)
+		t.Errorf("got data proven fresh at %v, want %v", got, began)
 	}
 }
 
-// Symptom: a route that was added 5 s before is refused with 404, and a request goes where only
-// an older configuration sends it. Sequence: an entry is cut off from the store for 15 s while
-// 40 configurations of 54 KB are written; its first watch answers with the first twenty of them
-// and their revision; it serves by the twentieth. Cause: the answer was taken for all there was,
-// so what the entry knew counted as new as the watch's beginning.
+// Guards against a truncated answer that is taken for all changes, so that old data counts as
+// fresh as the start of the watch. An entry was cut off from the store for 15 s while 40
+// configurations of 54 KB were written. Its first watch returned the first twenty and their
+// revision, and it served by the twentieth: a route added 5 s earlier got a 404, and a request
+// went where only an older configuration sends it.
 func TestTruncatedHistoryProvesNothing(t *testing.T) {
 	var configs, registrations []kv.Entry
 	for revision := uint64(21); revision < 41; revision++ {
@@ -411,24 +412,24 @@
 				w.latest = newest
 				return part, part[len(part)-1].Revision(), nil
 			})
-			// The watch before proved what was known until 1.8 s. Whether there is more is asked,
-			// and nothing is read twice.
+			// The watch before proved the data fresh up to 1.8 s. The follower asks whether
+			// there are more changes and reads nothing twice.
 			age, _ := w.fresh.Age()
 			if got, want := age < time.Second, newest != 999; got != want {
-				t.Errorf("%s: got knowledge %v old with the store at %d, want new knowledge: %v", name, age, newest, want)
+				t.Errorf("%s: got data %v old with the store at %d, want fresh data: %v", name, age, newest, want)
 			}
 			if got, want := steps.lists, 1; got != want {
-				t.Errorf("%s: got %d readings of everything, want %d", name, got, want)
+				t.Errorf("%s: got %d full reads, want %d", name, got, want)
 			}
 		}
 	}
 }
 
-// Symptom: an entry sends requests where only an older configuration allows it, 3 s after a
-// newer one was acknowledged and 4 s after the store takes its calls again. Sequence: the store
-// turns an entry away for 13 s while 40 configurations are written, then answers it; what
-// happened meanwhile is 2 MB and comes over a link that others use for the same. Cause: who
-// had been away asked for the history, of which one configuration counts.
+// Guards against an entry that requests the whole history after a long outage, although only
+// the last configuration counts. The store refused an entry for 13 s while 40 configurations
+// were written. The history was 2 MB over a link on which other entries read the same, and the
+// entry still routed requests by an older configuration 3 s after a newer one was acknowledged
+// and 4 s after the store accepted its calls again.
 func TestLongOutageCausesFullRead(t *testing.T) {
 	for _, test := range []struct {
 		away  time.Duration
@@ -440,12 +441,12 @@
 			return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
 		})
 		if got, want := steps.lists, test.lists; got != want {
-			t.Errorf("got %d readings of everything after %v, want %d", got, test.away, want)
+			t.Errorf("got %d full reads after %v, want %d", got, test.away, want)
 		}
 	}
 }
 
-// Who was away while nothing changed reads nothing.
+// Checks that an entry reads nothing after an outage during which nothing changed.
 func TestOutageWithoutChangesCausesNoRead(t *testing.T) {
 	w := newTestSite()
 	steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
@@ -455,9 +456,9 @@
 		return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
 	})
 	if got, want := steps.lists, 1; got != want {
-		t.Errorf("got %d readings of everything, want %d: the store's revision is still 20", got, want)
+		t.Errorf("got %d full reads, want %d: the store's revision is still 20", got, want)
 	}
 	if age, _ := w.fresh.Age(); age > time.Second {
-		t.Errorf("got knowledge %v old, want new: the store sent its revision", age)
+		t.Errorf("got data %v old, want fresh data: the store returned its revision", age)
 	}
 }
--- a/relay/site/sources.go
+++ b/relay/site/sources.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// maxDirectEntries is the entries of a region up to which each follows the store itself:
-	// following one another would save few calls, and what is known would be older.
+	// maxDirectEntries is the number of entries in a region up to which each watches the
+	// store itself: following one another would save few calls and make their data older.
 	maxDirectEntries = 4
-	// sourcesPerRegion is the entries of a larger region that follow the store.
-	// One may be cut off from it or stand still; the others still have one.
+	// sourcesPerRegion is the number of entries of a larger region that watch the store.
+	// If one is cut off from it or hangs, the other entries still have another.
 	sourcesPerRegion = 2
-	// trustMargin is the part of the time for a change that is left to those who
-	// find that the others' knowledge is old: a call of the store and its way.
+	// trustMargin is the part of the bound on applying a change that is reserved for an
+	// entry that finds its sources' data too old: a call to the store and its network delay.
 	trustMargin = 600 * time.Millisecond
-	// minTrust keeps the least of it.
+	// minTrust is the lower limit of Trust.
 	minTrust = 800 * time.Millisecond
-	// watchMargin is what the age of a source's knowledge is on its way to the
-	// others: a request's time between two, and turns at processors.
+	// watchMargin is the age that a source's data gains on its way to the other entries:
+	// one request between two entries, and scheduling delays.
 	watchMargin = 500 * time.Millisecond
-	// minWatchWait bounds the calls of a source.
+	// minWatchWait is the lower limit of a source's watch timeout and so bounds its calls.
 	minWatchWait = 300 * time.Millisecond
 )
 
-// Sources returns the entries that the entry follows in place of the store; none
-// where it follows the store itself. A configuration then crosses a link between regions once for
-// each source and not once for each entry.
+// Sources returns the entries that the entry self follows instead of the store, or nil if it
+// watches the store itself. A configuration then crosses a link between regions once per source
+// and not once per entry.
 func Sources(self, region string, entries map[string]Entry) []string {
 	if !Followed(region, entries) {
 		return nil
@@ -40,13 +40,12 @@
 	return chosen
 }
 
-// Followed reports whether a region is large enough that some of its entries
-// follow others.
+// Followed reports whether a region is so large that some of its entries follow others.
 func Followed(region string, entries map[string]Entry) bool {
 	return len(reachable(region, entries)) > maxDirectEntries
 }
 
-// reachable returns the ids of a region's entries that can be followed.
+// reachable returns the ids of the region's entries that others can follow.
 func reachable(region string, entries map[string]Entry) []string {
 	var ids []string
 	for id, entry := range entries {
@@ -57,16 +56,17 @@
 	return ids
 }
 
-// Trust returns the age up to which others' knowledge is enough where a change
-// must be in force within the bound.
+// Trust returns the age up to which data from other entries is fresh enough, given the bound
+// within which a change must apply.
 func Trust(apply time.Duration) time.Duration { return max(minTrust, apply-trustMargin) }
 
-// TrustOfLost is Trust where those who follow the store for this entry lost it: nothing newer
-// will come from them, and all to whom they send ask the store at the same moment, so that an
-// answer takes longer over a link between regions.
+// TrustOfLost is Trust for an entry whose sources cannot reach the store. They will send nothing
+// newer, and all their followers then read the store at the same moment, so that an answer takes
+// longer over a link between regions.
 func TrustOfLost(apply time.Duration) time.Duration { return Trust(apply) / 2 }
 
-// WatchWait returns how long a watch waits where others may follow this entry.
+// WatchWait returns the timeout of a watch, which is shorter if other entries may follow this
+// one.
 func WatchWait(apply time.Duration, followed bool) time.Duration {
 	if !followed {
 		return watchWait
--- a/relay/site/sources_test.go
+++ b/relay/site/sources_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// regionEntries returns entries of one region that others can follow, by id.
 func regionEntries(region string, count int) map[string]Entry {
 	entries := map[string]Entry{}
 	for i := range count {
@@ -16,10 +17,9 @@
 	return entries
 }
 
-// Symptom: a 404 for a route that was added 3.2 s ago. Sequence: configurations of
-// 53 KB come 12 a second; each of 34 entries reads each of them over a link of 25
-// Mbit/s between regions; they come seconds late. Cause: what crosses that link
-// grew with the entries.
+// Guards against configurations that arrive seconds late because the traffic between
+// regions grows with the number of entries. With 12 configurations of 53 KB a second, read
+// by each of 34 entries over one link of 25 Mbit/s, a route added 3.2 s earlier got a 404.
 func TestFewEntriesOfALargeRegionWatchTheStore(t *testing.T) {
 	for _, size := range []int{5, 11, 75} {
 		entries := regionEntries("north", size)
@@ -32,7 +32,7 @@
 			}
 		}
 		if direct != sourcesPerRegion {
-			t.Errorf("%d entries: %d ask the store, want %d", size, direct, sourcesPerRegion)
+			t.Errorf("%d entries: %d watch the store, want %d", size, direct, sourcesPerRegion)
 		}
 	}
 }
@@ -44,17 +44,17 @@
 	}
 	for id := range regionEntries("north", maxDirectEntries) {
 		if got := Sources(id, "north", entries); got != nil {
-			t.Errorf("%s follows %v, want nobody", id, got)
+			t.Errorf("%s follows %v, want none", id, got)
 		}
 	}
 	if Followed("north", entries) || !Followed("south", entries) {
-		t.Error("got the wrong regions followed, want the large one")
+		t.Error("got the wrong regions followed, want only the large one")
 	}
 }
 
-// A change must be in force within its bound although all sources of a region
-// fail right after their last proof: the age at which an entry asks the store
-// itself, and a call, fit in. And no source in health makes the others do so.
+// A change must apply within its bound even if all sources of a region fail right after
+// they last proved their data fresh: the age at which an entry reads the store itself plus
+// one call must fit into the bound. Healthy sources must not cause such reads.
 func TestTrustLeavesTimeToReadTheStore(t *testing.T) {
 	for _, apply := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 9 * time.Second} {
 		if got, most := Trust(apply), apply-500*time.Millisecond; got > most {
--- a/relay/site/state.go
+++ b/relay/site/state.go
@@ -14,45 +14,46 @@
 	"comfreyrelay.example/relay/rollout"
 )
 
-// Wanted is the version that the hosts of a model should use.
+// Wanted is the declared version of a model's weights, which its hosts should use.
 type Wanted struct {
 	Model    string
 	Version  uint64
-	Revision uint64 // of the store, grows with the version; 0 where not declared
+	Revision uint64 // of the store, grows with the version; 0 if not declared
 	Since    time.Time
 }
 
-// State is what a process knows. It is safe for concurrent use.
+// State is one process's view of the deployment. It is safe for concurrent use.
 type State struct {
 	clock  func() time.Time
 	fleet  *fleet.Fleet
 	fresh  *freshness.Tracker
 	ledger *quarantine.Ledger
 
-	catalog   atomic.Pointer[catalog.Catalog] // nil: none was read yet
+	catalog   atomic.Pointer[catalog.Catalog] // nil before the first was read
 	storeLost atomic.Bool
 
 	mu       sync.Mutex
-	revision uint64 // of the store, never falls
+	revision uint64 // of the store, never decreases
 	entries  map[string]Entry
-	expiring map[string]time.Time // entries whose registration ended, by when they are dropped
+	expiring map[string]time.Time // when to drop each entry whose registration ended
 	wanted   map[string]Wanted
 	history  map[string][]rollout.Declared // by model, newest last
-	// early is what hosts reported of versions whose declaration is not known yet.
+	// undeclared holds, by model, the declaration times that hosts reported of versions
+	// whose declaration was not read yet.
 	undeclared map[string][]rollout.Declared
-	graceUntil time.Time // registrations that end before it may be back
+	graceUntil time.Time // registrations that end before it are kept until then
 	changed    chan struct{}
 }
 
-// recoveryGrace is how long after the store came back a registration may be
-// missing though its owner lives: owners write again within two seconds.
+// recoveryGrace is how long a registration may be missing after the store recovers
+// although its owner is alive: owners register again within two seconds.
 const recoveryGrace = 2200 * time.Millisecond
 
-// maxHistory bounds the declarations remembered of one model: those still in
-// their time are a few.
+// maxHistory bounds the declarations kept per model. Only a few are recent enough to
+// matter.
 const maxHistory = 16
 
-// NewState returns a State that knows nothing.
+// NewState returns an empty State.
 func NewState(clock func() time.Time, flt *fleet.Fleet, fresh *freshness.Tracker) *State {
 	return &State{
 		clock: clock, fleet: flt, fresh: fresh, ledger: quarantine.NewLedger(clock),
@@ -62,33 +63,33 @@
 	}
 }
 
-// Catalog returns the newest catalog; nil before the first.
+// Catalog returns the newest catalog, or nil before the first was read.
 func (s *State) Catalog() *catalog.Catalog { return s.catalog.Load() }
 
 // Fleet returns the endpoints.
 func (s *State) Fleet() *fleet.Fleet { return s.fleet }
 
-// Fresh returns the age of what is known.
+// Fresh returns the tracker of how old this view is.
 func (s *State) Fresh() *freshness.Tracker { return s.fresh }
 
-// Ledger returns under which requests endpoints ended.
+// Ledger returns the record of the requests during which endpoints ended.
 func (s *State) Ledger() *quarantine.Ledger { return s.ledger }
 
-// Revision returns the store's revision that is known.
+// Revision returns the newest known revision of the store.
 func (s *State) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Changed returns a channel that is closed at the next change, reports of ends aside.
+// Changed returns a channel that is closed at the next change other than a ReportRecord.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Entries returns the entries known, by id.
+// Entries returns the known entries by id.
 func (s *State) Entries() map[string]Entry {
 	now := s.clock()
 	s.mu.Lock()
@@ -97,6 +98,8 @@
 	return maps.Clone(s.entries)
 }
 
+// dropExpired drops the entries whose registration ended and whose grace period is over.
+// The caller holds s.mu.
 func (s *State) dropExpired(now time.Time) {
 	for id, at := range s.expiring {
 		if !now.Before(at) {
@@ -106,8 +109,7 @@
 	}
 }
 
-// WantedOf returns the version wanted of a model; ok is false where none is
-// declared.
+// WantedOf returns the declared version of a model, and false if there is none.
 func (s *State) WantedOf(model string) (Wanted, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +117,8 @@
 	return want, ok
 }
 
-// Floor returns the lowest version of a model that may be used where a newer one
-// must be in use the bound after its declaration; 0 where any may.
+// Floor returns the lowest version of a model that may still be used, or 0 if any may. A
+// declared version must replace all older ones within the bound after its declaration.
 func (s *State) Floor(model string, bound time.Duration) uint64 {
 	now := s.clock()
 	s.mu.Lock()
@@ -124,9 +126,8 @@
 	return rollout.Floor(s.history[model], now, bound)
 }
 
-// Ends returns the time until versions of a model before the one given may not be used
-// any more, where a newer one must be in use the bound after its declaration; 0 where
-// that is over or unknown.
+// Ends returns for how long versions of a model older than the given one may still be used,
+// which is until the bound after its declaration. It returns 0 if that time is over or unknown.
 func (s *State) Ends(model string, version uint64, bound time.Duration) time.Duration {
 	now := s.clock()
 	s.mu.Lock()
@@ -139,14 +140,14 @@
 	return 0
 }
 
-// Lost notes that the store does not answer: registrations that lapse now may
-// be back after it returns.
+// Lost records that the store does not answer. Registrations that lapse from now on are
+// kept for recoveryGrace, since their owners may register again once it recovers.
 func (s *State) Lost() {
 	s.storeLost.Store(true)
 	s.extendGrace()
 }
 
-// Regained notes that the store answers again.
+// Regained records that the store answers again, and restarts the grace period.
 func (s *State) Regained() {
 	s.storeLost.Store(false)
 	s.extendGrace()
@@ -155,10 +156,11 @@
 // StoreLost reports whether the store does not answer this process.
 func (s *State) StoreLost() bool { return s.storeLost.Load() }
 
+// extendGrace keeps registrations that end within recoveryGrace from now.
 func (s *State) extendGrace() { s.SettleFor(recoveryGrace) }
 
-// SettleFor keeps registrations that end for so long at least: another entry
-// found that the store was away.
+// SettleFor keeps registrations that end within the given time from now at least until it
+// is over. It is called when another entry found that the store was unreachable.
 func (s *State) SettleFor(wait time.Duration) {
 	until := s.clock().Add(wait)
 	s.mu.Lock()
@@ -166,7 +168,7 @@
 	s.graceUntil = laterOf(s.graceUntil, until)
 }
 
-// Settling returns for how long registrations that end are still kept.
+// Settling returns the rest of the grace period for registrations that end.
 func (s *State) Settling() time.Duration {
 	now := s.clock()
 	s.mu.Lock()
@@ -174,15 +176,15 @@
 	return max(0, s.graceUntil.Sub(now))
 }
 
-// Apply takes over changes of the store up to a revision. What is older than
-// what is known is left out, so that nothing falls back.
+// Apply applies changes of the store up to a revision. It ignores catalogs and weight
+// versions that are not newer than the known ones, so that neither ever goes back.
 func (s *State) Apply(records []Record, revision uint64) {
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision = max(s.revision, revision)
 	s.dropExpired(now)
-	stateChanged := false // something that others plan by changed
+	stateChanged := false // something other than a report changed
 	for _, rec := range records {
 		s.apply(now, rec, revision)
 		stateChanged = stateChanged || rec.Kind != ReportRecord
@@ -193,6 +195,7 @@
 	}
 }
 
+// apply applies one record. The caller holds s.mu.
 func (s *State) apply(now time.Time, rec Record, revision uint64) {
 	switch rec.Kind {
 	case CatalogRecord:
@@ -218,7 +221,7 @@
 		delete(s.expiring, rec.ID)
 		s.entries[rec.ID] = rec.Entry
 	case ReportRecord:
-		// A report that lapses is forgotten by its age.
+		// The deletion of a report needs no action: the ledger drops reports by age.
 		for _, report := range rec.Reports {
 			s.ledger.Observe(report.Report)
 			s.fleet.LiftLimit(report.Lifted)
@@ -227,8 +230,8 @@
 	}
 }
 
-// removalTime returns from when on a registration that ended is not used: one that
-// lapsed may be back until the store's return is settled.
+// removalTime returns when a registration that ended is dropped: at once if it was
+// withdrawn, otherwise after the grace period, during which its owner may register again.
 func (s *State) removalTime(now time.Time, rec Record) time.Time {
 	if rec.Withdrawn {
 		return now
@@ -236,8 +239,8 @@
 	return laterOf(now, s.graceUntil)
 }
 
-// declare notes a newer version; s.mu is held. Its fencing number is the revision
-// of the declaration, the same for all who learn of it.
+// recordDeclaration records a newer version. Its fencing number is the revision of the
+// declaration, which is the same for every process that reads it. The caller holds s.mu.
 func (s *State) recordDeclaration(rec Record, since time.Time, revision uint64) {
 	if rec.Revision > 0 {
 		revision = rec.Revision
@@ -257,8 +260,8 @@
 	s.wanted[rec.ID] = Wanted{Model: rec.ID, Version: rec.Weights, Revision: revision, Since: since}
 }
 
-// DeclaredFor takes over for how long a host has known that a version was declared: an entry
-// that started since then would count its time from the start on.
+// DeclaredFor records for how long a host has known that a version was declared. Without it, an
+// entry that started after the declaration would count the version's age from its own start.
 func (s *State) DeclaredFor(model string, version uint64, age time.Duration) {
 	at := s.clock().Add(-age)
 	s.mu.Lock()
@@ -282,8 +285,8 @@
 	declared := rollout.Declared{Version: version, At: at}
 	switch want, known := s.wanted[model]; {
 	case known && version < want.Version:
-		// The store holds the newest declaration alone, and the time of the versions before
-		// this one ends sooner than by that.
+		// The store holds only the newest declaration. The versions before this one must
+		// go out of use earlier than the newest declaration alone would require.
 		if len(s.history[model]) < maxHistory {
 			s.history[model] = slices.Insert(s.history[model], 0, declared)
 		}
@@ -292,6 +295,7 @@
 	}
 }
 
+// laterOf returns the later of two times.
 func laterOf(left, right time.Time) time.Time {
 	if left.After(right) {
 		return left
