--- a/relay/spread/allowance.go
+++ b/relay/spread/allowance.go
@@ -8,20 +8,20 @@
 	perSecond float64 // bytes
 	burst     float64 // bytes that may gather
 	tokens    float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // NewAllowance returns a full bucket.
 func NewAllowance(perSecond, burst float64, now time.Time) *Allowance {
-	return &Allowance{perSecond: perSecond, burst: burst, tokens: burst, at: now}
+	return &Allowance{perSecond: perSecond, burst: burst, tokens: burst, updatedAt: now}
 }
 
 // Left returns how many bytes may go now. A clock that jumps back adds none.
 func (a *Allowance) Left(now time.Time) int {
-	if elapsed := now.Sub(a.at); elapsed > 0 {
+	if elapsed := now.Sub(a.updatedAt); elapsed > 0 {
 		a.tokens = min(a.burst, a.tokens+elapsed.Seconds()*a.perSecond)
 	}
-	a.at = now
+	a.updatedAt = now
 	return max(0, int(a.tokens))
 }
 
--- a/relay/spread/digest.go
+++ b/relay/spread/digest.go
@@ -33,20 +33,20 @@
 	incarnation   string
 	home          string // a new home is the one whose report of the host counts
 	leaving, lost bool
-	states        uint64 // hash of the versions' states
+	statesHash    uint64 // hash of the versions' states
 	load          int    // running and queued requests
 	slots         int
 }
 
 func summarize(report *wire.HostReport) summary {
-	digest := xxhash.New()
+	hash := xxhash.New()
 	for _, state := range report.GetVersions() {
 		for _, text := range []string{state.GetModel(), state.GetVersion(), state.GetState(), state.GetHoldUp()} {
-			_, _ = digest.WriteString(text)
-			_, _ = digest.Write([]byte{0})
+			_, _ = hash.WriteString(text)
+			_, _ = hash.Write([]byte{0})
 		}
 		for _, adapter := range state.GetAdapters() {
-			_, _ = digest.WriteString(adapter.GetName() + "\x01" + adapter.GetVersion() + "\x01")
+			_, _ = hash.WriteString(adapter.GetName() + "\x01" + adapter.GetVersion() + "\x01")
 		}
 	}
 	return summary{
@@ -54,19 +54,19 @@
 		home:        report.GetHome(),
 		leaving:     report.GetLeaving(),
 		lost:        report.GetLost(),
-		states:      digest.Sum64(),
+		statesHash:  hash.Sum64(),
 		load:        int(report.GetRunning() + report.GetQueued()),
 		slots:       int(report.GetSlots()),
 	}
 }
 
 // differs reports whether something changed that only a whole report bears.
-func (s summary) differs(other summary) bool {
-	return s.incarnation != other.incarnation || s.states != other.states || s.slots != other.slots
+func (s summary) needsFullReport(other summary) bool {
+	return s.incarnation != other.incarnation || s.statesHash != other.statesHash || s.slots != other.slots
 }
 
 // stops reports whether new work for the host must stop or may begin.
-func (s summary) stops(other summary) bool {
+func (s summary) availabilityDiffers(other summary) bool {
 	return s.leaving != other.leaving || s.lost != other.lost
 }
 
@@ -78,74 +78,74 @@
 }
 
 // mark is what one receiver last knew of one host, from us or in its own reports.
-type mark struct {
+type knownReport struct {
 	summary  summary
 	sequence uint64
 	at       time.Time
-	// whole is the sequence of the whole report behind it, sent at wholeAt.
-	whole   uint64
-	wholeAt time.Time
+	// whole is the sequence of the whole report behind it, sent at fullSentAt.
+	fullSequence uint64
+	fullSentAt   time.Time
 }
 
-// wholeRefreshes is how many refreshes after a whole report it is sent again:
+// refreshesPerFullReport is how many refreshes after a whole report it is sent again:
 // the prefixes and counters in it are then older than what they describe.
-const wholeRefreshes = 3
+const refreshesPerFullReport = 3
 
 // Digest remembers what one receiver knows, so that a message bears only news.
 // It is not safe for concurrent use.
 type Digest struct {
-	marks map[string]mark
+	known map[string]knownReport
 	// refresh is the age at which an unchanged report is sent again: a message
 	// may have been lost.
-	refresh time.Duration
+	refreshInterval time.Duration
 	// routes: the receiver sends requests to hosts, so their load is news.
-	routes bool
+	receiverRoutes bool
 }
 
 // NewDigest returns the memory for one receiver; routes says that it sends
 // requests to hosts.
-func NewDigest(refresh time.Duration, routes bool) *Digest {
-	return &Digest{marks: map[string]mark{}, refresh: refresh, routes: routes}
+func NewDigest(refresh time.Duration, receiverRoutes bool) *Digest {
+	return &Digest{known: map[string]knownReport{}, refreshInterval: refresh, receiverRoutes: receiverRoutes}
 }
 
 // SetRefresh changes the age at which an unchanged report is sent again.
-func (d *Digest) SetRefresh(refresh time.Duration) { d.refresh = refresh }
+func (d *Digest) SetRefresh(refresh time.Duration) { d.refreshInterval = refresh }
 
 // Received notes that the receiver itself sent the report, made whole here.
 func (d *Digest) Received(report *wire.HostReport, now time.Time) {
 	id := report.GetNode().GetId()
-	next := mark{
+	next := knownReport{
 		summary: summarize(report), sequence: report.GetSequence(), at: now,
-		whole: membership.WholeSequence(report), wholeAt: now,
+		fullSequence: membership.WholeSequence(report), fullSentAt: now,
 	}
-	if held := d.marks[id]; held.whole >= next.whole && held.summary.incarnation == next.summary.incarnation {
-		next.whole, next.wholeAt = held.whole, held.wholeAt
+	if held := d.known[id]; held.fullSequence >= next.fullSequence && held.summary.incarnation == next.summary.incarnation {
+		next.fullSequence, next.fullSentAt = held.fullSequence, held.fullSentAt
 	}
-	d.marks[id] = next
+	d.known[id] = next
 }
 
 // Lose notes that the receiver lacks the whole report.
-func (d *Digest) Lose(id string) { delete(d.marks, id) }
+func (d *Digest) Lose(id string) { delete(d.known, id) }
 
 // compose returns the report as it should be sent, and notes that it is.
-func (d *Digest) compose(report *wire.HostReport, now time.Time) *wire.HostReport {
+func (d *Digest) prepareAndRecord(report *wire.HostReport, now time.Time) *wire.HostReport {
 	id := report.GetNode().GetId()
-	held, seen := d.marks[id]
-	next := mark{
+	held, seen := d.known[id]
+	next := knownReport{
 		summary: summarize(report), sequence: report.GetSequence(), at: now,
-		whole: report.GetSequence(), wholeAt: now,
+		fullSequence: report.GetSequence(), fullSentAt: now,
 	}
-	if !seen || next.summary.differs(held.summary) || now.Sub(held.wholeAt) >= wholeRefreshes*d.refresh {
-		d.marks[id] = next
-		if !d.routes {
+	if !seen || next.summary.needsFullReport(held.summary) || now.Sub(held.fullSentAt) >= refreshesPerFullReport*d.refreshInterval {
+		d.known[id] = next
+		if !d.receiverRoutes {
 			return WithoutLoad(report)
 		}
 		return Copy(report)
 	}
-	next.whole, next.wholeAt = held.whole, held.wholeAt
-	d.marks[id] = next
-	amendment := membership.Amend(report, held.whole)
-	if !d.routes {
+	next.fullSequence, next.fullSentAt = held.fullSequence, held.fullSentAt
+	d.known[id] = next
+	amendment := membership.Amend(report, held.fullSequence)
+	if !d.receiverRoutes {
 		amendment.Running, amendment.Queued, amendment.TokensPerSecond, amendment.TokenGapMillis = 0, 0, 0, 0
 		amendment.Revision, amendment.PlanRevision = 0, 0
 		amendment.Home = "" // one entry alone reports a host to it
@@ -154,16 +154,16 @@
 }
 
 // Forget drops the marks of hosts that are not in the set, to bound them.
-func (d *Digest) Forget(known func(id string) bool) {
-	for id := range d.marks {
-		if !known(id) {
-			delete(d.marks, id)
+func (d *Digest) Forget(exists func(id string) bool) {
+	for id := range d.known {
+		if !exists(id) {
+			delete(d.known, id)
 		}
 	}
 }
 
 // Len returns the number of hosts remembered.
-func (d *Digest) Len() int { return len(d.marks) }
+func (d *Digest) Len() int { return len(d.known) }
 
 // urgency orders what a receiver should get.
 type urgency int
@@ -176,37 +176,37 @@
 	// routine: another load, or a refresh.
 	routine
 	// known: nothing to send.
-	known
+	upToDate
 )
 
 // news returns how soon the receiver should get the report.
-func (d *Digest) news(report *wire.HostReport, now time.Time) urgency {
-	held, seen := d.marks[report.GetNode().GetId()]
+func (d *Digest) urgencyOf(report *wire.HostReport, now time.Time) urgency {
+	held, seen := d.known[report.GetNode().GetId()]
 	if !seen {
 		return changed
 	}
-	fresh := summarize(report)
-	if fresh.incarnation == held.summary.incarnation && report.GetSequence() == held.sequence {
-		if fresh.lost && !held.summary.lost {
+	current := summarize(report)
+	if current.incarnation == held.summary.incarnation && report.GetSequence() == held.sequence {
+		if current.lost && !held.summary.lost {
 			return urgent
 		}
-		return known
+		return upToDate
 	}
 	switch {
-	case !membership.Newer(fresh.incarnation, report.GetSequence(), held.summary.incarnation, held.sequence):
-		return known
-	case fresh.stops(held.summary):
+	case !membership.Newer(current.incarnation, report.GetSequence(), held.summary.incarnation, held.sequence):
+		return upToDate
+	case current.availabilityDiffers(held.summary):
 		return urgent
-	case fresh.differs(held.summary) || fresh.home != held.summary.home:
+	case current.needsFullReport(held.summary) || current.home != held.summary.home:
 		return changed
-	case now.Sub(held.at) >= d.refresh || (d.routes && fresh.loadDiffers(held.summary)):
+	case now.Sub(held.at) >= d.refreshInterval || (d.receiverRoutes && current.loadDiffers(held.summary)):
 		return routine
 	}
-	return known
+	return upToDate
 }
 
 // item is a candidate that the receiver should get.
-type item struct {
+type rankedCandidate struct {
 	Candidate
 
 	urgency urgency
@@ -216,41 +216,41 @@
 // urgent ones: the most urgent first, then those of hosts at home with the
 // sender, then the nearest, then the newest. What does not fit waits for the
 // next message.
-func (d *Digest) Select(candidates []Candidate, now time.Time, bytes int) []*wire.HostReport {
-	var news []item
+func (d *Digest) Select(candidates []Candidate, now time.Time, byteLimit int) []*wire.HostReport {
+	var pending []rankedCandidate
 	for _, candidate := range candidates {
-		if urgency := d.news(candidate.Report, now); urgency != known {
-			news = append(news, item{Candidate: candidate, urgency: urgency})
+		if urgency := d.urgencyOf(candidate.Report, now); urgency != upToDate {
+			pending = append(pending, rankedCandidate{Candidate: candidate, urgency: urgency})
 		}
 	}
-	slices.SortFunc(news, order)
+	slices.SortFunc(pending, byPriority)
 	var chosen []*wire.HostReport
-	for _, candidate := range news {
+	for _, candidate := range pending {
 		id := candidate.Report.GetNode().GetId()
-		before, seen := d.marks[id]
-		report := d.compose(candidate.Report, now)
+		before, seen := d.known[id]
+		report := d.prepareAndRecord(candidate.Report, now)
 		size := proto.Size(report)
-		if size > bytes && candidate.urgency != urgent {
+		if size > byteLimit && candidate.urgency != urgent {
 			d.restore(id, before, seen)
 			break
 		}
-		bytes -= size
-		report.AgeMillis = millis(now.Sub(candidate.SeenAt))
+		byteLimit -= size
+		report.AgeMillis = ageMillis(now.Sub(candidate.SeenAt))
 		chosen = append(chosen, report)
 	}
 	return chosen
 }
 
 // restore takes back what was noted of a report that did not fit.
-func (d *Digest) restore(id string, before mark, seen bool) {
+func (d *Digest) restore(id string, before knownReport, seen bool) {
 	if !seen {
-		delete(d.marks, id)
+		delete(d.known, id)
 		return
 	}
-	d.marks[id] = before
+	d.known[id] = before
 }
 
-func order(a, b item) int {
+func byPriority(a, b rankedCandidate) int {
 	if byUrgency := cmp.Compare(a.urgency, b.urgency); byUrgency != 0 {
 		return byUrgency
 	}
@@ -282,7 +282,7 @@
 
 // millis returns an age as messages bear it; the receiver's clock is never
 // compared with the sender's.
-func millis(age time.Duration) uint32 {
+func ageMillis(age time.Duration) uint32 {
 	return uint32(min(max(0, age.Milliseconds()), int64(^uint32(0))))
 }
 
--- a/relay/spread/entries.go
+++ b/relay/spread/entries.go
@@ -12,8 +12,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// entryMark is what one receiver last knew of one entry.
-type entryMark struct {
+// knownEntry is what one receiver last knew of one entry.
+type knownEntry struct {
 	incarnation string
 	sequence    uint64
 	draining    bool
@@ -22,34 +22,34 @@
 	describedAt time.Time
 }
 
-// describeAgain is the age at which a description is sent again: a receiver
+// descriptionInterval is the age at which a description is sent again: a receiver
 // that lacks it asks, but a wrong one would stay.
-const describeAgain = 5 * time.Minute
+const descriptionInterval = 5 * time.Minute
 
 // EntryDigest remembers what one receiver knows of the entries. It is not safe
 // for concurrent use.
 type EntryDigest struct {
-	marks map[string]entryMark
+	known map[string]knownEntry
 	// relay is the age at which the report of a third entry is sent again.
-	relay time.Duration
+	relayInterval time.Duration
 }
 
 // NewEntryDigest returns the memory for one receiver.
 func NewEntryDigest(relay time.Duration) *EntryDigest {
-	return &EntryDigest{marks: map[string]entryMark{}, relay: relay}
+	return &EntryDigest{known: map[string]knownEntry{}, relayInterval: relay}
 }
 
 // SetRelay changes the age at which the report of a third entry is sent again.
-func (d *EntryDigest) SetRelay(relay time.Duration) { d.relay = relay }
+func (d *EntryDigest) SetRelay(relay time.Duration) { d.relayInterval = relay }
 
 // Received notes that the receiver itself sent the report.
 func (d *EntryDigest) Received(report *wire.EntryReport, now time.Time) {
 	id, incarnation := report.GetNode().GetId(), report.GetNode().GetIncarnation()
 	describedAt := now
-	if held, seen := d.marks[id]; seen && held.incarnation == incarnation {
+	if held, seen := d.known[id]; seen && held.incarnation == incarnation {
 		describedAt = held.describedAt
 	}
-	d.marks[id] = entryMark{
+	d.known[id] = knownEntry{
 		incarnation: incarnation,
 		sequence:    report.GetSequence(),
 		draining:    report.GetDraining(),
@@ -59,14 +59,14 @@
 }
 
 // Lose notes that the receiver lacks the entry's description.
-func (d *EntryDigest) Lose(id string) { delete(d.marks, id) }
+func (d *EntryDigest) Lose(id string) { delete(d.known, id) }
 
 // form returns the report as it should be sent now, and whether its description
 // goes with it.
-func (d *EntryDigest) form(report *wire.EntryReport, age time.Duration, now time.Time) (sent *wire.EntryReport, described bool) {
-	held, seen := d.marks[report.GetNode().GetId()]
-	known := seen && held.incarnation == report.GetNode().GetIncarnation() && now.Sub(held.describedAt) < describeAgain
-	sent = agedEntry(report, age)
+func (d *EntryDigest) prepare(report *wire.EntryReport, age time.Duration, now time.Time) (sent *wire.EntryReport, described bool) {
+	held, seen := d.known[report.GetNode().GetId()]
+	known := seen && held.incarnation == report.GetNode().GetIncarnation() && now.Sub(held.describedAt) < descriptionInterval
+	sent = withAge(report, age)
 	if known {
 		sent.Node = membership.NameOnly(sent.Node)
 	}
@@ -74,63 +74,63 @@
 }
 
 // compose returns the report as it should be sent, and notes that it is.
-func (d *EntryDigest) compose(report *wire.EntryReport, age time.Duration, now time.Time) *wire.EntryReport {
-	sent, described := d.form(report, age, now)
+func (d *EntryDigest) prepareAndRecord(report *wire.EntryReport, age time.Duration, now time.Time) *wire.EntryReport {
+	sent, described := d.prepare(report, age, now)
 	d.Received(report, now)
 	if described {
 		id := report.GetNode().GetId()
-		mark := d.marks[id]
-		mark.describedAt = now
-		d.marks[id] = mark
+		entry := d.known[id]
+		entry.describedAt = now
+		d.known[id] = entry
 	}
 	return sent
 }
 
 // Forget drops the marks of entries that are not in the set.
-func (d *EntryDigest) Forget(known func(id string) bool) {
-	for id := range d.marks {
-		if !known(id) {
-			delete(d.marks, id)
+func (d *EntryDigest) Forget(exists func(id string) bool) {
+	for id := range d.known {
+		if !exists(id) {
+			delete(d.known, id)
 		}
 	}
 }
 
 // newer reports whether the receiver lacks this report.
-func (d *EntryDigest) newer(report *wire.EntryReport) bool {
-	held, seen := d.marks[report.GetNode().GetId()]
+func (d *EntryDigest) isNewer(report *wire.EntryReport) bool {
+	held, seen := d.known[report.GetNode().GetId()]
 	return !seen || membership.Newer(report.GetNode().GetIncarnation(), report.GetSequence(), held.incarnation, held.sequence)
 }
 
 // news reports whether a third entry's report is worth passing on.
-func (d *EntryDigest) news(report *wire.EntryReport, now time.Time) bool {
-	if d.unreported(report) {
-		return d.newer(report)
+func (d *EntryDigest) shouldRelay(report *wire.EntryReport, now time.Time) bool {
+	if d.statusUnknown(report) {
+		return d.isNewer(report)
 	}
-	return d.newer(report) && now.Sub(d.marks[report.GetNode().GetId()].at) >= d.relay
+	return d.isNewer(report) && now.Sub(d.known[report.GetNode().GetId()].at) >= d.relayInterval
 }
 
 // unreported reports whether the receiver does not know of the entry as it is:
 // it was never notified of it, or before it drained or started anew.
-func (d *EntryDigest) unreported(report *wire.EntryReport) bool {
-	held, seen := d.marks[report.GetNode().GetId()]
+func (d *EntryDigest) statusUnknown(report *wire.EntryReport) bool {
+	held, seen := d.known[report.GetNode().GetId()]
 	return !seen || report.GetDraining() != held.draining || report.GetNode().GetIncarnation() != held.incarnation
 }
 
 // SelectRare is like Select for a receiver that only needs to know which
 // entries there are and which leave: the sender's own report counts as any
 // other, and bears no demand.
-func (d *EntryDigest) SelectRare(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, bytes int) []*wire.EntryReport {
+func (d *EntryDigest) SelectRare(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
 	var chosen []*wire.EntryReport
-	if d.news(own, now) {
-		chosen = append(chosen, presence(d.compose(own, 0, now)))
+	if d.shouldRelay(own, now) {
+		chosen = append(chosen, presenceOnly(d.prepareAndRecord(own, 0, now)))
 	}
-	for _, report := range d.thirds(own, others, receiver, now, bytes) {
-		chosen = append(chosen, presence(report))
+	for _, report := range d.selectOthers(own, others, receiver, now, byteLimit) {
+		chosen = append(chosen, presenceOnly(report))
 	}
 	return chosen
 }
 
-func presence(report *wire.EntryReport) *wire.EntryReport {
+func presenceOnly(report *wire.EntryReport) *wire.EntryReport {
 	return &wire.EntryReport{
 		Node: report.GetNode(), Sequence: report.GetSequence(), Draining: report.GetDraining(), AgeMillis: report.GetAgeMillis(),
 	}
@@ -138,60 +138,60 @@
 
 // Select returns the sender's own report and those of third entries that the
 // receiver should get, the nearest and newest first, at most the given bytes.
-func (d *EntryDigest) Select(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, bytes int) []*wire.EntryReport {
+func (d *EntryDigest) Select(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
 	var chosen []*wire.EntryReport
-	if d.newer(own) {
-		chosen = append(chosen, d.compose(own, 0, now))
+	if d.isNewer(own) {
+		chosen = append(chosen, d.prepareAndRecord(own, 0, now))
 	}
-	return append(chosen, d.thirds(own, others, receiver, now, bytes)...)
+	return append(chosen, d.selectOthers(own, others, receiver, now, byteLimit)...)
 }
 
 // thirds returns the reports of third entries that the receiver should get:
 // what it does not know at all goes before any refresh. By nearness alone the
 // refreshes of the near ones would take all the room for ever, and the receiver
 // would not learn of the far ones.
-func (d *EntryDigest) thirds(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, bytes int) []*wire.EntryReport {
-	var news []view.Peer
+func (d *EntryDigest) selectOthers(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
+	var pending []view.Peer
 	for _, other := range others {
 		id := other.Report().GetNode().GetId()
-		if id != receiver && id != own.GetNode().GetId() && d.news(other.Report(), now) {
-			news = append(news, other)
+		if id != receiver && id != own.GetNode().GetId() && d.shouldRelay(other.Report(), now) {
+			pending = append(pending, other)
 		}
 	}
-	slices.SortFunc(news, func(a, b view.Peer) int {
+	slices.SortFunc(pending, func(a, b view.Peer) int {
 		byNearness := cmp.Compare(Nearness(own.GetNode(), a.Report().GetNode()), Nearness(own.GetNode(), b.Report().GetNode()))
-		return cmp.Or(d.byUnreported(a.Report(), b.Report()), byNearness, b.SeenAt().Compare(a.SeenAt()),
+		return cmp.Or(d.compareStatusUnknown(a.Report(), b.Report()), byNearness, b.SeenAt().Compare(a.SeenAt()),
 			cmp.Compare(a.Report().GetNode().GetId(), b.Report().GetNode().GetId()))
 	})
 	var chosen []*wire.EntryReport
-	for _, other := range news {
+	for _, other := range pending {
 		age := now.Sub(other.SeenAt())
-		sent, _ := d.form(other.Report(), age, now)
+		sent, _ := d.prepare(other.Report(), age, now)
 		size := proto.Size(sent)
-		if size > bytes {
+		if size > byteLimit {
 			break
 		}
-		bytes -= size
-		chosen = append(chosen, d.compose(other.Report(), age, now))
+		byteLimit -= size
+		chosen = append(chosen, d.prepareAndRecord(other.Report(), age, now))
 	}
 	return chosen
 }
 
-func (d *EntryDigest) byUnreported(a, b *wire.EntryReport) int {
+func (d *EntryDigest) compareStatusUnknown(a, b *wire.EntryReport) int {
 	switch {
-	case d.unreported(a) == d.unreported(b):
+	case d.statusUnknown(a) == d.statusUnknown(b):
 		return 0
-	case d.unreported(a):
+	case d.statusUnknown(a):
 		return -1
 	}
 	return 1
 }
 
-func agedEntry(report *wire.EntryReport, age time.Duration) *wire.EntryReport {
+func withAge(report *wire.EntryReport, age time.Duration) *wire.EntryReport {
 	return &wire.EntryReport{
 		Node: report.GetNode(), Sequence: report.GetSequence(), Draining: report.GetDraining(),
 		InFlight: report.GetInFlight(), RequestsPerSecond: report.GetRequestsPerSecond(),
-		AgeMillis: millis(age),
+		AgeMillis: ageMillis(age),
 		Demand:    report.GetDemand(), Revision: report.GetRevision(), PlanRevision: report.GetPlanRevision(),
 		HomeRevision: report.GetHomeRevision(),
 	}
--- a/relay/spread/entries_test.go
+++ b/relay/spread/entries_test.go
@@ -13,29 +13,29 @@
 // far ones. Sequence: the near entries' reports change all the time, and each
 // message has room for a few. Cause: refreshes of the near took the room
 // before anything was sent of the far.
-func TestFarEntriesAreHeardOf(t *testing.T) {
-	const entries, roomBytes, rounds = 300, 600, 120
+func TestFarEntriesAreReported(t *testing.T) {
+	const entries, byteLimit, rounds = 300, 600, 120
 	own := &wire.EntryReport{Node: &wire.Node{Id: "own", Incarnation: "1", FailureDomain: "d0", Region: "r0"}}
 	digest := NewEntryDigest(time.Second)
-	heard := map[string]bool{}
+	reported := map[string]bool{}
 	for round := range rounds {
 		now := start.Add(time.Duration(round) * 2 * time.Second)
 		var others []view.Peer
 		for i := range entries {
-			others = append(others, view.NewPeer(busyEntry(i, round), now, false, false))
+			others = append(others, view.NewPeer(changingEntryReport(i, round), now, false, false))
 		}
-		for _, report := range digest.Select(own, others, "receiver", now, roomBytes) {
-			heard[report.GetNode().GetId()] = true
+		for _, report := range digest.Select(own, others, "receiver", now, byteLimit) {
+			reported[report.GetNode().GetId()] = true
 		}
 	}
-	delete(heard, "own")
-	if got, want := len(heard), entries; got != want {
+	delete(reported, "own")
+	if got, want := len(reported), entries; got != want {
 		t.Errorf("entries heard of after %d messages: got %d, want %d", rounds, got, want)
 	}
 }
 
-// busyEntry is near for the first third of the numbers and far for the rest.
-func busyEntry(i, round int) *wire.EntryReport {
+// changingEntryReport is near for the first third of the numbers and far for the rest.
+func changingEntryReport(i, round int) *wire.EntryReport {
 	domain, region := "d0", "r0"
 	if i >= 100 {
 		domain, region = "d9", "r9"
--- a/relay/spread/neighbours.go
+++ b/relay/spread/neighbours.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// smallDeployment is the number of other entries up to which each calls all.
-	smallDeployment = 12
-	// nearNeighbours bounds the calls to entries of the own failure domain.
-	nearNeighbours = 4
-	// farNeighbours bounds the calls to entries of other failure domains.
-	farNeighbours = 3
+	// maxFullMesh is the number of other entries up to which each calls all.
+	maxFullMesh = 12
+	// maxNearNeighbours bounds the calls to entries of the own failure domain.
+	maxNearNeighbours = 4
+	// maxFarNeighbours bounds the calls to entries of other failure domains.
+	maxFarNeighbours = 3
 )
 
 // AllCallAll reports whether a deployment of the number of entries, this one
 // included, is so small that each calls all others: what an entry knows first
 // hand it then notifies all itself, and passing on the rest would multiply
 // the bytes by the number of entries.
-func AllCallAll(entries int) bool { return entries <= smallDeployment+1 }
+func AllCallAll(entries int) bool { return entries <= maxFullMesh+1 }
 
 // Neighbours returns the entries that self keeps a call to, of those given. A
 // few are of its own failure domain, a few of others by rendezvous hash, and
@@ -34,7 +34,7 @@
 	others := slices.DeleteFunc(slices.Clone(entries), func(node *wire.Node) bool {
 		return node.GetId() == self.GetId() || node.GetControlAddress() == ""
 	})
-	if len(others) <= smallDeployment {
+	if len(others) <= maxFullMesh {
 		return others
 	}
 	byID := make(map[string]*wire.Node, len(others))
@@ -48,8 +48,8 @@
 		}
 	}
 	chosen := []string{successor(self.GetId(), others)}
-	chosen = append(chosen, rendezvous.Top(self.GetId(), near, nearNeighbours)...)
-	chosen = append(chosen, rendezvous.Top(self.GetId(), far, farNeighbours)...)
+	chosen = append(chosen, rendezvous.Top(self.GetId(), near, maxNearNeighbours)...)
+	chosen = append(chosen, rendezvous.Top(self.GetId(), far, maxFarNeighbours)...)
 	slices.Sort(chosen)
 	chosen = slices.Compact(chosen)
 	nodes := make([]*wire.Node, len(chosen))
--- a/relay/spread/sample.go
+++ b/relay/spread/sample.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// smallFleet is the number of hosts up to which each agent learns of all.
-	smallFleet = 300
+	// maxUnsampledFleet is the number of hosts up to which each agent learns of all.
+	maxUnsampledFleet = 300
 	// sampleSize bounds the far hosts that an agent of a large fleet learns of.
 	sampleSize = 64
 )
@@ -16,13 +16,13 @@
 // of a large one those of its failure domain and a sample by rendezvous hash,
 // so that chunks find a way into every failure domain at a bounded cost.
 func WeightPeers(agent *wire.Node, hosts []Candidate) []Candidate {
-	if len(hosts) <= smallFleet {
-		return without(agent.GetId(), hosts)
+	if len(hosts) <= maxUnsampledFleet {
+		return excluding(agent.GetId(), hosts)
 	}
 	var chosen []Candidate
 	far := make([]string, 0, len(hosts))
 	byID := make(map[string]Candidate, len(hosts))
-	for _, host := range without(agent.GetId(), hosts) {
+	for _, host := range excluding(agent.GetId(), hosts) {
 		node := host.Report.GetNode()
 		if node.GetFailureDomain() == agent.GetFailureDomain() {
 			chosen = append(chosen, host)
@@ -37,7 +37,7 @@
 	return chosen
 }
 
-func without(id string, hosts []Candidate) []Candidate {
+func excluding(id string, hosts []Candidate) []Candidate {
 	kept := make([]Candidate, 0, len(hosts))
 	for _, host := range hosts {
 		if host.Report.GetNode().GetId() != id {
--- a/relay/spread/spread_test.go
+++ b/relay/spread/spread_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
 
-func deployment(count, domains int) []*wire.Node {
+func entryNodes(count, domains int) []*wire.Node {
 	nodes := make([]*wire.Node, count)
 	for i := range nodes {
 		nodes[i] = &wire.Node{
@@ -29,14 +29,14 @@
 // until the safety net's slow read.
 func TestNewsReachesEveryEntry(t *testing.T) {
 	for _, count := range []int{1, 2, 9, 13, 40, 820} {
-		nodes := deployment(count, min(count, 34))
+		nodes := entryNodes(count, min(count, 34))
 		rounds, calls := flood(nodes)
 		t.Logf("%d entries: %d rounds, at most %d calls from one", count, rounds, calls)
 		if rounds < 0 {
 			t.Errorf("got entries that never hear of news among %d, want none", count)
 		}
-		if calls > smallDeployment {
-			t.Errorf("got %d calls kept by one of %d entries, want at most %d", calls, count, smallDeployment)
+		if calls > maxFullMesh {
+			t.Errorf("got %d calls kept by one of %d entries, want at most %d", calls, count, maxFullMesh)
 		}
 	}
 }
@@ -51,12 +51,12 @@
 		}
 		mostCalls = max(mostCalls, len(neighbours[node.GetId()]))
 	}
-	heard := map[string]bool{nodes[0].GetId(): true}
-	for len(heard) < len(nodes) {
+	informed := map[string]bool{nodes[0].GetId(): true}
+	for len(informed) < len(nodes) {
 		var next []string
 		for _, node := range nodes {
 			for _, other := range neighbours[node.GetId()] {
-				if heard[other] && !heard[node.GetId()] {
+				if informed[other] && !informed[node.GetId()] {
 					next = append(next, node.GetId())
 				}
 			}
@@ -65,18 +65,18 @@
 			return -1, mostCalls
 		}
 		for _, id := range next {
-			heard[id] = true
+			informed[id] = true
 		}
 		rounds++
 	}
 	return rounds, mostCalls
 }
 
-// TestNeighboursOfAnyDeployment: with any set of entries, however spread over
+// TestNeighbourGraphIsConnected: with any set of entries, however spread over
 // failure domains, the graph of calls stays whole.
-func TestNeighboursOfAnyDeployment(t *testing.T) {
+func TestNeighbourGraphIsConnected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := deployment(rapid.IntRange(1, 80).Draw(t, "entries"), rapid.IntRange(1, 12).Draw(t, "domains"))
+		nodes := entryNodes(rapid.IntRange(1, 80).Draw(t, "entries"), rapid.IntRange(1, 12).Draw(t, "domains"))
 		nodes = nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "gone"):]
 		if rounds, _ := flood(nodes); rounds < 0 {
 			t.Fatal("got entries that never hear of news, want none")
@@ -101,7 +101,7 @@
 
 func TestDigestSendsNewsOnce(t *testing.T) {
 	digest := NewDigest(10*time.Second, true)
-	send := func(at time.Duration, reports ...*wire.HostReport) string {
+	selectIDs := func(at time.Duration, reports ...*wire.HostReport) string {
 		var candidates []Candidate
 		for _, report := range reports {
 			candidates = append(candidates, Candidate{Report: report, SeenAt: start, Home: true})
@@ -123,15 +123,15 @@
 		got  string
 		want string
 	}{
-		{"first", send(0, report("a", 1)), "a "},
-		{"same again", send(time.Second, report("a", 1)), ""},
-		{"nothing worth sending", send(2*time.Second, report("a", 2)), ""},
-		{"refresh", send(11*time.Second, report("a", 3)), "a "},
-		{"another state", send(12*time.Second, changed), "a "},
-		{"a little busier", send(13*time.Second, busier), ""},
-		{"much busier", send(14*time.Second, busy), "a "},
-		{"lost, with the same sequence", send(15*time.Second, lost), "a "},
-		{"an older one", send(60*time.Second, report("a", 2)), ""},
+		{"first", selectIDs(0, report("a", 1)), "a "},
+		{"same again", selectIDs(time.Second, report("a", 1)), ""},
+		{"nothing worth sending", selectIDs(2*time.Second, report("a", 2)), ""},
+		{"refresh", selectIDs(11*time.Second, report("a", 3)), "a "},
+		{"another state", selectIDs(12*time.Second, changed), "a "},
+		{"a little busier", selectIDs(13*time.Second, busier), ""},
+		{"much busier", selectIDs(14*time.Second, busy), "a "},
+		{"lost, with the same sequence", selectIDs(15*time.Second, lost), "a "},
+		{"an older one", selectIDs(60*time.Second, report("a", 2)), ""},
 	} {
 		if step.got != step.want {
 			t.Errorf("%s: got %q sent, want %q", step.name, step.got, step.want)
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestDigestKeepsToItsBytes(t *testing.T) {
+func TestDigestStaysWithinByteLimit(t *testing.T) {
 	digest := NewDigest(10*time.Second, true)
 	var candidates []Candidate
 	for i := range 50 {
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestAllowanceBoundsARate(t *testing.T) {
+func TestAllowanceLimitsRate(t *testing.T) {
 	allowance := NewAllowance(100, 300, start)
 	sent := 0
 	for i := range 100 {
