--- a/relay/spread/digest.go
+++ b/relay/spread/digest.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Nearness of a report's host to the process that the report goes to.
+// Nearness of a report's host to the receiver of the report, nearest first.
 const (
 	SameDomain = iota
 	SameRegion
@@ -23,21 +23,22 @@
 type Candidate struct {
 	Report *wire.HostReport
 	SeenAt time.Time
-	// Home: the sender is the entry that the host reports to.
+	// Home is set if the host reports to the sender.
 	Home     bool
 	Nearness int
 }
 
-// summary is what of a report is worth sending when it changes.
+// summary holds the parts of a report whose changes are worth sending.
 type summary struct {
 	incarnation   string
-	home          string // a new home is the one whose report of the host counts
+	home          string // the entry that the host reports to, whose reports of it take precedence
 	leaving, lost bool
 	statesHash    uint64 // hash of the versions' states
 	load          int    // running and queued requests
 	slots         int
 }
 
+// summarize returns the summary of a report.
 func summarize(report *wire.HostReport) summary {
 	hash := xxhash.New()
 	for _, state := range report.GetVersions() {
@@ -60,50 +61,52 @@
 	}
 }
 
-// differs reports whether something changed that only a whole report bears.
+// needsFullReport reports whether something changed that only a full report carries.
 func (s summary) needsFullReport(other summary) bool {
 	return s.incarnation != other.incarnation || s.statesHash != other.statesHash || s.slots != other.slots
 }
 
-// stops reports whether new work for the host must stop or may begin.
+// availabilityDiffers reports whether new work for the host must stop or may begin.
 func (s summary) availabilityDiffers(other summary) bool {
 	return s.leaving != other.leaving || s.lost != other.lost
 }
 
-// loadDiffers reports whether the load changed so far that it is worth bytes:
-// small moves are not, since every router corrects them by what it sent itself.
+// loadDiffers reports whether the load changed enough to be worth sending. Small changes
+// are not, since every router adjusts the load by the requests that it sent itself.
 func (s summary) loadDiffers(other summary) bool {
 	step := max(2, s.slots/4)
 	return s.load-other.load >= step || other.load-s.load >= step
 }
 
-// mark is what one receiver last knew of one host, from us or in its own reports.
+// knownReport describes the last report of one host that one receiver is known to have,
+// either sent to it or received from it.
 type knownReport struct {
 	summary  summary
 	sequence uint64
 	at       time.Time
-	// whole is the sequence of the whole report behind it, sent at fullSentAt.
+	// fullSequence is the sequence of the full report that it is based on, and
+	// fullSentAt the time when that one was sent or received.
 	fullSequence uint64
 	fullSentAt   time.Time
 }
 
-// refreshesPerFullReport is how many refreshes after a whole report it is sent again:
-// the prefixes and counters in it are then older than what they describe.
+// refreshesPerFullReport is the number of refresh intervals after which a full report is sent
+// again, since its prefixes and counters are outdated by then.
 const refreshesPerFullReport = 3
 
-// Digest remembers what one receiver knows, so that a message bears only news.
-// It is not safe for concurrent use.
+// Digest tracks which reports of hosts one receiver has, so that a message carries only
+// changes. It is not safe for concurrent use.
 type Digest struct {
 	known map[string]knownReport
-	// refresh is the age at which an unchanged report is sent again: a message
-	// may have been lost.
+	// refreshInterval is the age at which an unchanged report is sent again, since a
+	// message may have been lost.
 	refreshInterval time.Duration
-	// routes: the receiver sends requests to hosts, so their load is news.
+	// receiverRoutes is set if the receiver sends requests to hosts and so needs their load.
 	receiverRoutes bool
 }
 
-// NewDigest returns the memory for one receiver; routes says that it sends
-// requests to hosts.
+// NewDigest returns an empty Digest for one receiver. Set receiverRoutes if the receiver
+// sends requests to hosts.
 func NewDigest(refresh time.Duration, receiverRoutes bool) *Digest {
 	return &Digest{known: map[string]knownReport{}, refreshInterval: refresh, receiverRoutes: receiverRoutes}
 }
@@ -111,7 +114,8 @@
 // SetRefresh changes the age at which an unchanged report is sent again.
 func (d *Digest) SetRefresh(refresh time.Duration) { d.refreshInterval = refresh }
 
-// Received notes that the receiver itself sent the report, made whole here.
+// Received records a report that came from the receiver itself, after any amendment was
+// completed to a full report.
 func (d *Digest) Received(report *wire.HostReport, now time.Time) {
 	id := report.GetNode().GetId()
 	next := knownReport{
@@ -124,10 +128,11 @@
 	d.known[id] = next
 }
 
-// Lose notes that the receiver lacks the whole report.
+// Lose records that the receiver lacks the full report of a host.
 func (d *Digest) Lose(id string) { delete(d.known, id) }
 
-// compose returns the report as it should be sent, and notes that it is.
+// prepareAndRecord returns the report as it should be sent, in full or as an amendment, and
+// records it as sent.
 func (d *Digest) prepareAndRecord(report *wire.HostReport, now time.Time) *wire.HostReport {
 	id := report.GetNode().GetId()
 	held, seen := d.known[id]
@@ -148,12 +153,12 @@
 	if !d.receiverRoutes {
 		amendment.Running, amendment.Queued, amendment.TokensPerSecond, amendment.TokenGapMillis = 0, 0, 0, 0
 		amendment.Revision, amendment.PlanRevision = 0, 0
-		amendment.Home = "" // one entry alone reports a host to it
+		amendment.Home = "" // such a receiver gets the reports of a host from only one entry
 	}
 	return amendment
 }
 
-// Forget drops the marks of hosts that are not in the set, to bound them.
+// Forget drops the records of hosts that no longer exist, to bound memory.
 func (d *Digest) Forget(exists func(id string) bool) {
 	for id := range d.known {
 		if !exists(id) {
@@ -162,24 +167,25 @@
 	}
 }
 
-// Len returns the number of hosts remembered.
+// Len returns the number of hosts on record.
 func (d *Digest) Len() int { return len(d.known) }
 
-// urgency orders what a receiver should get.
+// urgency is the priority of a report for a receiver; lower values go first.
 type urgency int
 
 const (
-	// urgent: new work must stop or may begin; it does not wait for bytes.
+	// urgent: new work for the host must stop or may begin. The byte limit does not
+	// apply to such a report.
 	urgent urgency = iota
-	// changed: other states, another home, a host unknown to it.
+	// changed: the states or the home differ, or the receiver has no report of the host.
 	changed
-	// routine: another load, or a refresh.
+	// routine: the load differs, or a refresh is due.
 	routine
-	// known: nothing to send.
+	// upToDate: there is nothing to send.
 	upToDate
 )
 
-// news returns how soon the receiver should get the report.
+// urgencyOf returns how urgently the receiver needs the report.
 func (d *Digest) urgencyOf(report *wire.HostReport, now time.Time) urgency {
 	held, seen := d.known[report.GetNode().GetId()]
 	if !seen {
@@ -205,17 +211,16 @@
 	return upToDate
 }
 
-// item is a candidate that the receiver should get.
+// rankedCandidate is a candidate that the receiver should get, with its urgency.
 type rankedCandidate struct {
 	Candidate
 
 	urgency urgency
 }
 
-// Select returns the reports for one message, at most the given bytes but for
-// urgent ones: the most urgent first, then those of hosts at home with the
-// sender, then the nearest, then the newest. What does not fit waits for the
-// next message.
+// Select returns the reports for one message and records them as sent. They are ordered by
+// urgency, then hosts that report to the sender first, then by nearness, then newest first.
+// Only urgent reports may exceed the byte limit; what does not fit waits for the next message.
 func (d *Digest) Select(candidates []Candidate, now time.Time, byteLimit int) []*wire.HostReport {
 	var pending []rankedCandidate
 	for _, candidate := range candidates {
@@ -241,7 +246,7 @@
 	return chosen
 }
 
-// restore takes back what was noted of a report that did not fit.
+// restore undoes the record of a report that did not fit.
 func (d *Digest) restore(id string, before knownReport, seen bool) {
 	if !seen {
 		delete(d.known, id)
@@ -250,6 +255,7 @@
 	d.known[id] = before
 }
 
+// byPriority compares two candidates in the order that Select describes.
 func byPriority(a, b rankedCandidate) int {
 	if byUrgency := cmp.Compare(a.urgency, b.urgency); byUrgency != 0 {
 		return byUrgency
@@ -280,14 +286,14 @@
 	return Far
 }
 
-// millis returns an age as messages bear it; the receiver's clock is never
-// compared with the sender's.
+// ageMillis returns an age in milliseconds, as messages carry it. They carry ages and not
+// times, so that the receiver's clock is never compared with the sender's.
 func ageMillis(age time.Duration) uint32 {
 	return uint32(min(max(0, age.Milliseconds()), int64(^uint32(0))))
 }
 
-// WithoutLoad returns what of a report serves a process that sends no requests
-// to the host: where it is and what it holds.
+// WithoutLoad returns a copy of a report for a process that sends no requests to the host.
+// It keeps where the host is and which versions it holds, and omits the load.
 func WithoutLoad(report *wire.HostReport) *wire.HostReport {
 	return &wire.HostReport{
 		Node: report.GetNode(), Sequence: report.GetSequence(), Leaving: report.GetLeaving(),
@@ -296,7 +302,7 @@
 	}
 }
 
-// Copy returns a shallow copy as a whole report: lists and messages inside are
+// Copy returns a shallow copy of a report as a full report. Lists and messages inside are
 // shared.
 func Copy(report *wire.HostReport) *wire.HostReport {
 	return &wire.HostReport{
--- a/relay/spread/entries.go
+++ b/relay/spread/entries.go
@@ -12,37 +12,41 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// knownEntry is what one receiver last knew of one entry.
+// knownEntry describes the last report of one entry that one receiver is known to have.
 type knownEntry struct {
 	incarnation string
 	sequence    uint64
 	draining    bool
 	at          time.Time
-	// describedAt is when the receiver last got or gave the entry's description.
+	// describedAt is when the entry's description was last sent to the receiver or
+	// received from it.
 	describedAt time.Time
 }
 
-// descriptionInterval is the age at which a description is sent again: a receiver
-// that lacks it asks, but a wrong one would stay.
+// descriptionInterval is the age at which a description is sent again. A receiver that has
+// none asks for it, but a wrong one would otherwise never be corrected.
 const descriptionInterval = 5 * time.Minute
 
-// EntryDigest remembers what one receiver knows of the entries. It is not safe
-// for concurrent use.
+// EntryDigest tracks which reports of entries one receiver has. It is not safe for
+// concurrent use.
 type EntryDigest struct {
 	known map[string]knownEntry
-	// relay is the age at which the report of a third entry is sent again.
+	// relayInterval is the age at which the report of a third entry, neither the sender
+	// nor the receiver, is sent again.
 	relayInterval time.Duration
 }
 
-// NewEntryDigest returns the memory for one receiver.
+// NewEntryDigest returns an empty EntryDigest for one receiver, with the age that SetRelay
+// describes.
 func NewEntryDigest(relay time.Duration) *EntryDigest {
 	return &EntryDigest{known: map[string]knownEntry{}, relayInterval: relay}
 }
 
-// SetRelay changes the age at which the report of a third entry is sent again.
+// SetRelay sets the age at which the report of an entry other than the sender and the
+// receiver is sent again.
 func (d *EntryDigest) SetRelay(relay time.Duration) { d.relayInterval = relay }
 
-// Received notes that the receiver itself sent the report.
+// Received records a report that came from the receiver itself.
 func (d *EntryDigest) Received(report *wire.EntryReport, now time.Time) {
 	id, incarnation := report.GetNode().GetId(), report.GetNode().GetIncarnation()
 	describedAt := now
@@ -58,11 +62,11 @@
 	}
 }
 
-// Lose notes that the receiver lacks the entry's description.
+// Lose records that the receiver lacks the entry's description.
 func (d *EntryDigest) Lose(id string) { delete(d.known, id) }
 
-// form returns the report as it should be sent now, and whether its description
-// goes with it.
+// prepare returns the report as it should be sent now, and whether it includes the entry's
+// description.
 func (d *EntryDigest) prepare(report *wire.EntryReport, age time.Duration, now time.Time) (sent *wire.EntryReport, described bool) {
 	held, seen := d.known[report.GetNode().GetId()]
 	known := seen && held.incarnation == report.GetNode().GetIncarnation() && now.Sub(held.describedAt) < descriptionInterval
@@ -73,7 +77,7 @@
 	return sent, !known
 }
 
-// compose returns the report as it should be sent, and notes that it is.
+// prepareAndRecord returns the report as it should be sent, and records it as sent.
 func (d *EntryDigest) prepareAndRecord(report *wire.EntryReport, age time.Duration, now time.Time) *wire.EntryReport {
 	sent, described := d.prepare(report, age, now)
 	d.Received(report, now)
@@ -86,7 +90,7 @@
 	return sent
 }
 
-// Forget drops the marks of entries that are not in the set.
+// Forget drops the records of entries that no longer exist.
 func (d *EntryDigest) Forget(exists func(id string) bool) {
 	for id := range d.known {
 		if !exists(id) {
@@ -95,13 +99,13 @@
 	}
 }
 
-// newer reports whether the receiver lacks this report.
+// isNewer reports whether this report is newer than the one that the receiver has.
 func (d *EntryDigest) isNewer(report *wire.EntryReport) bool {
 	held, seen := d.known[report.GetNode().GetId()]
 	return !seen || membership.Newer(report.GetNode().GetIncarnation(), report.GetSequence(), held.incarnation, held.sequence)
 }
 
-// news reports whether a third entry's report is worth passing on.
+// shouldRelay reports whether a third entry's report should be passed on to the receiver now.
 func (d *EntryDigest) shouldRelay(report *wire.EntryReport, now time.Time) bool {
 	if d.statusUnknown(report) {
 		return d.isNewer(report)
@@ -109,16 +113,16 @@
 	return d.isNewer(report) && now.Sub(d.known[report.GetNode().GetId()].at) >= d.relayInterval
 }
 
-// unreported reports whether the receiver does not know of the entry as it is:
-// it was never notified of it, or before it drained or started anew.
+// statusUnknown reports whether the receiver has no report of the entry's current process
+// with its current draining state.
 func (d *EntryDigest) statusUnknown(report *wire.EntryReport) bool {
 	held, seen := d.known[report.GetNode().GetId()]
 	return !seen || report.GetDraining() != held.draining || report.GetNode().GetIncarnation() != held.incarnation
 }
 
-// SelectRare is like Select for a receiver that only needs to know which
-// entries there are and which leave: the sender's own report counts as any
-// other, and bears no demand.
+// SelectRare is like Select for a receiver that only needs to know which entries exist and
+// which are leaving. The sender's own report is repeated as rarely as any other, and no report
+// carries load or demand.
 func (d *EntryDigest) SelectRare(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
 	var chosen []*wire.EntryReport
 	if d.shouldRelay(own, now) {
@@ -130,6 +134,7 @@
 	return chosen
 }
 
+// presenceOnly returns a copy of a report without load, demand and revisions.
 func presenceOnly(report *wire.EntryReport) *wire.EntryReport {
 	return &wire.EntryReport{
 		Node: report.GetNode(), Sequence: report.GetSequence(), Draining: report.GetDraining(), AgeMillis: report.GetAgeMillis(),
@@ -146,10 +151,9 @@
 	return append(chosen, d.selectOthers(own, others, receiver, now, byteLimit)...)
 }
 
-// thirds returns the reports of third entries that the receiver should get:
-// what it does not know at all goes before any refresh. By nearness alone the
-// refreshes of the near ones would take all the room for ever, and the receiver
-// would not learn of the far ones.
+// selectOthers returns the reports of third entries that the receiver should get. Those whose
+// status it does not know go before any refresh: ordered by nearness alone, refreshes of near
+// entries would always fill the message and the receiver would never learn of far ones.
 func (d *EntryDigest) selectOthers(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
 	var pending []view.Peer
 	for _, other := range others {
@@ -177,6 +181,7 @@
 	return chosen
 }
 
+// compareStatusUnknown orders reports whose status the receiver does not know before others.
 func (d *EntryDigest) compareStatusUnknown(a, b *wire.EntryReport) int {
 	switch {
 	case d.statusUnknown(a) == d.statusUnknown(b):
@@ -187,6 +192,7 @@
 	return 1
 }
 
+// withAge returns a copy of a report with the given age.
 func withAge(report *wire.EntryReport, age time.Duration) *wire.EntryReport {
 	return &wire.EntryReport{
 		Node: report.GetNode(), Sequence: report.GetSequence(), Draining: report.GetDraining(),
--- a/relay/spread/entries_test.go
+++ b/relay/spread/entries_test.go
@@ -9,10 +9,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Symptom: in a deployment of hundreds of entries a neighbour never learns of the
-// far ones. Sequence: the near entries' reports change all the time, and each
-// message has room for a few. Cause: refreshes of the near took the room
-// before anything was sent of the far.
+// Guards against a neighbour that never learns of far entries in a deployment of hundreds:
+// the reports of near entries change all the time, a message holds only a few, and refreshes
+// of near entries fill it before any far entry is reported.
 func TestFarEntriesAreReported(t *testing.T) {
 	const entries, byteLimit, rounds = 300, 600, 120
 	own := &wire.EntryReport{Node: &wire.Node{Id: "own", Incarnation: "1", FailureDomain: "d0", Region: "r0"}}
@@ -30,11 +29,12 @@
 	}
 	delete(reported, "own")
 	if got, want := len(reported), entries; got != want {
-		t.Errorf("entries heard of after %d messages: got %d, want %d", rounds, got, want)
+		t.Errorf("entries reported after %d messages: got %d, want %d", rounds, got, want)
 	}
 }
 
-// changingEntryReport is near for the first third of the numbers and far for the rest.
+// changingEntryReport returns the report of entry i, which changes each round. The first 100
+// entries are near the sender and the rest far.
 func changingEntryReport(i, round int) *wire.EntryReport {
 	domain, region := "d0", "r0"
 	if i >= 100 {
--- a/relay/spread/neighbours.go
+++ b/relay/spread/neighbours.go
@@ -1,6 +1,5 @@
-// Package spread decides which node sends what to which: which entries an entry keeps
-// calls to, which reports go into one message, and which hosts an agent learns
-// of.
+// Package spread decides how reports are distributed between nodes: which entries an entry
+// keeps calls to, which reports go into one message, and which hosts an agent is told about.
 package spread
 
 import (
@@ -12,24 +11,23 @@
 )
 
 const (
-	// maxFullMesh is the number of other entries up to which each calls all.
+	// maxFullMesh is the number of other entries up to which each entry calls all others.
 	maxFullMesh = 12
-	// maxNearNeighbours bounds the calls to entries of the own failure domain.
+	// maxNearNeighbours bounds the calls to entries of the same failure domain.
 	maxNearNeighbours = 4
 	// maxFarNeighbours bounds the calls to entries of other failure domains.
 	maxFarNeighbours = 3
 )
 
-// AllCallAll reports whether a deployment of the number of entries, this one
-// included, is so small that each calls all others: what an entry knows first
-// hand it then notifies all itself, and passing on the rest would multiply
-// the bytes by the number of entries.
+// AllCallAll reports whether a deployment with the given number of entries, this one included,
+// is so small that each entry calls all others. An entry then sends its own observations to all
+// others itself; relaying those of others would multiply the bytes by the number of entries.
 func AllCallAll(entries int) bool { return entries <= maxFullMesh+1 }
 
-// Neighbours returns the entries that self keeps a call to, of those given. A
-// few are of its own failure domain, a few of others by rendezvous hash, and
-// one is the next by id: along that ring news reaches every entry even where
-// the random choices leave a group apart.
+// Neighbours returns those of the given entries that self keeps a call to. A few are in its own
+// failure domain and a few in others, both chosen by rendezvous hash, and one is the next by id:
+// along the ring of ids updates reach every entry even if the hashed choices leave a group
+// unconnected.
 func Neighbours(self *wire.Node, entries []*wire.Node) []*wire.Node {
 	others := slices.DeleteFunc(slices.Clone(entries), func(node *wire.Node) bool {
 		return node.GetId() == self.GetId() || node.GetControlAddress() == ""
@@ -59,7 +57,7 @@
 	return nodes
 }
 
-// successor returns the id that follows in the ring of all ids.
+// successor returns the next id after the given one in the ring of all ids.
 func successor(id string, others []*wire.Node) string {
 	first, next := "", ""
 	for _, node := range others {
--- a/relay/spread/sample.go
+++ b/relay/spread/sample.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// maxUnsampledFleet is the number of hosts up to which each agent learns of all.
+	// maxUnsampledFleet is the number of hosts up to which each agent is told about all.
 	maxUnsampledFleet = 300
-	// sampleSize bounds the far hosts that an agent of a large fleet learns of.
+	// sampleSize bounds the hosts of other failure domains that an agent of a larger fleet
+	// is told about.
 	sampleSize = 64
 )
 
-// WeightPeers returns the hosts that an agent learns of: all of a small fleet;
-// of a large one those of its failure domain and a sample by rendezvous hash,
-// so that chunks find a way into every failure domain at a bounded cost.
+// WeightPeers returns the hosts that an agent is told about, from which it can fetch weights. In
+// a small fleet these are all hosts; in a large one those of its failure domain and a sample of
+// others by rendezvous hash, so that chunks reach every failure domain at a bounded cost.
 func WeightPeers(agent *wire.Node, hosts []Candidate) []Candidate {
 	if len(hosts) <= maxUnsampledFleet {
 		return excluding(agent.GetId(), hosts)
@@ -37,6 +38,7 @@
 	return chosen
 }
 
+// excluding returns the hosts without the one with the given id.
 func excluding(id string, hosts []Candidate) []Candidate {
 	kept := make([]Candidate, 0, len(hosts))
 	for _, host := range hosts {
--- a/relay/spread/spread_test.go
+++ b/relay/spread/spread_test.go
@@ -13,6 +13,7 @@
 
 var start = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
 
+// entryNodes returns entries spread evenly over failure domains.
 func entryNodes(count, domains int) []*wire.Node {
 	nodes := make([]*wire.Node, count)
 	for i := range nodes {
@@ -24,16 +25,16 @@
 	return nodes
 }
 
-// TestNewsReachesEveryEntry: an entry receives news from the neighbours it calls.
-// Were the graph of calls in two parts, a revision would stop at the border
-// until the safety net's slow read.
+// TestNewsReachesEveryEntry checks that the graph of calls is connected. An entry receives
+// updates from the neighbours it calls, so in a graph of two parts an update would reach one of
+// them only with the slow read that serves as a fallback.
 func TestNewsReachesEveryEntry(t *testing.T) {
 	for _, count := range []int{1, 2, 9, 13, 40, 820} {
 		nodes := entryNodes(count, min(count, 34))
 		rounds, calls := flood(nodes)
 		t.Logf("%d entries: %d rounds, at most %d calls from one", count, rounds, calls)
 		if rounds < 0 {
-			t.Errorf("got entries that never hear of news among %d, want none", count)
+			t.Errorf("got entries that updates never reach among %d, want none", count)
 		}
 		if calls > maxFullMesh {
 			t.Errorf("got %d calls kept by one of %d entries, want at most %d", calls, count, maxFullMesh)
@@ -41,8 +42,8 @@
 	}
 }
 
-// flood counts the rounds until all have learned of the first node's news; -1
-// where some never do.
+// flood returns the number of rounds until an update of the first node has reached all nodes,
+// or -1 if it never does, and the largest number of calls kept by one node.
 func flood(nodes []*wire.Node) (rounds, mostCalls int) {
 	neighbours := map[string][]string{}
 	for _, node := range nodes {
@@ -72,14 +73,14 @@
 	return rounds, mostCalls
 }
 
-// TestNeighbourGraphIsConnected: with any set of entries, however spread over
-// failure domains, the graph of calls stays whole.
+// TestNeighbourGraphIsConnected checks that the graph of calls is connected for any set of
+// entries, however spread over failure domains.
 func TestNeighbourGraphIsConnected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := entryNodes(rapid.IntRange(1, 80).Draw(t, "entries"), rapid.IntRange(1, 12).Draw(t, "domains"))
 		nodes = nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "gone"):]
 		if rounds, _ := flood(nodes); rounds < 0 {
-			t.Fatal("got entries that never hear of news, want none")
+			t.Fatal("got entries that updates never reach, want none")
 		}
 	})
 }
