--- a/relay/site/site_test.go
+++ b/relay/site/site_test.go
@@ -20,29 +20,30 @@
 	"comfreyrelay.example/relay/site"
 )
 
-// world is a State that follows a scripted store; the clock stands still unless
-// a call moves it.
-type world struct {
+// testSite is a State that follows a scripted store. Its clock stands still unless a
+// test advances it.
+type testSite struct {
 	clock *clockwork.FakeClock
 	begun time.Time
 	state *site.State
-	// mirror reads the key "catalog" as a catalog of the version of its revision,
-	// those below "weights/" and "endpoint/" as their names say, and others as
-	// entries of that name; "bad" can't be read.
+	// mirror decodes the key "catalog" as a catalog whose version is the key's revision,
+	// keys below "weights/" and "endpoint/" as declared weights and endpoints, and other
+	// keys as entries of that name. The key "bad" cannot be decoded.
 	mirror *site.Mirror
 	fresh  *freshness.Tracker
-	latest uint64 // the store's revision; 0: ten more with each reading
+	latest uint64 // the store's revision; if 0, it grows by ten with each full read
 }
 
-func newWorld() *world {
+func newTestSite() *testSite {
 	clock := clockwork.NewFakeClock()
-	w := &world{clock: clock, begun: clock.Now()}
+	w := &testSite{clock: clock, begun: clock.Now()}
 	w.fresh = freshness.NewTracker(func() time.Duration { return clock.Now().Sub(w.begun) })
 	w.state = site.NewState(clock.Now, fleet.New(clock.Now), w.fresh)
 	w.mirror = site.NewMirror(w.state, decode, clock, slog.New(slog.DiscardHandler))
 	return w
 }
 
+// decode decodes the keys of the scripted store.
 func decode(entry kv.Entry) (site.Record, error) {
 	name, isWeights := strings.CutPrefix(entry.Key(), "weights/")
 	id, isEndpoint := strings.CutPrefix(entry.Key(), "endpoint/")
@@ -62,19 +63,19 @@
 	return site.Record{Kind: site.EntryRecord, ID: entry.Key(), Gone: entry.Deleted()}, nil
 }
 
-// value is a key of the store at a revision, and gone its deletion.
-func value(key string, revision uint64) kv.Entry { return kv.NewEntry(key, nil, revision, false) }
-func gone(key string, revision uint64) kv.Entry  { return kv.NewEntry(key, nil, revision, true) }
+// value returns a key of the store at a revision, and deletion returns its deletion.
+func value(key string, revision uint64) kv.Entry    { return kv.NewEntry(key, nil, revision, false) }
+func deletion(key string, revision uint64) kv.Entry { return kv.NewEntry(key, nil, revision, true) }
 
 func catalogOf(version uint64) site.Record {
 	return site.Record{Kind: site.CatalogRecord, Catalog: catalog.New(catalog.Spec{Version: version})}
 }
 
-// Symptom: a machine handles requests as an older configuration says. Sequence: a
-// list that began before a change ends after it, or history is read again from a
-// store that lags. Cause: what came last was taken for newest.
-func TestNothingFallsBack(t *testing.T) {
-	w := newWorld()
+// Guards against requests that are handled by an older configuration: a list that began
+// before a change ends after it, or history is read again from a store that lags, and the
+// last value received is taken for the newest.
+func TestOlderRevisionsAreIgnored(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Apply(0, []kv.Entry{value("catalog", 7)}, 10, true)
 	w.mirror.Apply(0, []kv.Entry{value("catalog", 5)}, 9, true)
 	w.mirror.Reset([]kv.Entry{value("catalog", 6)}, 8)
@@ -91,12 +92,11 @@
 	}
 }
 
-// Symptom: callers get an empty list of entries after an outage of the store. Sequence:
-// leases run out while it is down; it comes back and reports the deletions; the
-// entries register again a second later. Cause: what is missing was taken for
-// gone at once.
-func TestEntriesThatLapsedInAnOutageStay(t *testing.T) {
-	w := newWorld()
+// Guards against an empty list of entries after an outage of the store: leases expire while
+// it is down, it reports the deletions once it recovers, and the entries register again only
+// a second later.
+func TestEntriesThatLapsedInAnOutageAreKept(t *testing.T) {
+	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Entry: site.Entry{CallersAddress: "10.0.0.1:1"}}}, 1)
 	w.state.Lost()
 	w.clock.Advance(10 * time.Second)
@@ -111,8 +111,8 @@
 	}
 }
 
-func TestEntryThatLeavesIsDroppedAtOnce(t *testing.T) {
-	w := newWorld()
+func TestDeregisteredEntryIsDroppedAtOnce(t *testing.T) {
+	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1"}}, 1)
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Gone: true}}, 2)
 	if got := len(w.state.Entries()); got != 0 {
@@ -120,20 +120,20 @@
 	}
 }
 
-func TestResetDropsWhatTheStoreDoesNotHold(t *testing.T) {
-	w := newWorld()
+func TestResetDropsKeysMissingFromTheStore(t *testing.T) {
+	w := newTestSite()
 	w.mirror.Reset([]kv.Entry{value("e-1", 1), value("e-3", 2), value("endpoint/i-1", 3)}, 3)
 	w.mirror.Reset([]kv.Entry{value("e-2", 4), value("e-3", 2)}, 5)
 	if _, ok := w.state.Entries()["e-1"]; ok || len(w.state.Entries()) != 2 {
 		t.Errorf("got %v, want e-2 and e-3 alone", w.state.Entries())
 	}
 	if _, verdict := w.state.Fleet().Group("app").Pick(fleet.Need{}); verdict != fleet.Nobody {
-		t.Errorf("got verdict %v, want nobody", verdict)
+		t.Errorf("got verdict %v, want fleet.Nobody", verdict)
 	}
 }
 
 func TestFloorFollowsEachDeclaration(t *testing.T) {
-	w := newWorld()
+	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 2}}, 1)
 	w.clock.Advance(2 * time.Second)
 	w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 4}}, 2)
@@ -147,12 +147,12 @@
 	}
 }
 
-// Guards against old weights that are used for too long by an entry that started after newer ones
-// were declared and counts their time from its own start.
-func TestVersionIsAsOldAsHostsReport(t *testing.T) {
+// Guards against an entry that uses old weights for too long because it started after newer ones
+// were declared and counts their age from its own start.
+func TestVersionAgeIsTakenFromHostReports(t *testing.T) {
 	for name, hostFirst := range map[string]bool{"host first": true, "store first": false} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld()
+			w := newTestSite()
 			learn := func() { w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 2}}, 1) }
 			if !hostFirst {
 				learn()
@@ -168,18 +168,19 @@
 			}
 			w.clock.Advance(3 * time.Second)
 			if got, want := w.state.Floor("m", 8*time.Second), uint64(2); got != want {
-				t.Errorf("got floor %d, want %d: the time of the version before is over", got, want)
+				t.Errorf("got floor %d, want %d: the time of the previous version is over", got, want)
 			}
 		})
 	}
 }
 
-// Guards against weights that are used for too long by an entry that started after two newer ones
-// were declared: the store names the newest alone, and the time of old ones ends by the first.
-func TestVersionsThatTheStoreNamesNoMoreCount(t *testing.T) {
+// Guards against an entry that uses old weights for too long because it started after two newer
+// versions were declared: the store holds only the newest declaration, but the old weights must
+// go out of use by the first.
+func TestVersionsNoLongerInTheStoreCount(t *testing.T) {
 	for name, hostFirst := range map[string]bool{"host first": true, "store first": false} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld()
+			w := newTestSite()
 			learn := func() { w.state.Apply([]site.Record{{Kind: site.WeightsRecord, ID: "m", Weights: 4}}, 1) }
 			if !hostFirst {
 				learn()
@@ -204,24 +205,24 @@
 	}
 }
 
-// script answers the calls of a follower one after the other; the last answer
-// ends the run.
-type script struct {
-	world   *world
+// storeScript answers the watches of a follower one by one. It cancels the run after the
+// last answer.
+type storeScript struct {
+	site    *testSite
 	watches []func() ([]kv.Entry, uint64, error)
 	lists   int
 	cancel  context.CancelFunc
 }
 
-func (s *script) store() *kv.Store {
+func (s *storeScript) store() *kv.Store {
 	return &kv.Store{
 		List: func(context.Context, string) ([]kv.Entry, error) {
 			s.lists++
 			return []kv.Entry{kv.NewEntry("catalog", nil, uint64(s.lists), false)}, nil
 		},
 		Watch: func(ctx context.Context, _ string, after uint64, _ time.Duration) ([]kv.Entry, uint64, error) {
-			if after == kv.Latest && s.world.latest > 0 {
-				return nil, s.world.latest, nil
+			if after == kv.Latest && s.site.latest > 0 {
+				return nil, s.site.latest, nil
 			}
 			if after == kv.Latest {
 				return nil, uint64(10 * (s.lists + 1)), nil
@@ -237,14 +238,15 @@
 	}
 }
 
-func (w *world) follow(t *testing.T, watches ...func() ([]kv.Entry, uint64, error)) *script {
+// follow runs a follower against a store that gives the scripted answers to watches.
+func (w *testSite) follow(t *testing.T, watches ...func() ([]kv.Entry, uint64, error)) *storeScript {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	steps := &script{world: w, watches: watches, cancel: cancel}
+	steps := &storeScript{site: w, watches: watches, cancel: cancel}
 	done := make(chan struct{})
 	go func() {
-		// Pauses between calls end as soon as the follower waits for them.
+		// Advance the clock as soon as the follower waits between two calls.
 		for {
 			select {
 			case <-done:
@@ -264,10 +266,10 @@
 	return steps
 }
 
-// Guards against entries that read a large store over a narrow link again and again from its first
-// key, since each page that fails drops those before.
-func TestReadingGoesOnAfterAPageThatFailed(t *testing.T) {
-	w := newWorld()
+// Guards against entries that read a large store over a slow link again and again from its first
+// key, because a failed page discards the pages before it.
+func TestReadResumesAfterAFailedPage(t *testing.T) {
+	w := newTestSite()
 	pages := []string{"a", "b", "c"}
 	var asked []string
 	ctx, cancel := context.WithCancel(context.Background())
@@ -291,30 +293,29 @@
 	follower := &site.Follower{Store: store, State: w.state, Mirror: w.mirror, Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler)}
 	follower.Run(ctx)
 	if want := []string{"", "a", "b", "b"}; !slices.Equal(asked, want) {
-		t.Errorf("got pages asked for after %q, want %q", asked, want)
+		t.Errorf("got pages requested after %q, want %q", asked, want)
 	}
 	if got := len(w.state.Entries()); got != len(pages) {
 		t.Errorf("got %d entries, want %d", got, len(pages))
 	}
 }
 
-func TestLostHistoryIsReadAgain(t *testing.T) {
-	w := newWorld()
+func TestCompactedHistoryCausesFullRead(t *testing.T) {
+	w := newTestSite()
 	steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
 		return nil, 0, failure.New(failure.Stale, "history is gone", "read again")
 	})
 	if got, want := steps.lists, 2; got != want {
-		t.Errorf("got %d readings of everything, want %d", got, want)
+		t.Errorf("got %d full reads, want %d", got, want)
 	}
 }
 
-// Symptom: after an outage of the store no engine may serve, although nothing
-// newer is loaded anywhere yet. Sequence: the store is down for 8 s; a version is
-// declared once it is back. Cause: what came after silence was taken to be as old
-// as the silence, and its time was over when it was learned. While the store is
-// down nothing is declared.
+// Guards against an outage of the store after which no engine may serve, although no newer
+// version is loaded yet: the store is down for 8 s, a version is declared once it recovers,
+// and that change is taken to be as old as the outage, so that the time of older versions is
+// over when it is received. While the store is down nothing can be declared.
 func TestVersionDeclaredAfterAnOutageIsNew(t *testing.T) {
-	w := newWorld()
+	w := newTestSite()
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
 		w.clock.Advance(8 * time.Second)
 		return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
@@ -323,12 +324,12 @@
 	})
 	want, ok := w.state.WantedOf("m")
 	if age := w.clock.Since(want.Since); !ok || age > 2*time.Second {
-		t.Errorf("got a version that counts from %v ago, want from when it was learned", age)
+		t.Errorf("got a version declared %v ago, want it to count from when it was received", age)
 	}
 }
 
-func TestUnreadableValueLeavesTheLastGoodOneInForce(t *testing.T) {
-	w := newWorld()
+func TestUnreadableValueKeepsTheLastGoodOne(t *testing.T) {
+	w := newTestSite()
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
 		return []kv.Entry{kv.NewEntry("bad", nil, 11, false)}, 11, nil
 	})
@@ -337,13 +338,13 @@
 	}
 }
 
-// Symptom: requests go to an address that its owner no longer names. Sequence: an
-// endpoint's registration is overwritten by what can't be read, also while the
-// store's return is not settled, when registrations that lapse are kept. Cause:
-// what could not be read was left out, so what was known before held. The others
-// hold, and the endpoint is back once it is written again.
-func TestSpoiltRegistrationNamesNothing(t *testing.T) {
-	w := newWorld()
+// Guards against requests to an address that its owner no longer registers: an endpoint's
+// registration is overwritten by a value that cannot be decoded, and the previous one stays
+// in use because such values are ignored. This also applies in the grace period after an
+// outage, when lapsed registrations are kept. Other endpoints stay, and the endpoint returns
+// once it is registered again.
+func TestUnreadableRegistrationRemovesEndpoint(t *testing.T) {
+	w := newTestSite()
 	pick := func() fleet.Verdict {
 		grant, verdict := w.state.Fleet().Group("app").Pick(fleet.Need{Entries: 1})
 		if verdict == fleet.Granted {
@@ -354,7 +355,7 @@
 	w.mirror.Apply(0, []kv.Entry{value("endpoint/a", 1)}, 1, true)
 	w.state.Lost()
 	w.state.Regained()
-	for step, one := range []struct {
+	for step, test := range []struct {
 		entries []kv.Entry
 		want    fleet.Verdict
 	}{
@@ -364,18 +365,18 @@
 		{[]kv.Entry{kv.NewEntry("endpoint/b", []byte("spoilt"), 4, false)}, fleet.Nobody},
 		{[]kv.Entry{value("endpoint/a", 5)}, fleet.Granted},
 	} {
-		w.mirror.Apply(uint64(step), one.entries, uint64(step+1), true)
-		if got := pick(); got != one.want {
-			t.Errorf("step %d: got verdict %v, want %v", step, got, one.want)
+		w.mirror.Apply(uint64(step), test.entries, uint64(step+1), true)
+		if got := pick(); got != test.want {
+			t.Errorf("step %d: got verdict %v, want %v", step, got, test.want)
 		}
 	}
 }
 
-// Symptom: a key that was taken away opens a route for longer than its bound.
-// Sequence: a watch is cut after a moment and reports no change. Cause: the proof
-// was taken to reach to the end of the time that it should have waited.
-func TestWatchThatEndsEarlyProvesItsBeginningOnly(t *testing.T) {
-	w := newWorld()
+// Guards against a revoked key that opens a route for longer than its bound: a watch is cut
+// short and reports no change, and that is taken to prove the data fresh up to the end of the
+// watch's full timeout.
+func TestWatchThatEndsEarlyProvesOnlyItsStart(t *testing.T) {
+	w := newTestSite()
 	var began time.Duration
 	w.follow(t, func() ([]kv.Entry, uint64, error) {
 		began = w.clock.Now().Sub(w.begun)
@@ -384,16 +385,16 @@
 	})
 	age, known := w.fresh.Age()
 	if got := w.clock.Now().Sub(w.begun) - age; !known || got != began {
-		t.Errorf("got a proof of %v, want %v", got, began)
+		t.Errorf("got data proven fresh at %v, want %v", got, began)
 	}
 }
 
-// Symptom: a route that was added 5 s before is refused with 404, and a request goes where only
-// an older configuration sends it. Sequence: an entry is cut off from the store for 15 s while
-// 40 configurations of 54 KB are written; its first watch answers with the first twenty of them
-// and their revision; it serves by the twentieth. Cause: the answer was taken for all there was,
-// so what the entry knew counted as new as the watch's beginning.
-func TestPartOfTheHistoryProvesNothing(t *testing.T) {
+// Guards against a truncated answer that is taken for all changes, so that old data counts as
+// fresh as the start of the watch. An entry was cut off from the store for 15 s while 40
+// configurations of 54 KB were written. Its first watch returned the first twenty and their
+// revision, and it served by the twentieth: a route added 5 s earlier got a 404, and a request
+// went where only an older configuration sends it.
+func TestTruncatedHistoryProvesNothing(t *testing.T) {
 	var configs, registrations []kv.Entry
 	for revision := uint64(21); revision < 41; revision++ {
 		configs = append(configs, kv.NewEntry("config", make([]byte, 54<<10), revision, false))
@@ -403,7 +404,7 @@
 	}
 	for name, part := range map[string][]kv.Entry{"large": configs, "many": registrations} {
 		for _, newest := range []uint64{part[len(part)-1].Revision(), 999} {
-			w := newWorld()
+			w := newTestSite()
 			steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
 				w.clock.Advance(5 * time.Second)
 				return nil, 10, nil
@@ -411,43 +412,43 @@
 				w.latest = newest
 				return part, part[len(part)-1].Revision(), nil
 			})
-			// The watch before proved what was known until 1.8 s. Whether there is more is asked,
-			// and nothing is read twice.
+			// The watch before proved the data fresh up to 1.8 s. The follower asks whether
+			// there are more changes and reads nothing twice.
 			age, _ := w.fresh.Age()
 			if got, want := age < time.Second, newest != 999; got != want {
-				t.Errorf("%s: got knowledge %v old with the store at %d, want new knowledge: %v", name, age, newest, want)
+				t.Errorf("%s: got data %v old with the store at %d, want fresh data: %v", name, age, newest, want)
 			}
 			if got, want := steps.lists, 1; got != want {
-				t.Errorf("%s: got %d readings of everything, want %d", name, got, want)
+				t.Errorf("%s: got %d full reads, want %d", name, got, want)
 			}
 		}
 	}
 }
 
-// Symptom: an entry sends requests where only an older configuration allows it, 3 s after a
-// newer one was acknowledged and 4 s after the store takes its calls again. Sequence: the store
-// turns an entry away for 13 s while 40 configurations are written, then answers it; what
-// happened meanwhile is 2 MB and comes over a link that others use for the same. Cause: who
-// had been away asked for the history, of which one configuration counts.
-func TestWhoWasAwayReadsWhatStands(t *testing.T) {
-	for _, one := range []struct {
+// Guards against an entry that requests the whole history after a long outage, although only
+// the last configuration counts. The store refused an entry for 13 s while 40 configurations
+// were written. The history was 2 MB over a link on which other entries read the same, and the
+// entry still routed requests by an older configuration 3 s after a newer one was acknowledged
+// and 4 s after the store accepted its calls again.
+func TestLongOutageCausesFullRead(t *testing.T) {
+	for _, test := range []struct {
 		away  time.Duration
 		lists int
 	}{{13 * time.Second, 2}, {time.Second, 1}} {
-		w := newWorld()
+		w := newTestSite()
 		steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
-			w.clock.Advance(one.away)
+			w.clock.Advance(test.away)
 			return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
 		})
-		if got, want := steps.lists, one.lists; got != want {
-			t.Errorf("got %d readings of everything after %v, want %d", got, one.away, want)
+		if got, want := steps.lists, test.lists; got != want {
+			t.Errorf("got %d full reads after %v, want %d", got, test.away, want)
 		}
 	}
 }
 
-// Who was away while nothing changed reads nothing.
-func TestWhoMissedNothingReadsNothing(t *testing.T) {
-	w := newWorld()
+// Checks that an entry reads nothing after an outage during which nothing changed.
+func TestOutageWithoutChangesCausesNoRead(t *testing.T) {
+	w := newTestSite()
 	steps := w.follow(t, func() ([]kv.Entry, uint64, error) {
 		return []kv.Entry{value("e-1", 20)}, 20, nil
 	}, func() ([]kv.Entry, uint64, error) {
@@ -455,9 +456,9 @@
 		return nil, 0, failure.New(failure.Unavailable, "the store is down", "wait")
 	})
 	if got, want := steps.lists, 1; got != want {
-		t.Errorf("got %d readings of everything, want %d: the store's revision is still 20", got, want)
+		t.Errorf("got %d full reads, want %d: the store's revision is still 20", got, want)
 	}
 	if age, _ := w.fresh.Age(); age > time.Second {
-		t.Errorf("got knowledge %v old, want new: the store sent its revision", age)
+		t.Errorf("got data %v old, want fresh data: the store returned its revision", age)
 	}
 }
--- a/relay/spread/digest.go
+++ b/relay/spread/digest.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Nearness of a report's host to the process that the report goes to.
+// Nearness of a report's host to the receiver of the report, nearest first.
 const (
 	SameDomain = iota
 	SameRegion
@@ -23,30 +23,31 @@
 type Candidate struct {
 	Report *wire.HostReport
 	SeenAt time.Time
-	// Home: the sender is the entry that the host reports to.
+	// Home is set if the host reports to the sender.
 	Home     bool
 	Nearness int
 }
 
-// summary is what of a report is worth sending when it changes.
+// summary holds the parts of a report whose changes are worth sending.
 type summary struct {
 	incarnation   string
-	home          string // a new home is the one whose report of the host counts
+	home          string // the entry that the host reports to, whose reports of it take precedence
 	leaving, lost bool
-	states        uint64 // hash of the versions' states
+	statesHash    uint64 // hash of the versions' states
 	load          int    // running and queued requests
 	slots         int
 }
 
+// summarize returns the summary of a report.
 func summarize(report *wire.HostReport) summary {
-	digest := xxhash.New()
+	hash := xxhash.New()
 	for _, state := range report.GetVersions() {
 		for _, text := range []string{state.GetModel(), state.GetVersion(), state.GetState(), state.GetHoldUp()} {
-			_, _ = digest.WriteString(text)
-			_, _ = digest.Write([]byte{0})
+			_, _ = hash.WriteString(text)
+			_, _ = hash.Write([]byte{0})
 		}
 		for _, adapter := range state.GetAdapters() {
-			_, _ = digest.WriteString(adapter.GetName() + "\x01" + adapter.GetVersion() + "\x01")
+			_, _ = hash.WriteString(adapter.GetName() + "\x01" + adapter.GetVersion() + "\x01")
 		}
 	}
 	return summary{
@@ -54,203 +55,208 @@
 		home:        report.GetHome(),
 		leaving:     report.GetLeaving(),
 		lost:        report.GetLost(),
-		states:      digest.Sum64(),
+		statesHash:  hash.Sum64(),
 		load:        int(report.GetRunning() + report.GetQueued()),
 		slots:       int(report.GetSlots()),
 	}
 }
 
-// differs reports whether something changed that only a whole report bears.
-func (s summary) differs(other summary) bool {
-	return s.incarnation != other.incarnation || s.states != other.states || s.slots != other.slots
+// needsFullReport reports whether something changed that only a full report carries.
+func (s summary) needsFullReport(other summary) bool {
+	return s.incarnation != other.incarnation || s.statesHash != other.statesHash || s.slots != other.slots
 }
 
-// stops reports whether new work for the host must stop or may begin.
-func (s summary) stops(other summary) bool {
+// availabilityDiffers reports whether new work for the host must stop or may begin.
+func (s summary) availabilityDiffers(other summary) bool {
 	return s.leaving != other.leaving || s.lost != other.lost
 }
 
-// loadDiffers reports whether the load changed so far that it is worth bytes:
-// small moves are not, since every router corrects them by what it sent itself.
+// loadDiffers reports whether the load changed enough to be worth sending. Small changes
+// are not, since every router adjusts the load by the requests that it sent itself.
 func (s summary) loadDiffers(other summary) bool {
 	step := max(2, s.slots/4)
 	return s.load-other.load >= step || other.load-s.load >= step
 }
 
-// mark is what one receiver last knew of one host, from us or in its own reports.
-type mark struct {
+// knownReport describes the last report of one host that one receiver is known to have,
+// either sent to it or received from it.
+type knownReport struct {
 	summary  summary
 	sequence uint64
 	at       time.Time
-	// whole is the sequence of the whole report behind it, sent at wholeAt.
-	whole   uint64
-	wholeAt time.Time
+	// fullSequence is the sequence of the full report that it is based on, and
+	// fullSentAt the time when that one was sent or received.
+	fullSequence uint64
+	fullSentAt   time.Time
 }
 
-// wholeRefreshes is how many refreshes after a whole report it is sent again:
-// the prefixes and counters in it are then older than what they describe.
-const wholeRefreshes = 3
+// refreshesPerFullReport is the number of refresh intervals after which a full report is sent
+// again, since its prefixes and counters are outdated by then.
+const refreshesPerFullReport = 3
 
-// Digest remembers what one receiver knows, so that a message bears only news.
-// It is not safe for concurrent use.
+// Digest tracks which reports of hosts one receiver has, so that a message carries only
+// changes. It is not safe for concurrent use.
 type Digest struct {
-	marks map[string]mark
-	// refresh is the age at which an unchanged report is sent again: a message
-	// may have been lost.
-	refresh time.Duration
-	// routes: the receiver sends requests to hosts, so their load is news.
-	routes bool
+	known map[string]knownReport
+	// refreshInterval is the age at which an unchanged report is sent again, since a
+	// message may have been lost.
+	refreshInterval time.Duration
+	// receiverRoutes is set if the receiver sends requests to hosts and so needs their load.
+	receiverRoutes bool
 }
 
-// NewDigest returns the memory for one receiver; routes says that it sends
-// requests to hosts.
-func NewDigest(refresh time.Duration, routes bool) *Digest {
-	return &Digest{marks: map[string]mark{}, refresh: refresh, routes: routes}
+// NewDigest returns an empty Digest for one receiver. Set receiverRoutes if the receiver
+// sends requests to hosts.
+func NewDigest(refresh time.Duration, receiverRoutes bool) *Digest {
+	return &Digest{known: map[string]knownReport{}, refreshInterval: refresh, receiverRoutes: receiverRoutes}
 }
 
 // SetRefresh changes the age at which an unchanged report is sent again.
-func (d *Digest) SetRefresh(refresh time.Duration) { d.refresh = refresh }
+func (d *Digest) SetRefresh(refresh time.Duration) { d.refreshInterval = refresh }
 
-// Received notes that the receiver itself sent the report, made whole here.
+// Received records a report that came from the receiver itself, after any amendment was
+// completed to a full report.
 func (d *Digest) Received(report *wire.HostReport, now time.Time) {
 	id := report.GetNode().GetId()
-	next := mark{
+	next := knownReport{
 		summary: summarize(report), sequence: report.GetSequence(), at: now,
-		whole: membership.WholeSequence(report), wholeAt: now,
+		fullSequence: membership.WholeSequence(report), fullSentAt: now,
 	}
-	if held := d.marks[id]; held.whole >= next.whole && held.summary.incarnation == next.summary.incarnation {
-		next.whole, next.wholeAt = held.whole, held.wholeAt
+	if held := d.known[id]; held.fullSequence >= next.fullSequence && held.summary.incarnation == next.summary.incarnation {
+		next.fullSequence, next.fullSentAt = held.fullSequence, held.fullSentAt
 	}
-	d.marks[id] = next
+	d.known[id] = next
 }
 
-// Lose notes that the receiver lacks the whole report.
-func (d *Digest) Lose(id string) { delete(d.marks, id) }
+// Lose records that the receiver lacks the full report of a host.
+func (d *Digest) Lose(id string) { delete(d.known, id) }
 
-// compose returns the report as it should be sent, and notes that it is.
-func (d *Digest) compose(report *wire.HostReport, now time.Time) *wire.HostReport {
+// prepareAndRecord returns the report as it should be sent, in full or as an amendment, and
+// records it as sent.
+func (d *Digest) prepareAndRecord(report *wire.HostReport, now time.Time) *wire.HostReport {
 	id := report.GetNode().GetId()
-	held, seen := d.marks[id]
-	next := mark{
+	held, seen := d.known[id]
+	next := knownReport{
 		summary: summarize(report), sequence: report.GetSequence(), at: now,
-		whole: report.GetSequence(), wholeAt: now,
+		fullSequence: report.GetSequence(), fullSentAt: now,
 	}
-	if !seen || next.summary.differs(held.summary) || now.Sub(held.wholeAt) >= wholeRefreshes*d.refresh {
-		d.marks[id] = next
-		if !d.routes {
+	if !seen || next.summary.needsFullReport(held.summary) || now.Sub(held.fullSentAt) >= refreshesPerFullReport*d.refreshInterval {
+		d.known[id] = next
+		if !d.receiverRoutes {
 			return WithoutLoad(report)
 		}
 		return Copy(report)
 	}
-	next.whole, next.wholeAt = held.whole, held.wholeAt
-	d.marks[id] = next
-	amendment := membership.Amend(report, held.whole)
-	if !d.routes {
+	next.fullSequence, next.fullSentAt = held.fullSequence, held.fullSentAt
+	d.known[id] = next
+	amendment := membership.Amend(report, held.fullSequence)
+	if !d.receiverRoutes {
 		amendment.Running, amendment.Queued, amendment.TokensPerSecond, amendment.TokenGapMillis = 0, 0, 0, 0
 		amendment.Revision, amendment.PlanRevision = 0, 0
-		amendment.Home = "" // one entry alone reports a host to it
+		amendment.Home = "" // such a receiver gets the reports of a host from only one entry
 	}
 	return amendment
 }
 
-// Forget drops the marks of hosts that are not in the set, to bound them.
-func (d *Digest) Forget(known func(id string) bool) {
-	for id := range d.marks {
-		if !known(id) {
-			delete(d.marks, id)
+// Forget drops the records of hosts that no longer exist, to bound memory.
+func (d *Digest) Forget(exists func(id string) bool) {
+	for id := range d.known {
+		if !exists(id) {
+			delete(d.known, id)
 		}
 	}
 }
 
-// Len returns the number of hosts remembered.
-func (d *Digest) Len() int { return len(d.marks) }
+// Len returns the number of hosts on record.
+func (d *Digest) Len() int { return len(d.known) }
 
-// urgency orders what a receiver should get.
+// urgency is the priority of a report for a receiver; lower values go first.
 type urgency int
 
 const (
-	// urgent: new work must stop or may begin; it does not wait for bytes.
+	// urgent: new work for the host must stop or may begin. The byte limit does not
+	// apply to such a report.
 	urgent urgency = iota
-	// changed: other states, another home, a host unknown to it.
+	// changed: the states or the home differ, or the receiver has no report of the host.
 	changed
-	// routine: another load, or a refresh.
+	// routine: the load differs, or a refresh is due.
 	routine
-	// known: nothing to send.
-	known
+	// upToDate: there is nothing to send.
+	upToDate
 )
 
-// news returns how soon the receiver should get the report.
-func (d *Digest) news(report *wire.HostReport, now time.Time) urgency {
-	held, seen := d.marks[report.GetNode().GetId()]
+// urgencyOf returns how urgently the receiver needs the report.
+func (d *Digest) urgencyOf(report *wire.HostReport, now time.Time) urgency {
+	held, seen := d.known[report.GetNode().GetId()]
 	if !seen {
 		return changed
 	}
-	fresh := summarize(report)
-	if fresh.incarnation == held.summary.incarnation && report.GetSequence() == held.sequence {
-		if fresh.lost && !held.summary.lost {
+	current := summarize(report)
+	if current.incarnation == held.summary.incarnation && report.GetSequence() == held.sequence {
+		if current.lost && !held.summary.lost {
 			return urgent
 		}
-		return known
+		return upToDate
 	}
 	switch {
-	case !membership.Newer(fresh.incarnation, report.GetSequence(), held.summary.incarnation, held.sequence):
-		return known
-	case fresh.stops(held.summary):
+	case !membership.Newer(current.incarnation, report.GetSequence(), held.summary.incarnation, held.sequence):
+		return upToDate
+	case current.availabilityDiffers(held.summary):
 		return urgent
-	case fresh.differs(held.summary) || fresh.home != held.summary.home:
+	case current.needsFullReport(held.summary) || current.home != held.summary.home:
 		return changed
-	case now.Sub(held.at) >= d.refresh || (d.routes && fresh.loadDiffers(held.summary)):
+	case now.Sub(held.at) >= d.refreshInterval || (d.receiverRoutes && current.loadDiffers(held.summary)):
 		return routine
 	}
-	return known
+	return upToDate
 }
 
-// item is a candidate that the receiver should get.
-type item struct {
+// rankedCandidate is a candidate that the receiver should get, with its urgency.
+type rankedCandidate struct {
 	Candidate
 
 	urgency urgency
 }
 
-// Select returns the reports for one message, at most the given bytes but for
-// urgent ones: the most urgent first, then those of hosts at home with the
-// sender, then the nearest, then the newest. What does not fit waits for the
-// next message.
-func (d *Digest) Select(candidates []Candidate, now time.Time, bytes int) []*wire.HostReport {
-	var news []item
+// Select returns the reports for one message and records them as sent. They are ordered by
+// urgency, then hosts that report to the sender first, then by nearness, then newest first.
+// Only urgent reports may exceed the byte limit; what does not fit waits for the next message.
+func (d *Digest) Select(candidates []Candidate, now time.Time, byteLimit int) []*wire.HostReport {
+	var pending []rankedCandidate
 	for _, candidate := range candidates {
-		if urgency := d.news(candidate.Report, now); urgency != known {
-			news = append(news, item{Candidate: candidate, urgency: urgency})
+		if urgency := d.urgencyOf(candidate.Report, now); urgency != upToDate {
+			pending = append(pending, rankedCandidate{Candidate: candidate, urgency: urgency})
 		}
 	}
-	slices.SortFunc(news, order)
+	slices.SortFunc(pending, byPriority)
 	var chosen []*wire.HostReport
-	for _, candidate := range news {
+	for _, candidate := range pending {
 		id := candidate.Report.GetNode().GetId()
-		before, seen := d.marks[id]
-		report := d.compose(candidate.Report, now)
+		before, seen := d.known[id]
+		report := d.prepareAndRecord(candidate.Report, now)
 		size := proto.Size(report)
-		if size > bytes && candidate.urgency != urgent {
+		if size > byteLimit && candidate.urgency != urgent {
 			d.restore(id, before, seen)
 			break
 		}
-		bytes -= size
-		report.AgeMillis = millis(now.Sub(candidate.SeenAt))
+		byteLimit -= size
+		report.AgeMillis = ageMillis(now.Sub(candidate.SeenAt))
 		chosen = append(chosen, report)
 	}
 	return chosen
 }
 
-// restore takes back what was noted of a report that did not fit.
-func (d *Digest) restore(id string, before mark, seen bool) {
+// restore undoes the record of a report that did not fit.
+func (d *Digest) restore(id string, before knownReport, seen bool) {
 	if !seen {
-		delete(d.marks, id)
+		delete(d.known, id)
 		return
 	}
-	d.marks[id] = before
+	d.known[id] = before
 }
 
-func order(a, b item) int {
+// byPriority compares two candidates in the order that Select describes.
+func byPriority(a, b rankedCandidate) int {
 	if byUrgency := cmp.Compare(a.urgency, b.urgency); byUrgency != 0 {
 		return byUrgency
 	}
@@ -280,14 +286,14 @@
 	return Far
 }
 
-// millis returns an age as messages bear it; the receiver's clock is never
-// compared with the sender's.
-func millis(age time.Duration) uint32 {
+// ageMillis returns an age in milliseconds, as messages carry it. They carry ages and not
+// times, so that the receiver's clock is never compared with the sender's.
+func ageMillis(age time.Duration) uint32 {
 	return uint32(min(max(0, age.Milliseconds()), int64(^uint32(0))))
 }
 
-// WithoutLoad returns what of a report serves a process that sends no requests
-// to the host: where it is and what it holds.
+// WithoutLoad returns a copy of a report for a process that sends no requests to the host.
+// It keeps where the host is and which versions it holds, and omits the load.
 func WithoutLoad(report *wire.HostReport) *wire.HostReport {
 	return &wire.HostReport{
 		Node: report.GetNode(), Sequence: report.GetSequence(), Leaving: report.GetLeaving(),
@@ -296,7 +302,7 @@
 	}
 }
 
-// Copy returns a shallow copy as a whole report: lists and messages inside are
+// Copy returns a shallow copy of a report as a full report. Lists and messages inside are
 // shared.
 func Copy(report *wire.HostReport) *wire.HostReport {
 	return &wire.HostReport{
--- a/relay/spread/sample.go
+++ b/relay/spread/sample.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// smallFleet is the number of hosts up to which each agent learns of all.
-	smallFleet = 300
-	// sampleSize bounds the far hosts that an agent of a large fleet learns of.
+	// maxUnsampledFleet is the number of hosts up to which each agent is told about all.
+	maxUnsampledFleet = 300
+	// sampleSize bounds the hosts of other failure domains that an agent of a larger fleet
+	// is told about.
 	sampleSize = 64
 )
 
-// WeightPeers returns the hosts that an agent learns of: all of a small fleet;
-// of a large one those of its failure domain and a sample by rendezvous hash,
-// so that chunks find a way into every failure domain at a bounded cost.
+// WeightPeers returns the hosts that an agent is told about, from which it can fetch weights. In
+// a small fleet these are all hosts; in a large one those of its failure domain and a sample of
+// others by rendezvous hash, so that chunks reach every failure domain at a bounded cost.
 func WeightPeers(agent *wire.Node, hosts []Candidate) []Candidate {
-	if len(hosts) <= smallFleet {
-		return without(agent.GetId(), hosts)
+	if len(hosts) <= maxUnsampledFleet {
+		return excluding(agent.GetId(), hosts)
 	}
 	var chosen []Candidate
 	far := make([]string, 0, len(hosts))
 	byID := make(map[string]Candidate, len(hosts))
-	for _, host := range without(agent.GetId(), hosts) {
+	for _, host := range excluding(agent.GetId(), hosts) {
 		node := host.Report.GetNode()
 		if node.GetFailureDomain() == agent.GetFailureDomain() {
 			chosen = append(chosen, host)
@@ -37,7 +38,8 @@
 	return chosen
 }
 
-func without(id string, hosts []Candidate) []Candidate {
+// excluding returns the hosts without the one with the given id.
+func excluding(id string, hosts []Candidate) []Candidate {
 	kept := make([]Candidate, 0, len(hosts))
 	for _, host := range hosts {
 		if host.Report.GetNode().GetId() != id {
--- a/relay/spread/spread_test.go
+++ b/relay/spread/spread_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
 
-func deployment(count, domains int) []*wire.Node {
+// entryNodes returns entries spread evenly over failure domains.
+func entryNodes(count, domains int) []*wire.Node {
 	nodes := make([]*wire.Node, count)
 	for i := range nodes {
 		nodes[i] = &wire.Node{
@@ -24,25 +25,25 @@
 	return nodes
 }
 
-// TestNewsReachesEveryEntry: an entry receives news from the neighbours it calls.
-// Were the graph of calls in two parts, a revision would stop at the border
-// until the safety net's slow read.
+// TestNewsReachesEveryEntry checks that the graph of calls is connected. An entry receives
+// updates from the neighbours it calls, so in a graph of two parts an update would reach one of
+// them only with the slow read that serves as a fallback.
 func TestNewsReachesEveryEntry(t *testing.T) {
 	for _, count := range []int{1, 2, 9, 13, 40, 820} {
-		nodes := deployment(count, min(count, 34))
+		nodes := entryNodes(count, min(count, 34))
 		rounds, calls := flood(nodes)
 		t.Logf("%d entries: %d rounds, at most %d calls from one", count, rounds, calls)
 		if rounds < 0 {
-			t.Errorf("got entries that never hear of news among %d, want none", count)
+			t.Errorf("got entries that updates never reach among %d, want none", count)
 		}
-		if calls > smallDeployment {
-			t.Errorf("got %d calls kept by one of %d entries, want at most %d", calls, count, smallDeployment)
+		if calls > maxFullMesh {
+			t.Errorf("got %d calls kept by one of %d entries, want at most %d", calls, count, maxFullMesh)
 		}
 	}
 }
 
-// flood counts the rounds until all have learned of the first node's news; -1
-// where some never do.
+// flood returns the number of rounds until an update of the first node has reached all nodes,
+// or -1 if it never does, and the largest number of calls kept by one node.
 func flood(nodes []*wire.Node) (rounds, mostCalls int) {
 	neighbours := map[string][]string{}
 	for _, node := range nodes {
@@ -51,12 +52,12 @@
 		}
 		mostCalls = max(mostCalls, len(neighbours[node.GetId()]))
 	}
-	heard := map[string]bool{nodes[0].GetId(): true}
-	for len(heard) < len(nodes) {
+	informed := map[string]bool{nodes[0].GetId(): true}
+	for len(informed) < len(nodes) {
 		var next []string
 		for _, node := range nodes {
 			for _, other := range neighbours[node.GetId()] {
-				if heard[other] && !heard[node.GetId()] {
+				if informed[other] && !informed[node.GetId()] {
 					next = append(next, node.GetId())
 				}
 			}
@@ -65,21 +66,21 @@
 			return -1, mostCalls
 		}
 		for _, id := range next {
-			heard[id] = true
+			informed[id] = true
 		}
 		rounds++
 	}
 	return rounds, mostCalls
 }
 
-// TestNeighboursOfAnyDeployment: with any set of entries, however spread over
-// failure domains, the graph of calls stays whole.
-func TestNeighboursOfAnyDeployment(t *testing.T) {
+// TestNeighbourGraphIsConnected checks that the graph of calls is connected for any set of
+// entries, however spread over failure domains.
+func TestNeighbourGraphIsConnected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := deployment(rapid.IntRange(1, 80).Draw(t, "entries"), rapid.IntRange(1, 12).Draw(t, "domains"))
+		nodes := entryNodes(rapid.IntRange(1, 80).Draw(t, "entries"), rapid.IntRange(1, 12).Draw(t, "domains"))
 		nodes = nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "gone"):]
 		if rounds, _ := flood(nodes); rounds < 0 {
-			t.Fatal("got entries that never hear of news, want none")
+			t.Fatal("got entries that updates never reach, want none")
 		}
 	})
 }
@@ -101,7 +102,7 @@
 
 func TestDigestSendsNewsOnce(t *testing.T) {
 	digest := NewDigest(10*time.Second, true)
-	send := func(at time.Duration, reports ...*wire.HostReport) string {
+	selectIDs := func(at time.Duration, reports ...*wire.HostReport) string {
 		var candidates []Candidate
 		for _, report := range reports {
 			candidates = append(candidates, Candidate{Report: report, SeenAt: start, Home: true})
@@ -123,15 +124,15 @@
 		got  string
 		want string
 	}{
-		{"first", send(0, report("a", 1)), "a "},
-		{"same again", send(time.Second, report("a", 1)), ""},
-		{"nothing worth sending", send(2*time.Second, report("a", 2)), ""},
-		{"refresh", send(11*time.Second, report("a", 3)), "a "},
-		{"another state", send(12*time.Second, changed), "a "},
-		{"a little busier", send(13*time.Second, busier), ""},
-		{"much busier", send(14*time.Second, busy), "a "},
-		{"lost, with the same sequence", send(15*time.Second, lost), "a "},
-		{"an older one", send(60*time.Second, report("a", 2)), ""},
+		{"first", selectIDs(0, report("a", 1)), "a "},
+		{"same again", selectIDs(time.Second, report("a", 1)), ""},
+		{"nothing worth sending", selectIDs(2*time.Second, report("a", 2)), ""},
+		{"refresh", selectIDs(11*time.Second, report("a", 3)), "a "},
+		{"another state", selectIDs(12*time.Second, changed), "a "},
+		{"a little busier", selectIDs(13*time.Second, busier), ""},
+		{"much busier", selectIDs(14*time.Second, busy), "a "},
+		{"lost, with the same sequence", selectIDs(15*time.Second, lost), "a "},
+		{"an older one", selectIDs(60*time.Second, report("a", 2)), ""},
 	} {
 		if step.got != step.want {
 			t.Errorf("%s: got %q sent, want %q", step.name, step.got, step.want)
@@ -139,7 +140,7 @@
 	}
 }
 
-func TestDigestKeepsToItsBytes(t *testing.T) {
+func TestDigestStaysWithinByteLimit(t *testing.T) {
 	digest := NewDigest(10*time.Second, true)
 	var candidates []Candidate
 	for i := range 50 {
@@ -195,7 +196,7 @@
 	}
 }
 
-func TestAllowanceBoundsARate(t *testing.T) {
+func TestAllowanceLimitsRate(t *testing.T) {
 	allowance := NewAllowance(100, 300, start)
 	sent := 0
 	for i := range 100 {
