--- a/ctl/internal/client/attempts.go
+++ b/ctl/internal/client/attempts.go
@@ -13,8 +13,8 @@
 	last      error
 }
 
-// settles reports whether no other entry needs to be asked.
-func (a *attempts) settles(err error) bool {
+// isFinal reports whether no other entry needs to be asked.
+func (a *attempts) isFinal(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.Unavailable, failure.Leaving, failure.Ambiguous, failure.Exhausted:
 		return false
@@ -23,25 +23,25 @@
 	}
 }
 
-// settled returns what a definite reply means after the earlier tries. A
+// finalError returns what a definite reply means after the earlier tries. A
 // conflict may be with a change of our own whose reply was lost.
-func (a *attempts) settled(err error) error {
+func (a *attempts) finalError(err error) error {
 	if err != nil && a.ambiguous != nil && failure.KindOf(err) == failure.Conflict {
 		return &MaybeOwnConflict{conflict: err}
 	}
 	return err
 }
 
-func (a *attempts) note(err error) {
+func (a *attempts) record(err error) {
 	a.last = err
 	if a.isChange && failure.KindOf(err) == failure.Ambiguous {
 		a.ambiguous = err
 	}
 }
 
-// giveUp returns the error for a request that no entry settled; interrupted is
+// unsettledError returns the error for a request that no entry settled; interrupted is
 // why the tries stopped early, nil where all were made.
-func (a *attempts) giveUp(interrupted error) error {
+func (a *attempts) unsettledError(interrupted error) error {
 	if a.ambiguous != nil {
 		return failure.New(failure.Ambiguous, "it may have taken effect or not: "+withoutRemedy(a.ambiguous),
 			"look at status and audit before you try again")
--- a/ctl/internal/client/client.go
+++ b/ctl/internal/client/client.go
@@ -22,10 +22,10 @@
 const (
 	// maxReplyBytes bounds what is read of one reply.
 	maxReplyBytes = 64 << 20
-	// rounds is how often the whole list of entries is tried.
-	rounds = 3
-	// firstPause doubles after each round that found no entry.
-	firstPause = 300 * time.Millisecond
+	// maxRounds is how often the whole list of entries is tried.
+	maxRounds = 3
+	// initialBackoff doubles after each round that found no entry.
+	initialBackoff = 300 * time.Millisecond
 )
 
 // Options configure a Client.
@@ -47,8 +47,8 @@
 // the next time. It is not safe for concurrent use.
 type Client struct {
 	opts Options
-	// first is the index of the entry that replied last.
-	first int
+	// preferred is the index of the entry that replied last.
+	preferred int
 	// notified holds the lines that Notify got: polling repeats them.
 	notified map[string]bool
 }
@@ -101,37 +101,37 @@
 		return err
 	}
 	attempts := &attempts{isChange: method != http.MethodGet}
-	pause := firstPause
-	for round := range rounds {
+	backoff := initialBackoff
+	for round := range maxRounds {
 		if round > 0 {
-			if err := c.wait(ctx, pause); err != nil {
-				return attempts.giveUp(err)
+			if err := c.wait(ctx, backoff); err != nil {
+				return attempts.unsettledError(err)
 			}
-			pause *= 2
+			backoff *= 2
 		}
-		if settled, err := c.round(ctx, attempts, method, path, text, into); settled {
+		if final, err := c.tryEntries(ctx, attempts, method, path, text, into); final {
 			return err
 		}
 	}
-	return attempts.giveUp(nil)
+	return attempts.unsettledError(nil)
 }
 
-// round asks each entry once and reports whether one settled the request.
-func (c *Client) round(ctx context.Context, attempts *attempts, method, path string, text []byte, into any) (bool, error) {
+// tryEntries asks each entry once and reports whether one settled the request.
+func (c *Client) tryEntries(ctx context.Context, attempts *attempts, method, path string, text []byte, into any) (bool, error) {
 	count := len(c.opts.Entries)
-	begin := c.first
+	start := c.preferred
 	for i := range count {
-		at := (begin + i) % count
-		answer, err := c.once(ctx, c.opts.Entries[at], method, path, text)
+		index := (start + i) % count
+		answer, err := c.send(ctx, c.opts.Entries[index], method, path, text)
 		if err == nil {
-			err = read(answer, into, method)
+			err = decodeReply(answer, into, method)
 		}
-		if err == nil || attempts.settles(err) {
-			c.first = at
-			return true, attempts.settled(err)
+		if err == nil || attempts.isFinal(err) {
+			c.preferred = index
+			return true, attempts.finalError(err)
 		}
-		attempts.note(err)
-		c.notify(c.opts.Entries[at], err)
+		attempts.record(err)
+		c.notify(c.opts.Entries[index], err)
 	}
 	return false, nil
 }
@@ -145,16 +145,16 @@
 	c.opts.Notify(line)
 }
 
-func (c *Client) wait(ctx context.Context, pause time.Duration) error {
+func (c *Client) wait(ctx context.Context, backoff time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-c.opts.Clock.After(pause):
+	case <-c.opts.Clock.After(backoff):
 		return nil
 	}
 }
 
-func (c *Client) once(ctx context.Context, entry, method, path string, text []byte) (*reply, error) {
+func (c *Client) send(ctx context.Context, entry, method, path string, text []byte) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+entry+path, bytes.NewReader(text))
@@ -169,25 +169,25 @@
 	}
 	response, err := c.opts.Send(request)
 	if err != nil {
-		return nil, lost(err)
+		return nil, classifySendError(err)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, lost(err)
+		return nil, classifySendError(err)
 	}
 	return &reply{status: response.StatusCode, body: content}, nil
 }
 
-// lost distinguishes a request that never left, which had no effect, from one
+// classifySendError distinguishes a request that never left, which had no effect, from one
 // whose reply did not come, which may have had one.
-func lost(err error) error {
-	var address *url.Error
-	if errors.As(err, &address) {
-		err = address.Err // the entry is named elsewhere
+func classifySendError(err error) error {
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) {
+		err = urlErr.Err // the entry is named elsewhere
 	}
-	var network *net.OpError
-	if errors.As(err, &network) && network.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return failure.Wrap(err, failure.Unavailable, "the entry cannot be reached", "name another with --entry")
 	}
 	return failure.Wrap(err, failure.Ambiguous, "no whole reply came", "ask for the state before you try again")
--- a/ctl/internal/client/client_test.go
+++ b/ctl/internal/client/client_test.go
@@ -18,7 +18,7 @@
 // Symptom: an operator reads that a change failed, though it is in force.
 // Events: the entry accepts the submission and its host dies before the reply
 // left. Cause: a broken connection taken for a refusal.
-func TestLostReplyOverTheNetworkIsSettled(t *testing.T) {
+func TestSubmitRetriesAfterLostReply(t *testing.T) {
 	var mu sync.Mutex
 	ids := map[string]int{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,11 +37,11 @@
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	asked, err := client.New(client.Options{Entries: []string{address, address}, Timeout: 10 * time.Second, Clock: clockwork.NewFakeClock()})
+	apiClient, err := client.New(client.Options{Entries: []string{address, address}, Timeout: 10 * time.Second, Clock: clockwork.NewFakeClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	revision, err := asked.Submit(t.Context(), &client.Submission{BaseRevision: 7, SubmissionID: "one", Document: []byte("{}")})
+	revision, err := apiClient.Submit(t.Context(), &client.Submission{BaseRevision: 7, SubmissionID: "one", Document: []byte("{}")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,12 +53,12 @@
 	}
 }
 
-func TestNobodyListensIsCertainlyNoChange(t *testing.T) {
+func TestRefusedConnectionIsUnavailable(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
 	clock := clockwork.NewFakeClock()
-	asked, err := client.New(client.Options{Entries: []string{address}, Timeout: 10 * time.Second, Clock: clock})
+	apiClient, err := client.New(client.Options{Entries: []string{address}, Timeout: 10 * time.Second, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 			clock.Advance(time.Minute)
 		}
 	}()
-	_, err = asked.Submit(t.Context(), &client.Submission{SubmissionID: "one", Document: []byte("{}")})
+	_, err = apiClient.Submit(t.Context(), &client.Submission{SubmissionID: "one", Document: []byte("{}")})
 	if got, want := failure.KindOf(err), failure.Unavailable; got != want {
 		t.Errorf("got %v (%v), want %v", got, err, want)
 	}
--- a/ctl/internal/client/document.go
+++ b/ctl/internal/client/document.go
@@ -71,8 +71,8 @@
 	Revision uint32 `json:"revision"`
 }
 
-// check refuses a success without a revision: whoever sent it is no entry.
-func (a *accepted) check() error {
+// validate refuses a success without a revision: whoever sent it is no entry.
+func (a *accepted) validate() error {
 	if a.Revision > 0 {
 		return nil
 	}
@@ -84,10 +84,10 @@
 	var got accepted
 	err := c.call(ctx, http.MethodPost, "/v1/document", change, &got)
 	if err == nil {
-		err = got.check()
+		err = got.validate()
 	}
 	if err != nil {
-		return c.settle(ctx, err, change.BaseRevision, change.SubmissionID)
+		return c.resolveConflict(ctx, err, change.BaseRevision, change.SubmissionID)
 	}
 	return got.Revision, nil
 }
@@ -105,26 +105,26 @@
 	var got accepted
 	err := c.call(ctx, http.MethodPost, "/v1/document/rollback", change, &got)
 	if err == nil {
-		err = got.check()
+		err = got.validate()
 	}
 	if err != nil {
-		return c.settle(ctx, err, change.BaseRevision, change.SubmissionID)
+		return c.resolveConflict(ctx, err, change.BaseRevision, change.SubmissionID)
 	}
 	return got.Revision, nil
 }
 
-// settleLimit is how many records behind the base are searched.
-const settleLimit = 100
+// maxResolveRecords is how many records behind the base are searched.
+const maxResolveRecords = 100
 
-// settle looks for the caller's own submission in the audit trail where a
+// resolveConflict looks for the caller's own submission in the audit trail where a
 // conflict came after a lost reply: without it an accepted change, followed by
 // somebody else's, would be reported as refused.
-func (c *Client) settle(ctx context.Context, err error, base uint32, submission string) (uint32, error) {
+func (c *Client) resolveConflict(ctx context.Context, err error, base uint32, submission string) (uint32, error) {
 	var maybe *MaybeOwnConflict
 	if !errors.As(err, &maybe) {
 		return 0, err
 	}
-	trail, auditErr := c.Audit(ctx, base+1, settleLimit)
+	trail, auditErr := c.Audit(ctx, base+1, maxResolveRecords)
 	if auditErr != nil {
 		return 0, failure.Wrap(auditErr, failure.Ambiguous, "a reply was lost, then somebody else's change was found",
 			"look for your reason in the audit trail before you try again")
--- a/ctl/internal/client/reply.go
+++ b/ctl/internal/client/reply.go
@@ -51,10 +51,10 @@
 // Unwrap returns the failure with its kind and remedy.
 func (i *InvalidDocument) Unwrap() error { return i.cause }
 
-// read decodes a success into the given value and turns the rest into errors.
-func read(answer *reply, into any, method string) error {
+// decodeReply decodes a success into the given value and turns the rest into errors.
+func decodeReply(answer *reply, into any, method string) error {
 	if answer.status != http.StatusOK {
-		return readError(answer, method)
+		return decodeError(answer, method)
 	}
 	if into == nil {
 		return nil
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func readError(answer *reply, method string) error {
+func decodeError(answer *reply, method string) error {
 	var body errorBody
 	if err := json.Unmarshal(answer.body, &body); err != nil {
 		body = errorBody{}
