--- a/ctl/internal/client/attempts.go
+++ b/ctl/internal/client/attempts.go
@@ -6,14 +6,15 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// attempts remembers how the tries of one request ended.
+// attempts records the outcomes of the attempts at one request.
 type attempts struct {
 	isChange  bool
-	ambiguous error // the last try whose effect is not known; nil if none
+	ambiguous error // the last attempt that may have taken effect; nil if none
 	last      error
 }
 
-// isFinal reports whether no other entry needs to be asked.
+// isFinal reports whether err, the outcome of one attempt, is a definite result,
+// so that no other entry needs to be tried.
 func (a *attempts) isFinal(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.Unavailable, failure.Leaving, failure.Ambiguous, failure.Exhausted:
@@ -23,8 +24,9 @@
 	}
 }
 
-// finalError returns what a definite reply means after the earlier tries. A
-// conflict may be with a change of our own whose reply was lost.
+// finalError returns the error of the whole request after a definite result. A
+// conflict after an ambiguous attempt becomes a MaybeOwnConflict, because the
+// conflicting change may be this request itself, whose reply was lost.
 func (a *attempts) finalError(err error) error {
 	if err != nil && a.ambiguous != nil && failure.KindOf(err) == failure.Conflict {
 		return &MaybeOwnConflict{conflict: err}
@@ -32,6 +34,7 @@
 	return err
 }
 
+// record stores the error of an attempt that was not final.
 func (a *attempts) record(err error) {
 	a.last = err
 	if a.isChange && failure.KindOf(err) == failure.Ambiguous {
@@ -39,8 +42,8 @@
 	}
 }
 
-// unsettledError returns the error for a request that no entry settled; interrupted is
-// why the tries stopped early, nil where all were made.
+// unsettledError returns the error for a request without a definite result.
+// interrupted is the reason the attempts stopped early, nil if all were made.
 func (a *attempts) unsettledError(interrupted error) error {
 	if a.ambiguous != nil {
 		return failure.New(failure.Ambiguous, "it may have taken effect or not: "+withoutRemedy(a.ambiguous),
@@ -53,7 +56,8 @@
 		"name other entries with --entry, or try again later")
 }
 
-// withoutRemedy returns what happened, for an error with a remedy of its own.
+// withoutRemedy returns the message of err without its remedy, for use in an
+// error that has its own remedy.
 func withoutRemedy(err error) string {
 	var problem *failure.Error
 	if !errors.As(err, &problem) {
@@ -65,8 +69,8 @@
 	return problem.Message()
 }
 
-// MaybeOwnConflict is a conflict that came after a try whose reply was lost:
-// the change in the way may be the caller's own.
+// MaybeOwnConflict is a conflict returned after an attempt whose reply was lost:
+// the conflicting change may be the caller's own.
 type MaybeOwnConflict struct {
 	conflict error
 }
--- a/ctl/internal/client/client.go
+++ b/ctl/internal/client/client.go
@@ -1,4 +1,5 @@
-// Package client speaks the operators' HTTP API of any of several entries.
+// Package client is an HTTP client for the operator API, with failover between
+// several entries.
 package client
 
 import (
@@ -20,40 +21,43 @@
 )
 
 const (
-	// maxReplyBytes bounds what is read of one reply.
+	// maxReplyBytes limits how much of a response body is read.
 	maxReplyBytes = 64 << 20
-	// maxRounds is how often the whole list of entries is tried.
+	// maxRounds is the number of passes over the list of entries.
 	maxRounds = 3
-	// initialBackoff doubles after each round that found no entry.
+	// initialBackoff is the delay before the second pass. It doubles after each
+	// pass in which no entry gave a definite reply.
 	initialBackoff = 300 * time.Millisecond
 )
 
 // Options configure a Client.
 type Options struct {
-	// Entries are IP addresses with ports, tried in order.
+	// Entries lists the addresses (IP:PORT) of the entries, in the order to try.
 	Entries []string
-	// Key is the bearer key; empty sends none.
+	// Key is sent as the bearer token; no token is sent if it is empty.
 	Key string
-	// Timeout bounds one attempt at one entry.
+	// Timeout limits one attempt at one entry.
 	Timeout time.Duration
 	Clock   clockwork.Clock
-	// Send replaces the HTTP client in tests; nil sends over the network.
+	// Send replaces the HTTP client in tests; if nil, requests go over the network.
 	Send func(*http.Request) (*http.Response, error)
-	// Notify shows the person at the terminal why another entry is tried.
+	// Notify tells the user why another entry is tried.
 	Notify func(line string)
 }
 
-// Client tries the entries in order until one replies, and begins with that one
-// the next time. It is not safe for concurrent use.
+// Client sends each request to the entries in order until one gives a definite
+// reply, and starts with that entry the next time. It is not safe for concurrent
+// use.
 type Client struct {
 	opts Options
-	// preferred is the index of the entry that replied last.
+	// preferred is the index of the entry that last gave a definite reply.
 	preferred int
-	// notified holds the lines that Notify got: polling repeats them.
+	// notified holds the lines already passed to Notify, so that polling does
+	// not repeat them.
 	notified map[string]bool
 }
 
-// New checks the options and makes a Client.
+// New validates the options and returns a Client.
 func New(opts Options) (*Client, error) {
 	if len(opts.Entries) == 0 {
 		return nil, failure.New(failure.Invalid, "no entry is named", "name one with --entry IP:PORT or COMFREY_ENTRY")
@@ -73,8 +77,8 @@
 	return &Client{opts: opts, notified: map[string]bool{}}, nil
 }
 
-// newHTTPClient returns a client that never sends a request again by itself:
-// it makes a connection for each request and follows no redirect.
+// newHTTPClient returns an HTTP client that never resends a request by itself:
+// it opens a new connection for each request and does not follow redirects.
 func newHTTPClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
@@ -82,19 +86,20 @@
 	}
 }
 
-// reply is one entry's whole answer.
+// reply is the complete HTTP response of an entry.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// get reads a path from the first entry that replies.
+// get sends a GET request for path and decodes the reply into the value into.
 func (c *Client) get(ctx context.Context, path string, into any) error {
 	return c.call(ctx, http.MethodGet, path, nil, into)
 }
 
-// call sends one request to the entries in order. A change must be safe to
-// send twice: a reply may be lost after the change took effect.
+// call sends a request to the entries in order, retrying with exponential
+// backoff, and decodes the reply into the value into. Changes must be idempotent:
+// a reply may be lost after the change took effect, and the request is then resent.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	text, err := encode(body)
 	if err != nil {
@@ -116,7 +121,8 @@
 	return attempts.unsettledError(nil)
 }
 
-// tryEntries asks each entry once and reports whether one settled the request.
+// tryEntries tries each entry at most once and reports whether one of them gave
+// a definite result, together with the error of that result.
 func (c *Client) tryEntries(ctx context.Context, attempts *attempts, method, path string, text []byte, into any) (bool, error) {
 	count := len(c.opts.Entries)
 	start := c.preferred
@@ -136,6 +142,7 @@
 	return false, nil
 }
 
+// notify reports a failed attempt to the user, each distinct line once.
 func (c *Client) notify(entry string, err error) {
 	line := fmt.Sprintf("entry %s: %v", entry, err)
 	if c.notified[line] {
@@ -145,6 +152,7 @@
 	c.opts.Notify(line)
 }
 
+// wait sleeps for the backoff or until ctx is done.
 func (c *Client) wait(ctx context.Context, backoff time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -154,6 +162,7 @@
 	}
 }
 
+// send makes one attempt at one entry and reads the whole response.
 func (c *Client) send(ctx context.Context, entry, method, path string, text []byte) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -179,12 +188,13 @@
 	return &reply{status: response.StatusCode, body: content}, nil
 }
 
-// classifySendError distinguishes a request that never left, which had no effect, from one
-// whose reply did not come, which may have had one.
+// classifySendError returns Unavailable if the connection could not be opened, so
+// that the request had no effect, and Ambiguous if the reply is missing or
+// incomplete, so that the request may have taken effect.
 func classifySendError(err error) error {
 	var urlErr *url.Error
 	if errors.As(err, &urlErr) {
-		err = urlErr.Err // the entry is named elsewhere
+		err = urlErr.Err // drop the URL: the caller already names the entry
 	}
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -193,6 +203,7 @@
 	return failure.Wrap(err, failure.Ambiguous, "no whole reply came", "ask for the state before you try again")
 }
 
+// encode returns body as JSON, or nil if there is no body.
 func encode(body any) ([]byte, error) {
 	if body == nil {
 		return nil, nil
--- a/ctl/internal/client/client_test.go
+++ b/ctl/internal/client/client_test.go
@@ -15,9 +15,9 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Symptom: an operator reads that a change failed, though it is in force.
-// Events: the entry accepts the submission and its host dies before the reply
-// left. Cause: a broken connection taken for a refusal.
+// Guards against reporting a change as failed although it is in force: the entry
+// accepts the submission, its host dies before sending the reply, and the client
+// takes the broken connection for a rejection.
 func TestSubmitRetriesAfterLostReply(t *testing.T) {
 	var mu sync.Mutex
 	ids := map[string]int{}
@@ -53,6 +53,7 @@
 	}
 }
 
+// A change that no entry could receive is reported as not made, not as ambiguous.
 func TestRefusedConnectionIsUnavailable(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(server.URL, "http://")
--- a/ctl/internal/client/deployment.go
+++ b/ctl/internal/client/deployment.go
@@ -30,50 +30,52 @@
 	return got.Records, err
 }
 
-// Node is one process as the entry knows it.
+// Node is the state of one process, as last reported to the entry.
 type Node struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failureDomain"`
-	// Revision in force there, by its latest report.
+	// Revision is the one in force on the node, according to its latest report.
 	Revision     uint32 `json:"revision"`
 	PlanRevision uint32 `json:"planRevision"`
-	// AgeMillis is how old that report is.
+	// AgeMillis is the age of that report.
 	AgeMillis int64 `json:"ageMillis"`
 	Leaving   bool  `json:"leaving"`
 	Lost      bool  `json:"lost"`
-	// Load: requests running and queued on a host, or in flight at an entry.
+	// Running and Queued are the load: requests running and queued on a host,
+	// or in flight at an entry.
 	Running uint32 `json:"running"`
 	Queued  uint32 `json:"queued"`
 }
 
-// Status says what is in force and who knows it.
+// Status is the revision in force and the state of each node.
 type Status struct {
 	// Entry is the id of the entry that answered.
 	Entry        string `json:"entry"`
 	Revision     uint32 `json:"revision"`
 	PlanRevision uint32 `json:"planRevision"`
-	// AgeMillis is the time since the key-value service confirmed the revision;
-	// negative where it never did.
+	// AgeMillis is the time since the key-value service last confirmed the
+	// revision; negative if it never did.
 	AgeMillis int64 `json:"ageMillis"`
-	// LowestRevision is the lowest in force on any node that is not lost.
+	// LowestRevision is the lowest revision in force on any node that is not lost.
 	LowestRevision uint32 `json:"lowestRevision"`
 	Nodes          []Node `json:"nodes"`
 }
 
-// Status returns what one entry knows of the deployment.
+// Status returns the state of the deployment as one entry knows it.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	found := &Status{}
 	return found, c.get(ctx, "/v1/status", found)
 }
 
-// Progress is how far a version is in one failure domain.
+// Progress is the rollout progress of a model version in one failure domain.
 type Progress struct {
 	Model         string `json:"model"`
 	Version       string `json:"version"`
 	FailureDomain string `json:"failureDomain"`
-	// Wanted is the replicas that the document asks for; the rest count hosts.
+	// Wanted is the number of replicas that the document asks for; Serving, Whole,
+	// Fetching and Failed count hosts.
 	Wanted   int `json:"wanted"`
 	Serving  int `json:"serving"`
 	Whole    int `json:"whole"`
@@ -85,38 +87,38 @@
 	HoldUps     []string `json:"holdUps"`
 }
 
-// Rollout says how far the intended versions are.
+// Rollout is the rollout progress of the intended model versions.
 type Rollout struct {
 	Revision uint32     `json:"revision"`
 	Done     bool       `json:"done"`
 	Models   []Progress `json:"models"`
 }
 
-// Rollout returns the progress as one entry knows it.
+// Rollout returns the rollout progress as one entry knows it.
 func (c *Client) Rollout(ctx context.Context) (*Rollout, error) {
 	found := &Rollout{}
 	return found, c.get(ctx, "/v1/rollout", found)
 }
 
-// drainBody asks to take a host out, or back.
+// drainBody is the request body for draining a host or ending its drain.
 type drainBody struct {
 	Drain bool `json:"drain"`
 }
 
-// Drain takes a host out of service, or back with drain false. Sending it
-// twice does no harm.
+// Drain takes a host out of service, or returns it to service if drain is false.
+// The request is idempotent.
 func (c *Client) Drain(ctx context.Context, host string, drain bool) error {
 	return c.call(ctx, http.MethodPost, "/v1/hosts/"+url.PathEscape(host)+"/drain", &drainBody{Drain: drain}, nil)
 }
 
-// Directory is the answer to "which entry do I use?".
+// Directory tells a caller which entry to use and which ones to fall back on.
 type Directory struct {
 	Use        string   `json:"use"`
 	Spares     []string `json:"spares"`
 	TTLSeconds float64  `json:"ttlSeconds"`
 }
 
-// Entries asks which entry callers are sent to.
+// Entries returns the entry that callers are directed to.
 func (c *Client) Entries(ctx context.Context) (*Directory, error) {
 	found := &Directory{}
 	return found, c.get(ctx, "/v1/entries", found)
--- a/ctl/internal/client/document.go
+++ b/ctl/internal/client/document.go
@@ -12,14 +12,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Change is one difference between two documents.
+// Change is a difference between two documents at one path.
 type Change struct {
 	Path   string `json:"path"`
 	Before string `json:"before"` // JSON text; empty where the value did not exist
 	After  string `json:"after"`
 }
 
-// Changes turns wire changes into those of the API.
+// Changes converts changes from their wire form to that of the HTTP API.
 func Changes(diff []*wire.Change) []Change {
 	changes := make([]Change, len(diff))
 	for i, change := range diff {
@@ -28,7 +28,8 @@
 	return changes
 }
 
-// InForce is the document in force with its revision; 0 stands for none yet.
+// InForce is the document in force and its revision, which is 0 if there is no
+// document yet.
 type InForce struct {
 	Revision uint32          `json:"revision"`
 	Document json.RawMessage `json:"document"`
@@ -40,13 +41,14 @@
 	return found, c.get(ctx, "/v1/document", found)
 }
 
-// Validation is what an entry says of a document that is not submitted.
+// Validation is the result of validating a document without submitting it.
 type Validation struct {
 	Valid    bool               `json:"valid"`
 	Problems []document.Problem `json:"errors"`
 }
 
-// Validate has an entry check a document against what it knows of the deployment.
+// Validate asks an entry to validate a document against the state of the
+// deployment that the entry knows.
 func (c *Client) Validate(ctx context.Context, doc json.RawMessage) (*Validation, error) {
 	found := &Validation{}
 	err := c.call(ctx, http.MethodPost, "/v1/document/validate", doc, found)
@@ -57,21 +59,23 @@
 	return found, err
 }
 
-// Submission is one change of the document.
+// Submission is a request to replace the document.
 type Submission struct {
 	BaseRevision uint32 `json:"baseRevision"`
-	// SubmissionID settles a lost reply: the same id is accepted once.
+	// SubmissionID makes a retry after a lost reply safe: an id is accepted
+	// only once.
 	SubmissionID string          `json:"submissionId"`
 	Reason       string          `json:"reason"`
 	Document     json.RawMessage `json:"document"`
 }
 
-// accepted is the reply to an accepted change.
+// accepted is the response body for an accepted change.
 type accepted struct {
 	Revision uint32 `json:"revision"`
 }
 
-// validate refuses a success without a revision: whoever sent it is no entry.
+// validate returns an error if a successful reply has no revision, which means
+// that it did not come from an entry.
 func (a *accepted) validate() error {
 	if a.Revision > 0 {
 		return nil
@@ -79,7 +83,7 @@
 	return failure.New(failure.Ambiguous, "the entry's reply names no revision", "look at status and audit before you try again")
 }
 
-// Submit asks for a new revision and returns its number.
+// Submit submits a document and returns the number of the new revision.
 func (c *Client) Submit(ctx context.Context, change *Submission) (uint32, error) {
 	var got accepted
 	err := c.call(ctx, http.MethodPost, "/v1/document", change, &got)
@@ -92,7 +96,7 @@
 	return got.Revision, nil
 }
 
-// Rollback is a new revision of an old content.
+// Rollback is a request for a new revision with the content of an earlier one.
 type Rollback struct {
 	ToRevision   uint32 `json:"toRevision"`
 	BaseRevision uint32 `json:"baseRevision"`
@@ -100,7 +104,8 @@
 	Reason       string `json:"reason"`
 }
 
-// Rollback asks for a new revision of an old content and returns its number.
+// Rollback creates a new revision with the content of an earlier one and returns
+// its number.
 func (c *Client) Rollback(ctx context.Context, change *Rollback) (uint32, error) {
 	var got accepted
 	err := c.call(ctx, http.MethodPost, "/v1/document/rollback", change, &got)
@@ -113,12 +118,14 @@
 	return got.Revision, nil
 }
 
-// maxResolveRecords is how many records behind the base are searched.
+// maxResolveRecords is the number of audit records after the base revision that
+// resolveConflict searches.
 const maxResolveRecords = 100
 
-// resolveConflict looks for the caller's own submission in the audit trail where a
-// conflict came after a lost reply: without it an accepted change, followed by
-// somebody else's, would be reported as refused.
+// resolveConflict searches the audit trail for the caller's own submission if err
+// is a conflict after a lost reply, and returns its revision if found. Without
+// this, a change that was accepted and then followed by another operator's change
+// would be reported as rejected. It returns any other error unchanged.
 func (c *Client) resolveConflict(ctx context.Context, err error, base uint32, submission string) (uint32, error) {
 	var maybe *MaybeOwnConflict
 	if !errors.As(err, &maybe) {
--- a/ctl/internal/client/reply.go
+++ b/ctl/internal/client/reply.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// errorBody is the body of every reply that is no success.
+// errorBody is the response body of every request that failed.
 type errorBody struct {
 	Error struct {
 		Kind             failure.Kind `json:"kind"`
@@ -25,21 +25,22 @@
 	YourDiff        []Change           `json:"yourDiff"`
 }
 
-// Conflict says that somebody else changed the document first.
+// Conflict is returned if the document changed after the base revision of a
+// submission.
 type Conflict struct {
 	CurrentRevision uint32   `json:"currentRevision"`
 	TheirDiff       []Change `json:"theirDiff"` // from the base to the current revision
-	YourDiff        []Change `json:"yourDiff"`  // from the base to what was submitted
+	YourDiff        []Change `json:"yourDiff"`  // from the base to the submitted document
 	cause           error
 }
 
 // Error implements error.
 func (c *Conflict) Error() string { return c.cause.Error() }
 
-// Unwrap returns the failure with its kind and remedy.
+// Unwrap returns the underlying failure with its kind and remedy.
 func (c *Conflict) Unwrap() error { return c.cause }
 
-// InvalidDocument lists what an entry found wrong in a document.
+// InvalidDocument is returned if an entry rejects a document as invalid.
 type InvalidDocument struct {
 	Problems []document.Problem `json:"errors"`
 	cause    error
@@ -48,10 +49,11 @@
 // Error implements error.
 func (i *InvalidDocument) Error() string { return i.cause.Error() }
 
-// Unwrap returns the failure with its kind and remedy.
+// Unwrap returns the underlying failure with its kind and remedy.
 func (i *InvalidDocument) Unwrap() error { return i.cause }
 
-// decodeReply decodes a success into the given value and turns the rest into errors.
+// decodeReply decodes the body of a successful reply into the value into, and
+// returns an error for any other reply.
 func decodeReply(answer *reply, into any, method string) error {
 	if answer.status != http.StatusOK {
 		return decodeError(answer, method)
@@ -65,6 +67,7 @@
 	return nil
 }
 
+// decodeError converts a reply with an error status to an error.
 func decodeError(answer *reply, method string) error {
 	var body errorBody
 	if err := json.Unmarshal(answer.body, &body); err != nil {
@@ -80,6 +83,8 @@
 	return cause
 }
 
+// toFailure builds a failure from an error body, with defaults for the fields
+// that it lacks.
 func toFailure(status int, method string, body *errorBody) error {
 	kind := body.Error.Kind
 	if kind == "" {
@@ -97,8 +102,8 @@
 	return failure.New(kind, message, remedy).WithRetryAfter(wait)
 }
 
-// kindOfStatus is for replies without a kind, such as those of something that
-// stands between.
+// kindOfStatus derives the failure kind from the HTTP status, for replies without
+// a kind, such as those of a proxy between the client and the entry.
 func kindOfStatus(status int, method string) failure.Kind {
 	switch status {
 	case http.StatusUnauthorized, http.StatusForbidden:
@@ -121,6 +126,7 @@
 	return failure.Ambiguous
 }
 
+// remedyOf returns the default remedy for a failure kind.
 func remedyOf(kind failure.Kind) string {
 	switch kind {
 	case failure.Unauthorized:
