--- a/ctl/internal/cmd/cmd_apply.go
+++ b/ctl/internal/cmd/cmd_apply.go
@@ -22,8 +22,8 @@
 	WaitTimeout time.Duration `long:"wait-timeout" value-name:"TIME" default:"60s" description:"Longest wait"`
 }
 
-// applied is what --json prints for an accepted change.
-type applied struct {
+// applyResult is what --json prints for an accepted change.
+type applyResult struct {
 	Outcome      string           `json:"outcome"`
 	Revision     uint32           `json:"revision,omitempty"`
 	SubmissionID string           `json:"submissionId"`
@@ -55,11 +55,11 @@
 	if err != nil {
 		return err
 	}
-	asked, err := opts.open(term)
+	api, err := opts.open(term)
 	if err != nil {
 		return err
 	}
-	base, err := baseRevision(ctx, asked, opts.Base)
+	base, err := baseRevision(ctx, api, opts.Base)
 	if err != nil {
 		return err
 	}
@@ -69,22 +69,22 @@
 		Reason:       opts.Reason,
 		Document:     document.Format(doc),
 	}
-	revision, err := asked.Submit(ctx, change)
+	revision, err := api.Submit(ctx, change)
 	if err := reportChange(term, opts.JSON, revision, change.SubmissionID, err); err != nil {
 		return err
 	}
 	if !opts.Wait {
 		return nil
 	}
-	return waitInForce(ctx, term, asked, revision, opts.WaitTimeout)
+	return waitInForce(ctx, term, api, revision, opts.WaitTimeout)
 }
 
 // baseRevision returns the given base, else the revision in force.
-func baseRevision(ctx context.Context, asked *client.Client, given *uint32) (uint32, error) {
+func baseRevision(ctx context.Context, api *client.Client, given *uint32) (uint32, error) {
 	if given != nil {
 		return *given, nil
 	}
-	found, err := documentInForce(ctx, asked)
+	found, err := documentInForce(ctx, api)
 	if err != nil {
 		return 0, err
 	}
@@ -93,7 +93,7 @@
 
 // reportChange prints how a change ended and returns its error.
 func reportChange(term *terminal, asJSON bool, revision uint32, submission string, err error) error {
-	result := &applied{Outcome: "accepted", Revision: revision, SubmissionID: submission}
+	result := &applyResult{Outcome: "accepted", Revision: revision, SubmissionID: submission}
 	var conflict *client.Conflict
 	var invalid *client.InvalidDocument
 	switch {
--- a/ctl/internal/cmd/cmd_audit.go
+++ b/ctl/internal/cmd/cmd_audit.go
@@ -28,11 +28,11 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			asked, err := opts.open(term)
+			api, err := opts.open(term)
 			if err != nil {
 				return err
 			}
-			trail, err := asked.Audit(ctx, opts.From, opts.Limit)
+			trail, err := api.Audit(ctx, opts.From, opts.Limit)
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 func printAuditDiffs(term *terminal, trail []client.Record) error {
 	for _, record := range trail {
 		fmt.Fprintf(term.out, "revision %d on base %d, %s, by %s from %s: %s\n", record.Revision, record.BaseRevision,
-			record.At.UTC().Format(time.RFC3339), clean(record.Operator), clean(record.FromAddress), clean(record.Reason))
+			record.At.UTC().Format(time.RFC3339), replaceControl(record.Operator), replaceControl(record.FromAddress), replaceControl(record.Reason))
 		if err := printChanges(term.out, record.Diff); err != nil {
 			return err
 		}
--- a/ctl/internal/cmd/cmd_diff.go
+++ b/ctl/internal/cmd/cmd_diff.go
@@ -41,11 +41,11 @@
 func diff(ctx context.Context, term *terminal, opts *diffOptions, args []string) ([]client.Change, error) {
 	switch {
 	case len(args) == 0 && opts.From > 0 && opts.To > 0:
-		asked, err := opts.open(term)
+		api, err := opts.open(term)
 		if err != nil {
 			return nil, err
 		}
-		return asked.Diff(ctx, opts.From, opts.To)
+		return api.Diff(ctx, opts.From, opts.To)
 	case len(args) == 1 && opts.From == 0 && opts.To == 0:
 		return diffInForce(ctx, term, opts, args[0])
 	case len(args) == 2 && opts.From == 0 && opts.To == 0:
@@ -72,11 +72,11 @@
 	if err != nil {
 		return nil, err
 	}
-	asked, err := opts.open(term)
+	api, err := opts.open(term)
 	if err != nil {
 		return nil, err
 	}
-	found, err := documentInForce(ctx, asked)
+	found, err := documentInForce(ctx, api)
 	if err != nil {
 		return nil, err
 	}
@@ -88,8 +88,8 @@
 }
 
 // documentInForce reads the document; revision 0 where none is in force yet.
-func documentInForce(ctx context.Context, asked *client.Client) (*client.InForce, error) {
-	found, err := asked.Document(ctx)
+func documentInForce(ctx context.Context, api *client.Client) (*client.InForce, error) {
+	found, err := api.Document(ctx)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
 		return &client.InForce{}, nil
 	}
--- a/ctl/internal/cmd/cmd_drain.go
+++ b/ctl/internal/cmd/cmd_drain.go
@@ -12,8 +12,8 @@
 	Back bool `long:"back" description:"Take the host back into service"`
 }
 
-// drained is what --json prints.
-type drained struct {
+// drainResult is what --json prints.
+type drainResult struct {
 	Host  string `json:"host"`
 	Drain bool   `json:"drain"`
 }
@@ -37,15 +37,15 @@
 }
 
 func drain(ctx context.Context, term *terminal, opts *drainOptions, host string) error {
-	asked, err := opts.open(term)
+	api, err := opts.open(term)
 	if err != nil {
 		return err
 	}
-	if err := asked.Drain(ctx, host, !opts.Back); err != nil {
+	if err := api.Drain(ctx, host, !opts.Back); err != nil {
 		return err
 	}
 	if opts.JSON {
-		return printJSON(term.out, &drained{Host: host, Drain: !opts.Back})
+		return printJSON(term.out, &drainResult{Host: host, Drain: !opts.Back})
 	}
 	if opts.Back {
 		fmt.Fprintf(term.out, "%s is taken back into service\n", host)
--- a/ctl/internal/cmd/cmd_ends.go
+++ b/ctl/internal/cmd/cmd_ends.go
@@ -41,25 +41,25 @@
 
 // suspect is one request under which endpoints ended.
 type suspect struct {
-	Print string    `json:"print"`
-	Ends  int       `json:"ends"` // distinct endpoints
-	Tries int       `json:"tries"`
-	Held  int       `json:"held"`   // tries that were refused for it
-	Good  int       `json:"served"` // tries that were served
-	First time.Time `json:"first"`  // end
-	Last  time.Time `json:"last"`
+	Print  string    `json:"print"`
+	Ends   int       `json:"ends"` // distinct endpoints
+	Tries  int       `json:"tries"`
+	Held   int       `json:"held"`   // tries that were refused for it
+	Served int       `json:"served"` // tries that were served
+	First  time.Time `json:"first"`  // end
+	Last   time.Time `json:"last"`
 	// Requests are the callers' ids of the tries in progress at ends.
 	Requests []string `json:"requests"`
 }
 
-// heldReason is the outcome of a request that is held.
-const heldReason = "endpoints ended under this request"
+// heldOutcome is the outcome of a request that is held.
+const heldOutcome = "endpoints ended under this request"
 
 func ends(term *terminal, opts *endsOptions, files []string) error {
 	if opts.Least < 1 {
 		return failure.New(failure.Invalid, "--least is no number from 1 on", "leave it out for 2")
 	}
-	lines, err := readBetween(term, files, opts.From, opts.To)
+	lines, err := readLogsBetween(term, files, opts.From, opts.To)
 	if err != nil {
 		return err
 	}
@@ -78,40 +78,40 @@
 // first.
 func countEnds(lines []logLine) (ended int, found []suspect) {
 	byPrint := map[string]*suspect{}
-	at := map[string]map[string]bool{} // endpoints by fingerprint
-	all := map[string]bool{}
+	endsByPrint := map[string]map[string]bool{} // endpoints by fingerprint
+	allEnds := map[string]bool{}
 	for _, line := range lines {
 		if line.fields["msg"] != "endpoint looked at" || line.fields["ended"] != "true" {
 			continue
 		}
 		end := line.fields["endpoint"] + " " + line.fields["born"]
-		all[end] = true
-		ids := listOf(line.fields["requests"])
-		for i, print := range listOf(line.fields["prints"]) {
-			one := byPrint[print]
+		allEnds[end] = true
+		ids := parseList(line.fields["requests"])
+		for i, fingerprint := range parseList(line.fields["prints"]) {
+			one := byPrint[fingerprint]
 			if one == nil {
-				one = &suspect{Print: print, First: line.at}
-				byPrint[print], at[print] = one, map[string]bool{}
+				one = &suspect{Print: fingerprint, First: line.at}
+				byPrint[fingerprint], endsByPrint[fingerprint] = one, map[string]bool{}
 			}
-			at[print][end] = true
-			one.Ends, one.Last = len(at[print]), line.at
+			endsByPrint[fingerprint][end] = true
+			one.Ends, one.Last = len(endsByPrint[fingerprint]), line.at
 			if i < len(ids) && !slices.Contains(one.Requests, ids[i]) {
 				one.Requests = append(one.Requests, ids[i])
 			}
 		}
 	}
-	countTries(lines, byPrint)
+	countAttempts(lines, byPrint)
 	for _, one := range byPrint {
 		found = append(found, *one)
 	}
 	slices.SortFunc(found, func(left, right suspect) int {
 		return cmp.Or(cmp.Compare(right.Ends, left.Ends), left.First.Compare(right.First), cmp.Compare(left.Print, right.Print))
 	})
-	return len(all), found
+	return len(allEnds), found
 }
 
-// countTries counts how the tries of the requests were answered.
-func countTries(lines []logLine, byPrint map[string]*suspect) {
+// countAttempts counts how the tries of the requests were answered.
+func countAttempts(lines []logLine, byPrint map[string]*suspect) {
 	for _, line := range lines {
 		one := byPrint[line.fields["print"]]
 		if one == nil || line.fields["msg"] != "answered" {
@@ -119,16 +119,16 @@
 		}
 		one.Tries++
 		switch line.fields["outcome"] {
-		case heldReason:
+		case heldOutcome:
 			one.Held++
 		case "served":
-			one.Good++
+			one.Served++
 		}
 	}
 }
 
-// listOf reads a list as it is logged: "[a b]".
-func listOf(text string) []string {
+// parseList reads a list as it is logged: "[a b]".
+func parseList(text string) []string {
 	return strings.Fields(strings.TrimSuffix(strings.TrimPrefix(text, "["), "]"))
 }
 
@@ -151,7 +151,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "print\tends\ttries\tserved\theld\tfirst\tlast")
 	for _, one := range found {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\t%+.1fs\n", one.Print, one.Ends, one.Tries, one.Good, one.Held,
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\t%+.1fs\n", one.Print, one.Ends, one.Tries, one.Served, one.Held,
 			one.First.Format(time.RFC3339Nano), one.Last.Sub(one.First).Seconds())
 	}
 	return table.Flush()
--- a/ctl/internal/cmd/cmd_entries.go
+++ b/ctl/internal/cmd/cmd_entries.go
@@ -22,11 +22,11 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			asked, err := opts.open(term)
+			api, err := opts.open(term)
 			if err != nil {
 				return err
 			}
-			found, err := asked.Entries(ctx)
+			found, err := api.Entries(ctx)
 			if err != nil {
 				return err
 			}
--- a/ctl/internal/cmd/cmd_init.go
+++ b/ctl/internal/cmd/cmd_init.go
@@ -25,8 +25,8 @@
 	JSON    bool   `long:"json" description:"Print JSON in place of text"`
 }
 
-// newKeys are the bearer keys that a new document was made with.
-type newKeys struct {
+// initResult holds the bearer keys that a new document was made with.
+type initResult struct {
 	File        string `json:"file"`
 	OperatorKey string `json:"operatorKey"`
 	CustomerKey string `json:"customerKey"`
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	keys := &newKeys{File: name, OperatorKey: operator, CustomerKey: newKey()}
+	keys := &initResult{File: name, OperatorKey: operator, CustomerKey: newKey()}
 	doc := document.Example()
 	doc.Operators[0].KeyHashes = []string{document.KeyHash(keys.OperatorKey)}
 	doc.Customers[0].KeyHashes = []string{document.KeyHash(keys.CustomerKey)}
--- a/ctl/internal/cmd/cmd_init_test.go
+++ b/ctl/internal/cmd/cmd_init_test.go
@@ -20,7 +20,7 @@
 	if got, want := run(t.Context(), "test", []string{"init", name, "--json"}, term), cli.ExitOK; got != want {
 		t.Fatalf("got exit %d (%s), want %d", got, errOut.String(), want)
 	}
-	var keys newKeys
+	var keys initResult
 	if err := json.Unmarshal(out.Bytes(), &keys); err != nil {
 		t.Fatal(err)
 	}
--- a/ctl/internal/cmd/cmd_report.go
+++ b/ctl/internal/cmd/cmd_report.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// ending is how one request ended.
-type ending struct {
+// outcome is how one request ended.
+type outcome struct {
 	class  string // "inTime", "late", "refused" or "failed"
 	reason string // why it was not in time
 }
@@ -67,15 +67,15 @@
 }
 
 func report(term *terminal, opts *reportOptions, files []string) error {
-	every, err := time.ParseDuration(opts.Every)
-	if err != nil || every <= 0 {
+	interval, err := time.ParseDuration(opts.Every)
+	if err != nil || interval <= 0 {
 		return failure.New(failure.Invalid, "--every is no length of time", "write it like 2s or 1m")
 	}
-	lines, err := readBetween(term, files, opts.From, opts.To)
+	lines, err := readLogsBetween(term, files, opts.From, opts.To)
 	if err != nil {
 		return err
 	}
-	rows, reasons := countEndings(lines, every)
+	rows, reasons := countOutcomes(lines, interval)
 	if len(rows) == 0 {
 		return failure.New(failure.NotFound, "no answered request is in the logs", "name entries' logs, and check the times")
 	}
@@ -90,19 +90,19 @@
 	return printReport(term.out, rows, reasons)
 }
 
-// countEndings counts lines that are in order of time.
-func countEndings(lines []logLine, every time.Duration) ([]row, []reason) {
+// countOutcomes counts lines that are in order of time.
+func countOutcomes(lines []logLine, interval time.Duration) ([]row, []reason) {
 	var rows []row
-	counts := map[ending]int{}
+	counts := map[outcome]int{}
 	for _, line := range lines {
 		if !answered(line) {
 			continue
 		}
-		at := line.at.Truncate(every)
+		at := line.at.Truncate(interval)
 		if len(rows) == 0 || !rows[len(rows)-1].At.Equal(at) {
 			rows = append(rows, row{At: at})
 		}
-		end := endingOf(line)
+		end := classifyOutcome(line)
 		rows[len(rows)-1].count(end)
 		if end.reason != "" {
 			counts[end]++
@@ -118,7 +118,7 @@
 	return rows, reasons
 }
 
-func (r *row) count(end ending) {
+func (r *row) count(end outcome) {
 	r.Answered++
 	switch end.class {
 	case "inTime":
@@ -138,39 +138,39 @@
 	statusError   = 400
 )
 
-// endingOf reads an entry's line about an answered request.
-func endingOf(line logLine) ending {
-	status := line.millis("status")
+// classifyOutcome reads an entry's line about an answered request.
+func classifyOutcome(line logLine) outcome {
+	status := line.intField("status")
 	switch {
 	case status == statusRefused:
-		return ending{class: "refused", reason: line.fields["outcome"]}
+		return outcome{class: "refused", reason: line.fields["outcome"]}
 	case status < statusOK || status >= statusError:
-		return ending{class: "failed", reason: line.fields["outcome"]}
+		return outcome{class: "failed", reason: line.fields["outcome"]}
 	}
-	first := line.millis("tookMillis")
-	if line.millis("events") > 0 {
-		first = line.millis("firstMillis")
+	first := line.intField("tookMillis")
+	if line.intField("events") > 0 {
+		first = line.intField("firstMillis")
 	}
-	target, gap := line.millis("targetMillis"), line.millis("gapMillis")
-	paused := gap > 0 && line.millis("pauseMillis") > gap
+	target, gap := line.intField("targetMillis"), line.intField("gapMillis")
+	paused := gap > 0 && line.intField("pauseMillis") > gap
 	if target <= 0 || first <= target && !paused {
-		return ending{class: "inTime"}
+		return outcome{class: "inTime"}
 	}
 	switch {
 	case line.fields["returned"] == "true":
-		return ending{class: "late", reason: "returned"}
-	case line.millis("sends") > 1:
-		return ending{class: "late", reason: "sent again"}
-	case 2*line.millis("heldMillis") >= target:
-		return ending{class: "late", reason: "waited"}
+		return outcome{class: "late", reason: "returned"}
+	case line.intField("sends") > 1:
+		return outcome{class: "late", reason: "sent again"}
+	case 2*line.intField("heldMillis") >= target:
+		return outcome{class: "late", reason: "waited"}
 	case paused:
-		return ending{class: "late", reason: "paused"}
+		return outcome{class: "late", reason: "paused"}
 	}
-	return ending{class: "late", reason: "endpoint"}
+	return outcome{class: "late", reason: "endpoint"}
 }
 
-// millis returns a whole number of the line; 0 where it has none.
-func (l logLine) millis(name string) int {
+// intField returns a whole number of the line; 0 where it has none.
+func (l logLine) intField(name string) int {
 	count, err := strconv.Atoi(l.fields[name])
 	if err != nil {
 		return 0
--- a/ctl/internal/cmd/cmd_rollback.go
+++ b/ctl/internal/cmd/cmd_rollback.go
@@ -34,11 +34,11 @@
 }
 
 func rollback(ctx context.Context, term *terminal, opts *rollbackOptions) error {
-	asked, err := opts.open(term)
+	api, err := opts.open(term)
 	if err != nil {
 		return err
 	}
-	base, err := baseRevision(ctx, asked, opts.Base)
+	base, err := baseRevision(ctx, api, opts.Base)
 	if err != nil {
 		return err
 	}
@@ -48,6 +48,6 @@
 		SubmissionID: uuid.Must(uuid.NewV7()).String(),
 		Reason:       opts.Reason,
 	}
-	revision, err := asked.Rollback(ctx, change)
+	revision, err := api.Rollback(ctx, change)
 	return reportChange(term, opts.JSON, revision, change.SubmissionID, err)
 }
--- a/ctl/internal/cmd/cmd_rollout.go
+++ b/ctl/internal/cmd/cmd_rollout.go
@@ -28,18 +28,18 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			asked, err := opts.open(term)
+			api, err := opts.open(term)
 			if err != nil {
 				return err
 			}
-			return showRollout(ctx, term, opts, asked)
+			return showRollout(ctx, term, opts, api)
 		},
 	}
 }
 
-func showRollout(ctx context.Context, term *terminal, opts *rolloutOptions, asked *client.Client) error {
+func showRollout(ctx context.Context, term *terminal, opts *rolloutOptions, api *client.Client) error {
 	for {
-		rollout, err := asked.Rollout(ctx)
+		rollout, err := api.Rollout(ctx)
 		if err != nil {
 			return err
 		}
--- a/ctl/internal/cmd/cmd_status.go
+++ b/ctl/internal/cmd/cmd_status.go
@@ -24,11 +24,11 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			asked, err := opts.open(term)
+			api, err := opts.open(term)
 			if err != nil {
 				return err
 			}
-			status, err := asked.Status(ctx)
+			status, err := api.Status(ctx)
 			if err != nil {
 				return err
 			}
@@ -42,20 +42,20 @@
 
 func printStatus(term *terminal, status *client.Status) error {
 	fmt.Fprintf(term.out, "entry %s: revision %d (lowest in force %d), plan %d, %s\n\n",
-		clean(status.Entry), status.Revision, status.LowestRevision, status.PlanRevision, confirmed(status.AgeMillis))
+		replaceControl(status.Entry), status.Revision, status.LowestRevision, status.PlanRevision, describeConfirmation(status.AgeMillis))
 	list := newTable(term.out, "NODE", "ROLE", "REGION", "FAILURE DOMAIN", "REVISION", "PLAN", "HEARD AGO", "RUNNING", "QUEUED", "STATE")
 	for _, node := range status.Nodes {
 		list.row(node.ID, node.Role, node.Region, node.FailureDomain, fmt.Sprint(node.Revision), fmt.Sprint(node.PlanRevision),
-			millis(node.AgeMillis), fmt.Sprint(node.Running), fmt.Sprint(node.Queued), nodeState(node))
+			formatMillis(node.AgeMillis), fmt.Sprint(node.Running), fmt.Sprint(node.Queued), nodeState(node))
 	}
 	return list.flush()
 }
 
-func confirmed(ageMillis int64) string {
+func describeConfirmation(ageMillis int64) string {
 	if ageMillis < 0 {
 		return "never confirmed by the key-value service"
 	}
-	return "confirmed by the key-value service " + millis(ageMillis) + " ago"
+	return "confirmed by the key-value service " + formatMillis(ageMillis) + " ago"
 }
 
 func nodeState(node client.Node) string {
--- a/ctl/internal/cmd/cmd_test.go
+++ b/ctl/internal/cmd/cmd_test.go
@@ -26,15 +26,15 @@
 	entryB = "127.0.0.1:2"
 )
 
-// canned is one reply of the fake entry.
-type canned struct {
+// cannedReply is one reply of the fake entry.
+type cannedReply struct {
 	status int    // 0 for a connection that fails
 	body   string // or "refused" (never connected) or "lost" (broken afterwards)
 }
 
-// fake plays the entries: replies in order, then the last one again.
-type fake struct {
-	replies []canned
+// fakeEntries plays the entries: replies in order, then the last one again.
+type fakeEntries struct {
+	replies []cannedReply
 	next    int
 	log     strings.Builder
 	ids     map[string]string // submission ids by what the log calls them
@@ -42,7 +42,7 @@
 
 var uuidForm = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
-func (f *fake) send(request *http.Request) (*http.Response, error) {
+func (f *fakeEntries) send(request *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		text = "{...}"
 	}
 	line := fmt.Sprintf("> %s %s%s %s %s", request.Method, request.URL.Host, request.URL.RequestURI(),
-		request.Header.Get("Authorization"), f.hide(text))
+		request.Header.Get("Authorization"), f.maskIDs(text))
 	f.log.WriteString(strings.TrimRight(line, " ") + "\n")
 	reply := f.replies[min(f.next, len(f.replies)-1)]
 	f.next++
@@ -62,12 +62,12 @@
 	case "lost":
 		return nil, io.ErrUnexpectedEOF
 	}
-	content := io.NopCloser(strings.NewReader(f.reveal(reply.body)))
+	content := io.NopCloser(strings.NewReader(f.unmaskIDs(reply.body)))
 	return &http.Response{StatusCode: reply.status, Body: content, Header: http.Header{}}, nil
 }
 
-// hide replaces each submission id by a short name that stays the same.
-func (f *fake) hide(text string) string {
+// maskIDs replaces each submission id by a short name that stays the same.
+func (f *fakeEntries) maskIDs(text string) string {
 	return uuidForm.ReplaceAllStringFunc(text, func(id string) string {
 		for name, known := range f.ids {
 			if known == id {
@@ -80,8 +80,8 @@
 	})
 }
 
-// reveal puts the ids back into a canned reply.
-func (f *fake) reveal(text string) string {
+// unmaskIDs puts the ids back into a canned reply.
+func (f *fakeEntries) unmaskIDs(text string) string {
 	for name, id := range f.ids {
 		text = strings.ReplaceAll(text, name, id)
 	}
@@ -96,7 +96,7 @@
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		dir := t.TempDir()
 		writeFiles(t, dir)
-		var entries *fake
+		var entries *fakeEntries
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "entry":
@@ -129,17 +129,17 @@
 	}
 }
 
-func parseReplies(t *testing.T, input string) *fake {
+func parseReplies(t *testing.T, input string) *fakeEntries {
 	t.Helper()
-	entries := &fake{ids: map[string]string{}}
+	entries := &fakeEntries{ids: map[string]string{}}
 	example := strings.TrimSpace(string(document.Format(document.Example())))
 	for line := range strings.Lines(input) {
 		line = strings.TrimSpace(line)
 		if line == "refused" || line == "lost" {
-			entries.replies = append(entries.replies, canned{body: line})
+			entries.replies = append(entries.replies, cannedReply{body: line})
 			continue
 		}
-		reply := canned{}
+		reply := cannedReply{}
 		if _, err := fmt.Sscan(line, &reply.status); err != nil {
 			t.Fatal(line, err)
 		}
@@ -150,7 +150,7 @@
 	return entries
 }
 
-func runCtl(t *testing.T, entries *fake, dir, input string) string {
+func runCtl(t *testing.T, entries *fakeEntries, dir, input string) string {
 	t.Helper()
 	var out, errOut bytes.Buffer
 	term := &terminal{in: strings.NewReader(""), out: &out, errOut: &errOut, clock: clockwork.NewRealClock()}
@@ -171,7 +171,7 @@
 	}
 	shown := fmt.Sprintf("%s%s%sexit %d\n", log, prefix("out", &out), prefix("err", &errOut), code)
 	if entries != nil {
-		shown = entries.hide(shown)
+		shown = entries.maskIDs(shown)
 	}
 	return strings.ReplaceAll(shown, dir, "$DIR")
 }
--- a/ctl/internal/cmd/cmd_trace.go
+++ b/ctl/internal/cmd/cmd_trace.go
@@ -55,13 +55,13 @@
 }
 
 func trace(term *terminal, opts *traceOptions, files []string) error {
-	lines, err := readBetween(term, files, opts.From, opts.To)
+	lines, err := readLogsBetween(term, files, opts.From, opts.To)
 	if err != nil {
 		return err
 	}
 	lines = slices.DeleteFunc(lines, func(line logLine) bool {
-		return opts.Request != "" && !line.names("request", opts.Request) ||
-			opts.Print != "" && !line.names("print", opts.Print) ||
+		return opts.Request != "" && !line.mentions("request", opts.Request) ||
+			opts.Print != "" && !line.mentions("print", opts.Print) ||
 			opts.Node != "" && line.fields["node"] != opts.Node
 	})
 	if len(lines) == 0 {
@@ -70,15 +70,15 @@
 	return printLogs(term.out, lines, opts.JSON)
 }
 
-// names reports whether the line is of the request, by its id or fingerprint, or names it in a
+// mentions reports whether the line is of the request, by its id or fingerprint, or names it in a
 // list of several.
-func (l logLine) names(field, value string) bool {
-	return l.fields[field] == value || slices.Contains(listOf(l.fields[field+"s"]), value)
+func (l logLine) mentions(field, value string) bool {
+	return l.fields[field] == value || slices.Contains(parseList(l.fields[field+"s"]), value)
 }
 
-// readBetween reads the lines from the time of the option --from on and before that
+// readLogsBetween reads the lines from the time of the option --from on and before that
 // of --to, in order of time; an empty option bounds nothing.
-func readBetween(term *terminal, files []string, fromText, toText string) ([]logLine, error) {
+func readLogsBetween(term *terminal, files []string, fromText, toText string) ([]logLine, error) {
 	from, err := timeOption("--from", fromText)
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 }
 
 func printLogs(out io.Writer, lines []logLine, asJSON bool) error {
-	began := lines[0].at
+	start := lines[0].at
 	encoder := json.NewEncoder(out)
 	for _, line := range lines {
 		if asJSON {
@@ -177,13 +177,13 @@
 			}
 			continue
 		}
-		fmt.Fprintf(out, "%+9.3fs %-24s %s\n", line.at.Sub(began).Seconds(), line.fields["node"], tail(line.text))
+		fmt.Fprintf(out, "%+9.3fs %-24s %s\n", line.at.Sub(start).Seconds(), line.fields["node"], dropColumnFields(line.text))
 	}
 	return nil
 }
 
-// tail drops what stands in the columns already: time, level, program and node.
-func tail(text string) string {
+// dropColumnFields drops what stands in the columns already: time, level, program and node.
+func dropColumnFields(text string) string {
 	kept := make([]string, 0, 16)
 	for _, field := range strings.Split(text, " ") {
 		name, _, _ := strings.Cut(field, "=")
--- a/ctl/internal/cmd/cmd_trace_test.go
+++ b/ctl/internal/cmd/cmd_trace_test.go
@@ -20,7 +20,7 @@
 const agentLog = `time=2026-06-17T15:08:34.010Z level=WARN msg="dependency lost" program=comfreyagent node=side-3 dependency=engine
 `
 
-func traceOf(t *testing.T, args ...string) (string, int) {
+func runTrace(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range map[string]string{"entry.log": entryLog, "agent.log": agentLog} {
@@ -40,7 +40,7 @@
 }
 
 func TestTraceListsARequestInOrderOfTime(t *testing.T) {
-	got, code := traceOf(t, "--request", "r-1", "agent.log", "entry.log")
+	got, code := runTrace(t, "--request", "r-1", "agent.log", "entry.log")
 	want := "   +0.000s front-1                  level=INFO msg=attempt request=r-1 send=1 outcome=\"broke off\" endpoint=i-9\n" +
 		"   +0.761s front-1                  level=INFO msg=answered outcome=served status=200 request=r-1\n"
 	if got != want || code != 0 {
@@ -48,25 +48,25 @@
 	}
 }
 
-func TestTraceListsWhatAProcessBelieved(t *testing.T) {
-	got, _ := traceOf(t, "--node", "side-3", "--json", "agent.log", "entry.log")
+func TestTraceFiltersByNodeAndTime(t *testing.T) {
+	got, _ := runTrace(t, "--node", "side-3", "--json", "agent.log", "entry.log")
 	if !strings.Contains(got, `"dependency":"engine"`) || strings.Count(got, "\n") != 1 {
 		t.Errorf("got %q, want the agent's line as JSON", got)
 	}
-	got, _ = traceOf(t, "--from", "2026-06-17T15:08:34.1Z", "--to", "2026-06-17T15:08:34.5Z")
+	got, _ = runTrace(t, "--from", "2026-06-17T15:08:34.1Z", "--to", "2026-06-17T15:08:34.5Z")
 	if !strings.Contains(got, "r-2") || strings.Contains(got, "r-1") {
 		t.Errorf("got %q, want the line of r-2 from standard input", got)
 	}
 }
 
-func TestTraceOfNothingAndBadArguments(t *testing.T) {
-	if got, code := traceOf(t, "--request", "r-9", "entry.log"); code != 2 || !strings.Contains(got, "no line matches") {
+func TestTraceRejectsNoMatchAndBadArguments(t *testing.T) {
+	if got, code := runTrace(t, "--request", "r-9", "entry.log"); code != 2 || !strings.Contains(got, "no line matches") {
 		t.Errorf("got %q, exit code %d, want no line", got, code)
 	}
-	if got, code := traceOf(t, "--from", "yesterday"); code != 2 || !strings.Contains(got, "--from is no time") {
+	if got, code := runTrace(t, "--from", "yesterday"); code != 2 || !strings.Contains(got, "--from is no time") {
 		t.Errorf("got %q, exit code %d, want a bad time", got, code)
 	}
-	if got, code := traceOf(t, "missing.txt"); code != 2 {
+	if got, code := runTrace(t, "missing.txt"); code != 2 {
 		t.Errorf("got %q, exit code %d, want a missing file", got, code)
 	}
 }
--- a/ctl/internal/cmd/cmd_validate.go
+++ b/ctl/internal/cmd/cmd_validate.go
@@ -37,17 +37,17 @@
 }
 
 func validate(ctx context.Context, term *terminal, opts *validateOptions, name string) error {
-	text, err := readText(term, name)
+	text, err := readInput(term, name)
 	if err != nil {
 		return err
 	}
 	doc, problems := document.Parse(text)
 	if len(problems) == 0 && len(opts.Entries) > 0 {
-		asked, err := opts.open(term)
+		api, err := opts.open(term)
 		if err != nil {
 			return err
 		}
-		result, err := asked.Validate(ctx, document.Format(doc))
+		result, err := api.Validate(ctx, document.Format(doc))
 		if err != nil {
 			return err
 		}
--- a/ctl/internal/cmd/file.go
+++ b/ctl/internal/cmd/file.go
@@ -10,8 +10,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// readText returns a file's content; "-" stands for the standard input.
-func readText(term *terminal, name string) ([]byte, error) {
+// readInput returns a file's content; "-" stands for the standard input.
+func readInput(term *terminal, name string) ([]byte, error) {
 	input := term.in
 	if name != "-" {
 		file, err := os.Open(name)
@@ -30,7 +30,7 @@
 
 // readDocument reads and checks a document's file.
 func readDocument(term *terminal, name string) (*wire.Document, error) {
-	text, err := readText(term, name)
+	text, err := readInput(term, name)
 	if err != nil {
 		return nil, err
 	}
--- a/ctl/internal/cmd/print.go
+++ b/ctl/internal/cmd/print.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	tabPadding = 2
-	maxCell    = 72
-	// maxLastCell is larger: no column stands behind it.
-	maxLastCell = 160
+	tabPadding   = 2
+	maxCellBytes = 72
+	// maxLastCellBytes is larger: no column stands behind it.
+	maxLastCellBytes = 160
 )
 
 // table writes rows in columns.
@@ -25,25 +25,25 @@
 	writer *tabwriter.Writer
 }
 
-func newTable(out io.Writer, heads ...string) *table {
+func newTable(out io.Writer, headers ...string) *table {
 	t := &table{writer: tabwriter.NewWriter(out, 0, 0, tabPadding, ' ', 0)}
-	t.row(heads...)
+	t.row(headers...)
 	return t
 }
 
 func (t *table) row(cells ...string) {
 	last := len(cells) - 1
 	for i, cell := range cells[:last] {
-		cells[i] = cut(clean(cell), maxCell)
+		cells[i] = truncate(replaceControl(cell), maxCellBytes)
 	}
-	cells[last] = cut(clean(cells[last]), maxLastCell)
+	cells[last] = truncate(replaceControl(cells[last]), maxLastCellBytes)
 	fmt.Fprintln(t.writer, strings.Join(cells, "\t"))
 }
 
 func (t *table) flush() error { return t.writer.Flush() }
 
-// clean keeps control characters of remote text from the terminal.
-func clean(text string) string {
+// replaceControl keeps control characters of remote text from the terminal.
+func replaceControl(text string) string {
 	return strings.Map(func(char rune) rune {
 		if unicode.IsControl(char) {
 			return ' '
@@ -52,8 +52,8 @@
 	}, text)
 }
 
-// cut keeps a long value from tearing a table apart.
-func cut(cell string, limit int) string {
+// truncate keeps a long value from tearing a table apart.
+func truncate(cell string, limit int) string {
 	if len(cell) <= limit {
 		return cell
 	}
@@ -96,7 +96,7 @@
 	return text
 }
 
-func millis(count int64) string {
+func formatMillis(count int64) string {
 	return (time.Duration(count) * time.Millisecond).String()
 }
 
--- a/ctl/internal/cmd/report_page.go
+++ b/ctl/internal/cmd/report_page.go
@@ -58,16 +58,16 @@
 
 // writePage writes the report of all lines as one page that needs nothing else.
 func writePage(file string, lines []logLine, rows []row, reasons []reason) error {
-	made := page{Began: rows[0].At, Rows: rows, Reasons: reasons}
-	for _, one := range plotsOf(lines, rows) {
-		svg, err := draw(one)
+	data := page{Began: rows[0].At, Rows: rows, Reasons: reasons}
+	for _, one := range buildCharts(lines, rows) {
+		svg, err := renderChart(one)
 		if err != nil {
 			return err
 		}
-		made.Pictures = append(made.Pictures, picture{Title: one.title, SVG: svg})
+		data.Pictures = append(data.Pictures, picture{Title: one.title, SVG: svg})
 	}
 	var out bytes.Buffer
-	if err := pageTemplate.Execute(&out, made); err != nil {
+	if err := pageTemplate.Execute(&out, data); err != nil {
 		return failure.Wrap(err, failure.Internal, "the page cannot be made", "report it")
 	}
 	if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
@@ -82,25 +82,25 @@
 	curves      []curve
 }
 
-// plotsOf returns the plots of a day, those without a point left out.
-func plotsOf(lines []logLine, rows []row) []chart {
-	began := rows[0].At
-	every := rowLength(rows)
+// buildCharts returns the plots of a day, those without a point left out.
+func buildCharts(lines []logLine, rows []row) []chart {
+	start := rows[0].At
+	interval := rowInterval(rows)
 	charts := []chart{
 		{title: "Requests answered, by how they ended", unit: "requests a row", curves: []curve{
-			countCurve("in time", rows, began, func(r row) int { return r.InTime }),
-			countCurve("late", rows, began, func(r row) int { return r.Late }),
-			countCurve("refused", rows, began, func(r row) int { return r.Refused }),
-			countCurve("failed", rows, began, func(r row) int { return r.Failed }),
+			countCurve("in time", rows, start, func(r row) int { return r.InTime }),
+			countCurve("late", rows, start, func(r row) int { return r.Late }),
+			countCurve("refused", rows, start, func(r row) int { return r.Refused }),
+			countCurve("failed", rows, start, func(r row) int { return r.Failed }),
 		}},
-		{title: "First event of streams", unit: "ms", curves: partCurves(lines, began, every, "firstMillis", func(l logLine) bool { return l.millis("events") > 0 })},
-		{title: "Waiting for a place", unit: "ms", curves: partCurves(lines, began, every, "heldMillis", answered)},
-		{title: "Age of what entries knew", unit: "ms", curves: partCurves(lines, began, every, "ageMillis", answered)},
+		{title: "First event of streams", unit: "ms", curves: percentileCurves(lines, start, interval, "firstMillis", func(l logLine) bool { return l.intField("events") > 0 })},
+		{title: "Waiting for a place", unit: "ms", curves: percentileCurves(lines, start, interval, "heldMillis", answered)},
+		{title: "Age of what entries knew", unit: "ms", curves: percentileCurves(lines, start, interval, "ageMillis", answered)},
 		{title: "What processes learned of endpoints and weights", unit: "lines so far", curves: []curve{
-			eventCurve("endpoints ended", lines, began, func(l logLine) bool { return l.fields["msg"] == "endpoint looked at" && l.fields["ended"] == "true" }),
-			eventCurve("versions whole on a host", lines, began, func(l logLine) bool { return l.fields["msg"] == "version whole" }),
-			eventCurve("loads ordered", lines, began, func(l logLine) bool { return l.fields["msg"] == "order" }),
-			eventCurve("dependencies lost", lines, began, func(l logLine) bool { return l.fields["msg"] == "dependency lost" }),
+			eventCurve("endpoints ended", lines, start, func(l logLine) bool { return l.fields["msg"] == "endpoint looked at" && l.fields["ended"] == "true" }),
+			eventCurve("versions whole on a host", lines, start, func(l logLine) bool { return l.fields["msg"] == "version whole" }),
+			eventCurve("loads ordered", lines, start, func(l logLine) bool { return l.fields["msg"] == "order" }),
+			eventCurve("dependencies lost", lines, start, func(l logLine) bool { return l.fields["msg"] == "dependency lost" }),
 		}},
 	}
 	for i := range charts {
@@ -111,8 +111,8 @@
 
 func answered(line logLine) bool { return line.fields["msg"] == "answered" }
 
-// rowLength is the least time between two rows; a second where there is one row alone.
-func rowLength(rows []row) time.Duration {
+// rowInterval is the least time between two rows; a second where there is one row alone.
+func rowInterval(rows []row) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for i := range rows[1:] {
 		least = min(least, rows[i+1].At.Sub(rows[i].At))
@@ -123,22 +123,22 @@
 	return least
 }
 
-func countCurve(name string, rows []row, began time.Time, count func(row) int) curve {
+func countCurve(name string, rows []row, start time.Time, count func(row) int) curve {
 	found := curve{name: name}
 	for _, one := range rows {
-		found.points = append(found.points, plotter.XY{X: one.At.Sub(began).Seconds(), Y: float64(count(one))})
+		found.points = append(found.points, plotter.XY{X: one.At.Sub(start).Seconds(), Y: float64(count(one))})
 	}
 	return found
 }
 
-// partCurves returns the median and what one in ten and one in a hundred exceed, by row.
-func partCurves(lines []logLine, began time.Time, every time.Duration, field string, of func(logLine) bool) []curve {
+// percentileCurves returns the median and what one in ten and one in a hundred exceed, by row.
+func percentileCurves(lines []logLine, start time.Time, interval time.Duration, field string, include func(logLine) bool) []curve {
 	curves := []curve{{name: "p50"}, {name: "p90"}, {name: "p99"}}
 	byRow := map[int64][]int{}
 	for _, line := range lines {
-		if of(line) && answered(line) {
-			at := int64(line.at.Sub(began) / every)
-			byRow[at] = append(byRow[at], line.millis(field))
+		if include(line) && answered(line) {
+			at := int64(line.at.Sub(start) / interval)
+			byRow[at] = append(byRow[at], line.intField(field))
 		}
 	}
 	var order []int64
@@ -148,20 +148,20 @@
 	slices.Sort(order)
 	for _, at := range order {
 		slices.Sort(byRow[at])
-		for i, part := range []float64{0.5, 0.9, 0.99} {
-			value := byRow[at][int(part*float64(len(byRow[at])-1))]
-			curves[i].points = append(curves[i].points, plotter.XY{X: float64(at) * every.Seconds(), Y: float64(value)})
+		for i, quantile := range []float64{0.5, 0.9, 0.99} {
+			value := byRow[at][int(quantile*float64(len(byRow[at])-1))]
+			curves[i].points = append(curves[i].points, plotter.XY{X: float64(at) * interval.Seconds(), Y: float64(value)})
 		}
 	}
 	return curves
 }
 
 // eventCurve counts lines up.
-func eventCurve(name string, lines []logLine, began time.Time, of func(logLine) bool) curve {
+func eventCurve(name string, lines []logLine, start time.Time, include func(logLine) bool) curve {
 	found := curve{name: name}
 	for _, line := range lines {
-		if of(line) {
-			found.points = append(found.points, plotter.XY{X: line.at.Sub(began).Seconds(), Y: float64(len(found.points) + 1)})
+		if include(line) {
+			found.points = append(found.points, plotter.XY{X: line.at.Sub(start).Seconds(), Y: float64(len(found.points) + 1)})
 		}
 	}
 	return found
@@ -171,25 +171,25 @@
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	// legendRoom stretches a plot so that its legend stands above the curves.
-	legendRoom = 1.4
+	// legendHeadroom stretches a plot so that its legend stands above the curves.
+	legendHeadroom = 1.4
 )
 
-func draw(one chart) (template.HTML, error) {
-	drawn := plot.New()
-	drawn.X.Label.Text = "s"
-	drawn.Y.Label.Text = one.unit
-	drawn.Y.Min = 0
-	drawn.Legend.Top, drawn.Legend.Left = true, true
+func renderChart(one chart) (template.HTML, error) {
+	figure := plot.New()
+	figure.X.Label.Text = "s"
+	figure.Y.Label.Text = one.unit
+	figure.Y.Min = 0
+	figure.Legend.Top, figure.Legend.Left = true, true
 	var args []any
 	for _, line := range one.curves {
 		args = append(args, line.name, line.points)
 	}
-	err := plotutil.AddLines(drawn, args...)
-	drawn.Y.Max *= legendRoom
+	err := plotutil.AddLines(figure, args...)
+	figure.Y.Max *= legendHeadroom
 	var svg io.WriterTo
 	if err == nil {
-		svg, err = drawn.WriterTo(plotWidth, plotHeight, "svg")
+		svg, err = figure.WriterTo(plotWidth, plotHeight, "svg")
 	}
 	var out bytes.Buffer
 	if err == nil {
--- a/ctl/internal/cmd/report_page_test.go
+++ b/ctl/internal/cmd/report_page_test.go
@@ -12,9 +12,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// dayLog is the lines of two entries and an agent; the reason holds what a page must not take
+// sampleLog is the lines of two entries and an agent; the reason holds what a page must not take
 // for its own.
-func dayLog() string {
+func sampleLog() string {
 	var log strings.Builder
 	for i := range 40 {
 		fmt.Fprintf(&log, "time=2026-06-17T15:08:%02d.100Z level=INFO msg=answered node=front-%d outcome=served status=200 tookMillis=900 "+
@@ -28,16 +28,16 @@
 	return log.String()
 }
 
-func reportOf(args ...string) (out string, code int) {
+func runReport(args ...string) (out string, code int) {
 	var text, errors bytes.Buffer
-	term := &terminal{in: strings.NewReader(dayLog()), out: &text, errOut: &errors, clock: clockwork.NewFakeClock()}
+	term := &terminal{in: strings.NewReader(sampleLog()), out: &text, errOut: &errors, clock: clockwork.NewFakeClock()}
 	code = run(context.Background(), "test", append([]string{"report"}, args...), term)
 	return text.String() + errors.String(), code
 }
 
-func TestReportPageNeedsNothingElse(t *testing.T) {
+func TestReportPageIsSelfContained(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.html")
-	if out, code := reportOf("--html", file); code != 0 || !strings.Contains(out, "answered") {
+	if out, code := runReport("--html", file); code != 0 || !strings.Contains(out, "answered") {
 		t.Fatalf("got %q, exit code %d, want the report besides", out, code)
 	}
 	text, err := os.ReadFile(file)
@@ -64,14 +64,14 @@
 }
 
 func TestReportPageThatCantBeWritten(t *testing.T) {
-	out, code := reportOf("--html", filepath.Join(t.TempDir(), "none", "day.html"))
+	out, code := runReport("--html", filepath.Join(t.TempDir(), "none", "day.html"))
 	if code != 2 || !strings.Contains(out, "the page cannot be written") {
 		t.Errorf("got %q, exit code %d, want a remedy and exit code 2", out, code)
 	}
 }
 
-func TestPartsOfAnEmptyDay(t *testing.T) {
-	out, code := reportOf("--from", "2027-01-01T00:00:00Z", "--html", filepath.Join(t.TempDir(), "day.html"))
+func TestReportWithoutRequests(t *testing.T) {
+	out, code := runReport("--from", "2027-01-01T00:00:00Z", "--html", filepath.Join(t.TempDir(), "day.html"))
 	if code != 2 || !strings.Contains(out, "no answered request") {
 		t.Errorf("got %q, exit code %d, want no request and exit code 2", out, code)
 	}
--- a/ctl/internal/cmd/wait.go
+++ b/ctl/internal/cmd/wait.go
@@ -13,21 +13,21 @@
 
 // waitInForce returns once every live node has the revision, or one above it,
 // in force.
-func waitInForce(ctx context.Context, term *terminal, asked *client.Client, revision uint32, limit time.Duration) error {
-	began := term.clock.Now()
+func waitInForce(ctx context.Context, term *terminal, api *client.Client, revision uint32, limit time.Duration) error {
+	start := term.clock.Now()
 	for {
-		status, err := asked.Status(ctx)
+		status, err := api.Status(ctx)
 		if err != nil {
 			return err
 		}
 		behind := nodesBehind(status, revision)
 		if len(behind) == 0 {
-			fmt.Fprintf(term.errOut, "revision %d is in force on all %d nodes that are not lost\n", revision, reporting(status))
+			fmt.Fprintf(term.errOut, "revision %d is in force on all %d nodes that are not lost\n", revision, countLive(status))
 			return nil
 		}
-		if term.clock.Since(began) >= limit {
+		if term.clock.Since(start) >= limit {
 			return failure.New(failure.Unavailable, fmt.Sprintf("revision %d is accepted, but after %v not in force on %d nodes: %s",
-				revision, limit, len(behind), firstNames(behind)), "watch comfreyctl status")
+				revision, limit, len(behind), abbreviate(behind)), "watch comfreyctl status")
 		}
 		if err := sleep(ctx, term, pollInterval); err != nil {
 			return err
@@ -50,7 +50,7 @@
 	return behind
 }
 
-func reporting(status *client.Status) int {
+func countLive(status *client.Status) int {
 	count := 0
 	for _, node := range status.Nodes {
 		if !node.Lost {
@@ -60,7 +60,7 @@
 	return count
 }
 
-func firstNames(names []string) string {
+func abbreviate(names []string) string {
 	const shown = 5
 	if len(names) <= shown {
 		return fmt.Sprint(names)
@@ -68,11 +68,11 @@
 	return fmt.Sprint(names[:shown]) + " and others"
 }
 
-func sleep(ctx context.Context, term *terminal, pause time.Duration) error {
+func sleep(ctx context.Context, term *terminal, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return failure.Wrap(ctx.Err(), failure.Unavailable, "interrupted", "run it again to go on watching")
-	case <-term.clock.After(pause):
+	case <-term.clock.After(duration):
 		return nil
 	}
 }
