--- a/ctl/internal/cmd/cmd.go
+++ b/ctl/internal/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the subcommands of comfreyctl, one file each.
+// Package cmd implements the subcommands of comfreyctl, one file each.
 package cmd
 
 import (
@@ -12,20 +12,20 @@
 	"comfreyrelay.example/relay/cli"
 )
 
-// program is the name in help and messages.
+// program is the program name shown in help and messages.
 const program = "comfreyctl"
 
-// terminal is what the subcommands touch outside of themselves; tests set the
-// fields.
+// terminal holds the streams, clock and transport of the subcommands. Tests
+// replace them.
 type terminal struct {
 	in          io.Reader
 	out, errOut io.Writer
 	clock       clockwork.Clock
-	// send replaces the network; nil uses it.
+	// send replaces the HTTP client; if nil, requests go over the network.
 	send func(*http.Request) (*http.Response, error)
 }
 
-// Main runs the subcommand that the arguments name and returns the exit code.
+// Main runs the subcommand given in args and returns the exit code.
 func Main(ctx context.Context, version string, args []string) int {
 	term := &terminal{in: os.Stdin, out: os.Stdout, errOut: os.Stderr, clock: clockwork.NewRealClock()}
 	return run(ctx, version, args, term)
--- a/ctl/internal/cmd/cmd_apply.go
+++ b/ctl/internal/cmd/cmd_apply.go
@@ -22,7 +22,7 @@
 	WaitTimeout time.Duration `long:"wait-timeout" value-name:"TIME" default:"60s" description:"Longest wait"`
 }
 
-// applyResult is what --json prints for an accepted change.
+// applyResult is the JSON output for a submitted change, accepted or not.
 type applyResult struct {
 	Outcome      string           `json:"outcome"`
 	Revision     uint32           `json:"revision,omitempty"`
@@ -79,7 +79,7 @@
 	return waitInForce(ctx, term, api, revision, opts.WaitTimeout)
 }
 
-// baseRevision returns the given base, else the revision in force.
+// baseRevision returns the given base revision, or the one in force if none is given.
 func baseRevision(ctx context.Context, api *client.Client, given *uint32) (uint32, error) {
 	if given != nil {
 		return *given, nil
@@ -91,7 +91,7 @@
 	return found.Revision, nil
 }
 
-// reportChange prints how a change ended and returns its error.
+// reportChange prints the outcome of a submitted change and returns its error.
 func reportChange(term *terminal, asJSON bool, revision uint32, submission string, err error) error {
 	result := &applyResult{Outcome: "accepted", Revision: revision, SubmissionID: submission}
 	var conflict *client.Conflict
--- a/ctl/internal/cmd/cmd_completion.go
+++ b/ctl/internal/cmd/cmd_completion.go
@@ -7,8 +7,8 @@
 	"comfreyrelay.example/relay/cli"
 )
 
-// completionScript asks the program itself: go-flags prints the completions
-// where GO_FLAGS_COMPLETION is set.
+// completionScript calls comfreyctl for the completions: go-flags prints them if
+// GO_FLAGS_COMPLETION is set.
 const completionScript = `_comfreyctl() {
     local args=("${COMP_WORDS[@]:1:$COMP_CWORD}")
     local IFS=$'\n'
--- a/ctl/internal/cmd/cmd_diff.go
+++ b/ctl/internal/cmd/cmd_diff.go
@@ -55,6 +55,7 @@
 		"name one file, two files, or two revisions with --from and --to")
 }
 
+// diffFiles compares two document files without contacting an entry.
 func diffFiles(term *terminal, first, second string) ([]client.Change, error) {
 	before, err := readDocument(term, first)
 	if err != nil {
@@ -67,6 +68,7 @@
 	return client.Changes(document.Diff(before, after)), nil
 }
 
+// diffInForce compares the document in force with a file.
 func diffInForce(ctx context.Context, term *terminal, opts *diffOptions, name string) ([]client.Change, error) {
 	after, err := readDocument(term, name)
 	if err != nil {
@@ -87,7 +89,8 @@
 	return client.Changes(document.Diff(before, after)), nil
 }
 
-// documentInForce reads the document; revision 0 where none is in force yet.
+// documentInForce returns the document in force, with revision 0 if there is none
+// yet.
 func documentInForce(ctx context.Context, api *client.Client) (*client.InForce, error) {
 	found, err := api.Document(ctx)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
@@ -96,7 +99,7 @@
 	return found, err
 }
 
-// parseInForce returns the document that an entry sent; nil where none is in
+// parseInForce parses the document that an entry sent. It returns nil if none is in
 // force yet.
 func parseInForce(found *client.InForce) (*wire.Document, error) {
 	if found.Revision == 0 {
--- a/ctl/internal/cmd/cmd_drain.go
+++ b/ctl/internal/cmd/cmd_drain.go
@@ -12,7 +12,7 @@
 	Back bool `long:"back" description:"Take the host back into service"`
 }
 
-// drainResult is what --json prints.
+// drainResult is the JSON output of drain.
 type drainResult struct {
 	Host  string `json:"host"`
 	Drain bool   `json:"drain"`
--- a/ctl/internal/cmd/cmd_ends.go
+++ b/ctl/internal/cmd/cmd_ends.go
@@ -39,25 +39,27 @@
 	}
 }
 
-// suspect is one request under which endpoints ended.
+// suspect is a request that was in progress on endpoints when they ended.
 type suspect struct {
 	Print  string    `json:"print"`
-	Ends   int       `json:"ends"` // distinct endpoints
+	Ends   int       `json:"ends"` // distinct endpoints that ended while it was in progress
 	Tries  int       `json:"tries"`
-	Held   int       `json:"held"`   // tries that were refused for it
-	Served int       `json:"served"` // tries that were served
-	First  time.Time `json:"first"`  // end
+	Held   int       `json:"held"`   // attempts refused because of these ends
+	Served int       `json:"served"` // attempts that were served
+	First  time.Time `json:"first"`  // time of the first end
 	Last   time.Time `json:"last"`
-	// Requests are the callers' ids of the tries in progress at ends.
+	// Requests are the request ids, set by callers, of the attempts that were in
+	// progress when an endpoint ended.
 	Requests []string `json:"requests"`
 }
 
-// heldOutcome is the outcome of a request that is held.
+// heldOutcome is the logged outcome of a request that is refused because endpoints
+// ended while it was in progress.
 const heldOutcome = "endpoints ended under this request"
 
 func ends(term *terminal, opts *endsOptions, files []string) error {
 	if opts.Least < 1 {
-		return failure.New(failure.Invalid, "--least is no number from 1 on", "leave it out for 2")
+		return failure.New(failure.Invalid, "--least must be 1 or more", "leave it out for 2")
 	}
 	lines, err := readLogsBetween(term, files, opts.From, opts.To)
 	if err != nil {
@@ -74,11 +76,11 @@
 	return printEnds(term.out, ended, found)
 }
 
-// countEnds returns how many endpoints ended and the requests in progress there, most ends
-// first.
+// countEnds returns the number of endpoints that ended and the requests that were in
+// progress on them, those with the most ends first.
 func countEnds(lines []logLine) (ended int, found []suspect) {
 	byPrint := map[string]*suspect{}
-	endsByPrint := map[string]map[string]bool{} // endpoints by fingerprint
+	endsByPrint := map[string]map[string]bool{} // ended endpoints by request fingerprint
 	allEnds := map[string]bool{}
 	for _, line := range lines {
 		if line.fields["msg"] != "endpoint looked at" || line.fields["ended"] != "true" {
@@ -110,7 +112,7 @@
 	return len(allEnds), found
 }
 
-// countAttempts counts how the tries of the requests were answered.
+// countAttempts counts the attempts of each request by outcome.
 func countAttempts(lines []logLine, byPrint map[string]*suspect) {
 	for _, line := range lines {
 		one := byPrint[line.fields["print"]]
@@ -127,7 +129,7 @@
 	}
 }
 
-// parseList reads a list as it is logged: "[a b]".
+// parseList parses a list in its logged form, such as "[a b]".
 func parseList(text string) []string {
 	return strings.Fields(strings.TrimSuffix(strings.TrimPrefix(text, "["), "]"))
 }
--- a/ctl/internal/cmd/cmd_explain.go
+++ b/ctl/internal/cmd/cmd_explain.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// topics explains what is no field.
+// topics maps exit codes, request outcomes and error kinds to their explanations.
 var topics = map[string]string{
 	"0":        "Exit code 0: it was done.",
 	"1":        "Exit code 1: it was tried and failed. The message names the remedy.",
@@ -67,10 +67,11 @@
 		explainField(out, subject, field)
 		return nil
 	}
-	return failure.New(failure.Invalid, fmt.Sprintf("nothing is known of %q", subject),
+	return failure.New(failure.Invalid, fmt.Sprintf("there is no explanation of %q", subject),
 		"give a path such as /models/0/version, entry:node.tls, notRun, conflict or 5")
 }
 
+// fieldOf returns the field of the document or the settings that subject names.
 func fieldOf(subject string) (schema.Field, bool) {
 	if path, ok := strings.CutPrefix(subject, "entry:"); ok {
 		return settings.DescribeEntry(path)
--- a/ctl/internal/cmd/cmd_init.go
+++ b/ctl/internal/cmd/cmd_init.go
@@ -25,7 +25,7 @@
 	JSON    bool   `long:"json" description:"Print JSON in place of text"`
 }
 
-// initResult holds the bearer keys that a new document was made with.
+// initResult is the JSON output of init: the file and the keys generated for it.
 type initResult struct {
 	File        string `json:"file"`
 	OperatorKey string `json:"operatorKey"`
@@ -74,12 +74,14 @@
 	return nil
 }
 
+// newKey returns a random bearer key.
 func newKey() string {
 	bytes := make([]byte, keyBytes)
 	_, _ = rand.Read(bytes) // never fails
 	return base64.RawURLEncoding.EncodeToString(bytes)
 }
 
+// writeNew writes a file and fails if it exists, unless overwrite is set.
 func writeNew(name string, text []byte, overwrite bool) error {
 	flags := os.O_WRONLY | os.O_CREATE | os.O_TRUNC
 	if !overwrite {
@@ -94,7 +96,7 @@
 	}
 	defer file.Close()
 	if _, err := file.Write(text); err != nil {
-		return failure.Wrap(err, failure.Unavailable, "cannot write "+name, "make room and try again")
+		return failure.Wrap(err, failure.Unavailable, "cannot write "+name, "free disk space and try again")
 	}
 	return file.Close()
 }
--- a/ctl/internal/cmd/cmd_key.go
+++ b/ctl/internal/cmd/cmd_key.go
@@ -13,7 +13,7 @@
 	JSON    bool   `long:"json" description:"Print JSON in place of text"`
 }
 
-// keyPair is a bearer key with the hash that documents and settings hold.
+// keyPair is a bearer key and its hash. Documents and settings contain only the hash.
 type keyPair struct {
 	Key  string `json:"key"`
 	Hash string `json:"hash"`
--- a/ctl/internal/cmd/cmd_report.go
+++ b/ctl/internal/cmd/cmd_report.go
@@ -43,13 +43,13 @@
 	}
 }
 
-// outcome is how one request ended.
+// outcome classifies how a request ended.
 type outcome struct {
 	class  string // "inTime", "late", "refused" or "failed"
-	reason string // why it was not in time
+	reason string // cause, if the class is not "inTime"
 }
 
-// row counts the requests that were answered in one span of time.
+// row counts the requests that were answered in one time interval.
 type row struct {
 	At       time.Time `json:"at"`
 	Answered int       `json:"answered"`
@@ -59,7 +59,7 @@
 	Failed   int       `json:"failed"`
 }
 
-// reason counts the requests that were not in time for it.
+// reason counts the requests that were not in time for one reason.
 type reason struct {
 	Class  string `json:"class"`
 	Reason string `json:"reason"`
@@ -69,7 +69,7 @@
 func report(term *terminal, opts *reportOptions, files []string) error {
 	interval, err := time.ParseDuration(opts.Every)
 	if err != nil || interval <= 0 {
-		return failure.New(failure.Invalid, "--every is no length of time", "write it like 2s or 1m")
+		return failure.New(failure.Invalid, "--every is not a positive duration", "write it like 2s or 1m")
 	}
 	lines, err := readLogsBetween(term, files, opts.From, opts.To)
 	if err != nil {
@@ -90,7 +90,8 @@
 	return printReport(term.out, rows, reasons)
 }
 
-// countOutcomes counts lines that are in order of time.
+// countOutcomes counts the outcomes of requests by interval and by reason. The
+// lines must be sorted by time.
 func countOutcomes(lines []logLine, interval time.Duration) ([]row, []reason) {
 	var rows []row
 	counts := map[outcome]int{}
@@ -138,7 +139,8 @@
 	statusError   = 400
 )
 
-// classifyOutcome reads an entry's line about an answered request.
+// classifyOutcome classifies a request by the line that an entry logged when it
+// answered.
 func classifyOutcome(line logLine) outcome {
 	status := line.intField("status")
 	switch {
@@ -169,7 +171,7 @@
 	return outcome{class: "late", reason: "endpoint"}
 }
 
-// intField returns a whole number of the line; 0 where it has none.
+// intField returns the value of an integer field, or 0 if it is missing or invalid.
 func (l logLine) intField(name string) int {
 	count, err := strconv.Atoi(l.fields[name])
 	if err != nil {
--- a/ctl/internal/cmd/cmd_report_test.go
+++ b/ctl/internal/cmd/cmd_report_test.go
@@ -10,11 +10,11 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// TestReport runs testdata/report: each command's input is a log, its arguments
-// those of the command line.
+// TestReport runs testdata/report: the input of each command is a log, and its
+// arguments are the command-line options.
 func TestReport(t *testing.T) { runLogScript(t, "report", "testdata/report") }
 
-// runLogScript runs a subcommand that reads logs, as a file describes.
+// runLogScript runs the datadriven file of a subcommand that reads logs.
 func runLogScript(t *testing.T, command, file string) {
 	t.Helper()
 	datadriven.RunTest(t, file, func(t *testing.T, td *datadriven.TestData) string {
--- a/ctl/internal/cmd/cmd_rollout.go
+++ b/ctl/internal/cmd/cmd_rollout.go
@@ -73,7 +73,7 @@
 	return list.flush()
 }
 
-// holdUps names the first few reasons; --json gives all.
+// holdUps joins the first few reasons for the table; --json prints all of them.
 func holdUps(reasons []string) string {
 	const shown = 3
 	if len(reasons) <= shown {
--- a/ctl/internal/cmd/cmd_test.go
+++ b/ctl/internal/cmd/cmd_test.go
@@ -26,18 +26,19 @@
 	entryB = "127.0.0.1:2"
 )
 
-// cannedReply is one reply of the fake entry.
+// cannedReply is a scripted reply of the fake entries.
 type cannedReply struct {
 	status int    // 0 for a connection that fails
 	body   string // or "refused" (never connected) or "lost" (broken afterwards)
 }
 
-// fakeEntries plays the entries: replies in order, then the last one again.
+// fakeEntries is a fake transport that returns the scripted replies in order and
+// then repeats the last one.
 type fakeEntries struct {
 	replies []cannedReply
 	next    int
 	log     strings.Builder
-	ids     map[string]string // submission ids by what the log calls them
+	ids     map[string]string // submission ids by their placeholder in the log
 }
 
 var uuidForm = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
@@ -66,7 +67,7 @@
 	return &http.Response{StatusCode: reply.status, Body: content, Header: http.Header{}}, nil
 }
 
-// maskIDs replaces each submission id by a short name that stays the same.
+// maskIDs replaces each submission id with a stable placeholder.
 func (f *fakeEntries) maskIDs(text string) string {
 	return uuidForm.ReplaceAllStringFunc(text, func(id string) string {
 		for name, known := range f.ids {
@@ -80,7 +81,7 @@
 	})
 }
 
-// unmaskIDs puts the ids back into a canned reply.
+// unmaskIDs replaces the placeholders in a canned reply with the submission ids.
 func (f *fakeEntries) unmaskIDs(text string) string {
 	for name, id := range f.ids {
 		text = strings.ReplaceAll(text, name, id)
@@ -88,10 +89,10 @@
 	return text
 }
 
-// TestScripts replays testdata/scripts/*.txt. "entry" gives the replies, one a
-// line: a status and a body, or "refused" or "lost". "ctl" runs comfreyctl with
-// the input's lines as arguments, in fake time, and shows all that happened.
-// $DIR holds good.json (the example) and bad.json.
+// TestScripts runs testdata/scripts/*.txt. "entry" sets the replies, one per line:
+// a status and a body, or "refused" or "lost". "ctl" runs comfreyctl in fake time
+// with one argument per input line, and prints the requests, the output and the
+// exit code. $DIR contains good.json (the example), changed.json, bad.json and key.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		dir := t.TempDir()
@@ -176,7 +177,7 @@
 	return strings.ReplaceAll(shown, dir, "$DIR")
 }
 
-// prefix marks each line with its stream and ends it visibly clean.
+// prefix puts the name of the stream before each line and trims trailing spaces.
 func prefix(stream string, text *bytes.Buffer) string {
 	var marked strings.Builder
 	for line := range strings.Lines(text.String()) {
--- a/ctl/internal/cmd/cmd_trace.go
+++ b/ctl/internal/cmd/cmd_trace.go
@@ -18,7 +18,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// maxLogLine bounds one line of a log, bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
 type traceOptions struct {
@@ -47,10 +47,10 @@
 	}
 }
 
-// logLine is one line of a log.
+// logLine is a parsed log line.
 type logLine struct {
 	at     time.Time
-	text   string // as written, from its time on
+	text   string // the original text, starting at the time field
 	fields map[string]string
 }
 
@@ -70,14 +70,14 @@
 	return printLogs(term.out, lines, opts.JSON)
 }
 
-// mentions reports whether the line is of the request, by its id or fingerprint, or names it in a
-// list of several.
+// mentions reports whether the line has value in the given field (a request id or
+// fingerprint), or in the list in the plural of that field.
 func (l logLine) mentions(field, value string) bool {
 	return l.fields[field] == value || slices.Contains(parseList(l.fields[field+"s"]), value)
 }
 
-// readLogsBetween reads the lines from the time of the option --from on and before that
-// of --to, in order of time; an empty option bounds nothing.
+// readLogsBetween returns the log lines from the time --from (inclusive) to --to
+// (exclusive), sorted by time. An empty option sets no limit.
 func readLogsBetween(term *terminal, files []string, fromText, toText string) ([]logLine, error) {
 	from, err := timeOption("--from", fromText)
 	if err != nil {
@@ -98,17 +98,19 @@
 	return lines, nil
 }
 
+// timeOption parses the time given with an option; an empty text gives the zero time.
 func timeOption(name, text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return time.Time{}, failure.Wrap(err, failure.Invalid, name+" is no time", "write it as in the logs: 2026-06-17T15:08:30.123Z")
+		return time.Time{}, failure.Wrap(err, failure.Invalid, name+" is not a time", "write it as in the logs: 2026-06-17T15:08:30.123Z")
 	}
 	return at, nil
 }
 
+// readLogs parses the named log files, or standard input if none is named.
 func readLogs(term *terminal, files []string) ([]logLine, error) {
 	if len(files) == 0 {
 		return parseLog(term.in)
@@ -129,8 +131,8 @@
 	return all, nil
 }
 
-// parseLog reads the lines that bear a time; whatever stands before it, a prefix
-// of a collector for example, is dropped.
+// parseLog parses the lines that have a time field and skips all others. Text
+// before that field, such as the prefix of a log collector, is dropped.
 func parseLog(in io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(in)
@@ -150,6 +152,7 @@
 	return lines, nil
 }
 
+// parseLine parses a logfmt line and reports whether it is valid.
 func parseLine(text string) (logLine, bool) {
 	line := logLine{text: text, fields: map[string]string{}}
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
@@ -182,7 +185,8 @@
 	return nil
 }
 
-// dropColumnFields drops what stands in the columns already: time, level, program and node.
+// dropColumnFields removes the time and node, which have columns of their own, and
+// the program.
 func dropColumnFields(text string) string {
 	kept := make([]string, 0, 16)
 	for _, field := range strings.Split(text, " ") {
--- a/ctl/internal/cmd/cmd_trace_test.go
+++ b/ctl/internal/cmd/cmd_trace_test.go
@@ -63,7 +63,7 @@
 	if got, code := runTrace(t, "--request", "r-9", "entry.log"); code != 2 || !strings.Contains(got, "no line matches") {
 		t.Errorf("got %q, exit code %d, want no line", got, code)
 	}
-	if got, code := runTrace(t, "--from", "yesterday"); code != 2 || !strings.Contains(got, "--from is no time") {
+	if got, code := runTrace(t, "--from", "yesterday"); code != 2 || !strings.Contains(got, "--from is not a time") {
 		t.Errorf("got %q, exit code %d, want a bad time", got, code)
 	}
 	if got, code := runTrace(t, "missing.txt"); code != 2 {
--- a/ctl/internal/cmd/cmd_validate.go
+++ b/ctl/internal/cmd/cmd_validate.go
@@ -12,7 +12,7 @@
 	connection
 }
 
-// validationResult is what --json prints.
+// validationResult is the JSON output of validate.
 type validationResult struct {
 	Valid    bool               `json:"valid"`
 	Problems []document.Problem `json:"errors"`
--- a/ctl/internal/cmd/connection.go
+++ b/ctl/internal/cmd/connection.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// connection holds the options of subcommands that ask an entry.
+// connection holds the options of subcommands that send requests to an entry.
 type connection struct {
 	Entries []string      `long:"entry" value-name:"IP:PORT" env:"COMFREY_ENTRY" env-delim:"," description:"Entry to ask; give several and the next is tried where one does not answer"`
 	Key     string        `long:"key" value-name:"KEY" env:"COMFREY_KEY" description:"Operator's bearer key; other users of this machine can see it, better use --key-file"`
@@ -19,7 +19,7 @@
 	JSON    bool          `long:"json" description:"Print JSON in place of tables"`
 }
 
-// open makes a client of the entries.
+// open returns a client for the configured entries.
 func (c *connection) open(term *terminal) (*client.Client, error) {
 	key, err := c.key()
 	if err != nil {
@@ -35,7 +35,8 @@
 	})
 }
 
-// key returns the bearer key; a file goes before the environment.
+// key returns the bearer key. --key-file takes precedence over --key and the
+// environment.
 func (c *connection) key() (string, error) {
 	if c.KeyFile == "" {
 		return c.Key, nil
@@ -51,7 +52,8 @@
 	return key, nil
 }
 
-// oneArgument returns the only argument.
+// oneArgument returns the single positional argument, or an error if there is not
+// exactly one. what describes the argument in the error.
 func oneArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
 		return "", failure.New(failure.Invalid, fmt.Sprintf("got %d arguments, want one: %s", len(args), what),
@@ -60,7 +62,7 @@
 	return args[0], nil
 }
 
-// noArguments refuses arguments behind the options.
+// noArguments returns an error if there are positional arguments.
 func noArguments(args []string) error {
 	if len(args) == 0 {
 		return nil
--- a/ctl/internal/cmd/file.go
+++ b/ctl/internal/cmd/file.go
@@ -10,7 +10,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// readInput returns a file's content; "-" stands for the standard input.
+// readInput returns the content of a file, or standard input if name is "-". It
+// reads at most one byte more than document.MaxBytes.
 func readInput(term *terminal, name string) ([]byte, error) {
 	input := term.in
 	if name != "-" {
@@ -28,7 +29,7 @@
 	return text, nil
 }
 
-// readDocument reads and checks a document's file.
+// readDocument reads, parses and validates a document file, and prints its problems.
 func readDocument(term *terminal, name string) (*wire.Document, error) {
 	text, err := readInput(term, name)
 	if err != nil {
@@ -42,6 +43,7 @@
 	return doc, nil
 }
 
+// invalidDocument returns the error for a document with count problems.
 func invalidDocument(name string, count int) error {
 	return failure.New(failure.Invalid, fmt.Sprintf("%s is not valid, mistakes: %d", name, count), "correct them as listed")
 }
--- a/ctl/internal/cmd/man_test.go
+++ b/ctl/internal/cmd/man_test.go
@@ -9,8 +9,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// TestManPageListsEveryOption fails where a subcommand or an option was added
-// and the man page was forgotten.
+// TestManPageListsEveryOption guards against adding a subcommand or an option
+// without documenting it in the man page.
 func TestManPageListsEveryOption(t *testing.T) {
 	text, err := os.ReadFile("../../../man/comfreyctl.md")
 	if err != nil {
--- a/ctl/internal/cmd/print.go
+++ b/ctl/internal/cmd/print.go
@@ -16,11 +16,11 @@
 const (
 	tabPadding   = 2
 	maxCellBytes = 72
-	// maxLastCellBytes is larger: no column stands behind it.
+	// maxLastCellBytes is larger because no column follows the last one.
 	maxLastCellBytes = 160
 )
 
-// table writes rows in columns.
+// table prints rows as aligned columns.
 type table struct {
 	writer *tabwriter.Writer
 }
@@ -42,7 +42,8 @@
 
 func (t *table) flush() error { return t.writer.Flush() }
 
-// replaceControl keeps control characters of remote text from the terminal.
+// replaceControl replaces control characters with spaces, so that text from a
+// remote process cannot send escape sequences to the terminal.
 func replaceControl(text string) string {
 	return strings.Map(func(char rune) rune {
 		if unicode.IsControl(char) {
@@ -52,7 +53,8 @@
 	}, text)
 }
 
-// truncate keeps a long value from tearing a table apart.
+// truncate shortens a long cell to limit bytes, so that it does not break the
+// table layout.
 func truncate(cell string, limit int) string {
 	if len(cell) <= limit {
 		return cell
--- a/ctl/internal/cmd/report_page.go
+++ b/ctl/internal/cmd/report_page.go
@@ -18,7 +18,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// page is what the HTML report shows.
+// page is the template data of the HTML report.
 type page struct {
 	Began    time.Time
 	Rows     []row
@@ -26,13 +26,13 @@
 	Pictures []picture
 }
 
-// picture is a plot with what it shows.
+// picture is a rendered chart with its title.
 type picture struct {
 	Title string
-	SVG   template.HTML // made by the plot library from figures alone
+	SVG   template.HTML // safe to embed: the plot library generates it from fixed labels and numbers
 }
 
-// curve is a line of a plot.
+// curve is a named line in a chart.
 type curve struct {
 	name   string
 	points plotter.XYs
@@ -56,7 +56,7 @@
 </html>
 `))
 
-// writePage writes the report of all lines as one page that needs nothing else.
+// writePage writes the report as a self-contained HTML page.
 func writePage(file string, lines []logLine, rows []row, reasons []reason) error {
 	data := page{Began: rows[0].At, Rows: rows, Reasons: reasons}
 	for _, one := range buildCharts(lines, rows) {
@@ -68,7 +68,7 @@
 	}
 	var out bytes.Buffer
 	if err := pageTemplate.Execute(&out, data); err != nil {
-		return failure.Wrap(err, failure.Internal, "the page cannot be made", "report it")
+		return failure.Wrap(err, failure.Internal, "the page cannot be rendered", "report it")
 	}
 	if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
 		return failure.Wrap(err, failure.Invalid, "the page cannot be written", "name a file in a folder that exists")
@@ -76,13 +76,14 @@
 	return nil
 }
 
-// chart is one plot before it is drawn.
+// chart is the data of a chart before it is rendered.
 type chart struct {
 	title, unit string
 	curves      []curve
 }
 
-// buildCharts returns the plots of a day, those without a point left out.
+// buildCharts returns the charts of the report, without curves and charts that
+// have no points.
 func buildCharts(lines []logLine, rows []row) []chart {
 	start := rows[0].At
 	interval := rowInterval(rows)
@@ -111,7 +112,8 @@
 
 func answered(line logLine) bool { return line.fields["msg"] == "answered" }
 
-// rowInterval is the least time between two rows; a second where there is one row alone.
+// rowInterval returns the shortest time between two rows, or one second if there is
+// only one row.
 func rowInterval(rows []row) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for i := range rows[1:] {
@@ -123,6 +125,7 @@
 	return least
 }
 
+// countCurve returns a curve of one count per row.
 func countCurve(name string, rows []row, start time.Time, count func(row) int) curve {
 	found := curve{name: name}
 	for _, one := range rows {
@@ -131,7 +134,8 @@
 	return found
 }
 
-// percentileCurves returns the median and what one in ten and one in a hundred exceed, by row.
+// percentileCurves returns the 50th, 90th and 99th percentile of a field per row,
+// over the answered requests that include selects.
 func percentileCurves(lines []logLine, start time.Time, interval time.Duration, field string, include func(logLine) bool) []curve {
 	curves := []curve{{name: "p50"}, {name: "p90"}, {name: "p99"}}
 	byRow := map[int64][]int{}
@@ -156,7 +160,7 @@
 	return curves
 }
 
-// eventCurve counts lines up.
+// eventCurve returns the cumulative count of the lines that include selects.
 func eventCurve(name string, lines []logLine, start time.Time, include func(logLine) bool) curve {
 	found := curve{name: name}
 	for _, line := range lines {
@@ -167,14 +171,15 @@
 	return found
 }
 
-// Size of a plot on the page.
+// Size of a chart on the page.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	// legendHeadroom stretches a plot so that its legend stands above the curves.
+	// legendHeadroom scales the Y axis so that the legend fits above the curves.
 	legendHeadroom = 1.4
 )
 
+// renderChart renders a chart as an SVG element.
 func renderChart(one chart) (template.HTML, error) {
 	figure := plot.New()
 	figure.X.Label.Text = "s"
@@ -196,9 +201,9 @@
 		_, err = svg.WriteTo(&out)
 	}
 	if err != nil {
-		return "", failure.Wrap(err, failure.Internal, fmt.Sprintf("the plot %q can't be drawn", one.title), "report it")
+		return "", failure.Wrap(err, failure.Internal, fmt.Sprintf("the plot %q cannot be drawn", one.title), "report it")
 	}
-	// What stands before the element is for files of their own.
+	// Drop the XML prolog, which is only valid in a standalone SVG file.
 	text := out.Bytes()
 	return template.HTML(text[max(0, bytes.Index(text, []byte("<svg"))):]), nil
 }
--- a/ctl/internal/cmd/report_page_test.go
+++ b/ctl/internal/cmd/report_page_test.go
@@ -12,8 +12,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// sampleLog is the lines of two entries and an agent; the reason holds what a page must not take
-// for its own.
+// sampleLog returns log lines of two entries and an agent. One outcome contains HTML
+// that the page must escape.
 func sampleLog() string {
 	var log strings.Builder
 	for i := range 40 {
--- a/ctl/internal/cmd/wait.go
+++ b/ctl/internal/cmd/wait.go
@@ -11,8 +11,8 @@
 
 const pollInterval = 250 * time.Millisecond
 
-// waitInForce returns once every live node has the revision, or one above it,
-// in force.
+// waitInForce polls the status until the revision, or a later one, is in force on
+// every node that is not lost. It returns an error after limit.
 func waitInForce(ctx context.Context, term *terminal, api *client.Client, revision uint32, limit time.Duration) error {
 	start := term.clock.Now()
 	for {
@@ -35,8 +35,8 @@
 	}
 }
 
-// nodesBehind returns the nodes that do not have the revision in force. Those
-// that are lost are left out: they get no work, and learn it before they do.
+// nodesBehind returns the nodes on which an older revision is in force. Lost nodes
+// are excluded: they receive no requests, and catch up before they do again.
 func nodesBehind(status *client.Status, revision uint32) []string {
 	var behind []string
 	for _, node := range status.Nodes {
@@ -50,6 +50,7 @@
 	return behind
 }
 
+// countLive returns the number of nodes that are not lost.
 func countLive(status *client.Status) int {
 	count := 0
 	for _, node := range status.Nodes {
@@ -60,6 +61,7 @@
 	return count
 }
 
+// abbreviate returns the names as a list, shortened to the first few.
 func abbreviate(names []string) string {
 	const shown = 5
 	if len(names) <= shown {
@@ -68,6 +70,7 @@
 	return fmt.Sprint(names[:shown]) + " and others"
 }
 
+// sleep waits for the duration or until ctx is done.
 func sleep(ctx context.Context, term *terminal, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/ctl/main.go
+++ b/ctl/main.go
@@ -1,5 +1,5 @@
-// Command comfreyctl is the operators' command line: it validates, compares
-// and applies documents and shows what is in force.
+// Command comfreyctl is the command-line tool for operators: it validates,
+// compares and applies documents and shows the state of the deployment.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/ctl/internal/cmd"
 )
 
-// version is set when the binary is built.
+// version is set at build time.
 var version = "dev"
 
 func main() {
