--- a/ctl/internal/client/attempts.go
+++ b/ctl/internal/client/attempts.go
@@ -52,7 +52,7 @@
 	if a.last == nil {
 		return failure.Wrap(interrupted, failure.Unavailable, "interrupted, and nothing was changed", "run it again")
 	}
-	return failure.New(failure.Unavailable, "no entry could do it, and nothing was changed: "+withoutRemedy(a.last),
+	return failure.New(failure.Unavailable, "no entry could process the request, and nothing was changed: "+withoutRemedy(a.last),
 		"name other entries with --entry, or try again later")
 }
 
--- a/ctl/internal/client/client.go
+++ b/ctl/internal/client/client.go
@@ -64,7 +64,7 @@
 	}
 	for _, entry := range opts.Entries {
 		if _, err := netip.ParseAddrPort(entry); err != nil {
-			return nil, failure.New(failure.Invalid, fmt.Sprintf("the entry %q is not an IP number with a port", entry),
+			return nil, failure.New(failure.Invalid, fmt.Sprintf("the entry %q is not an IP address with a port", entry),
 				"write it as 127.0.0.1:7102")
 		}
 	}
@@ -168,7 +168,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+entry+path, bytes.NewReader(text))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the request cannot be made", "correct the arguments")
+		return nil, failure.Wrap(err, failure.Invalid, "the request cannot be created", "correct the arguments")
 	}
 	if len(text) > 0 {
 		request.Header.Set("Content-Type", "application/json")
@@ -200,7 +200,7 @@
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return failure.Wrap(err, failure.Unavailable, "the entry cannot be reached", "name another with --entry")
 	}
-	return failure.Wrap(err, failure.Ambiguous, "no whole reply came", "ask for the state before you try again")
+	return failure.Wrap(err, failure.Ambiguous, "the reply is missing or incomplete", "ask for the state before you try again")
 }
 
 // encode returns body as JSON, or nil if there is no body.
@@ -210,7 +210,7 @@
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "the request cannot be written", "report this with the command line")
+		return nil, failure.Wrap(err, failure.Internal, "the request cannot be encoded", "report this with the command line")
 	}
 	return text, nil
 }
--- a/ctl/internal/client/document.go
+++ b/ctl/internal/client/document.go
@@ -80,7 +80,7 @@
 	if a.Revision > 0 {
 		return nil
 	}
-	return failure.New(failure.Ambiguous, "the entry's reply names no revision", "look at status and audit before you try again")
+	return failure.New(failure.Ambiguous, "the entry's reply has no revision", "look at status and audit before you try again")
 }
 
 // Submit submits a document and returns the number of the new revision.
