--- a/ctl/internal/client/client.go
+++ b/ctl/internal/client/client.go
@@ -1,4 +1,5 @@
-// Package client speaks the operators' HTTP API of any of several entries.
+// Package client is an HTTP client for the operator API, with failover between
+// several entries.
 package client
 
 import (
@@ -20,47 +21,50 @@
 )
 
 const (
-	// maxReplyBytes bounds what is read of one reply.
+	// maxReplyBytes limits how much of a response body is read.
 	maxReplyBytes = 64 << 20
-	// rounds is how often the whole list of entries is tried.
-	rounds = 3
-	// firstPause doubles after each round that found no entry.
-	firstPause = 300 * time.Millisecond
+	// maxRounds is the number of passes over the list of entries.
+	maxRounds = 3
+	// initialBackoff is the delay before the second pass. It doubles after each
+	// pass in which no entry gave a definite reply.
+	initialBackoff = 300 * time.Millisecond
 )
 
 // Options configure a Client.
 type Options struct {
-	// Entries are IP addresses with ports, tried in order.
+	// Entries lists the addresses (IP:PORT) of the entries, in the order to try.
 	Entries []string
-	// Key is the bearer key; empty sends none.
+	// Key is sent as the bearer token; no token is sent if it is empty.
 	Key string
-	// Timeout bounds one attempt at one entry.
+	// Timeout limits one attempt at one entry.
 	Timeout time.Duration
 	Clock   clockwork.Clock
-	// Send replaces the HTTP client in tests; nil sends over the network.
+	// Send replaces the HTTP client in tests; if nil, requests go over the network.
 	Send func(*http.Request) (*http.Response, error)
-	// Notify shows the person at the terminal why another entry is tried.
+	// Notify tells the user why another entry is tried.
 	Notify func(line string)
 }
 
-// Client tries the entries in order until one replies, and begins with that one
-// the next time. It is not safe for concurrent use.
+// Client sends each request to the entries in order until one gives a definite
+// reply, and starts with that entry the next time. It is not safe for concurrent
+// use.
 type Client struct {
 	opts Options
-	// first is the index of the entry that replied last.
-	first int
-	// notified holds the lines that Notify got: polling repeats them.
+	// preferred is the index of the entry that last gave a definite reply.
+	preferred int
+	// notified holds the lines already passed to Notify, so that polling does
+	// not repeat them.
 	notified map[string]bool
 }
 
-// New checks the options and makes a Client.
+// New validates the options and returns a Client.
 func New(opts Options) (*Client, error) {
 	if len(opts.Entries) == 0 {
 		return nil, failure.New(failure.Invalid, "no entry is named", "name one with --entry IP:PORT or COMFREY_ENTRY")
 	}
 	for _, entry := range opts.Entries {
 		if _, err := netip.ParseAddrPort(entry); err != nil {
-			return nil, failure.New(failure.Invalid, fmt.Sprintf("the entry %q is not an IP number with a port", entry),
+			return nil, failure.New(failure.Invalid, fmt.Sprintf("the entry %q is not an IP address with a port", entry),
 				"write it as 127.0.0.1:7102")
 		}
 	}
@@ -73,8 +77,8 @@
 	return &Client{opts: opts, notified: map[string]bool{}}, nil
 }
 
-// newHTTPClient returns a client that never sends a request again by itself:
-// it makes a connection for each request and follows no redirect.
+// newHTTPClient returns an HTTP client that never resends a request by itself:
+// it opens a new connection for each request and does not follow redirects.
 func newHTTPClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
@@ -82,60 +86,63 @@
 	}
 }
 
-// reply is one entry's whole answer.
+// reply is the complete HTTP response of an entry.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// get reads a path from the first entry that replies.
+// get sends a GET request for path and decodes the reply into the value into.
 func (c *Client) get(ctx context.Context, path string, into any) error {
 	return c.call(ctx, http.MethodGet, path, nil, into)
 }
 
-// call sends one request to the entries in order. A change must be safe to
-// send twice: a reply may be lost after the change took effect.
+// call sends a request to the entries in order, retrying with exponential
+// backoff, and decodes the reply into the value into. Changes must be idempotent:
+// a reply may be lost after the change took effect, and the request is then resent.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	text, err := encode(body)
 	if err != nil {
 		return err
 	}
 	attempts := &attempts{isChange: method != http.MethodGet}
-	pause := firstPause
-	for round := range rounds {
+	backoff := initialBackoff
+	for round := range maxRounds {
 		if round > 0 {
-			if err := c.wait(ctx, pause); err != nil {
-				return attempts.giveUp(err)
+			if err := c.wait(ctx, backoff); err != nil {
+				return attempts.unsettledError(err)
 			}
-			pause *= 2
+			backoff *= 2
 		}
-		if settled, err := c.round(ctx, attempts, method, path, text, into); settled {
+		if final, err := c.tryEntries(ctx, attempts, method, path, text, into); final {
 			return err
 		}
 	}
-	return attempts.giveUp(nil)
+	return attempts.unsettledError(nil)
 }
 
-// round asks each entry once and reports whether one settled the request.
-func (c *Client) round(ctx context.Context, attempts *attempts, method, path string, text []byte, into any) (bool, error) {
+// tryEntries tries each entry at most once and reports whether one of them gave
+// a definite result, together with the error of that result.
+func (c *Client) tryEntries(ctx context.Context, attempts *attempts, method, path string, text []byte, into any) (bool, error) {
 	count := len(c.opts.Entries)
-	begin := c.first
+	start := c.preferred
 	for i := range count {
-		at := (begin + i) % count
-		answer, err := c.once(ctx, c.opts.Entries[at], method, path, text)
+		index := (start + i) % count
+		answer, err := c.send(ctx, c.opts.Entries[index], method, path, text)
 		if err == nil {
-			err = read(answer, into, method)
+			err = decodeReply(answer, into, method)
 		}
-		if err == nil || attempts.settles(err) {
-			c.first = at
-			return true, attempts.settled(err)
+		if err == nil || attempts.isFinal(err) {
+			c.preferred = index
+			return true, attempts.finalError(err)
 		}
-		attempts.note(err)
-		c.notify(c.opts.Entries[at], err)
+		attempts.record(err)
+		c.notify(c.opts.Entries[index], err)
 	}
 	return false, nil
 }
 
+// notify reports a failed attempt to the user, each distinct line once.
 func (c *Client) notify(entry string, err error) {
 	line := fmt.Sprintf("entry %s: %v", entry, err)
 	if c.notified[line] {
@@ -145,21 +152,23 @@
 	c.opts.Notify(line)
 }
 
-func (c *Client) wait(ctx context.Context, pause time.Duration) error {
+// wait sleeps for the backoff or until ctx is done.
+func (c *Client) wait(ctx context.Context, backoff time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-c.opts.Clock.After(pause):
+	case <-c.opts.Clock.After(backoff):
 		return nil
 	}
 }
 
-func (c *Client) once(ctx context.Context, entry, method, path string, text []byte) (*reply, error) {
+// send makes one attempt at one entry and reads the whole response.
+func (c *Client) send(ctx context.Context, entry, method, path string, text []byte) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+entry+path, bytes.NewReader(text))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the request cannot be made", "correct the arguments")
+		return nil, failure.Wrap(err, failure.Invalid, "the request cannot be created", "correct the arguments")
 	}
 	if len(text) > 0 {
 		request.Header.Set("Content-Type", "application/json")
@@ -169,37 +178,39 @@
 	}
 	response, err := c.opts.Send(request)
 	if err != nil {
-		return nil, lost(err)
+		return nil, classifySendError(err)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, lost(err)
+		return nil, classifySendError(err)
 	}
 	return &reply{status: response.StatusCode, body: content}, nil
 }
 
-// lost distinguishes a request that never left, which had no effect, from one
-// whose reply did not come, which may have had one.
-func lost(err error) error {
-	var address *url.Error
-	if errors.As(err, &address) {
-		err = address.Err // the entry is named elsewhere
+// classifySendError returns Unavailable if the connection could not be opened, so
+// that the request had no effect, and Ambiguous if the reply is missing or
+// incomplete, so that the request may have taken effect.
+func classifySendError(err error) error {
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) {
+		err = urlErr.Err // drop the URL: the caller already names the entry
 	}
-	var network *net.OpError
-	if errors.As(err, &network) && network.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return failure.Wrap(err, failure.Unavailable, "the entry cannot be reached", "name another with --entry")
 	}
-	return failure.Wrap(err, failure.Ambiguous, "no whole reply came", "ask for the state before you try again")
+	return failure.Wrap(err, failure.Ambiguous, "the reply is missing or incomplete", "ask for the state before you try again")
 }
 
+// encode returns body as JSON, or nil if there is no body.
 func encode(body any) ([]byte, error) {
 	if body == nil {
 		return nil, nil
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "the request cannot be written", "report this with the command line")
+		return nil, failure.Wrap(err, failure.Internal, "the request cannot be encoded", "report this with the command line")
 	}
 	return text, nil
 }
--- a/ctl/internal/cmd/cmd_diff.go
+++ b/ctl/internal/cmd/cmd_diff.go
@@ -41,11 +41,11 @@
 func diff(ctx context.Context, term *terminal, opts *diffOptions, args []string) ([]client.Change, error) {
 	switch {
 	case len(args) == 0 && opts.From > 0 && opts.To > 0:
-		asked, err := opts.open(term)
+		api, err := opts.open(term)
 		if err != nil {
 			return nil, err
 		}
-		return asked.Diff(ctx, opts.From, opts.To)
+		return api.Diff(ctx, opts.From, opts.To)
 	case len(args) == 1 && opts.From == 0 && opts.To == 0:
 		return diffInForce(ctx, term, opts, args[0])
 	case len(args) == 2 && opts.From == 0 && opts.To == 0:
@@ -55,6 +55,7 @@
 		"name one file, two files, or two revisions with --from and --to")
 }
 
+// diffFiles compares two document files without contacting an entry.
 func diffFiles(term *terminal, first, second string) ([]client.Change, error) {
 	before, err := readDocument(term, first)
 	if err != nil {
@@ -67,16 +68,17 @@
 	return client.Changes(document.Diff(before, after)), nil
 }
 
+// diffInForce compares the document in force with a file.
 func diffInForce(ctx context.Context, term *terminal, opts *diffOptions, name string) ([]client.Change, error) {
 	after, err := readDocument(term, name)
 	if err != nil {
 		return nil, err
 	}
-	asked, err := opts.open(term)
+	api, err := opts.open(term)
 	if err != nil {
 		return nil, err
 	}
-	found, err := documentInForce(ctx, asked)
+	found, err := documentInForce(ctx, api)
 	if err != nil {
 		return nil, err
 	}
@@ -87,16 +89,17 @@
 	return client.Changes(document.Diff(before, after)), nil
 }
 
-// documentInForce reads the document; revision 0 where none is in force yet.
-func documentInForce(ctx context.Context, asked *client.Client) (*client.InForce, error) {
-	found, err := asked.Document(ctx)
+// documentInForce returns the document in force, with revision 0 if there is none
+// yet.
+func documentInForce(ctx context.Context, api *client.Client) (*client.InForce, error) {
+	found, err := api.Document(ctx)
 	if err != nil && failure.KindOf(err) == failure.NotFound {
 		return &client.InForce{}, nil
 	}
 	return found, err
 }
 
-// parseInForce returns the document that an entry sent; nil where none is in
+// parseInForce parses the document that an entry sent. It returns nil if none is in
 // force yet.
 func parseInForce(found *client.InForce) (*wire.Document, error) {
 	if found.Revision == 0 {
--- a/ctl/internal/cmd/cmd_init.go
+++ b/ctl/internal/cmd/cmd_init.go
@@ -25,8 +25,8 @@
 	JSON    bool   `long:"json" description:"Print JSON in place of text"`
 }
 
-// newKeys are the bearer keys that a new document was made with.
-type newKeys struct {
+// initResult is the JSON output of init: the file and the keys generated for it.
+type initResult struct {
 	File        string `json:"file"`
 	OperatorKey string `json:"operatorKey"`
 	CustomerKey string `json:"customerKey"`
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	keys := &newKeys{File: name, OperatorKey: operator, CustomerKey: newKey()}
+	keys := &initResult{File: name, OperatorKey: operator, CustomerKey: newKey()}
 	doc := document.Example()
 	doc.Operators[0].KeyHashes = []string{document.KeyHash(keys.OperatorKey)}
 	doc.Customers[0].KeyHashes = []string{document.KeyHash(keys.CustomerKey)}
@@ -74,12 +74,14 @@
 	return nil
 }
 
+// newKey returns a random bearer key.
 func newKey() string {
 	bytes := make([]byte, keyBytes)
 	_, _ = rand.Read(bytes) // never fails
 	return base64.RawURLEncoding.EncodeToString(bytes)
 }
 
+// writeNew writes a file and fails if it exists, unless overwrite is set.
 func writeNew(name string, text []byte, overwrite bool) error {
 	flags := os.O_WRONLY | os.O_CREATE | os.O_TRUNC
 	if !overwrite {
@@ -94,7 +96,7 @@
 	}
 	defer file.Close()
 	if _, err := file.Write(text); err != nil {
-		return failure.Wrap(err, failure.Unavailable, "cannot write "+name, "make room and try again")
+		return failure.Wrap(err, failure.Unavailable, "cannot write "+name, "free disk space and try again")
 	}
 	return file.Close()
 }
--- a/ctl/internal/cmd/cmd_trace.go
+++ b/ctl/internal/cmd/cmd_trace.go
@@ -18,7 +18,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// maxLogLine bounds one line of a log, bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
 type traceOptions struct {
@@ -47,21 +47,21 @@
 	}
 }
 
-// logLine is one line of a log.
+// logLine is a parsed log line.
 type logLine struct {
 	at     time.Time
-	text   string // as written, from its time on
+	text   string // the original text, starting at the time field
 	fields map[string]string
 }
 
 func trace(term *terminal, opts *traceOptions, files []string) error {
-	lines, err := readBetween(term, files, opts.From, opts.To)
+	lines, err := readLogsBetween(term, files, opts.From, opts.To)
 	if err != nil {
 		return err
 	}
 	lines = slices.DeleteFunc(lines, func(line logLine) bool {
-		return opts.Request != "" && !line.names("request", opts.Request) ||
-			opts.Print != "" && !line.names("print", opts.Print) ||
+		return opts.Request != "" && !line.mentions("request", opts.Request) ||
+			opts.Print != "" && !line.mentions("print", opts.Print) ||
 			opts.Node != "" && line.fields["node"] != opts.Node
 	})
 	if len(lines) == 0 {
@@ -70,15 +70,15 @@
 	return printLogs(term.out, lines, opts.JSON)
 }
 
-// names reports whether the line is of the request, by its id or fingerprint, or names it in a
-// list of several.
-func (l logLine) names(field, value string) bool {
-	return l.fields[field] == value || slices.Contains(listOf(l.fields[field+"s"]), value)
+// mentions reports whether the line has value in the given field (a request id or
+// fingerprint), or in the list in the plural of that field.
+func (l logLine) mentions(field, value string) bool {
+	return l.fields[field] == value || slices.Contains(parseList(l.fields[field+"s"]), value)
 }
 
-// readBetween reads the lines from the time of the option --from on and before that
-// of --to, in order of time; an empty option bounds nothing.
-func readBetween(term *terminal, files []string, fromText, toText string) ([]logLine, error) {
+// readLogsBetween returns the log lines from the time --from (inclusive) to --to
+// (exclusive), sorted by time. An empty option sets no limit.
+func readLogsBetween(term *terminal, files []string, fromText, toText string) ([]logLine, error) {
 	from, err := timeOption("--from", fromText)
 	if err != nil {
 		return nil, err
@@ -98,17 +98,19 @@
 	return lines, nil
 }
 
+// timeOption parses the time given with an option; an empty text gives the zero time.
 func timeOption(name, text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return time.Time{}, failure.Wrap(err, failure.Invalid, name+" is no time", "write it as in the logs: 2026-06-17T15:08:30.123Z")
+		return time.Time{}, failure.Wrap(err, failure.Invalid, name+" is not a time", "write it as in the logs: 2026-06-17T15:08:30.123Z")
 	}
 	return at, nil
 }
 
+// readLogs parses the named log files, or standard input if none is named.
 func readLogs(term *terminal, files []string) ([]logLine, error) {
 	if len(files) == 0 {
 		return parseLog(term.in)
@@ -129,8 +131,8 @@
 	return all, nil
 }
 
-// parseLog reads the lines that bear a time; whatever stands before it, a prefix
-// of a collector for example, is dropped.
+// parseLog parses the lines that have a time field and skips all others. Text
+// before that field, such as the prefix of a log collector, is dropped.
 func parseLog(in io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(in)
@@ -150,6 +152,7 @@
 	return lines, nil
 }
 
+// parseLine parses a logfmt line and reports whether it is valid.
 func parseLine(text string) (logLine, bool) {
 	line := logLine{text: text, fields: map[string]string{}}
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
@@ -168,7 +171,7 @@
 }
 
 func printLogs(out io.Writer, lines []logLine, asJSON bool) error {
-	began := lines[0].at
+	start := lines[0].at
 	encoder := json.NewEncoder(out)
 	for _, line := range lines {
 		if asJSON {
@@ -177,13 +180,14 @@
 			}
 			continue
 		}
-		fmt.Fprintf(out, "%+9.3fs %-24s %s\n", line.at.Sub(began).Seconds(), line.fields["node"], tail(line.text))
+		fmt.Fprintf(out, "%+9.3fs %-24s %s\n", line.at.Sub(start).Seconds(), line.fields["node"], dropColumnFields(line.text))
 	}
 	return nil
 }
 
-// tail drops what stands in the columns already: time, level, program and node.
-func tail(text string) string {
+// dropColumnFields removes the time and node, which have columns of their own, and
+// the program.
+func dropColumnFields(text string) string {
 	kept := make([]string, 0, 16)
 	for _, field := range strings.Split(text, " ") {
 		name, _, _ := strings.Cut(field, "=")
--- a/ctl/internal/cmd/file.go
+++ b/ctl/internal/cmd/file.go
@@ -10,8 +10,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// readText returns a file's content; "-" stands for the standard input.
-func readText(term *terminal, name string) ([]byte, error) {
+// readInput returns the content of a file, or standard input if name is "-". It
+// reads at most one byte more than document.MaxBytes.
+func readInput(term *terminal, name string) ([]byte, error) {
 	input := term.in
 	if name != "-" {
 		file, err := os.Open(name)
@@ -28,9 +29,9 @@
 	return text, nil
 }
 
-// readDocument reads and checks a document's file.
+// readDocument reads, parses and validates a document file, and prints its problems.
 func readDocument(term *terminal, name string) (*wire.Document, error) {
-	text, err := readText(term, name)
+	text, err := readInput(term, name)
 	if err != nil {
 		return nil, err
 	}
@@ -42,6 +43,7 @@
 	return doc, nil
 }
 
+// invalidDocument returns the error for a document with count problems.
 func invalidDocument(name string, count int) error {
 	return failure.New(failure.Invalid, fmt.Sprintf("%s is not valid, mistakes: %d", name, count), "correct them as listed")
 }
--- a/ctl/internal/cmd/report_page.go
+++ b/ctl/internal/cmd/report_page.go
@@ -18,7 +18,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// page is what the HTML report shows.
+// page is the template data of the HTML report.
 type page struct {
 	Began    time.Time
 	Rows     []row
@@ -26,13 +26,13 @@
 	Pictures []picture
 }
 
-// picture is a plot with what it shows.
+// picture is a rendered chart with its title.
 type picture struct {
 	Title string
-	SVG   template.HTML // made by the plot library from figures alone
+	SVG   template.HTML // safe to embed: the plot library generates it from fixed labels and numbers
 }
 
-// curve is a line of a plot.
+// curve is a named line in a chart.
 type curve struct {
 	name   string
 	points plotter.XYs
@@ -56,19 +56,19 @@
 </html>
 `))
 
-// writePage writes the report of all lines as one page that needs nothing else.
+// writePage writes the report as a self-contained HTML page.
 func writePage(file string, lines []logLine, rows []row, reasons []reason) error {
-	made := page{Began: rows[0].At, Rows: rows, Reasons: reasons}
-	for _, one := range plotsOf(lines, rows) {
-		svg, err := draw(one)
+	data := page{Began: rows[0].At, Rows: rows, Reasons: reasons}
+	for _, one := range buildCharts(lines, rows) {
+		svg, err := renderChart(one)
 		if err != nil {
 			return err
 		}
-		made.Pictures = append(made.Pictures, picture{Title: one.title, SVG: svg})
+		data.Pictures = append(data.Pictures, picture{Title: one.title, SVG: svg})
 	}
 	var out bytes.Buffer
-	if err := pageTemplate.Execute(&out, made); err != nil {
-		return failure.Wrap(err, failure.Internal, "the page cannot be made", "report it")
+	if err := pageTemplate.Execute(&out, data); err != nil {
+		return failure.Wrap(err, failure.Internal, "the page cannot be rendered", "report it")
 	}
 	if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
 		return failure.Wrap(err, failure.Invalid, "the page cannot be written", "name a file in a folder that exists")
@@ -76,31 +76,32 @@
 	return nil
 }
 
-// chart is one plot before it is drawn.
+// chart is the data of a chart before it is rendered.
 type chart struct {
 	title, unit string
 	curves      []curve
 }
 
-// plotsOf returns the plots of a day, those without a point left out.
-func plotsOf(lines []logLine, rows []row) []chart {
-	began := rows[0].At
-	every := rowLength(rows)
+// buildCharts returns the charts of the report, without curves and charts that
+// have no points.
+func buildCharts(lines []logLine, rows []row) []chart {
+	start := rows[0].At
+	interval := rowInterval(rows)
 	charts := []chart{
 		{title: "Requests answered, by how they ended", unit: "requests a row", curves: []curve{
-			countCurve("in time", rows, began, func(r row) int { return r.InTime }),
-			countCurve("late", rows, began, func(r row) int { return r.Late }),
-			countCurve("refused", rows, began, func(r row) int { return r.Refused }),
-			countCurve("failed", rows, began, func(r row) int { return r.Failed }),
+			countCurve("in time", rows, start, func(r row) int { return r.InTime }),
+			countCurve("late", rows, start, func(r row) int { return r.Late }),
+			countCurve("refused", rows, start, func(r row) int { return r.Refused }),
+			countCurve("failed", rows, start, func(r row) int { return r.Failed }),
 		}},
-		{title: "First event of streams", unit: "ms", curves: partCurves(lines, began, every, "firstMillis", func(l logLine) bool { return l.millis("events") > 0 })},
-		{title: "Waiting for a place", unit: "ms", curves: partCurves(lines, began, every, "heldMillis", answered)},
-		{title: "Age of what entries knew", unit: "ms", curves: partCurves(lines, began, every, "ageMillis", answered)},
+		{title: "First event of streams", unit: "ms", curves: percentileCurves(lines, start, interval, "firstMillis", func(l logLine) bool { return l.intField("events") > 0 })},
+		{title: "Waiting for a place", unit: "ms", curves: percentileCurves(lines, start, interval, "heldMillis", answered)},
+		{title: "Age of what entries knew", unit: "ms", curves: percentileCurves(lines, start, interval, "ageMillis", answered)},
 		{title: "What processes learned of endpoints and weights", unit: "lines so far", curves: []curve{
-			eventCurve("endpoints ended", lines, began, func(l logLine) bool { return l.fields["msg"] == "endpoint looked at" && l.fields["ended"] == "true" }),
-			eventCurve("versions whole on a host", lines, began, func(l logLine) bool { return l.fields["msg"] == "version whole" }),
-			eventCurve("loads ordered", lines, began, func(l logLine) bool { return l.fields["msg"] == "order" }),
-			eventCurve("dependencies lost", lines, began, func(l logLine) bool { return l.fields["msg"] == "dependency lost" }),
+			eventCurve("endpoints ended", lines, start, func(l logLine) bool { return l.fields["msg"] == "endpoint looked at" && l.fields["ended"] == "true" }),
+			eventCurve("versions whole on a host", lines, start, func(l logLine) bool { return l.fields["msg"] == "version whole" }),
+			eventCurve("loads ordered", lines, start, func(l logLine) bool { return l.fields["msg"] == "order" }),
+			eventCurve("dependencies lost", lines, start, func(l logLine) bool { return l.fields["msg"] == "dependency lost" }),
 		}},
 	}
 	for i := range charts {
@@ -111,8 +112,9 @@
 
 func answered(line logLine) bool { return line.fields["msg"] == "answered" }
 
-// rowLength is the least time between two rows; a second where there is one row alone.
-func rowLength(rows []row) time.Duration {
+// rowInterval returns the shortest time between two rows, or one second if there is
+// only one row.
+func rowInterval(rows []row) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for i := range rows[1:] {
 		least = min(least, rows[i+1].At.Sub(rows[i].At))
@@ -123,22 +125,24 @@
 	return least
 }
 
-func countCurve(name string, rows []row, began time.Time, count func(row) int) curve {
+// countCurve returns a curve of one count per row.
+func countCurve(name string, rows []row, start time.Time, count func(row) int) curve {
 	found := curve{name: name}
 	for _, one := range rows {
-		found.points = append(found.points, plotter.XY{X: one.At.Sub(began).Seconds(), Y: float64(count(one))})
+		found.points = append(found.points, plotter.XY{X: one.At.Sub(start).Seconds(), Y: float64(count(one))})
 	}
 	return found
 }
 
-// partCurves returns the median and what one in ten and one in a hundred exceed, by row.
-func partCurves(lines []logLine, began time.Time, every time.Duration, field string, of func(logLine) bool) []curve {
+// percentileCurves returns the 50th, 90th and 99th percentile of a field per row,
+// over the answered requests that include selects.
+func percentileCurves(lines []logLine, start time.Time, interval time.Duration, field string, include func(logLine) bool) []curve {
 	curves := []curve{{name: "p50"}, {name: "p90"}, {name: "p99"}}
 	byRow := map[int64][]int{}
 	for _, line := range lines {
-		if of(line) && answered(line) {
-			at := int64(line.at.Sub(began) / every)
-			byRow[at] = append(byRow[at], line.millis(field))
+		if include(line) && answered(line) {
+			at := int64(line.at.Sub(start) / interval)
+			byRow[at] = append(byRow[at], line.intField(field))
 		}
 	}
 	var order []int64
@@ -148,57 +152,58 @@
 	slices.Sort(order)
 	for _, at := range order {
 		slices.Sort(byRow[at])
-		for i, part := range []float64{0.5, 0.9, 0.99} {
-			value := byRow[at][int(part*float64(len(byRow[at])-1))]
-			curves[i].points = append(curves[i].points, plotter.XY{X: float64(at) * every.Seconds(), Y: float64(value)})
+		for i, quantile := range []float64{0.5, 0.9, 0.99} {
+			value := byRow[at][int(quantile*float64(len(byRow[at])-1))]
+			curves[i].points = append(curves[i].points, plotter.XY{X: float64(at) * interval.Seconds(), Y: float64(value)})
 		}
 	}
 	return curves
 }
 
-// eventCurve counts lines up.
-func eventCurve(name string, lines []logLine, began time.Time, of func(logLine) bool) curve {
+// eventCurve returns the cumulative count of the lines that include selects.
+func eventCurve(name string, lines []logLine, start time.Time, include func(logLine) bool) curve {
 	found := curve{name: name}
 	for _, line := range lines {
-		if of(line) {
-			found.points = append(found.points, plotter.XY{X: line.at.Sub(began).Seconds(), Y: float64(len(found.points) + 1)})
+		if include(line) {
+			found.points = append(found.points, plotter.XY{X: line.at.Sub(start).Seconds(), Y: float64(len(found.points) + 1)})
 		}
 	}
 	return found
 }
 
-// Size of a plot on the page.
+// Size of a chart on the page.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	// legendRoom stretches a plot so that its legend stands above the curves.
-	legendRoom = 1.4
+	// legendHeadroom scales the Y axis so that the legend fits above the curves.
+	legendHeadroom = 1.4
 )
 
-func draw(one chart) (template.HTML, error) {
-	drawn := plot.New()
-	drawn.X.Label.Text = "s"
-	drawn.Y.Label.Text = one.unit
-	drawn.Y.Min = 0
-	drawn.Legend.Top, drawn.Legend.Left = true, true
+// renderChart renders a chart as an SVG element.
+func renderChart(one chart) (template.HTML, error) {
+	figure := plot.New()
+	figure.X.Label.Text = "s"
+	figure.Y.Label.Text = one.unit
+	figure.Y.Min = 0
+	figure.Legend.Top, figure.Legend.Left = true, true
 	var args []any
 	for _, line := range one.curves {
 		args = append(args, line.name, line.points)
 	}
-	err := plotutil.AddLines(drawn, args...)
-	drawn.Y.Max *= legendRoom
+	err := plotutil.AddLines(figure, args...)
+	figure.Y.Max *= legendHeadroom
 	var svg io.WriterTo
 	if err == nil {
-		svg, err = drawn.WriterTo(plotWidth, plotHeight, "svg")
+		svg, err = figure.WriterTo(plotWidth, plotHeight, "svg")
 	}
 	var out bytes.Buffer
 	if err == nil {
 		_, err = svg.WriteTo(&out)
 	}
 	if err != nil {
-		return "", failure.Wrap(err, failure.Internal, fmt.Sprintf("the plot %q can't be drawn", one.title), "report it")
+		return "", failure.Wrap(err, failure.Internal, fmt.Sprintf("the plot %q cannot be drawn", one.title), "report it")
 	}
-	// What stands before the element is for files of their own.
+	// Drop the XML prolog, which is only valid in a standalone SVG file.
 	text := out.Bytes()
 	return template.HTML(text[max(0, bytes.Index(text, []byte("<svg"))):]), nil
 }
