--- a/agent/internal/control/client.go
+++ b/agent/internal/control/client.go
@@ -25,20 +25,20 @@
 const (
 	// syncMargin is how long after the held time a call counts as silent.
 	syncMargin = 2 * time.Second
-	// retryBase and retryMost bound the wait after every entry failed.
-	retryBase = 100 * time.Millisecond
-	retryMost = 5 * time.Second
-	// firstReplies is how many entries are asked at the start, so that the agent
+	// minRetryWait and maxRetryWait bound the wait after every entry failed.
+	minRetryWait = 100 * time.Millisecond
+	maxRetryWait = 5 * time.Second
+	// initialReplies is how many entries are asked at the start, so that the agent
 	// obeys the highest plan that they know rather than the first it meets.
-	firstReplies = 3
+	initialReplies = 3
 	// publishInterval refreshes what only time changes: who is lost.
 	publishInterval = time.Second
-	// listFirst and listLater are the intervals of reading the list before and
+	// initialListInterval and listInterval are the intervals of reading the list before and
 	// after the first entry answered.
-	listFirst = time.Second
-	listLater = 10 * time.Second
-	// roundGap keeps a fast sequence of changes from becoming as many calls.
-	roundGap = 200 * time.Millisecond
+	initialListInterval = time.Second
+	listInterval        = 10 * time.Second
+	// pauseBetweenSyncs keeps a fast sequence of changes from becoming as many calls.
+	pauseBetweenSyncs = 200 * time.Millisecond
 )
 
 // Config holds what a Client needs from its process.
@@ -130,7 +130,7 @@
 // Observe takes the revisions that a caller knows. Where the caller knows more,
 // the home entry is behind too, and the caller is asked itself.
 func (c *Client) Observe(from *wire.Node, known *wire.Known) {
-	if known == nil || from.GetControlAddress() == "" || !c.knowledge.lacks(known) {
+	if known == nil || from.GetControlAddress() == "" || !c.knowledge.isBehind(known) {
 		return
 	}
 	c.mu.Lock()
@@ -145,15 +145,15 @@
 	defer group.Wait()
 	group.Go(func() { c.readList(ctx) })
 	group.Go(func() { c.refresh(ctx) })
-	c.first(ctx)
+	c.syncInitial(ctx)
 	retries := 0
 	for ctx.Err() == nil {
-		if c.round(ctx) {
+		if c.syncBest(ctx) {
 			retries = 0
-			c.sleep(ctx, roundGap)
+			c.sleep(ctx, pauseBetweenSyncs)
 			continue
 		}
-		wait := min(retryBase<<min(retries, 8), retryMost)
+		wait := min(minRetryWait<<min(retries, 8), maxRetryWait)
 		retries++
 		c.sleep(ctx, jitter(wait))
 	}
@@ -172,21 +172,21 @@
 	}
 }
 
-// first asks several entries, so that an entry that was started in an outage
+// syncInitial asks several entries, so that an entry that was started in an outage
 // and knows nothing is not the only one that answered.
-func (c *Client) first(ctx context.Context) {
+func (c *Client) syncInitial(ctx context.Context) {
 	replied := 0
 	for retries := 0; ctx.Err() == nil && replied == 0; retries++ {
 		for _, entry := range c.candidates() {
 			if c.sync(ctx, entry, 0) == nil {
 				replied++
 			}
-			if replied >= firstReplies || ctx.Err() != nil {
+			if replied >= initialReplies || ctx.Err() != nil {
 				break
 			}
 		}
 		if replied == 0 {
-			c.sleep(ctx, jitter(min(retryBase<<min(retries, 8), listFirst)))
+			c.sleep(ctx, jitter(min(minRetryWait<<min(retries, 8), initialListInterval)))
 		}
 	}
 	if replied > 0 {
@@ -196,8 +196,8 @@
 	}
 }
 
-// round syncs with the best entry that answers.
-func (c *Client) round(ctx context.Context) bool {
+// syncBest syncs with the best entry that answers.
+func (c *Client) syncBest(ctx context.Context) bool {
 	if hint := c.takeHint(); hint != nil {
 		_ = c.sync(ctx, hint, 0)
 	}
@@ -209,7 +209,7 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		c.sleep(ctx, jitter(retryBase))
+		c.sleep(ctx, jitter(minRetryWait))
 	}
 	return false
 }
@@ -228,19 +228,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return candidates(c.cfg.Self, entries, func(id string) bool {
-		return leaving[id] || c.penalties.in(id, now)
+		return leaving[id] || c.penalties.active(id, now)
 	})
 }
 
 // publish hands the present knowledge to the rest of the process.
 func (c *Client) publish() {
-	c.store()
+	c.storeSnapshot()
 	c.cfg.SetLeaving(c.knowledge.leaving(c.cfg.Self.GetId()))
 }
 
-// store keeps two goroutines from publishing their snapshots in the wrong
+// storeSnapshot keeps two goroutines from publishing their snapshots in the wrong
 // order.
-func (c *Client) store() {
+func (c *Client) storeSnapshot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	snap := c.knowledge.snapshot(c.cfg.Clock.Now())
--- a/agent/internal/control/control_test.go
+++ b/agent/internal/control/control_test.go
@@ -171,9 +171,9 @@
 		entries = append(entries, &wire.Node{Id: words[0], Region: words[1], FailureDomain: words[2], ControlAddress: "127.0.0.1:1"})
 	}
 	entries = append(entries, &wire.Node{Id: "no-address", Region: "r1", FailureDomain: "d1"})
-	ids := func(shunned ...string) string {
+	ids := func(avoided ...string) string {
 		var list []string
-		for _, node := range candidates(self, entries, func(id string) bool { return slices.Contains(shunned, id) }) {
+		for _, node := range candidates(self, entries, func(id string) bool { return slices.Contains(avoided, id) }) {
 			list = append(list, node.GetId())
 		}
 		return strings.Join(list, " ")
@@ -218,13 +218,13 @@
 	now := time.Unix(1000, 0)
 	list := newPenalties()
 	for range 20 {
-		list.failed("e1", now)
+		list.add("e1", now)
 	}
-	if got, want := list.until["e1"].Sub(now), penaltyMost; got != want {
+	if got, want := list.until["e1"].Sub(now), maxPenalty; got != want {
 		t.Errorf("got a penalty of %v, want %v", got, want)
 	}
-	list.worked("e1")
-	if list.in("e1", now) {
+	list.clear("e1")
+	if list.active("e1", now) {
 		t.Error("got a penalty after an answer")
 	}
 }
--- a/agent/internal/control/home.go
+++ b/agent/internal/control/home.go
@@ -21,12 +21,12 @@
 // usable ones first, then near ones, then by rendezvous hash, so that the
 // agents of a failure domain spread over its entries and move only when an
 // entry comes or goes.
-func candidates(self *wire.Node, entries []*wire.Node, shunned func(id string) bool) []*wire.Node {
+func candidates(self *wire.Node, entries []*wire.Node, avoided func(id string) bool) []*wire.Node {
 	type ranked struct {
-		node    *wire.Node
-		shunned bool
-		near    int
-		score   uint64
+		node     *wire.Node
+		avoided  bool
+		distance int
+		score    uint64
 	}
 	key := rendezvous.Seed(self.GetId())
 	list := make([]ranked, 0, len(entries))
@@ -35,20 +35,20 @@
 			continue
 		}
 		list = append(list, ranked{
-			node:    entry,
-			shunned: shunned(entry.GetId()),
-			near:    nearness(self, entry),
-			score:   rendezvous.Score(key, rendezvous.Seed(entry.GetId())),
+			node:     entry,
+			avoided:  avoided(entry.GetId()),
+			distance: distanceTo(self, entry),
+			score:    rendezvous.Score(key, rendezvous.Seed(entry.GetId())),
 		})
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
-		if a.shunned != b.shunned {
-			if a.shunned {
+		if a.avoided != b.avoided {
+			if a.avoided {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.near, b.near), cmp.Compare(b.score, a.score))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(b.score, a.score))
 	})
 	nodes := make([]*wire.Node, len(list))
 	for i := range list {
@@ -57,7 +57,7 @@
 	return nodes
 }
 
-func nearness(self, entry *wire.Node) int {
+func distanceTo(self, entry *wire.Node) int {
 	switch {
 	case entry.GetFailureDomain() == self.GetFailureDomain():
 		return sameDomain
@@ -74,26 +74,26 @@
 }
 
 const (
-	penaltyBase = time.Second
-	penaltyMost = 30 * time.Second
+	minPenalty = time.Second
+	maxPenalty = 30 * time.Second
 )
 
 func newPenalties() *penalties {
 	return &penalties{until: map[string]time.Time{}, count: map[string]int{}}
 }
 
-func (p *penalties) failed(id string, now time.Time) {
-	wait := min(penaltyBase<<min(p.count[id], 8), penaltyMost)
+func (p *penalties) add(id string, now time.Time) {
+	wait := min(minPenalty<<min(p.count[id], 8), maxPenalty)
 	p.count[id]++
 	p.until[id] = now.Add(wait)
 }
 
-func (p *penalties) worked(id string) {
+func (p *penalties) clear(id string) {
 	delete(p.until, id)
 	delete(p.count, id)
 }
 
-func (p *penalties) in(id string, now time.Time) bool { return now.Before(p.until[id]) }
+func (p *penalties) active(id string, now time.Time) bool { return now.Before(p.until[id]) }
 
 // draining returns the ids of entries that say they leave.
 func draining(entries []view.Peer) map[string]bool {
--- a/agent/internal/control/knowledge.go
+++ b/agent/internal/control/knowledge.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// partsBatchBytes bounds the parts asked for in one call.
-	partsBatchBytes = 2 << 20
-	// offerBytes bounds the parts sent along to an entry that lacks them.
-	offerBytes = 3 << 20
-	// pauseAfter is the gap between two looks at the clock that shows that the
+	// maxBatchBytes bounds the parts asked for in one call.
+	maxBatchBytes = 2 << 20
+	// maxOfferBytes bounds the parts sent along to an entry that lacks them.
+	maxOfferBytes = 3 << 20
+	// maxClockGap is the gap between two looks at the clock that shows that the
 	// process was paused or the clock jumped.
-	pauseAfter = 3 * time.Second
+	maxClockGap = 3 * time.Second
 )
 
 // knowledge is what the agent has in force and whom it knows.
 type knowledge struct {
-	mu       sync.Mutex
-	state    revision.State
-	document *wire.Document    // joined from the root in force
-	parts    map[string][]byte // of the root in force, by hash
-	table    *membership.Table
-	listed   []membership.Listed // last answer of the list that was not empty
-	looked   time.Time           // last look at the clock
+	mu             sync.Mutex
+	state          revision.State
+	document       *wire.Document    // joined from the root in force
+	parts          map[string][]byte // of the root in force, by hash
+	table          *membership.Table
+	listed         []membership.Listed // last answer of the list that was not empty
+	lastClockCheck time.Time           // last look at the clock
 }
 
 func newKnowledge(now time.Time) *knowledge {
 	return &knowledge{
-		parts:  map[string][]byte{},
-		table:  membership.New(membership.DefaultLimits()),
-		looked: now,
+		parts:          map[string][]byte{},
+		table:          membership.New(membership.DefaultLimits()),
+		lastClockCheck: now,
 	}
 }
 
@@ -49,7 +49,7 @@
 	return k.state.Known(now)
 }
 
-func (k *knowledge) lacks(known *wire.Known) bool {
+func (k *knowledge) isBehind(known *wire.Known) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state.Offers(known)
@@ -209,7 +209,7 @@
 	defer k.mu.Unlock()
 	if k.state.AdoptRoot(root) == revision.Newer {
 		k.document = doc
-		k.parts = partsOf(root, parts)
+		k.parts = selectParts(root, parts)
 	}
 	return verdict, nil
 }
@@ -227,7 +227,7 @@
 		if err != nil {
 			return err
 		}
-		err = takeParts(parts, batch, contents)
+		err = addParts(parts, batch, contents)
 		batch, size = nil, 0
 		return err
 	}
@@ -235,7 +235,7 @@
 		if _, held := parts[part.GetHash()]; held {
 			continue
 		}
-		if size+uint64(part.GetSize()) > partsBatchBytes {
+		if size+uint64(part.GetSize()) > maxBatchBytes {
 			if err := flush(); err != nil {
 				return err
 			}
@@ -246,7 +246,7 @@
 	return flush()
 }
 
-func takeParts(parts map[string][]byte, hashes []string, contents [][]byte) error {
+func addParts(parts map[string][]byte, hashes []string, contents [][]byte) error {
 	for i, hash := range hashes {
 		if i >= len(contents) || document.HashBytes(contents[i]) != hash {
 			return failure.New(failure.Corrupt, "an entry lacks a part of the document or sent a wrong one",
@@ -257,7 +257,7 @@
 	return nil
 }
 
-func partsOf(root *wire.Root, parts map[string][]byte) map[string][]byte {
+func selectParts(root *wire.Root, parts map[string][]byte) map[string][]byte {
 	kept := make(map[string][]byte, len(root.GetParts()))
 	for _, part := range root.GetParts() {
 		kept[part.GetHash()] = parts[part.GetHash()]
@@ -281,7 +281,7 @@
 		total += len(content)
 		contents = append(contents, content)
 	}
-	if total > offerBytes {
+	if total > maxOfferBytes {
 		return nil, nil
 	}
 	return root, contents
@@ -291,10 +291,10 @@
 func (k *knowledge) snapshot(now time.Time) *view.Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if jump := now.Sub(k.looked); jump > pauseAfter || jump < 0 {
+	if jump := now.Sub(k.lastClockCheck); jump > maxClockGap || jump < 0 {
 		k.table.Adjust(jump)
 	}
-	k.looked = now
+	k.lastClockCheck = now
 	return &view.Snapshot{
 		Revision:     k.state.Root().GetRevision(),
 		PlanRevision: k.state.Plan().GetPlanRevision(),
--- a/agent/internal/control/refresh.go
+++ b/agent/internal/control/refresh.go
@@ -31,9 +31,9 @@
 		} else {
 			c.knowledge.observeList(listed, c.cfg.Clock.Now())
 		}
-		wait := listFirst
+		wait := initialListInterval
 		if c.Synced() {
-			wait = listLater
+			wait = listInterval
 		}
 		c.sleep(ctx, jitter(wait))
 	}
--- a/agent/internal/control/sync.go
+++ b/agent/internal/control/sync.go
@@ -18,27 +18,27 @@
 func (c *Client) sync(ctx context.Context, entry *wire.Node, wait time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait = c.hold(cancel, wait)
-	defer c.release()
+	wait = c.allowInterrupt(cancel, wait)
+	defer c.clearInterrupt()
 	call, stop := clockwork.WithTimeout(ctx, c.cfg.Clock, wait+syncMargin)
 	defer stop()
 	request := c.request(entry.GetId(), wait)
 	client := wire.NewDRPCControlClient(c.cfg.Dial(call, entry.GetControlAddress()))
 	reply, err := client.Sync(call, request)
 	if err == nil {
-		c.release()
-		err = c.take(call, entry, request, reply)
+		c.clearInterrupt()
+		err = c.applyReply(call, entry, request, reply)
 	}
 	if err == nil || ctx.Err() != nil {
 		return nil
 	}
-	c.failed(entry, err)
+	c.recordFailure(entry, err)
 	return err
 }
 
-// hold lets a nudge end the call; after a nudge that came before, the call is
+// allowInterrupt lets a nudge end the call; after a nudge that came before, the call is
 // not held at all.
-func (c *Client) hold(cancel context.CancelFunc, wait time.Duration) time.Duration {
+func (c *Client) allowInterrupt(cancel context.CancelFunc, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nudged || wait == 0 {
@@ -49,7 +49,7 @@
 	return wait
 }
 
-func (c *Client) release() {
+func (c *Client) clearInterrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interrupt = nil
@@ -82,28 +82,28 @@
 	return request
 }
 
-func (c *Client) failed(entry *wire.Node, err error) {
+func (c *Client) recordFailure(entry *wire.Node, err error) {
 	c.cfg.Counters.Add("syncsFailed", 1)
 	c.cfg.Log.Debug("entry does not answer", "entry", entry.GetId(), "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.penalties.failed(entry.GetId(), c.cfg.Clock.Now())
+	c.penalties.add(entry.GetId(), c.cfg.Clock.Now())
 }
 
-// take puts a reply in force.
-func (c *Client) take(ctx context.Context, entry *wire.Node, request *wire.SyncRequest, reply *wire.SyncReply) error {
+// applyReply puts a reply in force.
+func (c *Client) applyReply(ctx context.Context, entry *wire.Node, request *wire.SyncRequest, reply *wire.SyncReply) error {
 	now := c.cfg.Clock.Now()
 	c.cfg.Counters.Add("syncs", 1)
-	c.settle(entry.GetId(), request, reply)
+	c.recordAccepted(entry.GetId(), request, reply)
 	c.knowledge.observeMembers(reply, now)
 	ignored, err := c.knowledge.adopt(ctx, reply, now, func(ctx context.Context, hashes []string) ([][]byte, error) {
-		return c.parts(ctx, entry, hashes)
+		return c.fetchParts(ctx, entry, hashes)
 	})
 	c.cfg.Counters.Add("olderIgnored", int64(ignored))
 	c.mu.Lock()
 	c.known[entry.GetId()] = reply.GetKnown()
 	c.home = entry.GetId()
-	c.penalties.worked(entry.GetId())
+	c.penalties.clear(entry.GetId())
 	c.mu.Unlock()
 	c.publish()
 	if err == nil || ctx.Err() != nil {
@@ -116,11 +116,11 @@
 	return err
 }
 
-// settle notes what the entry took of the report and takes out of the reply what
+// recordAccepted notes what the entry took of the report and takes out of the reply what
 // cannot be made whole here.
-func (c *Client) settle(entry string, request *wire.SyncRequest, reply *wire.SyncReply) {
+func (c *Client) recordAccepted(entry string, request *wire.SyncRequest, reply *wire.SyncReply) {
 	sent := request.GetHosts()[0]
-	lacking := c.knowledge.complete(reply)
+	lacking := c.knowledge.expandReports(reply)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.baseOf != entry {
@@ -135,9 +135,9 @@
 	c.acked.Store(max(c.acked.Load(), sent.GetSequence()))
 }
 
-// complete makes the reply's reports whole and returns the hosts and entries of
+// expandReports makes the reply's reports whole and returns the hosts and entries of
 // those that it takes out: what they amend was lost on the way.
-func (k *knowledge) complete(reply *wire.SyncReply) (lacking []string) {
+func (k *knowledge) expandReports(reply *wire.SyncReply) (lacking []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	whole := make([]*wire.HostReport, 0, len(reply.GetHosts()))
@@ -161,7 +161,7 @@
 	return lacking
 }
 
-func (c *Client) parts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
+func (c *Client) fetchParts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
 	client := wire.NewDRPCControlClient(c.cfg.Dial(ctx, entry.GetControlAddress()))
 	reply, err := client.Parts(ctx, &wire.PartsRequest{From: membership.NameOnly(c.cfg.Self), Known: c.Known(), Hashes: hashes})
 	if err != nil {
