--- a/agent/internal/control/home.go
+++ b/agent/internal/control/home.go
@@ -37,7 +37,7 @@
 		list = append(list, ranked{
 			node:     entry,
 			avoided:  avoided(entry.GetId()),
-			distance: distanceTo(self, entry),
+			distance: distance(self, entry),
 			score:    rendezvous.Score(key, rendezvous.Seed(entry.GetId())),
 		})
 	}
@@ -57,7 +57,7 @@
 	return nodes
 }
 
-func distanceTo(self, entry *wire.Node) int {
+func distance(self, entry *wire.Node) int {
 	switch {
 	case entry.GetFailureDomain() == self.GetFailureDomain():
 		return sameDomain
--- a/agent/internal/control/sync.go
+++ b/agent/internal/control/sync.go
@@ -97,7 +97,7 @@
 	c.recordAccepted(entry.GetId(), request, reply)
 	c.knowledge.observeMembers(reply, now)
 	ignored, err := c.knowledge.adopt(ctx, reply, now, func(ctx context.Context, hashes []string) ([][]byte, error) {
-		return c.fetchParts(ctx, entry, hashes)
+		return c.requestParts(ctx, entry, hashes)
 	})
 	c.cfg.Counters.Add("olderIgnored", int64(ignored))
 	c.mu.Lock()
@@ -161,7 +161,7 @@
 	return lacking
 }
 
-func (c *Client) fetchParts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
+func (c *Client) requestParts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
 	client := wire.NewDRPCControlClient(c.cfg.Dial(ctx, entry.GetControlAddress()))
 	reply, err := client.Parts(ctx, &wire.PartsRequest{From: membership.NameOnly(c.cfg.Self), Known: c.Known(), Hashes: hashes})
 	if err != nil {
