--- a/agent/internal/control/client.go
+++ b/agent/internal/control/client.go
@@ -1,7 +1,7 @@
-// Package control keeps the agent in touch with the entries: it reports the
-// host to its home entry, takes the document and plan in force from it, and
-// learns of other agents. It needs neither the key-value service nor the
-// platform's list once it knows an entry that answers.
+// Package control synchronizes the agent with the entries. It sends the host's
+// reports to its home entry, receives the current document and plan from it,
+// and discovers other agents. Once it knows a reachable entry, it depends on
+// neither the key-value service nor the platform's host list.
 package control
 
 import (
@@ -23,25 +23,29 @@
 )
 
 const (
-	// syncMargin is how long after the held time a call counts as silent.
+	// syncMargin is added to the time for which an entry may hold a Sync call to
+	// get the call's timeout.
 	syncMargin = 2 * time.Second
-	// minRetryWait and maxRetryWait bound the wait after every entry failed.
+	// minRetryWait and maxRetryWait bound the exponential backoff after all
+	// entries failed.
 	minRetryWait = 100 * time.Millisecond
 	maxRetryWait = 5 * time.Second
-	// initialReplies is how many entries are asked at the start, so that the agent
-	// obeys the highest plan that they know rather than the first it meets.
+	// initialReplies is how many entries must reply at startup, so that the agent
+	// follows the highest plan revision among them rather than the first one
+	// received.
 	initialReplies = 3
-	// publishInterval refreshes what only time changes: who is lost.
+	// publishInterval is how often the snapshot is rebuilt to update what depends
+	// on time alone: which hosts are lost.
 	publishInterval = time.Second
-	// initialListInterval and listInterval are the intervals of reading the list before and
-	// after the first entry answered.
+	// initialListInterval and listInterval are how often the host list is read
+	// before and after the first entry replied.
 	initialListInterval = time.Second
 	listInterval        = 10 * time.Second
-	// pauseBetweenSyncs keeps a fast sequence of changes from becoming as many calls.
+	// pauseBetweenSyncs limits the call rate when changes come in quick succession.
 	pauseBetweenSyncs = 200 * time.Millisecond
 )
 
-// Config holds what a Client needs from its process.
+// Config holds the settings and dependencies of a Client.
 type Config struct {
 	Self  *wire.Node
 	Clock clockwork.Clock
@@ -53,36 +57,37 @@
 	HTTP     *http.Client
 	// Wait is how long an entry may hold a Sync call.
 	Wait time.Duration
-	// Report returns the newest report of this host.
+	// Report returns the latest report of this host.
 	Report func() *wire.HostReport
-	// SetLeaving is called with whether the list or an operator takes the host out.
+	// SetLeaving is called with whether the host list or an operator marks this
+	// host as leaving.
 	SetLeaving func(leaving bool)
-	// Broken records that an invariant does not hold.
+	// Broken records an invariant violation.
 	Broken   func(rule string, attrs ...any)
 	Counters *expvar.Map
 }
 
-// Client is safe for concurrent use.
+// Client exchanges state with the entries. It is safe for concurrent use.
 type Client struct {
 	cfg       Config
 	knowledge *knowledge
 	synced    atomic.Bool
-	// acked is the highest sequence of a report that some entry took.
+	// acked is the highest sequence number of a report that an entry accepted.
 	acked atomic.Uint64
 
 	mu        sync.Mutex
 	penalties *penalties
-	known     map[string]*wire.Known // by entry: what it knew in its last reply
-	interrupt context.CancelFunc     // ends the wait for the held call; nil: none
-	nudged    bool                   // a nudge came while no call was held
-	hint      *wire.Node             // an entry that knows something newer
-	home      string                 // id of the entry that answered last
-	baseline  spread.Baseline        // what the entry took of this host's reports
-	baseOf    string                 // id of the entry that the baseline is of
-	wanted    []string               // hosts to ask that entry the whole report of
+	known     map[string]*wire.Known // revisions in each entry's last reply, by entry id
+	interrupt context.CancelFunc     // cancels the held call; nil if there is none
+	nudged    bool                   // Nudge was called; the next call isn't held
+	hint      *wire.Node             // a caller with newer revisions, to be asked next
+	home      string                 // id of the entry that replied last
+	baseline  spread.Baseline        // which of this host's reports the entry accepted
+	baseOf    string                 // id of the entry that baseline and wanted refer to
+	wanted    []string               // ids whose full reports to request from that entry
 }
 
-// New returns a Client; Run makes it work.
+// New returns a Client. Call Run to start it.
 func New(cfg Config) *Client {
 	return &Client{
 		cfg:       cfg,
@@ -92,32 +97,32 @@
 	}
 }
 
-// Synced reports whether the entries answered since the start.
+// Synced reports whether any entry has replied since startup.
 func (c *Client) Synced() bool { return c.synced.Load() }
 
-// Acked returns the highest sequence number of a report that an entry took.
+// Acked returns the highest sequence number of a report that an entry accepted.
 func (c *Client) Acked() uint64 { return c.acked.Load() }
 
-// Known returns what messages of this process bear.
+// Known returns the revisions known to this process, as sent in its messages.
 func (c *Client) Known() *wire.Known { return c.knowledge.known(c.cfg.Clock.Now()) }
 
-// Age returns how old the knowledge of the document is; false while nobody
-// confirmed it.
+// Age returns the time since the document was last confirmed, or false if it
+// never was.
 func (c *Client) Age() (time.Duration, bool) { return c.knowledge.age(c.cfg.Clock.Now()) }
 
-// Agents returns the other agents known, without lost ones.
+// Agents returns the other known agents, except lost ones.
 func (c *Client) Agents() []*wire.Node {
 	return c.knowledge.agents(c.cfg.Self.GetId(), c.cfg.Clock.Now())
 }
 
-// Home returns the id of the entry that answered last.
+// Home returns the id of the entry that replied last.
 func (c *Client) Home() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.home
 }
 
-// Nudge sends a report at once instead of after the held call.
+// Nudge interrupts the held call, if any, so that a report is sent immediately.
 func (c *Client) Nudge() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +132,9 @@
 	}
 }
 
-// Observe takes the revisions that a caller knows. Where the caller knows more,
-// the home entry is behind too, and the caller is asked itself.
+// Observe compares the revisions that a caller knows with the local ones. If the
+// caller's are newer, the home entry is behind too, so the next sync goes to the
+// caller itself.
 func (c *Client) Observe(from *wire.Node, known *wire.Known) {
 	if known == nil || from.GetControlAddress() == "" || !c.knowledge.isBehind(known) {
 		return
@@ -139,7 +145,7 @@
 	c.Nudge()
 }
 
-// Run syncs with the entries and reads the list until ctx ends.
+// Run syncs with the entries and reads the host list until ctx is done.
 func (c *Client) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -160,7 +166,8 @@
 	return nil
 }
 
-// jitter spreads the moments at which many agents try again.
+// jitter returns a random duration between half of wait and wait, so that many
+// agents don't retry at the same moment.
 func jitter(wait time.Duration) time.Duration {
 	return wait/2 + rand.N(wait/2+1)
 }
@@ -172,8 +179,8 @@
 	}
 }
 
-// syncInitial asks several entries, so that an entry that was started in an outage
-// and knows nothing is not the only one that answered.
+// syncInitial syncs with several entries, so that the agent doesn't rely only on
+// an entry that was started during an outage and has no state.
 func (c *Client) syncInitial(ctx context.Context) {
 	replied := 0
 	for retries := 0; ctx.Err() == nil && replied == 0; retries++ {
@@ -196,7 +203,7 @@
 	}
 }
 
-// syncBest syncs with the best entry that answers.
+// syncBest syncs with the best-ranked entry that replies.
 func (c *Client) syncBest(ctx context.Context) bool {
 	if hint := c.takeHint(); hint != nil {
 		_ = c.sync(ctx, hint, 0)
@@ -232,14 +239,14 @@
 	})
 }
 
-// publish hands the present knowledge to the rest of the process.
+// publish makes the current state visible to the rest of the process.
 func (c *Client) publish() {
 	c.storeSnapshot()
 	c.cfg.SetLeaving(c.knowledge.leaving(c.cfg.Self.GetId()))
 }
 
-// storeSnapshot keeps two goroutines from publishing their snapshots in the wrong
-// order.
+// storeSnapshot builds and stores a snapshot under the lock, so that two
+// goroutines can't store theirs in the wrong order.
 func (c *Client) storeSnapshot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,6 +254,6 @@
 	before, _ := c.cfg.View.Load()
 	c.cfg.View.Store(snap)
 	if snap.Revision != before.Revision || snap.PlanRevision != before.PlanRevision {
-		c.cfg.Log.Info("in force", "revision", snap.Revision, "plan", snap.PlanRevision)
+		c.cfg.Log.Info("document or plan changed", "revision", snap.Revision, "plan", snap.PlanRevision)
 	}
 }
--- a/agent/internal/control/control_test.go
+++ b/agent/internal/control/control_test.go
@@ -19,7 +19,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// published is one accepted document with its parts.
+// published is an accepted document, split into its root and parts.
 type published struct {
 	root  *wire.Root
 	parts map[string][]byte
@@ -52,9 +52,9 @@
 	return &wire.SyncReply{Root: p.root, Known: &wire.Known{Revision: p.root.GetRevision()}}
 }
 
-// Symptom: a process goes back to an older document or plan. Sequence: replies
-// of entries that know more and less, whole and as differences, some with a
-// part missing or wrong, in any order. Cause: adopting by arrival.
+// Guards against reverting to an older document or plan by applying replies in
+// order of arrival. Entries with newer and older revisions reply in any order,
+// with full roots and deltas, some with a missing or wrong part.
 func TestRevisionNeverFalls(t *testing.T) {
 	documents := []published{}
 	for number := range uint32(5) {
@@ -103,8 +103,9 @@
 	})
 }
 
-// Symptom: two hosts disagree on one revision. Sequence: an entry sends another
-// content under the revision in force. Cause: a comparison by number alone.
+// Guards against two hosts holding different content for one revision. An entry
+// sends different content under the current revision number, which a comparison
+// by number alone would miss.
 func TestContradictionIsNamed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	known := newKnowledge(now)
@@ -121,9 +122,9 @@
 	}
 }
 
-// Symptom: a document that nobody submitted is in force. Sequence: a root comes
-// with a part too few, each part right by itself; or as a difference from a root
-// with another content. Cause: parts checked one by one only.
+// Guards against applying a document that nobody submitted. A root lacks a part
+// while each remaining part is valid, or is a delta from a root with different
+// content; checking the parts only one by one would miss this.
 func TestRootIsCheckedAsAWhole(t *testing.T) {
 	now := time.Unix(1000, 0)
 	known := newKnowledge(now)
@@ -137,7 +138,8 @@
 	}
 }
 
-// An entry that was started in an outage is offered the document.
+// An entry that was started during an outage and has an older document is sent
+// the current one.
 func TestOfferToEntryThatKnowsLess(t *testing.T) {
 	now := time.Unix(1000, 0)
 	known := newKnowledge(now)
@@ -188,9 +190,9 @@
 	}
 }
 
-// Symptom: a serving host stops for a list that is wrong. Sequence: the list
-// says that the host leaves, then is empty, then says that it lives.
-// Cause: an empty answer taken for news.
+// Guards against a serving host stopping because of a wrong host list. The list
+// marks the host as leaving, then is empty, then marks it as live; an empty list
+// must not change the state.
 func TestLeavingByList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	known := newKnowledge(now)
--- a/agent/internal/control/home.go
+++ b/agent/internal/control/home.go
@@ -10,17 +10,17 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Nearness of an entry, lower is nearer.
+// Distance of an entry from the agent; lower is closer.
 const (
 	sameDomain = iota
 	sameRegion
 	elsewhere
 )
 
-// candidates orders the entries by how good a home each is for the agent:
-// usable ones first, then near ones, then by rendezvous hash, so that the
-// agents of a failure domain spread over its entries and move only when an
-// entry comes or goes.
+// candidates ranks the entries as home entries for the agent: first those not to
+// be avoided, then by distance, then by rendezvous hash. The hash spreads the
+// agents of a failure domain over its entries and reassigns them only when an
+// entry is added or removed.
 func candidates(self *wire.Node, entries []*wire.Node, avoided func(id string) bool) []*wire.Node {
 	type ranked struct {
 		node     *wire.Node
@@ -67,7 +67,7 @@
 	return elsewhere
 }
 
-// penalties keep an agent away from entries that failed it.
+// penalties tracks entries that failed to reply and until when to avoid them.
 type penalties struct {
 	until map[string]time.Time
 	count map[string]int
@@ -95,7 +95,7 @@
 
 func (p *penalties) active(id string, now time.Time) bool { return now.Before(p.until[id]) }
 
-// draining returns the ids of entries that say they leave.
+// draining returns the ids of entries that report that they are leaving.
 func draining(entries []view.Peer) map[string]bool {
 	ids := map[string]bool{}
 	for _, entry := range entries {
--- a/agent/internal/control/knowledge.go
+++ b/agent/internal/control/knowledge.go
@@ -15,24 +15,26 @@
 )
 
 const (
-	// maxBatchBytes bounds the parts asked for in one call.
+	// maxBatchBytes bounds the total size of the parts requested in one call.
 	maxBatchBytes = 2 << 20
-	// maxOfferBytes bounds the parts sent along to an entry that lacks them.
+	// maxOfferBytes bounds the total size of the parts sent to an entry that has
+	// an older document.
 	maxOfferBytes = 3 << 20
-	// maxClockGap is the gap between two looks at the clock that shows that the
-	// process was paused or the clock jumped.
+	// maxClockGap is the longest expected time between two clock readings. A
+	// longer one means that the process was paused or the clock jumped.
 	maxClockGap = 3 * time.Second
 )
 
-// knowledge is what the agent has in force and whom it knows.
+// knowledge holds the agent's current document and plan and the hosts and
+// entries that it knows.
 type knowledge struct {
 	mu             sync.Mutex
 	state          revision.State
-	document       *wire.Document    // joined from the root in force
-	parts          map[string][]byte // of the root in force, by hash
+	document       *wire.Document    // assembled from the parts of the current root
+	parts          map[string][]byte // parts of the current root, by hash
 	table          *membership.Table
-	listed         []membership.Listed // last answer of the list that was not empty
-	lastClockCheck time.Time           // last look at the clock
+	listed         []membership.Listed // last non-empty host list
+	lastClockCheck time.Time           // time of the last snapshot, to detect clock jumps
 }
 
 func newKnowledge(now time.Time) *knowledge {
@@ -55,14 +57,15 @@
 	return k.state.Offers(known)
 }
 
-// age returns how long ago the service last confirmed the document to anyone.
+// age returns the time since the key-value service last confirmed the document
+// to any process.
 func (k *knowledge) age(now time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state.Age(now)
 }
 
-// hearMembers takes what a reply says of hosts and entries.
+// observeMembers records the hosts and entries named in a reply.
 func (k *knowledge) observeMembers(reply *wire.SyncReply, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -77,6 +80,8 @@
 	}
 }
 
+// observeList records the host list. An empty list doesn't replace the last
+// non-empty one.
 func (k *knowledge) observeList(listed []membership.Listed, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -86,7 +91,7 @@
 	}
 }
 
-// leaving reports whether the list or an operator says that the host leaves.
+// leaving reports whether the host list or an operator marks the host as leaving.
 func (k *knowledge) leaving(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,7 +103,8 @@
 	})
 }
 
-// agents returns the agents of the list and of the reports that are not lost.
+// agents returns the agents known from reports, except lost ones, and those
+// known only from the host list.
 func (k *knowledge) agents(self string, now time.Time) []*wire.Node {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -120,8 +126,8 @@
 	return nodes
 }
 
-// hosts returns the hosts known, by id. The home entries' reports count for
-// whether they are lost.
+// hosts returns the known hosts, sorted by id. Whether a host is lost is decided
+// by the reports of its home entry.
 func (k *knowledge) hosts(now time.Time) []view.Host {
 	drained := map[string]bool{}
 	for _, id := range k.state.Drains().GetHosts() {
@@ -132,22 +138,22 @@
 	return hosts
 }
 
-// peers returns the entries known, by id.
+// peers returns the known entries, sorted by id.
 func (k *knowledge) peers(now time.Time) []view.Peer {
 	peers := k.table.Entries(now, k.table.Len())
 	membership.SortEntries(peers)
 	return peers
 }
 
-// entries returns the entries to choose a home from and those that leave.
+// entries returns the reachable entries and the ids of those that are leaving.
 func (k *knowledge) entries(now time.Time) (nodes []*wire.Node, leaving map[string]bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Reachable(now), draining(k.peers(now))
 }
 
-// adopt takes what is newer in a reply. Missing parts are fetched with the
-// function given. What is older is ignored: nothing in force ever falls.
+// adopt applies the newer items of a reply and fetches missing parts with fetch.
+// Older items are ignored and counted: a revision in use never decreases.
 func (k *knowledge) adopt(ctx context.Context, reply *wire.SyncReply, now time.Time,
 	fetch func(ctx context.Context, hashes []string) ([][]byte, error)) (ignored int, err error) {
 	if root := reply.GetRoot(); root != nil {
@@ -167,6 +173,8 @@
 	return ignored, err
 }
 
+// countIgnored returns 1 if the verdict means that the item wasn't applied for
+// being older or contradictory, else 0.
 func countIgnored(verdict revision.Verdict) int {
 	if verdict == revision.Older || verdict == revision.Contradiction {
 		return 1
@@ -174,6 +182,8 @@
 	return 0
 }
 
+// adoptRoot verifies a newer root, fetches its missing parts and makes its
+// document the current one.
 func (k *knowledge) adoptRoot(ctx context.Context, root *wire.Root,
 	fetch func(ctx context.Context, hashes []string) ([][]byte, error)) (revision.Verdict, error) {
 	k.mu.Lock()
@@ -185,17 +195,17 @@
 	}
 	k.mu.Unlock()
 	if verdict == revision.Contradiction {
-		return verdict, failure.New(failure.Internal, "an entry sent another content of the revision in force",
+		return verdict, failure.New(failure.Internal, "an entry sent different content for the current revision",
 			"compare the audit trail with the entries' revisions")
 	}
-	// A difference from another revision than ours was made before another
-	// call's reply came into force; the next reply fits.
+	// A delta based on a revision other than the current one was made before the
+	// reply to another call was applied. The next reply will match.
 	if verdict != revision.Newer || whole == nil {
 		return verdict, nil
 	}
 	root = whole
 	if document.ContentHash(root.GetParts()) != root.GetAudit().GetContentHash() {
-		return verdict, failure.New(failure.Corrupt, "an entry sent a root whose parts are not its content",
+		return verdict, failure.New(failure.Corrupt, "an entry sent a root whose parts do not match its content hash",
 			"it is asked for again")
 	}
 	if err := fetchParts(ctx, root, parts, fetch); err != nil {
@@ -214,7 +224,8 @@
 	return verdict, nil
 }
 
-// fetchParts adds the parts of the root that are missing, in batches.
+// fetchParts fetches the missing parts of the root in batches and adds them to
+// parts.
 func fetchParts(ctx context.Context, root *wire.Root, parts map[string][]byte,
 	fetch func(ctx context.Context, hashes []string) ([][]byte, error)) error {
 	var batch []string
@@ -246,10 +257,11 @@
 	return flush()
 }
 
+// addParts verifies the hash of each fetched part and adds it to parts.
 func addParts(parts map[string][]byte, hashes []string, contents [][]byte) error {
 	for i, hash := range hashes {
 		if i >= len(contents) || document.HashBytes(contents[i]) != hash {
-			return failure.New(failure.Corrupt, "an entry lacks a part of the document or sent a wrong one",
+			return failure.New(failure.Corrupt, "an entry did not send a part of the document or sent a wrong one",
 				"it is asked for again")
 		}
 		parts[hash] = contents[i]
@@ -257,6 +269,7 @@
 	return nil
 }
 
+// selectParts returns only those parts that belong to the root.
 func selectParts(root *wire.Root, parts map[string][]byte) map[string][]byte {
 	kept := make(map[string][]byte, len(root.GetParts()))
 	for _, part := range root.GetParts() {
@@ -265,8 +278,8 @@
 	return kept
 }
 
-// offer returns the root and its parts for an entry that knows less; nil where
-// it knows as much or the parts are too large for one message.
+// offer returns the root and its parts for an entry with an older revision. It
+// returns nil if the entry is up to date or the parts exceed one message.
 func (k *knowledge) offer(known *wire.Known) (*wire.Root, [][]byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -287,7 +300,8 @@
 	return root, contents
 }
 
-// snapshot returns the present knowledge for the rest of the process.
+// snapshot returns the current state for the rest of the process. After a pause
+// or a clock jump it first adjusts the times of the membership table.
 func (k *knowledge) snapshot(now time.Time) *view.Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/agent/internal/control/refresh.go
+++ b/agent/internal/control/refresh.go
@@ -6,6 +6,7 @@
 	"comfreyrelay.example/relay/hostlist"
 )
 
+// refresh publishes the state every publishInterval until ctx is done.
 func (c *Client) refresh(ctx context.Context) {
 	ticker := c.cfg.Clock.NewTicker(publishInterval)
 	defer ticker.Stop()
@@ -19,8 +20,8 @@
 	}
 }
 
-// readList reads the platform's list now and then. Its failures and empty
-// answers change nothing.
+// readList reads the platform's host list periodically. Errors and empty lists
+// leave the state unchanged.
 func (c *Client) readList(ctx context.Context) {
 	reader := hostlist.NewReader(c.cfg.HostsURL, c.cfg.HTTP)
 	for ctx.Err() == nil {
--- a/agent/internal/control/sync.go
+++ b/agent/internal/control/sync.go
@@ -13,8 +13,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// sync does one call and takes its reply. A call that a nudge interrupted is no
-// failure of the entry.
+// sync makes one Sync call and applies its reply. A call interrupted by Nudge
+// doesn't count as a failure of the entry.
 func (c *Client) sync(ctx context.Context, entry *wire.Node, wait time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -36,8 +36,8 @@
 	return err
 }
 
-// allowInterrupt lets a nudge end the call; after a nudge that came before, the call is
-// not held at all.
+// allowInterrupt lets Nudge cancel the call and returns how long the entry may
+// hold it: zero if Nudge was called before.
 func (c *Client) allowInterrupt(cancel context.CancelFunc, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,6 +55,8 @@
 	c.interrupt = nil
 }
 
+// request builds the Sync request for an entry. It sends the report as a
+// difference from the last one that the entry accepted, where possible.
 func (c *Client) request(entry string, wait time.Duration) *wire.SyncRequest {
 	report := c.cfg.Report()
 	c.mu.Lock()
@@ -82,15 +84,16 @@
 	return request
 }
 
+// recordFailure counts and logs a failed call and penalizes the entry.
 func (c *Client) recordFailure(entry *wire.Node, err error) {
 	c.cfg.Counters.Add("syncsFailed", 1)
-	c.cfg.Log.Debug("entry does not answer", "entry", entry.GetId(), "error", err)
+	c.cfg.Log.Debug("sync with entry failed", "entry", entry.GetId(), "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.penalties.add(entry.GetId(), c.cfg.Clock.Now())
 }
 
-// applyReply puts a reply in force.
+// applyReply applies a reply to the local state and publishes it.
 func (c *Client) applyReply(ctx context.Context, entry *wire.Node, request *wire.SyncRequest, reply *wire.SyncReply) error {
 	now := c.cfg.Clock.Now()
 	c.cfg.Counters.Add("syncs", 1)
@@ -109,15 +112,15 @@
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	c.cfg.Log.Warn("document not taken", "entry", entry.GetId(), "revision", reply.GetRoot().GetRevision(), "error", err)
+	c.cfg.Log.Warn("document not applied", "entry", entry.GetId(), "revision", reply.GetRoot().GetRevision(), "error", err)
 	if failure.KindOf(err) == failure.Internal {
 		c.cfg.Broken("oneContentPerRevision", "entry", entry.GetId(), "revision", reply.GetRoot().GetRevision())
 	}
 	return err
 }
 
-// recordAccepted notes what the entry took of the report and takes out of the reply what
-// cannot be made whole here.
+// recordAccepted records whether the entry accepted the report, and removes from
+// the reply the reports that can't be expanded to full ones.
 func (c *Client) recordAccepted(entry string, request *wire.SyncRequest, reply *wire.SyncReply) {
 	sent := request.GetHosts()[0]
 	lacking := c.knowledge.expandReports(reply)
@@ -135,8 +138,9 @@
 	c.acked.Store(max(c.acked.Load(), sent.GetSequence()))
 }
 
-// expandReports makes the reply's reports whole and returns the hosts and entries of
-// those that it takes out: what they amend was lost on the way.
+// expandReports expands the reply's delta reports to full ones. It removes those
+// whose base report was lost in transit and returns the ids of their hosts and
+// entries.
 func (k *knowledge) expandReports(reply *wire.SyncReply) (lacking []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
