--- a/agent/internal/cmd/agent_test.go
+++ b/agent/internal/cmd/agent_test.go
@@ -12,7 +12,7 @@
 
 func TestServesWhatThePlanAssigns(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.assign(1, 7, version)
 	b.start()
@@ -30,7 +30,7 @@
 // v1 while the plan turns to v2. Cause: a load that does not wait for the drain.
 func TestRollWaitsForRunningStream(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.engine.release = make(chan struct{})
@@ -67,7 +67,7 @@
 // Cause: a process that exits, or stays ready, at the first signal.
 func TestTermFinishesRunningStream(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.engine.release = make(chan struct{})
 	b.assign(1, 7, version)
@@ -94,7 +94,7 @@
 // Sequence: two signals in mid-stream. Cause: a drain that cannot be cut short.
 func TestSecondTermStopsAtOnce(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.engine.release = make(chan struct{}) // never closed
 	b.assign(1, 7, version)
@@ -122,7 +122,7 @@
 // loaded and did nothing. Cause: an agent that trusts the reply.
 func TestDroppedLoadIsRepeated(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.engine.drops = 1
 	b.assign(1, 7, version)
@@ -137,7 +137,7 @@
 // the engine.
 func TestRestartedAgentRefusesOldFence(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.assign(5, 9, second)
@@ -165,7 +165,7 @@
 // and an older plan. Cause: a process that takes whatever it is sent.
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.assign(5, 9, second)
@@ -188,7 +188,7 @@
 // agent. Cause: an agent that believes what was confirmed once.
 func TestEngineThatLostEverything(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.assign(1, 7, version)
 	b.start()
@@ -205,7 +205,7 @@
 // service is in the document, and one whose is not. Cause: no check of names.
 func TestServiceHost(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	b.assign(1, 7, b.publish("unused"))
 	b.set.Service, b.set.OriginUrl = "labels", ""
 	b.start()
--- a/agent/internal/cmd/charge_test.go
+++ b/agent/internal/cmd/charge_test.go
@@ -11,14 +11,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// sink is a stream that drops its frames.
-type sink struct {
+// discardStream is a stream that drops its frames.
+type discardStream struct {
 	wire.DRPCHost_RunStream
 
 	sent int
 }
 
-func (s *sink) Send(*wire.Frame) error {
+func (s *discardStream) Send(*wire.Frame) error {
 	s.sent++
 	return nil
 }
@@ -31,7 +31,7 @@
 	const rate = 1000
 	lnk := link.New(&wire.LinkSettings{Up: rate, Down: rate}, clock)
 	frame := &wire.Frame{Kind: "tokens", Tokens: []string{string(make([]byte, 10*rate))}}
-	out := &sink{}
+	out := &discardStream{}
 	if err := (chargedStream{DRPCHost_RunStream: out, link: lnk}).Send(frame); err != nil {
 		t.Fatal(err)
 	}
--- a/agent/internal/cmd/fakes_test.go
+++ b/agent/internal/cmd/fakes_test.go
@@ -92,9 +92,9 @@
 func (e *fakeEntry) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	e.mu.Lock()
 	e.reports = append(e.reports, req.GetHosts()...)
-	news, changed := e.news(req), e.changed
+	newer, changed := e.hasNewer(req), e.changed
 	e.mu.Unlock()
-	if news || req.GetWaitMillis() == 0 {
+	if newer || req.GetWaitMillis() == 0 {
 		return e.reply(), nil
 	}
 	select {
@@ -105,7 +105,7 @@
 	return e.reply(), nil
 }
 
-func (e *fakeEntry) news(req *wire.SyncRequest) bool {
+func (e *fakeEntry) hasNewer(req *wire.SyncRequest) bool {
 	return req.GetKnown().GetRevision() < e.root.GetRevision() || req.GetKnown().GetPlanRevision() < e.plan.GetPlanRevision()
 }
 
@@ -148,16 +148,16 @@
 
 // fakeEngine is the least that an engine does.
 type fakeEngine struct {
-	mu      sync.Mutex
-	chunks  map[string][]byte
-	version string
-	fence   uint64
-	orders  []uint64 // fences of the orders that were obeyed
-	drops   int      // loads still to be answered and not done
-	mute    bool     // the status has no fence
-	cut     int      // requests that ran while the weights changed
-	running int
-	release chan struct{} // generations wait for it after the first token; nil: they don't
+	mu        sync.Mutex
+	chunks    map[string][]byte
+	version   string
+	fence     uint64
+	orders    []uint64 // fences of the orders that were obeyed
+	drops     int      // loads still to be answered and not done
+	hideFence bool     // the status has no fence
+	cut       int      // requests that ran while the weights changed
+	running   int
+	release   chan struct{} // generations wait for it after the first token; nil: they don't
 }
 
 func (f *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +175,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		fence := f.fence
-		if f.mute {
+		if f.hideFence {
 			fence = 0
 		}
 		_ = json.NewEncoder(w).Encode(map[string]any{"model": f.model(), "version": f.version, "fence": fence, "role": "both", "slots": 8})
@@ -274,8 +274,8 @@
 	emit("end", fmt.Sprintf(`{"version":%q,"count":1}`, version))
 }
 
-// bench is one agent with all that it talks to.
-type bench struct {
+// testBench is one agent with all that it talks to.
+type testBench struct {
 	t       *testing.T
 	entry   *fakeEntry
 	engine  *fakeEngine
@@ -307,9 +307,9 @@
 	return b.buf.String()
 }
 
-func newBench(t *testing.T) *bench {
+func newTestBench(t *testing.T) *testBench {
 	t.Helper()
-	b := &bench{t: t, entry: newFakeEntry(t), origin: map[string][]byte{}, log: &lockedBuffer{}, limits: fallback.DefaultLimits()}
+	b := &testBench{t: t, entry: newFakeEntry(t), origin: map[string][]byte{}, log: &lockedBuffer{}, limits: fallback.DefaultLimits()}
 	b.engine = &fakeEngine{chunks: map[string][]byte{}}
 	engine := httptest.NewServer(b.engine)
 	t.Cleanup(engine.Close)
@@ -344,7 +344,7 @@
 }
 
 // publish makes the origin hold a version and returns it.
-func (b *bench) publish(content string) string {
+func (b *testBench) publish(content string) string {
 	b.t.Helper()
 	man := manifest.Build("parcel", manifest.KindBase, "", 4, []byte(content))
 	encoded, err := manifest.Encode(man)
@@ -363,7 +363,7 @@
 }
 
 // assign puts the version into the document and the plan.
-func (b *bench) assign(revision uint32, fence uint64, version string) {
+func (b *testBench) assign(revision uint32, fence uint64, version string) {
 	b.entry.setDocument(revision, &wire.Document{
 		Objective:    "time",
 		OriginCopies: 4,
@@ -380,7 +380,7 @@
 }
 
 // start runs the agent in this process, as main does.
-func (b *bench) start() {
+func (b *testBench) start() {
 	b.t.Helper()
 	drain, drainCancel := context.WithCancel(context.Background())
 	kill, killCancel := context.WithCancel(context.Background())
@@ -397,7 +397,7 @@
 }
 
 // stop ends the agent at once.
-func (b *bench) stop() {
+func (b *testBench) stop() {
 	b.t.Helper()
 	b.drain()
 	b.kill()
@@ -406,7 +406,7 @@
 	}
 }
 
-func (b *bench) eventually(what string, holds func() bool) {
+func (b *testBench) eventually(what string, holds func() bool) {
 	b.t.Helper()
 	for range 1000 {
 		if holds() {
@@ -436,7 +436,7 @@
 
 // run sends an attempt to the agent and reads it to its end. begun, if not nil,
 // is closed with the first token.
-func (b *bench) run(id, version string, begun chan struct{}) *stream {
+func (b *testBench) run(id, version string, begun chan struct{}) *stream {
 	out := &stream{}
 	pool := peer.NewPool(nil)
 	defer func() { _ = pool.Close() }()
--- a/agent/internal/cmd/keys_test.go
+++ b/agent/internal/cmd/keys_test.go
@@ -86,7 +86,7 @@
 }
 
 // client returns calls to the agent with the keys; nil keys mean clear text.
-func (b *bench) client(set *wire.TlsSettings) wire.DRPCHostClient {
+func (b *testBench) client(set *wire.TlsSettings) wire.DRPCHostClient {
 	b.t.Helper()
 	var keys *peer.Keys
 	if set != nil {
@@ -128,7 +128,7 @@
 func TestCallersAreKnownByTheirKeys(t *testing.T) {
 	t.Parallel()
 	deployment, stranger := newAuthority(t), newAuthority(t)
-	b := newBench(t)
+	b := newTestBench(t)
 	b.set.Node.Insecure, b.set.Node.Tls = false, deployment.issue("h1", peer.RoleAgent)
 	b.start()
 	defer b.stop()
--- a/agent/internal/cmd/places.go
+++ b/agent/internal/cmd/places.go
@@ -11,9 +11,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// places gives this host a replica's place in an outage; see package fallback.
+// outagePlacement gives this host a replica's place in an outage; see package fallback.
 // It is not safe for concurrent use: only the orders' runner calls it.
-type places struct {
+type outagePlacement struct {
 	core     *fallback.Core
 	clock    clockwork.Clock
 	log      *slog.Logger
@@ -21,7 +21,7 @@
 }
 
 // place returns what the host should serve although the plan leaves it out.
-func (p *places) place(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment {
+func (p *outagePlacement) place(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment {
 	before := p.core.Held()
 	given := p.core.Decide(fallback.Input{
 		Now:         p.clock.Now(),
@@ -37,7 +37,7 @@
 	return given
 }
 
-func (p *places) logHeld(before, after string, snap *view.Snapshot) {
+func (p *outagePlacement) logHeld(before, after string, snap *view.Snapshot) {
 	if after == "" {
 		p.counters.Add("placesEnded", 1)
 		p.log.Info("ends the place that it took in the outage", "model", before, "plan", snap.PlanRevision)
--- a/agent/internal/cmd/places_test.go
+++ b/agent/internal/cmd/places_test.go
@@ -20,7 +20,7 @@
 // h1 for another version. Cause: a host that only the plan can put to use.
 func TestReplacedHostServesInAnOutage(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	b.limits = shortLimits()
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -33,12 +33,12 @@
 const (
 	// listTimeout bounds a call to the platform's list as a whole.
 	listTimeout = 5 * time.Second
-	// defaultDrain is the drain's limit where the settings do not say.
-	defaultDrain = 30 * time.Second
-	// lingerFor is how long the agent goes on refusing after a drain: entries
+	// defaultDrainTimeout is the drain's limit where the settings do not say.
+	defaultDrainTimeout = 30 * time.Second
+	// refusalPeriod is how long the agent goes on refusing after a drain: entries
 	// that do not know of it yet get proof that nothing was run instead of
 	// a connection that breaks with their attempt on it.
-	lingerFor = 3 * time.Second
+	refusalPeriod = 3 * time.Second
 	// stopGrace lets the last frames out after a second signal.
 	stopGrace = 200 * time.Millisecond
 	// pollInterval is how often the end of a drain is looked for.
@@ -49,33 +49,33 @@
 type parts struct {
 	dig.In
 
-	Settings *wire.AgentSettings
-	Self     *wire.Node
-	Clock    clockwork.Clock
-	Log      *slog.Logger
-	Keys     *peer.Keys
-	Pool     *peer.Pool
-	Listener net.Listener
-	View     *view.Holder
-	Gate     *gate.Gate
-	Weights  *weights.Manager
-	Orders   *orders.Runner
-	Reporter *report.Reporter
-	Control  *control.Client
-	Links    *links
-	Metrics  *metrics
+	Settings  *wire.AgentSettings
+	Self      *wire.Node
+	Clock     clockwork.Clock
+	Log       *slog.Logger
+	Keys      *peer.Keys
+	Pool      *peer.Pool
+	Listener  net.Listener
+	View      *view.Holder
+	Gate      *gate.Gate
+	Weights   *weights.Manager
+	Orders    *orders.Runner
+	Reporter  *report.Reporter
+	Control   *control.Client
+	Callbacks *callbacks
+	Metrics   *metrics
 }
 
 // process is one agent.
 type process struct{ parts }
 
 func newProcess(all parts) *process {
-	all.Links.suspect = all.Orders.Suspect
-	all.Links.observe = all.Control.Observe
-	all.Links.nudge = all.Control.Nudge
-	all.Links.report = all.Reporter.Build
-	all.Links.agents = all.Control.Agents
-	all.Links.synced = all.Control.Synced
+	all.Callbacks.suspect = all.Orders.Suspect
+	all.Callbacks.observe = all.Control.Observe
+	all.Callbacks.nudge = all.Control.Nudge
+	all.Callbacks.report = all.Reporter.Build
+	all.Callbacks.agents = all.Control.Agents
+	all.Callbacks.synced = all.Control.Synced
 	return &process{parts: all}
 }
 
@@ -89,8 +89,8 @@
 }
 
 func runWith(drain, kill context.Context, set *wire.AgentSettings, limits fallback.Limits, out, errOut io.Writer) error {
-	box := build(set, limits, errOut)
-	return dig.RootCause(box.Invoke(func(all parts) error {
+	container := build(set, limits, errOut)
+	return dig.RootCause(container.Invoke(func(all parts) error {
 		return newProcess(all).run(drain, kill, out)
 	}))
 }
@@ -110,18 +110,18 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return peer.Serve(ctx, p.Listener, p.Keys, mux, p.Log) })
 	group.Go(func() error { return p.serveOperators(ctx, operators) })
-	works := []func(context.Context) error{p.Gate.Work, p.Orders.Run, p.Reporter.Work, p.Control.Run}
+	tasks := []func(context.Context) error{p.Gate.Work, p.Orders.Run, p.Reporter.Work, p.Control.Run}
 	if p.Settings.GetService() == "" {
-		works = append(works, p.Weights.Run)
+		tasks = append(tasks, p.Weights.Run)
 	}
-	for _, work := range works {
-		group.Go(func() error { return ignoreEnd(ctx, work(ctx)) })
+	for _, task := range tasks {
+		group.Go(func() error { return ignoreAfterCancel(ctx, task(ctx)) })
 	}
 	fmt.Fprintf(out, "listening address=%s\n", p.Self.GetControlAddress())
 	p.Log.Info("started", "incarnation", p.Self.GetIncarnation(), "address", p.Self.GetControlAddress())
 	group.Go(func() error {
 		defer stop()
-		p.awaitEnd(ctx, drain, kill)
+		p.awaitShutdown(ctx, drain, kill)
 		return nil
 	})
 	err = group.Wait()
@@ -130,16 +130,16 @@
 	return err
 }
 
-// ignoreEnd drops the error that a part returns because it was asked to stop.
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreAfterCancel drops the error that a part returns because it was asked to stop.
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// awaitEnd waits for the signal and drains.
-func (p *process) awaitEnd(ctx, drain, kill context.Context) {
+// awaitShutdown waits for the signal and drains.
+func (p *process) awaitShutdown(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
 		return
@@ -147,13 +147,13 @@
 	}
 	limit := p.Settings.GetDrainTimeout().AsDuration()
 	if limit <= 0 {
-		limit = defaultDrain
+		limit = defaultDrainTimeout
 	}
 	p.Log.Info("draining before the exit", "running", p.Gate.State().Running(), "limit", limit)
 	p.Gate.Exit(limit)
 	p.Control.Nudge()
 	began := p.Clock.Now()
-	for p.Gate.State().Running() > 0 || p.lingers(began) {
+	for p.Gate.State().Running() > 0 || p.stillRefusing(began) {
 		select {
 		case <-ctx.Done():
 			return
@@ -167,8 +167,8 @@
 	}
 }
 
-func (p *process) lingers(began time.Time) bool {
-	return p.Clock.Since(began) < lingerFor
+func (p *process) stillRefusing(began time.Time) bool {
+	return p.Clock.Since(began) < refusalPeriod
 }
 
 func (p *process) listenOperators() (net.Listener, error) {
@@ -194,7 +194,7 @@
 	}
 	release := context.AfterFunc(ctx, func() { server.Close() })
 	defer release()
-	return ignoreEnd(ctx, server.Serve(lis))
+	return ignoreAfterCancel(ctx, server.Serve(lis))
 }
 
 // ready reports whether the agent knows what is in force and its endpoint
@@ -220,12 +220,12 @@
 	published.Do(func() {
 		expvar.Publish("agent", p.Metrics.counters)
 		expvar.Publish("invariantFailures", p.Metrics.failures)
-		expvar.Publish("agentState", expvar.Func(p.figures))
+		expvar.Publish("agentState", expvar.Func(p.debugState))
 	})
 }
 
-// figures is the state shown under /debug/vars.
-func (p *process) figures() any {
+// debugState is the state shown under /debug/vars.
+func (p *process) debugState() any {
 	known := p.Control.Known()
 	state := p.Gate.State()
 	age, confirmed := p.Control.Age()
--- a/agent/internal/cmd/restart_test.go
+++ b/agent/internal/cmd/restart_test.go
@@ -8,9 +8,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// refusesOlder waits until the bytes of the version are there and the report
+// awaitOlderPlanRefused waits until the bytes of the version are there and the report
 // says that its plan is not obeyed.
-func (b *bench) refusesOlder(version string) {
+func (b *testBench) awaitOlderPlanRefused(version string) {
 	b.t.Helper()
 	b.eventually("the bytes are there and the plan is refused", func() bool {
 		return slices.ContainsFunc(b.entry.last().GetVersions(), func(state *wire.VersionState) bool {
@@ -25,8 +25,8 @@
 // by a number that the engine does not keep.
 func TestRestartedAgentComparesPlanWithDocument(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
-	b.engine.mute = true
+	b := newTestBench(t)
+	b.engine.hideFence = true
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.assign(5, 9, second)
@@ -41,7 +41,7 @@
 	b.start()
 	defer b.stop()
 	b.eventually("v2 is served again", func() bool { return b.entry.serves(second) })
-	b.refusesOlder(first)
+	b.awaitOlderPlanRefused(first)
 	if got, want := b.engine.obeyed(), []uint64{9}; !slices.Equal(got, want) {
 		t.Errorf("got orders with fences %v, want %v", got, want)
 	}
--- a/agent/internal/cmd/wiring.go
+++ b/agent/internal/cmd/wiring.go
@@ -32,9 +32,9 @@
 // not say.
 const defaultWait = time.Second
 
-// links are the calls between parts that need each other. They are set before
+// callbacks are the calls between parts that need each other. They are set before
 // anything runs.
-type links struct {
+type callbacks struct {
 	suspect func()
 	observe func(from *wire.Node, known *wire.Known)
 	nudge   func()
@@ -51,10 +51,10 @@
 
 // build registers how each part is made.
 func build(set *wire.AgentSettings, limits fallback.Limits, errOut io.Writer) *dig.Container {
-	box := dig.New()
-	provide := func(makers ...any) {
-		for _, maker := range makers {
-			if err := box.Provide(maker); err != nil {
+	container := dig.New()
+	provide := func(constructors ...any) {
+		for _, constructor := range constructors {
+			if err := container.Provide(constructor); err != nil {
 				panic(err)
 			}
 		}
@@ -62,7 +62,7 @@
 	provide(
 		func() *wire.AgentSettings { return set },
 		clockwork.NewRealClock,
-		func() *links { return &links{} },
+		func() *callbacks { return &callbacks{} },
 		func() *slog.Logger {
 			return logging.New(errOut, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
 		},
@@ -71,7 +71,7 @@
 		newGate, newWeights, newRunner, newReporter, newControl,
 		func() *fallback.Core { return fallback.New(limits) },
 	)
-	return box
+	return container
 }
 
 func newMetrics() *metrics {
@@ -107,7 +107,7 @@
 }
 
 func newGate(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, log *slog.Logger, keys *peer.Keys,
-	client *engine.Client, holder *view.Holder, link *links, rules *gate.Invariants, stats *metrics) *gate.Gate {
+	client *engine.Client, holder *view.Holder, calls *callbacks, rules *gate.Invariants, stats *metrics) *gate.Gate {
 	return gate.New(gate.Config{
 		Self:       self,
 		Clock:      clock,
@@ -117,20 +117,20 @@
 		Service:    set.GetService(),
 		Engine:     client,
 		View:       holder,
-		Suspect:    func() { link.suspect() },
-		Observe:    func(from *wire.Node, known *wire.Known) { link.observe(from, known) },
+		Suspect:    func() { calls.suspect() },
+		Observe:    func(from *wire.Node, known *wire.Known) { calls.observe(from, known) },
 		Invariants: rules,
 		Counters:   stats.counters,
 	})
 }
 
 func newWeights(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, log *slog.Logger,
-	pool *peer.Pool, client *engine.Client, door *gate.Gate, link *links) *weights.Manager {
+	pool *peer.Pool, client *engine.Client, hostGate *gate.Gate, calls *callbacks) *weights.Manager {
 	return weights.New(weights.Config{
 		Self:        self,
 		Clock:       clock,
 		Log:         log,
-		Peers:       func() []*wire.Node { return link.agents() },
+		Peers:       func() []*wire.Node { return calls.agents() },
 		Dial:        dialer(pool),
 		OriginURL:   set.GetOriginUrl(),
 		Link:        set.GetLink(),
@@ -140,7 +140,7 @@
 		GetChunk:    client.GetChunk,
 		DropChunk:   client.DropChunk,
 		HeldChunks:  client.HeldChunks,
-		TokensSlow:  door.TokensSlow,
+		TokensSlow:  hostGate.TokensSlow,
 	})
 }
 
@@ -149,35 +149,35 @@
 }
 
 func newRunner(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, log *slog.Logger,
-	holder *view.Holder, client *engine.Client, door *gate.Gate, chunks *weights.Manager,
-	link *links, rules *gate.Invariants, stats *metrics, core *fallback.Core) *orders.Runner {
-	outage := &places{core: core, clock: clock, log: log, counters: stats.counters}
+	holder *view.Holder, client *engine.Client, hostGate *gate.Gate, chunks *weights.Manager,
+	calls *callbacks, rules *gate.Invariants, stats *metrics, core *fallback.Core) *orders.Runner {
+	placement := &outagePlacement{core: core, clock: clock, log: log, counters: stats.counters}
 	return orders.New(orders.Config{
 		Self:       self,
 		Clock:      clock,
 		Log:        log,
 		View:       holder,
-		Synced:     func() bool { return link.synced() },
+		Synced:     func() bool { return calls.synced() },
 		Service:    set.GetService(),
 		Engine:     client,
-		Gate:       door,
+		Gate:       hostGate,
 		Weights:    orders.FromManager(chunks),
 		Counters:   stats.counters,
 		Invariants: rules,
-		Changed:    func() { link.nudge() },
-		Placement:  outage.place,
+		Changed:    func() { calls.nudge() },
+		Placement:  placement.place,
 	})
 }
 
 func newReporter(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, client *engine.Client,
-	door *gate.Gate, runner *orders.Runner, chunks *weights.Manager, holder *view.Holder) *report.Reporter {
+	hostGate *gate.Gate, runner *orders.Runner, chunks *weights.Manager, holder *view.Holder) *report.Reporter {
 	return report.New(report.Config{
 		Self:     self,
 		Clock:    clock,
 		Endpoint: set.GetEndpoint(),
 		Service:  set.GetService(),
 		Engine:   client,
-		Gate:     door,
+		Gate:     hostGate,
 		Orders:   runner,
 		Weights:  chunks,
 		View:     holder,
@@ -185,7 +185,7 @@
 }
 
 func newControl(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, log *slog.Logger,
-	holder *view.Holder, pool *peer.Pool, door *gate.Gate, link *links, rules *gate.Invariants,
+	holder *view.Holder, pool *peer.Pool, hostGate *gate.Gate, calls *callbacks, rules *gate.Invariants,
 	stats *metrics) *control.Client {
 	wait := set.GetSyncInterval().AsDuration()
 	if wait <= 0 {
@@ -200,8 +200,8 @@
 		HostsURL:   set.GetNode().GetHostsUrl(),
 		HTTP:       &http.Client{Timeout: listTimeout},
 		Wait:       wait,
-		Report:     func() *wire.HostReport { return link.report() },
-		SetLeaving: door.SetLeaving,
+		Report:     func() *wire.HostReport { return calls.report() },
+		SetLeaving: hostGate.SetLeaving,
 		Broken:     func(rule string, attrs ...any) { rules.Check(false, rule, attrs...) },
 		Counters:   stats.counters,
 	})
