--- a/agent/internal/cmd/agent_test.go
+++ b/agent/internal/cmd/agent_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// Symptom: an answer is cut off, or mixed, by a roll. Sequence: a stream runs on
-// v1 while the plan turns to v2. Cause: a load that does not wait for the drain.
+// Guards against a rollout that truncates a response or mixes two versions in
+// it. A stream runs on v1 while the plan changes to v2; loading v2 must wait for
+// the drain.
 func TestRollWaitsForRunningStream(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -62,9 +63,9 @@
 	}
 }
 
-// Symptom: SIGTERM cuts off an answer, or the host goes on taking work.
-// Sequence: the signal comes in mid-stream; the stream ends later.
-// Cause: a process that exits, or stays ready, at the first signal.
+// Guards against SIGTERM truncating a response, or the host accepting work after
+// it. The signal arrives in mid-stream and the stream ends later; the process
+// must neither exit nor stay ready at the first signal.
 func TestTermFinishesRunningStream(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -90,8 +91,9 @@
 	}
 }
 
-// Symptom: a second SIGTERM is ignored, or a cut answer passes for whole.
-// Sequence: two signals in mid-stream. Cause: a drain that cannot be cut short.
+// Guards against a second SIGTERM being ignored, or a truncated response passing
+// for a complete one. Two signals arrive in mid-stream; the second must abort the
+// drain.
 func TestSecondTermStopsAtOnce(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -118,8 +120,8 @@
 	}
 }
 
-// Symptom: a host stands empty for ever. Sequence: the engine says that it
-// loaded and did nothing. Cause: an agent that trusts the reply.
+// Guards against a host that never serves. The engine confirms a load but doesn't
+// perform it; the agent must not trust the reply.
 func TestDroppedLoadIsRepeated(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -131,10 +133,10 @@
 	b.eventually("the version is served", func() bool { return b.entry.serves(version) })
 }
 
-// Symptom: a host goes back to an older version. Sequence: the agent obeyed
-// fence 9; it restarts and first learns of a plan of fence 7, from an entry that
-// lags. The engine checks no fences. Cause: an agent that starts without asking
-// the engine.
+// Guards against a host reverting to an older version. The agent followed fence
+// 9, restarts and first receives a plan with fence 7 from an entry that lags
+// behind. The engine doesn't check fences, so the agent must ask it for its fence
+// at startup.
 func TestRestartedAgentRefusesOldFence(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -161,8 +163,8 @@
 	b.eventually("v1 is served under a newer fence", func() bool { return b.entry.serves(first) })
 }
 
-// Symptom: a document reverts. Sequence: a stale entry sends an older revision
-// and an older plan. Cause: a process that takes whatever it is sent.
+// Guards against reverting to an older document. A stale entry sends an older
+// revision and an older plan, which the agent must not apply.
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -183,9 +185,9 @@
 	}
 }
 
-// Symptom: a host whose engine restarted never serves again, or attempts reach
-// an empty engine. Sequence: the engine loses weights and chunks under a running
-// agent. Cause: an agent that believes what was confirmed once.
+// Guards against a host that never serves again after an engine restart, and
+// against attempts sent to an empty engine. The engine loses its weights and
+// chunks while the agent runs; the agent must not rely on earlier confirmations.
 func TestEngineThatLostEverything(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
@@ -201,8 +203,8 @@
 	b.eventually("the version is served again", func() bool { return b.entry.serves(version) })
 }
 
-// Symptom: a plain service gets calls from whoever asks. Sequence: a host whose
-// service is in the document, and one whose is not. Cause: no check of names.
+// Guards against a service host accepting calls without a check of the name. An
+// attempt for a model is sent to a host that runs a service; it must be refused.
 func TestServiceHost(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
--- a/agent/internal/cmd/charge_test.go
+++ b/agent/internal/cmd/charge_test.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// discardStream is a stream that drops its frames.
+// discardStream is a stream that counts and discards its frames.
 type discardStream struct {
 	wire.DRPCHost_RunStream
 
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// Symptom: tokens come late while weights move. Sequence: a transfer takes the
-// whole uplink, frames of live requests are sent beside it. Cause: the frames
-// were not charged, so that the transfer left no room for them.
+// Guards against delayed tokens during a weight transfer. A transfer uses the
+// whole uplink while frames of live requests are sent; when frames weren't
+// charged to the link, the transfer left no bandwidth for them.
 func TestFramesAreChargedToTheLink(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	const rate = 1000
--- a/agent/internal/cmd/cmd.go
+++ b/agent/internal/cmd/cmd.go
@@ -1,4 +1,5 @@
-// Package cmd is the command line and the wiring of comfreyagent.
+// Package cmd implements the command line of comfreyagent and wires up its
+// components.
 package cmd
 
 import (
@@ -12,7 +13,7 @@
 
 const program = "comfreyagent"
 
-// Main parses the arguments, runs the agent until it is asked to stop, and
+// Main parses the arguments, runs the agent until it is told to stop, and
 // returns the exit code.
 func Main(version string, args []string, out, errOut io.Writer) int {
 	daemon := cli.Daemon[*wire.AgentSettings]{
@@ -21,7 +22,7 @@
 			"a second SIGTERM stops at once.",
 		Load: settings.LoadAgentWith,
 		Run:  Run,
-		// The platform places the settings itself.
+		// The platform writes the settings file itself.
 		DefaultFile: platform.SettingsFile(),
 	}
 	return daemon.Main(version, args, out, errOut)
--- a/agent/internal/cmd/fakes_test.go
+++ b/agent/internal/cmd/fakes_test.go
@@ -29,7 +29,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// fakeEntry answers Sync and Parts with what the test puts there.
+// fakeEntry answers Sync and Parts calls with data set by the test.
 type fakeEntry struct {
 	wire.DRPCControlUnimplementedServer
 
@@ -75,7 +75,7 @@
 	e.changed = make(chan struct{})
 }
 
-// setDocument puts a document in force.
+// setDocument makes doc the current document of the entry.
 func (e *fakeEntry) setDocument(revision uint32, doc *wire.Document) {
 	pieces := document.Split(document.Canonical(doc))
 	parts := document.Parts(pieces)
@@ -109,8 +109,8 @@
 	return req.GetKnown().GetRevision() < e.root.GetRevision() || req.GetKnown().GetPlanRevision() < e.plan.GetPlanRevision()
 }
 
-// reply holds all it has, newer or not. It keeps no reports that later ones
-// could amend, and asks for whole ones.
+// reply returns everything that the entry has, whether newer or not. The entry
+// keeps no reports to apply deltas to, so it requests full ones.
 func (e *fakeEntry) reply() *wire.SyncReply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,7 +129,7 @@
 	return reply, nil
 }
 
-// last returns the newest report.
+// last returns the latest report, or nil if there is none.
 func (e *fakeEntry) last() *wire.HostReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,14 +139,14 @@
 	return e.reports[len(e.reports)-1]
 }
 
-// serves reports whether the newest report says that the version is served.
+// serves reports whether the version is served according to the latest report.
 func (e *fakeEntry) serves(version string) bool {
 	return slices.ContainsFunc(e.last().GetVersions(), func(state *wire.VersionState) bool {
 		return state.GetVersion() == version && state.GetState() == "serving"
 	})
 }
 
-// fakeEngine is the least that an engine does.
+// fakeEngine implements the minimum of the engine's HTTP API.
 type fakeEngine struct {
 	mu        sync.Mutex
 	chunks    map[string][]byte
@@ -186,7 +186,7 @@
 	}
 }
 
-// obeyed returns the fences of the orders obeyed.
+// obeyed returns the fences of the executed orders.
 func (f *fakeEngine) obeyed() []uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -274,7 +274,7 @@
 	emit("end", fmt.Sprintf(`{"version":%q,"count":1}`, version))
 }
 
-// testBench is one agent with all that it talks to.
+// testBench is one agent with fakes of everything that it communicates with.
 type testBench struct {
 	t       *testing.T
 	entry   *fakeEntry
@@ -343,7 +343,7 @@
 	return b
 }
 
-// publish makes the origin hold a version and returns it.
+// publish stores content at the origin as a new version and returns the version.
 func (b *testBench) publish(content string) string {
 	b.t.Helper()
 	man := manifest.Build("parcel", manifest.KindBase, "", 4, []byte(content))
@@ -379,7 +379,7 @@
 	}})
 }
 
-// start runs the agent in this process, as main does.
+// start runs the agent in the test process, as main does.
 func (b *testBench) start() {
 	b.t.Helper()
 	drain, drainCancel := context.WithCancel(context.Background())
@@ -396,7 +396,7 @@
 	}
 }
 
-// stop ends the agent at once.
+// stop shuts the agent down immediately.
 func (b *testBench) stop() {
 	b.t.Helper()
 	b.drain()
@@ -417,7 +417,7 @@
 	b.t.Fatalf("%s never came true; last report %v\n%s", what, b.entry.last(), b.log)
 }
 
-// stream is the entry's end of one attempt.
+// stream holds the frames of one attempt as received by the entry.
 type stream struct {
 	frames []*wire.Frame
 	err    error
--- a/agent/internal/cmd/keys_test.go
+++ b/agent/internal/cmd/keys_test.go
@@ -20,7 +20,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// authority signs throw-away certificates.
+// authority is a certificate authority that signs temporary certificates.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -66,7 +66,7 @@
 	return path
 }
 
-// issue makes a node's keys.
+// issue creates a key and a certificate for a node.
 func (a *authority) issue(id, role string) *wire.TlsSettings {
 	a.t.Helper()
 	key := a.newKey()
@@ -85,7 +85,8 @@
 	}
 }
 
-// client returns calls to the agent with the keys; nil keys mean clear text.
+// client returns a client of the agent that uses the given keys; nil means clear
+// text.
 func (b *testBench) client(set *wire.TlsSettings) wire.DRPCHostClient {
 	b.t.Helper()
 	var keys *peer.Keys
@@ -100,7 +101,7 @@
 	return wire.NewDRPCHostClient(pool.Conn(b.t.Context(), b.address))
 }
 
-// accepts returns which of the agent's calls get an answer, whatever it says.
+// accepts returns which of the agent's calls get a reply, whatever its content.
 func accepts(ctx context.Context, client wire.DRPCHostClient, from string) map[string]bool {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
@@ -121,10 +122,9 @@
 	return got
 }
 
-// Symptom: a process makes an agent run, cancel or hand out what it has no
-// right to. Sequence: calls of each kind with the keys of each role, with those
-// of another node, of another deployment, and with none. Cause: a call that does not
-// look at the certificate, or believes what the message says of its sender.
+// Guards against unauthorized calls to an agent. Each call is made with the keys
+// of each role, of another node, of another deployment, and without keys. A call
+// must check the certificate and not trust the sender named in the message.
 func TestCallersAreKnownByTheirKeys(t *testing.T) {
 	t.Parallel()
 	deployment, stranger := newAuthority(t), newAuthority(t)
--- a/agent/internal/cmd/placement.go
+++ b/agent/internal/cmd/placement.go
@@ -11,8 +11,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// outagePlacement gives this host a replica's place in an outage; see package fallback.
-// It is not safe for concurrent use: only the orders' runner calls it.
+// outagePlacement assigns a vacant replica to this host during an outage; see
+// package fallback. It is not safe for concurrent use: only orders.Runner calls
+// it.
 type outagePlacement struct {
 	core     *fallback.Core
 	clock    clockwork.Clock
@@ -20,7 +21,8 @@
 	counters *expvar.Map
 }
 
-// place returns what the host should serve although the plan leaves it out.
+// place returns what the host should serve although the plan doesn't assign
+// anything to it.
 func (p *outagePlacement) place(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment {
 	before := p.core.Held()
 	given := p.core.Decide(fallback.Input{
--- a/agent/internal/cmd/placement_test.go
+++ b/agent/internal/cmd/placement_test.go
@@ -9,15 +9,15 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// shortLimits make an outage of what lasts tenths of a second.
+// shortLimits returns limits that detect an outage after about a second.
 func shortLimits() fallback.Limits {
 	return fallback.Limits{Outage: time.Second, Settle: 200 * time.Millisecond, LostAfter: 200 * time.Millisecond, Pause: time.Minute}
 }
 
-// Symptom: replicas dwindle through a long outage of the key-value service.
-// Sequence: the plan names h0, which died; h1 comes in its place under a new
-// id, and the plan can't change; later the service is back and the plan names
-// h1 for another version. Cause: a host that only the plan can put to use.
+// Guards against losing replicas during a long outage of the key-value service.
+// The plan names h0, which died; h1 replaces it under a new id while the plan
+// can't change. Later the service is back and the plan assigns another version
+// to h1. A host must be usable without being named in the plan.
 func TestReplacedHostServesInAnOutage(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -31,21 +31,21 @@
 )
 
 const (
-	// listTimeout bounds a call to the platform's list as a whole.
+	// listTimeout bounds a whole request for the platform's host list.
 	listTimeout = 5 * time.Second
-	// defaultDrainTimeout is the drain's limit where the settings do not say.
+	// defaultDrainTimeout applies if the settings don't set a drain timeout.
 	defaultDrainTimeout = 30 * time.Second
-	// refusalPeriod is how long the agent goes on refusing after a drain: entries
-	// that do not know of it yet get proof that nothing was run instead of
-	// a connection that breaks with their attempt on it.
+	// refusalPeriod is how long after the start of a drain the agent at least
+	// keeps refusing attempts. Entries that don't know of the drain yet then get a
+	// refusal, which proves that nothing ran, instead of a broken connection.
 	refusalPeriod = 3 * time.Second
-	// stopGrace lets the last frames out after a second signal.
+	// stopGrace leaves time to send the last frames after a second signal.
 	stopGrace = 200 * time.Millisecond
-	// pollInterval is how often the end of a drain is looked for.
+	// pollInterval is how often a drain is checked for completion.
 	pollInterval = 50 * time.Millisecond
 )
 
-// parts are what a running agent consists of.
+// parts holds the components of a running agent, as injected by the container.
 type parts struct {
 	dig.In
 
@@ -66,7 +66,7 @@
 	Metrics   *metrics
 }
 
-// process is one agent.
+// process is one running agent.
 type process struct{ parts }
 
 func newProcess(all parts) *process {
@@ -79,8 +79,9 @@
 	return &process{parts: all}
 }
 
-// Run runs an agent with the given settings. It drains when drain ends and
-// stops at once when kill does. A clean end is no error.
+// Run runs an agent with the given settings. It starts draining when drain is
+// done and stops immediately when kill is done. It returns nil after a clean
+// shutdown.
 func Run(drain, kill context.Context, set *wire.AgentSettings, out, errOut io.Writer) error {
 	if set.GetSite() != nil {
 		return onsite.Run(drain, kill, set, out)
@@ -130,7 +131,8 @@
 	return err
 }
 
-// ignoreAfterCancel drops the error that a part returns because it was asked to stop.
+// ignoreAfterCancel discards the error of a component once ctx is done, since
+// the component was told to stop.
 func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -138,7 +140,8 @@
 	return err
 }
 
-// awaitShutdown waits for the signal and drains.
+// awaitShutdown waits for the drain signal, then drains until no request runs,
+// or stops immediately on the kill signal.
 func (p *process) awaitShutdown(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
@@ -197,8 +200,8 @@
 	return ignoreAfterCancel(ctx, server.Serve(lis))
 }
 
-// ready reports whether the agent knows what is in force and its endpoint
-// answers.
+// ready returns an error unless the agent has synced with an entry, its endpoint
+// responds and the host isn't leaving.
 func (p *process) ready() error {
 	switch {
 	case p.Gate.State().Leaving():
@@ -211,11 +214,11 @@
 	return nil
 }
 
-// published keeps a second agent of one test process from taking the names of
-// the first, which expvar punishes with a panic.
+// published lets only the first agent of a test process publish its expvars:
+// expvar panics if a name is published twice.
 var published sync.Once
 
-// publish shows the process's figures under /debug/vars.
+// publish exposes the metrics and state of the process under /debug/vars.
 func (p *process) publish() {
 	published.Do(func() {
 		expvar.Publish("agent", p.Metrics.counters)
@@ -224,12 +227,12 @@
 	})
 }
 
-// debugState is the state shown under /debug/vars.
+// debugState returns the state that is shown under /debug/vars.
 func (p *process) debugState() any {
 	known := p.Control.Known()
 	state := p.Gate.State()
 	age, confirmed := p.Control.Age()
-	ageMillis := int64(-1) // nobody confirmed it yet
+	ageMillis := int64(-1) // the document hasn't been confirmed yet
 	if confirmed {
 		ageMillis = age.Milliseconds()
 	}
--- a/agent/internal/cmd/restart_test.go
+++ b/agent/internal/cmd/restart_test.go
@@ -8,8 +8,8 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// awaitOlderPlanRefused waits until the bytes of the version are there and the report
-// says that its plan is not obeyed.
+// awaitOlderPlanRefused waits until the version is completely downloaded and the
+// report says that its plan is refused as older.
 func (b *testBench) awaitOlderPlanRefused(version string) {
 	b.t.Helper()
 	b.eventually("the bytes are there and the plan is refused", func() bool {
@@ -19,10 +19,10 @@
 	})
 }
 
-// Symptom: a host goes back to an older version. Sequence: the agent obeyed plan
-// 5; it restarts beside an engine that reports no fencing number and learns of the
-// document of plan 5 and of plan 4, of the same planner. Cause: plans compared
-// by a number that the engine does not keep.
+// Guards against a host reverting to an older version. The agent followed plan 5
+// and restarts with an engine that reports no fencing number. It then receives
+// the document of plan 5 and plan 4 of the same planner. Comparing plans only by
+// the number that the engine doesn't keep would accept plan 4.
 func TestRestartedAgentComparesPlanWithDocument(t *testing.T) {
 	t.Parallel()
 	b := newTestBench(t)
--- a/agent/internal/cmd/wiring.go
+++ b/agent/internal/cmd/wiring.go
@@ -28,12 +28,12 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// defaultWait is how long an entry may hold a Sync call where the settings do
-// not say.
+// defaultWait is how long an entry may hold a Sync call if the settings don't
+// set the sync interval.
 const defaultWait = time.Second
 
-// callbacks are the calls between parts that need each other. They are set before
-// anything runs.
+// callbacks breaks the dependency cycles between components. Its functions are
+// set before any component runs.
 type callbacks struct {
 	suspect func()
 	observe func(from *wire.Node, known *wire.Known)
@@ -43,13 +43,14 @@
 	synced  func() bool
 }
 
-// metrics are the process's expvars.
+// metrics holds the expvars of the process.
 type metrics struct {
 	counters *expvar.Map
 	failures *expvar.Int
 }
 
-// build registers how each part is made.
+// build returns a dependency injection container with the constructors of all
+// components.
 func build(set *wire.AgentSettings, limits fallback.Limits, errOut io.Writer) *dig.Container {
 	container := dig.New()
 	provide := func(constructors ...any) {
@@ -94,8 +95,8 @@
 	return lis, nil
 }
 
-// newSelf names the port that the listener got where the settings leave it
-// open.
+// newSelf describes this node. It takes the address from the listener because
+// the settings may leave the port to the operating system.
 func newSelf(set *wire.AgentSettings, lis net.Listener) *wire.Node {
 	self := node.Describe(set.GetNode(), peer.RoleAgent, "")
 	self.ControlAddress = lis.Addr().String()
