--- a/agent/internal/link/link.go
+++ b/agent/internal/link/link.go
@@ -26,11 +26,11 @@
 	// PieceBytes is the most that a transfer takes from a link at once, so
 	// that live requests get between the pieces.
 	PieceBytes = 16 << 10
-	// burstTime is how far a link may run ahead after it was idle.
-	burstTime = 10 * time.Millisecond
-	// minShare is the least part of its rate that a throttled link keeps for
+	// maxBurst is how far a link may run ahead after it was idle.
+	maxBurst = 10 * time.Millisecond
+	// minTransferShare is the least part of its rate that a throttled link keeps for
 	// transfers, so that a rollout always goes on.
-	minShare = 0.1
+	minTransferShare = 0.1
 )
 
 // Link paces one host's network link. It is safe for concurrent use.
@@ -77,7 +77,7 @@
 // SetSlow sets how much live requests suffer, 0 to 1; transfers leave that
 // part of the link free.
 func (l *Link) SetSlow(slow float64) {
-	share := max(minShare, 1-slow)
+	share := max(minTransferShare, 1-slow)
 	for _, buck := range l.buckets {
 		if buck != nil {
 			buck.setShare(share)
@@ -89,7 +89,7 @@
 // 1; the rest is left free.
 func (l *Link) SetShare(dir Direction, share float64) {
 	if buck := l.buckets[dir]; buck != nil {
-		buck.setShare(max(minShare, share))
+		buck.setShare(max(minTransferShare, share))
 	}
 }
 
@@ -123,19 +123,19 @@
 	}
 }
 
-// bucket is a token bucket that may go into debt: its level below zero is what
+// bucket is a token bucket that may go into debt: its tokens below zero are what
 // has been promised and not yet sent.
 type bucket struct {
 	rate float64 // bytes per second, positive
 
-	mu    sync.Mutex
-	share float64   // part of the rate for transfers, minShare to 1
-	level float64   // bytes, at most rate*burstTime
-	at    time.Time // when level was last brought up to date
+	mu      sync.Mutex
+	share   float64   // part of the rate for transfers, minTransferShare to 1
+	tokens  float64   // bytes, at most rate*maxBurst
+	updated time.Time // when tokens was last brought up to date
 }
 
 func newBucket(rate float64, now time.Time) *bucket {
-	return &bucket{rate: rate, share: 1, at: now}
+	return &bucket{rate: rate, share: 1, updated: now}
 }
 
 func (b *bucket) setShare(share float64) {
@@ -160,13 +160,13 @@
 }
 
 func (b *bucket) charge(now time.Time, bytes float64) time.Duration {
-	if gone := now.Sub(b.at).Seconds(); gone > 0 {
-		b.level = min(b.level+gone*b.rate, b.rate*burstTime.Seconds())
-		b.at = now
+	if elapsed := now.Sub(b.updated).Seconds(); elapsed > 0 {
+		b.tokens = min(b.tokens+elapsed*b.rate, b.rate*maxBurst.Seconds())
+		b.updated = now
 	}
-	b.level -= bytes
-	if b.level >= 0 {
+	b.tokens -= bytes
+	if b.tokens >= 0 {
 		return 0
 	}
-	return time.Duration(-b.level / b.rate * float64(time.Second))
+	return time.Duration(-b.tokens / b.rate * float64(time.Second))
 }
