--- a/agent/internal/report/prefixes.go
+++ b/agent/internal/report/prefixes.go
@@ -6,14 +6,14 @@
 	"comfreyrelay.example/agent/internal/engine"
 )
 
-// prefixesKept bounds the prefixes of one report.
-const prefixesKept = 64
+// maxPrefixes bounds the prefixes of one report.
+const maxPrefixes = 64
 
 // prefixes is what the engine's cache events say of its prompt prefixes, newest
 // first. Events come late and with gaps, so an entry may be wrong: it is a hint.
 type prefixes struct {
-	hashes []uint64 // at most prefixesKept, without doubles
-	after  uint64   // number of the last event seen
+	hashes    []uint64 // at most maxPrefixes, without doubles
+	lastEvent uint64   // number of the last event seen
 }
 
 func (p *prefixes) apply(events []engine.CacheEvent, next uint64) {
@@ -27,8 +27,8 @@
 			p.hashes = slices.Insert(p.hashes, 0, hash)
 		}
 	}
-	p.hashes = p.hashes[:min(len(p.hashes), prefixesKept)]
-	p.after = next
+	p.hashes = p.hashes[:min(len(p.hashes), maxPrefixes)]
+	p.lastEvent = next
 }
 
 // reset forgets everything: new weights make cached prefixes worthless, and an
--- a/agent/internal/report/prefixes_test.go
+++ b/agent/internal/report/prefixes_test.go
@@ -20,13 +20,13 @@
 		event(1, engine.Stored), event(2, engine.Stored), event(1, engine.Stored),
 		event(3, engine.Evicted), event(2, engine.Evicted), {Prefix: "nonsense", Kind: engine.Stored},
 	}, 9)
-	if got, want := held.hashes, []uint64{1}; !slices.Equal(got, want) || held.after != 9 {
-		t.Errorf("got %v after %d, want %v after 9", got, held.after, want)
+	if got, want := held.hashes, []uint64{1}; !slices.Equal(got, want) || held.lastEvent != 9 {
+		t.Errorf("got %v after %d, want %v after 9", got, held.lastEvent, want)
 	}
 	for i := range uint64(200) {
 		held.apply([]engine.CacheEvent{event(i, engine.Stored)}, i)
 	}
-	if got, want := len(held.hashes), prefixesKept; got != want || held.hashes[0] != 199 {
+	if got, want := len(held.hashes), maxPrefixes; got != want || held.hashes[0] != 199 {
 		t.Errorf("got %d prefixes, newest %d, want %d, newest 199", got, held.hashes[0], want)
 	}
 }
--- a/agent/internal/report/report.go
+++ b/agent/internal/report/report.go
@@ -114,8 +114,8 @@
 	ctx, cancel := context.WithTimeout(ctx, cacheInterval)
 	defer cancel()
 	r.mu.Lock()
-	r.followVersion()
-	after := r.prefixes.after
+	r.resetOnNewVersion()
+	after := r.prefixes.lastEvent
 	r.mu.Unlock()
 	events, next, err := r.cfg.Engine.CacheEvents(ctx, after)
 	if err != nil {
@@ -126,7 +126,7 @@
 	r.prefixes.apply(events, next)
 }
 
-func (r *Reporter) followVersion() {
+func (r *Reporter) resetOnNewVersion() {
 	status := r.cfg.Orders.Status()
 	if status == nil || status.Version == r.version {
 		return
