--- a/agent/internal/link/link.go
+++ b/agent/internal/link/link.go
@@ -1,6 +1,6 @@
-// Package link paces what a host sends and receives. Bytes of live requests go
-// first: they are charged at once and never wait, and transfers of weights
-// take what the link has left.
+// Package link limits the rate at which a host sends and receives. Live requests
+// have priority: their bytes are charged immediately and never wait, and weight
+// transfers use the remaining bandwidth.
 package link
 
 import (
@@ -13,7 +13,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Direction is one side of a host's link.
+// Direction is a direction of traffic on a host's link.
 type Direction int
 
 // The directions, as the host sees them.
@@ -23,25 +23,26 @@
 )
 
 const (
-	// PieceBytes is the most that a transfer takes from a link at once, so
-	// that live requests get between the pieces.
+	// PieceBytes is the most that a transfer charges to a link at once, so that
+	// live requests can be sent between the pieces.
 	PieceBytes = 16 << 10
-	// maxBurst is how far a link may run ahead after it was idle.
+	// maxBurst is how much unused time an idle link may accumulate for a burst.
 	maxBurst = 10 * time.Millisecond
-	// minTransferShare is the least part of its rate that a throttled link keeps for
-	// transfers, so that a rollout always goes on.
+	// minTransferShare is the least part of its rate that a throttled link leaves
+	// to transfers, so that a rollout always makes progress.
 	minTransferShare = 0.1
 )
 
-// Link paces one host's network link. It is safe for concurrent use.
+// Link limits the rate of one host's network link. It is safe for concurrent
+// use.
 type Link struct {
 	clock clockwork.Clock
-	// Both entries hold the same bucket where the directions share one rate;
-	// a nil bucket does not pace.
+	// Both elements hold the same bucket if the directions share one rate; a nil
+	// bucket means no limit.
 	buckets [2]*bucket
 }
 
-// New returns a link with the rates of the settings; nil settings do not pace.
+// New returns a link with the rates of the settings; nil settings mean no limit.
 func New(set *wire.LinkSettings, clock clockwork.Clock) *Link {
 	lnk := &Link{clock: clock}
 	if shared := set.GetShared(); shared > 0 {
@@ -66,16 +67,16 @@
 	return l.buckets[dir].rate
 }
 
-// Reserve charges bytes of a live request without waiting: transfers that come
-// after it wait for them instead.
+// Reserve charges bytes of a live request without waiting; later transfers wait
+// for them instead.
 func (l *Link) Reserve(dir Direction, bytes int) {
 	if buck := l.buckets[dir]; buck != nil {
 		buck.take(l.clock.Now(), float64(bytes))
 	}
 }
 
-// SetSlow sets how much live requests suffer, 0 to 1; transfers leave that
-// part of the link free.
+// SetSlow sets how much live requests are slowed down, from 0 to 1; transfers
+// leave that part of the link free.
 func (l *Link) SetSlow(slow float64) {
 	share := max(minTransferShare, 1-slow)
 	for _, buck := range l.buckets {
@@ -85,8 +86,8 @@
 	}
 }
 
-// SetShare sets the part of one direction's rate that transfers may take, 0 to
-// 1; the rest is left free.
+// SetShare sets the part of one direction's rate that transfers may use, from 0
+// to 1. At least minTransferShare applies.
 func (l *Link) SetShare(dir Direction, share float64) {
 	if buck := l.buckets[dir]; buck != nil {
 		buck.setShare(max(minTransferShare, share))
@@ -123,15 +124,15 @@
 	}
 }
 
-// bucket is a token bucket that may go into debt: its tokens below zero are what
-// has been promised and not yet sent.
+// bucket is a token bucket whose balance may become negative: a negative balance
+// is the number of bytes that are charged but not sent yet.
 type bucket struct {
 	rate float64 // bytes per second, positive
 
 	mu      sync.Mutex
 	share   float64   // part of the rate for transfers, minTransferShare to 1
 	tokens  float64   // bytes, at most rate*maxBurst
-	updated time.Time // when tokens was last brought up to date
+	updated time.Time // when tokens was last refilled
 }
 
 func newBucket(rate float64, now time.Time) *bucket {
@@ -144,15 +145,16 @@
 	b.share = share
 }
 
-// take charges bytes and returns how long the link needs to carry them.
+// take charges bytes of a live request and returns how long the link needs to
+// send them.
 func (b *bucket) take(now time.Time, bytes float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.charge(now, bytes)
 }
 
-// transfer charges bytes as if they were larger by the part of the rate that
-// transfers must leave free.
+// transfer charges bytes of a transfer. It divides them by the share, so that
+// transfers leave the rest of the rate free.
 func (b *bucket) transfer(now time.Time, bytes float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/agent/internal/link/link_test.go
+++ b/agent/internal/link/link_test.go
@@ -15,7 +15,7 @@
 
 const mib = 1 << 20
 
-// wantAbout checks a time of the bubble's clock to within a twentieth.
+// wantAbout checks that a duration on the synctest clock is within 5% of want.
 func wantAbout(t *testing.T, got, want time.Duration) {
 	t.Helper()
 	if got < want*19/20 || got > want*21/20 {
@@ -59,9 +59,8 @@
 	}
 }
 
-// Symptom: answers to callers stall while a version moves. Sequence: a transfer
-// fills the link, a request's bytes come. Cause guarded against: requests that
-// queue behind transfers.
+// Guards against stalled responses during a weight transfer. A request's bytes
+// arrive while a transfer fills the link; they must not queue behind it.
 func TestRequestsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lnk := New(&wire.LinkSettings{Up: mib}, clockwork.NewRealClock())
