--- a/agent/internal/report/prefixes.go
+++ b/agent/internal/report/prefixes.go
@@ -6,14 +6,15 @@
 	"comfreyrelay.example/agent/internal/engine"
 )
 
-// maxPrefixes bounds the prefixes of one report.
+// maxPrefixes bounds the number of prefixes in a report.
 const maxPrefixes = 64
 
-// prefixes is what the engine's cache events say of its prompt prefixes, newest
-// first. Events come late and with gaps, so an entry may be wrong: it is a hint.
+// prefixes tracks the prompt prefixes in the engine's cache, newest first. The
+// cache events that it is built from arrive late and with gaps, so an element
+// may be wrong: it is only a hint.
 type prefixes struct {
-	hashes    []uint64 // at most maxPrefixes, without doubles
-	lastEvent uint64   // number of the last event seen
+	hashes    []uint64 // at most maxPrefixes, without duplicates
+	lastEvent uint64   // number of the last event read
 }
 
 func (p *prefixes) apply(events []engine.CacheEvent, next uint64) {
@@ -31,6 +32,6 @@
 	p.lastEvent = next
 }
 
-// reset forgets everything: new weights make cached prefixes worthless, and an
-// engine that restarted counts its events from the start.
+// reset discards all state: new weights invalidate cached prefixes, and a
+// restarted engine numbers its events from the start again.
 func (p *prefixes) reset() { *p = prefixes{} }
--- a/agent/internal/report/prefixes_test.go
+++ b/agent/internal/report/prefixes_test.go
@@ -8,9 +8,8 @@
 	"comfreyrelay.example/agent/internal/engine"
 )
 
-// Symptom: a report that grows without bound, or names prefixes long gone.
-// Sequence: events come doubled, late and with gaps. Cause: a list that only
-// appends.
+// Guards against a report that grows without bound or names evicted prefixes.
+// Events arrive duplicated, late and with gaps, so the list must not only append.
 func TestPrefixes(t *testing.T) {
 	var held prefixes
 	event := func(hash uint64, kind string) engine.CacheEvent {
--- a/agent/internal/report/report.go
+++ b/agent/internal/report/report.go
@@ -1,4 +1,4 @@
-// Package report puts together what the agent says of its host.
+// Package report builds the reports that the agent sends about its host.
 package report
 
 import (
@@ -19,7 +19,7 @@
 // cacheInterval is how often the engine's cache events are read.
 const cacheInterval = time.Second
 
-// Config holds what a Reporter needs from its process.
+// Config holds the settings and dependencies of a Reporter.
 type Config struct {
 	Self     *wire.Node
 	Clock    clockwork.Clock
@@ -32,20 +32,20 @@
 	View     *view.Holder
 }
 
-// Reporter is safe for concurrent use.
+// Reporter builds host reports. It is safe for concurrent use.
 type Reporter struct {
 	cfg Config
 
 	mu       sync.Mutex
 	sequence uint64 // of the last report
 	prefixes prefixes
-	version  string // that the prefixes belong to
+	version  string // weights version that the prefixes belong to
 }
 
 // New returns a Reporter.
 func New(cfg Config) *Reporter { return &Reporter{cfg: cfg} }
 
-// Build returns a new report.
+// Build returns a new report with the next sequence number.
 func (r *Reporter) Build() *wire.HostReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,8 +73,8 @@
 	return out
 }
 
-// addStatus adds what the engine says of itself. Its running count lags, so the
-// gate's own goes before it.
+// addStatus adds the engine's status to the report, except for its count of
+// running requests: that lags behind, so the report uses the gate's count.
 func (r *Reporter) addStatus(out *wire.HostReport) {
 	status := r.cfg.Orders.Status()
 	if status == nil {
@@ -86,14 +86,15 @@
 	out.TokensPerSecond = status.TokensPerSecond
 }
 
-// Sequence returns the number of the last report.
+// Sequence returns the sequence number of the last report.
 func (r *Reporter) Sequence() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sequence
 }
 
-// Work reads the engine's cache events until ctx ends.
+// Work reads the engine's cache events until ctx is done. On a service host it
+// returns immediately.
 func (r *Reporter) Work(ctx context.Context) error {
 	if r.cfg.Service != "" {
 		return nil
