--- a/agent/main.go
+++ b/agent/main.go
@@ -1,5 +1,6 @@
-// Command comfreyagent runs in the slot of an endpoint host: it moves weights,
-// orders the engine, gates every request to it and reports its load.
+// Command comfreyagent runs beside an endpoint on its host. It transfers weights,
+// sends orders to the engine, admits or refuses each request to it and reports
+// its load.
 package main
 
 import (
@@ -8,7 +9,7 @@
 	"comfreyrelay.example/agent/internal/cmd"
 )
 
-// version is set when the binary is built.
+// version is set at build time.
 var version = "dev"
 
 func main() {
