--- a/agent/internal/control/home.go
+++ b/agent/internal/control/home.go
@@ -82,17 +82,21 @@
 	return &penalties{until: map[string]time.Time{}, count: map[string]int{}}
 }
 
+// add penalizes an entry that failed. The penalty doubles with each failure in
+// a row, up to maxPenalty.
 func (p *penalties) add(id string, now time.Time) {
 	wait := min(minPenalty<<min(p.count[id], 8), maxPenalty)
 	p.count[id]++
 	p.until[id] = now.Add(wait)
 }
 
+// clear removes the penalty of an entry that replied.
 func (p *penalties) clear(id string) {
 	delete(p.until, id)
 	delete(p.count, id)
 }
 
+// active reports whether an entry is to be avoided at the given time.
 func (p *penalties) active(id string, now time.Time) bool { return now.Before(p.until[id]) }
 
 // draining returns the ids of entries that report that they are leaving.
--- a/agent/internal/control/knowledge.go
+++ b/agent/internal/control/knowledge.go
@@ -51,6 +51,7 @@
 	return k.state.Known(now)
 }
 
+// isBehind reports whether known has revisions that the agent lacks.
 func (k *knowledge) isBehind(known *wire.Known) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/agent/internal/control/sync.go
+++ b/agent/internal/control/sync.go
@@ -49,6 +49,7 @@
 	return wait
 }
 
+// clearInterrupt stops Nudge from canceling the call.
 func (c *Client) clearInterrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,6 +166,7 @@
 	return lacking
 }
 
+// requestParts requests the contents of document parts from an entry.
 func (c *Client) requestParts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
 	client := wire.NewDRPCControlClient(c.cfg.Dial(ctx, entry.GetControlAddress()))
 	reply, err := client.Parts(ctx, &wire.PartsRequest{From: membership.NameOnly(c.cfg.Self), Known: c.Known(), Hashes: hashes})
