--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -170,10 +170,14 @@
 	}
 }
 
+// stillRefusing reports whether a drain that began at the given time is within
+// refusalPeriod.
 func (p *process) stillRefusing(began time.Time) bool {
 	return p.Clock.Since(began) < refusalPeriod
 }
 
+// listenOperators opens the listener for operators; it returns nil if the
+// settings name no address.
 func (p *process) listenOperators() (net.Listener, error) {
 	address := p.Settings.GetNode().GetOperatorsAddress()
 	if address == "" {
@@ -187,6 +191,7 @@
 	return lis, nil
 }
 
+// serveOperators serves health checks and metrics to operators until ctx is done.
 func (p *process) serveOperators(ctx context.Context, lis net.Listener) error {
 	if lis == nil {
 		return nil
