--- a/agent/internal/report/report.go
+++ b/agent/internal/report/report.go
@@ -111,6 +111,8 @@
 	}
 }
 
+// readCache applies the engine's new cache events. On an error it keeps the
+// prefixes and retries at the next interval.
 func (r *Reporter) readCache(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, cacheInterval)
 	defer cancel()
@@ -127,6 +129,8 @@
 	r.prefixes.apply(events, next)
 }
 
+// resetOnNewVersion discards the prefixes when the engine has loaded another
+// version. The caller holds r.mu.
 func (r *Reporter) resetOnNewVersion() {
 	status := r.cfg.Orders.Status()
 	if status == nil || status.Version == r.version {
