--- a/agent/internal/cmd/agent_test.go
+++ b/agent/internal/cmd/agent_test.go
@@ -12,7 +12,7 @@
 
 func TestServesWhatThePlanAssigns(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.assign(1, 7, version)
 	b.start()
@@ -26,11 +26,12 @@
 	}
 }
 
-// Symptom: an answer is cut off, or mixed, by a roll. Sequence: a stream runs on
-// v1 while the plan turns to v2. Cause: a load that does not wait for the drain.
+// Guards against a rollout that truncates a response or mixes two versions in
+// it. A stream runs on v1 while the plan changes to v2; loading v2 must wait for
+// the drain.
 func TestRollWaitsForRunningStream(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.engine.release = make(chan struct{})
@@ -62,12 +63,12 @@
 	}
 }
 
-// Symptom: SIGTERM cuts off an answer, or the host goes on taking work.
-// Sequence: the signal comes in mid-stream; the stream ends later.
-// Cause: a process that exits, or stays ready, at the first signal.
+// Guards against SIGTERM truncating a response, or the host accepting work after
+// it. The signal arrives in mid-stream and the stream ends later; the process
+// must neither exit nor stay ready at the first signal.
 func TestTermFinishesRunningStream(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.engine.release = make(chan struct{})
 	b.assign(1, 7, version)
@@ -90,11 +91,12 @@
 	}
 }
 
-// Symptom: a second SIGTERM is ignored, or a cut answer passes for whole.
-// Sequence: two signals in mid-stream. Cause: a drain that cannot be cut short.
+// Guards against a second SIGTERM being ignored, or a truncated response passing
+// for a complete one. Two signals arrive in mid-stream; the second must abort the
+// drain.
 func TestSecondTermStopsAtOnce(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.engine.release = make(chan struct{}) // never closed
 	b.assign(1, 7, version)
@@ -118,11 +120,11 @@
 	}
 }
 
-// Symptom: a host stands empty for ever. Sequence: the engine says that it
-// loaded and did nothing. Cause: an agent that trusts the reply.
+// Guards against a host that never serves. The engine confirms a load but doesn't
+// perform it; the agent must not trust the reply.
 func TestDroppedLoadIsRepeated(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.engine.drops = 1
 	b.assign(1, 7, version)
@@ -131,13 +133,13 @@
 	b.eventually("the version is served", func() bool { return b.entry.serves(version) })
 }
 
-// Symptom: a host goes back to an older version. Sequence: the agent obeyed
-// fence 9; it restarts and first learns of a plan of fence 7, from an entry that
-// lags. The engine checks no fences. Cause: an agent that starts without asking
-// the engine.
+// Guards against a host reverting to an older version. The agent followed fence
+// 9, restarts and first receives a plan with fence 7 from an entry that lags
+// behind. The engine doesn't check fences, so the agent must ask it for its fence
+// at startup.
 func TestRestartedAgentRefusesOldFence(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.assign(5, 9, second)
@@ -161,11 +163,11 @@
 	b.eventually("v1 is served under a newer fence", func() bool { return b.entry.serves(first) })
 }
 
-// Symptom: a document reverts. Sequence: a stale entry sends an older revision
-// and an older plan. Cause: a process that takes whatever it is sent.
+// Guards against reverting to an older document. A stale entry sends an older
+// revision and an older plan, which the agent must not apply.
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.assign(5, 9, second)
@@ -183,12 +185,12 @@
 	}
 }
 
-// Symptom: a host whose engine restarted never serves again, or attempts reach
-// an empty engine. Sequence: the engine loses weights and chunks under a running
-// agent. Cause: an agent that believes what was confirmed once.
+// Guards against a host that never serves again after an engine restart, and
+// against attempts sent to an empty engine. The engine loses its weights and
+// chunks while the agent runs; the agent must not rely on earlier confirmations.
 func TestEngineThatLostEverything(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	version := b.publish("weights of the first version")
 	b.assign(1, 7, version)
 	b.start()
@@ -201,11 +203,11 @@
 	b.eventually("the version is served again", func() bool { return b.entry.serves(version) })
 }
 
-// Symptom: a plain service gets calls from whoever asks. Sequence: a host whose
-// service is in the document, and one whose is not. Cause: no check of names.
+// Guards against a service host accepting calls without a check of the name. An
+// attempt for a model is sent to a host that runs a service; it must be refused.
 func TestServiceHost(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestBench(t)
 	b.assign(1, 7, b.publish("unused"))
 	b.set.Service, b.set.OriginUrl = "labels", ""
 	b.start()
--- a/agent/internal/cmd/charge_test.go
+++ b/agent/internal/cmd/charge_test.go
@@ -11,27 +11,27 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// sink is a stream that drops its frames.
-type sink struct {
+// discardStream is a stream that counts and discards its frames.
+type discardStream struct {
 	wire.DRPCHost_RunStream
 
 	sent int
 }
 
-func (s *sink) Send(*wire.Frame) error {
+func (s *discardStream) Send(*wire.Frame) error {
 	s.sent++
 	return nil
 }
 
-// Symptom: tokens come late while weights move. Sequence: a transfer takes the
-// whole uplink, frames of live requests are sent beside it. Cause: the frames
-// were not charged, so that the transfer left no room for them.
+// Guards against delayed tokens during a weight transfer. A transfer uses the
+// whole uplink while frames of live requests are sent; when frames weren't
+// charged to the link, the transfer left no bandwidth for them.
 func TestFramesAreChargedToTheLink(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	const rate = 1000
 	lnk := link.New(&wire.LinkSettings{Up: rate, Down: rate}, clock)
 	frame := &wire.Frame{Kind: "tokens", Tokens: []string{string(make([]byte, 10*rate))}}
-	out := &sink{}
+	out := &discardStream{}
 	if err := (chargedStream{DRPCHost_RunStream: out, link: lnk}).Send(frame); err != nil {
 		t.Fatal(err)
 	}
--- a/agent/internal/cmd/fakes_test.go
+++ b/agent/internal/cmd/fakes_test.go
@@ -29,7 +29,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// fakeEntry answers Sync and Parts with what the test puts there.
+// fakeEntry answers Sync and Parts calls with data set by the test.
 type fakeEntry struct {
 	wire.DRPCControlUnimplementedServer
 
@@ -75,7 +75,7 @@
 	e.changed = make(chan struct{})
 }
 
-// setDocument puts a document in force.
+// setDocument makes doc the current document of the entry.
 func (e *fakeEntry) setDocument(revision uint32, doc *wire.Document) {
 	pieces := document.Split(document.Canonical(doc))
 	parts := document.Parts(pieces)
@@ -92,9 +92,9 @@
 func (e *fakeEntry) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	e.mu.Lock()
 	e.reports = append(e.reports, req.GetHosts()...)
-	news, changed := e.news(req), e.changed
+	newer, changed := e.hasNewer(req), e.changed
 	e.mu.Unlock()
-	if news || req.GetWaitMillis() == 0 {
+	if newer || req.GetWaitMillis() == 0 {
 		return e.reply(), nil
 	}
 	select {
@@ -105,12 +105,12 @@
 	return e.reply(), nil
 }
 
-func (e *fakeEntry) news(req *wire.SyncRequest) bool {
+func (e *fakeEntry) hasNewer(req *wire.SyncRequest) bool {
 	return req.GetKnown().GetRevision() < e.root.GetRevision() || req.GetKnown().GetPlanRevision() < e.plan.GetPlanRevision()
 }
 
-// reply holds all it has, newer or not. It keeps no reports that later ones
-// could amend, and asks for whole ones.
+// reply returns everything that the entry has, whether newer or not. The entry
+// keeps no reports to apply deltas to, so it requests full ones.
 func (e *fakeEntry) reply() *wire.SyncReply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,7 +129,7 @@
 	return reply, nil
 }
 
-// last returns the newest report.
+// last returns the latest report, or nil if there is none.
 func (e *fakeEntry) last() *wire.HostReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,25 +139,25 @@
 	return e.reports[len(e.reports)-1]
 }
 
-// serves reports whether the newest report says that the version is served.
+// serves reports whether the version is served according to the latest report.
 func (e *fakeEntry) serves(version string) bool {
 	return slices.ContainsFunc(e.last().GetVersions(), func(state *wire.VersionState) bool {
 		return state.GetVersion() == version && state.GetState() == "serving"
 	})
 }
 
-// fakeEngine is the least that an engine does.
+// fakeEngine implements the minimum of the engine's HTTP API.
 type fakeEngine struct {
-	mu      sync.Mutex
-	chunks  map[string][]byte
-	version string
-	fence   uint64
-	orders  []uint64 // fences of the orders that were obeyed
-	drops   int      // loads still to be answered and not done
-	mute    bool     // the status has no fence
-	cut     int      // requests that ran while the weights changed
-	running int
-	release chan struct{} // generations wait for it after the first token; nil: they don't
+	mu        sync.Mutex
+	chunks    map[string][]byte
+	version   string
+	fence     uint64
+	orders    []uint64 // fences of the orders that were obeyed
+	drops     int      // loads still to be answered and not done
+	hideFence bool     // the status has no fence
+	cut       int      // requests that ran while the weights changed
+	running   int
+	release   chan struct{} // generations wait for it after the first token; nil: they don't
 }
 
 func (f *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +175,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		fence := f.fence
-		if f.mute {
+		if f.hideFence {
 			fence = 0
 		}
 		_ = json.NewEncoder(w).Encode(map[string]any{"model": f.model(), "version": f.version, "fence": fence, "role": "both", "slots": 8})
@@ -186,7 +186,7 @@
 	}
 }
 
-// obeyed returns the fences of the orders obeyed.
+// obeyed returns the fences of the executed orders.
 func (f *fakeEngine) obeyed() []uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -274,8 +274,8 @@
 	emit("end", fmt.Sprintf(`{"version":%q,"count":1}`, version))
 }
 
-// bench is one agent with all that it talks to.
-type bench struct {
+// testBench is one agent with fakes of everything that it communicates with.
+type testBench struct {
 	t       *testing.T
 	entry   *fakeEntry
 	engine  *fakeEngine
@@ -307,9 +307,9 @@
 	return b.buf.String()
 }
 
-func newBench(t *testing.T) *bench {
+func newTestBench(t *testing.T) *testBench {
 	t.Helper()
-	b := &bench{t: t, entry: newFakeEntry(t), origin: map[string][]byte{}, log: &lockedBuffer{}, limits: fallback.DefaultLimits()}
+	b := &testBench{t: t, entry: newFakeEntry(t), origin: map[string][]byte{}, log: &lockedBuffer{}, limits: fallback.DefaultLimits()}
 	b.engine = &fakeEngine{chunks: map[string][]byte{}}
 	engine := httptest.NewServer(b.engine)
 	t.Cleanup(engine.Close)
@@ -343,8 +343,8 @@
 	return b
 }
 
-// publish makes the origin hold a version and returns it.
-func (b *bench) publish(content string) string {
+// publish stores content at the origin as a new version and returns the version.
+func (b *testBench) publish(content string) string {
 	b.t.Helper()
 	man := manifest.Build("parcel", manifest.KindBase, "", 4, []byte(content))
 	encoded, err := manifest.Encode(man)
@@ -363,7 +363,7 @@
 }
 
 // assign puts the version into the document and the plan.
-func (b *bench) assign(revision uint32, fence uint64, version string) {
+func (b *testBench) assign(revision uint32, fence uint64, version string) {
 	b.entry.setDocument(revision, &wire.Document{
 		Objective:    "time",
 		OriginCopies: 4,
@@ -379,8 +379,8 @@
 	}})
 }
 
-// start runs the agent in this process, as main does.
-func (b *bench) start() {
+// start runs the agent in the test process, as main does.
+func (b *testBench) start() {
 	b.t.Helper()
 	drain, drainCancel := context.WithCancel(context.Background())
 	kill, killCancel := context.WithCancel(context.Background())
@@ -396,8 +396,8 @@
 	}
 }
 
-// stop ends the agent at once.
-func (b *bench) stop() {
+// stop shuts the agent down immediately.
+func (b *testBench) stop() {
 	b.t.Helper()
 	b.drain()
 	b.kill()
@@ -406,7 +406,7 @@
 	}
 }
 
-func (b *bench) eventually(what string, holds func() bool) {
+func (b *testBench) eventually(what string, holds func() bool) {
 	b.t.Helper()
 	for range 1000 {
 		if holds() {
@@ -417,7 +417,7 @@
 	b.t.Fatalf("%s never came true; last report %v\n%s", what, b.entry.last(), b.log)
 }
 
-// stream is the entry's end of one attempt.
+// stream holds the frames of one attempt as received by the entry.
 type stream struct {
 	frames []*wire.Frame
 	err    error
@@ -436,7 +436,7 @@
 
 // run sends an attempt to the agent and reads it to its end. begun, if not nil,
 // is closed with the first token.
-func (b *bench) run(id, version string, begun chan struct{}) *stream {
+func (b *testBench) run(id, version string, begun chan struct{}) *stream {
 	out := &stream{}
 	pool := peer.NewPool(nil)
 	defer func() { _ = pool.Close() }()
--- a/agent/internal/cmd/places.go
+++ b/agent/internal/cmd/placement.go
@@ -11,17 +11,19 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// places gives this host a replica's place in an outage; see package fallback.
-// It is not safe for concurrent use: only the orders' runner calls it.
-type places struct {
+// outagePlacement assigns a vacant replica to this host during an outage; see
+// package fallback. It is not safe for concurrent use: only orders.Runner calls
+// it.
+type outagePlacement struct {
 	core     *fallback.Core
 	clock    clockwork.Clock
 	log      *slog.Logger
 	counters *expvar.Map
 }
 
-// place returns what the host should serve although the plan leaves it out.
-func (p *places) place(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment {
+// place returns what the host should serve although the plan doesn't assign
+// anything to it.
+func (p *outagePlacement) place(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment {
 	before := p.core.Held()
 	given := p.core.Decide(fallback.Input{
 		Now:         p.clock.Now(),
@@ -37,7 +39,7 @@
 	return given
 }
 
-func (p *places) logHeld(before, after string, snap *view.Snapshot) {
+func (p *outagePlacement) logHeld(before, after string, snap *view.Snapshot) {
 	if after == "" {
 		p.counters.Add("placesEnded", 1)
 		p.log.Info("ends the place that it took in the outage", "model", before, "plan", snap.PlanRevision)
--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -31,56 +31,57 @@
 )
 
 const (
-	// listTimeout bounds a call to the platform's list as a whole.
+	// listTimeout bounds a whole request for the platform's host list.
 	listTimeout = 5 * time.Second
-	// defaultDrain is the drain's limit where the settings do not say.
-	defaultDrain = 30 * time.Second
-	// lingerFor is how long the agent goes on refusing after a drain: entries
-	// that do not know of it yet get proof that nothing was run instead of
-	// a connection that breaks with their attempt on it.
-	lingerFor = 3 * time.Second
-	// stopGrace lets the last frames out after a second signal.
+	// defaultDrainTimeout applies if the settings don't set a drain timeout.
+	defaultDrainTimeout = 30 * time.Second
+	// refusalPeriod is how long after the start of a drain the agent at least
+	// keeps refusing attempts. Entries that don't know of the drain yet then get a
+	// refusal, which proves that nothing ran, instead of a broken connection.
+	refusalPeriod = 3 * time.Second
+	// stopGrace leaves time to send the last frames after a second signal.
 	stopGrace = 200 * time.Millisecond
-	// pollInterval is how often the end of a drain is looked for.
+	// pollInterval is how often a drain is checked for completion.
 	pollInterval = 50 * time.Millisecond
 )
 
-// parts are what a running agent consists of.
+// parts holds the components of a running agent, as injected by the container.
 type parts struct {
 	dig.In
 
-	Settings *wire.AgentSettings
-	Self     *wire.Node
-	Clock    clockwork.Clock
-	Log      *slog.Logger
-	Keys     *peer.Keys
-	Pool     *peer.Pool
-	Listener net.Listener
-	View     *view.Holder
-	Gate     *gate.Gate
-	Weights  *weights.Manager
-	Orders   *orders.Runner
-	Reporter *report.Reporter
-	Control  *control.Client
-	Links    *links
-	Metrics  *metrics
+	Settings  *wire.AgentSettings
+	Self      *wire.Node
+	Clock     clockwork.Clock
+	Log       *slog.Logger
+	Keys      *peer.Keys
+	Pool      *peer.Pool
+	Listener  net.Listener
+	View      *view.Holder
+	Gate      *gate.Gate
+	Weights   *weights.Manager
+	Orders    *orders.Runner
+	Reporter  *report.Reporter
+	Control   *control.Client
+	Callbacks *callbacks
+	Metrics   *metrics
 }
 
-// process is one agent.
+// process is one running agent.
 type process struct{ parts }
 
 func newProcess(all parts) *process {
-	all.Links.suspect = all.Orders.Suspect
-	all.Links.observe = all.Control.Observe
-	all.Links.nudge = all.Control.Nudge
-	all.Links.report = all.Reporter.Build
-	all.Links.agents = all.Control.Agents
-	all.Links.synced = all.Control.Synced
+	all.Callbacks.suspect = all.Orders.Suspect
+	all.Callbacks.observe = all.Control.Observe
+	all.Callbacks.nudge = all.Control.Nudge
+	all.Callbacks.report = all.Reporter.Build
+	all.Callbacks.agents = all.Control.Agents
+	all.Callbacks.synced = all.Control.Synced
 	return &process{parts: all}
 }
 
-// Run runs an agent with the given settings. It drains when drain ends and
-// stops at once when kill does. A clean end is no error.
+// Run runs an agent with the given settings. It starts draining when drain is
+// done and stops immediately when kill is done. It returns nil after a clean
+// shutdown.
 func Run(drain, kill context.Context, set *wire.AgentSettings, out, errOut io.Writer) error {
 	if set.GetSite() != nil {
 		return onsite.Run(drain, kill, set, out)
@@ -89,8 +90,8 @@
 }
 
 func runWith(drain, kill context.Context, set *wire.AgentSettings, limits fallback.Limits, out, errOut io.Writer) error {
-	box := build(set, limits, errOut)
-	return dig.RootCause(box.Invoke(func(all parts) error {
+	container := build(set, limits, errOut)
+	return dig.RootCause(container.Invoke(func(all parts) error {
 		return newProcess(all).run(drain, kill, out)
 	}))
 }
@@ -110,18 +111,18 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return peer.Serve(ctx, p.Listener, p.Keys, mux, p.Log) })
 	group.Go(func() error { return p.serveOperators(ctx, operators) })
-	works := []func(context.Context) error{p.Gate.Work, p.Orders.Run, p.Reporter.Work, p.Control.Run}
+	tasks := []func(context.Context) error{p.Gate.Work, p.Orders.Run, p.Reporter.Work, p.Control.Run}
 	if p.Settings.GetService() == "" {
-		works = append(works, p.Weights.Run)
+		tasks = append(tasks, p.Weights.Run)
 	}
-	for _, work := range works {
-		group.Go(func() error { return ignoreEnd(ctx, work(ctx)) })
+	for _, task := range tasks {
+		group.Go(func() error { return ignoreAfterCancel(ctx, task(ctx)) })
 	}
 	fmt.Fprintf(out, "listening address=%s\n", p.Self.GetControlAddress())
 	p.Log.Info("started", "incarnation", p.Self.GetIncarnation(), "address", p.Self.GetControlAddress())
 	group.Go(func() error {
 		defer stop()
-		p.awaitEnd(ctx, drain, kill)
+		p.awaitShutdown(ctx, drain, kill)
 		return nil
 	})
 	err = group.Wait()
@@ -130,16 +131,18 @@
 	return err
 }
 
-// ignoreEnd drops the error that a part returns because it was asked to stop.
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreAfterCancel discards the error of a component once ctx is done, since
+// the component was told to stop.
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// awaitEnd waits for the signal and drains.
-func (p *process) awaitEnd(ctx, drain, kill context.Context) {
+// awaitShutdown waits for the drain signal, then drains until no request runs,
+// or stops immediately on the kill signal.
+func (p *process) awaitShutdown(ctx, drain, kill context.Context) {
 	select {
 	case <-ctx.Done():
 		return
@@ -147,13 +150,13 @@
 	}
 	limit := p.Settings.GetDrainTimeout().AsDuration()
 	if limit <= 0 {
-		limit = defaultDrain
+		limit = defaultDrainTimeout
 	}
 	p.Log.Info("draining before the exit", "running", p.Gate.State().Running(), "limit", limit)
 	p.Gate.Exit(limit)
 	p.Control.Nudge()
 	began := p.Clock.Now()
-	for p.Gate.State().Running() > 0 || p.lingers(began) {
+	for p.Gate.State().Running() > 0 || p.stillRefusing(began) {
 		select {
 		case <-ctx.Done():
 			return
@@ -167,10 +170,14 @@
 	}
 }
 
-func (p *process) lingers(began time.Time) bool {
-	return p.Clock.Since(began) < lingerFor
+// stillRefusing reports whether a drain that began at the given time is within
+// refusalPeriod.
+func (p *process) stillRefusing(began time.Time) bool {
+	return p.Clock.Since(began) < refusalPeriod
 }
 
+// listenOperators opens the listener for operators; it returns nil if the
+// settings name no address.
 func (p *process) listenOperators() (net.Listener, error) {
 	address := p.Settings.GetNode().GetOperatorsAddress()
 	if address == "" {
@@ -184,6 +191,7 @@
 	return lis, nil
 }
 
+// serveOperators serves health checks and metrics to operators until ctx is done.
 func (p *process) serveOperators(ctx context.Context, lis net.Listener) error {
 	if lis == nil {
 		return nil
@@ -194,11 +202,11 @@
 	}
 	release := context.AfterFunc(ctx, func() { server.Close() })
 	defer release()
-	return ignoreEnd(ctx, server.Serve(lis))
+	return ignoreAfterCancel(ctx, server.Serve(lis))
 }
 
-// ready reports whether the agent knows what is in force and its endpoint
-// answers.
+// ready returns an error unless the agent has synced with an entry, its endpoint
+// responds and the host isn't leaving.
 func (p *process) ready() error {
 	switch {
 	case p.Gate.State().Leaving():
@@ -211,25 +219,25 @@
 	return nil
 }
 
-// published keeps a second agent of one test process from taking the names of
-// the first, which expvar punishes with a panic.
+// published lets only the first agent of a test process publish its expvars:
+// expvar panics if a name is published twice.
 var published sync.Once
 
-// publish shows the process's figures under /debug/vars.
+// publish exposes the metrics and state of the process under /debug/vars.
 func (p *process) publish() {
 	published.Do(func() {
 		expvar.Publish("agent", p.Metrics.counters)
 		expvar.Publish("invariantFailures", p.Metrics.failures)
-		expvar.Publish("agentState", expvar.Func(p.figures))
+		expvar.Publish("agentState", expvar.Func(p.debugState))
 	})
 }
 
-// figures is the state shown under /debug/vars.
-func (p *process) figures() any {
+// debugState returns the state that is shown under /debug/vars.
+func (p *process) debugState() any {
 	known := p.Control.Known()
 	state := p.Gate.State()
 	age, confirmed := p.Control.Age()
-	ageMillis := int64(-1) // nobody confirmed it yet
+	ageMillis := int64(-1) // the document hasn't been confirmed yet
 	if confirmed {
 		ageMillis = age.Milliseconds()
 	}
--- a/agent/internal/cmd/restart_test.go
+++ b/agent/internal/cmd/restart_test.go
@@ -8,9 +8,9 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// refusesOlder waits until the bytes of the version are there and the report
-// says that its plan is not obeyed.
-func (b *bench) refusesOlder(version string) {
+// awaitOlderPlanRefused waits until the version is completely downloaded and the
+// report says that its plan is refused as older.
+func (b *testBench) awaitOlderPlanRefused(version string) {
 	b.t.Helper()
 	b.eventually("the bytes are there and the plan is refused", func() bool {
 		return slices.ContainsFunc(b.entry.last().GetVersions(), func(state *wire.VersionState) bool {
@@ -19,14 +19,14 @@
 	})
 }
 
-// Symptom: a host goes back to an older version. Sequence: the agent obeyed plan
-// 5; it restarts beside an engine that reports no fencing number and learns of the
-// document of plan 5 and of plan 4, of the same planner. Cause: plans compared
-// by a number that the engine does not keep.
+// Guards against a host reverting to an older version. The agent followed plan 5
+// and restarts with an engine that reports no fencing number. It then receives
+// the document of plan 5 and plan 4 of the same planner. Comparing plans only by
+// the number that the engine doesn't keep would accept plan 4.
 func TestRestartedAgentComparesPlanWithDocument(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
-	b.engine.mute = true
+	b := newTestBench(t)
+	b.engine.hideFence = true
 	first := b.publish("weights of the first version")
 	second := b.publish("weights of the other version")
 	b.assign(5, 9, second)
@@ -41,7 +41,7 @@
 	b.start()
 	defer b.stop()
 	b.eventually("v2 is served again", func() bool { return b.entry.serves(second) })
-	b.refusesOlder(first)
+	b.awaitOlderPlanRefused(first)
 	if got, want := b.engine.obeyed(), []uint64{9}; !slices.Equal(got, want) {
 		t.Errorf("got orders with fences %v, want %v", got, want)
 	}
--- a/agent/internal/control/home.go
+++ b/agent/internal/control/home.go
@@ -10,23 +10,23 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Nearness of an entry, lower is nearer.
+// Distance of an entry from the agent; lower is closer.
 const (
 	sameDomain = iota
 	sameRegion
 	elsewhere
 )
 
-// candidates orders the entries by how good a home each is for the agent:
-// usable ones first, then near ones, then by rendezvous hash, so that the
-// agents of a failure domain spread over its entries and move only when an
-// entry comes or goes.
-func candidates(self *wire.Node, entries []*wire.Node, shunned func(id string) bool) []*wire.Node {
+// candidates ranks the entries as home entries for the agent: first those not to
+// be avoided, then by distance, then by rendezvous hash. The hash spreads the
+// agents of a failure domain over its entries and reassigns them only when an
+// entry is added or removed.
+func candidates(self *wire.Node, entries []*wire.Node, avoided func(id string) bool) []*wire.Node {
 	type ranked struct {
-		node    *wire.Node
-		shunned bool
-		near    int
-		score   uint64
+		node     *wire.Node
+		avoided  bool
+		distance int
+		score    uint64
 	}
 	key := rendezvous.Seed(self.GetId())
 	list := make([]ranked, 0, len(entries))
@@ -35,20 +35,20 @@
 			continue
 		}
 		list = append(list, ranked{
-			node:    entry,
-			shunned: shunned(entry.GetId()),
-			near:    nearness(self, entry),
-			score:   rendezvous.Score(key, rendezvous.Seed(entry.GetId())),
+			node:     entry,
+			avoided:  avoided(entry.GetId()),
+			distance: distance(self, entry),
+			score:    rendezvous.Score(key, rendezvous.Seed(entry.GetId())),
 		})
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
-		if a.shunned != b.shunned {
-			if a.shunned {
+		if a.avoided != b.avoided {
+			if a.avoided {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.near, b.near), cmp.Compare(b.score, a.score))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(b.score, a.score))
 	})
 	nodes := make([]*wire.Node, len(list))
 	for i := range list {
@@ -57,7 +57,7 @@
 	return nodes
 }
 
-func nearness(self, entry *wire.Node) int {
+func distance(self, entry *wire.Node) int {
 	switch {
 	case entry.GetFailureDomain() == self.GetFailureDomain():
 		return sameDomain
@@ -67,35 +67,39 @@
 	return elsewhere
 }
 
-// penalties keep an agent away from entries that failed it.
+// penalties tracks entries that failed to reply and until when to avoid them.
 type penalties struct {
 	until map[string]time.Time
 	count map[string]int
 }
 
 const (
-	penaltyBase = time.Second
-	penaltyMost = 30 * time.Second
+	minPenalty = time.Second
+	maxPenalty = 30 * time.Second
 )
 
 func newPenalties() *penalties {
 	return &penalties{until: map[string]time.Time{}, count: map[string]int{}}
 }
 
-func (p *penalties) failed(id string, now time.Time) {
-	wait := min(penaltyBase<<min(p.count[id], 8), penaltyMost)
+// add penalizes an entry that failed. The penalty doubles with each failure in
+// a row, up to maxPenalty.
+func (p *penalties) add(id string, now time.Time) {
+	wait := min(minPenalty<<min(p.count[id], 8), maxPenalty)
 	p.count[id]++
 	p.until[id] = now.Add(wait)
 }
 
-func (p *penalties) worked(id string) {
+// clear removes the penalty of an entry that replied.
+func (p *penalties) clear(id string) {
 	delete(p.until, id)
 	delete(p.count, id)
 }
 
-func (p *penalties) in(id string, now time.Time) bool { return now.Before(p.until[id]) }
+// active reports whether an entry is to be avoided at the given time.
+func (p *penalties) active(id string, now time.Time) bool { return now.Before(p.until[id]) }
 
-// draining returns the ids of entries that say they leave.
+// draining returns the ids of entries that report that they are leaving.
 func draining(entries []view.Peer) map[string]bool {
 	ids := map[string]bool{}
 	for _, entry := range entries {
--- a/agent/internal/control/sync.go
+++ b/agent/internal/control/sync.go
@@ -13,32 +13,32 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// sync does one call and takes its reply. A call that a nudge interrupted is no
-// failure of the entry.
+// sync makes one Sync call and applies its reply. A call interrupted by Nudge
+// doesn't count as a failure of the entry.
 func (c *Client) sync(ctx context.Context, entry *wire.Node, wait time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait = c.hold(cancel, wait)
-	defer c.release()
+	wait = c.allowInterrupt(cancel, wait)
+	defer c.clearInterrupt()
 	call, stop := clockwork.WithTimeout(ctx, c.cfg.Clock, wait+syncMargin)
 	defer stop()
 	request := c.request(entry.GetId(), wait)
 	client := wire.NewDRPCControlClient(c.cfg.Dial(call, entry.GetControlAddress()))
 	reply, err := client.Sync(call, request)
 	if err == nil {
-		c.release()
-		err = c.take(call, entry, request, reply)
+		c.clearInterrupt()
+		err = c.applyReply(call, entry, request, reply)
 	}
 	if err == nil || ctx.Err() != nil {
 		return nil
 	}
-	c.failed(entry, err)
+	c.recordFailure(entry, err)
 	return err
 }
 
-// hold lets a nudge end the call; after a nudge that came before, the call is
-// not held at all.
-func (c *Client) hold(cancel context.CancelFunc, wait time.Duration) time.Duration {
+// allowInterrupt lets Nudge cancel the call and returns how long the entry may
+// hold it: zero if Nudge was called before.
+func (c *Client) allowInterrupt(cancel context.CancelFunc, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nudged || wait == 0 {
@@ -49,12 +49,15 @@
 	return wait
 }
 
-func (c *Client) release() {
+// clearInterrupt stops Nudge from canceling the call.
+func (c *Client) clearInterrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interrupt = nil
 }
 
+// request builds the Sync request for an entry. It sends the report as a
+// difference from the last one that the entry accepted, where possible.
 func (c *Client) request(entry string, wait time.Duration) *wire.SyncRequest {
 	report := c.cfg.Report()
 	c.mu.Lock()
@@ -82,45 +85,46 @@
 	return request
 }
 
-func (c *Client) failed(entry *wire.Node, err error) {
+// recordFailure counts and logs a failed call and penalizes the entry.
+func (c *Client) recordFailure(entry *wire.Node, err error) {
 	c.cfg.Counters.Add("syncsFailed", 1)
-	c.cfg.Log.Debug("entry does not answer", "entry", entry.GetId(), "error", err)
+	c.cfg.Log.Debug("sync with entry failed", "entry", entry.GetId(), "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.penalties.failed(entry.GetId(), c.cfg.Clock.Now())
+	c.penalties.add(entry.GetId(), c.cfg.Clock.Now())
 }
 
-// take puts a reply in force.
-func (c *Client) take(ctx context.Context, entry *wire.Node, request *wire.SyncRequest, reply *wire.SyncReply) error {
+// applyReply applies a reply to the local state and publishes it.
+func (c *Client) applyReply(ctx context.Context, entry *wire.Node, request *wire.SyncRequest, reply *wire.SyncReply) error {
 	now := c.cfg.Clock.Now()
 	c.cfg.Counters.Add("syncs", 1)
-	c.settle(entry.GetId(), request, reply)
+	c.recordAccepted(entry.GetId(), request, reply)
 	c.knowledge.observeMembers(reply, now)
 	ignored, err := c.knowledge.adopt(ctx, reply, now, func(ctx context.Context, hashes []string) ([][]byte, error) {
-		return c.parts(ctx, entry, hashes)
+		return c.requestParts(ctx, entry, hashes)
 	})
 	c.cfg.Counters.Add("olderIgnored", int64(ignored))
 	c.mu.Lock()
 	c.known[entry.GetId()] = reply.GetKnown()
 	c.home = entry.GetId()
-	c.penalties.worked(entry.GetId())
+	c.penalties.clear(entry.GetId())
 	c.mu.Unlock()
 	c.publish()
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	c.cfg.Log.Warn("document not taken", "entry", entry.GetId(), "revision", reply.GetRoot().GetRevision(), "error", err)
+	c.cfg.Log.Warn("document not applied", "entry", entry.GetId(), "revision", reply.GetRoot().GetRevision(), "error", err)
 	if failure.KindOf(err) == failure.Internal {
 		c.cfg.Broken("oneContentPerRevision", "entry", entry.GetId(), "revision", reply.GetRoot().GetRevision())
 	}
 	return err
 }
 
-// settle notes what the entry took of the report and takes out of the reply what
-// cannot be made whole here.
-func (c *Client) settle(entry string, request *wire.SyncRequest, reply *wire.SyncReply) {
+// recordAccepted records whether the entry accepted the report, and removes from
+// the reply the reports that can't be expanded to full ones.
+func (c *Client) recordAccepted(entry string, request *wire.SyncRequest, reply *wire.SyncReply) {
 	sent := request.GetHosts()[0]
-	lacking := c.knowledge.complete(reply)
+	lacking := c.knowledge.expandReports(reply)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.baseOf != entry {
@@ -135,9 +139,10 @@
 	c.acked.Store(max(c.acked.Load(), sent.GetSequence()))
 }
 
-// complete makes the reply's reports whole and returns the hosts and entries of
-// those that it takes out: what they amend was lost on the way.
-func (k *knowledge) complete(reply *wire.SyncReply) (lacking []string) {
+// expandReports expands the reply's delta reports to full ones. It removes those
+// whose base report was lost in transit and returns the ids of their hosts and
+// entries.
+func (k *knowledge) expandReports(reply *wire.SyncReply) (lacking []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	whole := make([]*wire.HostReport, 0, len(reply.GetHosts()))
@@ -161,7 +166,8 @@
 	return lacking
 }
 
-func (c *Client) parts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
+// requestParts requests the contents of document parts from an entry.
+func (c *Client) requestParts(ctx context.Context, entry *wire.Node, hashes []string) ([][]byte, error) {
 	client := wire.NewDRPCControlClient(c.cfg.Dial(ctx, entry.GetControlAddress()))
 	reply, err := client.Parts(ctx, &wire.PartsRequest{From: membership.NameOnly(c.cfg.Self), Known: c.Known(), Hashes: hashes})
 	if err != nil {
