--- a/standin/internal/engine/chunks.go
+++ b/standin/internal/engine/chunks.go
@@ -14,32 +14,32 @@
 // an engine holds is for its own store to say.
 type Pool struct {
 	mu     sync.Mutex
-	chunks map[string]*pooled
+	chunks map[string]*pooledChunk
 }
 
-type pooled struct {
+type pooledChunk struct {
 	bytes  []byte
 	owners int // stores that hold it; at least 1
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{chunks: map[string]*pooled{}}
+	return &Pool{chunks: map[string]*pooledChunk{}}
 }
 
-func (p *Pool) keep(hash string, bytes []byte) []byte {
+func (p *Pool) acquire(hash string, bytes []byte) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	chunk := p.chunks[hash]
 	if chunk == nil {
-		chunk = &pooled{bytes: bytes}
+		chunk = &pooledChunk{bytes: bytes}
 		p.chunks[hash] = chunk
 	}
 	chunk.owners++
 	return chunk.bytes
 }
 
-func (p *Pool) drop(hash string) {
+func (p *Pool) release(hash string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	chunk := p.chunks[hash]
@@ -78,7 +78,7 @@
 		return failure.New(failure.Exhausted, "the host's memory for weights is full", "delete chunks that no version needs")
 	}
 	s.used += int64(len(bytes))
-	s.bytes[hash] = s.pool.keep(hash, bytes)
+	s.bytes[hash] = s.pool.acquire(hash, bytes)
 	return nil
 }
 
@@ -98,7 +98,7 @@
 	}
 	s.used -= int64(len(bytes))
 	delete(s.bytes, hash)
-	s.pool.drop(hash)
+	s.pool.release(hash)
 }
 
 func (s *chunkStore) removeAll() {
--- a/standin/internal/engine/engine.go
+++ b/standin/internal/engine/engine.go
@@ -62,7 +62,7 @@
 	role     string            // "both", "prefill" or "decode"
 	cache    *prefixCache
 	load     loadHistory
-	speed    speedometer
+	speed    tokenRate
 	imported map[string]bool // request ids whose KV cache was imported
 	faults   Faults
 	// faultsChanged is closed and replaced when faults change.
@@ -95,14 +95,14 @@
 func (e *Engine) tokenGap() time.Duration {
 	share := float64(e.slots.running-1) / float64(e.options.Slots)
 	gap := float64(e.options.TokenTime) * (1 + share) * decodeCost(e.role)
-	return time.Duration(gap * e.faults.slowness())
+	return time.Duration(gap * e.faults.slowdown())
 }
 
 // Cost of a first token. A cached prefix saves three quarters; a prompt of
 // promptUnit bytes beyond the prefix costs as much again.
 const (
-	warmShare  = 0.25
-	promptUnit = 4096
+	warmPrefixCost = 0.25
+	promptUnit     = 4096
 )
 
 // usePrefix reports whether the request's prompt prefix is warm, and caches it.
@@ -119,11 +119,11 @@
 func (e *Engine) firstTokenTime(request Request, warm bool) time.Duration {
 	cost := 1.0
 	if warm {
-		cost = warmShare
+		cost = warmPrefixCost
 	}
 	beyond := max(0, len(request.Prompt)-answer.PrefixBytes) + resumedBytes(request.ResumeTokens)
 	cost += float64(beyond) / promptUnit
-	cost *= prefillCost(e.role) * e.faults.slowness()
+	cost *= prefillCost(e.role) * e.faults.slowdown()
 	return time.Duration(cost * float64(e.options.FirstTokenTime))
 }
 
--- a/standin/internal/engine/engine_test.go
+++ b/standin/internal/engine/engine_test.go
@@ -32,9 +32,9 @@
 	for _, script := range scripts {
 		t.Run(filepath.Base(script), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stage := &stage{versions: map[string]version{}}
-				datadriven.RunTest(t, script, stage.run)
-				stage.stop()
+				runner := &scriptRunner{versions: map[string]version{}}
+				datadriven.RunTest(t, script, runner.run)
+				runner.stop()
 			})
 		})
 	}
@@ -46,8 +46,8 @@
 	chunks []string
 }
 
-// stage is the engine of one script and the trace of what it did.
-type stage struct {
+// scriptRunner is the engine of one script and the trace of what it did.
+type scriptRunner struct {
 	engine   *Engine
 	started  time.Time
 	versions map[string]version
@@ -64,7 +64,7 @@
 	id, what string
 }
 
-func (s *stage) run(t *testing.T, d *datadriven.TestData) string {
+func (s *scriptRunner) run(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "engine":
 		s.open(t, d)
@@ -103,7 +103,7 @@
 	return s.flush()
 }
 
-func (s *stage) open(t *testing.T, d *datadriven.TestData) {
+func (s *scriptRunner) open(t *testing.T, d *datadriven.TestData) {
 	s.stop()
 	s.started = time.Now()
 	s.leave = map[string]context.CancelFunc{}
@@ -125,7 +125,7 @@
 }
 
 // stop ends what still runs, so that the bubble can close.
-func (s *stage) stop() {
+func (s *scriptRunner) stop() {
 	for _, leave := range s.leave {
 		leave()
 	}
@@ -133,7 +133,7 @@
 }
 
 // put makes a version of some chunks and keeps all but the one to lack.
-func (s *stage) put(t *testing.T, d *datadriven.TestData) {
+func (s *scriptRunner) put(t *testing.T, d *datadriven.TestData) {
 	name, base, kind := argument(t, d, "version"), "", manifest.KindBase
 	if d.HasArg("base") {
 		base, kind = s.versions[argument(t, d, "base")].hash, manifest.KindAdapter
@@ -162,7 +162,7 @@
 	s.versions[name] = made
 }
 
-func (s *stage) order(t *testing.T, d *datadriven.TestData) {
+func (s *scriptRunner) order(t *testing.T, d *datadriven.TestData) {
 	order := Order{Fence: uint64(number(t, d, "fence")), Order: d.CmdArgs[0].Key, Model: "parcel"}
 	switch order.Order {
 	case orderLoad:
@@ -188,7 +188,7 @@
 }
 
 // send starts a request; its events come into the trace.
-func (s *stage) send(t *testing.T, d *datadriven.TestData) {
+func (s *scriptRunner) send(t *testing.T, d *datadriven.TestData) {
 	request := Request{RequestID: argument(t, d, "id"), Model: "parcel", Prompt: argument(t, d, "id"), MaxTokens: number(t, d, "tokens")}
 	if d.HasArg("model") {
 		request.Model = argument(t, d, "model")
@@ -216,7 +216,7 @@
 	s.calls.Go(func() { s.generate(ctx, request) })
 }
 
-func (s *stage) generate(ctx context.Context, request Request) {
+func (s *scriptRunner) generate(ctx context.Context, request Request) {
 	id := request.RequestID
 	err := s.engine.Generate(ctx, request, sink{
 		begin: func(version string) error { s.note(id, "begin %s", version); return nil },
@@ -232,7 +232,7 @@
 	}
 }
 
-func (s *stage) note(id, format string, args ...any) {
+func (s *scriptRunner) note(id, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trace = append(s.trace, event{at: time.Since(s.started), id: id, what: fmt.Sprintf(format, args...)})
@@ -240,7 +240,7 @@
 
 // flush returns the trace since the last time. Requests of one instant have no
 // order, so they are sorted by id.
-func (s *stage) flush() string {
+func (s *scriptRunner) flush() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sort.SliceStable(s.trace, func(i, j int) bool {
@@ -258,7 +258,7 @@
 	return s.named(out.String())
 }
 
-func (s *stage) show(body any) string {
+func (s *scriptRunner) show(body any) string {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err.Error()
@@ -267,7 +267,7 @@
 }
 
 // named puts the test's names in place of hashes.
-func (s *stage) named(text string) string {
+func (s *scriptRunner) named(text string) string {
 	for name, made := range s.versions {
 		text = strings.ReplaceAll(text, made.hash, name)
 		for i, chunk := range made.chunks {
--- a/standin/internal/engine/faults.go
+++ b/standin/internal/engine/faults.go
@@ -24,7 +24,7 @@
 	Dead bool `json:"dead"`
 }
 
-func (f Faults) slowness() float64 {
+func (f Faults) slowdown() float64 {
 	if f.SlowFactor <= 0 {
 		return 1
 	}
--- a/standin/internal/engine/generate.go
+++ b/standin/internal/engine/generate.go
@@ -26,11 +26,11 @@
 	ResumeTokens []string `json:"resumeTokens"`
 }
 
-// errBroken ends a generation whose connection a fault breaks.
-var errBroken = errors.New("broken by a fault")
+// errInjectedFault ends a generation whose connection a fault breaks.
+var errInjectedFault = errors.New("broken by a fault")
 
-// errCut ends a generation whose weights were taken away.
-var errCut = errors.New("the weights were taken away")
+// errWeightsUnloaded ends a generation whose weights were taken away.
+var errWeightsUnloaded = errors.New("the weights were taken away")
 
 // errCancelled ends a generation that was cancelled.
 var errCancelled = errors.New("cancelled")
@@ -64,17 +64,17 @@
 	}
 	defer e.finish(current, place)
 	err = e.produce(ctx, current, out)
-	e.ledger.end(request.RequestID, endingOf(err), current.made)
+	e.ledger.end(request.RequestID, outcomeOf(err), current.made)
 	return err
 }
 
-func endingOf(err error) ending {
+func outcomeOf(err error) outcome {
 	switch {
 	case err == nil:
 		return completed
-	case errors.Is(err, errCut):
+	case errors.Is(err, errWeightsUnloaded):
 		return cutOff
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errInjectedFault):
 		return broken
 	}
 	return cancelled
@@ -93,7 +93,7 @@
 	}
 	current := &run{request: request, cancelled: make(chan struct{})}
 	e.running[request.RequestID] = append(e.running[request.RequestID], current)
-	e.noteLoad()
+	e.recordLoad()
 	if err := e.waitForSlot(ctx, current, place); err != nil {
 		e.finishLocked(current, place)
 		return nil, nil, err
@@ -191,7 +191,7 @@
 		return errCancelled
 	}
 	if e.Faults().ErrorAfterBegin {
-		return errBroken
+		return errInjectedFault
 	}
 	timer := e.clock.NewTimer(current.firstToken)
 	defer timer.Stop()
@@ -221,7 +221,7 @@
 	defer e.mu.Unlock()
 	e.speed.add(e.clock.Now())
 	if limit := e.faults.DieAfterTokens; limit > 0 && made >= limit {
-		return 0, errBroken
+		return 0, errInjectedFault
 	}
 	return e.tokenGap(), nil
 }
@@ -246,17 +246,17 @@
 
 // await waits for a value or the closing of wake, unless the run must stop.
 func await[T any](ctx context.Context, e *Engine, current *run, wake <-chan T) error {
-	var adapterGone chan struct{}
+	var adapterUnloaded chan struct{}
 	if current.adapter != nil {
-		adapterGone = current.adapter.gone
+		adapterUnloaded = current.adapter.unloaded
 	}
 	select {
 	case <-wake:
 		return nil
-	case <-current.weights.gone:
-		return e.cutReason(ctx, current)
-	case <-adapterGone:
-		return e.cutReason(ctx, current)
+	case <-current.weights.unloaded:
+		return e.interruptionError(ctx, current)
+	case <-adapterUnloaded:
+		return e.interruptionError(ctx, current)
 	case <-current.cancelled:
 		return errCancelled
 	case <-ctx.Done():
@@ -264,9 +264,9 @@
 	}
 }
 
-// cutReason says why a run lost its weights. A run that was cancelled just
+// interruptionError says why a run lost its weights. A run that was cancelled just
 // before is not cut off, nor is one whose host died.
-func (e *Engine) cutReason(ctx context.Context, current *run) error {
+func (e *Engine) interruptionError(ctx context.Context, current *run) error {
 	select {
 	case <-current.cancelled:
 		return errCancelled
@@ -275,9 +275,9 @@
 	default:
 	}
 	if e.Faults().Dead {
-		return errBroken
+		return errInjectedFault
 	}
-	return errCut
+	return errWeightsUnloaded
 }
 
 func (e *Engine) finish(current *run, place *waiter) {
@@ -299,10 +299,10 @@
 	if len(rest) == 0 {
 		delete(e.running, id)
 	}
-	e.noteLoad()
+	e.recordLoad()
 }
 
-func (e *Engine) noteLoad() {
+func (e *Engine) recordLoad() {
 	e.load.record(e.clock.Now(), e.slots.running, len(e.slots.queue))
 }
 
--- a/standin/internal/engine/ledger.go
+++ b/standin/internal/engine/ledger.go
@@ -11,13 +11,13 @@
 )
 
 // ending is how one run ended.
-type ending int
+type outcome int
 
 const (
-	completed ending = iota
-	cutOff           // by an order that took the weights away
-	cancelled        // by /cancel, or the client went away
-	broken           // by a fault
+	completed outcome = iota
+	cutOff            // by an order that took the weights away
+	cancelled         // by /cancel, or the client went away
+	broken            // by a fault
 )
 
 // Account is what one engine ran under one request id.
@@ -108,10 +108,10 @@
 	if account == nil {
 		account = &Account{Content: content}
 		l.accounts[id] = account
-		l.remember(id)
+		l.trackID(id)
 	}
 	if account.Content != content {
-		l.violate(Violation{Kind: violationTwoRequests, RequestID: id, Detail: "the id came with another prompt, model or adapter before"})
+		l.addViolationLocked(Violation{Kind: violationTwoRequests, RequestID: id, Detail: "the id came with another prompt, model or adapter before"})
 	}
 	account.Begun++
 	account.Version = version
@@ -124,7 +124,7 @@
 	}
 }
 
-func (l *ledger) remember(id string) {
+func (l *ledger) trackID(id string) {
 	if len(l.arrivals) < maxAccounts {
 		l.arrivals = append(l.arrivals, id)
 		return
@@ -136,7 +136,7 @@
 }
 
 // end records how a run that began ended, with the tokens it made.
-func (l *ledger) end(id string, how ending, tokens int) {
+func (l *ledger) end(id string, result outcome, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	account := l.accounts[id]
@@ -144,14 +144,14 @@
 		account = &Account{} // forgotten since: only the totals count
 	}
 	l.totals.Tokens += tokens
-	switch how {
+	switch result {
 	case completed:
 		account.Completed++
 		l.totals.Completed++
 	case cutOff:
 		account.CutOff++
 		l.totals.CutOff++
-		l.violate(Violation{Kind: violationCutOff, RequestID: id, Detail: "an order took the weights away while the request ran"})
+		l.addViolationLocked(Violation{Kind: violationCutOff, RequestID: id, Detail: "an order took the weights away while the request ran"})
 	case cancelled:
 		account.Cancelled++
 		l.totals.Cancelled++
@@ -178,10 +178,10 @@
 func (l *ledger) report(found Violation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.violate(found)
+	l.addViolationLocked(found)
 }
 
-func (l *ledger) violate(found Violation) {
+func (l *ledger) addViolationLocked(found Violation) {
 	l.violationCount++
 	if len(l.violations) < maxViolations {
 		l.violations = append(l.violations, found)
--- a/standin/internal/engine/orders.go
+++ b/standin/internal/engine/orders.go
@@ -40,13 +40,13 @@
 	model    string
 	version  string
 	adapters []*adapterWeights
-	gone     chan struct{} // closed when the version is taken away
+	unloaded chan struct{} // closed when the version is taken away
 }
 
 type adapterWeights struct {
-	name    string
-	version string
-	gone    chan struct{} // closed when the adapter is taken away
+	name     string
+	version  string
+	unloaded chan struct{} // closed when the adapter is taken away
 }
 
 func (w *weights) adapter(name string) *adapterWeights {
@@ -65,14 +65,14 @@
 	if err := e.checkFence(order.Fence); err != nil {
 		return err
 	}
-	if err := e.carryOut(order); err != nil {
+	if err := e.execute(order); err != nil {
 		return err
 	}
 	e.ledger.order(func(totals *OrderTotals) { totals.Obeyed++ })
 	return nil
 }
 
-func (e *Engine) carryOut(order Order) error {
+func (e *Engine) execute(order Order) error {
 	switch order.Order {
 	case orderLoad:
 		return e.loadVersion(order)
@@ -121,7 +121,7 @@
 	if faults.RefuseLoad {
 		return failure.New(failure.Unavailable, "the engine refuses to load", "try again later or take the host out")
 	}
-	if err := e.checkWhole(order); err != nil {
+	if err := e.checkAllChunks(order); err != nil {
 		e.ledger.order(func(totals *OrderTotals) { totals.NotWhole++ })
 		return err
 	}
@@ -134,14 +134,14 @@
 	e.mu.Lock()
 	e.unloadLocked()
 	e.mu.Unlock()
-	e.clock.Sleep(time.Duration(float64(e.options.LoadTime) * faults.slowness()))
+	e.clock.Sleep(time.Duration(float64(e.options.LoadTime) * faults.slowdown()))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Dead {
 		return failure.New(failure.Unavailable, "the host died", "order another host")
 	}
 	e.cache.clear(e.clock.Now())
-	e.loaded = &weights{model: order.Model, version: order.Version, gone: make(chan struct{})}
+	e.loaded = &weights{model: order.Model, version: order.Version, unloaded: make(chan struct{})}
 	e.loaded.setAdapters(order.Adapters)
 	e.ledger.order(func(totals *OrderTotals) { totals.Loads++ })
 	return nil
@@ -164,7 +164,7 @@
 	for _, order := range orders {
 		adapter := w.adapter(order.Name)
 		if adapter == nil || adapter.version != order.Version {
-			adapter = &adapterWeights{name: order.Name, version: order.Version, gone: make(chan struct{})}
+			adapter = &adapterWeights{name: order.Name, version: order.Version, unloaded: make(chan struct{})}
 		}
 		kept = append(kept, adapter)
 	}
@@ -172,7 +172,7 @@
 	w.adapters = kept
 	for _, adapter := range before {
 		if w.adapter(adapter.name) != adapter {
-			close(adapter.gone)
+			close(adapter.unloaded)
 		}
 	}
 }
@@ -182,15 +182,15 @@
 		return
 	}
 	for _, adapter := range e.loaded.adapters {
-		close(adapter.gone)
+		close(adapter.unloaded)
 	}
-	close(e.loaded.gone)
+	close(e.loaded.unloaded)
 	e.loaded = nil
 }
 
-// checkWhole checks that every chunk is held and that together they are the
+// checkAllChunks checks that every chunk is held and that together they are the
 // version that the order names.
-func (e *Engine) checkWhole(order Order) error {
+func (e *Engine) checkAllChunks(order Order) error {
 	if err := e.checkChunks(order.Model, order.Version, "", order.ChunkHashes); err != nil {
 		return err
 	}
@@ -217,14 +217,14 @@
 	if len(hashes) == 1 {
 		return nil // one chunk is whole by itself, and its manifest's chunk size cannot be known
 	}
-	if rebuilt := rebuild(model, base, hashes, sizes); rebuilt != version {
+	if rebuilt := versionOfChunks(model, base, hashes, sizes); rebuilt != version {
 		return failure.New(failure.Corrupt, "the chunks are not those of version "+version, "order the chunks of one manifest, in its order")
 	}
 	return nil
 }
 
 // rebuild returns the version whose manifest lists these chunks.
-func rebuild(model, base string, hashes []string, sizes []int) string {
+func versionOfChunks(model, base string, hashes []string, sizes []int) string {
 	man := &wire.Manifest{Model: model, Kind: manifest.KindBase, BaseVersion: base, ChunkBytes: uint32(sizes[0])}
 	if base != "" {
 		man.Kind = manifest.KindAdapter
--- a/standin/internal/engine/status.go
+++ b/standin/internal/engine/status.go
@@ -93,25 +93,25 @@
 	return h.samples[0]
 }
 
-// speedometer counts tokens by whole seconds.
-type speedometer struct {
+// tokenRate counts tokens by whole seconds.
+type tokenRate struct {
 	second  int64
 	current int
 	last    int
 }
 
-func (s *speedometer) add(now time.Time) {
-	s.turn(now)
+func (s *tokenRate) add(now time.Time) {
+	s.advance(now)
 	s.current++
 }
 
 // perSecond returns the tokens of the last whole second.
-func (s *speedometer) perSecond(now time.Time) float64 {
-	s.turn(now)
+func (s *tokenRate) perSecond(now time.Time) float64 {
+	s.advance(now)
 	return float64(s.last)
 }
 
-func (s *speedometer) turn(now time.Time) {
+func (s *tokenRate) advance(now time.Time) {
 	second := now.Unix()
 	if second == s.second {
 		return
