--- a/standin/internal/engine/cache.go
+++ b/standin/internal/engine/cache.go
@@ -14,12 +14,12 @@
 	eventEvicted = "evicted"
 )
 
-// maxEvents bounds the events kept for readers; the oldest go first.
+// maxEvents limits the events kept for readers; the oldest are dropped first.
 const maxEvents = 1024
 
-// CacheEvent reports that a prefix came into the cache or left it.
+// CacheEvent reports that a prefix was stored in the cache or evicted from it.
 type CacheEvent struct {
-	// N grows by one with each event; a gap is a lost event.
+	// N increases by one with each event; a gap means that an event was lost.
 	N      uint64 `json:"n"`
 	Prefix string `json:"prefix"`
 	Kind   string `json:"kind"`
@@ -27,15 +27,14 @@
 	at time.Time
 }
 
-// prefixCache is the bounded memory for prompt prefixes, least recently used
-// out first. The engine's lock guards it.
+// prefixCache is a bounded LRU cache of prompt prefixes. Engine.mu guards it.
 type prefixCache struct {
 	prefixes *simplelru.LRU[uint64, struct{}]
-	loss     float64
+	loss     float64 // fraction of events that are dropped
 	losses   *rand.Rand
 	next     uint64
 	events   []CacheEvent // oldest first, at most maxEvents
-	now      time.Time    // of the change being made
+	now      time.Time    // time of the current change, read by record
 }
 
 func newPrefixCache(size int, loss float64, losses *rand.Rand) *prefixCache {
@@ -49,7 +48,7 @@
 	return cache
 }
 
-// use reports whether the prefix was cached, and caches it.
+// use reports whether the prefix was already cached, and adds it if not.
 func (c *prefixCache) use(prefix uint64, now time.Time) bool {
 	c.now = now
 	if _, hit := c.prefixes.Get(prefix); hit {
@@ -60,12 +59,13 @@
 	return false
 }
 
-// clear forgets all: new weights make cached prefixes worthless.
+// clear evicts all prefixes, since they are not valid for newly loaded weights.
 func (c *prefixCache) clear(now time.Time) {
 	c.now = now
 	c.prefixes.Purge()
 }
 
+// record appends an event, unless the configured loss drops it.
 func (c *prefixCache) record(prefix uint64, kind string) {
 	c.next++
 	if c.losses.Float64() < c.loss {
@@ -78,8 +78,8 @@
 	}
 }
 
-// since returns the events behind number after that are older than the lag,
-// and the number to ask after next.
+// since returns the events numbered above after that happened no later than
+// before, and the number to pass as after in the next call.
 func (c *prefixCache) since(after uint64, before time.Time) ([]CacheEvent, uint64) {
 	next := after
 	found := []CacheEvent{}
--- a/standin/internal/engine/chunks.go
+++ b/standin/internal/engine/chunks.go
@@ -10,8 +10,8 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Pool keeps equal chunks of several engines once. It saves memory only: what
-// an engine holds is for its own store to say.
+// Pool shares the bytes of identical chunks between engines of one process to
+// save memory. Which chunks an engine holds is decided by its own store.
 type Pool struct {
 	mu     sync.Mutex
 	chunks map[string]*pooledChunk
@@ -19,7 +19,7 @@
 
 type pooledChunk struct {
 	bytes  []byte
-	owners int // stores that hold it; at least 1
+	owners int // number of stores that hold the chunk; at least 1
 }
 
 // NewPool returns an empty pool.
@@ -27,6 +27,7 @@
 	return &Pool{chunks: map[string]*pooledChunk{}}
 }
 
+// acquire adds an owner to the chunk and returns the shared bytes.
 func (p *Pool) acquire(hash string, bytes []byte) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,6 +40,7 @@
 	return chunk.bytes
 }
 
+// release removes an owner and frees the chunk when none is left.
 func (p *Pool) release(hash string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +51,7 @@
 	}
 }
 
-// chunkStore is one host's memory for weights, addressed by content.
+// chunkStore holds the weight chunks of one host, keyed by content hash.
 type chunkStore struct {
 	pool  *Pool
 	limit int64 // bytes
@@ -63,7 +65,7 @@
 	return &chunkStore{pool: pool, limit: limit, bytes: map[string][]byte{}}
 }
 
-// put keeps a chunk after checking it against its hash.
+// put verifies a chunk against its hash and stores it.
 func (s *chunkStore) put(hash string, bytes []byte) error {
 	sum := blake3.Sum256(bytes)
 	if hex.EncodeToString(sum[:]) != hash {
--- a/standin/internal/engine/engine.go
+++ b/standin/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a model engine: it batches continuously,
-// caches prompt prefixes, obeys orders, keeps chunks of weights and records
-// what it ran in a ledger that tests read.
+// Package engine simulates a model engine: it does continuous batching, caches
+// prompt prefixes, executes orders, stores weight chunks and records what it ran
+// in a ledger that tests read.
 package engine
 
 import (
@@ -17,55 +17,57 @@
 type Options struct {
 	// Slots is how many requests run at once, at least 1.
 	Slots int
-	// MaxQueue bounds the requests that wait for a slot.
+	// MaxQueue limits the requests that wait for a slot.
 	MaxQueue int
-	// TokenTime is the gap between tokens of a request that runs alone; with
-	// all slots taken it is about twice as long.
+	// TokenTime is the time between tokens of a request that runs alone; with
+	// all slots in use it is about twice as long.
 	TokenTime time.Duration
-	// FirstTokenTime is what a short prompt with a cold prefix costs.
+	// FirstTokenTime is the time to the first token of a short prompt whose
+	// prefix is not cached.
 	FirstTokenTime time.Duration
-	// LoadTime is how long loading takes once all chunks are there.
+	// LoadTime is how long a load takes once all chunks are stored.
 	LoadTime time.Duration
-	// ChecksFencing makes the engine refuse orders with an old fence.
+	// ChecksFencing makes the engine reject orders with an outdated fence.
 	ChecksFencing bool
-	// StatusLag is how old the load figures in a status are.
+	// StatusLag is the age of the load figures in a status and of the newest
+	// cache event returned.
 	StatusLag time.Duration
-	// CachePrefixes bounds the prefix cache, at least 1.
+	// CachePrefixes is the capacity of the prefix cache, at least 1.
 	CachePrefixes int
-	// EventLoss is the fraction of cache events never published.
+	// EventLoss is the fraction of cache events that are dropped.
 	EventLoss float64
-	// StoreBytes bounds the chunks kept.
+	// StoreBytes limits the total size of the stored chunks.
 	StoreBytes int64
-	// Seed of the losses.
+	// Seed seeds the random choice of dropped cache events.
 	Seed uint64
-	// Clock paces everything.
+	// Clock provides the time and all timers.
 	Clock clockwork.Clock
-	// Chunks, if set, lets engines of one process keep equal bytes once.
+	// Chunks, if set, shares identical chunks between engines of one process.
 	Chunks *Pool
 }
 
-// Engine is one stand-in; its methods may be called at once.
+// Engine is one simulated engine; its methods are safe for concurrent use.
 type Engine struct {
 	options Options
 	clock   clockwork.Clock
 	chunks  *chunkStore
 	ledger  *ledger
-	// orders is held while an order is carried out: one at a time.
+	// orders serializes the execution of orders.
 	orders sync.Mutex
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	slots    slots
 	running  map[string][]*run // by request id
 	loaded   *weights          // nil while nothing is loaded
-	fence    uint64            // of the last order obeyed
+	fence    uint64            // highest fence seen in an order
 	role     string            // "both", "prefill" or "decode"
 	cache    *prefixCache
 	load     loadHistory
 	speed    tokenRate
 	imported map[string]bool // request ids whose KV cache was imported
 	faults   Faults
-	// faultsChanged is closed and replaced when faults change.
+	// faultsChanged is closed and replaced when faults changes.
 	faultsChanged chan struct{}
 }
 
@@ -90,22 +92,24 @@
 	}
 }
 
-// tokenGap returns the time to the next token of a running request: each
-// request that shares the batch makes it longer.
+// tokenGap returns the time to the next token of a running request, which grows
+// with each request in the batch.
 func (e *Engine) tokenGap() time.Duration {
 	share := float64(e.slots.running-1) / float64(e.options.Slots)
 	gap := float64(e.options.TokenTime) * (1 + share) * decodeCost(e.role)
 	return time.Duration(gap * e.faults.slowdown())
 }
 
-// Cost of a first token. A cached prefix saves three quarters; a prompt of
-// promptUnit bytes beyond the prefix costs as much again.
+// Cost of the first token, relative to FirstTokenTime. A cached prefix saves
+// three quarters; each promptUnit bytes beyond the prefix add a full
+// FirstTokenTime.
 const (
 	warmPrefixCost = 0.25
 	promptUnit     = 4096
 )
 
-// usePrefix reports whether the request's prompt prefix is warm, and caches it.
+// usePrefix reports whether the request's prompt prefix is cached or its KV
+// cache was imported, and caches the prefix.
 func (e *Engine) usePrefix(request Request) bool {
 	warm := e.cache.use(answer.Prefix(request.Prompt), e.clock.Now())
 	if e.imported[request.RequestID] {
@@ -115,7 +119,7 @@
 	return warm
 }
 
-// firstTokenTime returns how long the engine computes on the request's prompt.
+// firstTokenTime returns the simulated prefill time of the request.
 func (e *Engine) firstTokenTime(request Request, warm bool) time.Duration {
 	cost := 1.0
 	if warm {
@@ -135,14 +139,15 @@
 	return total
 }
 
-// Roles that an order may give.
+// Roles that an order may set.
 const (
 	roleBoth    = "both"
 	rolePrefill = "prefill"
 	roleDecode  = "decode"
 )
 
-// An engine tuned for one phase is faster in it and slower in the other.
+// Relative cost of a phase in an engine whose role favors that phase or the
+// other one.
 const (
 	tunedCost   = 0.8
 	untunedCost = 1.5
--- a/standin/internal/engine/engine_test.go
+++ b/standin/internal/engine/engine_test.go
@@ -22,8 +22,8 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// TestScripts replays what happens in one engine, event by event, with times
-// of a fake clock.
+// TestScripts runs the scripts in testdata against an engine, with fake time,
+// and compares the trace of events.
 func TestScripts(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(scripts) == 0 {
@@ -40,13 +40,13 @@
 	}
 }
 
-// version is one set of weights of the test.
+// version is a version of weights used by a script.
 type version struct {
 	hash   string
 	chunks []string
 }
 
-// scriptRunner is the engine of one script and the trace of what it did.
+// scriptRunner executes one script on an engine and records a trace of events.
 type scriptRunner struct {
 	engine   *Engine
 	started  time.Time
@@ -58,7 +58,7 @@
 	trace []event
 }
 
-// event is one thing that happened to a request, or to an order.
+// event is a trace entry about a request or an order.
 type event struct {
 	at       time.Duration
 	id, what string
@@ -90,7 +90,7 @@
 		return s.show(s.engine.Status())
 	case "ledger":
 		record := s.engine.Ledger(d.HasArg("accounts"))
-		// Requests cut at one instant have no order.
+		// Requests cut off at the same instant have no defined order.
 		sort.Slice(record.Violations, func(i, j int) bool { return record.Violations[i].RequestID < record.Violations[j].RequestID })
 		return s.show(record)
 	case "events":
@@ -124,7 +124,7 @@
 	}
 }
 
-// stop ends what still runs, so that the bubble can close.
+// stop ends all running requests, as synctest requires before the test returns.
 func (s *scriptRunner) stop() {
 	for _, leave := range s.leave {
 		leave()
@@ -132,7 +132,7 @@
 	s.calls.Wait()
 }
 
-// put makes a version of some chunks and keeps all but the one to lack.
+// put builds a version and stores its chunks, except the one given by lack.
 func (s *scriptRunner) put(t *testing.T, d *datadriven.TestData) {
 	name, base, kind := argument(t, d, "version"), "", manifest.KindBase
 	if d.HasArg("base") {
@@ -187,7 +187,7 @@
 	s.note("order", "done")
 }
 
-// send starts a request; its events come into the trace.
+// send starts a request whose events are added to the trace.
 func (s *scriptRunner) send(t *testing.T, d *datadriven.TestData) {
 	request := Request{RequestID: argument(t, d, "id"), Model: "parcel", Prompt: argument(t, d, "id"), MaxTokens: number(t, d, "tokens")}
 	if d.HasArg("model") {
@@ -238,8 +238,8 @@
 	s.trace = append(s.trace, event{at: time.Since(s.started), id: id, what: fmt.Sprintf(format, args...)})
 }
 
-// flush returns the trace since the last time. Requests of one instant have no
-// order, so they are sorted by id.
+// flush returns the trace since the last call. Events at the same instant have no
+// defined order, so they are sorted by id.
 func (s *scriptRunner) flush() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +266,7 @@
 	return s.named(string(text) + "\n")
 }
 
-// named puts the test's names in place of hashes.
+// named replaces hashes by the names that the script uses.
 func (s *scriptRunner) named(text string) string {
 	for name, made := range s.versions {
 		text = strings.ReplaceAll(text, made.hash, name)
--- a/standin/internal/engine/faults.go
+++ b/standin/internal/engine/faults.go
@@ -1,26 +1,26 @@
 package engine
 
-// Faults are the knobs that a test turns; the zero value is a healthy engine.
+// Faults configures fault injection; the zero value is a healthy engine.
 type Faults struct {
-	// SlowFactor makes everything so many times slower; 0 stands for 1.
+	// SlowFactor multiplies all simulated durations; 0 means 1.
 	SlowFactor float64 `json:"slowFactor"`
-	// FailFast refuses every generation at once: certainly not run.
+	// FailFast rejects every generation immediately, before it runs.
 	FailFast bool `json:"failFast"`
-	// ErrorAfterBegin breaks each generation right after it began.
+	// ErrorAfterBegin aborts each generation right after its begin event.
 	ErrorAfterBegin bool `json:"errorAfterBegin"`
-	// Stall stops all progress of generations; connections stay open.
+	// Stall pauses all generations; their connections stay open.
 	Stall bool `json:"stall"`
-	// RefuseLoad refuses orders to load.
+	// RefuseLoad rejects load orders.
 	RefuseLoad bool `json:"refuseLoad"`
-	// DropLoad says that a load was done and does nothing.
+	// DropLoad reports load orders as done without loading anything.
 	DropLoad bool `json:"dropLoad"`
-	// DieAfterTokens breaks each generation's connection after so many tokens;
+	// DieAfterTokens breaks each generation's connection after this many tokens;
 	// 0 means never.
 	DieAfterTokens int `json:"dieAfterTokens"`
-	// ReportIdle hides the load from the status.
+	// ReportIdle makes the status report no running or queued requests.
 	ReportIdle bool `json:"reportIdle"`
-	// Dead breaks all connections and forgets weights and chunks, as when the
-	// host died; switched off, the host is back, empty.
+	// Dead breaks all connections and discards weights and chunks, as a host
+	// crash does. Once it is reset, the host is up again and holds nothing.
 	Dead bool `json:"dead"`
 }
 
@@ -31,7 +31,7 @@
 	return f.SlowFactor
 }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	e.faults = faults
@@ -47,7 +47,7 @@
 	}
 }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the injected faults in force.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/internal/engine/handler.go
+++ b/standin/internal/engine/handler.go
@@ -14,9 +14,9 @@
 	"comfreyrelay.example/relay/manifest"
 )
 
-// Bounds of HTTP.
+// Limits of the HTTP interface.
 const (
-	maxBody      = 4 << 20 // bytes, but for chunks
+	maxBody      = 4 << 20 // bytes; chunks have their own limit
 	writeTimeout = 30 * time.Second
 )
 
@@ -42,7 +42,7 @@
 	return router
 }
 
-// breakWhenDead closes connections without an answer, as a dead host would.
+// breakWhenDead closes connections without a response while the Dead fault is set.
 func (e *Engine) breakWhenDead(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.Faults().Dead {
@@ -99,7 +99,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// writeOrderError sends the fence in force with a refusal of an old one.
+// writeOrderError writes an error; for an outdated fence, the body holds the
+// current fence.
 func (e *Engine) writeOrderError(w http.ResponseWriter, err error) {
 	if failure.KindOf(err) != failure.Stale {
 		writeError(w, err)
@@ -183,7 +184,7 @@
 		writeError(w, failure.Wrap(err, failure.Invalid, "the body is not the JSON expected", "see docs/PROTOCOLS.md"))
 		return false
 	}
-	// The server notices that a client went away only once the body is read.
+	// net/http detects a client disconnect only after the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	return true
 }
--- a/standin/internal/engine/handler_test.go
+++ b/standin/internal/engine/handler_test.go
@@ -17,7 +17,7 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// chunk is the one chunk of the version that these tests load.
+// chunk is the only chunk of the version that these tests load.
 const chunk = "weights"
 
 func newServer(t *testing.T, options Options) (*Engine, string) {
@@ -109,11 +109,11 @@
 	}
 }
 
-// Symptom: a stand-in that went on after its client left would keep slots busy
-// for nobody, and one that ended the stream cleanly would show a cut answer as
-// whole. Sequence: a long generation begins; the client goes, or an order takes
-// the weights away. Cause: the stream must end with the run, and only a broken
-// connection shows the reader that no end comes.
+// Guards against a run that outlives its client and occupies a slot, and against
+// a stream that closes cleanly, which makes a truncated answer look complete. A
+// long generation begins; then the client disconnects or an order unloads the
+// weights. The stream must end with the run, and only a broken connection tells
+// the reader that no end event follows.
 func TestGenerateIsCut(t *testing.T) {
 	tests := []struct {
 		name string
@@ -170,7 +170,7 @@
 	}
 }
 
-// waitFor polls for what another goroutine is about to do.
+// waitFor polls until a condition set by another goroutine holds.
 func waitFor(t *testing.T, done func() bool) {
 	t.Helper()
 	const patience = 10 * time.Second
--- a/standin/internal/engine/kvcache.go
+++ b/standin/internal/engine/kvcache.go
@@ -5,18 +5,18 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// maxImported bounds the imported caches that wait for their request.
+// maxImported limits the imported KV caches whose request has not arrived yet.
 const maxImported = 1024
 
-// KVCache is what moves between engines of one version: here only its name,
-// as the stand-in has nothing to compute with.
+// KVCache is a KV cache transferred between engines of one version. It carries
+// only identifiers, as a simulated engine has no tensors.
 type KVCache struct {
 	RequestID string `json:"requestId"`
 	Version   string `json:"version"`
 	Prompt    string `json:"prompt"`
 }
 
-// Export returns the KV cache of a request that runs here.
+// Export returns the KV cache of a running request.
 func (e *Engine) Export(id string) (KVCache, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -28,7 +28,8 @@
 	return KVCache{}, failure.New(failure.NotFound, "request "+id+" does not run here", "export while the request runs")
 }
 
-// Import makes the first token of the request cheap.
+// Import registers a KV cache, which gives the request the first-token time of a
+// cached prefix.
 func (e *Engine) Import(id string, moved KVCache) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/internal/engine/ledger.go
+++ b/standin/internal/engine/ledger.go
@@ -4,23 +4,23 @@
 	"sync"
 )
 
-// Bounds of the ledger; the oldest request ids go first.
+// Limits of the ledger; the oldest request ids are dropped first.
 const (
 	maxAccounts   = 1 << 16
 	maxViolations = 100
 )
 
-// ending is how one run ended.
+// outcome is how a run ended.
 type outcome int
 
 const (
 	completed outcome = iota
-	cutOff            // by an order that took the weights away
-	cancelled         // by /cancel, or the client went away
-	broken            // by a fault
+	cutOff            // by an order that unloaded the weights
+	cancelled         // by /cancel or a client disconnect
+	broken            // by an injected fault
 )
 
-// Account is what one engine ran under one request id.
+// Account counts the runs of one request id on one engine.
 type Account struct {
 	Begun     int    `json:"begun"`
 	Completed int    `json:"completed"`
@@ -28,19 +28,19 @@
 	Cancelled int    `json:"cancelled,omitempty"`
 	Broken    int    `json:"broken,omitempty"`
 	Version   string `json:"version"`
-	// Content names what was asked, as answer.Content does: one id may not
-	// carry two, and one content may have come under several ids.
+	// Content identifies the request's content (see answer.Content). An id must
+	// not be used for two contents; a content may appear under several ids.
 	Content string `json:"content"`
 }
 
-// Totals sums the accounts of one engine, also those forgotten since.
+// Totals sums all accounts of one engine, including those dropped since.
 type Totals struct {
 	Begun     int `json:"begun"`
 	Completed int `json:"completed"`
 	CutOff    int `json:"cutOff"`
 	Cancelled int `json:"cancelled"`
 	Broken    int `json:"broken"`
-	// Refused generations were certainly not run.
+	// Refused counts generations that were rejected and never ran.
 	Refused   int `json:"refused"`
 	Tokens    int `json:"tokens"`
 	CacheHits int `json:"cacheHits"`
@@ -50,15 +50,15 @@
 // OrderTotals counts orders.
 type OrderTotals struct {
 	Obeyed int `json:"obeyed"`
-	// OldRefused and OldObeyed bore a fence below the highest one seen.
+	// OldRefused and OldObeyed count orders with a fence below the highest seen.
 	OldRefused int `json:"oldRefused"`
 	OldObeyed  int `json:"oldObeyed"`
-	// NotWhole were loads with a chunk missing or of another version.
+	// NotWhole counts loads with a chunk that is missing or of another version.
 	NotWhole int `json:"notWhole"`
 	Loads    int `json:"loads"`
 }
 
-// Violation is something that the product must never cause.
+// Violation is an event that the system under test must never cause.
 type Violation struct {
 	Kind      string `json:"kind"`
 	RequestID string `json:"requestId,omitempty"`
@@ -68,18 +68,18 @@
 // Kinds of violation.
 const (
 	violationCutOff      = "cutOff"             // an order cut a running request
-	violationTwoRequests = "oneIdTwoRequests"   // one id came with two contents
-	violationOtherResume = "resumedOtherAnswer" // resume tokens are not this answer's
+	violationTwoRequests = "oneIdTwoRequests"   // one id was used for two contents
+	violationOtherResume = "resumedOtherAnswer" // resume tokens belong to another answer
 )
 
-// Ledger is the engine's record as JSON.
+// Ledger is the JSON form of the engine's record.
 type Ledger struct {
 	Totals         Totals             `json:"totals"`
 	Orders         OrderTotals        `json:"orders"`
-	MaxBegun       int                `json:"maxBegun"` // most runs of one id
+	MaxBegun       int                `json:"maxBegun"` // largest number of runs of one id
 	Violations     []Violation        `json:"violations"`
 	ViolationCount int                `json:"violationCount"`
-	Forgotten      int                `json:"forgotten"` // ids dropped at the bound
+	Forgotten      int                `json:"forgotten"` // ids dropped because of maxAccounts
 	RunsByID       map[string]Account `json:"runsById,omitempty"`
 }
 
@@ -92,7 +92,7 @@
 	violationCount int
 	forgotten      int
 	accounts       map[string]*Account // at most maxAccounts
-	arrivals       []string            // ring of the ids in accounts
+	arrivals       []string            // ring buffer of the ids in accounts
 	oldest         int                 // index in arrivals once it is full
 }
 
@@ -124,6 +124,7 @@
 	}
 }
 
+// trackID adds an id and drops the oldest one if there are maxAccounts.
 func (l *ledger) trackID(id string) {
 	if len(l.arrivals) < maxAccounts {
 		l.arrivals = append(l.arrivals, id)
@@ -135,13 +136,13 @@
 	l.oldest = (l.oldest + 1) % maxAccounts
 }
 
-// end records how a run that began ended, with the tokens it made.
+// end records the outcome of a run and the number of tokens it generated.
 func (l *ledger) end(id string, result outcome, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	account := l.accounts[id]
 	if account == nil {
-		account = &Account{} // forgotten since: only the totals count
+		account = &Account{} // dropped since; only the totals are updated
 	}
 	l.totals.Tokens += tokens
 	switch result {
@@ -167,7 +168,7 @@
 	l.totals.Refused++
 }
 
-// order changes the counts of orders under the lock.
+// order applies change to the order counts under the lock.
 func (l *ledger) order(change func(*OrderTotals)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,7 +189,8 @@
 	}
 }
 
-// copy returns the record; accounts only on request, as they are many.
+// copy returns the record. Accounts are included only on request, as there can be
+// many.
 func (l *ledger) copy(withAccounts bool) Ledger {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/internal/engine/orders.go
+++ b/standin/internal/engine/orders.go
@@ -10,14 +10,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Orders by name.
+// Values of Order.Order.
 const (
 	orderLoad   = "load"
 	orderUnload = "unload"
 	orderRole   = "role"
 )
 
-// Order is what the host's agent orders the engine to do.
+// Order is a command from the host's agent to the engine.
 type Order struct {
 	Fence       uint64         `json:"fence"`
 	Order       string         `json:"order"`
@@ -28,25 +28,25 @@
 	Role        string         `json:"role"`
 }
 
-// AdapterOrder names one adapter to load over the base.
+// AdapterOrder names an adapter to load on top of the base version.
 type AdapterOrder struct {
 	Name        string   `json:"name"`
 	Version     string   `json:"version"`
 	ChunkHashes []string `json:"chunkHashes"`
 }
 
-// weights is one version in the engine's memory with its adapters.
+// weights is a loaded version with its adapters.
 type weights struct {
 	model    string
 	version  string
 	adapters []*adapterWeights
-	unloaded chan struct{} // closed when the version is taken away
+	unloaded chan struct{} // closed when the version is unloaded
 }
 
 type adapterWeights struct {
 	name     string
 	version  string
-	unloaded chan struct{} // closed when the adapter is taken away
+	unloaded chan struct{} // closed when the adapter is unloaded
 }
 
 func (w *weights) adapter(name string) *adapterWeights {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Obey carries out one order, or says why not. Orders run one at a time.
+// Obey executes an order or returns why it was rejected. Orders run one at a time.
 func (e *Engine) Obey(order Order) error {
 	e.orders.Lock()
 	defer e.orders.Unlock()
@@ -87,8 +87,8 @@
 	return failure.New(failure.Invalid, fmt.Sprintf("the order %q is unknown", order.Order), "order load, unload or role")
 }
 
-// checkFence refuses or merely counts an order from a past holder of the
-// lease, depending on the kind of engine.
+// checkFence handles an order from a previous lease holder: it rejects the order
+// if ChecksFencing is set and only counts it otherwise.
 func (e *Engine) checkFence(fence uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// loadVersion takes the old weights away, cutting what runs on them, and
-// serves the new ones after the load time.
+// loadVersion unloads the old weights, which interrupts the requests that run on
+// them, and serves the new ones after the load time.
 func (e *Engine) loadVersion(order Order) error {
 	faults := e.Faults()
 	if faults.RefuseLoad {
@@ -147,7 +147,8 @@
 	return nil
 }
 
-// changeAdapters does the whole load where the base is loaded already.
+// changeAdapters handles a load whose base version is already loaded: only the
+// adapters change. It returns false if the base differs.
 func (e *Engine) changeAdapters(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,7 +159,7 @@
 	return true
 }
 
-// setAdapters keeps the adapters that stay and takes the others away.
+// setAdapters keeps loaded adapters that are still ordered and unloads the others.
 func (w *weights) setAdapters(orders []AdapterOrder) {
 	kept := make([]*adapterWeights, 0, len(orders))
 	for _, order := range orders {
@@ -188,8 +189,8 @@
 	e.loaded = nil
 }
 
-// checkAllChunks checks that every chunk is held and that together they are the
-// version that the order names.
+// checkAllChunks checks that every chunk is stored and that the chunks make up the
+// versions named in the order.
 func (e *Engine) checkAllChunks(order Order) error {
 	if err := e.checkChunks(order.Model, order.Version, "", order.ChunkHashes); err != nil {
 		return err
@@ -215,7 +216,7 @@
 		sizes[i] = len(bytes)
 	}
 	if len(hashes) == 1 {
-		return nil // one chunk is whole by itself, and its manifest's chunk size cannot be known
+		return nil // the manifest's chunk size cannot be derived from a single chunk, which is complete by itself
 	}
 	if rebuilt := versionOfChunks(model, base, hashes, sizes); rebuilt != version {
 		return failure.New(failure.Corrupt, "the chunks are not those of version "+version, "order the chunks of one manifest, in its order")
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// rebuild returns the version whose manifest lists these chunks.
+// versionOfChunks returns the version whose manifest lists these chunks.
 func versionOfChunks(model, base string, hashes []string, sizes []int) string {
 	man := &wire.Manifest{Model: model, Kind: manifest.KindBase, BaseVersion: base, ChunkBytes: uint32(sizes[0])}
 	if base != "" {
--- a/standin/internal/engine/slots.go
+++ b/standin/internal/engine/slots.go
@@ -4,9 +4,9 @@
 	"container/heap"
 )
 
-// slots admits requests to the batch: so many run at once, the others wait in
-// a bounded queue, larger priorities first, then by arrival. The engine's lock
-// guards it.
+// slots admits requests to the batch: up to size requests run concurrently, the
+// others wait in a bounded queue, ordered by descending priority and then by
+// arrival. Engine.mu guards it.
 type slots struct {
 	size     int
 	maxQueue int
@@ -15,15 +15,15 @@
 	queue    waiters
 }
 
-// waiter is one request that waits for a slot.
+// waiter is a request that waits for a slot or holds one.
 type waiter struct {
 	priority uint32
 	arrival  uint64
-	granted  chan struct{} // closed when the slot is the waiter's
-	index    int           // in the heap; -1 once out of it
+	granted  chan struct{} // closed when the waiter gets its slot
+	index    int           // index in the heap; -1 when not queued
 }
 
-// enter takes a slot or a place in the queue; false means that both are full.
+// enter takes a slot or joins the queue; it returns false if both are full.
 func (s *slots) enter(priority uint32) (*waiter, bool) {
 	s.arrivals++
 	entrant := &waiter{priority: priority, arrival: s.arrivals, granted: make(chan struct{}), index: -1}
@@ -39,7 +39,7 @@
 	return entrant, true
 }
 
-// leave gives up a place in the queue or a slot.
+// leave removes a waiter from the queue, or frees its slot for the next one.
 func (s *slots) leave(leaver *waiter) {
 	if leaver.index >= 0 {
 		heap.Remove(&s.queue, leaver.index)
@@ -54,7 +54,7 @@
 	close(next.granted)
 }
 
-// waiters is the heap of a queue.
+// waiters implements heap.Interface.
 type waiters []*waiter
 
 func (w waiters) Len() int { return len(w) }
@@ -71,14 +71,14 @@
 	w[i].index, w[j].index = i, j
 }
 
-// Push is called by package heap.
+// Push implements heap.Interface.
 func (w *waiters) Push(x any) {
 	entrant := x.(*waiter)
 	entrant.index = len(*w)
 	*w = append(*w, entrant)
 }
 
-// Pop is called by package heap.
+// Pop implements heap.Interface.
 func (w *waiters) Pop() any {
 	last := len(*w) - 1
 	entrant := (*w)[last]
--- a/standin/internal/engine/status.go
+++ b/standin/internal/engine/status.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Status is what an engine says of itself. What it has loaded is current; the
-// load figures are as old as the engine's lag.
+// Status is the state that an engine reports. The loaded versions are current; the
+// running and queued counts are delayed by Options.StatusLag.
 type Status struct {
 	Model           string        `json:"model"`
 	Version         string        `json:"version"`
@@ -16,13 +16,13 @@
 	TokensPerSecond float64       `json:"tokensPerSecond"`
 }
 
-// AdapterName is one adapter that is loaded.
+// AdapterName identifies a loaded adapter.
 type AdapterName struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
 
-// Status returns the engine's own view.
+// Status returns the state that the engine reports.
 func (e *Engine) Status() Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,10 +50,10 @@
 	return status
 }
 
-// samplesPerLag is how finely the history of the load is kept.
+// samplesPerLag is the number of load samples kept per lag period.
 const samplesPerLag = 16
 
-// loadHistory remembers the load for as long as its reports lag.
+// loadHistory keeps past load samples, so that the load is reported with a delay.
 type loadHistory struct {
 	lag     time.Duration
 	samples []loadSample // oldest first, about samplesPerLag of them
@@ -64,7 +64,7 @@
 	running, queued int
 }
 
-// record notes the load from now on.
+// record stores the load that applies from now on.
 func (h *loadHistory) record(now time.Time, running, queued int) {
 	sample := loadSample{at: now, running: running, queued: queued}
 	last := len(h.samples) - 1
@@ -77,14 +77,14 @@
 	h.forget(now)
 }
 
-// forget drops all samples that a later one outdates for every reader.
+// forget drops samples that are superseded by one at least a lag old.
 func (h *loadHistory) forget(now time.Time) {
 	for len(h.samples) > 1 && now.Sub(h.samples[1].at) >= h.lag {
 		h.samples = h.samples[1:]
 	}
 }
 
-// at returns the load as it was one lag before now.
+// at returns the load one lag before now.
 func (h *loadHistory) at(now time.Time) loadSample {
 	h.forget(now)
 	if len(h.samples) == 0 || now.Sub(h.samples[0].at) < h.lag {
@@ -93,7 +93,7 @@
 	return h.samples[0]
 }
 
-// tokenRate counts tokens by whole seconds.
+// tokenRate counts tokens per whole second.
 type tokenRate struct {
 	second  int64
 	current int
@@ -105,12 +105,13 @@
 	s.current++
 }
 
-// perSecond returns the tokens of the last whole second.
+// perSecond returns the token count of the last complete second.
 func (s *tokenRate) perSecond(now time.Time) float64 {
 	s.advance(now)
 	return float64(s.last)
 }
 
+// advance starts a new count if a new second has begun.
 func (s *tokenRate) advance(now time.Time) {
 	second := now.Unix()
 	if second == s.second {
--- a/standin/internal/engine/stream.go
+++ b/standin/internal/engine/stream.go
@@ -21,7 +21,7 @@
 	return &eventStream{w: w, controller: http.NewResponseController(w)}
 }
 
-// begin sends the headers and the version.
+// begin sends the headers and the begin event.
 func (s *eventStream) begin(version string) error {
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.buffer = append(s.buffer[:0], `event: begin`+"\n"+`data: {"version":`...)
@@ -45,8 +45,8 @@
 	return s.send()
 }
 
-// send closes the event and writes it at once. A reader that takes nothing for
-// the time-out loses its request, so that it cannot hold a slot for ever.
+// send terminates the event and flushes it. A client that reads nothing for
+// writeTimeout loses its request, so that it cannot hold a slot forever.
 func (s *eventStream) send() error {
 	s.buffer = append(s.buffer, "}\n\n"...)
 	if err := s.controller.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -82,9 +82,9 @@
 		return
 	}
 	if err != nil {
-		// Closing the connection is the only way to show that no end comes.
+		// Only a broken connection tells the client that no end event follows.
 		panic(http.ErrAbortHandler)
 	}
-	// The deadline must not outlive the answer: the connection is used again.
+	// Clear the write deadline, as the connection may be reused.
 	_ = stream.controller.SetWriteDeadline(time.Time{})
 }
