--- a/standin/internal/cmd/cmd_load.go
+++ b/standin/internal/cmd/cmd_load.go
@@ -77,7 +77,7 @@
 func runLoad(ctx context.Context, options *loadOptions) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	parsed, err := options.load()
+	parsed, err := options.parse()
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 }
 
 // load turns the flags into options.
-func (o *loadOptions) load() (load.Options, error) {
+func (o *loadOptions) parse() (load.Options, error) {
 	parsed := load.Options{
 		Entries:       o.Entries,
 		Direct:        o.Direct,
