--- a/standin/internal/cmd/cmd.go
+++ b/standin/internal/cmd/cmd.go
@@ -8,7 +8,7 @@
 	"comfreyrelay.example/relay/cli"
 )
 
-// program is the name in help and messages.
+// program is the program name shown in help and messages.
 const program = "comfreystandin"
 
 // Main runs the subcommand that the arguments name and returns the exit code.
@@ -20,7 +20,7 @@
 	return append(platformCommands(), endpointCommands()...)
 }
 
-// platformCommands are the stand-ins of what the platform gives.
+// platformCommands returns the commands that simulate services of the platform.
 func platformCommands() []*cli.Command {
 	return []*cli.Command{kvCommand(), hostsCommand(), originCommand(), publishCommand(), siteCommand()}
 }
--- a/standin/internal/cmd/cmd_engine.go
+++ b/standin/internal/cmd/cmd_engine.go
@@ -80,7 +80,7 @@
 	return serveEndpoints(ctx, endpoints)
 }
 
-// engine returns the options of engine i.
+// engine converts the flags to the options of engine i.
 func (o *engineOptions) engine(chunks *engine.Pool, i uint64) engine.Options {
 	return engine.Options{
 		Slots:          o.Slots,
@@ -103,7 +103,7 @@
 	return time.Duration(count * float64(time.Millisecond))
 }
 
-// withPort replaces the port of an address where one is given.
+// withPort replaces the port of an address, unless port is 0.
 func withPort(address string, port int) (string, error) {
 	if port == 0 {
 		return address, nil
--- a/standin/internal/cmd/cmd_load.go
+++ b/standin/internal/cmd/cmd_load.go
@@ -109,7 +109,8 @@
 	return json.NewEncoder(os.Stdout).Encode(summary)
 }
 
-// openRecord returns a nil writer where no file is wanted.
+// openRecord opens the ledger file and returns a writer and a function that closes
+// it. The writer is nil if name is empty.
 func openRecord(name string) (io.Writer, func() error, error) {
 	if name == "" {
 		return nil, func() error { return nil }, nil
@@ -128,7 +129,7 @@
 	return buffered, closeRecord, nil
 }
 
-// load turns the flags into options.
+// parse converts the flags to load options.
 func (o *loadOptions) parse() (load.Options, error) {
 	parsed := load.Options{
 		Entries:       o.Entries,
--- a/standin/internal/cmd/cmd_publish.go
+++ b/standin/internal/cmd/cmd_publish.go
@@ -14,7 +14,7 @@
 	"comfreyrelay.example/standin/internal/origin"
 )
 
-// maxAnswerBytes bounds the origin's answer.
+// maxAnswerBytes limits how much of the origin's response is read.
 const maxAnswerBytes = 1 << 16
 
 func publishCommand() *cli.Command {
--- a/standin/internal/cmd/endpoint.go
+++ b/standin/internal/cmd/endpoint.go
@@ -12,18 +12,19 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// endpointCommands are the stand-ins of back ends and the caller.
+// endpointCommands returns the commands that simulate endpoints and the load
+// generator.
 func endpointCommands() []*cli.Command {
 	return []*cli.Command{engineCommand(), serviceCommand(), loadCommand()}
 }
 
-// endpoint is one stand-in with its address.
+// endpoint is a simulated endpoint and the address it listens on.
 type endpoint struct {
 	address string
 	handler http.Handler
 }
 
-// serveEndpoints serves all until the context ends or one of them fails.
+// serveEndpoints serves all endpoints until ctx is done or one of them fails.
 func serveEndpoints(ctx context.Context, endpoints []endpoint) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, one := range endpoints {
@@ -32,8 +33,8 @@
 	return group.Wait()
 }
 
-// addresses returns count addresses on consecutive ports from the first; with
-// port 0 each gets a free one.
+// addresses returns count addresses on consecutive ports starting with first. With
+// port 0, every address has port 0, so that each listener gets a free port.
 func addresses(first string, count int) ([]string, error) {
 	start, err := netip.ParseAddrPort(first)
 	if err != nil {
--- a/standin/internal/cmd/serve.go
+++ b/standin/internal/cmd/serve.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// stopTimeout is what calls in progress get to finish after SIGTERM.
+	// stopTimeout is how long calls in progress may take to finish after SIGTERM.
 	stopTimeout = 2 * time.Second
-	// headerTimeout bounds the time a client takes to send its header.
+	// headerTimeout limits how long a client may take to send the request header.
 	headerTimeout = 10 * time.Second
 )
 
-// serve answers on the address until the context ends. Once it is ready it
-// prints "listening address=ip:port", so that port 0 can be asked for.
+// serve serves HTTP on the address until ctx is done. Once it listens, it prints
+// "listening address=ip:port", so that callers who pass port 0 learn the port.
 func serve(ctx context.Context, listen string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// stop lets short calls end and cuts off the rest, such as waiting watches.
+// stop waits up to stopTimeout for calls to finish and closes the remaining
+// connections, such as those of long-polling watches.
 func stop(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
