--- a/standin/internal/answer/answer.go
+++ b/standin/internal/answer/answer.go
@@ -1,5 +1,6 @@
-// Package answer defines what the stand-ins answer: a function of the version
-// and the request alone, so that the caller can check every answer by itself.
+// Package answer computes the responses of the simulated endpoints. A response
+// depends only on the version and the request, so that the load generator can
+// verify every answer on its own.
 package answer
 
 import (
@@ -10,25 +11,25 @@
 	"github.com/zeebo/blake3"
 )
 
-// PrefixBytes is how much of a prompt a prefix cache looks at.
+// PrefixBytes is the length of the prompt prefix that the prefix cache uses as key.
 const PrefixBytes = 64
 
-// tokenSpace bounds the numbers that tokens spell, so that tokens stay short.
+// tokenSpace limits the numbers that tokens encode, so that tokens stay short.
 const tokenSpace = 1 << 40
 
-// numberBase is the base in which a token spells its number.
+// numberBase is the base in which a token encodes its number.
 const numberBase = 36
 
-// hexBase is the base in which contents are written.
+// hexBase is the base in which content hashes are formatted.
 const hexBase = 16
 
-// Text is the endless text that one version generates for one prompt.
+// Text is the unbounded sequence of tokens that a version generates for a prompt.
 type Text struct {
 	seed uint64
 }
 
-// New returns the text of a prompt. The adapter is the adapter's version, ""
-// without one.
+// New returns the text for a prompt. adapter is the adapter's version, or "" if
+// none is used.
 func New(version, adapter, prompt string) Text {
 	digest := xxhash.New()
 	for _, part := range []string{version, adapter, prompt} {
@@ -43,12 +44,12 @@
 	return strconv.FormatUint(mix(t.seed+uint64(i))%tokenSpace, numberBase)
 }
 
-// Token returns token i of the text that one version generates for a prompt.
+// Token returns token i of the text that a version generates for a prompt.
 func Token(version, adapter, prompt string, i int) string {
 	return New(version, adapter, prompt).Token(i)
 }
 
-// Digest returns the BLAKE3, hexadecimal, of the tokens joined by newlines.
+// Digest returns the hexadecimal BLAKE3 hash of the tokens joined by newlines.
 func Digest(tokens []string) string {
 	hasher := blake3.New()
 	for i, token := range tokens {
@@ -60,24 +61,24 @@
 	return hex.EncodeToString(hasher.Sum(nil))
 }
 
-// Prefix returns the hash under which a prompt's prefix is cached.
+// Prefix returns the hash of the prompt's prefix, the key of the prefix cache.
 func Prefix(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), PrefixBytes)])
 }
 
-// Service returns what a plain service answers to a body.
+// Service returns a plain service's response to a body.
 func Service(body []byte) []byte {
 	sum := blake3.Sum256(append([]byte("service\n"), body...))
 	return []byte(hex.EncodeToString(sum[:]))
 }
 
-// Content names what a request to a model asks, whatever ids it bears: a caller
-// finds by it every run of one request in the ledgers.
+// Content returns a hash of a model request without its ids. The load generator
+// uses it to find every run of one request in the ledgers.
 func Content(model, adapter, prompt string) string {
 	return formatHash(xxhash.Sum64String(model + "\x00" + adapter + "\x00" + prompt))
 }
 
-// BodyContent is like Content for the body of a call to a plain service.
+// BodyContent is the equivalent of Content for the body of a plain service call.
 func BodyContent(body []byte) string {
 	return formatHash(xxhash.Sum64(body))
 }
@@ -86,7 +87,8 @@
 	return strconv.FormatUint(hash, hexBase)
 }
 
-// mix is the finaliser of splitmix64: neighbours give unrelated numbers.
+// mix is the finalizer of splitmix64, which maps adjacent inputs to unrelated
+// numbers.
 func mix(n uint64) uint64 {
 	n += 0x9e3779b97f4a7c15
 	n = (n ^ n>>30) * 0xbf58476d1ce4e5b9
