--- a/standin/internal/fault/knobs.go
+++ b/standin/internal/fault/knobs.go
@@ -1,4 +1,5 @@
-// Package fault holds what the stand-ins' fault knobs have in common.
+// Package fault implements the fault injection settings (knobs) shared by the
+// simulated services.
 package fault
 
 import (
@@ -7,29 +8,29 @@
 	"sync"
 )
 
-// maxBodyBytes bounds a body of POST /faults.
+// maxBodyBytes limits the body of POST /faults.
 const maxBodyBytes = 1 << 16
 
-// Knobs holds a stand-in's knobs; T is a struct with JSON fields. As a handler
-// it merges a POSTed object into the knobs: a knob that the body leaves out
-// stays as it is. It answers with all knobs.
+// Knobs holds the fault settings of a simulated service; T is a struct with JSON
+// fields. As an HTTP handler it merges a POSTed object into the settings, leaving
+// absent fields unchanged, and responds with all settings.
 type Knobs[T any] struct {
-	// Changed, where set, is called after each change with the new knobs and
-	// returns them with one-shot knobs reset.
+	// Changed, if set, is called on each change with the new settings and returns
+	// them with one-shot settings reset.
 	Changed func(T) T
 
 	mu     sync.Mutex
 	values T
 }
 
-// Get returns the knobs as they are now.
+// Get returns the current settings.
 func (k *Knobs[T]) Get() T {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.values
 }
 
-// Set replaces the knobs.
+// Set replaces the settings.
 func (k *Knobs[T]) Set(values T) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -43,13 +44,13 @@
 	k.values = values
 }
 
-// clone returns a deep copy: decoding into the knobs themselves would change
-// lists that readers still look at.
+// clone returns a deep copy. Decoding into the current settings would modify
+// slices that readers still use.
 func (k *Knobs[T]) clone() T {
 	var values T
 	text, err := json.Marshal(k.values)
 	if err == nil {
-		_ = json.Unmarshal(text, &values) // what was marshalled can be read
+		_ = json.Unmarshal(text, &values) // marshaled JSON can be decoded again
 	}
 	return values
 }
