--- a/standin/internal/service/service.go
+++ b/standin/internal/service/service.go
@@ -71,9 +71,9 @@
 
 // Service is one stand-in; its methods may be called at once.
 type Service struct {
-	options Options
-	places  chan struct{} // one for each call that runs or waits
-	slots   chan struct{} // one for each call that runs
+	options  Options
+	admitted chan struct{} // one for each call that runs or waits
+	slots    chan struct{} // one for each call that runs
 
 	// mu guards all below.
 	mu     sync.Mutex
@@ -90,7 +90,7 @@
 func New(options Options) *Service {
 	return &Service{
 		options:       options,
-		places:        make(chan struct{}, options.Slots*(1+queuePerSlot)),
+		admitted:      make(chan struct{}, options.Slots*(1+queuePerSlot)),
 		slots:         make(chan struct{}, options.Slots),
 		random:        rand.New(rand.NewPCG(options.Seed, uint64(options.Slots))),
 		faultsChanged: make(chan struct{}),
@@ -119,23 +119,23 @@
 
 // enter waits for a slot; the function that it returns frees the slot.
 func (s *Service) enter(ctx context.Context) (func(), error) {
-	if s.roll(func(faults Faults) float64 { return faults.FailBeforeRun }) {
+	if s.drawFault(func(faults Faults) float64 { return faults.FailBeforeRun }) {
 		return nil, failure.New(failure.Unavailable, "the service refuses the call", "send it again")
 	}
 	select {
-	case s.places <- struct{}{}:
+	case s.admitted <- struct{}{}:
 	default:
 		return nil, failure.New(failure.Exhausted, "the service's queue is full", "send the call again later")
 	}
 	if err := s.waitForSlot(ctx); err != nil {
-		<-s.places
+		<-s.admitted
 		return nil, err
 	}
-	return func() { <-s.slots; <-s.places }, nil
+	return func() { <-s.slots; <-s.admitted }, nil
 }
 
 func (s *Service) waitForSlot(ctx context.Context) error {
-	gone := failure.New(failure.Unavailable, "the client went away before the call began", "send it again")
+	errClientGone := failure.New(failure.Unavailable, "the client went away before the call began", "send it again")
 	for {
 		s.mu.Lock()
 		stalled, changed := s.faults.Stall, s.faultsChanged
@@ -146,18 +146,18 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return gone
+			return errClientGone
 		}
 	}
 	select {
 	case s.slots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return gone
+		return errClientGone
 	}
 }
 
-func (s *Service) roll(fraction func(Faults) float64) bool {
+func (s *Service) drawFault(fraction func(Faults) float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64() < fraction(s.faults)
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.ledger.RunsByID[id]; !known {
-		s.remember(id)
+		s.trackID(id)
 	}
 	s.ledger.RunsByID[id]++
 	s.ledger.Contents[id] = content
@@ -181,7 +181,7 @@
 	return lose
 }
 
-func (s *Service) remember(id string) {
+func (s *Service) trackID(id string) {
 	if len(s.arrivals) < maxAccounts {
 		s.arrivals = append(s.arrivals, id)
 		return
