--- a/standin/internal/service/handler.go
+++ b/standin/internal/service/handler.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// maxBody bounds a call's body in bytes.
+// maxBody limits the request body, in bytes.
 const maxBody = 4 << 20
 
 // Handler serves the service's HTTP interface.
@@ -36,7 +36,7 @@
 	}
 	body, err := s.Call(r.Context(), call.RequestID, call.Body)
 	if errors.Is(err, errReplyLost) || s.dead() {
-		// The caller sees a broken connection and does not know whether it ran.
+		// The caller sees a broken connection and cannot tell whether the call ran.
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -67,7 +67,7 @@
 		writeError(w, failure.Wrap(err, failure.Invalid, "the body is not the JSON expected", "see docs/PROTOCOLS.md"))
 		return false
 	}
-	// The server notices that a client went away only once the body is read.
+	// net/http detects a client disconnect only after the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	return true
 }
--- a/standin/internal/service/service.go
+++ b/standin/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service or the mainframe bridge:
-// it runs calls, some of which may not be repeated, and records every run.
+// Package service simulates a plain service or the mainframe bridge. It runs
+// calls, some of which must not be repeated, and records every run.
 package service
 
 import (
@@ -16,13 +16,13 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// maxAccounts bounds the request ids remembered; the oldest go first.
+// maxAccounts limits the request ids recorded; the oldest are dropped first.
 const maxAccounts = 1 << 18
 
-// queuePerSlot bounds the calls that wait, per slot.
+// queuePerSlot is the number of calls that may wait per slot.
 const queuePerSlot = 8
 
-// errReplyLost means that the call ran and its answer must not be sent.
+// errReplyLost means that the call ran but its response must not be sent.
 var errReplyLost = errors.New("the reply is lost")
 
 // Options configures a Service.
@@ -31,58 +31,58 @@
 	CallTime time.Duration
 	// Slots is how many calls run at once, at least 1.
 	Slots int
-	// Seed of the random faults.
+	// Seed seeds the random faults.
 	Seed uint64
-	// Clock paces the calls.
+	// Clock provides the duration of calls.
 	Clock clockwork.Clock
 }
 
-// Faults are the knobs that a test turns; the zero value is a healthy service.
+// Faults configures fault injection; the zero value is a healthy service.
 type Faults struct {
-	// FailBeforeRun is the fraction of calls refused with 503.
+	// FailBeforeRun is the fraction of calls rejected with 503 before they run.
 	FailBeforeRun float64 `json:"failBeforeRun"`
-	// LoseReply is the fraction of calls that run and whose connection is
-	// closed in place of an answer.
+	// LoseReply is the fraction of calls that run but whose connection is closed
+	// without a response.
 	LoseReply float64 `json:"loseReply"`
-	// Stall stops all calls before they run; connections stay open.
+	// Stall holds all calls before they run; their connections stay open.
 	Stall bool `json:"stall"`
-	// SlowFactor makes calls so many times slower; 0 stands for 1.
+	// SlowFactor multiplies the call time; 0 means 1.
 	SlowFactor float64 `json:"slowFactor"`
 	// Dead breaks all connections.
 	Dead bool `json:"dead"`
 }
 
-// Ledger is the service's record as JSON.
+// Ledger is the JSON form of the service's record.
 type Ledger struct {
-	// Runs counts all runs, also of ids forgotten since.
+	// Runs counts all runs, including those of ids dropped since.
 	Runs    int `json:"runs"`
 	Refused int `json:"refused"`
-	// Lost replies belong to calls that ran.
+	// LostReplies counts calls that ran but got no response.
 	LostReplies int `json:"lostReplies"`
-	// MaxRuns is the most runs of one id.
+	// MaxRuns is the largest number of runs of one id.
 	MaxRuns int `json:"maxRuns"`
-	// Forgotten counts the ids dropped at the bound.
+	// Forgotten counts the ids dropped because of maxAccounts.
 	Forgotten int            `json:"forgotten"`
 	RunsByID  map[string]int `json:"runsById,omitempty"`
-	// Contents maps ids to what was asked, as answer.BodyContent names it: one
-	// body may have come under several ids.
+	// Contents maps ids to the hash of the call's body (see answer.BodyContent).
+	// A body may appear under several ids.
 	Contents map[string]string `json:"contents,omitempty"`
 }
 
-// Service is one stand-in; its methods may be called at once.
+// Service is one simulated service; its methods are safe for concurrent use.
 type Service struct {
 	options  Options
 	admitted chan struct{} // one for each call that runs or waits
 	slots    chan struct{} // one for each call that runs
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu     sync.Mutex
 	random *rand.Rand
 	faults Faults
-	// faultsChanged is closed and replaced when faults change.
+	// faultsChanged is closed and replaced when faults changes.
 	faultsChanged chan struct{}
 	ledger        Ledger
-	arrivals      []string // ring of the ids in ledger.RunsByID
+	arrivals      []string // ring buffer of the ids in ledger.RunsByID
 	oldest        int      // index in arrivals once it is full
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// Call runs one call. A failure.Error means that it was certainly not run.
+// Call runs one call. A failure.Error means that the call never ran.
 func (s *Service) Call(ctx context.Context, id string, body []byte) ([]byte, error) {
 	if id == "" {
 		return nil, failure.New(failure.Invalid, "the call lacks a requestId", "send one")
@@ -117,7 +117,7 @@
 	return answer.Service(body), nil
 }
 
-// enter waits for a slot; the function that it returns frees the slot.
+// enter waits for a slot and returns a function that releases it.
 func (s *Service) enter(ctx context.Context) (func(), error) {
 	if s.drawFault(func(faults Faults) float64 { return faults.FailBeforeRun }) {
 		return nil, failure.New(failure.Unavailable, "the service refuses the call", "send it again")
@@ -157,13 +157,14 @@
 	}
 }
 
+// drawFault reports true at random, with the probability given by the faults.
 func (s *Service) drawFault(fraction func(Faults) float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64() < fraction(s.faults)
 }
 
-// begin records a run and says whether its reply will be lost.
+// begin records a run and reports whether its response will be lost.
 func (s *Service) begin(id, content string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,6 +182,7 @@
 	return lose
 }
 
+// trackID adds an id and drops the oldest one if there are maxAccounts.
 func (s *Service) trackID(id string) {
 	if len(s.arrivals) < maxAccounts {
 		s.arrivals = append(s.arrivals, id)
@@ -208,7 +210,7 @@
 	return time.Duration(float64(s.options.CallTime) * s.faults.SlowFactor)
 }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +225,8 @@
 	return s.faults.Dead
 }
 
-// Ledger returns the record; runs by id only on request, as they are many.
+// Ledger returns the record. Runs by id are included only on request, as there can
+// be many.
 func (s *Service) Ledger(withRuns bool) Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
