--- a/standin/internal/site/endpoint.go
+++ b/standin/internal/site/endpoint.go
@@ -13,8 +13,8 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// lifetimes is how many heartbeats a registration outlives its endpoint.
-const lifetimes = 3
+// ttlHeartbeats is how many heartbeats a registration outlives its endpoint.
+const ttlHeartbeats = 3
 
 // endpoint is a worker that registers itself.
 func (p *part) endpoint(ctx context.Context) {
@@ -33,7 +33,7 @@
 	}
 	p.control.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) {
 		connections, refused := p.lis.Counts()
-		answer(w, platformtest.Record{Runs: worker.Runs(), Loads: worker.Loads(), Connections: connections, Refused: refused})
+		writeJSON(w, platformtest.Record{Runs: worker.Runs(), Loads: worker.Loads(), Connections: connections, Refused: refused})
 	})
 	leaving := &atomic.Bool{}
 	p.control.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { leaving.Store(true) })
@@ -46,16 +46,16 @@
 // register keeps the endpoint's registration; one that leaves takes it back once it has
 // served for the time that it has left.
 func (p *part) register(ctx context.Context, worker *platformtest.Endpoint, leaving *atomic.Bool) {
-	beat := time.Duration(p.options.HeartbeatMillis) * time.Millisecond
-	var since time.Time
+	heartbeat := time.Duration(p.options.HeartbeatMillis) * time.Millisecond
+	var leavingSince time.Time
 	for ctx.Err() == nil {
 		draining := leaving.Load()
-		if draining && since.IsZero() {
-			since = time.Now()
+		if draining && leavingSince.IsZero() {
+			leavingSince = time.Now()
 		}
-		gone := draining && time.Since(since) > time.Duration(p.options.LeaveMillis)*time.Millisecond
-		p.announce(ctx, worker.Registration(p.options.Address, draining), beat, gone)
-		wait := time.NewTimer(min(beat, registerLook))
+		deregister := draining && time.Since(leavingSince) > time.Duration(p.options.LeaveMillis)*time.Millisecond
+		p.sendRegistration(ctx, worker.Registration(p.options.Address, draining), heartbeat, deregister)
+		wait := time.NewTimer(min(heartbeat, registrationPollInterval))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
@@ -63,20 +63,20 @@
 	}
 }
 
-// registerLook is how often a changed registration is looked for: an engine's weights.
-const registerLook = 300 * time.Millisecond
+// registrationPollInterval is how often a changed registration is looked for: an engine's weights.
+const registrationPollInterval = 300 * time.Millisecond
 
-func (p *part) announce(ctx context.Context, said map[string]any, beat time.Duration, gone bool) {
+func (p *part) sendRegistration(ctx context.Context, registration map[string]any, heartbeat time.Duration, deregister bool) {
 	key := "servers/" + p.options.Endpoint.ID
-	method, query := http.MethodPut, url.Values{"key": {key}, "ttl": {(lifetimes * beat).String()}}
-	if gone {
+	method, query := http.MethodPut, url.Values{"key": {key}, "ttl": {(ttlHeartbeats * heartbeat).String()}}
+	if deregister {
 		method = http.MethodDelete
 	}
-	body, err := json.Marshal(said)
+	body, err := json.Marshal(registration)
 	if err != nil {
 		panic(err) // what it says is made of plain values
 	}
-	callCtx, cancel := context.WithTimeout(ctx, beat)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeat)
 	defer cancel()
 	req, err := http.NewRequestWithContext(callCtx, method, fmt.Sprintf("http://%s/key?%s", p.options.StoreControl, query.Encode()), bytes.NewReader(body))
 	if err != nil {
@@ -101,6 +101,6 @@
 	}
 	p.control.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) {
 		connections, refused := p.lis.Counts()
-		answer(w, platformtest.Record{Connections: connections, Refused: refused, Sent: origin.Sent()})
+		writeJSON(w, platformtest.Record{Connections: connections, Refused: refused, Sent: origin.Sent()})
 	})
 }
--- a/standin/internal/site/network.go
+++ b/standin/internal/site/network.go
@@ -13,24 +13,24 @@
 
 // network passes connections on, each way over a link of its own.
 func (p *part) network() error {
-	ways := map[string]*link.Listener{}
+	listeners := map[string]*link.Listener{}
 	for address := range p.options.Ways {
 		lis, err := listen(address)
 		if err != nil {
 			return err
 		}
-		ways[address] = lis
+		listeners[address] = lis
 	}
 	p.faults = func(f platformtest.PartFaults) {
-		for address, lis := range ways {
+		for address, lis := range listeners {
 			lis.Set(f.Ways[address])
 		}
 	}
 	p.run = func(ctx context.Context) error {
 		group, ctx := errgroup.WithContext(ctx)
-		for address, lis := range ways {
+		for address, lis := range listeners {
 			group.Go(func() error {
-				pass(ctx, lis, p.options.Ways[address])
+				forward(ctx, lis, p.options.Ways[address])
 				return nil
 			})
 		}
@@ -39,19 +39,19 @@
 	return nil
 }
 
-// pass passes the connections of a listener on to an address until ctx ends.
-func pass(ctx context.Context, lis net.Listener, to string) {
+// forward forwards the connections of a listener on to an address until ctx ends.
+func forward(ctx context.Context, lis net.Listener, to string) {
 	defer context.AfterFunc(ctx, func() { _ = lis.Close() })()
 	for {
 		conn, err := lis.Accept()
 		if err != nil {
 			return
 		}
-		go passOne(ctx, conn, to)
+		go forwardConn(ctx, conn, to)
 	}
 }
 
-func passOne(ctx context.Context, conn net.Conn, to string) {
+func forwardConn(ctx context.Context, conn net.Conn, to string) {
 	defer func() { _ = conn.Close() }()
 	other, err := (&net.Dialer{}).DialContext(ctx, "tcp", to)
 	if err != nil {
@@ -59,9 +59,9 @@
 	}
 	defer func() { _ = other.Close() }()
 	ended := make(chan struct{}, 2)
-	for _, way := range [][2]net.Conn{{conn, other}, {other, conn}} {
+	for _, direction := range [][2]net.Conn{{conn, other}, {other, conn}} {
 		go func() {
-			_, _ = io.Copy(way[0], way[1])
+			_, _ = io.Copy(direction[0], direction[1])
 			ended <- struct{}{}
 		}()
 	}
--- a/standin/internal/site/site.go
+++ b/standin/internal/site/site.go
@@ -28,15 +28,15 @@
 	lis     *link.Listener
 	handler http.Handler
 	control *http.ServeMux
-	// beside are further listeners that are served.
-	beside []served
+	// extraServers are further listeners that are served.
+	extraServers []listenerHandler
 	// faults applies what is not the link's.
 	faults func(platformtest.PartFaults)
 	run    func(ctx context.Context) error // beside serving; nil: nothing
 }
 
-// served is a listener with what answers there.
-type served struct {
+// listenerHandler is a listener with what answers there.
+type listenerHandler struct {
 	lis     net.Listener
 	handler http.Handler
 }
@@ -105,7 +105,7 @@
 	}
 	group.Go(func() error { return serve(ctx, p.lis, p.handler) })
 	group.Go(func() error { return serve(ctx, control, p.control) })
-	for _, more := range p.beside {
+	for _, more := range p.extraServers {
 		group.Go(func() error { return serve(ctx, more.lis, more.handler) })
 	}
 	if p.run != nil {
@@ -125,7 +125,7 @@
 	return err
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/standin/internal/site/store.go
+++ b/standin/internal/site/store.go
@@ -23,16 +23,16 @@
 	store := platformtest.NewStore()
 	store.Run()
 	p.handler = store
-	doors := map[string]*door{}
+	proxies := map[string]*storeProxy{}
 	for _, address := range p.options.Doors {
 		lis, err := listen(address)
 		if err != nil {
 			return err
 		}
-		doors[address] = &door{lis: lis, store: store}
-		p.beside = append(p.beside, served{lis: lis, handler: doors[address]})
+		proxies[address] = &storeProxy{lis: lis, store: store}
+		p.extraServers = append(p.extraServers, listenerHandler{lis: lis, handler: proxies[address]})
 	}
-	kept := &keeper{store: store, values: map[string]string{}, timers: map[string]*time.Timer{}}
+	keys := &expiringKeys{store: store, values: map[string]string{}, timers: map[string]*time.Timer{}}
 	p.control.HandleFunc("PUT /key", func(w http.ResponseWriter, r *http.Request) {
 		var value json.RawMessage
 		if err := json.NewDecoder(r.Body).Decode(&value); err != nil {
@@ -40,10 +40,10 @@
 			return
 		}
 		ttl, _ := time.ParseDuration(r.URL.Query().Get("ttl"))
-		answer(w, kept.put(r.URL.Query().Get("key"), value, ttl))
+		writeJSON(w, keys.put(r.URL.Query().Get("key"), value, ttl))
 	})
 	p.control.HandleFunc("DELETE /key", func(_ http.ResponseWriter, r *http.Request) {
-		kept.end(r.URL.Query().Get("key"))
+		keys.remove(r.URL.Query().Get("key"))
 	})
 	p.faults = func(f platformtest.PartFaults) {
 		if f.Compact {
@@ -52,7 +52,7 @@
 		if f.Lapse {
 			store.EndLeases()
 		}
-		for address, one := range doors {
+		for address, one := range proxies {
 			one.set(f.Doors[address])
 		}
 		kind, share := callFaults[f.Calls], f.Share
@@ -66,19 +66,19 @@
 	return nil
 }
 
-// door is the store as one process reaches it.
-type door struct {
+// storeProxy is the store as one process reaches it.
+type storeProxy struct {
 	lis    *link.Listener
 	store  *platformtest.Store
 	status atomic.Int64
 }
 
-func (d *door) set(faults platformtest.DoorFaults) {
+func (d *storeProxy) set(faults platformtest.DoorFaults) {
 	d.lis.Set(faults.Link)
 	d.status.Store(int64(faults.Status))
 }
 
-func (d *door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if status := d.status.Load(); status != 0 {
 		w.WriteHeader(int(status))
 		return
@@ -86,8 +86,8 @@
 	d.store.ServeHTTP(w, r)
 }
 
-// keeper keeps keys that end by themselves.
-type keeper struct {
+// expiringKeys keeps keys that end by themselves.
+type expiringKeys struct {
 	store *platformtest.Store
 
 	mu     sync.Mutex
@@ -97,7 +97,7 @@
 
 // put writes a key where it changed and puts its end off. It returns the time at which
 // the store acknowledged it, Unix nanoseconds.
-func (k *keeper) put(key string, value json.RawMessage, ttl time.Duration) int64 {
+func (k *expiringKeys) put(key string, value json.RawMessage, ttl time.Duration) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if timer := k.timers[key]; timer != nil {
@@ -108,12 +108,12 @@
 	}
 	k.values[key] = string(value)
 	if ttl > 0 {
-		k.timers[key] = time.AfterFunc(ttl, func() { k.end(key) })
+		k.timers[key] = time.AfterFunc(ttl, func() { k.remove(key) })
 	}
 	return time.Now().UnixNano()
 }
 
-func (k *keeper) end(key string) {
+func (k *expiringKeys) remove(key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.values, key)
