--- a/standin/internal/site/endpoint.go
+++ b/standin/internal/site/endpoint.go
@@ -13,10 +13,10 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// ttlHeartbeats is how many heartbeats a registration outlives its endpoint.
+// ttlHeartbeats is the TTL of a registration, in heartbeat intervals.
 const ttlHeartbeats = 3
 
-// endpoint is a worker that registers itself.
+// endpoint sets up a simulated endpoint that registers itself in the store.
 func (p *part) endpoint(ctx context.Context) {
 	options := p.options.Endpoint
 	if options.Engine != nil && options.Version > 0 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// register keeps the endpoint's registration; one that leaves takes it back once it has
-// served for the time that it has left.
+// register renews the endpoint's registration until ctx is done. An endpoint that leaves
+// is registered as draining and deregisters after LeaveMillis.
 func (p *part) register(ctx context.Context, worker *platformtest.Endpoint, leaving *atomic.Bool) {
 	heartbeat := time.Duration(p.options.HeartbeatMillis) * time.Millisecond
 	var leavingSince time.Time
@@ -63,9 +63,11 @@
 	}
 }
 
-// registrationPollInterval is how often a changed registration is looked for: an engine's weights.
+// registrationPollInterval is the longest time between registrations, so that a change of
+// the engine's weights is published soon.
 const registrationPollInterval = 300 * time.Millisecond
 
+// sendRegistration writes the registration to the store, or deletes it.
 func (p *part) sendRegistration(ctx context.Context, registration map[string]any, heartbeat time.Duration, deregister bool) {
 	key := "servers/" + p.options.Endpoint.ID
 	method, query := http.MethodPut, url.Values{"key": {key}, "ttl": {(ttlHeartbeats * heartbeat).String()}}
@@ -74,20 +76,20 @@
 	}
 	body, err := json.Marshal(registration)
 	if err != nil {
-		panic(err) // what it says is made of plain values
+		panic(err) // a registration holds only plain values
 	}
 	callCtx, cancel := context.WithTimeout(ctx, heartbeat)
 	defer cancel()
 	req, err := http.NewRequestWithContext(callCtx, method, fmt.Sprintf("http://%s/key?%s", p.options.StoreControl, query.Encode()), bytes.NewReader(body))
 	if err != nil {
-		panic(err) // the address is checked when the store begins
+		panic(err) // the address is checked when the store starts
 	}
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		_ = resp.Body.Close()
 	}
 }
 
-// origin sends the weights.
+// origin sets up the origin server of the weights.
 func (p *part) origin() {
 	origin := platformtest.NewOrigin(p.options.Model)
 	for version := range p.options.Versions {
--- a/standin/internal/site/network.go
+++ b/standin/internal/site/network.go
@@ -11,7 +11,8 @@
 	"comfreyrelay.example/standin/internal/link"
 )
 
-// network passes connections on, each way over a link of its own.
+// network sets up TCP forwarding; each forwarded address has its own link, which
+// injects network faults.
 func (p *part) network() error {
 	listeners := map[string]*link.Listener{}
 	for address := range p.options.Ways {
--- a/standin/internal/site/site.go
+++ b/standin/internal/site/site.go
@@ -1,8 +1,8 @@
-// Package site stands in for the platform that comfreyrelay runs on, a process a part:
-// its metadata store, its endpoints, the origin of weights and the network between processes.
+// Package site simulates the platform that comfreyrelay runs on, with one process per part:
+// the metadata store, an endpoint, the origin of weights or the network between processes.
 //
-// A second address of each part takes what a platform's own machinery does, and faults:
-// POST /faults sets them, GET /record returns what the part saw.
+// Each part has a second, control address for operations of the platform itself and for
+// fault injection: POST /faults sets faults, GET /record returns what the part observed.
 package site
 
 import (
@@ -28,20 +28,20 @@
 	lis     *link.Listener
 	handler http.Handler
 	control *http.ServeMux
-	// extraServers are further listeners that are served.
+	// extraServers are served in addition to lis and control.
 	extraServers []listenerHandler
-	// faults applies what is not the link's.
+	// faults applies the faults that the link does not handle.
 	faults func(platformtest.PartFaults)
-	run    func(ctx context.Context) error // beside serving; nil: nothing
+	run    func(ctx context.Context) error // runs alongside the servers; may be nil
 }
 
-// listenerHandler is a listener with what answers there.
+// listenerHandler is a listener and the handler that serves it.
 type listenerHandler struct {
 	lis     net.Listener
 	handler http.Handler
 }
 
-// Run runs the part that the file describes until ctx ends.
+// Run runs the part described by the file until ctx is done.
 func Run(ctx context.Context, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return one.serve(ctx)
 }
 
-// listen puts a link before an address.
+// listen listens on an address through a link, which injects network faults.
 func listen(address string) (*link.Listener, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
--- a/standin/internal/site/store.go
+++ b/standin/internal/site/store.go
@@ -17,8 +17,8 @@
 	"silent": platformtest.Silent, "slow": platformtest.Slow, "late": platformtest.Late,
 }
 
-// store is the metadata store. Its control address writes keys as operators and
-// endpoints do; a key with a time to live ends unless it is written again.
+// store sets up the metadata store. Its control address writes keys on behalf of operators
+// and endpoints; a key with a TTL is removed unless it is written again.
 func (p *part) store() error {
 	store := platformtest.NewStore()
 	store.Run()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// storeProxy is the store as one process reaches it.
+// storeProxy serves the store to one process, with faults that affect only that process.
 type storeProxy struct {
 	lis    *link.Listener
 	store  *platformtest.Store
@@ -86,7 +86,7 @@
 	d.store.ServeHTTP(w, r)
 }
 
-// expiringKeys keeps keys that end by themselves.
+// expiringKeys writes keys to the store and removes them when their TTL expires.
 type expiringKeys struct {
 	store *platformtest.Store
 
@@ -95,8 +95,8 @@
 	timers map[string]*time.Timer
 }
 
-// put writes a key where it changed and puts its end off. It returns the time at which
-// the store acknowledged it, Unix nanoseconds.
+// put writes a key if its value changed and renews its TTL. It returns the time at which
+// the store acknowledged the write, in Unix nanoseconds.
 func (k *expiringKeys) put(key string, value json.RawMessage, ttl time.Duration) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
