--- a/standin/internal/site/endpoint.go
+++ b/standin/internal/site/endpoint.go
@@ -16,8 +16,8 @@
 // ttlHeartbeats is the TTL of a registration, in heartbeat intervals.
 const ttlHeartbeats = 3
 
-// endpoint sets up a simulated endpoint that registers itself in the store.
-func (p *part) endpoint(ctx context.Context) {
+// setupEndpoint sets up a simulated endpoint that registers itself in the store.
+func (p *part) setupEndpoint(ctx context.Context) {
 	options := p.options.Endpoint
 	if options.Engine != nil && options.Version > 0 {
 		options.Chunks = platformtest.Chunks(options.Version, p.options.Chunks, p.options.ChunkBytes)
@@ -89,8 +89,8 @@
 	}
 }
 
-// origin sets up the origin server of the weights.
-func (p *part) origin() {
+// setupOrigin sets up the origin server of the weights.
+func (p *part) setupOrigin() {
 	origin := platformtest.NewOrigin(p.options.Model)
 	for version := range p.options.Versions {
 		number := uint64(version + 1)
--- a/standin/internal/site/network.go
+++ b/standin/internal/site/network.go
@@ -11,9 +11,9 @@
 	"comfreyrelay.example/standin/internal/link"
 )
 
-// network sets up TCP forwarding; each forwarded address has its own link, which
+// setupNetwork sets up TCP forwarding; each forwarded address has its own link, which
 // injects network faults.
-func (p *part) network() error {
+func (p *part) setupNetwork() error {
 	listeners := map[string]*link.Listener{}
 	for address := range p.options.Ways {
 		lis, err := listen(address)
--- a/standin/internal/site/site.go
+++ b/standin/internal/site/site.go
@@ -55,26 +55,26 @@
 	if err != nil {
 		return err
 	}
-	one := &part{options: options, lis: lis, control: http.NewServeMux(), faults: func(platformtest.PartFaults) {}}
+	self := &part{options: options, lis: lis, control: http.NewServeMux(), faults: func(platformtest.PartFaults) {}}
 	lis.Limit(options.MaxConns)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	switch options.Role {
 	case platformtest.RoleStore:
-		err = one.store()
+		err = self.setupStore()
 	case platformtest.RoleEndpoint:
-		one.endpoint(ctx)
+		self.setupEndpoint(ctx)
 	case platformtest.RoleNetwork:
-		err = one.network()
+		err = self.setupNetwork()
 	case platformtest.RoleOrigin:
-		one.origin()
+		self.setupOrigin()
 	default:
 		return failure.New(failure.Invalid, "the role is unknown", "use store, endpoint, origin or network")
 	}
 	if err != nil {
 		return err
 	}
-	return one.serve(ctx)
+	return self.serve(ctx)
 }
 
 // listen listens on an address through a link, which injects network faults.
--- a/standin/internal/site/store.go
+++ b/standin/internal/site/store.go
@@ -17,9 +17,9 @@
 	"silent": platformtest.Silent, "slow": platformtest.Slow, "late": platformtest.Late,
 }
 
-// store sets up the metadata store. Its control address writes keys on behalf of operators
+// setupStore sets up the metadata store. Its control address writes keys on behalf of operators
 // and endpoints; a key with a TTL is removed unless it is written again.
-func (p *part) store() error {
+func (p *part) setupStore() error {
 	store := platformtest.NewStore()
 	store.Run()
 	p.handler = store
@@ -52,8 +52,8 @@
 		if f.Lapse {
 			store.EndLeases()
 		}
-		for address, one := range proxies {
-			one.set(f.Doors[address])
+		for address, proxy := range proxies {
+			proxy.set(f.Doors[address])
 		}
 		kind, share := callFaults[f.Calls], f.Share
 		store.SetFault(func(*http.Request) platformtest.Fault {
@@ -73,17 +73,17 @@
 	status atomic.Int64
 }
 
-func (d *storeProxy) set(faults platformtest.DoorFaults) {
-	d.lis.Set(faults.Link)
-	d.status.Store(int64(faults.Status))
+func (s *storeProxy) set(faults platformtest.DoorFaults) {
+	s.lis.Set(faults.Link)
+	s.status.Store(int64(faults.Status))
 }
 
-func (d *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if status := d.status.Load(); status != 0 {
+func (s *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if status := s.status.Load(); status != 0 {
 		w.WriteHeader(int(status))
 		return
 	}
-	d.store.ServeHTTP(w, r)
+	s.store.ServeHTTP(w, r)
 }
 
 // expiringKeys writes keys to the store and removes them when their TTL expires.
