--- a/standin/internal/service/service.go
+++ b/standin/internal/service/service.go
@@ -33,7 +33,7 @@
 	Slots int
 	// Seed seeds the random faults.
 	Seed uint64
-	// Clock provides the duration of calls.
+	// Clock times the calls.
 	Clock clockwork.Clock
 }
 
--- a/standin/internal/site/network.go
+++ b/standin/internal/site/network.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// forward forwards the connections of a listener on to an address until ctx ends.
+// forward accepts connections and forwards each of them to an address until ctx is done.
 func forward(ctx context.Context, lis net.Listener, to string) {
 	defer context.AfterFunc(ctx, func() { _ = lis.Close() })()
 	for {
