--- a/standin/internal/cmd/cmd_load.go
+++ b/standin/internal/cmd/cmd_load.go
@@ -77,7 +77,7 @@
 func runLoad(ctx context.Context, options *loadOptions) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	parsed, err := options.load()
+	parsed, err := options.parse()
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,8 @@
 	return json.NewEncoder(os.Stdout).Encode(summary)
 }
 
-// openRecord returns a nil writer where no file is wanted.
+// openRecord opens the ledger file and returns a writer and a function that closes
+// it. The writer is nil if name is empty.
 func openRecord(name string) (io.Writer, func() error, error) {
 	if name == "" {
 		return nil, func() error { return nil }, nil
@@ -128,8 +129,8 @@
 	return buffered, closeRecord, nil
 }
 
-// load turns the flags into options.
-func (o *loadOptions) load() (load.Options, error) {
+// parse converts the flags to load options.
+func (o *loadOptions) parse() (load.Options, error) {
 	parsed := load.Options{
 		Entries:       o.Entries,
 		Direct:        o.Direct,
--- a/standin/internal/engine/chunks.go
+++ b/standin/internal/engine/chunks.go
@@ -10,36 +10,38 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Pool keeps equal chunks of several engines once. It saves memory only: what
-// an engine holds is for its own store to say.
+// Pool shares the bytes of identical chunks between engines of one process to
+// save memory. Which chunks an engine holds is decided by its own store.
 type Pool struct {
 	mu     sync.Mutex
-	chunks map[string]*pooled
+	chunks map[string]*pooledChunk
 }
 
-type pooled struct {
+type pooledChunk struct {
 	bytes  []byte
-	owners int // stores that hold it; at least 1
+	owners int // number of stores that hold the chunk; at least 1
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{chunks: map[string]*pooled{}}
+	return &Pool{chunks: map[string]*pooledChunk{}}
 }
 
-func (p *Pool) keep(hash string, bytes []byte) []byte {
+// acquire adds an owner to the chunk and returns the shared bytes.
+func (p *Pool) acquire(hash string, bytes []byte) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	chunk := p.chunks[hash]
 	if chunk == nil {
-		chunk = &pooled{bytes: bytes}
+		chunk = &pooledChunk{bytes: bytes}
 		p.chunks[hash] = chunk
 	}
 	chunk.owners++
 	return chunk.bytes
 }
 
-func (p *Pool) drop(hash string) {
+// release removes an owner and frees the chunk when none is left.
+func (p *Pool) release(hash string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	chunk := p.chunks[hash]
@@ -49,7 +51,7 @@
 	}
 }
 
-// chunkStore is one host's memory for weights, addressed by content.
+// chunkStore holds the weight chunks of one host, keyed by content hash.
 type chunkStore struct {
 	pool  *Pool
 	limit int64 // bytes
@@ -63,7 +65,7 @@
 	return &chunkStore{pool: pool, limit: limit, bytes: map[string][]byte{}}
 }
 
-// put keeps a chunk after checking it against its hash.
+// put verifies a chunk against its hash and stores it.
 func (s *chunkStore) put(hash string, bytes []byte) error {
 	sum := blake3.Sum256(bytes)
 	if hex.EncodeToString(sum[:]) != hash {
@@ -78,7 +80,7 @@
 		return failure.New(failure.Exhausted, "the host's memory for weights is full", "delete chunks that no version needs")
 	}
 	s.used += int64(len(bytes))
-	s.bytes[hash] = s.pool.keep(hash, bytes)
+	s.bytes[hash] = s.pool.acquire(hash, bytes)
 	return nil
 }
 
@@ -98,7 +100,7 @@
 	}
 	s.used -= int64(len(bytes))
 	delete(s.bytes, hash)
-	s.pool.drop(hash)
+	s.pool.release(hash)
 }
 
 func (s *chunkStore) removeAll() {
--- a/standin/internal/engine/orders.go
+++ b/standin/internal/engine/orders.go
@@ -10,14 +10,14 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Orders by name.
+// Values of Order.Order.
 const (
 	orderLoad   = "load"
 	orderUnload = "unload"
 	orderRole   = "role"
 )
 
-// Order is what the host's agent orders the engine to do.
+// Order is a command from the host's agent to the engine.
 type Order struct {
 	Fence       uint64         `json:"fence"`
 	Order       string         `json:"order"`
@@ -28,25 +28,25 @@
 	Role        string         `json:"role"`
 }
 
-// AdapterOrder names one adapter to load over the base.
+// AdapterOrder names an adapter to load on top of the base version.
 type AdapterOrder struct {
 	Name        string   `json:"name"`
 	Version     string   `json:"version"`
 	ChunkHashes []string `json:"chunkHashes"`
 }
 
-// weights is one version in the engine's memory with its adapters.
+// weights is a loaded version with its adapters.
 type weights struct {
 	model    string
 	version  string
 	adapters []*adapterWeights
-	gone     chan struct{} // closed when the version is taken away
+	unloaded chan struct{} // closed when the version is unloaded
 }
 
 type adapterWeights struct {
-	name    string
-	version string
-	gone    chan struct{} // closed when the adapter is taken away
+	name     string
+	version  string
+	unloaded chan struct{} // closed when the adapter is unloaded
 }
 
 func (w *weights) adapter(name string) *adapterWeights {
@@ -58,21 +58,21 @@
 	return nil
 }
 
-// Obey carries out one order, or says why not. Orders run one at a time.
+// Obey executes an order or returns why it was rejected. Orders run one at a time.
 func (e *Engine) Obey(order Order) error {
 	e.orders.Lock()
 	defer e.orders.Unlock()
 	if err := e.checkFence(order.Fence); err != nil {
 		return err
 	}
-	if err := e.carryOut(order); err != nil {
+	if err := e.execute(order); err != nil {
 		return err
 	}
 	e.ledger.order(func(totals *OrderTotals) { totals.Obeyed++ })
 	return nil
 }
 
-func (e *Engine) carryOut(order Order) error {
+func (e *Engine) execute(order Order) error {
 	switch order.Order {
 	case orderLoad:
 		return e.loadVersion(order)
@@ -87,8 +87,8 @@
 	return failure.New(failure.Invalid, fmt.Sprintf("the order %q is unknown", order.Order), "order load, unload or role")
 }
 
-// checkFence refuses or merely counts an order from a past holder of the
-// lease, depending on the kind of engine.
+// checkFence handles an order from a previous lease holder: it rejects the order
+// if ChecksFencing is set and only counts it otherwise.
 func (e *Engine) checkFence(fence uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,14 +114,14 @@
 	return nil
 }
 
-// loadVersion takes the old weights away, cutting what runs on them, and
-// serves the new ones after the load time.
+// loadVersion unloads the old weights, which interrupts the requests that run on
+// them, and serves the new ones after the load time.
 func (e *Engine) loadVersion(order Order) error {
 	faults := e.Faults()
 	if faults.RefuseLoad {
 		return failure.New(failure.Unavailable, "the engine refuses to load", "try again later or take the host out")
 	}
-	if err := e.checkWhole(order); err != nil {
+	if err := e.checkAllChunks(order); err != nil {
 		e.ledger.order(func(totals *OrderTotals) { totals.NotWhole++ })
 		return err
 	}
@@ -134,20 +134,21 @@
 	e.mu.Lock()
 	e.unloadLocked()
 	e.mu.Unlock()
-	e.clock.Sleep(time.Duration(float64(e.options.LoadTime) * faults.slowness()))
+	e.clock.Sleep(time.Duration(float64(e.options.LoadTime) * faults.slowdown()))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Dead {
 		return failure.New(failure.Unavailable, "the host died", "order another host")
 	}
 	e.cache.clear(e.clock.Now())
-	e.loaded = &weights{model: order.Model, version: order.Version, gone: make(chan struct{})}
+	e.loaded = &weights{model: order.Model, version: order.Version, unloaded: make(chan struct{})}
 	e.loaded.setAdapters(order.Adapters)
 	e.ledger.order(func(totals *OrderTotals) { totals.Loads++ })
 	return nil
 }
 
-// changeAdapters does the whole load where the base is loaded already.
+// changeAdapters handles a load whose base version is already loaded: only the
+// adapters change. It returns false if the base differs.
 func (e *Engine) changeAdapters(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,13 +159,13 @@
 	return true
 }
 
-// setAdapters keeps the adapters that stay and takes the others away.
+// setAdapters keeps loaded adapters that are still ordered and unloads the others.
 func (w *weights) setAdapters(orders []AdapterOrder) {
 	kept := make([]*adapterWeights, 0, len(orders))
 	for _, order := range orders {
 		adapter := w.adapter(order.Name)
 		if adapter == nil || adapter.version != order.Version {
-			adapter = &adapterWeights{name: order.Name, version: order.Version, gone: make(chan struct{})}
+			adapter = &adapterWeights{name: order.Name, version: order.Version, unloaded: make(chan struct{})}
 		}
 		kept = append(kept, adapter)
 	}
@@ -172,7 +173,7 @@
 	w.adapters = kept
 	for _, adapter := range before {
 		if w.adapter(adapter.name) != adapter {
-			close(adapter.gone)
+			close(adapter.unloaded)
 		}
 	}
 }
@@ -182,15 +183,15 @@
 		return
 	}
 	for _, adapter := range e.loaded.adapters {
-		close(adapter.gone)
+		close(adapter.unloaded)
 	}
-	close(e.loaded.gone)
+	close(e.loaded.unloaded)
 	e.loaded = nil
 }
 
-// checkWhole checks that every chunk is held and that together they are the
-// version that the order names.
-func (e *Engine) checkWhole(order Order) error {
+// checkAllChunks checks that every chunk is stored and that the chunks make up the
+// versions named in the order.
+func (e *Engine) checkAllChunks(order Order) error {
 	if err := e.checkChunks(order.Model, order.Version, "", order.ChunkHashes); err != nil {
 		return err
 	}
@@ -215,16 +216,16 @@
 		sizes[i] = len(bytes)
 	}
 	if len(hashes) == 1 {
-		return nil // one chunk is whole by itself, and its manifest's chunk size cannot be known
+		return nil // the manifest's chunk size cannot be derived from a single chunk, which is complete by itself
 	}
-	if rebuilt := rebuild(model, base, hashes, sizes); rebuilt != version {
+	if rebuilt := versionOfChunks(model, base, hashes, sizes); rebuilt != version {
 		return failure.New(failure.Corrupt, "the chunks are not those of version "+version, "order the chunks of one manifest, in its order")
 	}
 	return nil
 }
 
-// rebuild returns the version whose manifest lists these chunks.
-func rebuild(model, base string, hashes []string, sizes []int) string {
+// versionOfChunks returns the version whose manifest lists these chunks.
+func versionOfChunks(model, base string, hashes []string, sizes []int) string {
 	man := &wire.Manifest{Model: model, Kind: manifest.KindBase, BaseVersion: base, ChunkBytes: uint32(sizes[0])}
 	if base != "" {
 		man.Kind = manifest.KindAdapter
--- a/standin/internal/site/endpoint.go
+++ b/standin/internal/site/endpoint.go
@@ -13,11 +13,11 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// lifetimes is how many heartbeats a registration outlives its endpoint.
-const lifetimes = 3
+// ttlHeartbeats is the TTL of a registration, in heartbeat intervals.
+const ttlHeartbeats = 3
 
-// endpoint is a worker that registers itself.
-func (p *part) endpoint(ctx context.Context) {
+// setupEndpoint sets up a simulated endpoint that registers itself in the store.
+func (p *part) setupEndpoint(ctx context.Context) {
 	options := p.options.Endpoint
 	if options.Engine != nil && options.Version > 0 {
 		options.Chunks = platformtest.Chunks(options.Version, p.options.Chunks, p.options.ChunkBytes)
@@ -33,7 +33,7 @@
 	}
 	p.control.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) {
 		connections, refused := p.lis.Counts()
-		answer(w, platformtest.Record{Runs: worker.Runs(), Loads: worker.Loads(), Connections: connections, Refused: refused})
+		writeJSON(w, platformtest.Record{Runs: worker.Runs(), Loads: worker.Loads(), Connections: connections, Refused: refused})
 	})
 	leaving := &atomic.Bool{}
 	p.control.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { leaving.Store(true) })
@@ -43,19 +43,19 @@
 	}
 }
 
-// register keeps the endpoint's registration; one that leaves takes it back once it has
-// served for the time that it has left.
+// register renews the endpoint's registration until ctx is done. An endpoint that leaves
+// is registered as draining and deregisters after LeaveMillis.
 func (p *part) register(ctx context.Context, worker *platformtest.Endpoint, leaving *atomic.Bool) {
-	beat := time.Duration(p.options.HeartbeatMillis) * time.Millisecond
-	var since time.Time
+	heartbeat := time.Duration(p.options.HeartbeatMillis) * time.Millisecond
+	var leavingSince time.Time
 	for ctx.Err() == nil {
 		draining := leaving.Load()
-		if draining && since.IsZero() {
-			since = time.Now()
+		if draining && leavingSince.IsZero() {
+			leavingSince = time.Now()
 		}
-		gone := draining && time.Since(since) > time.Duration(p.options.LeaveMillis)*time.Millisecond
-		p.announce(ctx, worker.Registration(p.options.Address, draining), beat, gone)
-		wait := time.NewTimer(min(beat, registerLook))
+		deregister := draining && time.Since(leavingSince) > time.Duration(p.options.LeaveMillis)*time.Millisecond
+		p.sendRegistration(ctx, worker.Registration(p.options.Address, draining), heartbeat, deregister)
+		wait := time.NewTimer(min(heartbeat, registrationPollInterval))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
@@ -63,32 +63,34 @@
 	}
 }
 
-// registerLook is how often a changed registration is looked for: an engine's weights.
-const registerLook = 300 * time.Millisecond
+// registrationPollInterval is the longest time between registrations, so that a change of
+// the engine's weights is published soon.
+const registrationPollInterval = 300 * time.Millisecond
 
-func (p *part) announce(ctx context.Context, said map[string]any, beat time.Duration, gone bool) {
+// sendRegistration writes the registration to the store, or deletes it.
+func (p *part) sendRegistration(ctx context.Context, registration map[string]any, heartbeat time.Duration, deregister bool) {
 	key := "servers/" + p.options.Endpoint.ID
-	method, query := http.MethodPut, url.Values{"key": {key}, "ttl": {(lifetimes * beat).String()}}
-	if gone {
+	method, query := http.MethodPut, url.Values{"key": {key}, "ttl": {(ttlHeartbeats * heartbeat).String()}}
+	if deregister {
 		method = http.MethodDelete
 	}
-	body, err := json.Marshal(said)
+	body, err := json.Marshal(registration)
 	if err != nil {
-		panic(err) // what it says is made of plain values
+		panic(err) // a registration holds only plain values
 	}
-	callCtx, cancel := context.WithTimeout(ctx, beat)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeat)
 	defer cancel()
 	req, err := http.NewRequestWithContext(callCtx, method, fmt.Sprintf("http://%s/key?%s", p.options.StoreControl, query.Encode()), bytes.NewReader(body))
 	if err != nil {
-		panic(err) // the address is checked when the store begins
+		panic(err) // the address is checked when the store starts
 	}
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		_ = resp.Body.Close()
 	}
 }
 
-// origin sends the weights.
-func (p *part) origin() {
+// setupOrigin sets up the origin server of the weights.
+func (p *part) setupOrigin() {
 	origin := platformtest.NewOrigin(p.options.Model)
 	for version := range p.options.Versions {
 		number := uint64(version + 1)
@@ -101,6 +103,6 @@
 	}
 	p.control.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) {
 		connections, refused := p.lis.Counts()
-		answer(w, platformtest.Record{Connections: connections, Refused: refused, Sent: origin.Sent()})
+		writeJSON(w, platformtest.Record{Connections: connections, Refused: refused, Sent: origin.Sent()})
 	})
 }
--- a/standin/internal/site/site.go
+++ b/standin/internal/site/site.go
@@ -1,8 +1,8 @@
-// Package site stands in for the platform that comfreyrelay runs on, a process a part:
-// its metadata store, its endpoints, the origin of weights and the network between processes.
+// Package site simulates the platform that comfreyrelay runs on, with one process per part:
+// the metadata store, an endpoint, the origin of weights or the network between processes.
 //
-// A second address of each part takes what a platform's own machinery does, and faults:
-// POST /faults sets them, GET /record returns what the part saw.
+// Each part has a second, control address for operations of the platform itself and for
+// fault injection: POST /faults sets faults, GET /record returns what the part observed.
 package site
 
 import (
@@ -28,20 +28,20 @@
 	lis     *link.Listener
 	handler http.Handler
 	control *http.ServeMux
-	// beside are further listeners that are served.
-	beside []served
-	// faults applies what is not the link's.
+	// extraServers are served in addition to lis and control.
+	extraServers []listenerHandler
+	// faults applies the faults that the link does not handle.
 	faults func(platformtest.PartFaults)
-	run    func(ctx context.Context) error // beside serving; nil: nothing
+	run    func(ctx context.Context) error // runs alongside the servers; may be nil
 }
 
-// served is a listener with what answers there.
-type served struct {
+// listenerHandler is a listener and the handler that serves it.
+type listenerHandler struct {
 	lis     net.Listener
 	handler http.Handler
 }
 
-// Run runs the part that the file describes until ctx ends.
+// Run runs the part described by the file until ctx is done.
 func Run(ctx context.Context, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -55,29 +55,29 @@
 	if err != nil {
 		return err
 	}
-	one := &part{options: options, lis: lis, control: http.NewServeMux(), faults: func(platformtest.PartFaults) {}}
+	self := &part{options: options, lis: lis, control: http.NewServeMux(), faults: func(platformtest.PartFaults) {}}
 	lis.Limit(options.MaxConns)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	switch options.Role {
 	case platformtest.RoleStore:
-		err = one.store()
+		err = self.setupStore()
 	case platformtest.RoleEndpoint:
-		one.endpoint(ctx)
+		self.setupEndpoint(ctx)
 	case platformtest.RoleNetwork:
-		err = one.network()
+		err = self.setupNetwork()
 	case platformtest.RoleOrigin:
-		one.origin()
+		self.setupOrigin()
 	default:
 		return failure.New(failure.Invalid, "the role is unknown", "use store, endpoint, origin or network")
 	}
 	if err != nil {
 		return err
 	}
-	return one.serve(ctx)
+	return self.serve(ctx)
 }
 
-// listen puts a link before an address.
+// listen listens on an address through a link, which injects network faults.
 func listen(address string) (*link.Listener, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 	group.Go(func() error { return serve(ctx, p.lis, p.handler) })
 	group.Go(func() error { return serve(ctx, control, p.control) })
-	for _, more := range p.beside {
+	for _, more := range p.extraServers {
 		group.Go(func() error { return serve(ctx, more.lis, more.handler) })
 	}
 	if p.run != nil {
@@ -125,7 +125,7 @@
 	return err
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/standin/internal/site/store.go
+++ b/standin/internal/site/store.go
@@ -17,22 +17,22 @@
 	"silent": platformtest.Silent, "slow": platformtest.Slow, "late": platformtest.Late,
 }
 
-// store is the metadata store. Its control address writes keys as operators and
-// endpoints do; a key with a time to live ends unless it is written again.
-func (p *part) store() error {
+// setupStore sets up the metadata store. Its control address writes keys on behalf of operators
+// and endpoints; a key with a TTL is removed unless it is written again.
+func (p *part) setupStore() error {
 	store := platformtest.NewStore()
 	store.Run()
 	p.handler = store
-	doors := map[string]*door{}
+	proxies := map[string]*storeProxy{}
 	for _, address := range p.options.Doors {
 		lis, err := listen(address)
 		if err != nil {
 			return err
 		}
-		doors[address] = &door{lis: lis, store: store}
-		p.beside = append(p.beside, served{lis: lis, handler: doors[address]})
+		proxies[address] = &storeProxy{lis: lis, store: store}
+		p.extraServers = append(p.extraServers, listenerHandler{lis: lis, handler: proxies[address]})
 	}
-	kept := &keeper{store: store, values: map[string]string{}, timers: map[string]*time.Timer{}}
+	keys := &expiringKeys{store: store, values: map[string]string{}, timers: map[string]*time.Timer{}}
 	p.control.HandleFunc("PUT /key", func(w http.ResponseWriter, r *http.Request) {
 		var value json.RawMessage
 		if err := json.NewDecoder(r.Body).Decode(&value); err != nil {
@@ -40,10 +40,10 @@
 			return
 		}
 		ttl, _ := time.ParseDuration(r.URL.Query().Get("ttl"))
-		answer(w, kept.put(r.URL.Query().Get("key"), value, ttl))
+		writeJSON(w, keys.put(r.URL.Query().Get("key"), value, ttl))
 	})
 	p.control.HandleFunc("DELETE /key", func(_ http.ResponseWriter, r *http.Request) {
-		kept.end(r.URL.Query().Get("key"))
+		keys.remove(r.URL.Query().Get("key"))
 	})
 	p.faults = func(f platformtest.PartFaults) {
 		if f.Compact {
@@ -52,8 +52,8 @@
 		if f.Lapse {
 			store.EndLeases()
 		}
-		for address, one := range doors {
-			one.set(f.Doors[address])
+		for address, proxy := range proxies {
+			proxy.set(f.Doors[address])
 		}
 		kind, share := callFaults[f.Calls], f.Share
 		store.SetFault(func(*http.Request) platformtest.Fault {
@@ -66,28 +66,28 @@
 	return nil
 }
 
-// door is the store as one process reaches it.
-type door struct {
+// storeProxy serves the store to one process, with faults that affect only that process.
+type storeProxy struct {
 	lis    *link.Listener
 	store  *platformtest.Store
 	status atomic.Int64
 }
 
-func (d *door) set(faults platformtest.DoorFaults) {
-	d.lis.Set(faults.Link)
-	d.status.Store(int64(faults.Status))
+func (s *storeProxy) set(faults platformtest.DoorFaults) {
+	s.lis.Set(faults.Link)
+	s.status.Store(int64(faults.Status))
 }
 
-func (d *door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if status := d.status.Load(); status != 0 {
+func (s *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if status := s.status.Load(); status != 0 {
 		w.WriteHeader(int(status))
 		return
 	}
-	d.store.ServeHTTP(w, r)
+	s.store.ServeHTTP(w, r)
 }
 
-// keeper keeps keys that end by themselves.
-type keeper struct {
+// expiringKeys writes keys to the store and removes them when their TTL expires.
+type expiringKeys struct {
 	store *platformtest.Store
 
 	mu     sync.Mutex
@@ -95,9 +95,9 @@
 	timers map[string]*time.Timer
 }
 
-// put writes a key where it changed and puts its end off. It returns the time at which
-// the store acknowledged it, Unix nanoseconds.
-func (k *keeper) put(key string, value json.RawMessage, ttl time.Duration) int64 {
+// put writes a key if its value changed and renews its TTL. It returns the time at which
+// the store acknowledged the write, in Unix nanoseconds.
+func (k *expiringKeys) put(key string, value json.RawMessage, ttl time.Duration) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if timer := k.timers[key]; timer != nil {
@@ -108,12 +108,12 @@
 	}
 	k.values[key] = string(value)
 	if ttl > 0 {
-		k.timers[key] = time.AfterFunc(ttl, func() { k.end(key) })
+		k.timers[key] = time.AfterFunc(ttl, func() { k.remove(key) })
 	}
 	return time.Now().UnixNano()
 }
 
-func (k *keeper) end(key string) {
+func (k *expiringKeys) remove(key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.values, key)
