--- a/spec/freshness.pml
+++ b/spec/freshness.pml
@@ -7,7 +7,7 @@
  *   AGEFIRST  a source takes the age of what it knows before what it sends
  *             (onsite.newsServer.send)
  *   SENT      a source's age counts from when the entry asked
- *             (onsite.newsReader.prove)
+ *             (onsite.newsReader.updateFreshness)
  *   CLOCK     the clock of proofs goes on while the process is suspended
  *             (freshness.BootClock)
  *   ORDER     a request takes the age before the configuration that judges it
