--- a/standin/internal/load/caller.go
+++ b/standin/internal/load/caller.go
@@ -8,9 +8,9 @@
 	"github.com/google/uuid"
 )
 
-// grace is how long beyond the deadline the caller still waits, to distinguish a late
+// lateAnswerGrace is how long beyond the deadline the caller still waits, to distinguish a late
 // answer from none.
-const grace = 2 * time.Second
+const lateAnswerGrace = 2 * time.Second
 
 // defaultRetryAfter is the wait where the system names none.
 const defaultRetryAfter = 100 * time.Millisecond
@@ -41,7 +41,7 @@
 // caller carries one request through to its end.
 type caller struct {
 	load      *Load
-	asked     request
+	request   request
 	customer  Customer
 	directory *directory
 	arrived   time.Time
@@ -50,28 +50,28 @@
 
 // run sends the request until it has an outcome.
 func (c *caller) run(ctx context.Context) result {
-	ctx, cancel := context.WithDeadline(ctx, c.arrived.Add(c.load.options.Deadline+grace))
+	ctx, cancel := context.WithDeadline(ctx, c.arrived.Add(c.load.options.Deadline+lateAnswerGrace))
 	defer cancel()
-	found := c.runOnceKeyed(ctx)
-	found.took = c.load.clock.Since(c.arrived)
-	found.key = c.key
-	return found
+	res := c.dispatch(ctx)
+	res.took = c.load.clock.Since(c.arrived)
+	res.key = c.key
+	return res
 }
 
-func (c *caller) runOnceKeyed(ctx context.Context) result {
+func (c *caller) dispatch(ctx context.Context) result {
 	if c.load.direct() {
-		return c.persist(ctx, 0)
+		return c.sendWithRetries(ctx, 0)
 	}
-	if c.asked.repeatable {
-		return c.persist(ctx, 0)
+	if c.request.repeatable {
+		return c.sendWithRetries(ctx, 0)
 	}
 	known, err := c.directory.get(ctx)
 	if err != nil {
 		return result{verdict: verdict{outcome: NotRun, kind: kindUnreachable, detail: err.Error()}}
 	}
 	c.key = known.Owner + "." + uuid.Must(uuid.NewV7()).String()
-	if !c.asked.double {
-		return c.persist(ctx, 0)
+	if !c.request.double {
+		return c.sendWithRetries(ctx, 0)
 	}
 	return c.sendTwice(ctx)
 }
@@ -80,15 +80,15 @@
 // counts.
 func (c *caller) sendTwice(ctx context.Context) result {
 	second := make(chan result, 1)
-	go func() { second <- c.persist(ctx, 1) }()
-	return better(c.persist(ctx, 0), <-second)
+	go func() { second <- c.sendWithRetries(ctx, 1) }()
+	return moreSevere(c.sendWithRetries(ctx, 0), <-second)
 }
 
 // severity orders outcomes: an answer settles the request unless the other
 // sending shows a fault, and what may have run outweighs what did not.
 var severity = map[string]int{NotRun: 0, Unknown: 1, Answered: 2, CutOff: 3, WrongVersion: 4, WrongAnswer: 5}
 
-func better(one, other result) result {
+func moreSevere(one, other result) result {
 	if severity[other.outcome] > severity[one.outcome] {
 		one, other = other, one
 	}
@@ -97,35 +97,35 @@
 	return one
 }
 
-// persist sends again what was not run, while time and retries last. The skip
+// sendWithRetries sends again what was not run, while time and retries last. The skip
 // chooses another entry than the best.
-func (c *caller) persist(ctx context.Context, skip int) result {
-	var found result
+func (c *caller) sendWithRetries(ctx context.Context, skip int) result {
+	var res result
 	var spares []string
 	for {
-		found.attempts++
-		found.sentAt = c.load.clock.Now()
-		found.verdict = c.attempt(ctx, skip, spares)
-		found.knownAt = c.load.clock.Now()
-		if !c.mayRepeat(found) {
-			return found
+		res.attempts++
+		res.sentAt = c.load.clock.Now()
+		res.verdict = c.attempt(ctx, skip, spares)
+		res.knownAt = c.load.clock.Now()
+		if !c.mayRepeat(res) {
+			return res
 		}
-		found.refused = found.refused || found.outcome == NotRun
-		spares = found.spares
-		if !c.wait(ctx, found.retryAfter) {
-			return found
+		res.refused = res.refused || res.outcome == NotRun
+		spares = res.spares
+		if !c.wait(ctx, res.retryAfter) {
+			return res
 		}
 	}
 }
 
-func (c *caller) mayRepeat(found result) bool {
-	if found.attempts > c.load.options.Retries {
+func (c *caller) mayRepeat(res result) bool {
+	if res.attempts > c.load.options.Retries {
 		return false
 	}
-	if found.outcome == Unknown {
-		return c.asked.repeatable && c.load.options.ResendUnknown
+	if res.outcome == Unknown {
+		return c.request.repeatable && c.load.options.ResendUnknown
 	}
-	return found.outcome == NotRun
+	return res.outcome == NotRun
 }
 
 // wait returns false where the deadline comes before the next attempt.
@@ -134,7 +134,7 @@
 		pause = defaultRetryAfter
 	}
 	pause += time.Duration(rand.Float64() * jitter * float64(pause))
-	if c.left() <= pause {
+	if c.timeLeft() <= pause {
 		return false
 	}
 	select {
@@ -146,21 +146,21 @@
 }
 
 // left is the time to the deadline.
-func (c *caller) left() time.Duration {
+func (c *caller) timeLeft() time.Duration {
 	return c.load.options.Deadline - c.load.clock.Since(c.arrived)
 }
 
 // attempt sends the request to the first entry that can be reached.
 func (c *caller) attempt(ctx context.Context, skip int, spares []string) verdict {
 	sent := attempt{
-		asked:    c.asked,
+		request:  c.request,
 		model:    c.load.options.Model,
 		bearer:   c.customer.Key,
 		key:      c.key,
-		deadline: c.left(),
+		deadline: c.timeLeft(),
 	}
 	if c.load.direct() {
-		sent.address = c.load.options.Direct[c.asked.number%len(c.load.options.Direct)]
+		sent.address = c.load.options.Direct[c.request.number%len(c.load.options.Direct)]
 		return c.load.sender.sendDirect(ctx, sent)
 	}
 	known, err := c.directory.get(ctx)
@@ -169,18 +169,18 @@
 	}
 	addresses := append(spares[:len(spares):len(spares)], known.addresses()...)
 	skip = min(skip, len(addresses)-1)
-	var judged verdict
+	var v verdict
 	for _, address := range addresses[skip:min(len(addresses), skip+maxAddresses)] {
 		sent.address = address
-		judged = c.load.sender.send(ctx, sent)
-		judged.address = address
-		if judged.kind != kindUnreachable {
+		v = c.load.sender.send(ctx, sent)
+		v.address = address
+		if v.kind != kindUnreachable {
 			break
 		}
-		c.directory.forget()
+		c.directory.invalidate()
 	}
-	if len(judged.spares) > 0 {
-		c.directory.forget()
+	if len(v.spares) > 0 {
+		c.directory.invalidate()
 	}
-	return judged
+	return v
 }
--- a/standin/internal/load/caller_test.go
+++ b/standin/internal/load/caller_test.go
@@ -73,7 +73,7 @@
 }
 
 func right(received post) *http.Response {
-	reply := wholeReply{Outcome: Answered, RequestID: received.Key, Version: "v1"}
+	reply := unaryReply{Outcome: Answered, RequestID: received.Key, Version: "v1"}
 	for i := range received.MaxTokens {
 		reply.Tokens = append(reply.Tokens, answer.Token("v1", "", received.Prompt, i))
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatalf("options: got %v, want none", err)
 	}
-	caller.sender.kept.Transport, caller.sender.fresh.Transport = fake, fake
+	caller.sender.keepAlive.Transport, caller.sender.noKeepAlive.Transport = fake, fake
 	planned, _ := newPlan(options).next()
 	planned.arrival = 0
 	var calls sync.WaitGroup
@@ -305,10 +305,10 @@
 		ask(1)
 		time.Sleep(2 * time.Second)
 		ask(2)
-		caller.forget()
+		caller.invalidate()
 		ask(3)
 		// Nobody answers: the old one must do.
-		caller.forget()
+		caller.invalidate()
 		fake.directory.Use = ""
 		ask(4)
 	})
@@ -329,7 +329,7 @@
 		if err != nil {
 			t.Fatalf("options: got %v, want none", err)
 		}
-		caller.sender.kept.Transport, caller.sender.fresh.Transport = fake, fake
+		caller.sender.keepAlive.Transport, caller.sender.noKeepAlive.Transport = fake, fake
 		summary, err := caller.Run(t.Context())
 		if err != nil {
 			t.Fatalf("run: got %v, want none", err)
--- a/standin/internal/load/direct.go
+++ b/standin/internal/load/direct.go
@@ -27,11 +27,11 @@
 	body := engineBody{
 		RequestID: id,
 		Model:     sent.model,
-		Adapter:   sent.asked.adapter.Name,
-		Prompt:    sent.asked.prompt,
-		MaxTokens: sent.asked.maxTokens,
+		Adapter:   sent.request.adapter.Name,
+		Prompt:    sent.request.prompt,
+		MaxTokens: sent.request.maxTokens,
 	}
-	current := &reading{asked: sent.asked, askedAt: s.clock.Now(), versions: s.versions, requestID: id}
+	current := &replyChecker{request: sent.request, askedAt: s.clock.Now(), versions: s.versions, requestID: id}
 	response, failed := s.post(ctx, sent.address+"/generate", sent, body)
 	if response == nil {
 		return failed
@@ -40,9 +40,9 @@
 	if response.StatusCode != http.StatusOK {
 		return directRefusal(response)
 	}
-	judged := s.readStream(ctx, current, response.Body, engineEvent)
-	judged.requestID = id
-	return judged
+	v := s.readStream(ctx, current, response.Body, handleEngineEvent)
+	v.requestID = id
+	return v
 }
 
 // directRefusal: an engine's refusal proves that it did not run the request.
@@ -54,8 +54,8 @@
 	return verdict{outcome: NotRun, kind: response.Status, detail: string(text)}
 }
 
-// engineEvent takes an event of an engine's stream.
-func engineEvent(current *reading, name string, data []byte, now time.Time) error {
+// handleEngineEvent takes an event of an engine's stream.
+func handleEngineEvent(current *replyChecker, name string, data []byte, now time.Time) error {
 	var event struct {
 		Version string `json:"version"`
 		I       int    `json:"i"`
@@ -72,7 +72,7 @@
 		if event.I != len(current.tokens) {
 			return fmt.Errorf("token %d came in place of %d", event.I, len(current.tokens))
 		}
-		current.more([]string{event.Text}, now)
+		current.addTokens([]string{event.Text}, now)
 	case "end":
 		current.end(event.Version, "", event.Count)
 	}
--- a/standin/internal/load/directory.go
+++ b/standin/internal/load/directory.go
@@ -43,7 +43,7 @@
 
 	// mu is held while asking: one caller asks once.
 	mu      sync.Mutex
-	known   directoryReply
+	cached  directoryReply
 	expires time.Time
 }
 
@@ -53,11 +53,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.clock.Now().Before(d.expires) {
-		return d.known, nil
+		return d.cached, nil
 	}
-	reply, err := d.ask(ctx)
-	if err != nil && d.known.Use != "" {
-		return d.known, nil
+	reply, err := d.fetch(ctx)
+	if err != nil && d.cached.Use != "" {
+		return d.cached, nil
 	}
 	if err != nil {
 		return directoryReply{}, err
@@ -66,25 +66,25 @@
 	if ttl <= 0 {
 		ttl = defaultTTL
 	}
-	d.known = reply
+	d.cached = reply
 	d.expires = d.clock.Now().Add(ttl)
 	return reply, nil
 }
 
 // forget makes the next get ask again, as the entry was gone or leaves.
-func (d *directory) forget() {
+func (d *directory) invalidate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.expires = time.Time{}
 }
 
-func (d *directory) ask(ctx context.Context) (directoryReply, error) {
-	asked := append(d.known.Spares[:len(d.known.Spares):len(d.known.Spares)], d.entries...)
-	start := rand.IntN(len(asked))
+func (d *directory) fetch(ctx context.Context) (directoryReply, error) {
+	candidates := append(d.cached.Spares[:len(d.cached.Spares):len(d.cached.Spares)], d.entries...)
+	start := rand.IntN(len(candidates))
 	var err error
-	for i := range min(directoryTries, len(asked)) {
+	for i := range min(directoryTries, len(candidates)) {
 		var reply directoryReply
-		reply, err = d.askOne(ctx, asked[(start+i)%len(asked)])
+		reply, err = d.fetchFrom(ctx, candidates[(start+i)%len(candidates)])
 		if err == nil {
 			return reply, nil
 		}
@@ -92,7 +92,7 @@
 	return directoryReply{}, err
 }
 
-func (d *directory) askOne(ctx context.Context, entry string) (directoryReply, error) {
+func (d *directory) fetchFrom(ctx context.Context, entry string) (directoryReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+"/v1/entries", nil)
--- a/standin/internal/load/load.go
+++ b/standin/internal/load/load.go
@@ -28,8 +28,8 @@
 	directories [][]*directory // by customer and caller
 	versions    *versions
 	tally       *tally
-	ledger      *ledger
-	places      chan struct{} // one for each request in flight
+	record      *recordWriter
+	inFlight    chan struct{} // one for each request in flight
 	started     time.Time
 }
 
@@ -41,29 +41,29 @@
 	}
 	kept := newClient(true)
 	intended := newVersions(options.Versions, options.Adapters)
-	made := &Load{
+	created := &Load{
 		options:  options,
 		clock:    clock,
 		log:      log,
-		sender:   &sender{kept: kept, fresh: newClient(false), clock: clock, versions: intended},
+		sender:   &sender{keepAlive: kept, noKeepAlive: newClient(false), clock: clock, versions: intended},
 		versions: intended,
 		tally:    newTally(options.Customers, options.Deadline),
-		ledger:   newLedger(record),
-		places:   make(chan struct{}, options.MaxInFlight),
+		record:   newRecordWriter(record),
+		inFlight: make(chan struct{}, options.MaxInFlight),
 		started:  clock.Now(),
 	}
 	for _, customer := range options.Customers {
-		made.directories = append(made.directories, newDirectories(options, customer, kept, clock))
+		created.directories = append(created.directories, newDirectories(options, customer, kept, clock))
 	}
-	return made, nil
+	return created, nil
 }
 
 func newDirectories(options Options, customer Customer, client *http.Client, clock clockwork.Clock) []*directory {
-	made := make([]*directory, options.Callers)
-	for i := range made {
-		made[i] = &directory{entries: options.Entries, key: customer.Key, client: client, clock: clock}
+	created := make([]*directory, options.Callers)
+	for i := range created {
+		created[i] = &directory{entries: options.Entries, key: customer.Key, client: client, clock: clock}
 	}
-	return made
+	return created
 }
 
 func (l *Load) direct() bool { return len(l.options.Direct) > 0 }
@@ -86,7 +86,7 @@
 		l.launch(&calls, planned)
 	}
 	calls.Wait()
-	if err := l.ledger.failed(); err != nil {
+	if err := l.record.failed(); err != nil {
 		return l.Summary(), failure.Wrap(err, failure.Unavailable, "cannot write the caller's ledger", "free the disk or leave out --ledger-file")
 	}
 	return l.Summary(), nil
@@ -110,45 +110,45 @@
 // when answers do.
 func (l *Load) launch(calls *sync.WaitGroup, planned request) {
 	select {
-	case l.places <- struct{}{}:
+	case l.inFlight <- struct{}{}:
 	default:
-		l.tally.skip()
+		l.tally.countOverrun()
 		return
 	}
 	customer := l.options.Customers[planned.customer]
 	current := &caller{
 		load:      l,
-		asked:     planned,
+		request:   planned,
 		customer:  customer,
 		directory: l.directories[planned.customer][planned.caller],
 		arrived:   l.started.Add(planned.arrival),
 	}
 	calls.Go(func() {
-		defer func() { <-l.places }()
+		defer func() { <-l.inFlight }()
 		// Requests in flight go on when the run is stopped: their own deadline
 		// ends them.
-		found := current.run(context.Background())
-		l.tally.add(customer.Name, found, current.arrived)
-		l.ledger.write(entryOf(l.options.Model, planned, customer, found, current.arrived.Add(found.took)))
+		res := current.run(context.Background())
+		l.tally.add(customer.Name, res, current.arrived)
+		l.record.write(newEntry(l.options.Model, planned, customer, res, current.arrived.Add(res.took)))
 	})
 }
 
-func entryOf(model string, planned request, customer Customer, found result, ended time.Time) Entry {
+func newEntry(model string, planned request, customer Customer, res result, ended time.Time) Entry {
 	return Entry{
 		ID:         planned.number,
-		RequestID:  found.requestID,
-		Key:        found.key,
+		RequestID:  res.requestID,
+		Key:        res.key,
 		Content:    contentOf(model, planned),
 		Customer:   customer.Name,
 		Service:    planned.service,
 		Repeatable: planned.repeatable,
-		Outcome:    found.outcome,
-		Detail:     found.detail,
-		Version:    found.version,
-		Tokens:     found.tokens,
-		Attempts:   found.attempts,
-		Millis:     found.took.Milliseconds(),
-		Address:    found.address,
+		Outcome:    res.outcome,
+		Detail:     res.detail,
+		Version:    res.version,
+		Tokens:     res.tokens,
+		Attempts:   res.attempts,
+		Millis:     res.took.Milliseconds(),
+		Address:    res.address,
 		EndedAt:    ended.UnixMilli(),
 	}
 }
@@ -190,5 +190,5 @@
 		"wrongAnswer", counts.WrongAnswer,
 		"wrongVersion", counts.WrongVersion,
 		"cutOff", counts.CutOff,
-		"inFlight", len(l.places))
+		"inFlight", len(l.inFlight))
 }
--- a/standin/internal/load/reading.go
+++ b/standin/internal/load/reading.go
@@ -46,8 +46,8 @@
 }
 
 // reading judges one reply as it comes in.
-type reading struct {
-	asked      request
+type replyChecker struct {
+	request    request
 	key        string // once key, "" for repeatable requests
 	askedAt    time.Time
 	versions   *versions
@@ -63,31 +63,31 @@
 }
 
 // begin takes the first event of a stream.
-func (r *reading) begin(requestID, version string) {
+func (r *replyChecker) begin(requestID, version string) {
 	if r.begun {
-		r.wrong(WrongAnswer, "a second begin")
+		r.addProblem(WrongAnswer, "a second begin")
 		return
 	}
 	r.begun = true
-	r.identify(requestID)
+	r.setRequestID(requestID)
 	r.version = version
 }
 
-func (r *reading) identify(requestID string) {
+func (r *replyChecker) setRequestID(requestID string) {
 	r.requestID = requestID
 	if r.key != "" && requestID != r.key {
-		r.wrong(WrongAnswer, fmt.Sprintf("the answer bears id %q, the request had key %q", requestID, r.key))
+		r.addProblem(WrongAnswer, fmt.Sprintf("the answer bears id %q, the request had key %q", requestID, r.key))
 	}
 }
 
 // more takes tokens that arrived now.
-func (r *reading) more(tokens []string, now time.Time) {
+func (r *replyChecker) addTokens(tokens []string, now time.Time) {
 	if r.ended {
-		r.wrong(WrongAnswer, "tokens after the end")
+		r.addProblem(WrongAnswer, "tokens after the end")
 		return
 	}
-	if len(r.tokens)+len(tokens) > r.asked.maxTokens {
-		r.wrong(WrongAnswer, "more tokens than asked for")
+	if len(r.tokens)+len(tokens) > r.request.maxTokens {
+		r.addProblem(WrongAnswer, "more tokens than asked for")
 		return
 	}
 	if len(tokens) == 0 {
@@ -103,69 +103,69 @@
 }
 
 // end takes the end event. The digest is "" where the protocol has none.
-func (r *reading) end(version, digest string, count int) {
+func (r *replyChecker) end(version, digest string, count int) {
 	switch {
 	case r.ended:
-		r.wrong(WrongAnswer, "a second end")
+		r.addProblem(WrongAnswer, "a second end")
 	case !r.begun:
-		r.wrong(WrongAnswer, "an end without a begin")
+		r.addProblem(WrongAnswer, "an end without a begin")
 	case version != r.version:
-		r.wrong(WrongVersion, fmt.Sprintf("begun by version %s, ended by %s", r.version, version))
+		r.addProblem(WrongVersion, fmt.Sprintf("begun by version %s, ended by %s", r.version, version))
 	case count != len(r.tokens):
-		r.wrong(CutOff, fmt.Sprintf("the end counts %d tokens, %d came", count, len(r.tokens)))
+		r.addProblem(CutOff, fmt.Sprintf("the end counts %d tokens, %d came", count, len(r.tokens)))
 	case digest != "" && digest != answer.Digest(r.tokens):
-		r.wrong(CutOff, "the digest does not match the tokens")
+		r.addProblem(CutOff, "the digest does not match the tokens")
 	}
 	r.ended = true
 }
 
 // failed takes an error that the system reports.
-func (r *reading) failed(reported replyError) {
+func (r *replyChecker) addError(reported replyError) {
 	if r.ended {
-		r.wrong(WrongAnswer, "an error after the end")
+		r.addProblem(WrongAnswer, "an error after the end")
 		return
 	}
 	if reported.Outcome == NotRun && len(r.tokens) > 0 {
-		r.wrong(WrongAnswer, "called not run after tokens had come")
+		r.addProblem(WrongAnswer, "called not run after tokens had come")
 		return
 	}
 	r.ended = true
-	r.keep(reported.verdict())
+	r.setProblem(reported.verdict())
 }
 
 // closed takes the end of the connection and returns the verdict.
-func (r *reading) closed(err error) verdict {
+func (r *replyChecker) connectionClosed(err error) verdict {
 	if !r.ended {
-		r.wrong(CutOff, fmt.Sprintf("the stream closed after %d tokens without an end: %v", len(r.tokens), err))
+		r.addProblem(CutOff, fmt.Sprintf("the stream closed after %d tokens without an end: %v", len(r.tokens), err))
 	}
-	return r.judge()
+	return r.verdict()
 }
 
 // judge returns the verdict on a stream that ended.
-func (r *reading) judge() verdict {
+func (r *replyChecker) verdict() verdict {
 	if r.problem == nil {
 		r.check()
 	}
 	// Tokens of another answer are a fault even where the stream then fails:
 	// they reached the caller.
-	if severity[r.problemOutcome()] < severity[WrongAnswer] && !r.rightTokens() {
+	if severity[r.problemOutcome()] < severity[WrongAnswer] && !r.tokensMatch() {
 		r.problem = &verdict{outcome: WrongAnswer, kind: WrongAnswer, detail: "the tokens are not those of the version and the prompt"}
 	}
-	judged := verdict{outcome: Answered}
+	v := verdict{outcome: Answered}
 	if r.problem != nil {
-		judged = *r.problem
+		v = *r.problem
 	}
-	if judged.requestID == "" {
-		judged.requestID = r.requestID
+	if v.requestID == "" {
+		v.requestID = r.requestID
 	}
-	judged.version = r.version
-	judged.tokens = len(r.tokens)
-	judged.firstToken = r.firstToken
-	judged.gaps = r.gaps
-	return judged
+	v.version = r.version
+	v.tokens = len(r.tokens)
+	v.firstToken = r.firstToken
+	v.gaps = r.gaps
+	return v
 }
 
-func (r *reading) problemOutcome() string {
+func (r *replyChecker) problemOutcome() string {
 	if r.problem == nil {
 		return Answered
 	}
@@ -173,24 +173,24 @@
 }
 
 // check looks for what is wrong with an answer that ended well.
-func (r *reading) check() {
-	if len(r.tokens) < r.asked.maxTokens {
-		r.wrong(CutOff, fmt.Sprintf("%d tokens of %d", len(r.tokens), r.asked.maxTokens))
+func (r *replyChecker) check() {
+	if len(r.tokens) < r.request.maxTokens {
+		r.addProblem(CutOff, fmt.Sprintf("%d tokens of %d", len(r.tokens), r.request.maxTokens))
 		return
 	}
 	if !r.versions.allowed(r.version, r.askedAt) {
-		r.wrong(WrongVersion, "nobody intends version "+r.version)
+		r.addProblem(WrongVersion, "nobody intends version "+r.version)
 	}
 }
 
-// rightTokens reports whether one of the adapter's intended versions makes the
+// tokensMatch reports whether one of the adapter's intended versions makes the
 // tokens.
-func (r *reading) rightTokens() bool {
-	if r.asked.adapter.Name == "" {
-		return matches(answer.New(r.version, "", r.asked.prompt), r.tokens)
+func (r *replyChecker) tokensMatch() bool {
+	if r.request.adapter.Name == "" {
+		return matches(answer.New(r.version, "", r.request.prompt), r.tokens)
 	}
-	for _, version := range r.versions.ofAdapter(r.asked.adapter.Name) {
-		if matches(answer.New(r.version, version, r.asked.prompt), r.tokens) {
+	for _, version := range r.versions.ofAdapter(r.request.adapter.Name) {
+		if matches(answer.New(r.version, version, r.request.prompt), r.tokens) {
 			return true
 		}
 	}
@@ -207,38 +207,38 @@
 }
 
 // whole judges an answer that came in one piece.
-func (r *reading) whole(reply wholeReply, now time.Time) verdict {
+func (r *replyChecker) checkReply(reply unaryReply, now time.Time) verdict {
 	r.begin(reply.RequestID, reply.Version)
-	if r.asked.service != "" {
-		return r.wholeService(reply)
+	if r.request.service != "" {
+		return r.checkServiceReply(reply)
 	}
-	r.more(reply.Tokens, now)
+	r.addTokens(reply.Tokens, now)
 	r.ended = true
-	judged := r.judge()
-	judged.firstToken = time.Time{} // the first token was not seen on its own
-	return judged
+	v := r.verdict()
+	v.firstToken = time.Time{} // the first token was not seen on its own
+	return v
 }
 
-func (r *reading) wholeService(reply wholeReply) verdict {
+func (r *replyChecker) checkServiceReply(reply unaryReply) verdict {
 	r.ended = true
-	if !bytes.Equal(reply.Body, answer.Service([]byte(r.asked.prompt))) {
-		r.wrong(WrongAnswer, "the body is not the service's answer to this call")
+	if !bytes.Equal(reply.Body, answer.Service([]byte(r.request.prompt))) {
+		r.addProblem(WrongAnswer, "the body is not the service's answer to this call")
 	}
-	judged := verdict{outcome: Answered}
+	v := verdict{outcome: Answered}
 	if r.problem != nil {
-		judged = *r.problem
+		v = *r.problem
 	}
-	judged.requestID = r.requestID
-	return judged
+	v.requestID = r.requestID
+	return v
 }
 
-func (r *reading) wrong(outcome, detail string) {
-	r.keep(verdict{outcome: outcome, detail: detail, kind: outcome})
+func (r *replyChecker) addProblem(outcome, detail string) {
+	r.setProblem(verdict{outcome: outcome, detail: detail, kind: outcome})
 }
 
 // keep remembers the first problem only: what follows from it says less.
-func (r *reading) keep(found verdict) {
+func (r *replyChecker) setProblem(problem verdict) {
 	if r.problem == nil {
-		r.problem = &found
+		r.problem = &problem
 	}
 }
--- a/standin/internal/load/reading_test.go
+++ b/standin/internal/load/reading_test.go
@@ -36,12 +36,12 @@
 	intended.remove("v2", clock.Now().Add(-time.Second))
 	by := &sender{clock: clock, versions: intended}
 	asked := request{prompt: "p", maxTokens: 3}
-	current := &reading{asked: asked, askedAt: clock.Now(), versions: intended}
+	current := &replyChecker{request: asked, askedAt: clock.Now(), versions: intended}
 	if d.HasArg("key") {
 		d.ScanArgs(t, "key", &current.key)
 	}
 	if d.HasArg("adapter") {
-		d.ScanArgs(t, "adapter", &current.asked.adapter.Name)
+		d.ScanArgs(t, "adapter", &current.request.adapter.Name)
 	}
 	if d.HasArg("before") {
 		// The request was sent before v2 was taken away.
@@ -55,9 +55,9 @@
 	body := strings.NewReader(streamOf(d.Input))
 	switch d.Cmd {
 	case "entry":
-		return describe(by.readStream(ctx, current, body, entryEvent))
+		return describe(by.readStream(ctx, current, body, handleEntryEvent))
 	case "engine":
-		return describe(by.readStream(ctx, current, body, engineEvent))
+		return describe(by.readStream(ctx, current, body, handleEngineEvent))
 	}
 	d.Fatalf(t, "unknown command %s", d.Cmd)
 	return ""
@@ -107,22 +107,22 @@
 	tests := []struct {
 		name  string
 		asked request
-		reply wholeReply
+		reply unaryReply
 		want  string
 	}{
-		{"right", model, wholeReply{RequestID: "k", Version: "v1", Tokens: right}, Answered},
-		{"too short", model, wholeReply{RequestID: "k", Version: "v1", Tokens: right[:2]}, CutOff},
-		{"out of order", model, wholeReply{RequestID: "k", Version: "v1", Tokens: []string{right[1], right[0], right[2]}}, WrongAnswer},
-		{"too long", model, wholeReply{RequestID: "k", Version: "v1", Tokens: append(right[:3:3], "x")}, WrongAnswer},
-		{"tokens of another version", model, wholeReply{RequestID: "k", Version: "v2", Tokens: right}, WrongAnswer},
-		{"another's key", model, wholeReply{RequestID: "l", Version: "v1", Tokens: right}, WrongAnswer},
-		{"service", service, wholeReply{RequestID: "k", Body: answer.Service([]byte("p"))}, Answered},
-		{"another's body", service, wholeReply{RequestID: "k", Body: answer.Service([]byte("q"))}, WrongAnswer},
-		{"service, another's key", service, wholeReply{RequestID: "l", Body: answer.Service([]byte("p"))}, WrongAnswer},
+		{"right", model, unaryReply{RequestID: "k", Version: "v1", Tokens: right}, Answered},
+		{"too short", model, unaryReply{RequestID: "k", Version: "v1", Tokens: right[:2]}, CutOff},
+		{"out of order", model, unaryReply{RequestID: "k", Version: "v1", Tokens: []string{right[1], right[0], right[2]}}, WrongAnswer},
+		{"too long", model, unaryReply{RequestID: "k", Version: "v1", Tokens: append(right[:3:3], "x")}, WrongAnswer},
+		{"tokens of another version", model, unaryReply{RequestID: "k", Version: "v2", Tokens: right}, WrongAnswer},
+		{"another's key", model, unaryReply{RequestID: "l", Version: "v1", Tokens: right}, WrongAnswer},
+		{"service", service, unaryReply{RequestID: "k", Body: answer.Service([]byte("p"))}, Answered},
+		{"another's body", service, unaryReply{RequestID: "k", Body: answer.Service([]byte("q"))}, WrongAnswer},
+		{"service, another's key", service, unaryReply{RequestID: "l", Body: answer.Service([]byte("p"))}, WrongAnswer},
 	}
 	for _, test := range tests {
-		current := &reading{asked: test.asked, key: "k", versions: newVersions(nil, nil)}
-		if got := current.whole(test.reply, time.Time{}); got.outcome != test.want {
+		current := &replyChecker{request: test.asked, key: "k", versions: newVersions(nil, nil)}
+		if got := current.checkReply(test.reply, time.Time{}); got.outcome != test.want {
 			t.Errorf("%s: got %s (%s), want %s", test.name, got.outcome, got.detail, test.want)
 		}
 	}
@@ -130,9 +130,9 @@
 
 func TestGapsAreByToken(t *testing.T) {
 	start := time.Unix(0, 0)
-	current := &reading{asked: request{maxTokens: 9}}
-	current.more([]string{"a"}, start.Add(time.Second))
-	current.more([]string{"b", "c"}, start.Add(3*time.Second))
+	current := &replyChecker{request: request{maxTokens: 9}}
+	current.addTokens([]string{"a"}, start.Add(time.Second))
+	current.addTokens([]string{"b", "c"}, start.Add(3*time.Second))
 	if got, want := current.firstToken, start.Add(time.Second); !got.Equal(want) {
 		t.Errorf("first token: got %v, want %v", got, want)
 	}
--- a/standin/internal/load/record.go
+++ b/standin/internal/load/record.go
@@ -31,20 +31,20 @@
 }
 
 // ledger writes one line a request.
-type ledger struct {
+type recordWriter struct {
 	mu  sync.Mutex
 	out *json.Encoder // nil where none is wanted
 	err error         // of the first write that failed
 }
 
-func newLedger(out io.Writer) *ledger {
+func newRecordWriter(out io.Writer) *recordWriter {
 	if out == nil {
-		return &ledger{}
+		return &recordWriter{}
 	}
-	return &ledger{out: json.NewEncoder(out)}
+	return &recordWriter{out: json.NewEncoder(out)}
 }
 
-func (l *ledger) write(entry Entry) {
+func (l *recordWriter) write(entry Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.out == nil || l.err != nil {
@@ -53,7 +53,7 @@
 	l.err = l.out.Encode(entry)
 }
 
-func (l *ledger) failed() error {
+func (l *recordWriter) failed() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.err
--- a/standin/internal/load/reply.go
+++ b/standin/internal/load/reply.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// wholeReply is an answer in one piece.
-type wholeReply struct {
+// unaryReply is an answer in one piece.
+type unaryReply struct {
 	Outcome   string   `json:"outcome"`
 	RequestID string   `json:"requestId"`
 	Version   string   `json:"version"`
@@ -26,7 +26,7 @@
 
 // verdict trusts notRun only where it is said: anything unclear is unknown.
 func (e replyError) verdict() verdict {
-	judged := verdict{
+	v := verdict{
 		outcome:    Unknown,
 		detail:     e.Error.Message,
 		kind:       e.Error.Kind,
@@ -35,10 +35,10 @@
 		spares:     e.Error.Spares,
 	}
 	if e.Outcome == NotRun {
-		judged.outcome = NotRun
+		v.outcome = NotRun
 	}
-	if judged.kind == "" {
-		judged.kind = kindMalformed
+	if v.kind == "" {
+		v.kind = kindMalformed
 	}
-	return judged
+	return v
 }
--- a/standin/internal/load/send.go
+++ b/standin/internal/load/send.go
@@ -25,13 +25,13 @@
 // sender sends one attempt and judges the reply.
 type sender struct {
 	// kept uses connections again; directories share it.
-	kept *http.Client
+	keepAlive *http.Client
 	// fresh makes a connection for each request that is not repeatable. An
 	// entry may close a kept one just as the request goes out, and then nobody
 	// could know whether it ran.
-	fresh    *http.Client
-	clock    clockwork.Clock
-	versions *versions
+	noKeepAlive *http.Client
+	clock       clockwork.Clock
+	versions    *versions
 }
 
 // newClient returns a client that never sends a request twice by itself: it
@@ -71,7 +71,7 @@
 
 // attempt is one sending of a request.
 type attempt struct {
-	asked    request
+	request  request
 	model    string
 	bearer   string
 	key      string
@@ -83,11 +83,11 @@
 func (s *sender) send(ctx context.Context, sent attempt) verdict {
 	var url string
 	var body any
-	if sent.asked.service != "" {
-		url = "http://" + sent.address + "/v1/services/" + sent.asked.service
+	if sent.request.service != "" {
+		url = "http://" + sent.address + "/v1/services/" + sent.request.service
 		body = serviceBody{
-			Body:           []byte(sent.asked.prompt),
-			Repeatable:     sent.asked.repeatable,
+			Body:           []byte(sent.request.prompt),
+			Repeatable:     sent.request.repeatable,
 			DeadlineMillis: sent.deadline.Milliseconds(),
 			Key:            sent.key,
 		}
@@ -95,15 +95,15 @@
 		url = "http://" + sent.address + "/v1/requests"
 		body = modelBody{
 			Model:          sent.model,
-			Adapter:        sent.asked.adapter.Name,
-			Prompt:         sent.asked.prompt,
-			MaxTokens:      sent.asked.maxTokens,
-			Repeatable:     sent.asked.repeatable,
+			Adapter:        sent.request.adapter.Name,
+			Prompt:         sent.request.prompt,
+			MaxTokens:      sent.request.maxTokens,
+			Repeatable:     sent.request.repeatable,
 			DeadlineMillis: sent.deadline.Milliseconds(),
 			Key:            sent.key,
 		}
 	}
-	current := &reading{asked: sent.asked, key: sent.key, askedAt: s.clock.Now(), versions: s.versions}
+	current := &replyChecker{request: sent.request, key: sent.key, askedAt: s.clock.Now(), versions: s.versions}
 	response, failed := s.post(ctx, url, sent, body)
 	if response == nil {
 		return failed
@@ -124,10 +124,10 @@
 	}
 	post.Header.Set("Content-Type", "application/json")
 	post.Header.Set("Authorization", "Bearer "+sent.bearer)
-	if sent.asked.stream {
+	if sent.request.stream {
 		post.Header.Set("Accept", "text/event-stream")
 	}
-	response, err := s.client(sent.asked).Do(post)
+	response, err := s.client(sent.request).Do(post)
 	if err != nil {
 		return nil, verdictOnError(ctx, err)
 	}
@@ -136,9 +136,9 @@
 
 func (s *sender) client(asked request) *http.Client {
 	if asked.repeatable {
-		return s.kept
+		return s.keepAlive
 	}
-	return s.fresh
+	return s.noKeepAlive
 }
 
 // verdictOnError judges a request that got no response: only where no
@@ -154,41 +154,41 @@
 	return verdict{outcome: Unknown, kind: kindBroken, detail: err.Error()}
 }
 
-func (s *sender) read(ctx context.Context, current *reading, response *http.Response) verdict {
+func (s *sender) read(ctx context.Context, current *replyChecker, response *http.Response) verdict {
 	if response.StatusCode != http.StatusOK {
 		return readError(ctx, response)
 	}
-	if current.asked.stream {
-		return s.readStream(ctx, current, response.Body, entryEvent)
+	if current.request.stream {
+		return s.readStream(ctx, current, response.Body, handleEntryEvent)
 	}
-	var reply wholeReply
+	var reply unaryReply
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&reply); err != nil {
-		return unlessLate(ctx, verdict{outcome: CutOff, kind: CutOff, detail: err.Error()})
+		return timeoutIfExpired(ctx, verdict{outcome: CutOff, kind: CutOff, detail: err.Error()})
 	}
-	return current.whole(reply, s.clock.Now())
+	return current.checkReply(reply, s.clock.Now())
 }
 
 func readError(ctx context.Context, response *http.Response) verdict {
 	var reported replyError
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&reported); err != nil {
-		return unlessLate(ctx, verdict{outcome: Unknown, kind: kindMalformed, detail: response.Status + ": " + err.Error()})
+		return timeoutIfExpired(ctx, verdict{outcome: Unknown, kind: kindMalformed, detail: response.Status + ": " + err.Error()})
 	}
 	return reported.verdict()
 }
 
-// unlessLate replaces the verdict where the caller itself gave up.
-func unlessLate(ctx context.Context, judged verdict) verdict {
+// timeoutIfExpired replaces the verdict where the caller itself gave up.
+func timeoutIfExpired(ctx context.Context, v verdict) verdict {
 	if ctx.Err() == nil {
-		return judged
+		return v
 	}
-	judged.outcome, judged.kind = Unknown, kindTimeout
-	return judged
+	v.outcome, v.kind = Unknown, kindTimeout
+	return v
 }
 
-// takeEvent hands one event to the reading.
-type takeEvent func(current *reading, name string, data []byte, now time.Time) error
+// eventHandler hands one event to the reading.
+type eventHandler func(current *replyChecker, name string, data []byte, now time.Time) error
 
-func (s *sender) readStream(ctx context.Context, current *reading, body io.Reader, take takeEvent) verdict {
+func (s *sender) readStream(ctx context.Context, current *replyChecker, body io.Reader, take eventHandler) verdict {
 	events := newEventReader(body)
 	for {
 		name, data, err := events.next()
@@ -196,22 +196,22 @@
 			return s.closed(ctx, current, err)
 		}
 		if err := take(current, name, data, s.clock.Now()); err != nil {
-			current.wrong(WrongAnswer, err.Error())
-			return current.judge()
+			current.addProblem(WrongAnswer, err.Error())
+			return current.verdict()
 		}
 	}
 }
 
-func (s *sender) closed(ctx context.Context, current *reading, err error) verdict {
-	judged := current.closed(err)
-	if judged.outcome == CutOff && !current.ended {
-		return unlessLate(ctx, judged)
+func (s *sender) closed(ctx context.Context, current *replyChecker, err error) verdict {
+	v := current.connectionClosed(err)
+	if v.outcome == CutOff && !current.ended {
+		return timeoutIfExpired(ctx, v)
 	}
-	return judged
+	return v
 }
 
-// entryEvent takes an event of the callers' API.
-func entryEvent(current *reading, name string, data []byte, now time.Time) error {
+// handleEntryEvent takes an event of the callers' API.
+func handleEntryEvent(current *replyChecker, name string, data []byte, now time.Time) error {
 	var event struct {
 		RequestID string   `json:"requestId"`
 		Version   string   `json:"version"`
@@ -224,7 +224,7 @@
 		if err := json.Unmarshal(data, &reported); err != nil {
 			return fmt.Errorf("error event: %w", err)
 		}
-		current.failed(reported)
+		current.addError(reported)
 		return nil
 	}
 	if err := json.Unmarshal(data, &event); err != nil {
@@ -234,7 +234,7 @@
 	case "begin":
 		current.begin(event.RequestID, event.Version)
 	case "tokens":
-		current.more(event.Tokens, now)
+		current.addTokens(event.Tokens, now)
 	case "end":
 		if event.Digest == "" {
 			return errors.New("an end without a digest")
--- a/standin/internal/load/tally.go
+++ b/standin/internal/load/tally.go
@@ -96,15 +96,15 @@
 }
 
 // add counts one result. Only right answers give times: others would flatter.
-func (a *account) add(found result, arrived time.Time, deadline time.Duration) {
+func (a *account) add(res result, arrived time.Time, deadline time.Duration) {
 	a.counts.Requests++
-	a.counts.Attempts += found.attempts
-	if found.contradicted {
+	a.counts.Attempts += res.attempts
+	if res.contradicted {
 		a.counts.Contradicted++
 	}
-	switch found.outcome {
+	switch res.outcome {
 	case Answered:
-		a.addAnswer(found, arrived, deadline)
+		a.addAnswer(res, arrived, deadline)
 	case NotRun:
 		a.counts.NotRun++
 	case WrongAnswer:
@@ -118,20 +118,20 @@
 	}
 }
 
-func (a *account) addAnswer(found result, arrived time.Time, deadline time.Duration) {
+func (a *account) addAnswer(res result, arrived time.Time, deadline time.Duration) {
 	a.counts.Answered++
-	a.counts.Tokens += found.tokens
-	if found.took > deadline {
+	a.counts.Tokens += res.tokens
+	if res.took > deadline {
 		a.counts.Late++
 	}
-	if found.refused {
+	if res.refused {
 		a.counts.NotRunThenAnswered++
 	}
-	record(a.whole, found.took)
-	if !found.firstToken.IsZero() {
-		record(a.firstToken, found.firstToken.Sub(arrived))
+	record(a.whole, res.took)
+	if !res.firstToken.IsZero() {
+		record(a.firstToken, res.firstToken.Sub(arrived))
 	}
-	for _, gap := range found.gaps {
+	for _, gap := range res.gaps {
 		record(a.between, gap)
 	}
 }
@@ -188,28 +188,28 @@
 	return made
 }
 
-func (t *tally) add(customer string, found result, arrived time.Time) {
+func (t *tally) add(customer string, res result, arrived time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.all.add(found, arrived, t.deadline)
-	t.byCustomer[customer].add(found, arrived, t.deadline)
-	if found.outcome == Answered {
-		t.count(t.byVersion, found.version)
+	t.all.add(res, arrived, t.deadline)
+	t.byCustomer[customer].add(res, arrived, t.deadline)
+	if res.outcome == Answered {
+		t.count(t.byVersion, res.version)
 		return
 	}
-	t.count(t.failures, found.kind)
-	t.example(found)
+	t.count(t.failures, res.kind)
+	t.addExample(res)
 }
 
 // example keeps details, faults before refusals.
-func (t *tally) example(found result) {
+func (t *tally) addExample(res result) {
 	if len(t.examples) >= maxExamples {
 		return
 	}
-	if severity[found.outcome] < severity[Answered] && len(t.examples) >= maxExamples/2 {
+	if severity[res.outcome] < severity[Answered] && len(t.examples) >= maxExamples/2 {
 		return
 	}
-	t.examples = append(t.examples, Example{RequestID: found.requestID, Outcome: found.outcome, Detail: found.detail})
+	t.examples = append(t.examples, Example{RequestID: res.requestID, Outcome: res.outcome, Detail: res.detail})
 }
 
 func (t *tally) count(counts map[string]int, name string) {
@@ -219,7 +219,7 @@
 	counts[name]++
 }
 
-func (t *tally) skip() {
+func (t *tally) countOverrun() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.overrun++
--- a/standin/internal/load/versions.go
+++ b/standin/internal/load/versions.go
@@ -16,14 +16,14 @@
 }
 
 func newVersions(intended []string, adapters []Target) *versions {
-	made := &versions{intended: map[string]time.Time{}, adapters: map[string][]string{}}
+	v := &versions{intended: map[string]time.Time{}, adapters: map[string][]string{}}
 	for _, version := range intended {
-		made.intended[version] = time.Time{}
+		v.intended[version] = time.Time{}
 	}
 	for _, adapter := range adapters {
-		made.addAdapter(adapter.Name, adapter.Version)
+		v.addAdapter(adapter.Name, adapter.Version)
 	}
-	return made
+	return v
 }
 
 func (v *versions) add(version string) {
@@ -35,7 +35,7 @@
 func (v *versions) remove(version string, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if gone, known := v.intended[version]; known && gone.IsZero() {
+	if removedAt, known := v.intended[version]; known && removedAt.IsZero() {
 		v.intended[version] = now
 	}
 }
@@ -53,8 +53,8 @@
 	if len(v.intended) == 0 {
 		return true
 	}
-	gone, known := v.intended[version]
-	return known && (gone.IsZero() || askedAt.Before(gone))
+	removedAt, known := v.intended[version]
+	return known && (removedAt.IsZero() || askedAt.Before(removedAt))
 }
 
 func (v *versions) ofAdapter(name string) []string {
