--- a/standin/internal/load/caller.go
+++ b/standin/internal/load/caller.go
@@ -8,37 +8,37 @@
 	"github.com/google/uuid"
 )
 
-// lateAnswerGrace is how long beyond the deadline the caller still waits, to distinguish a late
-// answer from none.
+// lateAnswerGrace is how long the caller waits beyond the deadline, to tell a late
+// answer from a missing one.
 const lateAnswerGrace = 2 * time.Second
 
-// defaultRetryAfter is the wait where the system names none.
+// defaultRetryAfter is the delay before a retry if the system suggests none.
 const defaultRetryAfter = 100 * time.Millisecond
 
-// jitter spreads retries by up to this fraction of the wait.
+// jitter is the largest fraction of the delay that is added at random to spread retries.
 const jitter = 0.25
 
-// maxAddresses bounds the entries tried for one attempt.
+// maxAddresses limits how many entries are tried in one attempt.
 const maxAddresses = 4
 
-// result is what became of one request.
+// result is the final outcome of one request over all its attempts.
 type result struct {
 	verdict
 	attempts int
-	// refused: an earlier attempt was not run.
+	// refused is set if an earlier attempt was not run.
 	refused bool
-	took    time.Duration // from the arrival
+	took    time.Duration // since the planned arrival
 	key     string
-	// contradicted: one of two sendings was answered, and the other, which was
-	// refused later than the answered one was sent, called not run. A sending
-	// that begins after the caller received "not run" is a new wish of the caller's:
-	// the promise was true when it was given.
+	// contradicted is set if the request was sent twice, one copy was answered and
+	// the other was reported as not run after the answered copy had been sent. If
+	// the answered copy was sent only after "not run" arrived, it counts as a new
+	// request and the report was correct.
 	contradicted bool
 	sentAt       time.Time // of the last attempt
-	knownAt      time.Time // when its outcome was known
+	knownAt      time.Time // when its outcome became known
 }
 
-// caller carries one request through to its end.
+// caller sends one request, with retries, until it has an outcome.
 type caller struct {
 	load      *Load
 	request   request
@@ -48,7 +48,7 @@
 	key       string
 }
 
-// run sends the request until it has an outcome.
+// run sends the request and returns its outcome, latency and key.
 func (c *caller) run(ctx context.Context) result {
 	ctx, cancel := context.WithDeadline(ctx, c.arrived.Add(c.load.options.Deadline+lateAnswerGrace))
 	defer cancel()
@@ -58,6 +58,8 @@
 	return res
 }
 
+// dispatch sends the request in the planned way. A request that is not repeatable
+// gets a key that starts with its owner, so that it runs at most once.
 func (c *caller) dispatch(ctx context.Context) result {
 	if c.load.direct() {
 		return c.sendWithRetries(ctx, 0)
@@ -76,18 +78,20 @@
 	return c.sendTwice(ctx)
 }
 
-// sendTwice sends the same key through two entries at once; the better outcome
-// counts.
+// sendTwice sends the request with the same key through two entries at the same
+// time and returns the more severe outcome.
 func (c *caller) sendTwice(ctx context.Context) result {
 	second := make(chan result, 1)
 	go func() { second <- c.sendWithRetries(ctx, 1) }()
 	return moreSevere(c.sendWithRetries(ctx, 0), <-second)
 }
 
-// severity orders outcomes: an answer settles the request unless the other
-// sending shows a fault, and what may have run outweighs what did not.
+// severity ranks the outcomes of two copies of one request: an answer outranks
+// notRun and unknown, a wrong or cut-off answer outranks a correct one, and unknown
+// outranks notRun because the request may have run.
 var severity = map[string]int{NotRun: 0, Unknown: 1, Answered: 2, CutOff: 3, WrongVersion: 4, WrongAnswer: 5}
 
+// moreSevere merges the results of the two copies of one request.
 func moreSevere(one, other result) result {
 	if severity[other.outcome] > severity[one.outcome] {
 		one, other = other, one
@@ -97,8 +101,8 @@
 	return one
 }
 
-// sendWithRetries sends again what was not run, while time and retries last. The skip
-// chooses another entry than the best.
+// sendWithRetries repeats a request that was not run until the deadline or the
+// retry limit is reached. It passes over the first skip entries of the list.
 func (c *caller) sendWithRetries(ctx context.Context, skip int) result {
 	var res result
 	var spares []string
@@ -118,6 +122,7 @@
 	}
 }
 
+// mayRepeat reports whether the options allow another attempt after this result.
 func (c *caller) mayRepeat(res result) bool {
 	if res.attempts > c.load.options.Retries {
 		return false
@@ -128,7 +133,7 @@
 	return res.outcome == NotRun
 }
 
-// wait returns false where the deadline comes before the next attempt.
+// wait sleeps before the next attempt. It returns false if the deadline comes first.
 func (c *caller) wait(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		pause = defaultRetryAfter
@@ -145,12 +150,12 @@
 	}
 }
 
-// left is the time to the deadline.
+// timeLeft returns the time until the deadline.
 func (c *caller) timeLeft() time.Duration {
 	return c.load.options.Deadline - c.load.clock.Since(c.arrived)
 }
 
-// attempt sends the request to the first entry that can be reached.
+// attempt sends the request to the first reachable entry.
 func (c *caller) attempt(ctx context.Context, skip int, spares []string) verdict {
 	sent := attempt{
 		request:  c.request,
--- a/standin/internal/load/caller_test.go
+++ b/standin/internal/load/caller_test.go
@@ -20,11 +20,11 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// deployment is a fake of the system: it answers which entry to use, and posts by a
-// function.
+// deployment is a fake of the system. It answers directory lookups with a fixed
+// reply and POST requests by a function.
 type deployment struct {
 	directory directoryReply
-	// reply answers post n, counted from 1 over all entries.
+	// reply answers the n-th POST, counted from 1 over all entries.
 	reply func(n int, post post) (*http.Response, error)
 
 	mu    sync.Mutex
@@ -32,7 +32,7 @@
 	posts []post
 }
 
-// post is one request that an entry received.
+// post is a POST request that an entry received.
 type post struct {
 	entry string
 	modelBody
@@ -67,7 +67,7 @@
 func respond(status int, body any) *http.Response {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the tests' bodies marshal
+		panic(err) // all bodies of these tests can be marshalled
 	}
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(encoded))}
 }
@@ -265,7 +265,7 @@
 				}
 				entries := fake.entries()
 				if test.want.Attempts > 1 && strings.HasPrefix(test.name, "sent twice") {
-					slices.Sort(entries) // they are sent at once
+					slices.Sort(entries) // both copies are sent at the same time
 				}
 				if !slices.Equal(entries, test.wantEntries) {
 					t.Errorf("entries: got %v, want %v", entries, test.wantEntries)
@@ -276,8 +276,8 @@
 	}
 }
 
-// expectOneKey: all sendings of a request that is not repeatable bear one key of
-// the owner, the others none.
+// expectOneKey checks that all attempts of a request that is not repeatable have the
+// same key with the owner's prefix, and that repeatable requests have no such key.
 func expectOneKey(t *testing.T, posts []post) {
 	t.Helper()
 	for _, received := range posts {
@@ -307,7 +307,7 @@
 		ask(2)
 		caller.invalidate()
 		ask(3)
-		// Nobody answers: the old one must do.
+		// No entry answers: the expired reply is used.
 		caller.invalidate()
 		fake.directory.Use = ""
 		ask(4)
@@ -343,7 +343,7 @@
 		if got := summary.Requests + summary.Overrun; got != planned {
 			t.Errorf("requests and overrun: got %d, want %d", got, planned)
 		}
-		// 40 in flight, one second each: the caller's own bound was reached.
+		// 50 arrivals per second that take one second each exceed the limit of 40 in flight.
 		if summary.Overrun == 0 || summary.Answered != summary.Requests {
 			t.Errorf("got %d overrun, %d of %d answered; want some and all", summary.Overrun, summary.Answered, summary.Requests)
 		}
--- a/standin/internal/load/control.go
+++ b/standin/internal/load/control.go
@@ -8,16 +8,17 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// versionsBody changes the versions that answers may bear.
+// versionsBody is the body of POST /versions: it changes the versions that answers
+// may come from.
 type versionsBody struct {
 	Add    []string `json:"add"`
 	Remove []string `json:"remove"`
-	// AddAdapters maps names of adapters to one more version of each.
+	// AddAdapters maps an adapter's name to a version to add for it.
 	AddAdapters map[string]string `json:"addAdapters"`
 }
 
-// Control serves the knobs of a running load: POST /versions, GET /summary and
-// POST /stop, which calls stop.
+// Control returns the HTTP API that controls a running load: POST /versions,
+// GET /summary and POST /stop, which calls stop.
 func (l *Load) Control(stop context.CancelFunc) http.Handler {
 	router := chi.NewRouter()
 	router.Post("/versions", l.serveVersions)
@@ -49,5 +50,5 @@
 
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the client went away
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client disconnected
 }
--- a/standin/internal/load/direct.go
+++ b/standin/internal/load/direct.go
@@ -11,7 +11,7 @@
 	"github.com/google/uuid"
 )
 
-// engineBody is a request straight to an engine.
+// engineBody is the body of a request sent directly to an engine.
 type engineBody struct {
 	RequestID string `json:"requestId"`
 	Model     string `json:"model"`
@@ -20,8 +20,8 @@
 	MaxTokens int    `json:"maxTokens"`
 }
 
-// sendDirect sends the attempt straight to an engine, past the system, so that
-// what the system adds can be measured.
+// sendDirect sends the attempt directly to an engine and bypasses the system, so
+// that the system's overhead can be measured.
 func (s *sender) sendDirect(ctx context.Context, sent attempt) verdict {
 	id := uuid.NewString()
 	body := engineBody{
@@ -45,7 +45,8 @@
 	return v
 }
 
-// directRefusal: an engine's refusal proves that it did not run the request.
+// directRefusal returns notRun: an engine that answers with an error status has not
+// run the request.
 func directRefusal(response *http.Response) verdict {
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxDirectory))
 	if err != nil {
@@ -54,7 +55,7 @@
 	return verdict{outcome: NotRun, kind: response.Status, detail: string(text)}
 }
 
-// handleEngineEvent takes an event of an engine's stream.
+// handleEngineEvent passes an event of an engine's stream to the checker.
 func handleEngineEvent(current *replyChecker, name string, data []byte, now time.Time) error {
 	var event struct {
 		Version string `json:"version"`
@@ -70,7 +71,7 @@
 		current.begin(current.requestID, event.Version)
 	case "token":
 		if event.I != len(current.tokens) {
-			return fmt.Errorf("token %d came in place of %d", event.I, len(current.tokens))
+			return fmt.Errorf("token %d arrived, expected token %d", event.I, len(current.tokens))
 		}
 		current.addTokens([]string{event.Text}, now)
 	case "end":
--- a/standin/internal/load/direct_test.go
+++ b/standin/internal/load/direct_test.go
@@ -17,7 +17,7 @@
 	"comfreyrelay.example/standin/internal/engine"
 )
 
-// newEngine serves a quick engine that has version v1 loaded.
+// newEngine starts a fast engine with version v1 loaded and returns it with its URL.
 func newEngine(t *testing.T) (*engine.Engine, string) {
 	t.Helper()
 	one := engine.New(engine.Options{
@@ -79,10 +79,9 @@
 	}
 }
 
-// Symptom: a caller that takes what it has for the whole answer. Sequence: the
-// engine's connection breaks after two tokens of four, or the engine serves a
-// version that nobody intends. Cause: only an end event, of an intended version,
-// makes an answer.
+// Guards against counting a partial or wrong answer as complete: the engine's
+// connection breaks after two of four tokens, or the engine serves an unintended
+// version. Only an end event of an intended version completes an answer.
 func TestDirectFaultsAreSeen(t *testing.T) {
 	one, url := newEngine(t)
 	one.SetFaults(engine.Faults{DieAfterTokens: 2})
--- a/standin/internal/load/directory.go
+++ b/standin/internal/load/directory.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Bounds of asking which entry to use.
+// Limits of the lookup of entries.
 const (
 	directoryTimeout = time.Second
 	directoryTries   = 4
@@ -21,7 +21,7 @@
 	defaultTTL       = time.Second
 )
 
-// directoryReply is the answer to "which entry do I use?".
+// directoryReply is the body of GET /v1/entries: the entry to use and its spares.
 type directoryReply struct {
 	Use        string   `json:"use"`
 	Spares     []string `json:"spares"`
@@ -29,26 +29,26 @@
 	Owner      string   `json:"owner"`
 }
 
-// addresses returns all entries of the answer, best first.
+// addresses returns all entries of the reply, the preferred one first.
 func (d directoryReply) addresses() []string {
 	return append([]string{d.Use}, d.Spares...)
 }
 
-// directory is one caller's memory of which entry to use.
+// directory caches the entries that one caller uses.
 type directory struct {
 	entries []string
 	key     string
 	client  *http.Client
 	clock   clockwork.Clock
 
-	// mu is held while asking: one caller asks once.
+	// mu is held during a lookup, so that one caller runs only one at a time.
 	mu      sync.Mutex
 	cached  directoryReply
 	expires time.Time
 }
 
-// get returns the answer kept, or a new one when that expired. If nobody
-// answers, the old one must do.
+// get returns the cached reply, or fetches a new one if that has expired. If no
+// entry answers, it returns the expired reply.
 func (d *directory) get(ctx context.Context) (directoryReply, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,13 +71,16 @@
 	return reply, nil
 }
 
-// forget makes the next get ask again, as the entry was gone or leaves.
+// invalidate makes the next get fetch a new reply. It is called when an entry is
+// unreachable or names spares to use instead.
 func (d *directory) invalidate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.expires = time.Time{}
 }
 
+// fetch asks the known spares and the configured entries in turn, from a random
+// one on, until one answers or directoryTries is reached.
 func (d *directory) fetch(ctx context.Context) (directoryReply, error) {
 	candidates := append(d.cached.Spares[:len(d.cached.Spares):len(d.cached.Spares)], d.entries...)
 	start := rand.IntN(len(candidates))
@@ -110,7 +113,7 @@
 		return directoryReply{}, err
 	}
 	if response.StatusCode != http.StatusOK || reply.Use == "" {
-		return directoryReply{}, fmt.Errorf("entry %s answers %s", entry, response.Status)
+		return directoryReply{}, fmt.Errorf("entry %s answered with status %s", entry, response.Status)
 	}
 	return reply, nil
 }
--- a/standin/internal/load/events.go
+++ b/standin/internal/load/events.go
@@ -8,13 +8,13 @@
 	"io"
 )
 
-// maxLine bounds one line of a stream in bytes.
+// maxLine limits the length of one line of a stream, in bytes.
 const maxLine = 1 << 20
 
-// errLineTooLong ends a stream whose line passes maxLine.
-var errLineTooLong = errors.New("a line of the stream is too long")
+// errLineTooLong is returned for a line longer than maxLine.
+var errLineTooLong = errors.New("a line of the stream exceeds the size limit")
 
-// eventReader reads server-sent events.
+// eventReader parses a stream of server-sent events.
 type eventReader struct {
 	lines *bufio.Reader
 	line  []byte
@@ -24,9 +24,9 @@
 	return &eventReader{lines: bufio.NewReader(body)}
 }
 
-// next returns the name and the data of the next whole event; an event whose
-// blank line is missing was cut off and counts as none. The data is valid until
-// the next call.
+// next returns the name and data of the next complete event. An event without its
+// closing blank line was cut off and is dropped. The data is valid until the next
+// call.
 func (r *eventReader) next() (string, []byte, error) {
 	name := ""
 	var data []byte
--- a/standin/internal/load/load.go
+++ b/standin/internal/load/load.go
@@ -1,5 +1,6 @@
-// Package load is the caller of tests, demo and benchmarks: it sends requests
-// at random times whatever the answers, and checks every answer by itself.
+// Package load is the load generator of tests, demo and benchmarks. It sends
+// requests at random times regardless of the answers (open loop) and checks every
+// answer itself.
 package load
 
 import (
@@ -16,10 +17,10 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// progressInterval is how often the progress is logged.
+// progressInterval is the time between two progress log lines.
 const progressInterval = time.Second
 
-// Load is one run of the caller.
+// Load is one run of the load generator.
 type Load struct {
 	options     Options
 	clock       clockwork.Clock
@@ -29,12 +30,12 @@
 	versions    *versions
 	tally       *tally
 	record      *recordWriter
-	inFlight    chan struct{} // one for each request in flight
+	inFlight    chan struct{} // holds one element per request in flight
 	started     time.Time
 }
 
-// New checks the options and returns a load that has not started. One line a
-// request goes to record, unless that is nil.
+// New checks the options and returns a load that has not started. It writes one
+// line per request to record, unless record is nil.
 func New(options Options, clock clockwork.Clock, log *slog.Logger, record io.Writer) (*Load, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -68,8 +69,8 @@
 
 func (l *Load) direct() bool { return len(l.options.Direct) > 0 }
 
-// Run sends the planned requests and returns when the last one has its outcome.
-// When the context ends, no more arrive.
+// Run sends the planned requests and returns when all of them have an outcome.
+// After the context ends, it sends no new ones.
 func (l *Load) Run(ctx context.Context) (Summary, error) {
 	l.started = l.clock.Now()
 	progress, stopProgress := context.WithCancel(context.Background())
@@ -92,7 +93,8 @@
 	return l.Summary(), nil
 }
 
-// waitUntil returns false where the run is stopped before.
+// waitUntil sleeps until the arrival time. It returns false if the run is stopped
+// before.
 func (l *Load) waitUntil(ctx context.Context, arrival time.Duration) bool {
 	pause := arrival - l.clock.Since(l.started)
 	if pause <= 0 {
@@ -106,8 +108,8 @@
 	}
 }
 
-// launch sends one request without waiting for it: arrivals don't slow down
-// when answers do.
+// launch sends one request without waiting for its answer, so that slow answers
+// don't reduce the arrival rate.
 func (l *Load) launch(calls *sync.WaitGroup, planned request) {
 	select {
 	case l.inFlight <- struct{}{}:
@@ -125,8 +127,8 @@
 	}
 	calls.Go(func() {
 		defer func() { <-l.inFlight }()
-		// Requests in flight go on when the run is stopped: their own deadline
-		// ends them.
+		// Requests in flight continue after the run is stopped, until their own
+		// deadline.
 		res := current.run(context.Background())
 		l.tally.add(customer.Name, res, current.arrived)
 		l.record.write(newEntry(l.options.Model, planned, customer, res, current.arrived.Add(res.took)))
@@ -153,6 +155,7 @@
 	}
 }
 
+// contentOf returns the content ID that the endpoints' ledgers use for the request.
 func contentOf(model string, planned request) string {
 	if planned.service != "" {
 		return answer.BodyContent([]byte(planned.prompt))
@@ -160,7 +163,7 @@
 	return answer.Content(model, planned.adapter.Name, planned.prompt)
 }
 
-// Summary returns the record so far.
+// Summary returns the counts and latencies so far.
 func (l *Load) Summary() Summary {
 	return l.tally.summary(l.clock.Since(l.started).Seconds())
 }
--- a/standin/internal/load/options.go
+++ b/standin/internal/load/options.go
@@ -11,59 +11,59 @@
 
 // Options configures a Load.
 type Options struct {
-	// Entries are addresses, ip:port, that are asked which entry to use.
+	// Entries are the addresses, ip:port, of entries that are asked which entry to use.
 	Entries []string
-	// Direct are base addresses of engines; where set, no entry is used.
+	// Direct are base URLs of engines; if set, requests bypass the entries.
 	Direct []string
-	// Customers send the requests; at least one.
+	// Customers are those that requests are sent for; at least one.
 	Customers []Customer
-	// Callers is how many callers of each customer keep a directory each.
+	// Callers is the number of callers per customer; each has its own directory.
 	Callers int
-	// Services and Adapters take their fractions of the requests.
+	// Services and Adapters receive their fractions of the requests.
 	Services []Target
 	Adapters []Target
-	// Versions that answers may bear at the start; none means any.
+	// Versions are the versions that answers may come from at the start; if empty, any.
 	Versions []string
 
-	// Rate is the mean of the Poisson arrivals, per second.
+	// Rate is the mean rate of the Poisson arrivals, per second.
 	Rate float64
-	// Time is how long requests arrive.
+	// Time is the period during which requests arrive.
 	Time time.Duration
-	// Seed fixes arrivals and contents.
+	// Seed determines the arrival times and contents.
 	Seed uint64
 
 	Model     string
 	MaxTokens int
 	// PromptBytes is the length of a prompt.
 	PromptBytes int
-	// PromptGroups is how many prefixes the prompts share; 0 means that each
-	// has its own.
+	// PromptGroups is the number of prefixes that the prompts share; if 0, each
+	// prompt has its own.
 	PromptGroups int
-	// NonRepeatable, Stream and DoubleSend are fractions of the requests;
-	// DoubleSend of those that are not repeatable.
+	// NonRepeatable and Stream are fractions of all requests, DoubleSend is a
+	// fraction of those that are not repeatable.
 	NonRepeatable float64
 	Stream        float64
 	DoubleSend    float64
 
 	Deadline time.Duration
-	// Retries bounds how often one request that was not run is sent again.
+	// Retries limits how often a request that was not run is sent again.
 	Retries int
 	// ResendUnknown sends repeatable requests again after an unknown outcome.
 	ResendUnknown bool
-	// MaxInFlight bounds the caller's own memory; arrivals above it are counted
-	// as overrun and not sent.
+	// MaxInFlight limits the requests in flight and so the caller's memory; arrivals
+	// beyond it are counted as overrun and not sent.
 	MaxInFlight int
 }
 
-// Customer is one organisation whose requests are sent.
+// Customer is an organisation that requests are sent for.
 type Customer struct {
 	Name string
 	Key  string
-	// Share of the requests against the other customers.
+	// Share is the customer's weight relative to the other customers.
 	Share float64
 }
 
-// Target is a service or an adapter that gets a fraction of the requests.
+// Target is a service or an adapter that receives a fraction of the requests.
 type Target struct {
 	Name string
 	// Version is set for adapters only.
@@ -71,7 +71,7 @@
 	Fraction float64
 }
 
-// ParseCustomer reads name:key:share; the share may be left out.
+// ParseCustomer parses name:key:share; the share is optional and defaults to 1.
 func ParseCustomer(text string) (Customer, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 2 || len(parts) > 3 || parts[0] == "" {
@@ -89,7 +89,7 @@
 	return customer, nil
 }
 
-// ParseService reads name:fraction.
+// ParseService parses name:fraction.
 func ParseService(text string) (Target, error) {
 	name, rest, _ := strings.Cut(text, ":")
 	fraction, err := strconv.ParseFloat(rest, 64)
@@ -99,7 +99,7 @@
 	return Target{Name: name, Fraction: fraction}, nil
 }
 
-// ParseAdapter reads name:version:fraction.
+// ParseAdapter parses name:version:fraction.
 func ParseAdapter(text string) (Target, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 3 {
@@ -117,12 +117,12 @@
 	return failure.New(failure.Invalid, fmt.Sprintf("the %s %q is malformed", what, text), "write it as "+form)
 }
 
-// check returns the first thing that is wrong with the options.
+// check returns an error for the first invalid option.
 func (o Options) check() error {
 	wrong := func(message, remedy string) error { return failure.New(failure.Invalid, message, remedy) }
 	switch {
 	case len(o.Entries) == 0 && len(o.Direct) == 0:
-		return wrong("nobody to ask", "name entries with --entry or engines with --direct")
+		return wrong("neither entries nor engines are given", "name entries with --entry or engines with --direct")
 	case len(o.Customers) == 0:
 		return wrong("no customer", "name one with --customer name:key:share")
 	case o.Rate <= 0 || o.Time <= 0 || o.Deadline <= 0:
--- a/standin/internal/load/plan.go
+++ b/standin/internal/load/plan.go
@@ -9,22 +9,22 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// request is one logical request, whatever the number of times it is sent.
+// request is one logical request; it may be sent several times.
 type request struct {
 	number     int
 	arrival    time.Duration // since the start
 	customer   int           // index into Options.Customers
 	caller     int           // which of the customer's callers sends it
-	service    string        // "" for a model
-	adapter    Target        // zero without one
+	service    string        // "" for a request to a model
+	adapter    Target        // zero value if none
 	prompt     string        // the body for a service
 	maxTokens  int
 	repeatable bool
 	stream     bool
-	double     bool // sent through a second entry at the same time
+	double     bool // also sent through a second entry at the same time
 }
 
-// plan makes the requests in the order of their arrival; one seed gives one
+// plan generates the requests in order of arrival. The same seed gives the same
 // sequence.
 type plan struct {
 	options Options
@@ -42,7 +42,7 @@
 	return made
 }
 
-// next returns the next request, or false once the time is over.
+// next returns the next request, or false after Options.Time.
 func (p *plan) next() (request, bool) {
 	gap := p.random.ExpFloat64() / p.options.Rate
 	p.last += time.Duration(gap * float64(time.Second))
@@ -69,10 +69,12 @@
 	return planned, true
 }
 
+// chance returns true with the given probability.
 func (p *plan) chance(fraction float64) bool {
 	return p.random.Float64() < fraction
 }
 
+// pickCustomer returns a customer's index, at random by the customers' shares.
 func (p *plan) pickCustomer() int {
 	at := p.random.Float64() * p.shares
 	for i, customer := range p.options.Customers {
@@ -84,7 +86,7 @@
 	return len(p.options.Customers) - 1
 }
 
-// pick returns one of the targets by their fractions, or none.
+// pick returns a target at random by the targets' fractions, or the zero Target.
 func (p *plan) pick(targets []Target) Target {
 	at := p.random.Float64()
 	for _, target := range targets {
@@ -96,7 +98,7 @@
 	return Target{}
 }
 
-// prompt starts with the prefix of its group and differs from every other.
+// prompt returns a unique prompt that starts with the prefix of its group.
 func (p *plan) prompt(planned request) string {
 	prefix := fmt.Sprintf("request %d", planned.number)
 	if p.options.PromptGroups > 0 {
@@ -107,7 +109,7 @@
 	return pad(own, p.options.PromptBytes)
 }
 
-// pad fills the text up with dots.
+// pad appends dots to the text until it has the given size.
 func pad(text string, size int) string {
 	return text + strings.Repeat(".", max(0, size-len(text)))
 }
--- a/standin/internal/load/reading.go
+++ b/standin/internal/load/reading.go
@@ -8,18 +8,17 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// Outcomes of a request, as the caller judges them; each request has one.
+// Outcomes of a request as the caller determines them; each request has one.
 const (
-	Answered     = "answered"     // whole and right
-	NotRun       = "notRun"       // the system says that it was not run
-	Unknown      = "unknown"      // it may have run or not
-	WrongAnswer  = "wrongAnswer"  // not this request's tokens or body
-	WrongVersion = "wrongVersion" // of a version that nobody intends
-	CutOff       = "cutOff"       // ended before its end
+	Answered     = "answered"     // complete and correct
+	NotRun       = "notRun"       // the system reports that it was not run
+	Unknown      = "unknown"      // it may or may not have run
+	WrongAnswer  = "wrongAnswer"  // tokens or body that do not belong to this request
+	WrongVersion = "wrongVersion" // from an unintended version
+	CutOff       = "cutOff"       // ended before it was complete
 )
 
-// Kinds of failure that the caller itself finds; the others come from the
-// system's errors.
+// Kinds of failure that the caller detects; the system's errors name the others.
 const (
 	kindUnreachable = "unreachable"
 	kindBroken      = "connectionBroken"
@@ -27,10 +26,10 @@
 	kindMalformed   = "malformed"
 )
 
-// verdict is what the caller makes of one reply.
+// verdict is the result of checking one reply.
 type verdict struct {
 	outcome string
-	// detail says what was wrong with an outcome other than answered.
+	// detail describes the problem if the outcome is not answered.
 	detail string
 	// kind classifies failures.
 	kind       string
@@ -39,16 +38,16 @@
 	tokens     int
 	retryAfter time.Duration // 0 if unknown
 	spares     []string      // entries to use instead
-	address    string        // that the attempt was sent to; "" if none
+	address    string        // where the attempt was sent; "" if nowhere
 
-	firstToken time.Time // zero before any
+	firstToken time.Time // zero if none arrived
 	gaps       []time.Duration
 }
 
-// reading judges one reply as it comes in.
+// replyChecker checks one reply while it arrives.
 type replyChecker struct {
 	request    request
-	key        string // once key, "" for repeatable requests
+	key        string // of a request that must run at most once; "" for repeatable requests
 	askedAt    time.Time
 	versions   *versions
 	requestID  string
@@ -56,16 +55,16 @@
 	tokens     []string
 	begun      bool
 	ended      bool
-	problem    *verdict // the first thing wrong with it
+	problem    *verdict // the first one found
 	firstToken time.Time
 	lastToken  time.Time
-	gaps       []time.Duration // at most one for each token
+	gaps       []time.Duration // at most one per token
 }
 
-// begin takes the first event of a stream.
+// begin handles the first event of a stream.
 func (r *replyChecker) begin(requestID, version string) {
 	if r.begun {
-		r.addProblem(WrongAnswer, "a second begin")
+		r.addProblem(WrongAnswer, "duplicate begin event")
 		return
 	}
 	r.begun = true
@@ -73,21 +72,23 @@
 	r.version = version
 }
 
+// setRequestID records the reply's request ID, which must equal the request's key
+// if it has one.
 func (r *replyChecker) setRequestID(requestID string) {
 	r.requestID = requestID
 	if r.key != "" && requestID != r.key {
-		r.addProblem(WrongAnswer, fmt.Sprintf("the answer bears id %q, the request had key %q", requestID, r.key))
+		r.addProblem(WrongAnswer, fmt.Sprintf("the answer has ID %q, the request had key %q", requestID, r.key))
 	}
 }
 
-// more takes tokens that arrived now.
+// addTokens handles tokens that arrived at the time now.
 func (r *replyChecker) addTokens(tokens []string, now time.Time) {
 	if r.ended {
-		r.addProblem(WrongAnswer, "tokens after the end")
+		r.addProblem(WrongAnswer, "tokens after the end event")
 		return
 	}
 	if len(r.tokens)+len(tokens) > r.request.maxTokens {
-		r.addProblem(WrongAnswer, "more tokens than asked for")
+		r.addProblem(WrongAnswer, "more tokens than requested")
 		return
 	}
 	if len(tokens) == 0 {
@@ -102,52 +103,52 @@
 	r.tokens = append(r.tokens, tokens...)
 }
 
-// end takes the end event. The digest is "" where the protocol has none.
+// end handles the end event. The digest is "" if the protocol has none.
 func (r *replyChecker) end(version, digest string, count int) {
 	switch {
 	case r.ended:
-		r.addProblem(WrongAnswer, "a second end")
+		r.addProblem(WrongAnswer, "duplicate end event")
 	case !r.begun:
-		r.addProblem(WrongAnswer, "an end without a begin")
+		r.addProblem(WrongAnswer, "end event without a begin event")
 	case version != r.version:
-		r.addProblem(WrongVersion, fmt.Sprintf("begun by version %s, ended by %s", r.version, version))
+		r.addProblem(WrongVersion, fmt.Sprintf("begun with version %s, ended with version %s", r.version, version))
 	case count != len(r.tokens):
-		r.addProblem(CutOff, fmt.Sprintf("the end counts %d tokens, %d came", count, len(r.tokens)))
+		r.addProblem(CutOff, fmt.Sprintf("the end event counts %d tokens, %d arrived", count, len(r.tokens)))
 	case digest != "" && digest != answer.Digest(r.tokens):
 		r.addProblem(CutOff, "the digest does not match the tokens")
 	}
 	r.ended = true
 }
 
-// failed takes an error that the system reports.
+// addError handles an error that the system reports in the stream.
 func (r *replyChecker) addError(reported replyError) {
 	if r.ended {
-		r.addProblem(WrongAnswer, "an error after the end")
+		r.addProblem(WrongAnswer, "error event after the end event")
 		return
 	}
 	if reported.Outcome == NotRun && len(r.tokens) > 0 {
-		r.addProblem(WrongAnswer, "called not run after tokens had come")
+		r.addProblem(WrongAnswer, "reported as not run after tokens had arrived")
 		return
 	}
 	r.ended = true
 	r.setProblem(reported.verdict())
 }
 
-// closed takes the end of the connection and returns the verdict.
+// connectionClosed handles the end of the connection and returns the verdict.
 func (r *replyChecker) connectionClosed(err error) verdict {
 	if !r.ended {
-		r.addProblem(CutOff, fmt.Sprintf("the stream closed after %d tokens without an end: %v", len(r.tokens), err))
+		r.addProblem(CutOff, fmt.Sprintf("the stream closed after %d tokens without an end event: %v", len(r.tokens), err))
 	}
 	return r.verdict()
 }
 
-// judge returns the verdict on a stream that ended.
+// verdict returns the verdict on a reply that has ended.
 func (r *replyChecker) verdict() verdict {
 	if r.problem == nil {
 		r.check()
 	}
-	// Tokens of another answer are a fault even where the stream then fails:
-	// they reached the caller.
+	// Tokens of another answer are a fault even if the stream fails afterwards,
+	// because they reached the caller.
 	if severity[r.problemOutcome()] < severity[WrongAnswer] && !r.tokensMatch() {
 		r.problem = &verdict{outcome: WrongAnswer, kind: WrongAnswer, detail: "the tokens are not those of the version and the prompt"}
 	}
@@ -172,19 +173,19 @@
 	return r.problem.outcome
 }
 
-// check looks for what is wrong with an answer that ended well.
+// check verifies length and version of an answer that ended without a problem.
 func (r *replyChecker) check() {
 	if len(r.tokens) < r.request.maxTokens {
 		r.addProblem(CutOff, fmt.Sprintf("%d tokens of %d", len(r.tokens), r.request.maxTokens))
 		return
 	}
 	if !r.versions.allowed(r.version, r.askedAt) {
-		r.addProblem(WrongVersion, "nobody intends version "+r.version)
+		r.addProblem(WrongVersion, "unintended version "+r.version)
 	}
 }
 
-// tokensMatch reports whether one of the adapter's intended versions makes the
-// tokens.
+// tokensMatch reports whether the tokens are those of the model version or, for an
+// adapter, of one of its intended versions.
 func (r *replyChecker) tokensMatch() bool {
 	if r.request.adapter.Name == "" {
 		return matches(answer.New(r.version, "", r.request.prompt), r.tokens)
@@ -206,7 +207,7 @@
 	return true
 }
 
-// whole judges an answer that came in one piece.
+// checkReply checks an answer that was not streamed.
 func (r *replyChecker) checkReply(reply unaryReply, now time.Time) verdict {
 	r.begin(reply.RequestID, reply.Version)
 	if r.request.service != "" {
@@ -215,10 +216,11 @@
 	r.addTokens(reply.Tokens, now)
 	r.ended = true
 	v := r.verdict()
-	v.firstToken = time.Time{} // the first token was not seen on its own
+	v.firstToken = time.Time{} // not observable without a stream
 	return v
 }
 
+// checkServiceReply checks the answer of a plain service.
 func (r *replyChecker) checkServiceReply(reply unaryReply) verdict {
 	r.ended = true
 	if !bytes.Equal(reply.Body, answer.Service([]byte(r.request.prompt))) {
@@ -236,7 +238,7 @@
 	r.setProblem(verdict{outcome: outcome, detail: detail, kind: outcome})
 }
 
-// keep remembers the first problem only: what follows from it says less.
+// setProblem keeps only the first problem, because later ones usually follow from it.
 func (r *replyChecker) setProblem(problem verdict) {
 	if r.problem == nil {
 		r.problem = &problem
--- a/standin/internal/load/reading_test.go
+++ b/standin/internal/load/reading_test.go
@@ -14,8 +14,8 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// TestVerdicts replays replies of a system that is right or wrong in one way
-// each; the caller's figures are worth as much as these verdicts.
+// TestVerdicts replays correct replies and replies with one fault each. All figures
+// of the load generator depend on these verdicts.
 func TestVerdicts(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(scripts) == 0 {
@@ -28,8 +28,8 @@
 	}
 }
 
-// replay judges one reply. Each line of a stream's input is an event's name and
-// its data; "cut" closes the connection without its last blank line.
+// replay checks one reply. Each input line is the name and data of an event; "cut"
+// closes the connection before the blank line of the last event.
 func replay(t *testing.T, d *datadriven.TestData) string {
 	clock := clockwork.NewFakeClock()
 	intended := newVersions([]string{"v1", "v2"}, []Target{{Name: "label", Version: "x1"}})
@@ -44,7 +44,7 @@
 		d.ScanArgs(t, "adapter", &current.request.adapter.Name)
 	}
 	if d.HasArg("before") {
-		// The request was sent before v2 was taken away.
+		// The request was sent before v2 was removed.
 		current.askedAt = clock.Now().Add(-time.Minute)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -68,8 +68,8 @@
 		judged.version, judged.tokens, judged.retryAfter, judged.spares, judged.detail)
 }
 
-// streamOf writes the events, with the right tokens and digests in place of
-// their names.
+// streamOf encodes the events and replaces placeholders such as $v1.0 by the
+// correct tokens and digests.
 func streamOf(input string) string {
 	var replacements []string
 	for _, version := range []string{"v1", "v2", "v9"} {
--- a/standin/internal/load/record.go
+++ b/standin/internal/load/record.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// Entry is the caller's record of one request, to be matched with the ledgers
-// of the back ends by request id.
+// Entry is the caller's record of one request. Tests match it by request ID with
+// the ledgers of the endpoints.
 type Entry struct {
 	ID        int    `json:"id"`
 	RequestID string `json:"requestId"`
 	Key       string `json:"key,omitempty"`
-	// Content names what was asked as the back ends' ledgers do.
+	// Content identifies the request's content in the same way as the endpoints' ledgers.
 	Content    string `json:"content"`
 	Customer   string `json:"customer"`
 	Service    string `json:"service,omitempty"`
@@ -23,18 +23,18 @@
 	Tokens     int    `json:"tokens"`
 	Attempts   int    `json:"attempts"`
 	Millis     int64  `json:"millis"`
-	// Address is that of the entry which the last attempt went to, EndedAt the
-	// moment of the outcome in Unix milliseconds: an entry that was killed then
-	// explains an answer without an end.
+	// Address is the entry that the last attempt was sent to, and EndedAt is the
+	// time of the outcome in Unix milliseconds. Together they show whether a killed
+	// entry explains a cut-off answer.
 	Address string `json:"address,omitempty"`
 	EndedAt int64  `json:"endedAt"`
 }
 
-// ledger writes one line a request.
+// recordWriter writes one JSON line per request.
 type recordWriter struct {
 	mu  sync.Mutex
-	out *json.Encoder // nil where none is wanted
-	err error         // of the first write that failed
+	out *json.Encoder // nil if no record is written
+	err error         // of the first failed write
 }
 
 func newRecordWriter(out io.Writer) *recordWriter {
@@ -53,6 +53,7 @@
 	l.err = l.out.Encode(entry)
 }
 
+// failed returns the error of the first failed write, or nil.
 func (l *recordWriter) failed() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/internal/load/reply.go
+++ b/standin/internal/load/reply.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// unaryReply is an answer in one piece.
+// unaryReply is the body of an answer that is not streamed.
 type unaryReply struct {
 	Outcome   string   `json:"outcome"`
 	RequestID string   `json:"requestId"`
@@ -11,7 +11,7 @@
 	Body      []byte   `json:"body"`
 }
 
-// replyError is an error body or an error event.
+// replyError is the body of an error response or the data of an error event.
 type replyError struct {
 	Outcome   string `json:"outcome"`
 	RequestID string `json:"requestId"`
@@ -24,7 +24,8 @@
 	} `json:"error"`
 }
 
-// verdict trusts notRun only where it is said: anything unclear is unknown.
+// verdict returns notRun only if the reply says so explicitly; any other error is
+// unknown.
 func (e replyError) verdict() verdict {
 	v := verdict{
 		outcome:    Unknown,
--- a/standin/internal/load/send.go
+++ b/standin/internal/load/send.go
@@ -14,28 +14,28 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Bounds of the client.
+// Limits of the HTTP client.
 const (
-	maxReply     = 16 << 20 // bytes of an answer in one piece
+	maxReply     = 16 << 20 // bytes of an answer that is not streamed
 	idlePerEntry = 1024
 	idleTimeout  = 30 * time.Second
 	dialTimeout  = 2 * time.Second
 )
 
-// sender sends one attempt and judges the reply.
+// sender sends attempts and checks the replies.
 type sender struct {
-	// kept uses connections again; directories share it.
+	// keepAlive reuses connections; the directories use it too.
 	keepAlive *http.Client
-	// fresh makes a connection for each request that is not repeatable. An
-	// entry may close a kept one just as the request goes out, and then nobody
-	// could know whether it ran.
+	// noKeepAlive opens a new connection for each request that is not repeatable. An
+	// entry may close an idle connection just as the request is sent, and then it
+	// is unknown whether the request ran.
 	noKeepAlive *http.Client
 	clock       clockwork.Clock
 	versions    *versions
 }
 
-// newClient returns a client that never sends a request twice by itself: it
-// follows no redirect and the requests carry no idempotency header.
+// newClient returns a client that never resends a request by itself: it follows no
+// redirects, and the requests have no idempotency header.
 func newClient(keep bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -50,7 +50,7 @@
 	}
 }
 
-// modelBody is a request on a model.
+// modelBody is the body of a request to a model.
 type modelBody struct {
 	Model          string `json:"model"`
 	Adapter        string `json:"adapter,omitempty"`
@@ -61,7 +61,7 @@
 	Key            string `json:"key,omitempty"`
 }
 
-// serviceBody is a call to a plain service.
+// serviceBody is the body of a call to a plain service.
 type serviceBody struct {
 	Body           []byte `json:"body"`
 	Repeatable     bool   `json:"repeatable"`
@@ -69,14 +69,14 @@
 	Key            string `json:"key,omitempty"`
 }
 
-// attempt is one sending of a request.
+// attempt is one try at sending a request.
 type attempt struct {
 	request  request
 	model    string
 	bearer   string
 	key      string
 	address  string
-	deadline time.Duration // left when sent
+	deadline time.Duration // time left when sent
 }
 
 // send sends the attempt to its entry.
@@ -112,7 +112,7 @@
 	return s.read(ctx, current, response)
 }
 
-// post returns the response, or the verdict where there is none.
+// post returns the response, or a verdict if there is none.
 func (s *sender) post(ctx context.Context, url string, sent attempt, body any) (*http.Response, verdict) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -141,8 +141,8 @@
 	return s.noKeepAlive
 }
 
-// verdictOnError judges a request that got no response: only where no
-// connection came about it was certainly not run.
+// verdictOnError returns the verdict on a request without a response. Only a failed
+// dial proves that the request was not run.
 func verdictOnError(ctx context.Context, err error) verdict {
 	var dial *net.OpError
 	switch {
@@ -154,6 +154,7 @@
 	return verdict{outcome: Unknown, kind: kindBroken, detail: err.Error()}
 }
 
+// read checks a response of an entry.
 func (s *sender) read(ctx context.Context, current *replyChecker, response *http.Response) verdict {
 	if response.StatusCode != http.StatusOK {
 		return readError(ctx, response)
@@ -176,7 +177,8 @@
 	return reported.verdict()
 }
 
-// timeoutIfExpired replaces the verdict where the caller itself gave up.
+// timeoutIfExpired turns the verdict into a timeout if the caller's own context has
+// ended.
 func timeoutIfExpired(ctx context.Context, v verdict) verdict {
 	if ctx.Err() == nil {
 		return v
@@ -185,7 +187,7 @@
 	return v
 }
 
-// eventHandler hands one event to the reading.
+// eventHandler passes one event to the checker.
 type eventHandler func(current *replyChecker, name string, data []byte, now time.Time) error
 
 func (s *sender) readStream(ctx context.Context, current *replyChecker, body io.Reader, take eventHandler) verdict {
@@ -210,7 +212,7 @@
 	return v
 }
 
-// handleEntryEvent takes an event of the callers' API.
+// handleEntryEvent passes an event of an entry's stream to the checker.
 func handleEntryEvent(current *replyChecker, name string, data []byte, now time.Time) error {
 	var event struct {
 		RequestID string   `json:"requestId"`
@@ -237,7 +239,7 @@
 		current.addTokens(event.Tokens, now)
 	case "end":
 		if event.Digest == "" {
-			return errors.New("an end without a digest")
+			return errors.New("end event without a digest")
 		}
 		current.end(event.Version, event.Digest, event.Count)
 	}
--- a/standin/internal/load/tally.go
+++ b/standin/internal/load/tally.go
@@ -14,14 +14,14 @@
 	digits        = 3
 )
 
-// maxExamples bounds the faults listed in detail, and the kinds of failure.
+// Limits of the examples and of the distinct names (kinds, versions) counted.
 const (
 	maxExamples = 20
 	maxKinds    = 50
 )
 
-// Counts are the outcomes of requests. Requests is the sum of the six outcomes;
-// Late and NotRunThenAnswered are parts of Answered.
+// Counts holds the number of requests by outcome. Requests is the sum of the six
+// outcomes; Late and NotRunThenAnswered are included in Answered.
 type Counts struct {
 	Requests           int `json:"requests"`
 	Answered           int `json:"answered"`
@@ -32,17 +32,17 @@
 	WrongAnswer        int `json:"wrongAnswer"`
 	WrongVersion       int `json:"wrongVersion"`
 	CutOff             int `json:"cutOff"`
-	// Attempts counts all sendings.
+	// Attempts counts all attempts of all requests.
 	Attempts int `json:"attempts"`
-	// Tokens of whole, right answers.
+	// Tokens counts the tokens of complete, correct answers.
 	Tokens int `json:"tokens"`
-	// Contradicted requests were sent twice, answered once and called not run
-	// the other time.
+	// Contradicted counts requests that were sent twice, of which one copy was
+	// answered and the other was reported as not run.
 	Contradicted int `json:"contradicted"`
 }
 
-// Times are percentiles in milliseconds, counted from a request's planned
-// arrival; a retry's wait is in them.
+// Times holds latency percentiles in milliseconds. First token and answer are
+// measured from the planned arrival and include the delays of retries.
 type Times struct {
 	FirstTokenMsP50    float64 `json:"firstTokenMsP50"`
 	FirstTokenMsP95    float64 `json:"firstTokenMsP95"`
@@ -55,7 +55,7 @@
 	AnswerMsP99        float64 `json:"answerMsP99"`
 }
 
-// Share is what one customer, or all, got.
+// Share holds the counts and latencies of one customer, or of all.
 type Share struct {
 	Counts
 	Times
@@ -68,19 +68,19 @@
 	Detail    string `json:"detail"`
 }
 
-// Summary is the caller's whole record.
+// Summary is the result of a load run.
 type Summary struct {
 	Share
 	Seconds float64 `json:"seconds"`
-	// Overrun requests were never sent: too many were in flight.
+	// Overrun counts requests that were not sent because too many were in flight.
 	Overrun    int              `json:"overrun"`
 	ByVersion  map[string]int   `json:"byVersion"`
-	Failures   map[string]int   `json:"failures"` // attempts' last failures by kind
+	Failures   map[string]int   `json:"failures"` // requests that were not answered, by the kind of their last failure
 	ByCustomer map[string]Share `json:"byCustomer"`
 	Examples   []Example        `json:"examples"`
 }
 
-// account gathers the record of one customer, or of all.
+// account collects the counts and latencies of one customer, or of all.
 type account struct {
 	counts     Counts
 	firstToken *hdrhistogram.Histogram
@@ -95,7 +95,8 @@
 	return &account{firstToken: histogram(), between: histogram(), whole: histogram()}
 }
 
-// add counts one result. Only right answers give times: others would flatter.
+// add counts one result. Only correct answers are recorded as latencies, because
+// failures often end sooner and would lower the percentiles.
 func (a *account) add(res result, arrived time.Time, deadline time.Duration) {
 	a.counts.Requests++
 	a.counts.Attempts += res.attempts
@@ -136,7 +137,7 @@
 	}
 }
 
-// record clamps to the range, so that nothing is lost.
+// record clamps the value to the histogram's range, so that no value is dropped.
 func record(histogram *hdrhistogram.Histogram, took time.Duration) {
 	micros := min(max(took.Microseconds(), lowestMicros), highestMicros)
 	_ = histogram.RecordValue(micros) // within the range it never fails
@@ -156,12 +157,12 @@
 	}}
 }
 
-// quantile returns milliseconds.
+// quantile returns a percentile in milliseconds.
 func quantile(histogram *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// tally gathers the records of all customers; it may be used at once.
+// tally collects the results of all customers. It is safe for concurrent use.
 type tally struct {
 	deadline time.Duration
 
@@ -171,7 +172,7 @@
 	byVersion  map[string]int
 	failures   map[string]int // at most maxKinds
 	overrun    int
-	examples   []Example // at most maxExamples, faults only
+	examples   []Example // at most maxExamples
 }
 
 func newTally(customers []Customer, deadline time.Duration) *tally {
@@ -201,7 +202,8 @@
 	t.addExample(res)
 }
 
-// example keeps details, faults before refusals.
+// addExample keeps the details of a failed request. Refusals and unknown outcomes
+// fill at most half of the list, so that room is left for faults.
 func (t *tally) addExample(res result) {
 	if len(t.examples) >= maxExamples {
 		return
--- a/standin/internal/load/versions.go
+++ b/standin/internal/load/versions.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// versions are those that answers may bear. A version taken away stays right
-// for requests that were sent before.
+// versions holds the versions that answers may come from. A removed version stays
+// valid for requests that were sent before its removal.
 type versions struct {
 	mu sync.Mutex
-	// intended maps a version to when it was taken away, zero while it is not;
-	// empty means that any version is right.
+	// intended maps a version to the time of its removal, zero if it was not removed.
+	// If the map is empty, any version is valid.
 	intended map[string]time.Time
 	adapters map[string][]string // versions by adapter name
 }
@@ -46,7 +46,7 @@
 	v.adapters[name] = append(v.adapters[name], version)
 }
 
-// allowed reports whether a request sent at askedAt may be answered by it.
+// allowed reports whether the version may answer a request sent at askedAt.
 func (v *versions) allowed(version string, askedAt time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
