--- a/standin/internal/hostlist/hostlist.go
+++ b/standin/internal/hostlist/hostlist.go
@@ -63,12 +63,12 @@
 
 	mu      sync.Mutex
 	hosts   map[string]Host
-	pending []change // by due time
+	pending []pendingChange // by due time
 	calls   map[string]int
 }
 
 // change is an edit of the list that shows once it is due.
-type change struct {
+type pendingChange struct {
 	due   time.Time
 	apply func(hosts map[string]Host)
 }
@@ -103,11 +103,11 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	s.answer(w, r, List{Hosts: s.visible(knobs)})
+	s.writeList(w, r, List{Hosts: s.visible(knobs)})
 }
 
 // answer sends the list, or nothing to a caller that has it already.
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, list List) {
+func (s *Service) writeList(w http.ResponseWriter, r *http.Request, list List) {
 	body, err := json.Marshal(list)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -128,7 +128,7 @@
 	if !decode(w, r, &list) {
 		return
 	}
-	s.change(w, replaceAll(list.Hosts))
+	s.enqueueChange(w, replaceAll(list.Hosts))
 }
 
 func (s *Service) put(w http.ResponseWriter, r *http.Request) {
@@ -137,12 +137,12 @@
 		return
 	}
 	host.ID = chi.URLParam(r, "id")
-	s.change(w, func(hosts map[string]Host) { hosts[host.ID] = host })
+	s.enqueueChange(w, func(hosts map[string]Host) { hosts[host.ID] = host })
 }
 
 func (s *Service) remove(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	s.change(w, func(hosts map[string]Host) { delete(hosts, id) })
+	s.enqueueChange(w, func(hosts map[string]Host) { delete(hosts, id) })
 }
 
 func replaceAll(list []Host) func(map[string]Host) {
@@ -154,7 +154,7 @@
 	}
 }
 
-func (s *Service) change(w http.ResponseWriter, apply func(map[string]Host)) {
+func (s *Service) enqueueChange(w http.ResponseWriter, apply func(map[string]Host)) {
 	lag := time.Duration(s.faults.Get().LagMillis) * time.Millisecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 	if n := len(s.pending); n > 0 && due.Before(s.pending[n-1].due) {
 		due = s.pending[n-1].due // a shorter lag must not reorder changes
 	}
-	s.pending = append(s.pending, change{due: due, apply: apply})
+	s.pending = append(s.pending, pendingChange{due: due, apply: apply})
 	reply(w, struct{}{})
 }
 
@@ -179,14 +179,14 @@
 		s.pending[0].apply(s.hosts)
 		s.pending = s.pending[1:]
 	}
-	seen := []Host{}
+	listed := []Host{}
 	for _, host := range s.hosts {
 		if !knobs.Empty && !slices.Contains(knobs.Wrong, host.ID) {
-			seen = append(seen, host)
+			listed = append(listed, host)
 		}
 	}
-	slices.SortFunc(seen, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
-	return seen
+	slices.SortFunc(listed, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
+	return listed
 }
 
 func (s *Service) countCall(caller string) {
--- a/standin/internal/hostlist/hostlist_test.go
+++ b/standin/internal/hostlist/hostlist_test.go
@@ -13,9 +13,9 @@
 
 func call(t *testing.T, handler http.Handler, method, path, body string) *httptest.ResponseRecorder {
 	t.Helper()
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return answer
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return recorder
 }
 
 func wantHosts(t *testing.T, handler http.Handler, want string) {
@@ -24,11 +24,11 @@
 	if err := json.Unmarshal(call(t, handler, http.MethodGet, "/hosts", "").Body.Bytes(), &list); err != nil {
 		t.Fatal(err)
 	}
-	var seen []string
+	var listed []string
 	for _, host := range list.Hosts {
-		seen = append(seen, host.ID+"="+host.State)
+		listed = append(listed, host.ID+"="+host.State)
 	}
-	if got := strings.Join(seen, " "); got != want {
+	if got := strings.Join(listed, " "); got != want {
 		t.Errorf("got hosts %q, want %q", got, want)
 	}
 }
