--- a/standin/internal/hostlist/hostlist.go
+++ b/standin/internal/hostlist/hostlist.go
@@ -1,4 +1,5 @@
-// Package hostlist is a stand-in of the platform's lagging list of hosts.
+// Package hostlist simulates the platform's list of hosts, which shows changes with
+// a delay.
 package hostlist
 
 import (
@@ -18,13 +19,14 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a change; a few thousand hosts fit.
+	// maxBodyBytes limits the body of a change; it is enough for a few thousand hosts.
 	maxBodyBytes = 8 << 20
-	// maxPending bounds the changes that wait for their lag to pass.
+	// maxPending limits the changes that are not visible yet, and the callers that
+	// are counted.
 	maxPending = 10000
 )
 
-// Host is one line of the list, as in the protocol.
+// Host is one host of the list, as the protocol encodes it.
 type Host struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
@@ -42,38 +44,39 @@
 	Hosts []Host `json:"hosts"`
 }
 
-// Faults are the knobs of POST /faults.
+// Faults are the fault settings of POST /faults.
 type Faults struct {
-	// Empty answers with no hosts at all.
+	// Empty returns an empty list.
 	Empty bool `json:"empty"`
-	// Wrong holds the identifiers of hosts that the answer leaves out.
+	// Wrong holds the IDs of hosts that the list omits.
 	Wrong []string `json:"wrong"`
-	// Down answers 503.
+	// Down answers GET /hosts with 503.
 	Down bool `json:"down"`
-	// LagMillis is how late changes made from now on appear.
+	// LagMillis is the delay until a change made from now on becomes visible.
 	LagMillis int `json:"lagMillis"`
-	// DelayMillis delays every answer.
+	// DelayMillis delays every answer of GET /hosts.
 	DelayMillis int `json:"delayMillis"`
 }
 
-// Service is the stand-in.
+// Service is the simulated host list.
 type Service struct {
 	clock  clockwork.Clock
 	faults fault.Knobs[Faults]
 
 	mu      sync.Mutex
 	hosts   map[string]Host
-	pending []pendingChange // by due time
+	pending []pendingChange // ordered by due time
 	calls   map[string]int
 }
 
-// change is an edit of the list that shows once it is due.
+// pendingChange is an edit of the list that becomes visible when it is due.
 type pendingChange struct {
 	due   time.Time
 	apply func(hosts map[string]Host)
 }
 
-// New makes a Service that starts with the hosts; changes appear after lag.
+// New returns a Service that starts with the given hosts and shows changes after
+// lag.
 func New(clock clockwork.Clock, hosts []Host, lag time.Duration) *Service {
 	service := &Service{clock: clock, hosts: map[string]Host{}, calls: map[string]int{}}
 	replaceAll(hosts)(service.hosts)
@@ -106,7 +109,7 @@
 	s.writeList(w, r, List{Hosts: s.visible(knobs)})
 }
 
-// answer sends the list, or nothing to a caller that has it already.
+// writeList sends the list, or 304 if the caller's ETag matches it.
 func (s *Service) writeList(w http.ResponseWriter, r *http.Request, list List) {
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -154,12 +157,13 @@
 	}
 }
 
+// enqueueChange queues a change until the current lag has passed.
 func (s *Service) enqueueChange(w http.ResponseWriter, apply func(map[string]Host)) {
 	lag := time.Duration(s.faults.Get().LagMillis) * time.Millisecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.pending) >= maxPending {
-		http.Error(w, "too many changes wait", http.StatusTooManyRequests)
+		http.Error(w, "too many pending changes", http.StatusTooManyRequests)
 		return
 	}
 	due := s.clock.Now().Add(lag)
@@ -170,7 +174,8 @@
 	reply(w, struct{}{})
 }
 
-// visible returns what callers see now, by identifier.
+// visible applies the changes that are due and returns the list as callers see it,
+// sorted by ID.
 func (s *Service) visible(knobs Faults) []Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +202,7 @@
 	}
 }
 
-// ledger shows how often each caller asked.
+// ledger returns how often each caller fetched the list.
 func (s *Service) ledger(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/internal/hostlist/hostlist_test.go
+++ b/standin/internal/hostlist/hostlist_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestLagAndFaults: changes show late and in order, and wrong answers are
-// wrong only while the knob is set.
+// TestLagAndFaults checks that changes become visible after the lag and in order,
+// and that faulty answers last only as long as their setting.
 func TestLagAndFaults(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	handler := New(clock, []Host{{ID: "a", State: "live"}, {ID: "b", State: "live"}}, time.Minute).Handler()
@@ -53,6 +53,6 @@
 		t.Errorf("got status %d, want %d", got, http.StatusServiceUnavailable)
 	}
 	if got := call(t, handler, http.MethodPost, "/faults", `{"nonsense":1}`).Code; got != http.StatusBadRequest {
-		t.Errorf("got status %d of an unknown knob, want %d", got, http.StatusBadRequest)
+		t.Errorf("got status %d for an unknown setting, want %d", got, http.StatusBadRequest)
 	}
 }
