--- a/standin/internal/link/link.go
+++ b/standin/internal/link/link.go
@@ -15,14 +15,14 @@
 type Listener struct {
 	net.Listener
 
-	mu      sync.Mutex
-	faults  platformtest.LinkFaults
-	changed chan struct{} // closed and replaced with the faults
-	open    map[*conn]bool
-	limit   int // connections that are taken; 0: any number
-	peak    int // the most that were open at once
-	refused int
-	sentTil time.Time // when what was sent has passed the narrow link
+	mu        sync.Mutex
+	faults    platformtest.LinkFaults
+	changed   chan struct{} // closed and replaced with the faults
+	open      map[*conn]bool
+	limit     int // connections that are taken; 0: any number
+	peak      int // the most that were open at once
+	refused   int
+	busyUntil time.Time // when what was sent has passed the narrow link
 }
 
 // New puts a link before a listener.
@@ -35,8 +35,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if faults.Reset {
-		for one := range l.open {
-			reset(one.Conn)
+		for c := range l.open {
+			reset(c.Conn)
 		}
 		faults.Reset = false
 	}
@@ -68,25 +68,25 @@
 		if err != nil {
 			return nil, err
 		}
-		if one := l.take(raw); one != nil {
-			return one, nil
+		if c := l.admit(raw); c != nil {
+			return c, nil
 		}
 		reset(raw)
 	}
 }
 
 // take takes a connection; nil where there are too many.
-func (l *Listener) take(raw net.Conn) *conn {
-	one := &conn{Conn: raw, link: l, closed: make(chan struct{})}
+func (l *Listener) admit(raw net.Conn) *conn {
+	c := &conn{Conn: raw, listener: l, closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit > 0 && len(l.open) >= l.limit {
 		l.refused++
 		return nil
 	}
-	l.open[one] = true
+	l.open[c] = true
 	l.peak = max(l.peak, len(l.open))
-	return one
+	return c
 }
 
 func reset(raw net.Conn) {
@@ -99,7 +99,7 @@
 // conn is a connection over the link.
 type conn struct {
 	net.Conn
-	link *Listener
+	listener *Listener
 
 	once   sync.Once
 	closed chan struct{}
@@ -107,21 +107,21 @@
 
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.link.mu.Lock()
-	delete(c.link.open, c)
-	c.link.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.open, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
 var errClosed = errors.New("the connection is closed")
 
 // pass waits while the link holds bytes up, and returns the faults then.
-func (c *conn) pass(held func(platformtest.LinkFaults) bool) (platformtest.LinkFaults, error) {
+func (c *conn) waitWhile(blocked func(platformtest.LinkFaults) bool) (platformtest.LinkFaults, error) {
 	for {
-		c.link.mu.Lock()
-		faults, changed := c.link.faults, c.link.changed
-		c.link.mu.Unlock()
-		if !held(faults) {
+		c.listener.mu.Lock()
+		faults, changed := c.listener.faults, c.listener.changed
+		c.listener.mu.Unlock()
+		if !blocked(faults) {
 			return faults, nil
 		}
 		select {
@@ -132,38 +132,38 @@
 	}
 }
 
-func (c *conn) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+func (c *conn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if n == 0 {
 		return n, err
 	}
-	faults, problem := c.pass(func(f platformtest.LinkFaults) bool { return f.Silent })
-	if problem != nil {
-		return 0, problem
+	faults, waitErr := c.waitWhile(func(f platformtest.LinkFaults) bool { return f.Silent })
+	if waitErr != nil {
+		return 0, waitErr
 	}
 	time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
 	return n, err
 }
 
-func (c *conn) Write(text []byte) (int, error) {
-	faults, err := c.pass(func(f platformtest.LinkFaults) bool { return f.Silent || f.OneWay })
+func (c *conn) Write(data []byte) (int, error) {
+	faults, err := c.waitWhile(func(f platformtest.LinkFaults) bool { return f.Silent || f.OneWay })
 	if err != nil {
 		return 0, err
 	}
 	if faults.BytesPerSecond > 0 {
-		time.Sleep(c.link.wait(len(text), faults.BytesPerSecond))
+		time.Sleep(c.listener.reserve(len(data), faults.BytesPerSecond))
 	}
-	return c.Conn.Write(text)
+	return c.Conn.Write(data)
 }
 
 // wait returns how long so many bytes wait for their turn on the narrow link.
-func (l *Listener) wait(bytes, perSecond int) time.Duration {
+func (l *Listener) reserve(bytes, perSecond int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.sentTil.Before(now) {
-		l.sentTil = now
+	if l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	l.sentTil = l.sentTil.Add(time.Duration(float64(bytes) / float64(perSecond) * float64(time.Second)))
-	return l.sentTil.Sub(now)
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(bytes) / float64(perSecond) * float64(time.Second)))
+	return l.busyUntil.Sub(now)
 }
