--- a/standin/internal/link/link.go
+++ b/standin/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link puts a link whose faults are set from outside between a stand-in and
-// those who call it.
+// Package link simulates a faulty network link between a simulated service and its
+// clients. The faults can be changed while connections are open.
 package link
 
 import (
@@ -11,26 +11,26 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// Listener is a listener behind the link.
+// Listener wraps a net.Listener and applies the link's faults to its connections.
 type Listener struct {
 	net.Listener
 
 	mu        sync.Mutex
 	faults    platformtest.LinkFaults
-	changed   chan struct{} // closed and replaced with the faults
+	changed   chan struct{} // closed and replaced whenever the faults change
 	open      map[*conn]bool
-	limit     int // connections that are taken; 0: any number
-	peak      int // the most that were open at once
+	limit     int // maximum number of open connections; 0 means no limit
+	peak      int // most connections open at the same time
 	refused   int
-	busyUntil time.Time // when what was sent has passed the narrow link
+	busyUntil time.Time // when the bytes written so far have passed the rate-limited link
 }
 
-// New puts a link before a listener.
+// New returns a Listener without faults.
 func New(lis net.Listener) *Listener {
 	return &Listener{Listener: lis, changed: make(chan struct{}), open: map[*conn]bool{}}
 }
 
-// Set replaces the faults and returns them without what happens once.
+// Set replaces the faults and returns them without Reset, which happens only once.
 func (l *Listener) Set(faults platformtest.LinkFaults) platformtest.LinkFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,22 +46,22 @@
 	return faults
 }
 
-// Limit bounds the connections that are open at once; those beyond are reset.
+// Limit sets the maximum number of open connections; further ones are reset.
 func (l *Listener) Limit(connections int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = connections
 }
 
-// Counts returns the most connections that were open at once and how many were reset since
-// there were too many.
+// Counts returns the most connections that were open at the same time and how many
+// were reset because of the limit.
 func (l *Listener) Counts() (peak, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peak, l.refused
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection within the limit.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -75,7 +75,7 @@
 	}
 }
 
-// take takes a connection; nil where there are too many.
+// admit registers a connection, or returns nil if the limit is reached.
 func (l *Listener) admit(raw net.Conn) *conn {
 	c := &conn{Conn: raw, listener: l, closed: make(chan struct{})}
 	l.mu.Lock()
@@ -89,6 +89,7 @@
 	return c
 }
 
+// reset closes a connection with a TCP reset.
 func reset(raw net.Conn) {
 	if tcp, ok := raw.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -115,7 +116,8 @@
 
 var errClosed = errors.New("the connection is closed")
 
-// pass waits while the link holds bytes up, and returns the faults then.
+// waitWhile blocks while blocked is true for the link's faults, and returns the faults
+// that ended the wait.
 func (c *conn) waitWhile(blocked func(platformtest.LinkFaults) bool) (platformtest.LinkFaults, error) {
 	for {
 		c.listener.mu.Lock()
@@ -156,7 +158,8 @@
 	return c.Conn.Write(data)
 }
 
-// wait returns how long so many bytes wait for their turn on the narrow link.
+// reserve books the bytes on the rate-limited link and returns how long until they
+// have passed it.
 func (l *Listener) reserve(bytes, perSecond int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
