--- a/standin/internal/kvservice/faults.go
+++ b/standin/internal/kvservice/faults.go
@@ -26,17 +26,17 @@
 }
 
 // dice throws with a fixed seed, so that a run can be repeated.
-type dice struct {
+type faultRandom struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func newDice(seed uint64) *dice {
-	return &dice{random: rand.New(rand.NewPCG(seed, seed))}
+func newFaultRandom(seed uint64) *faultRandom {
+	return &faultRandom{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
 // hits reports whether an event of the given fraction happens.
-func (d *dice) hits(fraction float64) bool {
+func (d *faultRandom) occurs(fraction float64) bool {
 	if fraction <= 0 {
 		return false
 	}
--- a/standin/internal/kvservice/handlers.go
+++ b/standin/internal/kvservice/handlers.go
@@ -43,14 +43,14 @@
 	Lease string `json:"lease"`
 }
 
-func body(entry kv.Entry) entryBody {
+func newEntryBody(entry kv.Entry) entryBody {
 	return entryBody{Key: entry.Key(), Value: entry.Value(), Revision: entry.Revision(), Deleted: entry.Deleted()}
 }
 
-func bodies(found []kv.Entry) []entryBody {
+func entryBodies(found []kv.Entry) []entryBody {
 	out := make([]entryBody, 0, len(found))
 	for _, entry := range found {
-		out = append(out, body(entry))
+		out = append(out, newEntryBody(entry))
 	}
 	return out
 }
@@ -68,16 +68,16 @@
 	if !found {
 		return answer{status: http.StatusNotFound}
 	}
-	return answer{http.StatusOK, body(entry)}
+	return answer{http.StatusOK, newEntryBody(entry)}
 }
 
 func (s *Service) list(r *http.Request) answer {
 	found, revision := s.memory.List(keyOf(r))
-	return answer{http.StatusOK, listBody{Entries: bodies(found), Revision: revision}}
+	return answer{http.StatusOK, listBody{Entries: entryBodies(found), Revision: revision}}
 }
 
 func (s *Service) put(r *http.Request) answer {
-	condition, err := number(r, "ifRevision")
+	condition, err := uintParam(r, "ifRevision")
 	if err != nil {
 		return answer{http.StatusBadRequest, err.Error()}
 	}
@@ -90,42 +90,42 @@
 		return answer{}
 	}
 	revision, err := s.memory.Swap(keyOf(r), value, condition, r.URL.Query().Get("lease"))
-	return outcome(revisionBody{Revision: revision}, err)
+	return answerFor(revisionBody{Revision: revision}, err)
 }
 
 func (s *Service) remove(r *http.Request) answer {
-	condition, err := number(r, "ifRevision")
+	condition, err := uintParam(r, "ifRevision")
 	if err != nil {
 		return answer{http.StatusBadRequest, err.Error()}
 	}
 	err = s.memory.Delete(keyOf(r), condition)
 	entry, _ := s.memory.Get(keyOf(r))
-	return outcome(revisionBody{Revision: entry.Revision()}, err)
+	return answerFor(revisionBody{Revision: entry.Revision()}, err)
 }
 
 // watch has no answer, status 0, where the connection is to be cut.
 func (s *Service) watch(r *http.Request) answer {
-	after, err := number(r, "after")
+	after, err := uintParam(r, "after")
 	if err != nil {
 		return answer{http.StatusBadRequest, err.Error()}
 	}
-	millis, err := number(r, "waitMillis")
+	millis, err := uintParam(r, "waitMillis")
 	if err != nil {
 		return answer{http.StatusBadRequest, err.Error()}
 	}
 	wait := min(time.Duration(millis)*time.Millisecond, maxWait)
-	return s.await(r, after, s.clock.After(wait), s.droppedSignal())
+	return s.waitForChanges(r, after, s.clock.After(wait), s.droppedSignal())
 }
 
-func (s *Service) await(r *http.Request, after uint64, timeout <-chan time.Time, dropped <-chan struct{}) answer {
+func (s *Service) waitForChanges(r *http.Request, after uint64, timeout <-chan time.Time, dropped <-chan struct{}) answer {
 	for {
 		found, revision, changed, err := s.memory.Changes(keyOf(r), after)
 		silent := s.faults.Get().WatchSilent
 		if err != nil {
-			return outcome(nil, err)
+			return answerFor(nil, err)
 		}
 		if !silent && (len(found) > 0 || after > revision) {
-			return answer{http.StatusOK, watchBody{Changes: bodies(found), Revision: revision}}
+			return answer{http.StatusOK, watchBody{Changes: entryBodies(found), Revision: revision}}
 		}
 		select {
 		case <-changed:
@@ -144,7 +144,7 @@
 }
 
 func (s *Service) grant(r *http.Request) answer {
-	millis, err := number(r, "ttlMillis")
+	millis, err := uintParam(r, "ttlMillis")
 	if err != nil || millis == 0 {
 		return answer{http.StatusBadRequest, "ttlMillis is missing"}
 	}
@@ -152,7 +152,7 @@
 }
 
 func (s *Service) keepAlive(r *http.Request) answer {
-	return outcome(struct{}{}, s.memory.KeepAlive(chi.URLParam(r, "id")))
+	return answerFor(struct{}{}, s.memory.KeepAlive(chi.URLParam(r, "id")))
 }
 
 func (s *Service) revoke(r *http.Request) answer {
@@ -160,7 +160,7 @@
 	return answer{http.StatusOK, struct{}{}}
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func uintParam(r *http.Request, name string) (uint64, error) {
 	value, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.Invalid, name+" is missing or no number", "give "+name+" in the query")
@@ -169,7 +169,7 @@
 }
 
 // outcome maps the memory's errors to the protocol's status.
-func outcome(body any, err error) answer {
+func answerFor(body any, err error) answer {
 	if err == nil {
 		return answer{http.StatusOK, body}
 	}
--- a/standin/internal/kvservice/ledger.go
+++ b/standin/internal/kvservice/ledger.go
@@ -44,7 +44,7 @@
 }
 
 const (
-	keptSeconds = 600
+	maxSeconds = 600
 	// maxLines bounds the ledger against callers with ever new names.
 	maxLines = 10000
 )
@@ -55,16 +55,16 @@
 }
 
 // book is the ledger while it is written.
-type book struct {
-	mu      sync.Mutex
-	lines   map[lineKey]*Line
-	seconds []Second
-	lost    int
+type callRecorder struct {
+	mu          sync.Mutex
+	lines       map[lineKey]*Line
+	seconds     []Second
+	lostReplies int
 }
 
-func newBook() *book { return &book{lines: map[lineKey]*Line{}} }
+func newCallRecorder() *callRecorder { return &callRecorder{lines: map[lineKey]*Line{}} }
 
-func (b *book) arrived(now time.Time, kind budget.Kind, key, caller string) *Line {
+func (b *callRecorder) recordCall(now time.Time, kind budget.Kind, key, caller string) *Line {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.countSecond(now.Truncate(time.Second), kind)
@@ -83,11 +83,11 @@
 	return line
 }
 
-func (b *book) countSecond(at time.Time, kind budget.Kind) {
+func (b *callRecorder) countSecond(at time.Time, kind budget.Kind) {
 	if n := len(b.seconds); n == 0 || !b.seconds[n-1].At.Equal(at) {
 		b.seconds = append(b.seconds, Second{At: at})
 	}
-	if extra := len(b.seconds) - keptSeconds; extra > 0 {
+	if extra := len(b.seconds) - maxSeconds; extra > 0 {
 		b.seconds = b.seconds[extra:]
 	}
 	last := &b.seconds[len(b.seconds)-1]
@@ -98,31 +98,31 @@
 	}
 }
 
-func (b *book) refused(line *Line) {
+func (b *callRecorder) recordRefusal(line *Line) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	line.Refused++
 }
 
-func (b *book) lostReply() {
+func (b *callRecorder) recordLostReply() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lost++
+	b.lostReplies++
 }
 
-func (b *book) reset() {
+func (b *callRecorder) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lines = map[lineKey]*Line{}
 	b.seconds = nil
-	b.lost = 0
+	b.lostReplies = 0
 }
 
 // report returns the ledger, lines in the order of kind, prefix and caller.
-func (b *book) report() Ledger {
+func (b *callRecorder) report() Ledger {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := Ledger{Lines: []Line{}, Seconds: slices.Clone(b.seconds), LostReplies: b.lost}
+	out := Ledger{Lines: []Line{}, Seconds: slices.Clone(b.seconds), LostReplies: b.lostReplies}
 	for _, line := range b.lines {
 		out.Lines = append(out.Lines, *line)
 		if line.Kind.Writes() {
--- a/standin/internal/kvservice/service.go
+++ b/standin/internal/kvservice/service.go
@@ -32,13 +32,13 @@
 
 // Service is the stand-in.
 type Service struct {
-	clock  clockwork.Clock
-	memory *kv.Memory
-	reads  *rate.Limiter
-	writes *rate.Limiter
-	faults fault.Knobs[Faults]
-	dice   *dice
-	book   *book
+	clock    clockwork.Clock
+	memory   *kv.Memory
+	reads    *rate.Limiter
+	writes   *rate.Limiter
+	faults   fault.Knobs[Faults]
+	random   *faultRandom
+	recorder *callRecorder
 
 	mu      sync.Mutex
 	dropped chan struct{} // closed and replaced to drop the waiting watches
@@ -47,13 +47,13 @@
 // New makes an empty Service.
 func New(opts Options) *Service {
 	service := &Service{
-		clock:   opts.Clock,
-		memory:  kv.NewMemoryService(opts.Clock),
-		reads:   limiter(opts.ReadsPerSecond),
-		writes:  limiter(opts.WritesPerSecond),
-		dice:    newDice(opts.Seed),
-		book:    newBook(),
-		dropped: make(chan struct{}),
+		clock:    opts.Clock,
+		memory:   kv.NewMemoryService(opts.Clock),
+		reads:    limiter(opts.ReadsPerSecond),
+		writes:   limiter(opts.WritesPerSecond),
+		random:   newFaultRandom(opts.Seed),
+		recorder: newCallRecorder(),
+		dropped:  make(chan struct{}),
 	}
 	service.faults.Changed = service.apply
 	return service
@@ -71,7 +71,7 @@
 
 // Ledger returns the service's own account.
 func (s *Service) Ledger() Ledger {
-	report := s.book.report()
+	report := s.recorder.report()
 	_, report.Revision = s.memory.List("none")
 	return report
 }
@@ -114,7 +114,7 @@
 	mux.Delete("/leases/{id}", s.admit(budget.Revoke, s.revoke))
 	mux.Handle("/faults", &s.faults)
 	mux.Get("/ledger", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, s.Ledger()) })
-	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.book.reset() })
+	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.recorder.reset() })
 	return mux
 }
 
@@ -128,34 +128,34 @@
 // is to be lost.
 func (s *Service) admit(kind budget.Kind, run func(*http.Request) answer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		line := s.book.arrived(s.clock.Now(), kind, keyOf(r), r.UserAgent())
-		if !s.pause(r.Context()) {
+		line := s.recorder.recordCall(s.clock.Now(), kind, keyOf(r), r.UserAgent())
+		if !s.applyDelay(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
-		if refusal := s.refusal(kind); refusal != 0 {
-			s.book.refused(line)
+		if refusal := s.refusalStatus(kind); refusal != 0 {
+			s.recorder.recordRefusal(line)
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(refusal)
 			return
 		}
 		knobs := s.faults.Get()
-		if kind.Writes() && s.dice.hits(knobs.LoseRequests) {
+		if kind.Writes() && s.random.occurs(knobs.LoseRequests) {
 			panic(http.ErrAbortHandler)
 		}
-		found := run(r)
-		if kind.Writes() && s.dice.hits(knobs.LoseReplies) {
-			s.book.lostReply()
+		result := run(r)
+		if kind.Writes() && s.random.occurs(knobs.LoseReplies) {
+			s.recorder.recordLostReply()
 			panic(http.ErrAbortHandler)
 		}
-		if found.status == 0 {
+		if result.status == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		reply(w, found.status, found.body)
+		reply(w, result.status, result.body)
 	}
 }
 
 // pause waits for the delay knob; false where the caller went away meanwhile.
-func (s *Service) pause(ctx context.Context) bool {
+func (s *Service) applyDelay(ctx context.Context) bool {
 	delay := time.Duration(s.faults.Get().DelayMillis) * time.Millisecond
 	if delay <= 0 {
 		return true
@@ -169,7 +169,7 @@
 }
 
 // refusal returns the status for a call that is not let in, 0 for one that is.
-func (s *Service) refusal(kind budget.Kind) int {
+func (s *Service) refusalStatus(kind budget.Kind) int {
 	if s.faults.Get().Down {
 		return http.StatusServiceUnavailable
 	}
