--- a/standin/internal/kvservice/client_test.go
+++ b/standin/internal/kvservice/client_test.go
@@ -13,7 +13,7 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// start returns the product's client and the stand-in that it talks to.
+// start returns the real client and the simulated service that it is connected to.
 func start(t *testing.T, opts Options) (*kv.Store, *Service) {
 	t.Helper()
 	if opts.Clock == nil {
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestLostReply: the write takes effect and the connection closes. The symptom
-// of a wrong client would be an answer other than "it may have": a caller that
-// believes it failed writes twice.
+// TestLostReply checks that the client reports a write as ambiguous if the write
+// takes effect but the connection closes without a reply. A caller that takes it for
+// failed would write twice.
 func TestLostReply(t *testing.T) {
 	store, service := start(t, Options{})
 	service.Faults().Set(Faults{LoseReplies: 1})
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestDownAndOverTheRate: refused calls surely had no effect, and say so.
+// TestDownAndOverTheRate checks that refused calls have no effect and that the error
+// says so.
 func TestDownAndOverTheRate(t *testing.T) {
 	store, service := start(t, Options{WritesPerSecond: 2, Clock: clockwork.NewFakeClock()})
 	service.Faults().Set(Faults{Down: true})
@@ -107,9 +108,9 @@
 	}
 }
 
-// TestWatchFaults: a watch is dropped, its history is compacted, or it goes
-// silent. The client must distinguish each from "nothing changed", or its caller
-// would go on with an old document.
+// TestWatchFaults drops a watch, compacts its history and silences it. The client
+// must distinguish each from "no changes", or its caller would continue with an
+// outdated document.
 func TestWatchFaults(t *testing.T) {
 	store, service := start(t, Options{})
 	first := swap(t, store, "a", "1", 0)
@@ -149,7 +150,7 @@
 	wantKind(t, err, failure.Unavailable)
 }
 
-// TestLeases: a key bound to a lease goes with it.
+// TestLeases checks that a key attached to a lease is deleted when the lease expires.
 func TestLeases(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store, _ := start(t, Options{Clock: clock})
--- a/standin/internal/kvservice/faults.go
+++ b/standin/internal/kvservice/faults.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Faults are the knobs of POST /faults.
+// Faults are the fault settings of POST /faults.
 type Faults struct {
-	// Down answers every call with 503; leases lapse meanwhile.
+	// Down answers every call with 503; leases still expire.
 	Down bool `json:"down"`
 	// DelayMillis delays every call before it takes effect.
 	DelayMillis int `json:"delayMillis"`
@@ -17,15 +17,16 @@
 	// LoseRequests is the fraction of writes whose connection is closed
 	// without a reply and without an effect.
 	LoseRequests float64 `json:"loseRequests"`
-	// WatchSilent lets watches hang and report nothing.
+	// WatchSilent makes watches hang without reporting changes.
 	WatchSilent bool `json:"watchSilent"`
-	// Compact forgets the history once.
+	// Compact discards the history once.
 	Compact bool `json:"compact"`
 	// DropWatch closes the connections of all waiting watches once.
 	DropWatch bool `json:"dropWatch"`
 }
 
-// dice throws with a fixed seed, so that a run can be repeated.
+// faultRandom decides at random which calls fail, with a fixed seed so that a run
+// can be repeated.
 type faultRandom struct {
 	mu     sync.Mutex
 	random *rand.Rand
@@ -35,7 +36,7 @@
 	return &faultRandom{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// hits reports whether an event of the given fraction happens.
+// occurs returns true for the given fraction of its calls.
 func (d *faultRandom) occurs(fraction float64) bool {
 	if fraction <= 0 {
 		return false
--- a/standin/internal/kvservice/handlers.go
+++ b/standin/internal/kvservice/handlers.go
@@ -15,7 +15,7 @@
 	"comfreyrelay.example/relay/kv"
 )
 
-// maxWait bounds how long a watch may ask to wait.
+// maxWait limits the wait time that a watch may request.
 const maxWait = 5 * time.Minute
 
 type entryBody struct {
@@ -55,7 +55,7 @@
 	return out
 }
 
-// keyOf returns the key or the prefix that the call is about.
+// keyOf returns the key in the path or the prefix in the query.
 func keyOf(r *http.Request) string {
 	if key, found := strings.CutPrefix(r.URL.Path, "/kv/"); found {
 		return key
@@ -84,7 +84,7 @@
 	value, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, kv.MaxValueBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return answer{http.StatusRequestEntityTooLarge, "the value is over 1 MiB"}
+		return answer{http.StatusRequestEntityTooLarge, "the value exceeds 1 MiB"}
 	}
 	if err != nil {
 		return answer{}
@@ -103,7 +103,8 @@
 	return answerFor(revisionBody{Revision: entry.Revision()}, err)
 }
 
-// watch has no answer, status 0, where the connection is to be cut.
+// watch returns the changes after a revision, or an empty list after the wait time.
+// Status 0 in the answer closes the connection without a reply.
 func (s *Service) watch(r *http.Request) answer {
 	after, err := uintParam(r, "after")
 	if err != nil {
@@ -117,6 +118,8 @@
 	return s.waitForChanges(r, after, s.clock.After(wait), s.droppedSignal())
 }
 
+// waitForChanges blocks until there are changes to report, the timeout passes, or
+// the watch is dropped.
 func (s *Service) waitForChanges(r *http.Request, after uint64, timeout <-chan time.Time, dropped <-chan struct{}) answer {
 	for {
 		found, revision, changed, err := s.memory.Changes(keyOf(r), after)
@@ -135,7 +138,7 @@
 			return answer{}
 		case <-timeout:
 			if s.faults.Get().WatchSilent {
-				timeout = nil // hang until the caller gives up
+				timeout = nil // block until the client disconnects or the watch is dropped
 				continue
 			}
 			return answer{http.StatusOK, watchBody{Changes: []entryBody{}, Revision: revision}}
@@ -160,15 +163,16 @@
 	return answer{http.StatusOK, struct{}{}}
 }
 
+// uintParam parses an unsigned integer from the query.
 func uintParam(r *http.Request, name string) (uint64, error) {
 	value, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.Invalid, name+" is missing or no number", "give "+name+" in the query")
+		return 0, failure.Wrap(err, failure.Invalid, name+" is missing or not a number", "give "+name+" in the query")
 	}
 	return value, nil
 }
 
-// outcome maps the memory's errors to the protocol's status.
+// answerFor maps an error of the store to the protocol's HTTP status.
 func answerFor(body any, err error) answer {
 	if err == nil {
 		return answer{http.StatusOK, body}
--- a/standin/internal/kvservice/ledger.go
+++ b/standin/internal/kvservice/ledger.go
@@ -15,37 +15,38 @@
 	Kind   budget.Kind `json:"kind"`
 	Prefix string      `json:"prefix"`
 	Caller string      `json:"caller"`
-	// Calls counts all that arrived, Refused those answered 429 or 503.
+	// Calls counts all calls, Refused those answered with 429 or 503.
 	Calls   int `json:"calls"`
 	Refused int `json:"refused"`
 }
 
-// Second counts what arrived within one second of the clock.
+// Second counts the calls within one second of the clock.
 type Second struct {
 	At     time.Time `json:"at"`
 	Reads  int       `json:"reads"`
 	Writes int       `json:"writes"`
 }
 
-// Ledger is the answer of GET /ledger.
+// Ledger is the body of GET /ledger.
 type Ledger struct {
 	Lines  []Line `json:"lines"`
 	Reads  int    `json:"reads"`
 	Writes int    `json:"writes"`
-	// The most that arrived within one second of the clock.
+	// PeakReadsPerSecond and PeakWritesPerSecond are the most calls within one
+	// second of the clock.
 	PeakReadsPerSecond  int `json:"peakReadsPerSecond"`
 	PeakWritesPerSecond int `json:"peakWritesPerSecond"`
-	// Seconds holds the last ten minutes' seconds with calls, oldest first.
+	// Seconds holds the last 600 seconds that had calls, oldest first.
 	Seconds []Second `json:"seconds"`
-	// LostReplies counts the writes that took effect without a reply.
+	// LostReplies counts the writes that took effect but got no reply.
 	LostReplies int `json:"lostReplies"`
-	// Revision is the service's present one.
+	// Revision is the store's current revision.
 	Revision uint64 `json:"revision"`
 }
 
 const (
 	maxSeconds = 600
-	// maxLines bounds the ledger against callers with ever new names.
+	// maxLines limits the ledger's size if callers keep using new names.
 	maxLines = 10000
 )
 
@@ -54,7 +55,7 @@
 	prefix, caller string
 }
 
-// book is the ledger while it is written.
+// callRecorder collects the figures of the Ledger.
 type callRecorder struct {
 	mu          sync.Mutex
 	lines       map[lineKey]*Line
@@ -64,6 +65,8 @@
 
 func newCallRecorder() *callRecorder { return &callRecorder{lines: map[lineKey]*Line{}} }
 
+// recordCall counts a call and returns its line. Once maxLines is reached, new
+// callers share a line without a name.
 func (b *callRecorder) recordCall(now time.Time, kind budget.Kind, key, caller string) *Line {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,7 +121,7 @@
 	b.lostReplies = 0
 }
 
-// report returns the ledger, lines in the order of kind, prefix and caller.
+// report returns the ledger with its lines sorted by kind, prefix and caller.
 func (b *callRecorder) report() Ledger {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/internal/kvservice/service.go
+++ b/standin/internal/kvservice/service.go
@@ -1,5 +1,5 @@
-// Package kvservice is a stand-in of the platform's key-value service: one
-// process in memory, with rate limits, fault knobs and a ledger.
+// Package kvservice simulates the platform's key-value service in the memory of one
+// process, with rate limits, fault injection and a ledger of calls.
 package kvservice
 
 import (
@@ -17,20 +17,20 @@
 	"comfreyrelay.example/standin/internal/fault"
 )
 
-// burstSeconds is how much of a second's rate the service takes at one moment.
+// burstSeconds is the burst size, in seconds of the rate.
 const burstSeconds = 0.5
 
-// Options configure a Service.
+// Options configures a Service.
 type Options struct {
-	// ReadsPerSecond and WritesPerSecond are the rates beyond which calls get
-	// 429; 0 means no limit.
+	// ReadsPerSecond and WritesPerSecond are the rate limits; calls beyond them are
+	// answered with 429. 0 means no limit.
 	ReadsPerSecond, WritesPerSecond float64
-	// Seed fixes which replies get lost.
+	// Seed determines which requests and replies are lost.
 	Seed  uint64
 	Clock clockwork.Clock
 }
 
-// Service is the stand-in.
+// Service is the simulated key-value service.
 type Service struct {
 	clock    clockwork.Clock
 	memory   *kv.Memory
@@ -41,10 +41,10 @@
 	recorder *callRecorder
 
 	mu      sync.Mutex
-	dropped chan struct{} // closed and replaced to drop the waiting watches
+	dropped chan struct{} // closed and replaced to drop all waiting watches
 }
 
-// New makes an empty Service.
+// New returns a Service with an empty store.
 func New(opts Options) *Service {
 	service := &Service{
 		clock:    opts.Clock,
@@ -66,17 +66,17 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds)))
 }
 
-// Faults returns the knobs, for tests in the same process.
+// Faults returns the fault settings, for tests in the same process.
 func (s *Service) Faults() *fault.Knobs[Faults] { return &s.faults }
 
-// Ledger returns the service's own account.
+// Ledger returns the counts of the calls so far.
 func (s *Service) Ledger() Ledger {
 	report := s.recorder.report()
 	_, report.Revision = s.memory.List("none")
 	return report
 }
 
-// apply does the one-shot knobs and resets them.
+// apply runs the faults that happen once and resets their settings.
 func (s *Service) apply(knobs Faults) Faults {
 	if knobs.Compact {
 		s.memory.Compact()
@@ -118,14 +118,14 @@
 	return mux
 }
 
-// answer is what a call found: a status and a body, nil for none.
+// answer is the HTTP status and body of a reply; the body is nil if there is none.
 type answer struct {
 	status int
 	body   any
 }
 
-// admit counts the call, applies faults and rate, and replies unless the reply
-// is to be lost.
+// admit counts the call, applies faults and rate limits, and sends the reply unless
+// a fault loses it.
 func (s *Service) admit(kind budget.Kind, run func(*http.Request) answer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		line := s.recorder.recordCall(s.clock.Now(), kind, keyOf(r), r.UserAgent())
@@ -154,7 +154,8 @@
 	}
 }
 
-// pause waits for the delay knob; false where the caller went away meanwhile.
+// applyDelay waits for the configured delay. It returns false if the client
+// disconnects meanwhile.
 func (s *Service) applyDelay(ctx context.Context) bool {
 	delay := time.Duration(s.faults.Get().DelayMillis) * time.Millisecond
 	if delay <= 0 {
@@ -168,7 +169,8 @@
 	}
 }
 
-// refusal returns the status for a call that is not let in, 0 for one that is.
+// refusalStatus returns the HTTP status for a refused call, or 0 if the call is
+// admitted.
 func (s *Service) refusalStatus(kind budget.Kind) int {
 	if s.faults.Get().Down {
 		return http.StatusServiceUnavailable
