--- a/standin/internal/origin/ledger.go
+++ b/standin/internal/origin/ledger.go
@@ -35,33 +35,33 @@
 }
 
 // book is the ledger while it is written.
-type book struct {
+type transferRecorder struct {
 	mu     sync.Mutex
 	totals Ledger // Versions stays empty
 }
 
-func newBook() *book {
-	kept := &book{}
-	kept.reset()
-	return kept
+func newTransferRecorder() *transferRecorder {
+	b := &transferRecorder{}
+	b.reset()
+	return b
 }
 
-func (b *book) reset() {
+func (b *transferRecorder) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.totals = Ledger{Chunks: map[string]int64{}, Peers: map[string]int64{}, Callers: map[string]int64{}}
 }
 
 // add changes the totals under the lock.
-func (b *book) add(change func(totals *Ledger)) {
+func (b *transferRecorder) update(change func(totals *Ledger)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.totals)
 }
 
-func (b *book) sent(r *http.Request, hash string, bytes int64, whole bool) {
+func (b *transferRecorder) recordTransfer(r *http.Request, hash string, bytes int64, whole bool) {
 	peer, _, _ := net.SplitHostPort(r.RemoteAddr)
-	b.add(func(totals *Ledger) {
+	b.update(func(totals *Ledger) {
 		totals.Bytes += bytes
 		totals.Chunks[hash] += bytes
 		addBounded(totals.Peers, peer, bytes)
@@ -80,7 +80,7 @@
 }
 
 // report returns a copy of the ledger with a line for each version.
-func (b *book) report(versions []*version) Ledger {
+func (b *transferRecorder) report(versions []*version) Ledger {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.totals
--- a/standin/internal/origin/link.go
+++ b/standin/internal/origin/link.go
@@ -23,9 +23,9 @@
 }
 
 func newLink(bytesPerSecond float64) *link {
-	held := &link{limiter: rate.NewLimiter(rate.Inf, quantum)}
-	held.setRate(bytesPerSecond)
-	return held
+	l := &link{limiter: rate.NewLimiter(rate.Inf, quantum)}
+	l.setRate(bytesPerSecond)
+	return l
 }
 
 // setRate changes the rate at once; 0 means unlimited.
@@ -40,7 +40,7 @@
 
 // copy sends the source at the link's pace. Before each quantum it calls
 // before, which may hold it up; it returns the bytes sent.
-func (l *link) copy(ctx context.Context, w http.ResponseWriter, source io.Reader, before func([]byte) error) (int64, error) {
+func (l *link) copy(ctx context.Context, w http.ResponseWriter, source io.Reader, beforeWrite func([]byte) error) (int64, error) {
 	sent := int64(0)
 	buffer := make([]byte, quantum)
 	for {
@@ -48,16 +48,16 @@
 		if n == 0 {
 			return sent, nil
 		}
-		if err := before(buffer[:n]); err != nil {
+		if err := beforeWrite(buffer[:n]); err != nil {
 			return sent, err
 		}
 		if err := l.limiter.WaitN(ctx, n); err != nil {
 			return sent, err
 		}
-		written, failed := w.Write(buffer[:n])
+		written, writeErr := w.Write(buffer[:n])
 		sent += int64(written)
-		if failed != nil {
-			return sent, failed
+		if writeErr != nil {
+			return sent, writeErr
 		}
 		if err != nil {
 			return sent, nil
--- a/standin/internal/origin/origin.go
+++ b/standin/internal/origin/origin.go
@@ -63,13 +63,13 @@
 	link     *link
 	requests *rate.Limiter
 	faults   fault.Knobs[Faults]
-	book     *book
+	recorder *transferRecorder
 
 	mu       sync.Mutex
 	random   *rand.Rand
 	versions map[string]*version
-	order    []*version        // by publication
-	recipes  map[string]recipe // by hash, hexadecimal
+	order    []*version           // by publication
+	specs    map[string]chunkSpec // by hash, hexadecimal
 }
 
 // New makes a Service without versions.
@@ -79,10 +79,10 @@
 		rate:     opts.BytesPerSecond,
 		link:     newLink(opts.BytesPerSecond),
 		requests: requestLimiter(opts.RequestsPerSecond),
-		book:     newBook(),
+		recorder: newTransferRecorder(),
 		random:   rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 		versions: map[string]*version{},
-		recipes:  map[string]recipe{},
+		specs:    map[string]chunkSpec{},
 	}
 	service.faults.Changed = service.apply
 	return service
@@ -112,7 +112,7 @@
 	mux.Post("/publish", s.publish)
 	mux.Handle("/faults", &s.faults)
 	mux.Get("/ledger", s.ledger)
-	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.book.reset() })
+	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.recorder.reset() })
 	return mux
 }
 
@@ -124,7 +124,7 @@
 	if pub.FromVersion != "" && from == nil {
 		return Published{}, failure.New(failure.NotFound, "there is no version "+pub.FromVersion, "publish it first")
 	}
-	made, err := build(pub, from)
+	published, err := build(pub, from)
 	if err != nil {
 		return Published{}, err
 	}
@@ -133,23 +133,23 @@
 	if len(s.order) >= maxVersions {
 		return Published{}, failure.New(failure.Exhausted, "too many versions", "start a new origin")
 	}
-	if _, found := s.versions[made.name]; !found {
-		s.order = append(s.order, made)
+	if _, found := s.versions[published.name]; !found {
+		s.order = append(s.order, published)
 	}
-	s.versions[made.name] = made
-	for i, hash := range made.hashes {
-		s.recipes[hash] = made.recipes[i]
+	s.versions[published.name] = published
+	for i, hash := range published.hashes {
+		s.specs[hash] = published.specs[i]
 	}
-	return Published{Version: made.name, Chunks: made.chunks, Bytes: made.size}, nil
+	return Published{Version: published.name, Chunks: published.chunks, Bytes: published.size}, nil
 }
 
 // admit applies faults and rate before a transfer.
 func (s *Service) admit(run http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		knobs := s.faults.Get()
-		s.book.add(func(totals *Ledger) { totals.Requests++ })
+		s.recorder.update(func(totals *Ledger) { totals.Requests++ })
 		if knobs.Refuse || !s.requests.AllowN(s.clock.Now(), 1) {
-			s.book.add(func(totals *Ledger) { totals.Refused++ })
+			s.recorder.update(func(totals *Ledger) { totals.Refused++ })
 			w.Header().Set("Retry-After", retryAfterSeconds)
 			http.Error(w, "over the rate", http.StatusTooManyRequests)
 			return
@@ -177,38 +177,38 @@
 	if s.faults.Get().CorruptManifest {
 		encoded[len(encoded)-1]++
 	}
-	s.book.add(func(totals *Ledger) { totals.ManifestBytes += int64(len(encoded)) })
+	s.recorder.update(func(totals *Ledger) { totals.ManifestBytes += int64(len(encoded)) })
 	_, _ = w.Write(encoded)
 }
 
 func (s *Service) chunk(w http.ResponseWriter, r *http.Request) {
 	hash := chi.URLParam(r, "hash")
 	s.mu.Lock()
-	recipe, found := s.recipes[hash]
+	spec, found := s.specs[hash]
 	corrupt := s.random.Float64() < s.faults.Get().CorruptFraction
 	s.mu.Unlock()
 	if !found {
 		http.NotFound(w, r)
 		return
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(recipe.size))
-	before := func(part []byte) error {
+	w.Header().Set("Content-Length", strconv.Itoa(spec.size))
+	beforeWrite := func(part []byte) error {
 		if corrupt {
 			part[0]++
 			corrupt = false
-			s.book.add(func(totals *Ledger) { totals.Corrupted++ })
+			s.recorder.update(func(totals *Ledger) { totals.Corrupted++ })
 		}
-		return s.stalled(r.Context())
+		return s.waitWhileStalled(r.Context())
 	}
-	sent, err := s.link.copy(r.Context(), w, recipe.source(), before)
-	s.book.sent(r, hash, sent, err == nil)
+	sent, err := s.link.copy(r.Context(), w, spec.reader(), beforeWrite)
+	s.recorder.recordTransfer(r, hash, sent, err == nil)
 }
 
 // stallPoll is how often a stalled transfer looks whether it may go on.
 const stallPoll = 50 * time.Millisecond
 
 // stalled returns once the stall knob is off.
-func (s *Service) stalled(ctx context.Context) error {
+func (s *Service) waitWhileStalled(ctx context.Context) error {
 	for s.faults.Get().Stall {
 		if !s.sleep(ctx, stallPoll) {
 			return ctx.Err()
@@ -250,7 +250,7 @@
 	s.mu.Lock()
 	order := append([]*version(nil), s.order...)
 	s.mu.Unlock()
-	reply(w, s.book.report(order))
+	reply(w, s.recorder.report(order))
 }
 
 func reply(w http.ResponseWriter, body any) {
--- a/standin/internal/origin/origin_test.go
+++ b/standin/internal/origin/origin_test.go
@@ -38,11 +38,11 @@
 
 func publish(t *testing.T, service *Service, pub Publication) Published {
 	t.Helper()
-	made, err := service.Publish(pub)
+	published, err := service.Publish(pub)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return made
+	return published
 }
 
 func fetchManifest(t *testing.T, url, version string) *wire.Manifest {
@@ -81,7 +81,7 @@
 	if want := first.Chunks - 2; shared != want {
 		t.Errorf("got %d chunks in common of %d, want %d", shared, first.Chunks, want)
 	}
-	if got := service.book.report(service.order).Versions[0].Copies; got != 1 {
+	if got := service.recorder.report(service.order).Versions[0].Copies; got != 1 {
 		t.Errorf("got %v copies in the ledger, want 1", got)
 	}
 }
@@ -89,8 +89,8 @@
 // TestFaults: each knob shows, and the ledger reports it.
 func TestFaults(t *testing.T) {
 	service, url := start(t, Options{})
-	made := publish(t, service, Publication{Model: "parcel", Mib: 0.25, ChunkKib: 128, Seed: 1})
-	hash := fetchManifest(t, url, made.Version).GetChunkHashes()[0]
+	published := publish(t, service, Publication{Model: "parcel", Mib: 0.25, ChunkKib: 128, Seed: 1})
+	hash := fetchManifest(t, url, published.Version).GetChunkHashes()[0]
 	at := url + "/chunks/" + hex.EncodeToString(hash)
 
 	service.faults.Set(Faults{CorruptFraction: 1})
@@ -98,8 +98,8 @@
 		t.Error("got a whole chunk, want a corrupt one")
 	}
 	service.faults.Set(Faults{CorruptManifest: true})
-	encoded, _ := fetch(t, url+"/manifests/"+made.Version)
-	if _, err := manifest.Decode(encoded, made.Version); err == nil {
+	encoded, _ := fetch(t, url+"/manifests/"+published.Version)
+	if _, err := manifest.Decode(encoded, published.Version); err == nil {
 		t.Error("got a manifest that matches its version, want a corrupt one")
 	}
 	service.faults.Set(Faults{Down: true})
@@ -110,7 +110,7 @@
 	if _, got := fetch(t, at); got != http.StatusTooManyRequests {
 		t.Errorf("got status %d, want %d", got, http.StatusTooManyRequests)
 	}
-	ledger := service.book.report(service.order)
+	ledger := service.recorder.report(service.order)
 	if ledger.Corrupted != 1 || ledger.Refused != 1 {
 		t.Errorf("got %d corrupted, %d refused, want 1 each", ledger.Corrupted, ledger.Refused)
 	}
--- a/standin/internal/origin/weights.go
+++ b/standin/internal/origin/weights.go
@@ -41,26 +41,26 @@
 }
 
 // recipe makes the bytes of one chunk, so that none have to be kept.
-type recipe struct {
+type chunkSpec struct {
 	seed [32]byte
 	size int
 }
 
 // source returns the chunk's bytes as a stream.
-func (r recipe) source() io.Reader {
+func (r chunkSpec) reader() io.Reader {
 	return io.LimitReader(rand.NewChaCha8(r.seed), int64(r.size))
 }
 
-func (r recipe) hash() ([]byte, error) {
+func (r chunkSpec) hash() ([]byte, error) {
 	hasher := blake3.New()
-	if _, err := io.Copy(hasher, r.source()); err != nil {
+	if _, err := io.Copy(hasher, r.reader()); err != nil {
 		return nil, err
 	}
 	return hasher.Sum(nil), nil
 }
 
 // seedOf mixes everything that distinguishes one chunk from another.
-func seedOf(pub Publication, index int) [32]byte {
+func chunkSeed(pub Publication, index int) [32]byte {
 	hasher := blake3.New()
 	_, _ = hasher.WriteString(pub.Model + "\x00" + pub.Kind + "\x00")
 	_, _ = hasher.Write(binary.LittleEndian.AppendUint64(nil, pub.Seed))
@@ -74,7 +74,7 @@
 	encoded []byte // the manifest as served
 	size    uint64
 	chunks  int
-	recipes []recipe
+	specs   []chunkSpec
 	hashes  []string // by recipe, hexadecimal
 }
 
@@ -83,31 +83,31 @@
 	if pub.Kind == "" {
 		pub.Kind = manifest.KindBase
 	}
-	recipes, chunkBytes, err := plan(pub, from)
+	specs, chunkBytes, err := planChunks(pub, from)
 	if err != nil {
 		return nil, err
 	}
 	man := &wire.Manifest{Model: pub.Model, Kind: pub.Kind, BaseVersion: pub.BaseVersion, ChunkBytes: uint32(chunkBytes)}
-	made := &version{recipes: recipes, chunks: len(recipes)}
-	for _, recipe := range recipes {
-		hash, err := recipe.hash()
+	published := &version{specs: specs, chunks: len(specs)}
+	for _, spec := range specs {
+		hash, err := spec.hash()
 		if err != nil {
 			return nil, err
 		}
 		man.ChunkHashes = append(man.ChunkHashes, hash)
-		made.hashes = append(made.hashes, hex.EncodeToString(hash))
-		made.size += uint64(recipe.size)
+		published.hashes = append(published.hashes, hex.EncodeToString(hash))
+		published.size += uint64(spec.size)
 	}
-	man.TotalBytes = made.size
-	made.encoded, err = manifest.Encode(man)
-	made.name = manifest.Version(made.encoded)
-	return made, err
+	man.TotalBytes = published.size
+	published.encoded, err = manifest.Encode(man)
+	published.name = manifest.Version(published.encoded)
+	return published, err
 }
 
 // plan returns the recipes of the chunks and the size of a whole one.
-func plan(pub Publication, from *version) ([]recipe, int, error) {
+func planChunks(pub Publication, from *version) ([]chunkSpec, int, error) {
 	if from != nil {
-		return replan(pub, from), from.recipes[0].size, nil
+		return changeChunks(pub, from), from.specs[0].size, nil
 	}
 	total := int64(pub.Mib * (1 << 20))
 	chunkBytes := pub.ChunkKib << 10
@@ -115,22 +115,22 @@
 		return nil, 0, failure.New(failure.Invalid, "the publication is incomplete or too large",
 			"name a model, at most 4096 MiB, and chunks of 1 to 2048 KiB")
 	}
-	var recipes []recipe
+	var specs []chunkSpec
 	for left := total; left > 0; left -= int64(chunkBytes) {
 		size := int(min(left, int64(chunkBytes)))
-		recipes = append(recipes, recipe{seed: seedOf(pub, len(recipes)), size: size})
+		specs = append(specs, chunkSpec{seed: chunkSeed(pub, len(specs)), size: size})
 	}
-	return recipes, chunkBytes, nil
+	return specs, chunkBytes, nil
 }
 
 // replan makes the given fraction of from's chunks anew, at least one unless
 // the fraction is 0.
-func replan(pub Publication, from *version) []recipe {
-	recipes := append([]recipe(nil), from.recipes...)
-	changed := int(math.Ceil(min(pub.ChangeFraction, 1) * float64(len(recipes))))
-	order := rand.New(rand.NewPCG(pub.Seed, pub.Seed)).Perm(len(recipes))
+func changeChunks(pub Publication, from *version) []chunkSpec {
+	specs := append([]chunkSpec(nil), from.specs...)
+	changed := int(math.Ceil(min(pub.ChangeFraction, 1) * float64(len(specs))))
+	order := rand.New(rand.NewPCG(pub.Seed, pub.Seed)).Perm(len(specs))
 	for _, index := range order[:max(changed, 0)] {
-		recipes[index].seed = seedOf(pub, index)
+		specs[index].seed = chunkSeed(pub, index)
 	}
-	return recipes
+	return specs
 }
