--- a/standin/internal/origin/ledger.go
+++ b/standin/internal/origin/ledger.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// maxNames bounds the callers that the ledger distinguishes.
+// maxNames limits how many callers and peers the ledger lists separately.
 const maxNames = 10000
 
-// VersionLine counts what was sent of one version's chunks. A chunk that two
+// VersionLine counts the bytes sent of one version's chunks. A chunk that two
 // versions share counts for both.
 type VersionLine struct {
 	Version string  `json:"version"`
@@ -19,8 +19,8 @@
 	Copies  float64 `json:"copies"` // Bytes / Size
 }
 
-// Ledger is the answer of GET /ledger. Bytes are those of chunks, sent whole
-// or in part.
+// Ledger is the body of GET /ledger. Bytes counts the bytes of chunks, including
+// incomplete transfers.
 type Ledger struct {
 	Bytes         int64            `json:"bytes"`
 	ManifestBytes int64            `json:"manifestBytes"`
@@ -31,13 +31,13 @@
 	Requests      int64            `json:"requests"`
 	Refused       int64            `json:"refused"`
 	Corrupted     int64            `json:"corrupted"`
-	CutOff        int64            `json:"cutOff"` // transfers that ended early
+	CutOff        int64            `json:"cutOff"` // transfers that ended before they were complete
 }
 
-// book is the ledger while it is written.
+// transferRecorder collects the figures of the Ledger.
 type transferRecorder struct {
 	mu     sync.Mutex
-	totals Ledger // Versions stays empty
+	totals Ledger // without Versions, which report computes
 }
 
 func newTransferRecorder() *transferRecorder {
@@ -52,7 +52,7 @@
 	b.totals = Ledger{Chunks: map[string]int64{}, Peers: map[string]int64{}, Callers: map[string]int64{}}
 }
 
-// add changes the totals under the lock.
+// update changes the totals while holding the lock.
 func (b *transferRecorder) update(change func(totals *Ledger)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,7 +79,7 @@
 	counts[name] += bytes
 }
 
-// report returns a copy of the ledger with a line for each version.
+// report returns a copy of the ledger with one line per version.
 func (b *transferRecorder) report(versions []*version) Ledger {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/internal/origin/link.go
+++ b/standin/internal/origin/link.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// quantum is what one transfer sends before the next one's turn; transfers
-	// wait in order of arrival, so that they share the link evenly.
+	// quantum is the number of bytes that a transfer sends before another one's
+	// turn. Transfers wait in order of arrival, so that they share the link evenly.
 	quantum = 16 << 10
-	// burstSeconds is how much of a second the link may catch up after a
-	// delay of the scheduler.
+	// burstSeconds is how many seconds of the rate the link may catch up after a
+	// scheduling delay.
 	burstSeconds = 0.01
 )
 
-// link paces all transfers together.
+// link limits the total rate of all transfers.
 type link struct {
 	limiter *rate.Limiter
 }
@@ -28,7 +28,7 @@
 	return l
 }
 
-// setRate changes the rate at once; 0 means unlimited.
+// setRate changes the rate immediately; 0 means unlimited.
 func (l *link) setRate(bytesPerSecond float64) {
 	limit := rate.Limit(bytesPerSecond)
 	if bytesPerSecond <= 0 {
@@ -38,8 +38,8 @@
 	l.limiter.SetLimit(limit)
 }
 
-// copy sends the source at the link's pace. Before each quantum it calls
-// before, which may hold it up; it returns the bytes sent.
+// copy sends the source at the link's rate and returns the number of bytes sent.
+// Before each quantum it calls beforeWrite, which may block or change the bytes.
 func (l *link) copy(ctx context.Context, w http.ResponseWriter, source io.Reader, beforeWrite func([]byte) error) (int64, error) {
 	sent := int64(0)
 	buffer := make([]byte, quantum)
--- a/standin/internal/origin/origin.go
+++ b/standin/internal/origin/origin.go
@@ -1,5 +1,5 @@
-// Package origin is a stand-in of the origin of weights: it makes pseudo-random
-// weights by itself and serves them over one paced link.
+// Package origin simulates the origin server of weights: it generates pseudo-random
+// weights and serves them over one rate-limited link.
 package origin
 
 import (
@@ -22,25 +22,26 @@
 const (
 	maxBodyBytes = 1 << 16
 	maxVersions  = 1000
-	// retryAfterSeconds is what a refused caller should wait.
+	// retryAfterSeconds is the Retry-After value of a refused call.
 	retryAfterSeconds = "1"
 )
 
-// Options configure a Service.
+// Options configures a Service.
 type Options struct {
 	// BytesPerSecond is the rate of the link that all transfers share; 0 means
 	// unlimited.
 	BytesPerSecond float64
-	// RequestsPerSecond is the rate beyond which calls get 429; 0 means no limit.
+	// RequestsPerSecond is the rate limit; calls beyond it are answered with 429.
+	// 0 means no limit.
 	RequestsPerSecond float64
-	// Seed fixes which chunks get corrupted.
+	// Seed determines which chunks are corrupted.
 	Seed  uint64
 	Clock clockwork.Clock
 }
 
-// Faults are the knobs of POST /faults.
+// Faults are the fault settings of POST /faults.
 type Faults struct {
-	// Down answers 503.
+	// Down answers manifests and chunks with 503.
 	Down bool `json:"down"`
 	// DelayMillis delays every answer.
 	DelayMillis int `json:"delayMillis"`
@@ -48,18 +49,18 @@
 	CorruptFraction float64 `json:"corruptFraction"`
 	// CorruptManifest sends manifests with a wrong byte.
 	CorruptManifest bool `json:"corruptManifest"`
-	// Stall holds all transfers up without closing them.
+	// Stall blocks all chunk transfers without closing their connections.
 	Stall bool `json:"stall"`
-	// Refuse answers 429 to every call.
+	// Refuse answers manifests and chunks with 429.
 	Refuse bool `json:"refuse"`
-	// BytesPerSecond changes the link's rate; 0 means the one it started with.
+	// BytesPerSecond changes the link's rate; 0 restores the configured one.
 	BytesPerSecond float64 `json:"bytesPerSecond"`
 }
 
-// Service is the stand-in.
+// Service is the simulated origin server.
 type Service struct {
 	clock    clockwork.Clock
-	rate     float64 // of the link as configured, bytes per second
+	rate     float64 // configured rate of the link, in bytes per second
 	link     *link
 	requests *rate.Limiter
 	faults   fault.Knobs[Faults]
@@ -68,11 +69,11 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	versions map[string]*version
-	order    []*version           // by publication
-	specs    map[string]chunkSpec // by hash, hexadecimal
+	order    []*version           // in order of publication
+	specs    map[string]chunkSpec // by hash in hexadecimal
 }
 
-// New makes a Service without versions.
+// New returns a Service without versions.
 func New(opts Options) *Service {
 	service := &Service{
 		clock:    opts.Clock,
@@ -116,7 +117,7 @@
 	return mux
 }
 
-// Publish makes a version and serves it from now on.
+// Publish generates a version and starts serving it.
 func (s *Service) Publish(pub Publication) (Published, error) {
 	s.mu.Lock()
 	from := s.versions[pub.FromVersion]
@@ -143,7 +144,7 @@
 	return Published{Version: published.name, Chunks: published.chunks, Bytes: published.size}, nil
 }
 
-// admit applies faults and rate before a transfer.
+// admit applies faults and the rate limit before a transfer.
 func (s *Service) admit(run http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		knobs := s.faults.Get()
@@ -151,7 +152,7 @@
 		if knobs.Refuse || !s.requests.AllowN(s.clock.Now(), 1) {
 			s.recorder.update(func(totals *Ledger) { totals.Refused++ })
 			w.Header().Set("Retry-After", retryAfterSeconds)
-			http.Error(w, "over the rate", http.StatusTooManyRequests)
+			http.Error(w, "request rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
 		if !s.sleep(r.Context(), time.Duration(knobs.DelayMillis)*time.Millisecond) {
@@ -204,10 +205,10 @@
 	s.recorder.recordTransfer(r, hash, sent, err == nil)
 }
 
-// stallPoll is how often a stalled transfer looks whether it may go on.
+// stallPoll is the interval at which a stalled transfer checks the Stall setting.
 const stallPoll = 50 * time.Millisecond
 
-// stalled returns once the stall knob is off.
+// waitWhileStalled blocks until the Stall setting is off.
 func (s *Service) waitWhileStalled(ctx context.Context) error {
 	for s.faults.Get().Stall {
 		if !s.sleep(ctx, stallPoll) {
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// sleep waits; false where the caller went away meanwhile.
+// sleep waits and returns false if the client disconnects meanwhile.
 func (s *Service) sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return true
--- a/standin/internal/origin/origin_test.go
+++ b/standin/internal/origin/origin_test.go
@@ -55,8 +55,9 @@
 	return man
 }
 
-// TestVersions: chunks match the manifest, equal publications are one version,
-// and a version made from another shares the chunks that did not change.
+// TestVersions checks that chunks match the manifest, that equal publications give
+// the same version, and that a version derived from another shares its unchanged
+// chunks.
 func TestVersions(t *testing.T) {
 	service, url := start(t, Options{})
 	pub := Publication{Model: "parcel", Mib: 1.1, ChunkKib: 128, Seed: 1}
@@ -86,7 +87,8 @@
 	}
 }
 
-// TestFaults: each knob shows, and the ledger reports it.
+// TestFaults checks that each fault setting takes effect and that the ledger counts
+// corrupted and refused calls.
 func TestFaults(t *testing.T) {
 	service, url := start(t, Options{})
 	published := publish(t, service, Publication{Model: "parcel", Mib: 0.25, ChunkKib: 128, Seed: 1})
--- a/standin/internal/origin/weights.go
+++ b/standin/internal/origin/weights.go
@@ -14,39 +14,39 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// maxBytes bounds one version.
+// maxBytes limits the size of one version.
 const maxBytes = 4 << 30
 
-// Publication is the body of POST /publish: what to make weights of. Equal
-// publications make the same version.
+// Publication is the body of POST /publish: the parameters of the weights to
+// generate. Equal publications give the same version.
 type Publication struct {
 	Model string `json:"model"`
-	// Kind is "base" or "adapter"; empty stands for "base".
+	// Kind is "base" or "adapter"; empty means "base".
 	Kind        string  `json:"kind"`
 	BaseVersion string  `json:"baseVersion"`
 	Mib         float64 `json:"mib"`
 	ChunkKib    int     `json:"chunkKib"`
 	Seed        uint64  `json:"seed"`
-	// FromVersion, where set, gives size and chunks; ChangeFraction of its
-	// chunks are made anew.
+	// FromVersion, if set, is the version to derive size and chunks from.
+	// ChangeFraction is the fraction of its chunks that is regenerated.
 	FromVersion    string  `json:"fromVersion"`
 	ChangeFraction float64 `json:"changeFraction"`
 }
 
-// Published is the answer of POST /publish.
+// Published is the body of the reply to POST /publish.
 type Published struct {
 	Version string `json:"version"`
 	Chunks  int    `json:"chunks"`
 	Bytes   uint64 `json:"bytes"`
 }
 
-// recipe makes the bytes of one chunk, so that none have to be kept.
+// chunkSpec generates the bytes of one chunk on demand, so that they need no memory.
 type chunkSpec struct {
 	seed [32]byte
 	size int
 }
 
-// source returns the chunk's bytes as a stream.
+// reader returns a stream of the chunk's bytes.
 func (r chunkSpec) reader() io.Reader {
 	return io.LimitReader(rand.NewChaCha8(r.seed), int64(r.size))
 }
@@ -59,7 +59,7 @@
 	return hasher.Sum(nil), nil
 }
 
-// seedOf mixes everything that distinguishes one chunk from another.
+// chunkSeed hashes all parameters that distinguish one chunk from another.
 func chunkSeed(pub Publication, index int) [32]byte {
 	hasher := blake3.New()
 	_, _ = hasher.WriteString(pub.Model + "\x00" + pub.Kind + "\x00")
@@ -75,10 +75,10 @@
 	size    uint64
 	chunks  int
 	specs   []chunkSpec
-	hashes  []string // by recipe, hexadecimal
+	hashes  []string // in the order of specs, in hexadecimal
 }
 
-// build makes a version; from is the one to change, nil for none.
+// build generates a version, derived from the version from unless that is nil.
 func build(pub Publication, from *version) (*version, error) {
 	if pub.Kind == "" {
 		pub.Kind = manifest.KindBase
@@ -104,7 +104,7 @@
 	return published, err
 }
 
-// plan returns the recipes of the chunks and the size of a whole one.
+// planChunks returns the specs of the chunks and the size of a full chunk.
 func planChunks(pub Publication, from *version) ([]chunkSpec, int, error) {
 	if from != nil {
 		return changeChunks(pub, from), from.specs[0].size, nil
@@ -123,7 +123,7 @@
 	return specs, chunkBytes, nil
 }
 
-// replan makes the given fraction of from's chunks anew, at least one unless
+// changeChunks regenerates the given fraction of from's chunks, at least one unless
 // the fraction is 0.
 func changeChunks(pub Publication, from *version) []chunkSpec {
 	specs := append([]chunkSpec(nil), from.specs...)
