--- a/standin/internal/load/caller_test.go
+++ b/standin/internal/load/caller_test.go
@@ -138,7 +138,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "not run, then answered by the spare that the entry names",
+			name: "not run, then answered by a spare from the error",
 			reply: func(n int, received post) (*http.Response, error) {
 				if n == 1 {
 					return refuse(NotRun, 500*time.Millisecond, "z:1"), nil
@@ -150,7 +150,7 @@
 			wantEntries: []string{"a:1", "z:1"},
 		},
 		{
-			name:        "retries end",
+			name:        "retry limit reached",
 			reply:       func(int, post) (*http.Response, error) { return refuse(NotRun, time.Millisecond), nil },
 			want:        Counts{NotRun: 1, Attempts: 4},
 			wantEntries: []string{"a:1", "a:1", "a:1", "a:1"},
@@ -162,14 +162,14 @@
 			wantEntries: []string{"a:1", "a:1"},
 		},
 		{
-			name:        "unknown is never sent again",
+			name:        "unknown is not resent by default",
 			reply:       func(int, post) (*http.Response, error) { return refuse(Unknown, time.Millisecond), nil },
 			change:      nonRepeatable,
 			want:        Counts{Unknown: 1, Attempts: 1},
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "what is not repeatable is not sent again even on demand",
+			name: "non-repeatable requests are not resent even with ResendUnknown",
 			reply: func(int, post) (*http.Response, error) {
 				return refuse(Unknown, time.Millisecond), nil
 			},
@@ -178,7 +178,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "what is repeatable is, on demand",
+			name: "repeatable requests are resent with ResendUnknown",
 			reply: func(n int, received post) (*http.Response, error) {
 				if n == 1 {
 					return nil, io.ErrUnexpectedEOF
@@ -196,7 +196,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "an entry that is gone",
+			name: "an unreachable entry",
 			reply: func(_ int, received post) (*http.Response, error) {
 				if received.entry == "a:1" {
 					return nil, dialFailed
@@ -216,7 +216,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "too late to wait for",
+			name: "no answer within the grace period",
 			reply: func(int, post) (*http.Response, error) {
 				time.Sleep(8 * time.Second)
 				return nil, errors.New("given up")
@@ -225,7 +225,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "sent twice, answered once, the other in doubt",
+			name: "sent twice, answered once, the other unknown",
 			reply: func(_ int, received post) (*http.Response, error) {
 				if received.entry == "a:1" {
 					return refuse(Unknown, 0), nil
@@ -237,7 +237,7 @@
 			wantEntries: []string{"a:1", "b:1"},
 		},
 		{
-			name: "sent twice, answered once, the other called not run",
+			name: "sent twice, answered once, the other reported as not run",
 			reply: func(_ int, received post) (*http.Response, error) {
 				if received.entry == "a:1" {
 					return refuse(NotRun, 0), nil
--- a/standin/internal/load/direct_test.go
+++ b/standin/internal/load/direct_test.go
@@ -79,9 +79,10 @@
 	}
 }
 
-// Guards against counting a partial or wrong answer as complete: the engine's
-// connection breaks after two of four tokens, or the engine serves an unintended
-// version. Only an end event of an intended version completes an answer.
+// TestDirectFaultsAreSeen guards against counting a partial or wrong answer as
+// complete: the engine's connection breaks after two of four tokens, or the engine
+// serves an unintended version. Only an end event of an intended version completes
+// an answer.
 func TestDirectFaultsAreSeen(t *testing.T) {
 	one, url := newEngine(t)
 	one.SetFaults(engine.Faults{DieAfterTokens: 2})
