--- a/standin/internal/hostlist/hostlist_test.go
+++ b/standin/internal/hostlist/hostlist_test.go
@@ -13,9 +13,9 @@
 
 func call(t *testing.T, handler http.Handler, method, path, body string) *httptest.ResponseRecorder {
 	t.Helper()
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return answer
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return recorder
 }
 
 func wantHosts(t *testing.T, handler http.Handler, want string) {
@@ -24,17 +24,17 @@
 	if err := json.Unmarshal(call(t, handler, http.MethodGet, "/hosts", "").Body.Bytes(), &list); err != nil {
 		t.Fatal(err)
 	}
-	var seen []string
+	var listed []string
 	for _, host := range list.Hosts {
-		seen = append(seen, host.ID+"="+host.State)
+		listed = append(listed, host.ID+"="+host.State)
 	}
-	if got := strings.Join(seen, " "); got != want {
+	if got := strings.Join(listed, " "); got != want {
 		t.Errorf("got hosts %q, want %q", got, want)
 	}
 }
 
-// TestLagAndFaults: changes show late and in order, and wrong answers are
-// wrong only while the knob is set.
+// TestLagAndFaults checks that changes become visible after the lag and in order,
+// and that faulty answers last only as long as their setting.
 func TestLagAndFaults(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	handler := New(clock, []Host{{ID: "a", State: "live"}, {ID: "b", State: "live"}}, time.Minute).Handler()
@@ -53,6 +53,6 @@
 		t.Errorf("got status %d, want %d", got, http.StatusServiceUnavailable)
 	}
 	if got := call(t, handler, http.MethodPost, "/faults", `{"nonsense":1}`).Code; got != http.StatusBadRequest {
-		t.Errorf("got status %d of an unknown knob, want %d", got, http.StatusBadRequest)
+		t.Errorf("got status %d for an unknown setting, want %d", got, http.StatusBadRequest)
 	}
 }
--- a/standin/internal/kvservice/service.go
+++ b/standin/internal/kvservice/service.go
@@ -1,5 +1,5 @@
-// Package kvservice is a stand-in of the platform's key-value service: one
-// process in memory, with rate limits, fault knobs and a ledger.
+// Package kvservice simulates the platform's key-value service in the memory of one
+// process, with rate limits, fault injection and a ledger of calls.
 package kvservice
 
 import (
@@ -17,43 +17,43 @@
 	"comfreyrelay.example/standin/internal/fault"
 )
 
-// burstSeconds is how much of a second's rate the service takes at one moment.
+// burstSeconds is the burst size, in seconds of the rate.
 const burstSeconds = 0.5
 
-// Options configure a Service.
+// Options configures a Service.
 type Options struct {
-	// ReadsPerSecond and WritesPerSecond are the rates beyond which calls get
-	// 429; 0 means no limit.
+	// ReadsPerSecond and WritesPerSecond are the rate limits; calls beyond them are
+	// answered with 429. 0 means no limit.
 	ReadsPerSecond, WritesPerSecond float64
-	// Seed fixes which replies get lost.
+	// Seed determines which requests and replies are lost.
 	Seed  uint64
 	Clock clockwork.Clock
 }
 
-// Service is the stand-in.
+// Service is the simulated key-value service.
 type Service struct {
-	clock  clockwork.Clock
-	memory *kv.Memory
-	reads  *rate.Limiter
-	writes *rate.Limiter
-	faults fault.Knobs[Faults]
-	dice   *dice
-	book   *book
+	clock    clockwork.Clock
+	memory   *kv.Memory
+	reads    *rate.Limiter
+	writes   *rate.Limiter
+	faults   fault.Knobs[Faults]
+	random   *faultRandom
+	recorder *callRecorder
 
 	mu      sync.Mutex
-	dropped chan struct{} // closed and replaced to drop the waiting watches
+	dropped chan struct{} // closed and replaced to drop all waiting watches
 }
 
-// New makes an empty Service.
+// New returns a Service with an empty store.
 func New(opts Options) *Service {
 	service := &Service{
-		clock:   opts.Clock,
-		memory:  kv.NewMemoryService(opts.Clock),
-		reads:   limiter(opts.ReadsPerSecond),
-		writes:  limiter(opts.WritesPerSecond),
-		dice:    newDice(opts.Seed),
-		book:    newBook(),
-		dropped: make(chan struct{}),
+		clock:    opts.Clock,
+		memory:   kv.NewMemoryService(opts.Clock),
+		reads:    limiter(opts.ReadsPerSecond),
+		writes:   limiter(opts.WritesPerSecond),
+		random:   newFaultRandom(opts.Seed),
+		recorder: newCallRecorder(),
+		dropped:  make(chan struct{}),
 	}
 	service.faults.Changed = service.apply
 	return service
@@ -66,17 +66,17 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds)))
 }
 
-// Faults returns the knobs, for tests in the same process.
+// Faults returns the fault settings, for tests in the same process.
 func (s *Service) Faults() *fault.Knobs[Faults] { return &s.faults }
 
-// Ledger returns the service's own account.
+// Ledger returns the counts of the calls so far.
 func (s *Service) Ledger() Ledger {
-	report := s.book.report()
+	report := s.recorder.report()
 	_, report.Revision = s.memory.List("none")
 	return report
 }
 
-// apply does the one-shot knobs and resets them.
+// apply runs the faults that happen once and resets their settings.
 func (s *Service) apply(knobs Faults) Faults {
 	if knobs.Compact {
 		s.memory.Compact()
@@ -114,48 +114,49 @@
 	mux.Delete("/leases/{id}", s.admit(budget.Revoke, s.revoke))
 	mux.Handle("/faults", &s.faults)
 	mux.Get("/ledger", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, s.Ledger()) })
-	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.book.reset() })
+	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.recorder.reset() })
 	return mux
 }
 
-// answer is what a call found: a status and a body, nil for none.
+// answer is the HTTP status and body of a reply; the body is nil if there is none.
 type answer struct {
 	status int
 	body   any
 }
 
-// admit counts the call, applies faults and rate, and replies unless the reply
-// is to be lost.
+// admit counts the call, applies faults and rate limits, and sends the reply unless
+// a fault loses it.
 func (s *Service) admit(kind budget.Kind, run func(*http.Request) answer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		line := s.book.arrived(s.clock.Now(), kind, keyOf(r), r.UserAgent())
-		if !s.pause(r.Context()) {
+		line := s.recorder.recordCall(s.clock.Now(), kind, keyOf(r), r.UserAgent())
+		if !s.applyDelay(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
-		if refusal := s.refusal(kind); refusal != 0 {
-			s.book.refused(line)
+		if refusal := s.refusalStatus(kind); refusal != 0 {
+			s.recorder.recordRefusal(line)
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(refusal)
 			return
 		}
 		knobs := s.faults.Get()
-		if kind.Writes() && s.dice.hits(knobs.LoseRequests) {
+		if kind.Writes() && s.random.occurs(knobs.LoseRequests) {
 			panic(http.ErrAbortHandler)
 		}
-		found := run(r)
-		if kind.Writes() && s.dice.hits(knobs.LoseReplies) {
-			s.book.lostReply()
+		result := run(r)
+		if kind.Writes() && s.random.occurs(knobs.LoseReplies) {
+			s.recorder.recordLostReply()
 			panic(http.ErrAbortHandler)
 		}
-		if found.status == 0 {
+		if result.status == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		reply(w, found.status, found.body)
+		reply(w, result.status, result.body)
 	}
 }
 
-// pause waits for the delay knob; false where the caller went away meanwhile.
-func (s *Service) pause(ctx context.Context) bool {
+// applyDelay waits for the configured delay. It returns false if the client
+// disconnects meanwhile.
+func (s *Service) applyDelay(ctx context.Context) bool {
 	delay := time.Duration(s.faults.Get().DelayMillis) * time.Millisecond
 	if delay <= 0 {
 		return true
@@ -168,8 +169,9 @@
 	}
 }
 
-// refusal returns the status for a call that is not let in, 0 for one that is.
-func (s *Service) refusal(kind budget.Kind) int {
+// refusalStatus returns the HTTP status for a refused call, or 0 if the call is
+// admitted.
+func (s *Service) refusalStatus(kind budget.Kind) int {
 	if s.faults.Get().Down {
 		return http.StatusServiceUnavailable
 	}
--- a/standin/internal/link/link.go
+++ b/standin/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link puts a link whose faults are set from outside between a stand-in and
-// those who call it.
+// Package link simulates a faulty network link between a simulated service and its
+// clients. The faults can be changed while connections are open.
 package link
 
 import (
@@ -11,32 +11,32 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// Listener is a listener behind the link.
+// Listener wraps a net.Listener and applies the link's faults to its connections.
 type Listener struct {
 	net.Listener
 
-	mu      sync.Mutex
-	faults  platformtest.LinkFaults
-	changed chan struct{} // closed and replaced with the faults
-	open    map[*conn]bool
-	limit   int // connections that are taken; 0: any number
-	peak    int // the most that were open at once
-	refused int
-	sentTil time.Time // when what was sent has passed the narrow link
+	mu        sync.Mutex
+	faults    platformtest.LinkFaults
+	changed   chan struct{} // closed and replaced whenever the faults change
+	open      map[*conn]bool
+	limit     int // maximum number of open connections; 0 means no limit
+	peak      int // most connections open at the same time
+	refused   int
+	busyUntil time.Time // when the bytes written so far have passed the rate-limited link
 }
 
-// New puts a link before a listener.
+// New returns a Listener without faults.
 func New(lis net.Listener) *Listener {
 	return &Listener{Listener: lis, changed: make(chan struct{}), open: map[*conn]bool{}}
 }
 
-// Set replaces the faults and returns them without what happens once.
+// Set replaces the faults and returns them without Reset, which happens only once.
 func (l *Listener) Set(faults platformtest.LinkFaults) platformtest.LinkFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if faults.Reset {
-		for one := range l.open {
-			reset(one.Conn)
+		for c := range l.open {
+			reset(c.Conn)
 		}
 		faults.Reset = false
 	}
@@ -46,49 +46,50 @@
 	return faults
 }
 
-// Limit bounds the connections that are open at once; those beyond are reset.
+// Limit sets the maximum number of open connections; further ones are reset.
 func (l *Listener) Limit(connections int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = connections
 }
 
-// Counts returns the most connections that were open at once and how many were reset since
-// there were too many.
+// Counts returns the most connections that were open at the same time and how many
+// were reset because of the limit.
 func (l *Listener) Counts() (peak, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peak, l.refused
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection within the limit.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if one := l.take(raw); one != nil {
-			return one, nil
+		if c := l.admit(raw); c != nil {
+			return c, nil
 		}
 		reset(raw)
 	}
 }
 
-// take takes a connection; nil where there are too many.
-func (l *Listener) take(raw net.Conn) *conn {
-	one := &conn{Conn: raw, link: l, closed: make(chan struct{})}
+// admit registers a connection, or returns nil if the limit is reached.
+func (l *Listener) admit(raw net.Conn) *conn {
+	c := &conn{Conn: raw, listener: l, closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit > 0 && len(l.open) >= l.limit {
 		l.refused++
 		return nil
 	}
-	l.open[one] = true
+	l.open[c] = true
 	l.peak = max(l.peak, len(l.open))
-	return one
+	return c
 }
 
+// reset closes a connection with a TCP reset.
 func reset(raw net.Conn) {
 	if tcp, ok := raw.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -99,7 +100,7 @@
 // conn is a connection over the link.
 type conn struct {
 	net.Conn
-	link *Listener
+	listener *Listener
 
 	once   sync.Once
 	closed chan struct{}
@@ -107,21 +108,22 @@
 
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.link.mu.Lock()
-	delete(c.link.open, c)
-	c.link.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.open, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
 var errClosed = errors.New("the connection is closed")
 
-// pass waits while the link holds bytes up, and returns the faults then.
-func (c *conn) pass(held func(platformtest.LinkFaults) bool) (platformtest.LinkFaults, error) {
+// waitWhile blocks while blocked is true for the link's faults, and returns the faults
+// that ended the wait.
+func (c *conn) waitWhile(blocked func(platformtest.LinkFaults) bool) (platformtest.LinkFaults, error) {
 	for {
-		c.link.mu.Lock()
-		faults, changed := c.link.faults, c.link.changed
-		c.link.mu.Unlock()
-		if !held(faults) {
+		c.listener.mu.Lock()
+		faults, changed := c.listener.faults, c.listener.changed
+		c.listener.mu.Unlock()
+		if !blocked(faults) {
 			return faults, nil
 		}
 		select {
@@ -132,38 +134,39 @@
 	}
 }
 
-func (c *conn) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+func (c *conn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if n == 0 {
 		return n, err
 	}
-	faults, problem := c.pass(func(f platformtest.LinkFaults) bool { return f.Silent })
-	if problem != nil {
-		return 0, problem
+	faults, waitErr := c.waitWhile(func(f platformtest.LinkFaults) bool { return f.Silent })
+	if waitErr != nil {
+		return 0, waitErr
 	}
 	time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
 	return n, err
 }
 
-func (c *conn) Write(text []byte) (int, error) {
-	faults, err := c.pass(func(f platformtest.LinkFaults) bool { return f.Silent || f.OneWay })
+func (c *conn) Write(data []byte) (int, error) {
+	faults, err := c.waitWhile(func(f platformtest.LinkFaults) bool { return f.Silent || f.OneWay })
 	if err != nil {
 		return 0, err
 	}
 	if faults.BytesPerSecond > 0 {
-		time.Sleep(c.link.wait(len(text), faults.BytesPerSecond))
+		time.Sleep(c.listener.reserve(len(data), faults.BytesPerSecond))
 	}
-	return c.Conn.Write(text)
+	return c.Conn.Write(data)
 }
 
-// wait returns how long so many bytes wait for their turn on the narrow link.
-func (l *Listener) wait(bytes, perSecond int) time.Duration {
+// reserve books the bytes on the rate-limited link and returns how long until they
+// have passed it.
+func (l *Listener) reserve(bytes, perSecond int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.sentTil.Before(now) {
-		l.sentTil = now
+	if l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	l.sentTil = l.sentTil.Add(time.Duration(float64(bytes) / float64(perSecond) * float64(time.Second)))
-	return l.sentTil.Sub(now)
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(bytes) / float64(perSecond) * float64(time.Second)))
+	return l.busyUntil.Sub(now)
 }
--- a/standin/internal/load/caller_test.go
+++ b/standin/internal/load/caller_test.go
@@ -20,11 +20,11 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// deployment is a fake of the system: it answers which entry to use, and posts by a
-// function.
+// deployment is a fake of the system. It answers directory lookups with a fixed
+// reply and POST requests by a function.
 type deployment struct {
 	directory directoryReply
-	// reply answers post n, counted from 1 over all entries.
+	// reply answers the n-th POST, counted from 1 over all entries.
 	reply func(n int, post post) (*http.Response, error)
 
 	mu    sync.Mutex
@@ -32,7 +32,7 @@
 	posts []post
 }
 
-// post is one request that an entry received.
+// post is a POST request that an entry received.
 type post struct {
 	entry string
 	modelBody
@@ -67,13 +67,13 @@
 func respond(status int, body any) *http.Response {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the tests' bodies marshal
+		panic(err) // all bodies of these tests can be marshalled
 	}
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(encoded))}
 }
 
 func right(received post) *http.Response {
-	reply := wholeReply{Outcome: Answered, RequestID: received.Key, Version: "v1"}
+	reply := unaryReply{Outcome: Answered, RequestID: received.Key, Version: "v1"}
 	for i := range received.MaxTokens {
 		reply.Tokens = append(reply.Tokens, answer.Token("v1", "", received.Prompt, i))
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatalf("options: got %v, want none", err)
 	}
-	caller.sender.kept.Transport, caller.sender.fresh.Transport = fake, fake
+	caller.sender.keepAlive.Transport, caller.sender.noKeepAlive.Transport = fake, fake
 	planned, _ := newPlan(options).next()
 	planned.arrival = 0
 	var calls sync.WaitGroup
@@ -138,7 +138,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "not run, then answered by the spare that the entry names",
+			name: "not run, then answered by a spare from the error",
 			reply: func(n int, received post) (*http.Response, error) {
 				if n == 1 {
 					return refuse(NotRun, 500*time.Millisecond, "z:1"), nil
@@ -150,7 +150,7 @@
 			wantEntries: []string{"a:1", "z:1"},
 		},
 		{
-			name:        "retries end",
+			name:        "retry limit reached",
 			reply:       func(int, post) (*http.Response, error) { return refuse(NotRun, time.Millisecond), nil },
 			want:        Counts{NotRun: 1, Attempts: 4},
 			wantEntries: []string{"a:1", "a:1", "a:1", "a:1"},
@@ -162,14 +162,14 @@
 			wantEntries: []string{"a:1", "a:1"},
 		},
 		{
-			name:        "unknown is never sent again",
+			name:        "unknown is not resent by default",
 			reply:       func(int, post) (*http.Response, error) { return refuse(Unknown, time.Millisecond), nil },
 			change:      nonRepeatable,
 			want:        Counts{Unknown: 1, Attempts: 1},
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "what is not repeatable is not sent again even on demand",
+			name: "non-repeatable requests are not resent even with ResendUnknown",
 			reply: func(int, post) (*http.Response, error) {
 				return refuse(Unknown, time.Millisecond), nil
 			},
@@ -178,7 +178,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "what is repeatable is, on demand",
+			name: "repeatable requests are resent with ResendUnknown",
 			reply: func(n int, received post) (*http.Response, error) {
 				if n == 1 {
 					return nil, io.ErrUnexpectedEOF
@@ -196,7 +196,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "an entry that is gone",
+			name: "an unreachable entry",
 			reply: func(_ int, received post) (*http.Response, error) {
 				if received.entry == "a:1" {
 					return nil, dialFailed
@@ -216,7 +216,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "too late to wait for",
+			name: "no answer within the grace period",
 			reply: func(int, post) (*http.Response, error) {
 				time.Sleep(8 * time.Second)
 				return nil, errors.New("given up")
@@ -225,7 +225,7 @@
 			wantEntries: []string{"a:1"},
 		},
 		{
-			name: "sent twice, answered once, the other in doubt",
+			name: "sent twice, answered once, the other unknown",
 			reply: func(_ int, received post) (*http.Response, error) {
 				if received.entry == "a:1" {
 					return refuse(Unknown, 0), nil
@@ -237,7 +237,7 @@
 			wantEntries: []string{"a:1", "b:1"},
 		},
 		{
-			name: "sent twice, answered once, the other called not run",
+			name: "sent twice, answered once, the other reported as not run",
 			reply: func(_ int, received post) (*http.Response, error) {
 				if received.entry == "a:1" {
 					return refuse(NotRun, 0), nil
@@ -265,7 +265,7 @@
 				}
 				entries := fake.entries()
 				if test.want.Attempts > 1 && strings.HasPrefix(test.name, "sent twice") {
-					slices.Sort(entries) // they are sent at once
+					slices.Sort(entries) // both copies are sent at the same time
 				}
 				if !slices.Equal(entries, test.wantEntries) {
 					t.Errorf("entries: got %v, want %v", entries, test.wantEntries)
@@ -276,8 +276,8 @@
 	}
 }
 
-// expectOneKey: all sendings of a request that is not repeatable bear one key of
-// the owner, the others none.
+// expectOneKey checks that all attempts of a request that is not repeatable have the
+// same key with the owner's prefix, and that repeatable requests have no such key.
 func expectOneKey(t *testing.T, posts []post) {
 	t.Helper()
 	for _, received := range posts {
@@ -305,10 +305,10 @@
 		ask(1)
 		time.Sleep(2 * time.Second)
 		ask(2)
-		caller.forget()
+		caller.invalidate()
 		ask(3)
-		// Nobody answers: the old one must do.
-		caller.forget()
+		// No entry answers: the expired reply is used.
+		caller.invalidate()
 		fake.directory.Use = ""
 		ask(4)
 	})
@@ -329,7 +329,7 @@
 		if err != nil {
 			t.Fatalf("options: got %v, want none", err)
 		}
-		caller.sender.kept.Transport, caller.sender.fresh.Transport = fake, fake
+		caller.sender.keepAlive.Transport, caller.sender.noKeepAlive.Transport = fake, fake
 		summary, err := caller.Run(t.Context())
 		if err != nil {
 			t.Fatalf("run: got %v, want none", err)
@@ -343,7 +343,7 @@
 		if got := summary.Requests + summary.Overrun; got != planned {
 			t.Errorf("requests and overrun: got %d, want %d", got, planned)
 		}
-		// 40 in flight, one second each: the caller's own bound was reached.
+		// 50 arrivals per second that take one second each exceed the limit of 40 in flight.
 		if summary.Overrun == 0 || summary.Answered != summary.Requests {
 			t.Errorf("got %d overrun, %d of %d answered; want some and all", summary.Overrun, summary.Answered, summary.Requests)
 		}
--- a/standin/internal/load/direct.go
+++ b/standin/internal/load/direct.go
@@ -11,7 +11,7 @@
 	"github.com/google/uuid"
 )
 
-// engineBody is a request straight to an engine.
+// engineBody is the body of a request sent directly to an engine.
 type engineBody struct {
 	RequestID string `json:"requestId"`
 	Model     string `json:"model"`
@@ -20,18 +20,18 @@
 	MaxTokens int    `json:"maxTokens"`
 }
 
-// sendDirect sends the attempt straight to an engine, past the system, so that
-// what the system adds can be measured.
+// sendDirect sends the attempt directly to an engine and bypasses the system, so
+// that the system's overhead can be measured.
 func (s *sender) sendDirect(ctx context.Context, sent attempt) verdict {
 	id := uuid.NewString()
 	body := engineBody{
 		RequestID: id,
 		Model:     sent.model,
-		Adapter:   sent.asked.adapter.Name,
-		Prompt:    sent.asked.prompt,
-		MaxTokens: sent.asked.maxTokens,
+		Adapter:   sent.request.adapter.Name,
+		Prompt:    sent.request.prompt,
+		MaxTokens: sent.request.maxTokens,
 	}
-	current := &reading{asked: sent.asked, askedAt: s.clock.Now(), versions: s.versions, requestID: id}
+	current := &replyChecker{request: sent.request, askedAt: s.clock.Now(), versions: s.versions, requestID: id}
 	response, failed := s.post(ctx, sent.address+"/generate", sent, body)
 	if response == nil {
 		return failed
@@ -40,12 +40,13 @@
 	if response.StatusCode != http.StatusOK {
 		return directRefusal(response)
 	}
-	judged := s.readStream(ctx, current, response.Body, engineEvent)
-	judged.requestID = id
-	return judged
+	v := s.readStream(ctx, current, response.Body, handleEngineEvent)
+	v.requestID = id
+	return v
 }
 
-// directRefusal: an engine's refusal proves that it did not run the request.
+// directRefusal returns notRun: an engine that answers with an error status has not
+// run the request.
 func directRefusal(response *http.Response) verdict {
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxDirectory))
 	if err != nil {
@@ -54,8 +55,8 @@
 	return verdict{outcome: NotRun, kind: response.Status, detail: string(text)}
 }
 
-// engineEvent takes an event of an engine's stream.
-func engineEvent(current *reading, name string, data []byte, now time.Time) error {
+// handleEngineEvent passes an event of an engine's stream to the checker.
+func handleEngineEvent(current *replyChecker, name string, data []byte, now time.Time) error {
 	var event struct {
 		Version string `json:"version"`
 		I       int    `json:"i"`
@@ -70,9 +71,9 @@
 		current.begin(current.requestID, event.Version)
 	case "token":
 		if event.I != len(current.tokens) {
-			return fmt.Errorf("token %d came in place of %d", event.I, len(current.tokens))
+			return fmt.Errorf("token %d arrived, expected token %d", event.I, len(current.tokens))
 		}
-		current.more([]string{event.Text}, now)
+		current.addTokens([]string{event.Text}, now)
 	case "end":
 		current.end(event.Version, "", event.Count)
 	}
--- a/standin/internal/load/directory.go
+++ b/standin/internal/load/directory.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Bounds of asking which entry to use.
+// Limits of the lookup of entries.
 const (
 	directoryTimeout = time.Second
 	directoryTries   = 4
@@ -21,7 +21,7 @@
 	defaultTTL       = time.Second
 )
 
-// directoryReply is the answer to "which entry do I use?".
+// directoryReply is the body of GET /v1/entries: the entry to use and its spares.
 type directoryReply struct {
 	Use        string   `json:"use"`
 	Spares     []string `json:"spares"`
@@ -29,35 +29,35 @@
 	Owner      string   `json:"owner"`
 }
 
-// addresses returns all entries of the answer, best first.
+// addresses returns all entries of the reply, the preferred one first.
 func (d directoryReply) addresses() []string {
 	return append([]string{d.Use}, d.Spares...)
 }
 
-// directory is one caller's memory of which entry to use.
+// directory caches the entries that one caller uses.
 type directory struct {
 	entries []string
 	key     string
 	client  *http.Client
 	clock   clockwork.Clock
 
-	// mu is held while asking: one caller asks once.
+	// mu is held during a lookup, so that one caller runs only one at a time.
 	mu      sync.Mutex
-	known   directoryReply
+	cached  directoryReply
 	expires time.Time
 }
 
-// get returns the answer kept, or a new one when that expired. If nobody
-// answers, the old one must do.
+// get returns the cached reply, or fetches a new one if that has expired. If no
+// entry answers, it returns the expired reply.
 func (d *directory) get(ctx context.Context) (directoryReply, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.clock.Now().Before(d.expires) {
-		return d.known, nil
+		return d.cached, nil
 	}
-	reply, err := d.ask(ctx)
-	if err != nil && d.known.Use != "" {
-		return d.known, nil
+	reply, err := d.fetch(ctx)
+	if err != nil && d.cached.Use != "" {
+		return d.cached, nil
 	}
 	if err != nil {
 		return directoryReply{}, err
@@ -66,25 +66,28 @@
 	if ttl <= 0 {
 		ttl = defaultTTL
 	}
-	d.known = reply
+	d.cached = reply
 	d.expires = d.clock.Now().Add(ttl)
 	return reply, nil
 }
 
-// forget makes the next get ask again, as the entry was gone or leaves.
-func (d *directory) forget() {
+// invalidate makes the next get fetch a new reply. It is called when an entry is
+// unreachable or names spares to use instead.
+func (d *directory) invalidate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.expires = time.Time{}
 }
 
-func (d *directory) ask(ctx context.Context) (directoryReply, error) {
-	asked := append(d.known.Spares[:len(d.known.Spares):len(d.known.Spares)], d.entries...)
-	start := rand.IntN(len(asked))
+// fetch asks the known spares and the configured entries in turn, from a random
+// one on, until one answers or directoryTries is reached.
+func (d *directory) fetch(ctx context.Context) (directoryReply, error) {
+	candidates := append(d.cached.Spares[:len(d.cached.Spares):len(d.cached.Spares)], d.entries...)
+	start := rand.IntN(len(candidates))
 	var err error
-	for i := range min(directoryTries, len(asked)) {
+	for i := range min(directoryTries, len(candidates)) {
 		var reply directoryReply
-		reply, err = d.askOne(ctx, asked[(start+i)%len(asked)])
+		reply, err = d.fetchFrom(ctx, candidates[(start+i)%len(candidates)])
 		if err == nil {
 			return reply, nil
 		}
@@ -92,7 +95,7 @@
 	return directoryReply{}, err
 }
 
-func (d *directory) askOne(ctx context.Context, entry string) (directoryReply, error) {
+func (d *directory) fetchFrom(ctx context.Context, entry string) (directoryReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+"/v1/entries", nil)
@@ -110,7 +113,7 @@
 		return directoryReply{}, err
 	}
 	if response.StatusCode != http.StatusOK || reply.Use == "" {
-		return directoryReply{}, fmt.Errorf("entry %s answers %s", entry, response.Status)
+		return directoryReply{}, fmt.Errorf("entry %s answered with status %s", entry, response.Status)
 	}
 	return reply, nil
 }
--- a/standin/internal/load/load.go
+++ b/standin/internal/load/load.go
@@ -1,5 +1,6 @@
-// Package load is the caller of tests, demo and benchmarks: it sends requests
-// at random times whatever the answers, and checks every answer by itself.
+// Package load is the load generator of tests, demo and benchmarks. It sends
+// requests at random times regardless of the answers (open loop) and checks every
+// answer itself.
 package load
 
 import (
@@ -16,10 +17,10 @@
 	"comfreyrelay.example/standin/internal/answer"
 )
 
-// progressInterval is how often the progress is logged.
+// progressInterval is the time between two progress log lines.
 const progressInterval = time.Second
 
-// Load is one run of the caller.
+// Load is one run of the load generator.
 type Load struct {
 	options     Options
 	clock       clockwork.Clock
@@ -28,48 +29,48 @@
 	directories [][]*directory // by customer and caller
 	versions    *versions
 	tally       *tally
-	ledger      *ledger
-	places      chan struct{} // one for each request in flight
+	record      *recordWriter
+	inFlight    chan struct{} // holds one element per request in flight
 	started     time.Time
 }
 
-// New checks the options and returns a load that has not started. One line a
-// request goes to record, unless that is nil.
+// New checks the options and returns a load that has not started. It writes one
+// line per request to record, unless record is nil.
 func New(options Options, clock clockwork.Clock, log *slog.Logger, record io.Writer) (*Load, error) {
 	if err := options.check(); err != nil {
 		return nil, err
 	}
 	kept := newClient(true)
 	intended := newVersions(options.Versions, options.Adapters)
-	made := &Load{
+	created := &Load{
 		options:  options,
 		clock:    clock,
 		log:      log,
-		sender:   &sender{kept: kept, fresh: newClient(false), clock: clock, versions: intended},
+		sender:   &sender{keepAlive: kept, noKeepAlive: newClient(false), clock: clock, versions: intended},
 		versions: intended,
 		tally:    newTally(options.Customers, options.Deadline),
-		ledger:   newLedger(record),
-		places:   make(chan struct{}, options.MaxInFlight),
+		record:   newRecordWriter(record),
+		inFlight: make(chan struct{}, options.MaxInFlight),
 		started:  clock.Now(),
 	}
 	for _, customer := range options.Customers {
-		made.directories = append(made.directories, newDirectories(options, customer, kept, clock))
+		created.directories = append(created.directories, newDirectories(options, customer, kept, clock))
 	}
-	return made, nil
+	return created, nil
 }
 
 func newDirectories(options Options, customer Customer, client *http.Client, clock clockwork.Clock) []*directory {
-	made := make([]*directory, options.Callers)
-	for i := range made {
-		made[i] = &directory{entries: options.Entries, key: customer.Key, client: client, clock: clock}
+	created := make([]*directory, options.Callers)
+	for i := range created {
+		created[i] = &directory{entries: options.Entries, key: customer.Key, client: client, clock: clock}
 	}
-	return made
+	return created
 }
 
 func (l *Load) direct() bool { return len(l.options.Direct) > 0 }
 
-// Run sends the planned requests and returns when the last one has its outcome.
-// When the context ends, no more arrive.
+// Run sends the planned requests and returns when all of them have an outcome.
+// After the context ends, it sends no new ones.
 func (l *Load) Run(ctx context.Context) (Summary, error) {
 	l.started = l.clock.Now()
 	progress, stopProgress := context.WithCancel(context.Background())
@@ -86,13 +87,14 @@
 		l.launch(&calls, planned)
 	}
 	calls.Wait()
-	if err := l.ledger.failed(); err != nil {
+	if err := l.record.failed(); err != nil {
 		return l.Summary(), failure.Wrap(err, failure.Unavailable, "cannot write the caller's ledger", "free the disk or leave out --ledger-file")
 	}
 	return l.Summary(), nil
 }
 
-// waitUntil returns false where the run is stopped before.
+// waitUntil sleeps until the arrival time. It returns false if the run is stopped
+// before.
 func (l *Load) waitUntil(ctx context.Context, arrival time.Duration) bool {
 	pause := arrival - l.clock.Since(l.started)
 	if pause <= 0 {
@@ -106,53 +108,54 @@
 	}
 }
 
-// launch sends one request without waiting for it: arrivals don't slow down
-// when answers do.
+// launch sends one request without waiting for its answer, so that slow answers
+// don't reduce the arrival rate.
 func (l *Load) launch(calls *sync.WaitGroup, planned request) {
 	select {
-	case l.places <- struct{}{}:
+	case l.inFlight <- struct{}{}:
 	default:
-		l.tally.skip()
+		l.tally.countOverrun()
 		return
 	}
 	customer := l.options.Customers[planned.customer]
 	current := &caller{
 		load:      l,
-		asked:     planned,
+		request:   planned,
 		customer:  customer,
 		directory: l.directories[planned.customer][planned.caller],
 		arrived:   l.started.Add(planned.arrival),
 	}
 	calls.Go(func() {
-		defer func() { <-l.places }()
-		// Requests in flight go on when the run is stopped: their own deadline
-		// ends them.
-		found := current.run(context.Background())
-		l.tally.add(customer.Name, found, current.arrived)
-		l.ledger.write(entryOf(l.options.Model, planned, customer, found, current.arrived.Add(found.took)))
+		defer func() { <-l.inFlight }()
+		// Requests in flight continue after the run is stopped, until their own
+		// deadline.
+		res := current.run(context.Background())
+		l.tally.add(customer.Name, res, current.arrived)
+		l.record.write(newEntry(l.options.Model, planned, customer, res, current.arrived.Add(res.took)))
 	})
 }
 
-func entryOf(model string, planned request, customer Customer, found result, ended time.Time) Entry {
+func newEntry(model string, planned request, customer Customer, res result, ended time.Time) Entry {
 	return Entry{
 		ID:         planned.number,
-		RequestID:  found.requestID,
-		Key:        found.key,
+		RequestID:  res.requestID,
+		Key:        res.key,
 		Content:    contentOf(model, planned),
 		Customer:   customer.Name,
 		Service:    planned.service,
 		Repeatable: planned.repeatable,
-		Outcome:    found.outcome,
-		Detail:     found.detail,
-		Version:    found.version,
-		Tokens:     found.tokens,
-		Attempts:   found.attempts,
-		Millis:     found.took.Milliseconds(),
-		Address:    found.address,
+		Outcome:    res.outcome,
+		Detail:     res.detail,
+		Version:    res.version,
+		Tokens:     res.tokens,
+		Attempts:   res.attempts,
+		Millis:     res.took.Milliseconds(),
+		Address:    res.address,
 		EndedAt:    ended.UnixMilli(),
 	}
 }
 
+// contentOf returns the content ID that the endpoints' ledgers use for the request.
 func contentOf(model string, planned request) string {
 	if planned.service != "" {
 		return answer.BodyContent([]byte(planned.prompt))
@@ -160,7 +163,7 @@
 	return answer.Content(model, planned.adapter.Name, planned.prompt)
 }
 
-// Summary returns the record so far.
+// Summary returns the counts and latencies so far.
 func (l *Load) Summary() Summary {
 	return l.tally.summary(l.clock.Since(l.started).Seconds())
 }
@@ -190,5 +193,5 @@
 		"wrongAnswer", counts.WrongAnswer,
 		"wrongVersion", counts.WrongVersion,
 		"cutOff", counts.CutOff,
-		"inFlight", len(l.places))
+		"inFlight", len(l.inFlight))
 }
--- a/standin/internal/load/reply.go
+++ b/standin/internal/load/reply.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// wholeReply is an answer in one piece.
-type wholeReply struct {
+// unaryReply is the body of an answer that is not streamed.
+type unaryReply struct {
 	Outcome   string   `json:"outcome"`
 	RequestID string   `json:"requestId"`
 	Version   string   `json:"version"`
@@ -11,7 +11,7 @@
 	Body      []byte   `json:"body"`
 }
 
-// replyError is an error body or an error event.
+// replyError is the body of an error response or the data of an error event.
 type replyError struct {
 	Outcome   string `json:"outcome"`
 	RequestID string `json:"requestId"`
@@ -24,9 +24,10 @@
 	} `json:"error"`
 }
 
-// verdict trusts notRun only where it is said: anything unclear is unknown.
+// verdict returns notRun only if the reply says so explicitly; any other error is
+// unknown.
 func (e replyError) verdict() verdict {
-	judged := verdict{
+	v := verdict{
 		outcome:    Unknown,
 		detail:     e.Error.Message,
 		kind:       e.Error.Kind,
@@ -35,10 +36,10 @@
 		spares:     e.Error.Spares,
 	}
 	if e.Outcome == NotRun {
-		judged.outcome = NotRun
+		v.outcome = NotRun
 	}
-	if judged.kind == "" {
-		judged.kind = kindMalformed
+	if v.kind == "" {
+		v.kind = kindMalformed
 	}
-	return judged
+	return v
 }
--- a/standin/internal/load/send.go
+++ b/standin/internal/load/send.go
@@ -14,28 +14,28 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Bounds of the client.
+// Limits of the HTTP client.
 const (
-	maxReply     = 16 << 20 // bytes of an answer in one piece
+	maxReply     = 16 << 20 // bytes of an answer that is not streamed
 	idlePerEntry = 1024
 	idleTimeout  = 30 * time.Second
 	dialTimeout  = 2 * time.Second
 )
 
-// sender sends one attempt and judges the reply.
+// sender sends attempts and checks the replies.
 type sender struct {
-	// kept uses connections again; directories share it.
-	kept *http.Client
-	// fresh makes a connection for each request that is not repeatable. An
-	// entry may close a kept one just as the request goes out, and then nobody
-	// could know whether it ran.
-	fresh    *http.Client
-	clock    clockwork.Clock
-	versions *versions
+	// keepAlive reuses connections; the directories use it too.
+	keepAlive *http.Client
+	// noKeepAlive opens a new connection for each request that is not repeatable. An
+	// entry may close an idle connection just as the request is sent, and then it
+	// is unknown whether the request ran.
+	noKeepAlive *http.Client
+	clock       clockwork.Clock
+	versions    *versions
 }
 
-// newClient returns a client that never sends a request twice by itself: it
-// follows no redirect and the requests carry no idempotency header.
+// newClient returns a client that never resends a request by itself: it follows no
+// redirects, and the requests have no idempotency header.
 func newClient(keep bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -50,7 +50,7 @@
 	}
 }
 
-// modelBody is a request on a model.
+// modelBody is the body of a request to a model.
 type modelBody struct {
 	Model          string `json:"model"`
 	Adapter        string `json:"adapter,omitempty"`
@@ -61,7 +61,7 @@
 	Key            string `json:"key,omitempty"`
 }
 
-// serviceBody is a call to a plain service.
+// serviceBody is the body of a call to a plain service.
 type serviceBody struct {
 	Body           []byte `json:"body"`
 	Repeatable     bool   `json:"repeatable"`
@@ -69,25 +69,25 @@
 	Key            string `json:"key,omitempty"`
 }
 
-// attempt is one sending of a request.
+// attempt is one try at sending a request.
 type attempt struct {
-	asked    request
+	request  request
 	model    string
 	bearer   string
 	key      string
 	address  string
-	deadline time.Duration // left when sent
+	deadline time.Duration // time left when sent
 }
 
 // send sends the attempt to its entry.
 func (s *sender) send(ctx context.Context, sent attempt) verdict {
 	var url string
 	var body any
-	if sent.asked.service != "" {
-		url = "http://" + sent.address + "/v1/services/" + sent.asked.service
+	if sent.request.service != "" {
+		url = "http://" + sent.address + "/v1/services/" + sent.request.service
 		body = serviceBody{
-			Body:           []byte(sent.asked.prompt),
-			Repeatable:     sent.asked.repeatable,
+			Body:           []byte(sent.request.prompt),
+			Repeatable:     sent.request.repeatable,
 			DeadlineMillis: sent.deadline.Milliseconds(),
 			Key:            sent.key,
 		}
@@ -95,15 +95,15 @@
 		url = "http://" + sent.address + "/v1/requests"
 		body = modelBody{
 			Model:          sent.model,
-			Adapter:        sent.asked.adapter.Name,
-			Prompt:         sent.asked.prompt,
-			MaxTokens:      sent.asked.maxTokens,
-			Repeatable:     sent.asked.repeatable,
+			Adapter:        sent.request.adapter.Name,
+			Prompt:         sent.request.prompt,
+			MaxTokens:      sent.request.maxTokens,
+			Repeatable:     sent.request.repeatable,
 			DeadlineMillis: sent.deadline.Milliseconds(),
 			Key:            sent.key,
 		}
 	}
-	current := &reading{asked: sent.asked, key: sent.key, askedAt: s.clock.Now(), versions: s.versions}
+	current := &replyChecker{request: sent.request, key: sent.key, askedAt: s.clock.Now(), versions: s.versions}
 	response, failed := s.post(ctx, url, sent, body)
 	if response == nil {
 		return failed
@@ -112,7 +112,7 @@
 	return s.read(ctx, current, response)
 }
 
-// post returns the response, or the verdict where there is none.
+// post returns the response, or a verdict if there is none.
 func (s *sender) post(ctx context.Context, url string, sent attempt, body any) (*http.Response, verdict) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -124,10 +124,10 @@
 	}
 	post.Header.Set("Content-Type", "application/json")
 	post.Header.Set("Authorization", "Bearer "+sent.bearer)
-	if sent.asked.stream {
+	if sent.request.stream {
 		post.Header.Set("Accept", "text/event-stream")
 	}
-	response, err := s.client(sent.asked).Do(post)
+	response, err := s.client(sent.request).Do(post)
 	if err != nil {
 		return nil, verdictOnError(ctx, err)
 	}
@@ -136,13 +136,13 @@
 
 func (s *sender) client(asked request) *http.Client {
 	if asked.repeatable {
-		return s.kept
+		return s.keepAlive
 	}
-	return s.fresh
+	return s.noKeepAlive
 }
 
-// verdictOnError judges a request that got no response: only where no
-// connection came about it was certainly not run.
+// verdictOnError returns the verdict on a request without a response. Only a failed
+// dial proves that the request was not run.
 func verdictOnError(ctx context.Context, err error) verdict {
 	var dial *net.OpError
 	switch {
@@ -154,41 +154,43 @@
 	return verdict{outcome: Unknown, kind: kindBroken, detail: err.Error()}
 }
 
-func (s *sender) read(ctx context.Context, current *reading, response *http.Response) verdict {
+// read checks a response of an entry.
+func (s *sender) read(ctx context.Context, current *replyChecker, response *http.Response) verdict {
 	if response.StatusCode != http.StatusOK {
 		return readError(ctx, response)
 	}
-	if current.asked.stream {
-		return s.readStream(ctx, current, response.Body, entryEvent)
+	if current.request.stream {
+		return s.readStream(ctx, current, response.Body, handleEntryEvent)
 	}
-	var reply wholeReply
+	var reply unaryReply
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&reply); err != nil {
-		return unlessLate(ctx, verdict{outcome: CutOff, kind: CutOff, detail: err.Error()})
+		return timeoutIfExpired(ctx, verdict{outcome: CutOff, kind: CutOff, detail: err.Error()})
 	}
-	return current.whole(reply, s.clock.Now())
+	return current.checkReply(reply, s.clock.Now())
 }
 
 func readError(ctx context.Context, response *http.Response) verdict {
 	var reported replyError
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&reported); err != nil {
-		return unlessLate(ctx, verdict{outcome: Unknown, kind: kindMalformed, detail: response.Status + ": " + err.Error()})
+		return timeoutIfExpired(ctx, verdict{outcome: Unknown, kind: kindMalformed, detail: response.Status + ": " + err.Error()})
 	}
 	return reported.verdict()
 }
 
-// unlessLate replaces the verdict where the caller itself gave up.
-func unlessLate(ctx context.Context, judged verdict) verdict {
+// timeoutIfExpired turns the verdict into a timeout if the caller's own context has
+// ended.
+func timeoutIfExpired(ctx context.Context, v verdict) verdict {
 	if ctx.Err() == nil {
-		return judged
+		return v
 	}
-	judged.outcome, judged.kind = Unknown, kindTimeout
-	return judged
+	v.outcome, v.kind = Unknown, kindTimeout
+	return v
 }
 
-// takeEvent hands one event to the reading.
-type takeEvent func(current *reading, name string, data []byte, now time.Time) error
+// eventHandler passes one event to the checker.
+type eventHandler func(current *replyChecker, name string, data []byte, now time.Time) error
 
-func (s *sender) readStream(ctx context.Context, current *reading, body io.Reader, take takeEvent) verdict {
+func (s *sender) readStream(ctx context.Context, current *replyChecker, body io.Reader, take eventHandler) verdict {
 	events := newEventReader(body)
 	for {
 		name, data, err := events.next()
@@ -196,22 +198,22 @@
 			return s.closed(ctx, current, err)
 		}
 		if err := take(current, name, data, s.clock.Now()); err != nil {
-			current.wrong(WrongAnswer, err.Error())
-			return current.judge()
+			current.addProblem(WrongAnswer, err.Error())
+			return current.verdict()
 		}
 	}
 }
 
-func (s *sender) closed(ctx context.Context, current *reading, err error) verdict {
-	judged := current.closed(err)
-	if judged.outcome == CutOff && !current.ended {
-		return unlessLate(ctx, judged)
+func (s *sender) closed(ctx context.Context, current *replyChecker, err error) verdict {
+	v := current.connectionClosed(err)
+	if v.outcome == CutOff && !current.ended {
+		return timeoutIfExpired(ctx, v)
 	}
-	return judged
+	return v
 }
 
-// entryEvent takes an event of the callers' API.
-func entryEvent(current *reading, name string, data []byte, now time.Time) error {
+// handleEntryEvent passes an event of an entry's stream to the checker.
+func handleEntryEvent(current *replyChecker, name string, data []byte, now time.Time) error {
 	var event struct {
 		RequestID string   `json:"requestId"`
 		Version   string   `json:"version"`
@@ -224,7 +226,7 @@
 		if err := json.Unmarshal(data, &reported); err != nil {
 			return fmt.Errorf("error event: %w", err)
 		}
-		current.failed(reported)
+		current.addError(reported)
 		return nil
 	}
 	if err := json.Unmarshal(data, &event); err != nil {
@@ -234,10 +236,10 @@
 	case "begin":
 		current.begin(event.RequestID, event.Version)
 	case "tokens":
-		current.more(event.Tokens, now)
+		current.addTokens(event.Tokens, now)
 	case "end":
 		if event.Digest == "" {
-			return errors.New("an end without a digest")
+			return errors.New("end event without a digest")
 		}
 		current.end(event.Version, event.Digest, event.Count)
 	}
--- a/standin/internal/load/versions.go
+++ b/standin/internal/load/versions.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// versions are those that answers may bear. A version taken away stays right
-// for requests that were sent before.
+// versions holds the versions that answers may come from. A removed version stays
+// valid for requests that were sent before its removal.
 type versions struct {
 	mu sync.Mutex
-	// intended maps a version to when it was taken away, zero while it is not;
-	// empty means that any version is right.
+	// intended maps a version to the time of its removal, zero if it was not removed.
+	// If the map is empty, any version is valid.
 	intended map[string]time.Time
 	adapters map[string][]string // versions by adapter name
 }
 
 func newVersions(intended []string, adapters []Target) *versions {
-	made := &versions{intended: map[string]time.Time{}, adapters: map[string][]string{}}
+	v := &versions{intended: map[string]time.Time{}, adapters: map[string][]string{}}
 	for _, version := range intended {
-		made.intended[version] = time.Time{}
+		v.intended[version] = time.Time{}
 	}
 	for _, adapter := range adapters {
-		made.addAdapter(adapter.Name, adapter.Version)
+		v.addAdapter(adapter.Name, adapter.Version)
 	}
-	return made
+	return v
 }
 
 func (v *versions) add(version string) {
@@ -35,7 +35,7 @@
 func (v *versions) remove(version string, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if gone, known := v.intended[version]; known && gone.IsZero() {
+	if removedAt, known := v.intended[version]; known && removedAt.IsZero() {
 		v.intended[version] = now
 	}
 }
@@ -46,15 +46,15 @@
 	v.adapters[name] = append(v.adapters[name], version)
 }
 
-// allowed reports whether a request sent at askedAt may be answered by it.
+// allowed reports whether the version may answer a request sent at askedAt.
 func (v *versions) allowed(version string, askedAt time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.intended) == 0 {
 		return true
 	}
-	gone, known := v.intended[version]
-	return known && (gone.IsZero() || askedAt.Before(gone))
+	removedAt, known := v.intended[version]
+	return known && (removedAt.IsZero() || askedAt.Before(removedAt))
 }
 
 func (v *versions) ofAdapter(name string) []string {
--- a/standin/internal/origin/origin.go
+++ b/standin/internal/origin/origin.go
@@ -1,5 +1,5 @@
-// Package origin is a stand-in of the origin of weights: it makes pseudo-random
-// weights by itself and serves them over one paced link.
+// Package origin simulates the origin server of weights: it generates pseudo-random
+// weights and serves them over one rate-limited link.
 package origin
 
 import (
@@ -22,25 +22,26 @@
 const (
 	maxBodyBytes = 1 << 16
 	maxVersions  = 1000
-	// retryAfterSeconds is what a refused caller should wait.
+	// retryAfterSeconds is the Retry-After value of a refused call.
 	retryAfterSeconds = "1"
 )
 
-// Options configure a Service.
+// Options configures a Service.
 type Options struct {
 	// BytesPerSecond is the rate of the link that all transfers share; 0 means
 	// unlimited.
 	BytesPerSecond float64
-	// RequestsPerSecond is the rate beyond which calls get 429; 0 means no limit.
+	// RequestsPerSecond is the rate limit; calls beyond it are answered with 429.
+	// 0 means no limit.
 	RequestsPerSecond float64
-	// Seed fixes which chunks get corrupted.
+	// Seed determines which chunks are corrupted.
 	Seed  uint64
 	Clock clockwork.Clock
 }
 
-// Faults are the knobs of POST /faults.
+// Faults are the fault settings of POST /faults.
 type Faults struct {
-	// Down answers 503.
+	// Down answers manifests and chunks with 503.
 	Down bool `json:"down"`
 	// DelayMillis delays every answer.
 	DelayMillis int `json:"delayMillis"`
@@ -48,41 +49,41 @@
 	CorruptFraction float64 `json:"corruptFraction"`
 	// CorruptManifest sends manifests with a wrong byte.
 	CorruptManifest bool `json:"corruptManifest"`
-	// Stall holds all transfers up without closing them.
+	// Stall blocks all chunk transfers without closing their connections.
 	Stall bool `json:"stall"`
-	// Refuse answers 429 to every call.
+	// Refuse answers manifests and chunks with 429.
 	Refuse bool `json:"refuse"`
-	// BytesPerSecond changes the link's rate; 0 means the one it started with.
+	// BytesPerSecond changes the link's rate; 0 restores the configured one.
 	BytesPerSecond float64 `json:"bytesPerSecond"`
 }
 
-// Service is the stand-in.
+// Service is the simulated origin server.
 type Service struct {
 	clock    clockwork.Clock
-	rate     float64 // of the link as configured, bytes per second
+	rate     float64 // configured rate of the link, in bytes per second
 	link     *link
 	requests *rate.Limiter
 	faults   fault.Knobs[Faults]
-	book     *book
+	recorder *transferRecorder
 
 	mu       sync.Mutex
 	random   *rand.Rand
 	versions map[string]*version
-	order    []*version        // by publication
-	recipes  map[string]recipe // by hash, hexadecimal
+	order    []*version           // in order of publication
+	specs    map[string]chunkSpec // by hash in hexadecimal
 }
 
-// New makes a Service without versions.
+// New returns a Service without versions.
 func New(opts Options) *Service {
 	service := &Service{
 		clock:    opts.Clock,
 		rate:     opts.BytesPerSecond,
 		link:     newLink(opts.BytesPerSecond),
 		requests: requestLimiter(opts.RequestsPerSecond),
-		book:     newBook(),
+		recorder: newTransferRecorder(),
 		random:   rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 		versions: map[string]*version{},
-		recipes:  map[string]recipe{},
+		specs:    map[string]chunkSpec{},
 	}
 	service.faults.Changed = service.apply
 	return service
@@ -112,11 +113,11 @@
 	mux.Post("/publish", s.publish)
 	mux.Handle("/faults", &s.faults)
 	mux.Get("/ledger", s.ledger)
-	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.book.reset() })
+	mux.Delete("/ledger", func(http.ResponseWriter, *http.Request) { s.recorder.reset() })
 	return mux
 }
 
-// Publish makes a version and serves it from now on.
+// Publish generates a version and starts serving it.
 func (s *Service) Publish(pub Publication) (Published, error) {
 	s.mu.Lock()
 	from := s.versions[pub.FromVersion]
@@ -124,7 +125,7 @@
 	if pub.FromVersion != "" && from == nil {
 		return Published{}, failure.New(failure.NotFound, "there is no version "+pub.FromVersion, "publish it first")
 	}
-	made, err := build(pub, from)
+	published, err := build(pub, from)
 	if err != nil {
 		return Published{}, err
 	}
@@ -133,25 +134,25 @@
 	if len(s.order) >= maxVersions {
 		return Published{}, failure.New(failure.Exhausted, "too many versions", "start a new origin")
 	}
-	if _, found := s.versions[made.name]; !found {
-		s.order = append(s.order, made)
+	if _, found := s.versions[published.name]; !found {
+		s.order = append(s.order, published)
 	}
-	s.versions[made.name] = made
-	for i, hash := range made.hashes {
-		s.recipes[hash] = made.recipes[i]
+	s.versions[published.name] = published
+	for i, hash := range published.hashes {
+		s.specs[hash] = published.specs[i]
 	}
-	return Published{Version: made.name, Chunks: made.chunks, Bytes: made.size}, nil
+	return Published{Version: published.name, Chunks: published.chunks, Bytes: published.size}, nil
 }
 
-// admit applies faults and rate before a transfer.
+// admit applies faults and the rate limit before a transfer.
 func (s *Service) admit(run http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		knobs := s.faults.Get()
-		s.book.add(func(totals *Ledger) { totals.Requests++ })
+		s.recorder.update(func(totals *Ledger) { totals.Requests++ })
 		if knobs.Refuse || !s.requests.AllowN(s.clock.Now(), 1) {
-			s.book.add(func(totals *Ledger) { totals.Refused++ })
+			s.recorder.update(func(totals *Ledger) { totals.Refused++ })
 			w.Header().Set("Retry-After", retryAfterSeconds)
-			http.Error(w, "over the rate", http.StatusTooManyRequests)
+			http.Error(w, "request rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
 		if !s.sleep(r.Context(), time.Duration(knobs.DelayMillis)*time.Millisecond) {
@@ -177,38 +178,38 @@
 	if s.faults.Get().CorruptManifest {
 		encoded[len(encoded)-1]++
 	}
-	s.book.add(func(totals *Ledger) { totals.ManifestBytes += int64(len(encoded)) })
+	s.recorder.update(func(totals *Ledger) { totals.ManifestBytes += int64(len(encoded)) })
 	_, _ = w.Write(encoded)
 }
 
 func (s *Service) chunk(w http.ResponseWriter, r *http.Request) {
 	hash := chi.URLParam(r, "hash")
 	s.mu.Lock()
-	recipe, found := s.recipes[hash]
+	spec, found := s.specs[hash]
 	corrupt := s.random.Float64() < s.faults.Get().CorruptFraction
 	s.mu.Unlock()
 	if !found {
 		http.NotFound(w, r)
 		return
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(recipe.size))
-	before := func(part []byte) error {
+	w.Header().Set("Content-Length", strconv.Itoa(spec.size))
+	beforeWrite := func(part []byte) error {
 		if corrupt {
 			part[0]++
 			corrupt = false
-			s.book.add(func(totals *Ledger) { totals.Corrupted++ })
+			s.recorder.update(func(totals *Ledger) { totals.Corrupted++ })
 		}
-		return s.stalled(r.Context())
+		return s.waitWhileStalled(r.Context())
 	}
-	sent, err := s.link.copy(r.Context(), w, recipe.source(), before)
-	s.book.sent(r, hash, sent, err == nil)
+	sent, err := s.link.copy(r.Context(), w, spec.reader(), beforeWrite)
+	s.recorder.recordTransfer(r, hash, sent, err == nil)
 }
 
-// stallPoll is how often a stalled transfer looks whether it may go on.
+// stallPoll is the interval at which a stalled transfer checks the Stall setting.
 const stallPoll = 50 * time.Millisecond
 
-// stalled returns once the stall knob is off.
-func (s *Service) stalled(ctx context.Context) error {
+// waitWhileStalled blocks until the Stall setting is off.
+func (s *Service) waitWhileStalled(ctx context.Context) error {
 	for s.faults.Get().Stall {
 		if !s.sleep(ctx, stallPoll) {
 			return ctx.Err()
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// sleep waits; false where the caller went away meanwhile.
+// sleep waits and returns false if the client disconnects meanwhile.
 func (s *Service) sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return true
@@ -250,7 +251,7 @@
 	s.mu.Lock()
 	order := append([]*version(nil), s.order...)
 	s.mu.Unlock()
-	reply(w, s.book.report(order))
+	reply(w, s.recorder.report(order))
 }
 
 func reply(w http.ResponseWriter, body any) {
--- a/standin/internal/origin/weights.go
+++ b/standin/internal/origin/weights.go
@@ -14,53 +14,53 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// maxBytes bounds one version.
+// maxBytes limits the size of one version.
 const maxBytes = 4 << 30
 
-// Publication is the body of POST /publish: what to make weights of. Equal
-// publications make the same version.
+// Publication is the body of POST /publish: the parameters of the weights to
+// generate. Equal publications give the same version.
 type Publication struct {
 	Model string `json:"model"`
-	// Kind is "base" or "adapter"; empty stands for "base".
+	// Kind is "base" or "adapter"; empty means "base".
 	Kind        string  `json:"kind"`
 	BaseVersion string  `json:"baseVersion"`
 	Mib         float64 `json:"mib"`
 	ChunkKib    int     `json:"chunkKib"`
 	Seed        uint64  `json:"seed"`
-	// FromVersion, where set, gives size and chunks; ChangeFraction of its
-	// chunks are made anew.
+	// FromVersion, if set, is the version to derive size and chunks from.
+	// ChangeFraction is the fraction of its chunks that is regenerated.
 	FromVersion    string  `json:"fromVersion"`
 	ChangeFraction float64 `json:"changeFraction"`
 }
 
-// Published is the answer of POST /publish.
+// Published is the body of the reply to POST /publish.
 type Published struct {
 	Version string `json:"version"`
 	Chunks  int    `json:"chunks"`
 	Bytes   uint64 `json:"bytes"`
 }
 
-// recipe makes the bytes of one chunk, so that none have to be kept.
-type recipe struct {
+// chunkSpec generates the bytes of one chunk on demand, so that they need no memory.
+type chunkSpec struct {
 	seed [32]byte
 	size int
 }
 
-// source returns the chunk's bytes as a stream.
-func (r recipe) source() io.Reader {
+// reader returns a stream of the chunk's bytes.
+func (r chunkSpec) reader() io.Reader {
 	return io.LimitReader(rand.NewChaCha8(r.seed), int64(r.size))
 }
 
-func (r recipe) hash() ([]byte, error) {
+func (r chunkSpec) hash() ([]byte, error) {
 	hasher := blake3.New()
-	if _, err := io.Copy(hasher, r.source()); err != nil {
+	if _, err := io.Copy(hasher, r.reader()); err != nil {
 		return nil, err
 	}
 	return hasher.Sum(nil), nil
 }
 
-// seedOf mixes everything that distinguishes one chunk from another.
-func seedOf(pub Publication, index int) [32]byte {
+// chunkSeed hashes all parameters that distinguish one chunk from another.
+func chunkSeed(pub Publication, index int) [32]byte {
 	hasher := blake3.New()
 	_, _ = hasher.WriteString(pub.Model + "\x00" + pub.Kind + "\x00")
 	_, _ = hasher.Write(binary.LittleEndian.AppendUint64(nil, pub.Seed))
@@ -74,40 +74,40 @@
 	encoded []byte // the manifest as served
 	size    uint64
 	chunks  int
-	recipes []recipe
-	hashes  []string // by recipe, hexadecimal
+	specs   []chunkSpec
+	hashes  []string // in the order of specs, in hexadecimal
 }
 
-// build makes a version; from is the one to change, nil for none.
+// build generates a version, derived from the version from unless that is nil.
 func build(pub Publication, from *version) (*version, error) {
 	if pub.Kind == "" {
 		pub.Kind = manifest.KindBase
 	}
-	recipes, chunkBytes, err := plan(pub, from)
+	specs, chunkBytes, err := planChunks(pub, from)
 	if err != nil {
 		return nil, err
 	}
 	man := &wire.Manifest{Model: pub.Model, Kind: pub.Kind, BaseVersion: pub.BaseVersion, ChunkBytes: uint32(chunkBytes)}
-	made := &version{recipes: recipes, chunks: len(recipes)}
-	for _, recipe := range recipes {
-		hash, err := recipe.hash()
+	published := &version{specs: specs, chunks: len(specs)}
+	for _, spec := range specs {
+		hash, err := spec.hash()
 		if err != nil {
 			return nil, err
 		}
 		man.ChunkHashes = append(man.ChunkHashes, hash)
-		made.hashes = append(made.hashes, hex.EncodeToString(hash))
-		made.size += uint64(recipe.size)
+		published.hashes = append(published.hashes, hex.EncodeToString(hash))
+		published.size += uint64(spec.size)
 	}
-	man.TotalBytes = made.size
-	made.encoded, err = manifest.Encode(man)
-	made.name = manifest.Version(made.encoded)
-	return made, err
+	man.TotalBytes = published.size
+	published.encoded, err = manifest.Encode(man)
+	published.name = manifest.Version(published.encoded)
+	return published, err
 }
 
-// plan returns the recipes of the chunks and the size of a whole one.
-func plan(pub Publication, from *version) ([]recipe, int, error) {
+// planChunks returns the specs of the chunks and the size of a full chunk.
+func planChunks(pub Publication, from *version) ([]chunkSpec, int, error) {
 	if from != nil {
-		return replan(pub, from), from.recipes[0].size, nil
+		return changeChunks(pub, from), from.specs[0].size, nil
 	}
 	total := int64(pub.Mib * (1 << 20))
 	chunkBytes := pub.ChunkKib << 10
@@ -115,22 +115,22 @@
 		return nil, 0, failure.New(failure.Invalid, "the publication is incomplete or too large",
 			"name a model, at most 4096 MiB, and chunks of 1 to 2048 KiB")
 	}
-	var recipes []recipe
+	var specs []chunkSpec
 	for left := total; left > 0; left -= int64(chunkBytes) {
 		size := int(min(left, int64(chunkBytes)))
-		recipes = append(recipes, recipe{seed: seedOf(pub, len(recipes)), size: size})
+		specs = append(specs, chunkSpec{seed: chunkSeed(pub, len(specs)), size: size})
 	}
-	return recipes, chunkBytes, nil
+	return specs, chunkBytes, nil
 }
 
-// replan makes the given fraction of from's chunks anew, at least one unless
+// changeChunks regenerates the given fraction of from's chunks, at least one unless
 // the fraction is 0.
-func replan(pub Publication, from *version) []recipe {
-	recipes := append([]recipe(nil), from.recipes...)
-	changed := int(math.Ceil(min(pub.ChangeFraction, 1) * float64(len(recipes))))
-	order := rand.New(rand.NewPCG(pub.Seed, pub.Seed)).Perm(len(recipes))
+func changeChunks(pub Publication, from *version) []chunkSpec {
+	specs := append([]chunkSpec(nil), from.specs...)
+	changed := int(math.Ceil(min(pub.ChangeFraction, 1) * float64(len(specs))))
+	order := rand.New(rand.NewPCG(pub.Seed, pub.Seed)).Perm(len(specs))
 	for _, index := range order[:max(changed, 0)] {
-		recipes[index].seed = seedOf(pub, index)
+		specs[index].seed = chunkSeed(pub, index)
 	}
-	return recipes
+	return specs
 }
