--- a/bench/internal/spec/rules_test.go
+++ b/bench/internal/spec/rules_test.go
@@ -22,10 +22,10 @@
 func (r rule) String() string { return r.name + " of spec/" + r.spec + ".pml" }
 
 var (
-	ruleLine     = regexp.MustCompile(`^ \*   ([A-Z]+) +\S`)
-	moreOfRule   = regexp.MustCompile(`^ \*     +(\S.*)$`)
-	functionName = regexp.MustCompile(`^\(([a-z]+(?:\.\w+)+)\)$`)
-	ruleInDoc    = regexp.MustCompile(`Rule (\w+) of spec/(\w+)\.pml\.`)
+	ruleLine         = regexp.MustCompile(`^ \*   ([A-Z]+) +\S`)
+	continuationLine = regexp.MustCompile(`^ \*     +(\S.*)$`)
+	functionName     = regexp.MustCompile(`^\(([a-z]+(?:\.\w+)+)\)$`)
+	ruleInDoc        = regexp.MustCompile(`Rule (\w+) of spec/(\w+)\.pml\.`)
 )
 
 // TestRulesAndFunctionsNameEachOther fails when a rule has no function, when a
@@ -93,7 +93,7 @@
 			found[at] = ""
 			continue
 		}
-		more := moreOfRule.FindStringSubmatch(line)
+		more := continuationLine.FindStringSubmatch(line)
 		if more == nil {
 			at = rule{}
 			continue
@@ -118,7 +118,7 @@
 			if err != nil {
 				return err
 			}
-			addRules(found, file)
+			collectRules(found, file)
 			return nil
 		})
 		if err != nil {
@@ -128,7 +128,7 @@
 	return found
 }
 
-func addRules(found map[rule][]string, file *ast.File) {
+func collectRules(found map[rule][]string, file *ast.File) {
 	for _, decl := range file.Decls {
 		function, ok := decl.(*ast.FuncDecl)
 		if !ok {
@@ -136,13 +136,13 @@
 		}
 		for _, named := range ruleInDoc.FindAllStringSubmatch(function.Doc.Text(), -1) {
 			at := rule{spec: named[2], name: named[1]}
-			found[at] = append(found[at], nameOf(file, function))
+			found[at] = append(found[at], qualifiedName(file, function))
 		}
 	}
 }
 
-// nameOf returns package.Function or package.Type.Method.
-func nameOf(file *ast.File, function *ast.FuncDecl) string {
+// qualifiedName returns package.Function or package.Type.Method.
+func qualifiedName(file *ast.File, function *ast.FuncDecl) string {
 	name := file.Name.Name + "."
 	if function.Recv != nil {
 		receiver := function.Recv.List[0].Type
