--- a/bench/internal/spec/doc.go
+++ b/bench/internal/spec/doc.go
@@ -1,3 +1,4 @@
-// Package spec has a test alone: each rule of the specification names the
-// function that implements it, and that function names the rule.
+// Package spec contains only tests. They check that each rule in spec/*.pml
+// names the function that implements it, and that this function's doc comment
+// names the rule.
 package spec
--- a/bench/internal/spec/rules_test.go
+++ b/bench/internal/spec/rules_test.go
@@ -16,7 +16,7 @@
 
 const root = "../../.."
 
-// rule is one rule of one specification.
+// rule identifies a rule by its specification file and its name.
 type rule struct{ spec, name string }
 
 func (r rule) String() string { return r.name + " of spec/" + r.spec + ".pml" }
@@ -28,8 +28,9 @@
 	ruleInDoc        = regexp.MustCompile(`Rule (\w+) of spec/(\w+)\.pml\.`)
 )
 
-// TestRulesAndFunctionsNameEachOther fails when a rule has no function, when a
-// function names a rule that there is not, and when the two disagree.
+// TestRulesAndFunctionsNameEachOther fails when a rule names no function, when
+// a function names a rule that does not exist, and when a rule and a function
+// name different counterparts.
 func TestRulesAndFunctionsNameEachOther(t *testing.T) {
 	inSpec, inCode := rulesInSpec(t), rulesInCode(t)
 	if len(inSpec) == 0 {
@@ -50,8 +51,9 @@
 	}
 }
 
-// TestEachRuleCanBeLeftOut: script/model runs each specification without each
-// rule that has a NO_ variant, and a rule without one is never tried.
+// TestEachRuleCanBeLeftOut checks that every rule has a NO_ variant.
+// script/model runs each specification once without each rule that has such a
+// variant; it never tests the omission of a rule that has none.
 func TestEachRuleCanBeLeftOut(t *testing.T) {
 	for at := range rulesInSpec(t) {
 		text, err := os.ReadFile(filepath.Join(root, "spec", at.spec+".pml"))
@@ -64,7 +66,8 @@
 	}
 }
 
-// rulesInSpec returns the function that each rule's header lines name.
+// rulesInSpec maps each rule in spec/*.pml to the function named in its header
+// entry, or to "" if the entry names none.
 func rulesInSpec(t *testing.T) map[rule]string {
 	t.Helper()
 	found := map[rule]string{}
@@ -83,6 +86,7 @@
 	return found
 }
 
+// rulesInHeader parses the rules in the header comment of one specification.
 func rulesInHeader(spec, header string) map[rule]string {
 	found := map[rule]string{}
 	var at rule
@@ -105,7 +109,7 @@
 	return found
 }
 
-// rulesInCode returns the functions whose doc comments name each rule.
+// rulesInCode maps each rule to the functions whose doc comments name it.
 func rulesInCode(t *testing.T) map[rule][]string {
 	t.Helper()
 	found := map[rule][]string{}
@@ -128,6 +132,7 @@
 	return found
 }
 
+// collectRules adds the rules named in the doc comments of one file to found.
 func collectRules(found map[rule][]string, file *ast.File) {
 	for _, decl := range file.Decls {
 		function, ok := decl.(*ast.FuncDecl)
@@ -141,7 +146,8 @@
 	}
 }
 
-// qualifiedName returns package.Function or package.Type.Method.
+// qualifiedName returns the function's name as package.Function or
+// package.Type.Method.
 func qualifiedName(file *ast.File, function *ast.FuncDecl) string {
 	name := file.Name.Name + "."
 	if function.Recv != nil {
@@ -156,7 +162,9 @@
 	return name + function.Name.Name
 }
 
-// TestHeaderIsRead keeps the reader of headers honest.
+// TestHeaderIsRead checks that rulesInHeader finds a function name on any
+// continuation line of a rule, accepts a rule without one, and
+// ignores a function name outside a rule's entry.
 func TestHeaderIsRead(t *testing.T) {
 	got := rulesInHeader("x", " * Prose.\n *\n *   ONE  a rule of\n *        two lines\n *        (pkg.Type.Func)\n *   TWO  one without a function\n *\n * (pkg.Func)\n")
 	want := map[rule]string{{"x", "ONE"}: "pkg.Type.Func", {"x", "TWO"}: ""}
