--- a/bench/internal/soak/act.go
+++ b/bench/internal/soak/act.go
@@ -11,7 +11,7 @@
 )
 
 // act carries one event out; it returns when the event is over.
-func (r *run) act(ctx context.Context, event Event) error {
+func (r *run) applyEvent(ctx context.Context, event Event) error {
 	switch event.Kind {
 	case killHost:
 		return r.killAndRestart(ctx, r.host(event), event.Length)
@@ -32,19 +32,19 @@
 	}
 	if faults, ok := engineFaults[event.Kind]; ok {
 		set := func(f deployment.EngineFaults) error { return r.deployment.SetEngineFaults(ctx, r.host(event), f) }
-		return knobs(ctx, set, faults, event.Length)
+		return withFaults(ctx, set, faults, event.Length)
 	}
 	if faults, ok := kvFaults[event.Kind]; ok {
 		set := func(f deployment.KVFaults) error { return r.deployment.SetKVFaults(ctx, f) }
-		return knobs(ctx, set, faults, event.Length)
+		return withFaults(ctx, set, faults, event.Length)
 	}
 	if faults, ok := originFaults[event.Kind]; ok {
 		set := func(f deployment.OriginFaults) error { return r.deployment.SetOriginFaults(ctx, f) }
-		return knobs(ctx, set, faults, event.Length)
+		return withFaults(ctx, set, faults, event.Length)
 	}
 	if faults, ok := listFaults[event.Kind]; ok {
 		set := func(f deployment.HostListFaults) error { return r.deployment.SetHostListFaults(ctx, f) }
-		return knobs(ctx, set, faults, event.Length)
+		return withFaults(ctx, set, faults, event.Length)
 	}
 	return fmt.Errorf("no action for %s", event.Kind)
 }
@@ -77,13 +77,13 @@
 }
 
 // knobs sets faults, waits, and sets the zero value.
-func knobs[F any](ctx context.Context, set func(F) error, faults F, length time.Duration) error {
+func withFaults[F any](ctx context.Context, set func(F) error, faults F, length time.Duration) error {
 	if err := set(faults); err != nil {
 		return err
 	}
-	wait := pause(ctx, length)
-	var none F
-	return errors.Join(set(none), wait)
+	waitErr := sleep(ctx, length)
+	var cleared F
+	return errors.Join(set(cleared), waitErr)
 }
 
 func (r *run) host(event Event) *deployment.Member { return r.deployment.Agents()[event.Target] }
@@ -94,7 +94,7 @@
 	if err := r.deployment.Kill(ctx, m); err != nil {
 		return err
 	}
-	if err := pause(ctx, length); err != nil {
+	if err := sleep(ctx, length); err != nil {
 		return err
 	}
 	return r.deployment.Restart(ctx, m)
@@ -105,13 +105,13 @@
 	if err := r.deployment.ListLeaving(ctx, m); err != nil {
 		return err
 	}
-	limited, cancel := context.WithTimeout(ctx, leaveLimit)
+	leaveCtx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if err := m.Terminate(limited); err != nil {
-		r.violate("leave", fmt.Sprintf("%s did not end cleanly: %v", m.ID(), err))
+	if err := m.Terminate(leaveCtx); err != nil {
+		r.recordViolation("leave", fmt.Sprintf("%s did not end cleanly: %v", m.ID(), err))
 		_ = m.Process().Kill()
 	}
-	if err := pause(ctx, length); err != nil {
+	if err := sleep(ctx, length); err != nil {
 		return err
 	}
 	return errors.Join(r.deployment.List(ctx, m), r.deployment.Restart(ctx, m))
@@ -121,47 +121,47 @@
 	if err := m.Pause(); err != nil {
 		return err
 	}
-	wait := pause(ctx, length)
-	return errors.Join(m.Resume(), wait)
+	waitErr := sleep(ctx, length)
+	return errors.Join(m.Resume(), waitErr)
 }
 
 func (r *run) serviceFaults(ctx context.Context, event Event) error {
 	m := r.deployment.Services()[event.Target]
 	set := func(f deployment.ServiceFaults) error { return r.deployment.SetServiceFaults(ctx, m, f) }
-	return knobs(ctx, set, deployment.ServiceFaults{LoseReply: 0.2, FailBeforeRun: 0.2, SlowFactor: 2}, event.Length)
+	return withFaults(ctx, set, deployment.ServiceFaults{LoseReply: 0.2, FailBeforeRun: 0.2, SlowFactor: 2}, event.Length)
 }
 
 // changeDocument submits a change; a refusal is no fault, for the service may
 // be down. The callers learn of a version before it can answer them.
 func (r *run) changeDocument(ctx context.Context, kind Kind) error {
-	r.document.Lock()
-	defer r.document.Unlock()
-	base, _, err := r.inForce(ctx)
+	r.documentMu.Lock()
+	defer r.documentMu.Unlock()
+	base, _, err := r.newestDocument(ctx)
 	if err != nil {
 		return nil
 	}
 	next := r.desired
 	switch kind {
 	case newVersion:
-		made, err := r.publish(ctx)
+		version, err := r.publish(ctx)
 		if err != nil {
 			return err
 		}
-		if err := r.load.AddVersion(ctx, made); err != nil {
+		if err := r.load.AddVersion(ctx, version); err != nil {
 			return err
 		}
-		next.Version = made
-		r.former = r.desired.Version
+		next.Version = version
+		r.previousVersion = r.desired.Version
 	case formerVersion:
-		if r.former == "" {
+		if r.previousVersion == "" {
 			return nil
 		}
-		next.Version, r.former = r.former, r.desired.Version
+		next.Version, r.previousVersion = r.previousVersion, r.desired.Version
 	case newLimits:
-		r.limit++
-		next.Customers = limited(next.Customers, r.limit)
+		r.limitIncrement++
+		next.Customers = withLimit(next.Customers, r.limitIncrement)
 	case twoOperators:
-		return r.submitTwo(ctx, base)
+		return r.submitConcurrently(ctx, base)
 	}
 	return r.submit(ctx, base, next)
 }
@@ -169,45 +169,45 @@
 // submit notes what was accepted. Where the reply is lost, what is in force
 // settles it later: the last accepted document must win.
 func (r *run) submit(ctx context.Context, base uint32, next deployment.Desired) error {
-	_, err := r.deployment.Submit(ctx, r.anyEntry(), base, r.deployment.Document(next), "comfreybench soak")
+	_, err := r.deployment.Submit(ctx, r.submissionEntry(), base, r.deployment.Document(next), "comfreybench soak")
 	if err == nil {
 		r.desired = next
-		r.accepted++
+		r.acceptedDocuments++
 	}
 	return nil
 }
 
 // submitTwo submits two documents over one base at the same moment: at most
 // one may be accepted.
-func (r *run) submitTwo(ctx context.Context, base uint32) error {
+func (r *run) submitConcurrently(ctx context.Context, base uint32) error {
 	entries := r.deployment.Entries()
 	var accepted [2]bool
 	var next [2]deployment.Desired
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range next {
-		r.limit++
+		r.limitIncrement++
 		next[i] = r.desired
-		next[i].Customers = limited(r.desired.Customers, r.limit)
-		both.Go(func() {
+		next[i].Customers = withLimit(r.desired.Customers, r.limitIncrement)
+		wg.Go(func() {
 			_, err := r.deployment.Submit(ctx, entries[i], base, r.deployment.Document(next[i]), "comfreybench soak")
 			accepted[i] = err == nil
 		})
 	}
-	both.Wait()
+	wg.Wait()
 	if accepted[0] && accepted[1] {
-		r.violate("twoAccepted", fmt.Sprintf("two documents over revision %d were accepted", base))
+		r.recordViolation("twoAccepted", fmt.Sprintf("two documents over revision %d were accepted", base))
 	}
 	for i := range next {
 		if accepted[i] {
 			r.desired = next[i]
-			r.accepted++
+			r.acceptedDocuments++
 		}
 	}
 	return nil
 }
 
 // limited returns the customers with another limit of the first one.
-func limited(customers []deployment.Customer, limit int) []deployment.Customer {
+func withLimit(customers []deployment.Customer, limit int) []deployment.Customer {
 	const base = 1000
 	out := append([]deployment.Customer(nil), customers...)
 	out[0].RequestsPerSecond = float64(base + limit)
--- a/bench/internal/soak/plan.go
+++ b/bench/internal/soak/plan.go
@@ -11,87 +11,87 @@
 
 // The kinds of event of a run.
 const (
-	killHost        Kind = "killHost"
-	killEntry       Kind = "killEntry"
-	pauseHost       Kind = "pauseHost"
-	pauseEntry      Kind = "pauseEntry"
-	leaveHost       Kind = "leaveHost"
-	leaveEntry      Kind = "leaveEntry"
-	slowEngine      Kind = "slowEngine"
-	failFastEngine  Kind = "failFastEngine"
-	breakEngine     Kind = "breakEngine"
-	stallEngine     Kind = "stallEngine"
-	refuseLoad      Kind = "refuseLoad"
-	dropLoad        Kind = "dropLoad"
-	serviceFaults   Kind = "serviceFaults"
-	kvDown          Kind = "kvDown"
-	kvSlow          Kind = "kvSlow"
-	kvLosesReplies  Kind = "kvLosesReplies"
-	kvWatchSilent   Kind = "kvWatchSilent"
-	kvCompact       Kind = "kvCompact"
-	originCorrupt   Kind = "originCorrupt"
-	originDown      Kind = "originDown"
-	listEmpty       Kind = "listEmpty"
-	listDown        Kind = "listDown"
-	newVersion      Kind = "newVersion"
-	formerVersion   Kind = "formerVersion"
-	newLimits       Kind = "newLimits"
-	twoOperators    Kind = "twoOperators"
-	noTarget             = -1
-	firstSeedStream      = 7 // keeps the plan's numbers apart from the load's
+	killHost       Kind = "killHost"
+	killEntry      Kind = "killEntry"
+	pauseHost      Kind = "pauseHost"
+	pauseEntry     Kind = "pauseEntry"
+	leaveHost      Kind = "leaveHost"
+	leaveEntry     Kind = "leaveEntry"
+	slowEngine     Kind = "slowEngine"
+	failFastEngine Kind = "failFastEngine"
+	breakEngine    Kind = "breakEngine"
+	stallEngine    Kind = "stallEngine"
+	refuseLoad     Kind = "refuseLoad"
+	dropLoad       Kind = "dropLoad"
+	serviceFaults  Kind = "serviceFaults"
+	kvDown         Kind = "kvDown"
+	kvSlow         Kind = "kvSlow"
+	kvLosesReplies Kind = "kvLosesReplies"
+	kvWatchSilent  Kind = "kvWatchSilent"
+	kvCompact      Kind = "kvCompact"
+	originCorrupt  Kind = "originCorrupt"
+	originDown     Kind = "originDown"
+	listEmpty      Kind = "listEmpty"
+	listDown       Kind = "listDown"
+	newVersion     Kind = "newVersion"
+	formerVersion  Kind = "formerVersion"
+	newLimits      Kind = "newLimits"
+	twoOperators   Kind = "twoOperators"
+	noTarget            = -1
+	planSeedStream      = 7 // keeps the plan's numbers apart from the load's
 )
 
 // target says what an event strikes.
-type target int
+type targetKind int
 
 const (
-	theDeployment target = iota // the platform or the document
-	anEntry
-	aHost
-	aService
+	targetDeployment targetKind = iota // the platform or the document
+	targetEntry
+	targetHost
+	targetService
 )
 
 // knob holds events that set the same knobs: one of them lasts at a time,
 // because the end of one would end the other too.
-type knob string
+type exclusionGroup string
 
 // rule is how one kind of event is drawn.
-type rule struct {
+type eventRule struct {
 	kind   Kind
-	target target
+	target targetKind
 	weight int
 	// shortest and longest bound how long it lasts.
-	shortest, longest time.Duration
-	knob              knob
+	minLength, maxLength time.Duration
+	group                exclusionGroup
 }
 
-var rules = []rule{
-	{killHost, aHost, 4, time.Second, 6 * time.Second, ""},
-	{killEntry, anEntry, 3, time.Second, 5 * time.Second, ""},
-	{pauseHost, aHost, 4, time.Second, 7 * time.Second, ""},
-	{pauseEntry, anEntry, 4, time.Second, 7 * time.Second, ""},
-	{leaveHost, aHost, 3, time.Second, 4 * time.Second, ""},
-	{leaveEntry, anEntry, 3, time.Second, 4 * time.Second, ""},
-	{slowEngine, aHost, 2, 2 * time.Second, 8 * time.Second, ""},
-	{failFastEngine, aHost, 2, 2 * time.Second, 8 * time.Second, ""},
-	{breakEngine, aHost, 3, time.Second, 5 * time.Second, ""},
-	{stallEngine, aHost, 2, time.Second, 5 * time.Second, ""},
-	{refuseLoad, aHost, 1, 2 * time.Second, 6 * time.Second, ""},
-	{dropLoad, aHost, 1, 2 * time.Second, 6 * time.Second, ""},
-	{serviceFaults, aService, 3, 2 * time.Second, 8 * time.Second, ""},
-	{kvDown, theDeployment, 3, time.Second, 8 * time.Second, "kv"},
-	{kvSlow, theDeployment, 2, 2 * time.Second, 6 * time.Second, "kv"},
-	{kvLosesReplies, theDeployment, 3, 2 * time.Second, 8 * time.Second, "kv"},
-	{kvWatchSilent, theDeployment, 2, 2 * time.Second, 8 * time.Second, "kv"},
-	{kvCompact, theDeployment, 1, time.Second, time.Second, "kv"},
-	{originCorrupt, theDeployment, 2, 2 * time.Second, 8 * time.Second, "origin"},
-	{originDown, theDeployment, 2, time.Second, 5 * time.Second, "origin"},
-	{listEmpty, theDeployment, 1, 2 * time.Second, 8 * time.Second, "list"},
-	{listDown, theDeployment, 1, 2 * time.Second, 8 * time.Second, "list"},
-	{newVersion, theDeployment, 8, time.Second, time.Second, "document"},
-	{formerVersion, theDeployment, 2, time.Second, time.Second, "document"},
-	{newLimits, theDeployment, 6, time.Second, time.Second, "document"},
-	{twoOperators, theDeployment, 4, time.Second, time.Second, "document"},
+var eventRules = []eventRule{
+	{killHost, targetHost, 4, time.Second, 6 * time.Second, ""},
+	{killEntry, targetEntry, 3, time.Second, 5 * time.Second, ""},
+	{pauseHost, targetHost, 4, time.Second, 7 * time.Second, ""},
+	{pauseEntry, targetEntry, 4, time.Second, 7 * time.Second, ""},
+	{leaveHost, targetHost, 3, time.Second, 4 * time.Second, ""},
+	{leaveEntry, targetEntry, 3, time.Second, 4 * time.Second, ""},
+	{slowEngine, targetHost, 2, 2 * time.Second, 8 * time.Second, ""},
+	{failFastEngine, targetHost, 2, 2 * time.Second, 8 * time.Second, ""},
+	{breakEngine, targetHost, 3, time.Second, 5 * time.Second, ""},
+	{stallEngine, targetHost, 2, time.Second, 5 * time.Second, ""},
+	{refuseLoad, targetHost, 1, 2 * time.Second, 6 * time.Second, ""},
+	{dropLoad, targetHost, 1, 2 * time.Second, 6 * time.Second, ""},
+	{serviceFaults, targetService, 3, 2 * time.Second, 8 * time.Second, ""},
+	{kvDown, targetDeployment, 3, time.Second, 8 * time.Second, "kv"},
+	{kvSlow, targetDeployment, 2, 2 * time.Second, 6 * time.Second, "kv"},
+	{kvLosesReplies, targetDeployment, 3, 2 * time.Second, 8 * time.Second, "kv"},
+	{kvWatchSilent, targetDeployment, 2, 2 * time.Second, 8 * time.Second, "kv"},
+	{kvCompact, targetDeployment, 1, time.Second, time.Second, "kv"},
+	{originCorrupt, targetDeployment, 2, 2 * time.Second, 8 * time.Second, "origin"},
+	{originDown, targetDeployment, 2, time.Second, 5 * time.Second, "origin"},
+	{listEmpty, targetDeployment, 1, 2 * time.Second, 8 * time.Second, "list"},
+	{listDown, targetDeployment, 1, 2 * time.Second, 8 * time.Second, "list"},
+	{newVersion, targetDeployment, 8, time.Second, time.Second, "document"},
+	{formerVersion, targetDeployment, 2, time.Second, time.Second, "document"},
+	{newLimits, targetDeployment, 6, time.Second, time.Second, "document"},
+	{twoOperators, targetDeployment, 4, time.Second, time.Second, "document"},
 }
 
 // Event is one thing that happens to the deployment.
@@ -117,91 +117,91 @@
 
 // Bounds of what is struck at a time: the deployment must be able to serve.
 const (
-	meanGap = 900 * time.Millisecond
+	meanInterval = 900 * time.Millisecond
 	// recovery is what a target gets to come back before it is struck again.
 	recovery = 3 * time.Second
 )
 
 // planner draws events; busy holds until when a target or knob is taken.
 type planner struct {
-	random *rand.Rand
-	sizes  Sizes
-	busy   map[string]time.Duration
+	rng       *rand.Rand
+	sizes     Sizes
+	busyUntil map[string]time.Duration
 }
 
 // Plan returns the events of a run; the same arguments give the same events.
 func Plan(seed uint64, length time.Duration, sizes Sizes) []Event {
-	p := &planner{random: rand.New(rand.NewPCG(seed, firstSeedStream)), sizes: sizes, busy: map[string]time.Duration{}}
+	p := &planner{rng: rand.New(rand.NewPCG(seed, planSeedStream)), sizes: sizes, busyUntil: map[string]time.Duration{}}
 	var events []Event
-	for at := p.gap(); at < length; at += p.gap() {
-		if event, ok := p.draw(at); ok {
+	for at := p.nextInterval(); at < length; at += p.nextInterval() {
+		if event, ok := p.drawEvent(at); ok {
 			events = append(events, event)
 		}
 	}
 	return events
 }
 
-func (p *planner) gap() time.Duration {
-	return time.Duration(p.random.ExpFloat64() * float64(meanGap))
+func (p *planner) nextInterval() time.Duration {
+	return time.Duration(p.rng.ExpFloat64() * float64(meanInterval))
 }
 
 // draw returns no event where its target is still struck by another, or too
 // many of its kind are.
-func (p *planner) draw(at time.Duration) (Event, bool) {
-	drawn := p.rule()
-	length := drawn.shortest + time.Duration(p.random.Int64N(int64(drawn.longest-drawn.shortest)+1))
-	event := Event{At: at, Kind: drawn.kind, Target: noTarget, Length: length}
-	name := string(drawn.knob)
-	if drawn.target != theDeployment {
-		event.Target = p.random.IntN(p.count(drawn.target))
-		name = fmt.Sprintf("%d-%d", drawn.target, event.Target)
+func (p *planner) drawEvent(at time.Duration) (Event, bool) {
+	rule := p.drawRule()
+	length := rule.minLength + time.Duration(p.rng.Int64N(int64(rule.maxLength-rule.minLength)+1))
+	event := Event{At: at, Kind: rule.kind, Target: noTarget, Length: length}
+	key := string(rule.group)
+	if rule.target != targetDeployment {
+		event.Target = p.rng.IntN(p.targetCount(rule.target))
+		key = fmt.Sprintf("%d-%d", rule.target, event.Target)
 	}
-	if p.busy[name] > at || p.struck(drawn.target, at) >= p.most(drawn.target) {
+	if p.busyUntil[key] > at || p.affectedCount(rule.target, at) >= p.maxAffected(rule.target) {
 		return Event{}, false
 	}
-	p.busy[name] = at + length + recovery
+	p.busyUntil[key] = at + length + recovery
 	return event, true
 }
 
-func (p *planner) rule() rule {
-	sum := 0
-	for _, one := range rules {
-		sum += one.weight
+func (p *planner) drawRule() eventRule {
+	totalWeight := 0
+	for _, candidate := range eventRules {
+		totalWeight += candidate.weight
 	}
-	at := p.random.IntN(sum)
-	for _, one := range rules {
-		if at -= one.weight; at < 0 {
-			return one
+	remaining := p.rng.IntN(totalWeight)
+	for _, candidate := range eventRules {
+		if remaining -= candidate.weight; remaining < 0 {
+			return candidate
 		}
 	}
-	return rules[len(rules)-1]
+	return eventRules[len(eventRules)-1]
 }
 
-func (p *planner) count(of target) int {
+func (p *planner) targetCount(of targetKind) int {
 	switch of {
-	case anEntry:
+	case targetEntry:
 		return p.sizes.Entries
-	case aHost:
+	case targetHost:
 		return p.sizes.Hosts
-	case aService:
+	case targetService:
 		return p.sizes.Services
-	case theDeployment:
+	case targetDeployment:
 	}
 	return 1
 }
 
 // most is how many targets of a kind may be struck at once: under half.
-func (p *planner) most(of target) int {
-	if of == theDeployment {
-		return len(rules)
+func (p *planner) maxAffected(of targetKind) int {
+	if of == targetDeployment {
+		return len(eventRules)
 	}
-	return max(1, (p.count(of)-1)/2)
+	return max(1, (p.targetCount(of)-1)/2)
 }
 
-func (p *planner) struck(of target, at time.Duration) int {
+func (p *planner) affectedCount(of targetKind, at time.Duration) int {
 	count := 0
-	for i := range p.count(of) {
-		if p.busy[fmt.Sprintf("%d-%d", of, i)] > at {
+	for i := range p.targetCount(of) {
+		if p.busyUntil[fmt.Sprintf("%d-%d", of, i)] > at {
 			count++
 		}
 	}
--- a/bench/internal/soak/plan_test.go
+++ b/bench/internal/soak/plan_test.go
@@ -8,25 +8,25 @@
 
 func TestPlanRepeats(t *testing.T) {
 	sizes := Sizes{Entries: 9, Hosts: 9, Services: 2}
-	one, other := Plan(3, time.Hour, sizes), Plan(3, time.Hour, sizes)
-	if !slices.Equal(one, other) {
+	first, second := Plan(3, time.Hour, sizes), Plan(3, time.Hour, sizes)
+	if !slices.Equal(first, second) {
 		t.Error("Plan: got two different plans for one seed, want the same")
 	}
-	if slices.Equal(one, Plan(4, time.Hour, sizes)) {
+	if slices.Equal(first, Plan(4, time.Hour, sizes)) {
 		t.Error("Plan: got the same plan for two seeds, want different ones")
 	}
 	seen := map[Kind]bool{}
-	for _, event := range one {
+	for _, event := range first {
 		seen[event.Kind] = true
 	}
-	if got, want := len(seen), len(rules); got != want {
+	if got, want := len(seen), len(eventRules); got != want {
 		t.Errorf("kinds in an hour: got %d, want %d", got, want)
 	}
 }
 
 // Symptom: a run fails because nobody was left to serve. Sequence: faults
 // strike most hosts at once. Cause: faults were drawn without a bound.
-func TestPlanLeavesMostAlone(t *testing.T) {
+func TestPlanLimitsAffectedHosts(t *testing.T) {
 	sizes := Sizes{Entries: 9, Hosts: 9, Services: 2}
 	events := Plan(5, time.Hour, sizes)
 	for i, event := range events {
@@ -39,12 +39,12 @@
 				hosts[earlier.Target] = true
 			}
 		}
-		if got, most := len(hosts), (sizes.Hosts-1)/2; got > most {
-			t.Fatalf("hosts struck at %v: got %d, want at most %d", event.At, got, most)
+		if got, limit := len(hosts), (sizes.Hosts-1)/2; got > limit {
+			t.Fatalf("hosts struck at %v: got %d, want at most %d", event.At, got, limit)
 		}
 	}
 }
 
 func onHost(kind Kind) bool {
-	return slices.ContainsFunc(rules, func(one rule) bool { return one.kind == kind && one.target == aHost })
+	return slices.ContainsFunc(eventRules, func(rule eventRule) bool { return rule.kind == kind && rule.target == targetHost })
 }
--- a/bench/internal/soak/run.go
+++ b/bench/internal/soak/run.go
@@ -18,30 +18,30 @@
 
 // The deployment and its load.
 const (
-	entryCount    = 9
-	hostCount     = 9
-	serviceCount  = 2
-	customerCount = 6
-	modelMiB      = 2
-	chunkKiB      = 64
-	changed       = 0.3 // of the chunks, from one version to the next
-	loadRate      = 60
-	answerTokens  = 24
-	slots         = 8
-	tokenTime     = 10 * time.Millisecond
-	requestTime   = 6 * time.Second
-	nonRepeatable = 0.4
-	doubleSend    = 0.3
-	toServices    = 0.2
+	entryCount            = 9
+	hostCount             = 9
+	serviceCount          = 2
+	customerCount         = 6
+	modelMiB              = 2
+	chunkKiB              = 64
+	changedFraction       = 0.3 // of the chunks, from one version to the next
+	loadRate              = 60
+	answerTokens          = 24
+	engineSlots           = 8
+	tokenInterval         = 10 * time.Millisecond
+	requestDeadline       = 6 * time.Second
+	nonRepeatableFraction = 0.4
+	doubleSendFraction    = 0.3
+	serviceFraction       = 0.2
 )
 
 // Bounds of the phases around the faults.
 const (
-	startLimit = 40 * time.Second
+	startTimeout = 40 * time.Second
 	// endLimit bounds the return of all that was struck and the convergence.
-	endLimit = 60 * time.Second
+	convergeTimeout = 60 * time.Second
 	// leaveLimit is longer than an agent's drain, its lingering included.
-	leaveLimit = 30 * time.Second
+	leaveTimeout = 30 * time.Second
 )
 
 // Options configure a run.
@@ -96,18 +96,18 @@
 	follower   *follow.Follower
 	pending    sync.WaitGroup
 
-	document sync.Mutex // guards the fields of the document, and its changes
-	desired  deployment.Desired
-	former   string // version before the desired one
-	limit    int
-	accepted int
-	seed     uint64
+	documentMu        sync.Mutex // guards the fields of the document, and its changes
+	desired           deployment.Desired
+	previousVersion   string // version before the desired one
+	limitIncrement    int
+	acceptedDocuments int
+	seed              uint64
 
-	mu         sync.Mutex // guards the fields below
-	happened   []string
-	violations int
-	first      *History
-	failed     error // of what the harness itself could not do
+	mu            sync.Mutex // guards the fields below
+	startedEvents []string
+	violations    int
+	first         *History
+	harnessErr    error // of what the harness itself could not do
 }
 
 // Run runs one soak.
@@ -118,18 +118,18 @@
 		return result, err
 	}
 	defer r.deployment.Stop()
-	err := r.follower.During(ctx, func() error { return r.strike(ctx, &result) })
+	err := r.follower.During(ctx, func() error { return r.runFaults(ctx, &result) })
 	if err == nil {
-		err = r.judge(ctx, &result)
+		err = r.checkRecords(ctx, &result)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	result.Violations, result.First = r.violations, r.first
-	return result, errors.Join(err, r.failed)
+	return result, errors.Join(err, r.harnessErr)
 }
 
 func (r *run) start(ctx context.Context) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	r.deployment, err = deployment.Start(ctx, deployment.Config{
 		Bin:              r.options.Bin,
@@ -140,20 +140,20 @@
 		Services:         serviceCount,
 		OneEngineProcess: true,
 		Mixed:            true,
-		Engine:           deployment.Engine{Slots: slots, TokenInterval: tokenTime},
+		Engine:           deployment.Engine{Slots: engineSlots, TokenInterval: tokenInterval},
 	})
 	if err != nil {
 		return err
 	}
 	r.follower = follow.New(r.deployment.Members())
-	if err := r.serve(ctx); err != nil {
+	if err := r.deployFirstVersion(ctx); err != nil {
 		r.deployment.Stop()
 		return err
 	}
 	return nil
 }
 
-func (r *run) serve(ctx context.Context) error {
+func (r *run) deployFirstVersion(ctx context.Context) error {
 	if err := r.deployment.WaitRoutable(ctx); err != nil {
 		return err
 	}
@@ -176,14 +176,14 @@
 	r.seed++
 	pub := deployment.Publication{Model: deployment.ModelName, Mib: modelMiB, ChunkKib: chunkKiB, Seed: r.seed}
 	if r.desired.Version != "" {
-		pub.FromVersion, pub.ChangeFraction = r.desired.Version, changed
+		pub.FromVersion, pub.ChangeFraction = r.desired.Version, changedFraction
 	}
 	made, err := r.deployment.Publish(ctx, pub)
 	return made.Version, err
 }
 
 // strike runs the load and the plan's events to their end.
-func (r *run) strike(ctx context.Context, result *Result) error {
+func (r *run) runFaults(ctx context.Context, result *Result) error {
 	var err error
 	r.load, err = r.deployment.StartLoad(ctx, deployment.LoadOptions{
 		Customers:     deployment.EvenShares(r.desired.Customers),
@@ -192,10 +192,10 @@
 		Seed:          r.options.Seed,
 		Versions:      []string{r.desired.Version},
 		MaxTokens:     answerTokens,
-		NonRepeatable: nonRepeatable,
-		DoubleSend:    doubleSend,
-		Services:      toServices,
-		Deadline:      requestTime,
+		NonRepeatable: nonRepeatableFraction,
+		DoubleSend:    doubleSendFraction,
+		Services:      serviceFraction,
+		Deadline:      requestDeadline,
 		Log:           r.options.Progress,
 	})
 	if err != nil {
@@ -205,10 +205,10 @@
 	result.Faults = len(events)
 	started := time.Now()
 	for _, event := range events {
-		if err := pause(ctx, event.At-time.Since(started)); err != nil {
+		if err := sleep(ctx, event.At-time.Since(started)); err != nil {
 			return err
 		}
-		r.begin(ctx, event)
+		r.startEvent(ctx, event)
 	}
 	summary, err := r.load.Wait(ctx)
 	r.pending.Wait()
@@ -216,53 +216,53 @@
 		return err
 	}
 	result.addLoad(summary)
-	r.judgeLoad(summary)
+	r.checkLoad(summary)
 	return r.converge(ctx, result)
 }
 
 // begin starts an event and does not wait for its end.
-func (r *run) begin(ctx context.Context, event Event) {
+func (r *run) startEvent(ctx context.Context, event Event) {
 	r.options.Log.Info("event", "event", event.String())
 	r.mu.Lock()
-	r.happened = append(r.happened, event.String())
+	r.startedEvents = append(r.startedEvents, event.String())
 	r.mu.Unlock()
 	r.pending.Go(func() {
-		if err := r.act(ctx, event); err != nil {
+		if err := r.applyEvent(ctx, event); err != nil {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.failed = errors.Join(r.failed, fmt.Errorf("%s: %w", event, err))
+			r.harnessErr = errors.Join(r.harnessErr, fmt.Errorf("%s: %w", event, err))
 		}
 	})
 }
 
 // violate counts a broken invariant and keeps the first one's history.
-func (r *run) violate(kind, detail string) {
+func (r *run) recordViolation(kind, detail string) {
 	r.options.Log.Error("invariant broke", "kind", kind, "detail", detail)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations++
 	if r.first == nil {
-		r.first = &History{Kind: kind, Detail: detail, Events: append([]string(nil), r.happened...)}
+		r.first = &History{Kind: kind, Detail: detail, Events: append([]string(nil), r.startedEvents...)}
 	}
 }
 
 // converge waits, with all faults gone, until every host serves the last
 // accepted document's version.
 func (r *run) converge(ctx context.Context, result *Result) error {
-	ctx, cancel := context.WithTimeout(ctx, endLimit)
+	ctx, cancel := context.WithTimeout(ctx, convergeTimeout)
 	defer cancel()
 	started := time.Now()
-	revision, doc, err := r.inForce(ctx)
+	revision, doc, err := r.newestDocument(ctx)
 	if err != nil {
 		return err
 	}
 	version := doc.GetModels()[0].GetVersion()
 	if err := r.deployment.WaitServing(ctx, r.deployment.Agents(), version, nil); err != nil {
-		r.violate("notConverged", err.Error())
+		r.recordViolation("notConverged", err.Error())
 		return nil
 	}
 	if err := r.follower.Wait(ctx, revision); err != nil {
-		r.violate("notConverged", fmt.Sprintf("revision %d is not in force on every node", revision))
+		r.recordViolation("notConverged", fmt.Sprintf("revision %d is not in force on every node", revision))
 		return nil
 	}
 	result.ConvergeSeconds = time.Since(started).Seconds()
@@ -270,29 +270,29 @@
 }
 
 // judge compares the records once all is over.
-func (r *run) judge(ctx context.Context, result *Result) error {
+func (r *run) checkRecords(ctx context.Context, result *Result) error {
 	ledgers := audit.Collect(ctx, r.deployment)
-	found, err := audit.CompareFile(r.load, ledgers.Runs, r.deployment, requestTime)
+	found, err := audit.CompareFile(r.load, ledgers.Runs, r.deployment, requestDeadline)
 	if err != nil {
 		return err
 	}
 	for _, breach := range found.Examples {
-		r.violate(breach.Kind, breach.RequestID+": "+breach.Detail)
+		r.recordViolation(breach.Kind, breach.RequestID+": "+breach.Detail)
 	}
 	if more := found.Breaches() - len(found.Examples); more > 0 {
-		r.violate("more", fmt.Sprintf("%d further breaches", more))
+		r.recordViolation("more", fmt.Sprintf("%d further breaches", more))
 	}
 	if found.NeverRan > 0 {
-		r.violate(audit.KindNeverRan, fmt.Sprintf("%d answers to requests that no back end ran", found.NeverRan))
+		r.recordViolation(audit.KindNeverRan, fmt.Sprintf("%d answers to requests that no back end ran", found.NeverRan))
 	}
 	if reverts := r.follower.Reverts(); reverts > 0 {
-		r.violate("reverted", fmt.Sprintf("nodes went back to an older revision %d times", reverts))
+		r.recordViolation("reverted", fmt.Sprintf("nodes went back to an older revision %d times", reverts))
 	}
-	result.Lost, result.Documents = ledgers.Lost, r.accepted
-	return r.judgeMembers(ctx)
+	result.Lost, result.Documents = ledgers.Lost, r.acceptedDocuments
+	return r.checkMembers(ctx)
 }
 
-func (r *run) judgeLoad(summary deployment.LoadSummary) {
+func (r *run) checkLoad(summary deployment.LoadSummary) {
 	wrong := summary.WrongAnswer + summary.WrongVersion + summary.Contradicted
 	if wrong == 0 {
 		return
@@ -300,24 +300,24 @@
 	for _, example := range summary.Examples {
 		switch example.Outcome {
 		case "wrongAnswer", "wrongVersion":
-			r.violate(example.Outcome, example.RequestID+": "+example.Detail)
+			r.recordViolation(example.Outcome, example.RequestID+": "+example.Detail)
 			wrong--
 		}
 	}
 	if wrong > 0 {
-		r.violate("callers", fmt.Sprintf("%d further answers were wrong or contradicted", wrong))
+		r.recordViolation("callers", fmt.Sprintf("%d further answers were wrong or contradicted", wrong))
 	}
 }
 
 // judgeMembers reads the invariants that the programs assert inside.
-func (r *run) judgeMembers(ctx context.Context) error {
+func (r *run) checkMembers(ctx context.Context) error {
 	for _, m := range r.deployment.Members() {
 		counters, err := r.deployment.Counters(ctx, m)
 		if err != nil {
 			return err
 		}
 		if counters.InvariantFailures > 0 {
-			r.violate("inside", fmt.Sprintf("%s counted %v broken invariants", m.ID(), counters.InvariantFailures))
+			r.recordViolation("inside", fmt.Sprintf("%s counted %v broken invariants", m.ID(), counters.InvariantFailures))
 		}
 	}
 	return nil
@@ -330,7 +330,7 @@
 	r.Unknown = summary.Unknown + summary.CutOff
 }
 
-func pause(ctx context.Context, wait time.Duration) error {
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
