--- a/bench/internal/soak/act.go
+++ b/bench/internal/soak/act.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// act carries one event out; it returns when the event is over.
+// applyEvent executes one event and returns when the event is over.
 func (r *run) applyEvent(ctx context.Context, event Event) error {
 	switch event.Kind {
 	case killHost:
@@ -76,7 +76,7 @@
 	listDown:  {Down: true},
 }
 
-// knobs sets faults, waits, and sets the zero value.
+// withFaults sets faults, waits for length and resets them to the zero value.
 func withFaults[F any](ctx context.Context, set func(F) error, faults F, length time.Duration) error {
 	if err := set(faults); err != nil {
 		return err
@@ -90,6 +90,7 @@
 
 func (r *run) entry(event Event) *deployment.Member { return r.deployment.Entries()[event.Target] }
 
+// killAndRestart kills the member and restarts it after length.
 func (r *run) killAndRestart(ctx context.Context, m *deployment.Member, length time.Duration) error {
 	if err := r.deployment.Kill(ctx, m); err != nil {
 		return err
@@ -100,7 +101,8 @@
 	return r.deployment.Restart(ctx, m)
 }
 
-// leaveAndRestart asks the member to leave, which must end cleanly.
+// leaveAndRestart lists the member as leaving, terminates it and restarts it
+// after length. An unclean exit is recorded as a violation.
 func (r *run) leaveAndRestart(ctx context.Context, m *deployment.Member, length time.Duration) error {
 	if err := r.deployment.ListLeaving(ctx, m); err != nil {
 		return err
@@ -117,6 +119,7 @@
 	return errors.Join(r.deployment.List(ctx, m), r.deployment.Restart(ctx, m))
 }
 
+// pauseAndResume stops the member's process for length without ending it.
 func pauseAndResume(ctx context.Context, m *deployment.Member, length time.Duration) error {
 	if err := m.Pause(); err != nil {
 		return err
@@ -125,14 +128,16 @@
 	return errors.Join(m.Resume(), waitErr)
 }
 
+// serviceFaults makes one service slow and lose requests and replies.
 func (r *run) serviceFaults(ctx context.Context, event Event) error {
 	m := r.deployment.Services()[event.Target]
 	set := func(f deployment.ServiceFaults) error { return r.deployment.SetServiceFaults(ctx, m, f) }
 	return withFaults(ctx, set, deployment.ServiceFaults{LoseReply: 0.2, FailBeforeRun: 0.2, SlowFactor: 2}, event.Length)
 }
 
-// changeDocument submits a change; a refusal is no fault, for the service may
-// be down. The callers learn of a version before it can answer them.
+// changeDocument submits a changed document. A rejected submission is not an
+// error, because the service may be down. The load is told about a new version
+// before any host can answer with it.
 func (r *run) changeDocument(ctx context.Context, kind Kind) error {
 	r.documentMu.Lock()
 	defer r.documentMu.Unlock()
@@ -166,8 +171,8 @@
 	return r.submit(ctx, base, next)
 }
 
-// submit notes what was accepted. Where the reply is lost, what is in force
-// settles it later: the last accepted document must win.
+// submit submits a document and records it if it was accepted. If the reply is
+// lost, the document in force decides later: the last accepted one must win.
 func (r *run) submit(ctx context.Context, base uint32, next deployment.Desired) error {
 	_, err := r.deployment.Submit(ctx, r.submissionEntry(), base, r.deployment.Document(next), "comfreybench soak")
 	if err == nil {
@@ -177,8 +182,8 @@
 	return nil
 }
 
-// submitTwo submits two documents over one base at the same moment: at most
-// one may be accepted.
+// submitConcurrently submits two documents based on the same revision at the
+// same time. At most one may be accepted.
 func (r *run) submitConcurrently(ctx context.Context, base uint32) error {
 	entries := r.deployment.Entries()
 	var accepted [2]bool
@@ -206,7 +211,8 @@
 	return nil
 }
 
-// limited returns the customers with another limit of the first one.
+// withLimit returns a copy of customers in which the first one's request rate
+// limit is 1000 + limit per second.
 func withLimit(customers []deployment.Customer, limit int) []deployment.Customer {
 	const base = 1000
 	out := append([]deployment.Customer(nil), customers...)
--- a/bench/internal/soak/document.go
+++ b/bench/internal/soak/document.go
@@ -8,10 +8,11 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// errNoEntry: no entry answers operators.
+// errNoEntry reports that no entry answered an operator request.
 var errNoEntry = errors.New("no entry answers operators")
 
-// inForce asks every entry that answers and returns the newest document.
+// newestDocument queries every entry and returns the document with the highest
+// revision. It fails only if no entry answers.
 func (r *run) newestDocument(ctx context.Context) (revision uint32, doc *wire.Document, err error) {
 	err = errNoEntry
 	for _, m := range r.deployment.Entries() {
@@ -23,7 +24,8 @@
 	return revision, doc, err
 }
 
-// anyEntry returns an entry to submit to, another each time.
+// submissionEntry returns the entry that receives the next submission. The
+// choice rotates with r.seed, which each publication increments.
 func (r *run) submissionEntry() *deployment.Member {
 	entries := r.deployment.Entries()
 	return entries[int(r.seed)%len(entries)]
--- a/bench/internal/soak/plan.go
+++ b/bench/internal/soak/plan.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Kind names one kind of event.
+// Kind is the type of an event, as printed in plans and histories.
 type Kind string
 
-// The kinds of event of a run.
+// Event kinds.
 const (
 	killHost       Kind = "killHost"
 	killEntry      Kind = "killEntry"
@@ -38,29 +38,31 @@
 	newLimits      Kind = "newLimits"
 	twoOperators   Kind = "twoOperators"
 	noTarget            = -1
-	planSeedStream      = 7 // keeps the plan's numbers apart from the load's
+	planSeedStream      = 7 // separates the plan's random numbers from the load's
 )
 
-// target says what an event strikes.
+// targetKind is the kind of component that an event affects.
 type targetKind int
 
 const (
-	targetDeployment targetKind = iota // the platform or the document
+	targetDeployment targetKind = iota // the platform services or the document
 	targetEntry
 	targetHost
 	targetService
 )
 
-// knob holds events that set the same knobs: one of them lasts at a time,
-// because the end of one would end the other too.
+// exclusionGroup names a set of events that change the same fault settings.
+// Only one event of a group is active at a time, because the end of one resets
+// the settings and would end the other too.
 type exclusionGroup string
 
-// rule is how one kind of event is drawn.
+// eventRule defines how often one kind of event is drawn, its target and its
+// length.
 type eventRule struct {
 	kind   Kind
 	target targetKind
 	weight int
-	// shortest and longest bound how long it lasts.
+	// minLength and maxLength bound the event's length, inclusively.
 	minLength, maxLength time.Duration
 	group                exclusionGroup
 }
@@ -94,9 +96,9 @@
 	{twoOperators, targetDeployment, 4, time.Second, time.Second, "document"},
 }
 
-// Event is one thing that happens to the deployment.
+// Event is one planned fault or document change.
 type Event struct {
-	At     time.Duration // since the start
+	At     time.Duration // offset from the start of the run
 	Kind   Kind
 	Target int // index among entries, hosts or services; noTarget for the deployment
 	Length time.Duration
@@ -110,19 +112,20 @@
 	return fmt.Sprintf("%.1fs %s %d for %.1fs", e.At.Seconds(), e.Kind, e.Target, e.Length.Seconds())
 }
 
-// Sizes count what events can strike.
+// Sizes holds the number of possible targets of each kind.
 type Sizes struct {
 	Entries, Hosts, Services int
 }
 
-// Bounds of what is struck at a time: the deployment must be able to serve.
+// Limits on the rate of faults, so that the deployment remains able to serve.
 const (
 	meanInterval = 900 * time.Millisecond
-	// recovery is what a target gets to come back before it is struck again.
+	// recovery is the time a target has to recover before its next event.
 	recovery = 3 * time.Second
 )
 
-// planner draws events; busy holds until when a target or knob is taken.
+// planner draws random events. busyUntil holds the time until which a target or
+// exclusion group accepts no further event.
 type planner struct {
 	rng       *rand.Rand
 	sizes     Sizes
@@ -141,12 +144,14 @@
 	return events
 }
 
+// nextInterval draws the time to the next event, exponentially distributed
+// around meanInterval.
 func (p *planner) nextInterval() time.Duration {
 	return time.Duration(p.rng.ExpFloat64() * float64(meanInterval))
 }
 
-// draw returns no event where its target is still struck by another, or too
-// many of its kind are.
+// drawEvent draws the event at the given time. It returns false if the target or
+// exclusion group is still busy, or if too many targets of that kind are.
 func (p *planner) drawEvent(at time.Duration) (Event, bool) {
 	rule := p.drawRule()
 	length := rule.minLength + time.Duration(p.rng.Int64N(int64(rule.maxLength-rule.minLength)+1))
@@ -163,6 +168,7 @@
 	return event, true
 }
 
+// drawRule picks a rule at random, in proportion to the weights.
 func (p *planner) drawRule() eventRule {
 	totalWeight := 0
 	for _, candidate := range eventRules {
@@ -177,6 +183,7 @@
 	return eventRules[len(eventRules)-1]
 }
 
+// targetCount returns the number of targets of a kind.
 func (p *planner) targetCount(of targetKind) int {
 	switch of {
 	case targetEntry:
@@ -190,7 +197,8 @@
 	return 1
 }
 
-// most is how many targets of a kind may be struck at once: under half.
+// maxAffected returns how many targets of a kind may be affected at once: fewer
+// than half, but at least one.
 func (p *planner) maxAffected(of targetKind) int {
 	if of == targetDeployment {
 		return len(eventRules)
@@ -198,6 +206,7 @@
 	return max(1, (p.targetCount(of)-1)/2)
 }
 
+// affectedCount returns how many targets of a kind are busy at the given time.
 func (p *planner) affectedCount(of targetKind, at time.Duration) int {
 	count := 0
 	for i := range p.targetCount(of) {
@@ -208,7 +217,7 @@
 	return count
 }
 
-// DefaultPlan returns the events that Run lets happen.
+// DefaultPlan returns the events that Run executes.
 func DefaultPlan(seed uint64, length time.Duration) []Event {
 	return Plan(seed, length, Sizes{Entries: entryCount, Hosts: hostCount, Services: serviceCount})
 }
--- a/bench/internal/soak/plan_test.go
+++ b/bench/internal/soak/plan_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestPlanRepeats checks that a plan depends only on its arguments and that an
+// hour's plan has events of every kind.
 func TestPlanRepeats(t *testing.T) {
 	sizes := Sizes{Entries: 9, Hosts: 9, Services: 2}
 	first, second := Plan(3, time.Hour, sizes), Plan(3, time.Hour, sizes)
@@ -24,8 +26,8 @@
 	}
 }
 
-// Symptom: a run fails because nobody was left to serve. Sequence: faults
-// strike most hosts at once. Cause: faults were drawn without a bound.
+// Guards against runs that fail because no host is left to serve: without a
+// limit on simultaneous faults, a plan could affect most hosts at once.
 func TestPlanLimitsAffectedHosts(t *testing.T) {
 	sizes := Sizes{Entries: 9, Hosts: 9, Services: 2}
 	events := Plan(5, time.Hour, sizes)
@@ -40,7 +42,7 @@
 			}
 		}
 		if got, limit := len(hosts), (sizes.Hosts-1)/2; got > limit {
-			t.Fatalf("hosts struck at %v: got %d, want at most %d", event.At, got, limit)
+			t.Fatalf("hosts affected at %v: got %d, want at most %d", event.At, got, limit)
 		}
 	}
 }
--- a/bench/internal/soak/run.go
+++ b/bench/internal/soak/run.go
@@ -1,5 +1,5 @@
-// Package soak lets random faults happen to a deployment under load and checks the
-// invariants from the callers' and the back ends' own records.
+// Package soak injects random faults into a deployment under load and checks its
+// invariants against the records of the callers and of the back ends.
 package soak
 
 import (
@@ -16,7 +16,7 @@
 	"comfreyrelay.example/bench/internal/follow"
 )
 
-// The deployment and its load.
+// Parameters of the deployment and of its load.
 const (
 	entryCount            = 9
 	hostCount             = 9
@@ -24,7 +24,7 @@
 	customerCount         = 6
 	modelMiB              = 2
 	chunkKiB              = 64
-	changedFraction       = 0.3 // of the chunks, from one version to the next
+	changedFraction       = 0.3 // fraction of the chunks that differ between versions
 	loadRate              = 60
 	answerTokens          = 24
 	engineSlots           = 8
@@ -35,29 +35,29 @@
 	serviceFraction       = 0.2
 )
 
-// Bounds of the phases around the faults.
+// Timeouts of the phases around the faults.
 const (
 	startTimeout = 40 * time.Second
-	// endLimit bounds the return of all that was struck and the convergence.
+	// convergeTimeout covers the recovery of all targets and the convergence.
 	convergeTimeout = 60 * time.Second
-	// leaveLimit is longer than an agent's drain, its lingering included.
+	// leaveTimeout is longer than an agent's drain including its linger time.
 	leaveTimeout = 30 * time.Second
 )
 
 // Options configure a run.
 type Options struct {
-	// Bin is the directory of the built programs.
+	// Bin is the directory that contains the built programs.
 	Bin string
 	// ProcessLog receives the processes' logs.
 	ProcessLog io.Writer
 	Log        *slog.Logger
 	Progress   io.Writer
 	Seed       uint64
-	// Length is how long faults happen.
+	// Length is the duration of the load and of the fault injection.
 	Length time.Duration
 }
 
-// Result is the run's JSON line.
+// Result is the summary of a run, printed as one line of JSON.
 type Result struct {
 	Bench    string  `json:"bench"`
 	Seed     uint64  `json:"seed"`
@@ -65,30 +65,31 @@
 	Requests int     `json:"requests"`
 	Answered int     `json:"answered"`
 	NotRun   int     `json:"notRun"`
-	// Unknown holds answers that the death of their entry cut short.
+	// Unknown counts requests without a known outcome, including answers cut
+	// short because their entry died.
 	Unknown    int `json:"unknown"`
 	Faults     int `json:"faults"`
 	Documents  int `json:"documents"`
 	Violations int `json:"violations"`
-	// First is the first violation with the events before it.
+	// First is the first violation and the events that preceded it.
 	First *History `json:"first,omitempty"`
-	// ConvergeSeconds is from the end of the faults until all serve the last
-	// document's version.
+	// ConvergeSeconds is the time from the end of the faults until every host
+	// serves the last document's version and every node has that document.
 	ConvergeSeconds float64 `json:"convergeSeconds"`
-	// Lost counts back ends whose record could not be read.
+	// Lost counts back ends whose records could not be read.
 	Lost int `json:"lost"`
-	// Error says why the run did not come to its end.
+	// Error is the reason why the run did not complete.
 	Error string `json:"error,omitempty"`
 }
 
-// History is one violation and what happened before.
+// History is a violation and the events that started before it.
 type History struct {
 	Kind   string   `json:"kind"`
 	Detail string   `json:"detail"`
 	Events []string `json:"events"`
 }
 
-// run is one soak.
+// run holds the state of one soak run.
 type run struct {
 	options    Options
 	deployment *deployment.Deployment
@@ -96,9 +97,9 @@
 	follower   *follow.Follower
 	pending    sync.WaitGroup
 
-	documentMu        sync.Mutex // guards the fields of the document, and its changes
+	documentMu        sync.Mutex // serializes document changes and guards the fields down to seed
 	desired           deployment.Desired
-	previousVersion   string // version before the desired one
+	previousVersion   string // the version that desired.Version replaced
 	limitIncrement    int
 	acceptedDocuments int
 	seed              uint64
@@ -107,10 +108,10 @@
 	startedEvents []string
 	violations    int
 	first         *History
-	harnessErr    error // of what the harness itself could not do
+	harnessErr    error // errors of the harness itself, such as failed fault injection
 }
 
-// Run runs one soak.
+// Run starts a deployment, applies load and faults, and checks the invariants.
 func Run(ctx context.Context, options Options) (Result, error) {
 	result := Result{Bench: "soak", Seed: options.Seed, Seconds: options.Length.Seconds()}
 	r := &run{options: options, seed: options.Seed}
@@ -128,6 +129,7 @@
 	return result, errors.Join(err, r.harnessErr)
 }
 
+// start starts the deployment and waits until it answers requests.
 func (r *run) start(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -153,6 +155,8 @@
 	return nil
 }
 
+// deployFirstVersion publishes the first version, submits a document that
+// selects it and waits until requests are answered.
 func (r *run) deployFirstVersion(ctx context.Context) error {
 	if err := r.deployment.WaitRoutable(ctx); err != nil {
 		return err
@@ -171,7 +175,7 @@
 	return r.deployment.WaitAnswering(ctx, r.desired.Customers[0])
 }
 
-// publish makes the next version from the one that is desired.
+// publish publishes a new version derived from the desired one, if any.
 func (r *run) publish(ctx context.Context) (string, error) {
 	r.seed++
 	pub := deployment.Publication{Model: deployment.ModelName, Mib: modelMiB, ChunkKib: chunkKiB, Seed: r.seed}
@@ -182,7 +186,8 @@
 	return made.Version, err
 }
 
-// strike runs the load and the plan's events to their end.
+// runFaults runs the load and the planned events to their end, checks the load's
+// results and waits for convergence.
 func (r *run) runFaults(ctx context.Context, result *Result) error {
 	var err error
 	r.load, err = r.deployment.StartLoad(ctx, deployment.LoadOptions{
@@ -220,7 +225,8 @@
 	return r.converge(ctx, result)
 }
 
-// begin starts an event and does not wait for its end.
+// startEvent starts an event in the background. An error of the event goes to
+// harnessErr.
 func (r *run) startEvent(ctx context.Context, event Event) {
 	r.options.Log.Info("event", "event", event.String())
 	r.mu.Lock()
@@ -235,7 +241,7 @@
 	})
 }
 
-// violate counts a broken invariant and keeps the first one's history.
+// recordViolation counts a violated invariant and keeps the history of the first.
 func (r *run) recordViolation(kind, detail string) {
 	r.options.Log.Error("invariant broke", "kind", kind, "detail", detail)
 	r.mu.Lock()
@@ -246,8 +252,8 @@
 	}
 }
 
-// converge waits, with all faults gone, until every host serves the last
-// accepted document's version.
+// converge runs after all faults have ended. It waits until every host serves
+// the last accepted document's version and every node has that document.
 func (r *run) converge(ctx context.Context, result *Result) error {
 	ctx, cancel := context.WithTimeout(ctx, convergeTimeout)
 	defer cancel()
@@ -269,7 +275,7 @@
 	return nil
 }
 
-// judge compares the records once all is over.
+// checkRecords compares the records of callers and back ends after the run.
 func (r *run) checkRecords(ctx context.Context, result *Result) error {
 	ledgers := audit.Collect(ctx, r.deployment)
 	found, err := audit.CompareFile(r.load, ledgers.Runs, r.deployment, requestDeadline)
@@ -292,6 +298,7 @@
 	return r.checkMembers(ctx)
 }
 
+// checkLoad records the wrong and contradictory answers that callers received.
 func (r *run) checkLoad(summary deployment.LoadSummary) {
 	wrong := summary.WrongAnswer + summary.WrongVersion + summary.Contradicted
 	if wrong == 0 {
@@ -309,7 +316,7 @@
 	}
 }
 
-// judgeMembers reads the invariants that the programs assert inside.
+// checkMembers reads each program's own count of failed invariant checks.
 func (r *run) checkMembers(ctx context.Context) error {
 	for _, m := range r.deployment.Members() {
 		counters, err := r.deployment.Counters(ctx, m)
@@ -323,6 +330,7 @@
 	return nil
 }
 
+// addLoad copies the load's request counts into the result.
 func (r *Result) addLoad(summary deployment.LoadSummary) {
 	r.Requests = summary.Requests
 	r.Answered = summary.Answered
@@ -330,6 +338,7 @@
 	r.Unknown = summary.Unknown + summary.CutOff
 }
 
+// sleep waits for the given time or until ctx is done.
 func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
