--- a/bench/internal/e2e/e2e_test.go
+++ b/bench/internal/e2e/e2e_test.go
@@ -15,17 +15,17 @@
 
 const (
 	// binVariable names the directory of the built programs; make sets it.
-	binVariable = "COMFREY_BIN"
-	scripts     = "../../../test"
+	binEnv    = "COMFREY_BIN"
+	scriptDir = "../../../test"
 	// awaitLimit bounds one wait for a line of output; the machine may be busy.
-	awaitLimit = 90 * time.Second
-	awaitPause = 50 * time.Millisecond
+	awaitTimeout  = 90 * time.Second
+	awaitInterval = 50 * time.Millisecond
 )
 
 var programs = []string{"comfreyentry", "comfreyagent", "comfreyctl", "comfreystandin", "comfreybench"}
 
 func TestScripts(t *testing.T) {
-	bin := os.Getenv(binVariable)
+	bin := os.Getenv(binEnv)
 	if bin == "" {
 		t.Skip("the programs are not built: run make test")
 	}
@@ -34,11 +34,11 @@
 	// for new programs.
 	for _, name := range programs {
 		if _, err := os.Stat(filepath.Join(bin, name)); err != nil {
-			t.Fatalf("programs in %s: got %v, want them built by make build", binVariable, err)
+			t.Fatalf("programs in %s: got %v, want them built by make build", binEnv, err)
 		}
 	}
 	testscript.Run(t, testscript.Params{
-		Dir: scripts,
+		Dir: scriptDir,
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("PATH", bin+string(os.PathListSeparator)+env.Getenv("PATH"))
 			env.Setenv("BIN", bin)
@@ -60,13 +60,13 @@
 	want, err := regexp.Compile("(?m)" + args[1])
 	ts.Check(err)
 	name := ts.MkAbs(args[0])
-	for end := time.Now().Add(awaitLimit); time.Now().Before(end); time.Sleep(awaitPause) {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(awaitInterval) {
 		text, err := os.ReadFile(name)
 		if err == nil && want.Match(text) {
 			return
 		}
 	}
-	ts.Fatalf("%s: got no line like %q within %v", args[0], args[1], awaitLimit)
+	ts.Fatalf("%s: got no line like %q within %v", args[0], args[1], awaitTimeout)
 }
 
 // jsonEnv sets variables from a JSON file: jsonenv file NAME=path.0.to.value.
@@ -83,12 +83,12 @@
 }
 
 func lookUp(ts *testscript.TestScript, body any, path string) string {
-	for step := range strings.SplitSeq(path, ".") {
+	for key := range strings.SplitSeq(path, ".") {
 		switch at := body.(type) {
 		case map[string]any:
-			body = at[step]
+			body = at[key]
 		case []any:
-			i, err := strconv.Atoi(step)
+			i, err := strconv.Atoi(key)
 			ts.Check(err)
 			if i >= len(at) {
 				ts.Fatalf("%s: got %d items, want more than %d", path, len(at), i)
--- a/bench/internal/protocols/curl_test.go
+++ b/bench/internal/protocols/curl_test.go
@@ -23,22 +23,22 @@
 	input string // expanded here-document; empty for none
 }
 
-var errShell = errors.New("the page's command is not understood")
+var errUnsupportedShell = errors.New("the page's command is not understood")
 
 // commands cuts a script into commands and expands them, with the files as
 // they are by then.
 func (s *shell) commands(script string, run func(command) error) error {
 	for rest := script; strings.TrimSpace(rest) != ""; {
-		words, document, left, err := s.words(rest)
+		words, delimiter, remaining, err := s.words(rest)
 		if err != nil {
 			return err
 		}
-		rest = left
+		rest = remaining
 		next := command{words: words}
-		if document != "" {
-			text, after, found := strings.Cut("\n"+rest, "\n"+document+"\n")
+		if delimiter != "" {
+			text, after, found := strings.Cut("\n"+rest, "\n"+delimiter+"\n")
 			if !found {
-				return fmt.Errorf("%w: no end of the here-document %s", errShell, document)
+				return fmt.Errorf("%w: no end of the here-document %s", errUnsupportedShell, delimiter)
 			}
 			rest = after
 			if next.input, err = s.expand(strings.TrimPrefix(text, "\n") + "\n"); err != nil {
@@ -56,7 +56,7 @@
 }
 
 // words reads the words of one command line; document is the word behind "<<".
-func (s *shell) words(text string) (words []string, document, rest string, err error) {
+func (s *shell) words(text string) (words []string, delimiter, rest string, err error) {
 	var word strings.Builder
 	inWord := false
 	flush := func() {
@@ -70,14 +70,14 @@
 		switch char := text[i]; char {
 		case '\n':
 			flush()
-			words, document = cutDocument(words)
-			return words, document, text[i+1:], nil
+			words, delimiter = cutHeredoc(words)
+			return words, delimiter, text[i+1:], nil
 		case ' ':
 			flush()
 		case '\'', '"':
 			end := strings.IndexByte(text[i+1:], char)
 			if end < 0 {
-				return nil, "", "", fmt.Errorf("%w: a quote without its end", errShell)
+				return nil, "", "", fmt.Errorf("%w: a quote without its end", errUnsupportedShell)
 			}
 			inner := text[i+1 : i+1+end]
 			if char == '"' {
@@ -89,7 +89,7 @@
 			inWord = true
 			i += end + 1
 		case '$':
-			name := variable.FindString(text[i:])
+			name := variablePattern.FindString(text[i:])
 			value, err := s.expand(name)
 			if err != nil {
 				return nil, "", "", err
@@ -98,55 +98,55 @@
 			inWord = true
 			i += max(len(name)-1, 0)
 		case '\\', '|', ';', '`', '&', '(':
-			return nil, "", "", fmt.Errorf("%w: %q", errShell, char)
+			return nil, "", "", fmt.Errorf("%w: %q", errUnsupportedShell, char)
 		default:
 			word.WriteByte(char)
 			inWord = true
 		}
 	}
 	flush()
-	words, document = cutDocument(words)
-	return words, document, "", nil
+	words, delimiter = cutHeredoc(words)
+	return words, delimiter, "", nil
 }
 
-func cutDocument(words []string) (rest []string, document string) {
+func cutHeredoc(words []string) (rest []string, delimiter string) {
 	if len(words) == 0 {
 		return words, ""
 	}
-	document, found := strings.CutPrefix(words[len(words)-1], "<<")
+	delimiter, found := strings.CutPrefix(words[len(words)-1], "<<")
 	if !found {
 		return words, ""
 	}
-	return words[:len(words)-1], document
+	return words[:len(words)-1], delimiter
 }
 
 var (
-	variable    = regexp.MustCompile(`^\$[A-Z_]+`)
-	replaceable = regexp.MustCompile(`\$\(cat [a-z.]+\)|\$[A-Z_]+`)
+	variablePattern  = regexp.MustCompile(`^\$[A-Z_]+`)
+	expansionPattern = regexp.MustCompile(`\$\(cat [a-z.]+\)|\$[A-Z_]+`)
 )
 
 // expand replaces variables and $(cat file).
 func (s *shell) expand(text string) (string, error) {
-	var failed error
-	out := replaceable.ReplaceAllStringFunc(text, func(match string) string {
+	var expandErr error
+	out := expansionPattern.ReplaceAllStringFunc(text, func(match string) string {
 		if name, isFile := strings.CutPrefix(match, "$(cat "); isFile {
 			content, found := s.files[strings.TrimSuffix(name, ")")]
 			if !found {
-				failed = fmt.Errorf("%w: no file for %s", errShell, match)
+				expandErr = fmt.Errorf("%w: no file for %s", errUnsupportedShell, match)
 			}
 			return content
 		}
 		value, found := s.vars(match[1:])
 		if !found {
-			failed = fmt.Errorf("%w: no variable %s", errShell, match)
+			expandErr = fmt.Errorf("%w: no variable %s", errUnsupportedShell, match)
 		}
 		return value
 	})
-	return out, failed
+	return out, expandErr
 }
 
 // write carries out "cat >file"; done is false for another command.
-func (s *shell) write(cmd command) (done bool) {
+func (s *shell) writeFile(cmd command) (handled bool) {
 	if cmd.words[0] != "cat" || len(cmd.words) != 2 || !strings.HasPrefix(cmd.words[1], ">") {
 		return false
 	}
@@ -157,7 +157,7 @@
 // request turns a curl command into what it would send.
 func (s *shell) request(cmd command) (*http.Request, error) {
 	if cmd.words[0] != "curl" {
-		return nil, fmt.Errorf("%w: %s", errShell, cmd.words[0])
+		return nil, fmt.Errorf("%w: %s", errUnsupportedShell, cmd.words[0])
 	}
 	method, address, data, hasData := http.MethodGet, "", "", false
 	header := http.Header{}
@@ -165,7 +165,7 @@
 		word := cmd.words[i]
 		if !strings.HasPrefix(word, "-") {
 			if address != "" {
-				return nil, fmt.Errorf("%w: two addresses", errShell)
+				return nil, fmt.Errorf("%w: two addresses", errUnsupportedShell)
 			}
 			address = word
 			continue
@@ -175,25 +175,25 @@
 		}
 		i++
 		if i == len(cmd.words) {
-			return nil, fmt.Errorf("%w: nothing behind %s", errShell, word)
+			return nil, fmt.Errorf("%w: nothing behind %s", errUnsupportedShell, word)
 		}
 		switch value := cmd.words[i]; word {
 		case "-H":
 			name, text, found := strings.Cut(value, ": ")
 			if !found {
-				return nil, fmt.Errorf("%w: header %q", errShell, value)
+				return nil, fmt.Errorf("%w: header %q", errUnsupportedShell, value)
 			}
 			header.Add(name, text)
 		case "-X":
 			method = value
 		case "-d":
-			text, err := s.data(cmd, value)
+			text, err := s.curlData(cmd, value)
 			if err != nil {
 				return nil, err
 			}
 			data, hasData = text, true
 		default:
-			return nil, fmt.Errorf("%w: option %s", errShell, word)
+			return nil, fmt.Errorf("%w: option %s", errUnsupportedShell, word)
 		}
 	}
 	if hasData && method == http.MethodGet {
@@ -211,7 +211,7 @@
 }
 
 // data returns the body that -d names; curl leaves out line breaks of files.
-func (s *shell) data(cmd command, value string) (string, error) {
+func (s *shell) curlData(cmd command, value string) (string, error) {
 	name, isFile := strings.CutPrefix(value, "@")
 	if !isFile {
 		return value, nil
@@ -220,7 +220,7 @@
 	if name != "-" {
 		content, found := s.files[name]
 		if !found {
-			return "", fmt.Errorf("%w: no file %s", errShell, name)
+			return "", fmt.Errorf("%w: no file %s", errUnsupportedShell, name)
 		}
 		text = content
 	}
@@ -234,7 +234,7 @@
 		"curl -sN \"http://$ENTRY/v1/y?from=1&to=2\"\ncurl -X DELETE http://h/ -d '{\n  \"$KEY\": 1}'\n"
 	var got []string
 	err := s.commands(script, func(cmd command) error {
-		if s.write(cmd) {
+		if s.writeFile(cmd) {
 			return nil
 		}
 		req, err := s.request(cmd)
@@ -258,16 +258,16 @@
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	for _, wrong := range []string{"wget x\n", "curl --proxy x y\n", "curl 'x\n", "curl $NONE\n", "curl x | jq\n", "curl -d @none x\n", "cat >a <<END\n"} {
-		err := s.commands(wrong, func(cmd command) error {
-			if s.write(cmd) {
+	for _, script := range []string{"wget x\n", "curl --proxy x y\n", "curl 'x\n", "curl $NONE\n", "curl x | jq\n", "curl -d @none x\n", "cat >a <<END\n"} {
+		err := s.commands(script, func(cmd command) error {
+			if s.writeFile(cmd) {
 				return nil
 			}
 			_, err := s.request(cmd)
 			return err
 		})
-		if !errors.Is(err, errShell) {
-			t.Errorf("got %v for %q, want %v", err, wrong, errShell)
+		if !errors.Is(err, errUnsupportedShell) {
+			t.Errorf("got %v for %q, want %v", err, script, errUnsupportedShell)
 		}
 	}
 }
--- a/bench/internal/protocols/log_test.go
+++ b/bench/internal/protocols/log_test.go
@@ -6,18 +6,18 @@
 )
 
 // lineLog lets the deployment's processes write side by side.
-type lineLog struct {
+type syncBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lineLog) Write(text []byte) (int, error) {
+func (l *syncBuffer) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(text)
 }
 
-func (l *lineLog) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/bench/internal/protocols/page_test.go
+++ b/bench/internal/protocols/page_test.go
@@ -31,7 +31,7 @@
 // parsePage returns the page's examples in order. Each fence of shell text is
 // followed by a line "Answer <status>:" and a fence with the answer.
 func parsePage(text string) ([]example, error) {
-	var found []example
+	var examples []example
 	var fence, body []string // fence: language, nil outside
 	current := example{}
 	heading := ""
@@ -54,7 +54,7 @@
 					return nil, fmt.Errorf("line %d: an answer without its status", i+1)
 				}
 				current.format, current.answer = fence[0], text
-				found = append(found, current)
+				examples = append(examples, current)
 				current = example{}
 			}
 			fence = nil
@@ -71,7 +71,7 @@
 	if current.script != "" {
 		return nil, fmt.Errorf("line %d: %w", current.line, errNoAnswer)
 	}
-	return found, nil
+	return examples, nil
 }
 
 func readPage(t *testing.T) []example {
--- a/bench/internal/protocols/protocols_test.go
+++ b/bench/internal/protocols/protocols_test.go
@@ -22,14 +22,14 @@
 	// binVariable names the directory of the built programs; make sets it.
 	binVariable = "COMFREY_BIN"
 	// startLimit bounds the deployment's start; the machine may be busy.
-	startLimit = 3 * time.Minute
+	startTimeout = 3 * time.Minute
 	// callLimit bounds one command.
-	callLimit = 60 * time.Second
+	callTimeout = 60 * time.Second
 	// pause is between two looks while the deployment starts.
-	pause = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// maxAnswer bounds what is read of one answer, bytes.
-	maxAnswer = 4 << 20
-	entries   = 3
+	maxResponseBytes = 4 << 20
+	entryCount       = 3
 )
 
 // customer is the one that the page names.
@@ -37,7 +37,7 @@
 
 // client makes a connection for each command, as curl does.
 var client = &http.Client{
-	Timeout:       callLimit,
+	Timeout:       callTimeout,
 	Transport:     &http.Transport{DisableKeepAlives: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
@@ -45,14 +45,14 @@
 // Symptom: somebody writes a program by the page and gets other answers than it
 // shows. Cause: the page was written once, and the code went on.
 func TestPage(t *testing.T) {
-	bin := programs(t)
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	bin := programDir(t)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	log := new(lineLog)
-	started, version := start(ctx, t, bin, log)
-	page := newReader(started.Entries()[0].CallersAddress(), version)
+	log := new(syncBuffer)
+	started, version := startDeployment(ctx, t, bin, log)
+	runner := newExampleRunner(started.Entries()[0].CallersAddress(), version)
 	for _, shown := range readPage(t) {
-		page.try(t, shown)
+		runner.runExample(t, shown)
 	}
 	if t.Failed() {
 		t.Log("log of the deployment:\n" + log.String())
@@ -60,7 +60,7 @@
 }
 
 // programs returns the directory of the built programs.
-func programs(t *testing.T) string {
+func programDir(t *testing.T) string {
 	t.Helper()
 	bin := os.Getenv(binVariable)
 	if bin == "" {
@@ -74,17 +74,17 @@
 
 // start starts a deployment in which revision 1 is in force and every entry knows
 // every host and entry.
-func start(ctx context.Context, t *testing.T, bin string, log io.Writer) (*deployment.Deployment, string) {
+func startDeployment(ctx context.Context, t *testing.T, bin string, log io.Writer) (*deployment.Deployment, string) {
 	t.Helper()
 	started, err := deployment.Start(ctx, deployment.Config{
-		Bin: bin, Log: log, Places: deployment.Quetzal(), Entries: entries, Hosts: 3, Services: 1,
+		Bin: bin, Log: log, Places: deployment.Quetzal(), Entries: entryCount, Hosts: 3, Services: 1,
 		Engine: deployment.Engine{TokenInterval: time.Millisecond, FirstTokenTime: time.Millisecond, LoadTime: time.Millisecond},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(started.Stop)
-	made, err := started.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: 1, ChunkKib: 64, Seed: 1})
+	publication, err := started.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: 1, ChunkKib: 64, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	doc := started.Document(deployment.Desired{
-		Version: made.Version, Objective: deployment.ObjectiveTime, Customers: []deployment.Customer{customer}, MaxUnavailable: 1, Shift: "asHostsTurn",
+		Version: publication.Version, Objective: deployment.ObjectiveTime, Customers: []deployment.Customer{customer}, MaxUnavailable: 1, Shift: "asHostsTurn",
 	})
 	if _, err := started.Submit(ctx, started.Entries()[0], 0, doc, "first"); err != nil {
 		t.Fatal(err)
@@ -101,32 +101,32 @@
 		t.Fatal(err)
 	}
 	for _, entry := range started.Entries() {
-		if err := waitKnowing(ctx, entry.CallersAddress()); err != nil {
+		if err := waitForTopology(ctx, entry.CallersAddress()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return started, made.Version
+	return started, publication.Version
 }
 
 // waitKnowing waits until the entry knows the others, that every replica serves,
 // and a host for each service.
-func waitKnowing(ctx context.Context, entry string) error {
+func waitForTopology(ctx context.Context, entry string) error {
 	for {
-		err := knows(ctx, entry)
+		err := checkTopology(ctx, entry)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("entry %s: %w", entry, err)
-		case <-time.After(pause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-var errNotYet = errors.New("not yet")
+var errNotReady = errors.New("not yet")
 
-func knows(ctx context.Context, entry string) error {
+func checkTopology(ctx context.Context, entry string) error {
 	var directory struct {
 		Spares []string `json:"spares"`
 	}
@@ -147,9 +147,9 @@
 			return err
 		}
 	}
-	const nodes = entries + 4
-	if len(directory.Spares) != entries-1 || !rollout.Done || len(status.Nodes) != nodes {
-		return fmt.Errorf("%w: %d spares, rollout done %t, %d nodes", errNotYet, len(directory.Spares), rollout.Done, len(status.Nodes))
+	const nodes = entryCount + 4
+	if len(directory.Spares) != entryCount-1 || !rollout.Done || len(status.Nodes) != nodes {
+		return fmt.Errorf("%w: %d spares, rollout done %t, %d nodes", errNotReady, len(directory.Spares), rollout.Done, len(status.Nodes))
 	}
 	return nil
 }
@@ -165,7 +165,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("%w: status %d: %s", errNotYet, status, text)
+		return fmt.Errorf("%w: status %d: %s", errNotReady, status, text)
 	}
 	return json.Unmarshal([]byte(text), into)
 }
@@ -176,18 +176,18 @@
 		return 0, "", err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return res.StatusCode, string(body), err
 }
 
 // reader follows the page as a reader would.
-type reader struct {
+type exampleRunner struct {
 	shell *shell
 	vars  map[string]string
 }
 
-func newReader(entry, version string) *reader {
-	r := &reader{vars: map[string]string{
+func newExampleRunner(entry, version string) *exampleRunner {
+	r := &exampleRunner{vars: map[string]string{
 		"ENTRY":             entry,
 		"KEY":               customer.Key(),
 		"KEY_HASH":          deployment.KeyHash(customer.Key()),
@@ -200,7 +200,7 @@
 	return r
 }
 
-func (r *reader) variable(name string) (string, bool) {
+func (r *exampleRunner) variable(name string) (string, bool) {
 	if name == "ID" {
 		return uuid.Must(uuid.NewV7()).String(), true
 	}
@@ -209,12 +209,12 @@
 }
 
 // try runs an example and compares its last answer with the one shown.
-func (r *reader) try(t *testing.T, shown example) {
+func (r *exampleRunner) runExample(t *testing.T, shown example) {
 	t.Helper()
-	where := fmt.Sprintf("line %d (%s)", shown.line, shown.heading)
+	location := fmt.Sprintf("line %d (%s)", shown.line, shown.heading)
 	status, text := 0, ""
 	err := r.shell.commands(shown.script, func(cmd command) error {
-		if r.shell.write(cmd) {
+		if r.shell.writeFile(cmd) {
 			return nil
 		}
 		req, err := r.shell.request(cmd)
@@ -225,35 +225,35 @@
 		return err
 	})
 	if err != nil {
-		t.Errorf("%s: %v", where, err)
+		t.Errorf("%s: %v", location, err)
 		return
 	}
 	if status != shown.status {
-		t.Errorf("%s: got status %d, want %d: %s", where, status, shown.status, text)
+		t.Errorf("%s: got status %d, want %d: %s", location, status, shown.status, text)
 		return
 	}
 	answer, err := r.shell.expand(shown.answer)
 	if err != nil {
-		t.Errorf("%s: %v", where, err)
+		t.Errorf("%s: %v", location, err)
 		return
 	}
 	compare := compareJSON
 	if shown.format == "text" {
 		compare = compareEvents
 	}
-	wrong, err := compare(answer, text)
+	differences, err := compare(answer, text)
 	if err != nil {
-		t.Errorf("%s: %v", where, err)
+		t.Errorf("%s: %v", location, err)
 	}
-	for _, difference := range wrong {
-		t.Errorf("%s: %s", where, difference)
+	for _, difference := range differences {
+		t.Errorf("%s: %s", location, difference)
 	}
-	r.learn(shown, text)
+	r.updateVars(shown, text)
 }
 
 // learn takes over what the page says of the first answer: the entry to connect
 // to and the owner of once keys.
-func (r *reader) learn(shown example, text string) {
+func (r *exampleRunner) updateVars(shown example, text string) {
 	if !strings.Contains(shown.script, "/v1/entries") {
 		return
 	}
--- a/bench/internal/protocols/scenarios_test.go
+++ b/bench/internal/protocols/scenarios_test.go
@@ -18,61 +18,61 @@
 )
 
 // scenarios are an operator's days; those in the directory above run elsewhere.
-const scenarios = "../../../test/operators"
+const scenarioDir = "../../../test/operators"
 
 // awaitLimit bounds a wait for an output; the machine may be busy.
-const awaitLimit = 90 * time.Second
+const awaitTimeout = 90 * time.Second
 
 // wanted are the deployment and the weights that a scenario works on.
-type wanted struct {
+type scenarioEnv struct {
 	deployment *deployment.Deployment
 	version    string
 }
 
 func TestScenarios(t *testing.T) {
-	bin := programs(t)
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	bin := programDir(t)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	t.Cleanup(cancel) // the scripts run after this function returns
-	on := &wanted{}
-	on.start(ctx, t, bin)
+	scenario := &scenarioEnv{}
+	scenario.start(ctx, t, bin)
 	testscript.Run(t, testscript.Params{
-		Dir: scenarios,
+		Dir: scenarioDir,
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("PATH", bin+string(os.PathListSeparator)+env.Getenv("PATH"))
-			env.Setenv("ENTRY", on.deployment.Entries()[0].CallersAddress())
-			env.Setenv("OTHER", on.deployment.Entries()[1].CallersAddress())
+			env.Setenv("ENTRY", scenario.deployment.Entries()[0].CallersAddress())
+			env.Setenv("OTHER", scenario.deployment.Entries()[1].CallersAddress())
 			env.Setenv("OPERATOR_KEY", deployment.OperatorKey)
-			env.Setenv("VERSION", on.version)
+			env.Setenv("VERSION", scenario.version)
 			const mode = 0o600
 			return os.WriteFile(filepath.Join(env.WorkDir, "operator.key"), []byte(deployment.OperatorKey+"\n"), mode)
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
 			"awaits": awaits,
 			"exits":  exits,
-			"kv":     on.kv,
+			"kv":     scenario.kv,
 		},
 	})
 }
 
 // start starts a deployment in which no document is in force.
-func (w *wanted) start(ctx context.Context, t *testing.T, bin string) {
+func (w *scenarioEnv) start(ctx context.Context, t *testing.T, bin string) {
 	t.Helper()
 	started, err := deployment.Start(ctx, deployment.Config{
-		Bin: bin, Log: new(lineLog), Places: deployment.Quetzal(), Entries: entries, Hosts: 3,
+		Bin: bin, Log: new(syncBuffer), Places: deployment.Quetzal(), Entries: entryCount, Hosts: 3,
 		Engine: deployment.Engine{LoadTime: time.Millisecond},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(started.Stop)
-	made, err := started.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: 1, ChunkKib: 64, Seed: 1})
+	publication, err := started.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: 1, ChunkKib: 64, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := started.WaitRoutable(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.deployment, w.version = started, made.Version
+	w.deployment, w.version = started, publication.Version
 }
 
 // exits runs a program that has to end with the exit code given: exits code
@@ -85,11 +85,11 @@
 	ts.Check(err)
 	got := 0
 	if err := ts.Exec(args[1], args[2:]...); err != nil {
-		var ended *exec.ExitError
-		if !errors.As(err, &ended) {
+		var exitErr *exec.ExitError
+		if !errors.As(err, &exitErr) {
 			ts.Fatalf("%s: %v", args[1], err)
 		}
-		got = ended.ExitCode()
+		got = exitErr.ExitCode()
 	}
 	if got != want {
 		ts.Fatalf("%s: got exit %d, want %d", strings.Join(args[1:], " "), got, want)
@@ -104,21 +104,21 @@
 	}
 	want, err := regexp.Compile("(?m)" + args[0])
 	ts.Check(err)
-	for end := time.Now().Add(awaitLimit); time.Now().Before(end); time.Sleep(pause) {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		_ = ts.Exec(args[1], args[2:]...) // the output shows it
 		if want.MatchString(ts.ReadFile("stdout")) {
 			return
 		}
 	}
-	ts.Fatalf("%s: got no output like %q within %v", strings.Join(args[1:], " "), args[0], awaitLimit)
+	ts.Fatalf("%s: got no output like %q within %v", strings.Join(args[1:], " "), args[0], awaitTimeout)
 }
 
 // kv takes the key-value service down or up again: kv down|up.
-func (w *wanted) kv(ts *testscript.TestScript, neg bool, args []string) {
+func (w *scenarioEnv) kv(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 || (args[0] != "down" && args[0] != "up") {
 		ts.Fatalf("usage: kv down|up")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	ts.Check(w.deployment.SetKVFaults(ctx, deployment.KVFaults{Down: args[0] == "down"}))
 }
--- a/bench/internal/protocols/shape_test.go
+++ b/bench/internal/protocols/shape_test.go
@@ -8,40 +8,40 @@
 )
 
 // anyText in a shown text lets it stand for any text.
-const anyText = "..."
+const wildcard = "..."
 
 // compare returns where an answer differs from the one shown: a key that it
 // lacks, another kind of value, another text, true or false.
-func compare(at string, shown, got any) []string {
+func compareValue(path string, shown, got any) []string {
 	switch shown := shown.(type) {
 	case map[string]any:
 		got, ok := got.(map[string]any)
 		if !ok {
-			return differ(at, "an object", got)
+			return mismatch(path, "an object", got)
 		}
-		var wrong []string
+		var differences []string
 		for key, value := range shown {
 			found, ok := got[key]
 			if !ok {
-				wrong = append(wrong, at+"/"+key+": the answer lacks this key")
+				differences = append(differences, path+"/"+key+": the answer lacks this key")
 				continue
 			}
-			wrong = append(wrong, compare(at+"/"+key, value, found)...)
+			differences = append(differences, compareValue(path+"/"+key, value, found)...)
 		}
-		return wrong
+		return differences
 	case []any:
-		return compareList(at, shown, got)
+		return compareList(path, shown, got)
 	case string:
-		if got, ok := got.(string); !ok || (!strings.Contains(shown, anyText) && got != shown) {
-			return differ(at, shown, got)
+		if got, ok := got.(string); !ok || (!strings.Contains(shown, wildcard) && got != shown) {
+			return mismatch(path, shown, got)
 		}
 	case float64:
 		if _, ok := got.(float64); !ok {
-			return differ(at, "a number", got)
+			return mismatch(path, "a number", got)
 		}
 	default: // true, false, null
 		if got != shown {
-			return differ(at, shown, got)
+			return mismatch(path, shown, got)
 		}
 	}
 	return nil
@@ -49,23 +49,23 @@
 
 // compareList compares each item with the only one shown. An empty list shown
 // stands for an empty one.
-func compareList(at string, shown []any, got any) []string {
+func compareList(path string, shown []any, got any) []string {
 	items, ok := got.([]any)
 	if !ok {
-		return differ(at, "a list", got)
+		return mismatch(path, "a list", got)
 	}
 	if (len(shown) == 0) != (len(items) == 0) || len(shown) > 1 {
-		return differ(at, shown, got)
+		return mismatch(path, shown, got)
 	}
-	var wrong []string
+	var differences []string
 	for i, item := range items {
-		wrong = append(wrong, compare(fmt.Sprintf("%s/%d", at, i), shown[0], item)...)
+		differences = append(differences, compareValue(fmt.Sprintf("%s/%d", path, i), shown[0], item)...)
 	}
-	return wrong
+	return differences
 }
 
-func differ(at string, want, got any) []string {
-	return []string{fmt.Sprintf("%s: got %v, want %v", at, got, want)}
+func mismatch(path string, want, got any) []string {
+	return []string{fmt.Sprintf("%s: got %v, want %v", path, got, want)}
 }
 
 // compareJSON compares two JSON texts.
@@ -77,7 +77,7 @@
 	if err := json.Unmarshal([]byte(got), &gotValue); err != nil {
 		return nil, fmt.Errorf("the answer is no JSON: %w: %s", err, got)
 	}
-	return compare("", shownValue, gotValue), nil
+	return compareValue("", shownValue, gotValue), nil
 }
 
 // event is one server-sent event.
@@ -111,21 +111,21 @@
 		return nil, err
 	}
 	if len(shownEvents) != len(gotEvents) {
-		return differ("", shownEvents, gotEvents), nil
+		return mismatch("", shownEvents, gotEvents), nil
 	}
-	var wrong []string
+	var differences []string
 	for i, want := range shownEvents {
 		if gotEvents[i].name != want.name {
-			wrong = append(wrong, differ(want.name, want.name, gotEvents[i].name)...)
+			differences = append(differences, mismatch(want.name, want.name, gotEvents[i].name)...)
 			continue
 		}
-		more, err := compareJSON(want.data, gotEvents[i].data)
+		dataDifferences, err := compareJSON(want.data, gotEvents[i].data)
 		if err != nil {
 			return nil, err
 		}
-		wrong = append(wrong, more...)
+		differences = append(differences, dataDifferences...)
 	}
-	return wrong, nil
+	return differences, nil
 }
 
 func TestCompare(t *testing.T) {
