--- a/bench/internal/e2e/doc.go
+++ b/bench/internal/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e runs the built programs as a user would, by the scripts in
-// test/; it holds tests only.
+// Package e2e contains only tests. They run the built programs with the
+// testscript files in test/, as a user would run them.
 package e2e
--- a/bench/internal/e2e/e2e_test.go
+++ b/bench/internal/e2e/e2e_test.go
@@ -14,24 +14,27 @@
 )
 
 const (
-	// binVariable names the directory of the built programs; make sets it.
+	// binEnv names the environment variable, set by make, that holds the directory
+	// of the built programs.
 	binEnv    = "COMFREY_BIN"
 	scriptDir = "../../../test"
-	// awaitLimit bounds one wait for a line of output; the machine may be busy.
+	// awaitTimeout limits one await command. It is generous because the machine
+	// may be busy.
 	awaitTimeout  = 90 * time.Second
 	awaitInterval = 50 * time.Millisecond
 )
 
 var programs = []string{"comfreyentry", "comfreyagent", "comfreyctl", "comfreystandin", "comfreybench"}
 
+// TestScripts runs every script in scriptDir.
 func TestScripts(t *testing.T) {
 	bin := os.Getenv(binEnv)
 	if bin == "" {
 		t.Skip("the programs are not built: run make test")
 	}
-	// The Go command keeps a test's verdict while the files that it looked at
-	// stay the same: without a look at each program, an old verdict would stand
-	// for new programs.
+	// The go command caches a test result until a file that the test opened or
+	// checked changes. Without a Stat of each program, a cached result would be
+	// reported for newly built programs.
 	for _, name := range programs {
 		if _, err := os.Stat(filepath.Join(bin, name)); err != nil {
 			t.Fatalf("programs in %s: got %v, want them built by make build", binEnv, err)
@@ -52,7 +55,7 @@
 	})
 }
 
-// await waits until the file holds a match: await file regexp.
+// await implements "await file regexp": it waits until the file has a match.
 func await(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: await file regexp")
@@ -69,7 +72,8 @@
 	ts.Fatalf("%s: got no line like %q within %v", args[0], args[1], awaitTimeout)
 }
 
-// jsonEnv sets variables from a JSON file: jsonenv file NAME=path.0.to.value.
+// jsonEnv implements "jsonenv file NAME=path.0.to.value": it sets environment
+// variables to strings from a JSON file.
 func jsonEnv(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: jsonenv file NAME=path")
@@ -82,29 +86,30 @@
 	}
 }
 
+// lookUp returns the string at a dotted path of object keys and list indexes.
 func lookUp(ts *testscript.TestScript, body any, path string) string {
 	for key := range strings.SplitSeq(path, ".") {
-		switch at := body.(type) {
+		switch node := body.(type) {
 		case map[string]any:
-			body = at[key]
+			body = node[key]
 		case []any:
 			i, err := strconv.Atoi(key)
 			ts.Check(err)
-			if i >= len(at) {
-				ts.Fatalf("%s: got %d items, want more than %d", path, len(at), i)
+			if i >= len(node) {
+				ts.Fatalf("%s: got %d items, want more than %d", path, len(node), i)
 			}
-			body = at[i]
+			body = node[i]
 		}
 	}
 	text, ok := body.(string)
 	if !ok {
-		ts.Fatalf("%s: got %v, want a text", path, body)
+		ts.Fatalf("%s: got %v, want a string", path, body)
 	}
 	return text
 }
 
-// replace writes a copy of a file with every match replaced: replace from to
-// regexp text. Without a match it fails.
+// replace implements "replace from to regexp text": it writes a copy of file from
+// to file to with every match replaced. It fails if there is no match.
 func replace(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 4 {
 		ts.Fatalf("usage: replace from to regexp text")
--- a/bench/internal/protocols/curl_test.go
+++ b/bench/internal/protocols/curl_test.go
@@ -9,24 +9,24 @@
 	"testing"
 )
 
-// shell understands as much of the shell's language as the page uses: words
-// with quotes and variables, comments, "cat >file <<WORD" and "curl" with a
+// shell interprets the subset of shell syntax that the page uses: words with
+// quotes and variables, comments, "cat >file <<WORD" and "curl" with a
 // here-document.
 type shell struct {
 	vars  func(name string) (string, bool)
 	files map[string]string
 }
 
-// command is one line with its here-document.
+// command is one command line with its here-document.
 type command struct {
 	words []string
 	input string // expanded here-document; empty for none
 }
 
-var errUnsupportedShell = errors.New("the page's command is not understood")
+var errUnsupportedShell = errors.New("unsupported shell syntax")
 
-// commands cuts a script into commands and expands them, with the files as
-// they are by then.
+// commands splits a script into commands and calls run for each one. It expands a
+// command only after the previous ones ran, so that it sees the files they wrote.
 func (s *shell) commands(script string, run func(command) error) error {
 	for rest := script; strings.TrimSpace(rest) != ""; {
 		words, delimiter, remaining, err := s.words(rest)
@@ -38,7 +38,7 @@
 		if delimiter != "" {
 			text, after, found := strings.Cut("\n"+rest, "\n"+delimiter+"\n")
 			if !found {
-				return fmt.Errorf("%w: no end of the here-document %s", errUnsupportedShell, delimiter)
+				return fmt.Errorf("%w: unterminated here-document %s", errUnsupportedShell, delimiter)
 			}
 			rest = after
 			if next.input, err = s.expand(strings.TrimPrefix(text, "\n") + "\n"); err != nil {
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// words reads the words of one command line; document is the word behind "<<".
+// words splits off the first command line of text. It returns the line's words,
+// the here-document delimiter that follows "<<", if any, and the remaining text.
 func (s *shell) words(text string) (words []string, delimiter, rest string, err error) {
 	var word strings.Builder
 	inWord := false
@@ -77,7 +78,7 @@
 		case '\'', '"':
 			end := strings.IndexByte(text[i+1:], char)
 			if end < 0 {
-				return nil, "", "", fmt.Errorf("%w: a quote without its end", errUnsupportedShell)
+				return nil, "", "", fmt.Errorf("%w: unterminated quote", errUnsupportedShell)
 			}
 			inner := text[i+1 : i+1+end]
 			if char == '"' {
@@ -109,6 +110,7 @@
 	return words, delimiter, "", nil
 }
 
+// cutHeredoc splits a final "<<WORD" off the words of a command line.
 func cutHeredoc(words []string) (rest []string, delimiter string) {
 	if len(words) == 0 {
 		return words, ""
@@ -125,7 +127,7 @@
 	expansionPattern = regexp.MustCompile(`\$\(cat [a-z.]+\)|\$[A-Z_]+`)
 )
 
-// expand replaces variables and $(cat file).
+// expand replaces variables and $(cat file) by their values.
 func (s *shell) expand(text string) (string, error) {
 	var expandErr error
 	out := expansionPattern.ReplaceAllStringFunc(text, func(match string) string {
@@ -145,7 +147,7 @@
 	return out, expandErr
 }
 
-// write carries out "cat >file"; done is false for another command.
+// writeFile executes "cat >file" and reports false for any other command.
 func (s *shell) writeFile(cmd command) (handled bool) {
 	if cmd.words[0] != "cat" || len(cmd.words) != 2 || !strings.HasPrefix(cmd.words[1], ">") {
 		return false
@@ -154,7 +156,7 @@
 	return true
 }
 
-// request turns a curl command into what it would send.
+// request returns the request that a curl command would send.
 func (s *shell) request(cmd command) (*http.Request, error) {
 	if cmd.words[0] != "curl" {
 		return nil, fmt.Errorf("%w: %s", errUnsupportedShell, cmd.words[0])
@@ -165,7 +167,7 @@
 		word := cmd.words[i]
 		if !strings.HasPrefix(word, "-") {
 			if address != "" {
-				return nil, fmt.Errorf("%w: two addresses", errUnsupportedShell)
+				return nil, fmt.Errorf("%w: more than one URL", errUnsupportedShell)
 			}
 			address = word
 			continue
@@ -175,7 +177,7 @@
 		}
 		i++
 		if i == len(cmd.words) {
-			return nil, fmt.Errorf("%w: nothing behind %s", errUnsupportedShell, word)
+			return nil, fmt.Errorf("%w: no value for option %s", errUnsupportedShell, word)
 		}
 		switch value := cmd.words[i]; word {
 		case "-H":
@@ -210,7 +212,8 @@
 	return req, nil
 }
 
-// data returns the body that -d names; curl leaves out line breaks of files.
+// curlData returns the body given by -d. Like curl, it removes the line breaks of
+// a file.
 func (s *shell) curlData(cmd command, value string) (string, error) {
 	name, isFile := strings.CutPrefix(value, "@")
 	if !isFile {
@@ -227,6 +230,8 @@
 	return strings.ReplaceAll(text, "\n", ""), nil
 }
 
+// TestShell checks the requests built from a script and the rejection of syntax
+// that shell does not support.
 func TestShell(t *testing.T) {
 	s := &shell{files: map[string]string{}, vars: func(name string) (string, bool) { return "<" + name + ">", name != "NONE" }}
 	script := "cat >a.json <<END\n{\"v\":\n\"$VERSION\"}\nEND\n" +
--- a/bench/internal/protocols/doc.go
+++ b/bench/internal/protocols/doc.go
@@ -1,4 +1,4 @@
-// Package protocols runs the commands of docs/PROTOCOLS.md against a small
-// deployment and compares the answers with those shown, and the operators' scenarios
-// of test/operators; it holds tests only.
+// Package protocols contains only tests. They run the commands shown in
+// docs/PROTOCOLS.md against a small deployment and compare the answers with the
+// documented ones, and they run the operator scripts in test/operators.
 package protocols
--- a/bench/internal/protocols/log_test.go
+++ b/bench/internal/protocols/log_test.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// lineLog lets the deployment's processes write side by side.
+// syncBuffer collects the logs of the deployment's processes, which write
+// concurrently.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/bench/internal/protocols/page_test.go
+++ b/bench/internal/protocols/page_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// page is the description that is tested.
+// page is the path of the documentation under test.
 const page = "../../../docs/PROTOCOLS.md"
 
 // example is one command with the answer shown for it.
 type example struct {
-	line    int    // of the command's fence, from 1
+	line    int    // line of the command's opening fence, from 1
 	script  string // shell text
 	status  int    // HTTP status of the answer
 	format  string // "json" or "text": the fence's language
@@ -25,14 +25,14 @@
 
 var statusLine = regexp.MustCompile(`^Answer ([0-9]{3})\b.*:$`)
 
-// errNoAnswer: a command stands without the answer to expect.
+// errNoAnswer reports a command that has no documented answer.
 var errNoAnswer = errors.New("a command without an answer")
 
-// parsePage returns the page's examples in order. Each fence of shell text is
-// followed by a line "Answer <status>:" and a fence with the answer.
+// parsePage returns the page's examples in order. Each fenced block of shell text
+// must be followed by a line "Answer <status>:" and a fenced block with the answer.
 func parsePage(text string) ([]example, error) {
 	var examples []example
-	var fence, body []string // fence: language, nil outside
+	var fence, body []string // fence holds the block's language and is nil outside of blocks
 	current := example{}
 	heading := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -74,6 +74,7 @@
 	return examples, nil
 }
 
+// readPage reads and parses the page.
 func readPage(t *testing.T) []example {
 	t.Helper()
 	text, err := os.ReadFile(page)
@@ -87,6 +88,8 @@
 	return examples
 }
 
+// TestEveryCommandHasAnAnswer checks that parsePage rejects a command without an
+// answer and reads a complete example.
 func TestEveryCommandHasAnAnswer(t *testing.T) {
 	_, err := parsePage("```sh\ncurl a\n```\n\n```sh\ncurl b\n```\n")
 	if !errors.Is(err, errNoAnswer) {
@@ -102,7 +105,8 @@
 	}
 }
 
-// Each kind of call that the page must show stands in some command.
+// TestPageShowsEveryCall checks that some command on the page uses each kind of
+// call that it has to document.
 func TestPageShowsEveryCall(t *testing.T) {
 	var scripts strings.Builder
 	for _, shown := range readPage(t) {
--- a/bench/internal/protocols/protocols_test.go
+++ b/bench/internal/protocols/protocols_test.go
@@ -19,31 +19,33 @@
 )
 
 const (
-	// binVariable names the directory of the built programs; make sets it.
+	// binVariable names the environment variable, set by make, that holds the
+	// directory of the built programs.
 	binVariable = "COMFREY_BIN"
-	// startLimit bounds the deployment's start; the machine may be busy.
+	// startTimeout limits the deployment's start. It is generous because the
+	// machine may be busy.
 	startTimeout = 3 * time.Minute
-	// callLimit bounds one command.
+	// callTimeout limits one request.
 	callTimeout = 60 * time.Second
-	// pause is between two looks while the deployment starts.
+	// pollInterval is the time between two checks of a condition.
 	pollInterval = 50 * time.Millisecond
-	// maxAnswer bounds what is read of one answer, bytes.
+	// maxResponseBytes limits how much of a response body is read, in bytes.
 	maxResponseBytes = 4 << 20
 	entryCount       = 3
 )
 
-// customer is the one that the page names.
+// customer is the customer that the page uses.
 var customer = deployment.Customer{Name: "quetzal", Priority: 5}
 
-// client makes a connection for each command, as curl does.
+// client opens a new connection for each request, as curl does.
 var client = &http.Client{
 	Timeout:       callTimeout,
 	Transport:     &http.Transport{DisableKeepAlives: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Symptom: somebody writes a program by the page and gets other answers than it
-// shows. Cause: the page was written once, and the code went on.
+// TestPage guards against documentation that no longer matches the code, so that
+// a program written from the page gets different answers than the page shows.
 func TestPage(t *testing.T) {
 	bin := programDir(t)
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
@@ -59,7 +61,8 @@
 	}
 }
 
-// programs returns the directory of the built programs.
+// programDir returns the directory of the built programs and skips the test if
+// none is set.
 func programDir(t *testing.T) string {
 	t.Helper()
 	bin := os.Getenv(binVariable)
@@ -72,8 +75,8 @@
 	return bin
 }
 
-// start starts a deployment in which revision 1 is in force and every entry knows
-// every host and entry.
+// startDeployment starts a deployment in which revision 1 is in force and every
+// entry knows every host and entry. It also returns the published version.
 func startDeployment(ctx context.Context, t *testing.T, bin string, log io.Writer) (*deployment.Deployment, string) {
 	t.Helper()
 	started, err := deployment.Start(ctx, deployment.Config{
@@ -108,8 +111,8 @@
 	return started, publication.Version
 }
 
-// waitKnowing waits until the entry knows the others, that every replica serves,
-// and a host for each service.
+// waitForTopology waits until the entry reports the other entries, a finished
+// rollout and all nodes.
 func waitForTopology(ctx context.Context, entry string) error {
 	for {
 		err := checkTopology(ctx, entry)
@@ -124,8 +127,10 @@
 	}
 }
 
-var errNotReady = errors.New("not yet")
+var errNotReady = errors.New("deployment is not ready")
 
+// checkTopology returns an error while the entry reports an incomplete directory,
+// rollout or list of nodes.
 func checkTopology(ctx context.Context, entry string) error {
 	var directory struct {
 		Spares []string `json:"spares"`
@@ -154,6 +159,7 @@
 	return nil
 }
 
+// get decodes the JSON answer to an authorized GET request into a value.
 func get(ctx context.Context, address, key string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -170,6 +176,7 @@
 	return json.Unmarshal([]byte(text), into)
 }
 
+// send sends a request and returns the status and body of the response.
 func send(req *http.Request) (status int, text string, err error) {
 	res, err := client.Do(req)
 	if err != nil {
@@ -180,7 +187,8 @@
 	return res.StatusCode, string(body), err
 }
 
-// reader follows the page as a reader would.
+// exampleRunner runs the page's examples in order and keeps the shell variables
+// that they use.
 type exampleRunner struct {
 	shell *shell
 	vars  map[string]string
@@ -200,6 +208,7 @@
 	return r
 }
 
+// variable returns the value of a shell variable; ID is new each time.
 func (r *exampleRunner) variable(name string) (string, bool) {
 	if name == "ID" {
 		return uuid.Must(uuid.NewV7()).String(), true
@@ -208,7 +217,7 @@
 	return value, found
 }
 
-// try runs an example and compares its last answer with the one shown.
+// runExample runs an example and compares its last answer with the documented one.
 func (r *exampleRunner) runExample(t *testing.T, shown example) {
 	t.Helper()
 	location := fmt.Sprintf("line %d (%s)", shown.line, shown.heading)
@@ -251,8 +260,8 @@
 	r.updateVars(shown, text)
 }
 
-// learn takes over what the page says of the first answer: the entry to connect
-// to and the owner of once keys.
+// updateVars sets ENTRY and OWNER from an answer of /v1/entries, as the page
+// instructs: the entry to connect to and the owner of once keys.
 func (r *exampleRunner) updateVars(shown example, text string) {
 	if !strings.Contains(shown.script, "/v1/entries") {
 		return
--- a/bench/internal/protocols/scenarios_test.go
+++ b/bench/internal/protocols/scenarios_test.go
@@ -17,18 +17,22 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// scenarios are an operator's days; those in the directory above run elsewhere.
+// scenarioDir holds the scripts of operators' tasks. The e2e tests run the scripts
+// in its parent directory.
 const scenarioDir = "../../../test/operators"
 
-// awaitLimit bounds a wait for an output; the machine may be busy.
+// awaitTimeout limits one awaits command. It is generous because the machine may be
+// busy.
 const awaitTimeout = 90 * time.Second
 
-// wanted are the deployment and the weights that a scenario works on.
+// scenarioEnv holds the deployment and the published version that all scenarios
+// use.
 type scenarioEnv struct {
 	deployment *deployment.Deployment
 	version    string
 }
 
+// TestScenarios runs every script in scenarioDir against one deployment.
 func TestScenarios(t *testing.T) {
 	bin := programDir(t)
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
@@ -54,7 +58,7 @@
 	})
 }
 
-// start starts a deployment in which no document is in force.
+// start starts a deployment in which no document is in force yet.
 func (w *scenarioEnv) start(ctx context.Context, t *testing.T, bin string) {
 	t.Helper()
 	started, err := deployment.Start(ctx, deployment.Config{
@@ -75,8 +79,8 @@
 	w.deployment, w.version = started, publication.Version
 }
 
-// exits runs a program that has to end with the exit code given: exits code
-// program arguments.
+// exits implements "exits code program arguments": it runs a program and fails
+// unless the program exits with the code.
 func exits(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: exits code program arguments")
@@ -96,8 +100,8 @@
 	}
 }
 
-// awaits runs a program again until its output matches: awaits regexp program
-// arguments.
+// awaits implements "awaits regexp program arguments": it runs a program
+// repeatedly until its output matches.
 func awaits(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: awaits regexp program arguments")
@@ -105,7 +109,7 @@
 	want, err := regexp.Compile("(?m)" + args[0])
 	ts.Check(err)
 	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
-		_ = ts.Exec(args[1], args[2:]...) // the output shows it
+		_ = ts.Exec(args[1], args[2:]...) // a failed run is visible in its output
 		if want.MatchString(ts.ReadFile("stdout")) {
 			return
 		}
@@ -113,7 +117,8 @@
 	ts.Fatalf("%s: got no output like %q within %v", strings.Join(args[1:], " "), args[0], awaitTimeout)
 }
 
-// kv takes the key-value service down or up again: kv down|up.
+// kv implements "kv down|up": it makes the key-value service unavailable or
+// available again.
 func (w *scenarioEnv) kv(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 || (args[0] != "down" && args[0] != "up") {
 		ts.Fatalf("usage: kv down|up")
--- a/bench/internal/protocols/shape_test.go
+++ b/bench/internal/protocols/shape_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// anyText in a shown text lets it stand for any text.
+// wildcard in a documented string makes it match any string.
 const wildcard = "..."
 
-// compare returns where an answer differs from the one shown: a key that it
-// lacks, another kind of value, another text, true or false.
+// compareValue returns the differences between an answer and the documented one:
+// missing keys, values of another type, and different strings or booleans. Numbers
+// match any number, and additional keys are allowed.
 func compareValue(path string, shown, got any) []string {
 	switch shown := shown.(type) {
 	case map[string]any:
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// compareList compares each item with the only one shown. An empty list shown
-// stands for an empty one.
+// compareList compares each item with the single documented item. A documented
+// empty list matches only an empty list.
 func compareList(path string, shown []any, got any) []string {
 	items, ok := got.([]any)
 	if !ok {
@@ -64,32 +65,34 @@
 	return differences
 }
 
+// mismatch describes a single difference.
 func mismatch(path string, want, got any) []string {
 	return []string{fmt.Sprintf("%s: got %v, want %v", path, got, want)}
 }
 
-// compareJSON compares two JSON texts.
+// compareJSON compares a JSON answer with the documented one.
 func compareJSON(shown, got string) ([]string, error) {
 	var shownValue, gotValue any
 	if err := json.Unmarshal([]byte(shown), &shownValue); err != nil {
-		return nil, fmt.Errorf("the page's answer is no JSON: %w", err)
+		return nil, fmt.Errorf("documented answer is not valid JSON: %w", err)
 	}
 	if err := json.Unmarshal([]byte(got), &gotValue); err != nil {
-		return nil, fmt.Errorf("the answer is no JSON: %w: %s", err, got)
+		return nil, fmt.Errorf("answer is not valid JSON: %w: %s", err, got)
 	}
 	return compareValue("", shownValue, gotValue), nil
 }
 
-// event is one server-sent event.
+// event is a server-sent event.
 type event struct{ name, data string }
 
-// parseEvents reads a stream; repeats of one event count as one.
+// parseEvents parses an event stream. Of consecutive events with the same name it
+// keeps only the first.
 func parseEvents(text string) ([]event, error) {
 	var events []event
 	for block := range strings.SplitSeq(strings.TrimSpace(text), "\n\n") {
 		name, data, found := strings.Cut(strings.TrimSpace(block), "\n")
 		if !found || !strings.HasPrefix(name, "event: ") || !strings.HasPrefix(data, "data: ") {
-			return nil, fmt.Errorf("no event: %q", block)
+			return nil, fmt.Errorf("malformed event: %q", block)
 		}
 		next := event{strings.TrimPrefix(name, "event: "), strings.TrimPrefix(data, "data: ")}
 		if last := len(events) - 1; last >= 0 && events[last].name == next.name {
@@ -128,6 +131,7 @@
 	return differences, nil
 }
 
+// TestCompare checks which differences compareJSON and compareEvents report.
 func TestCompare(t *testing.T) {
 	tests := []struct {
 		shown, got string
