--- a/bench/internal/sitesoak/judge_test.go
+++ b/bench/internal/sitesoak/checks_test.go
@@ -17,7 +17,7 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// TestJudge runs testdata/judge: each line is something that happened, its times in seconds, and
+// TestJudge runs testdata/checks: each line is something that happened, its times in seconds, and
 // the output names the rules that broke.
 //
 //	strike KIND MEMBER FROM TO
@@ -31,7 +31,7 @@
 //	change AT [probe0]
 //	probe ENTRY SENT there|absent
 func TestJudge(t *testing.T) {
-	datadriven.RunTest(t, "testdata/judge", func(t *testing.T, d *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/checks", func(t *testing.T, d *datadriven.TestData) string {
 		j := newJudged()
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 			if err := j.take(strings.Fields(line)); err != nil {
