--- a/bench/internal/sitesoak/act.go
+++ b/bench/internal/sitesoak/act.go
@@ -16,14 +16,14 @@
 )
 
 // strike is a fault that happened to a member.
-type strike struct {
+type faultRecord struct {
 	kind     kind
 	member   *site.Member
 	from, to time.Time
 }
 
 // load is an order that an engine took.
-type load struct {
+type engineLoad struct {
 	platformtest.Load
 	member *site.Member
 }
@@ -59,22 +59,22 @@
 }
 
 // act carries an event out and returns when it is over.
-func (r *run) act(ctx context.Context, event event) error {
+func (r *run) applyEvent(ctx context.Context, event event) error {
 	var m *site.Member
-	if event.of != "" {
-		m = r.site.Members(event.of)[event.target]
+	if event.memberKind != "" {
+		m = r.site.Members(event.memberKind)[event.target]
 	}
 	if !isPlanned(event.kind) {
-		defer r.struck(event.kind, m)()
+		defer r.beginFault(event.kind, m)()
 	}
 	if faults, ok := doorFaults[event.kind]; ok {
-		return during(ctx, event.length, func(on bool) error { return r.site.ChangeDoor(ctx, m, ifOn(on, faults)) })
+		return toggleFor(ctx, event.length, func(on bool) error { return r.site.ChangeDoor(ctx, m, valueIf(on, faults)) })
 	}
-	if faults, ok := linkFaults[event.kind]; ok && event.of == site.Agent {
-		return during(ctx, event.length, func(on bool) error { return r.site.ChangeWay(ctx, m, ifOn(on, faults)) })
+	if faults, ok := linkFaults[event.kind]; ok && event.memberKind == site.Agent {
+		return toggleFor(ctx, event.length, func(on bool) error { return r.site.ChangeWay(ctx, m, valueIf(on, faults)) })
 	}
 	if change, ok := partFaults[event.kind]; ok {
-		return during(ctx, event.length, func(on bool) error {
+		return toggleFor(ctx, event.length, func(on bool) error {
 			return r.site.Change(ctx, m, func(f *platformtest.PartFaults) {
 				doors, ways := f.Doors, f.Ways
 				*f = platformtest.PartFaults{Doors: doors, Ways: ways}
@@ -86,38 +86,38 @@
 	}
 	switch event.kind {
 	case changeConfig:
-		return r.operator.change(ctx)
+		return r.operator.writeChange(ctx)
 	case revokeKey:
-		return r.operator.revoke(ctx)
+		return r.operator.revokeKey(ctx)
 	case newWeights:
-		return r.operator.declare(ctx)
+		return r.operator.declareVersion(ctx)
 	case hangUp:
-		return endedMeanwhile(m.Process().Signal(syscall.SIGHUP))
+		return ignoreProcessDone(m.Process().Signal(syscall.SIGHUP))
 	case stopEntry, stopAgent:
-		return r.stop(ctx, m)
+		return r.stopAndRestart(ctx, m)
 	case replaceApp:
-		return r.replace(ctx, m)
+		return r.replaceEndpoint(ctx, m)
 	case addHost:
 		return r.site.AddHost(ctx)
 	case burst:
-		return during(ctx, event.length, func(on bool) error { r.rate.Store(1 + ifOn(on, burstFactor)); return nil })
+		return toggleFor(ctx, event.length, func(on bool) error { r.rate.Store(1 + valueIf(on, burstFactor)); return nil })
 	case impatience:
-		return during(ctx, event.length, func(on bool) error { r.leaving.Store(on); return nil })
+		return toggleFor(ctx, event.length, func(on bool) error { r.leaveEarly.Store(on); return nil })
 	case hiccupEntry, hiccupAgent, hiccupEngine, pauseEntry, pauseAgent, pauseEngine:
-		return pause(ctx, event.length, m)
+		return pauseMembers(ctx, event.length, m)
 	case hiccupEntries:
-		return pause(ctx, event.length, r.site.Members(site.Entry)...)
+		return pauseMembers(ctx, event.length, r.site.Members(site.Entry)...)
 	case hiccupAgents:
-		return pause(ctx, event.length, r.site.Members(site.Agent)...)
+		return pauseMembers(ctx, event.length, r.site.Members(site.Agent)...)
 	case hiccupEngines:
-		return pause(ctx, event.length, r.site.Members(site.Engine)...)
+		return pauseMembers(ctx, event.length, r.site.Members(site.Engine)...)
 	case killEntry, killAgent, killEngine:
-		return r.kill(ctx, event.length, m)
+		return r.killAndRestart(ctx, event.length, m)
 	case killEntries:
-		return r.kill(ctx, event.length, r.site.Members(site.Entry)...)
+		return r.killAndRestart(ctx, event.length, r.site.Members(site.Entry)...)
 	case killAll:
 		all := slices.Concat(r.site.Members(site.Entry), r.site.Members(site.Agent), r.site.Members(site.Engine))
-		return r.kill(ctx, event.length, all...)
+		return r.killAndRestart(ctx, event.length, all...)
 	}
 	return fmt.Errorf("no action for %s", event.kind)
 }
@@ -126,62 +126,62 @@
 const burstFactor int64 = 1
 
 // ifOn returns the value while something is on, else the zero value.
-func ifOn[T any](on bool, value T) T {
-	var none T
+func valueIf[T any](on bool, value T) T {
+	var zero T
 	if on {
 		return value
 	}
-	return none
+	return zero
 }
 
 // during turns something on for so long.
-func during(ctx context.Context, length time.Duration, turn func(on bool) error) error {
-	if err := turn(true); err != nil {
+func toggleFor(ctx context.Context, length time.Duration, set func(on bool) error) error {
+	if err := set(true); err != nil {
 		return err
 	}
-	wait := sleep(ctx, length)
-	return errors.Join(turn(false), wait)
+	waitErr := sleep(ctx, length)
+	return errors.Join(set(false), waitErr)
 }
 
 // struck notes that a fault strikes a member until the function that it returns is called.
-func (r *run) struck(kind kind, m *site.Member) func() {
-	one := &strike{kind: kind, member: m, from: time.Now()}
+func (r *run) beginFault(kind kind, m *site.Member) func() {
+	record := &faultRecord{kind: kind, member: m, from: time.Now()}
 	r.mu.Lock()
-	r.strikes = append(r.strikes, one)
+	r.faultLog = append(r.faultLog, record)
 	r.mu.Unlock()
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		one.to = time.Now()
+		record.to = time.Now()
 	}
 }
 
 // pause lets processes stand still; one that has ended meanwhile is left.
-func pause(ctx context.Context, length time.Duration, members ...*site.Member) error {
+func pauseMembers(ctx context.Context, length time.Duration, members ...*site.Member) error {
 	for _, m := range members {
 		if err := m.Process().Pause(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			return err
 		}
 	}
-	wait := sleep(ctx, length)
+	waitErr := sleep(ctx, length)
 	for _, m := range members {
 		if err := m.Process().Resume(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			return err
 		}
 	}
-	return wait
+	return waitErr
 }
 
 // kill kills processes at once and starts them again; engines come back as others, without
 // weights. One that has ended meanwhile is left to whoever ended it.
-func (r *run) kill(ctx context.Context, length time.Duration, members ...*site.Member) error {
+func (r *run) killAndRestart(ctx context.Context, length time.Duration, members ...*site.Member) error {
 	started := time.Now()
 	var killed []*site.Member
-	var records sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, m := range members {
-		records.Go(func() { r.collect(ctx, m) })
+		wg.Go(func() { r.collectRecord(ctx, m) })
 	}
-	records.Wait()
+	wg.Wait()
 	for _, m := range members {
 		err := m.Process().Kill()
 		if err == nil {
@@ -194,11 +194,11 @@
 		return err
 	}
 	for _, m := range killed {
-		begin := r.site.Begin
+		restart := r.site.Begin
 		if m.Kind == site.Engine {
-			begin = r.site.Replace
+			restart = r.site.Replace
 		}
-		if err := begin(ctx, m); err != nil && !r.killedSince(m, started) {
+		if err := restart(ctx, m); err != nil && !r.killedSince(m, started) {
 			return err
 		}
 	}
@@ -208,24 +208,24 @@
 // killedSince reports whether another event killed a member after a moment: that one starts it
 // again.
 func (r *run) killedSince(m *site.Member, at time.Time) bool {
-	return r.strikeWithin(at, time.Now(), func(one *strike) bool {
-		return kills[one.kind] && one.from.After(at) && one.hits(m.ID)
+	return r.faultWithin(at, time.Now(), func(one *faultRecord) bool {
+		return killKinds[one.kind] && one.from.After(at) && one.affects(m.ID)
 	})
 }
 
 // stop asks a process of the system to end, as the platform does, and starts it again.
-func (r *run) stop(ctx context.Context, m *site.Member) error {
+func (r *run) stopAndRestart(ctx context.Context, m *site.Member) error {
 	r.stops.add(m)
 	if err := m.Process().Terminate(); err != nil {
-		return endedMeanwhile(err)
+		return ignoreProcessDone(err)
 	}
-	limited, cancel := context.WithTimeout(ctx, bounds.Grace)
+	stopCtx, cancel := context.WithTimeout(ctx, bounds.Grace)
 	defer cancel()
-	if err := m.Process().Wait(limited); err != nil {
-		if r.disturbed(m.ID, time.Now().Add(-bounds.Grace), time.Now()) {
+	if err := m.Process().Wait(stopCtx); err != nil {
+		if r.excusedByFault(m.ID, time.Now().Add(-bounds.Grace), time.Now()) {
 			return nil // killed meanwhile, and started again by who did it
 		}
-		r.violate("stop", fmt.Sprintf("%s did not end cleanly within %v: %v", m.Name, bounds.Grace, err))
+		r.recordViolation("stop", fmt.Sprintf("%s did not end cleanly within %v: %v", m.Name, bounds.Grace, err))
 		_ = m.Process().Kill()
 	}
 	return r.site.Begin(ctx, m)
@@ -235,23 +235,23 @@
 var replaceTime = bounds.Drain + 4*time.Second
 
 // leave is an endpoint that was asked to leave.
-type leave struct {
+type departure struct {
 	endpoint string // its id
 	at       time.Time
 }
 
 // replace lets a plain endpoint drain and starts another one in its place.
-func (r *run) replace(ctx context.Context, m *site.Member) error {
+func (r *run) replaceEndpoint(ctx context.Context, m *site.Member) error {
 	if err := r.site.Leave(ctx, m); err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.left = append(r.left, leave{endpoint: m.ID, at: time.Now()})
+	r.departures = append(r.departures, departure{endpoint: m.ID, at: time.Now()})
 	r.mu.Unlock()
 	if err := sleep(ctx, replaceTime); err != nil {
 		return err
 	}
-	r.collect(ctx, m)
+	r.collectRecord(ctx, m)
 	if err := m.Process().Kill(); err != nil {
 		return err
 	}
@@ -259,14 +259,14 @@
 }
 
 // collectTime bounds the reading of one record: a process that stands still has none to give.
-const collectTime = time.Second
+const collectTimeout = time.Second
 
 // collect keeps what a stand-in saw before its process ends.
-func (r *run) collect(ctx context.Context, m *site.Member) {
+func (r *run) collectRecord(ctx context.Context, m *site.Member) {
 	if m.Kind != site.Engine && m.Kind != site.App && m.Kind != site.Origin {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, collectTime)
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	record, err := r.site.Record(ctx, m)
 	r.mu.Lock()
@@ -279,20 +279,20 @@
 	r.peaks[m.Kind] = max(r.peaks[m.Kind], record.Connections)
 	r.reset += record.Refused
 	for _, one := range record.Loads {
-		r.loads = append(r.loads, load{Load: one, member: m})
+		r.loads = append(r.loads, engineLoad{Load: one, member: m})
 	}
 }
 
 // endedMeanwhile drops the error of a process that has ended.
-func endedMeanwhile(err error) error {
+func ignoreProcessDone(err error) error {
 	if errors.Is(err, os.ErrProcessDone) {
 		return nil
 	}
 	return err
 }
 
-func sleep(ctx context.Context, wait time.Duration) error {
-	timer := time.NewTimer(wait)
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/bench/internal/sitesoak/caller.go
+++ b/bench/internal/sitesoak/caller.go
@@ -43,19 +43,19 @@
 	// Broken says how the connection ended; empty: it did not.
 	Broken string `json:"broken,omitempty"`
 
-	returnAfter time.Duration
-	request     *request
+	retryAfter time.Duration
+	request    *request
 }
 
 // request is what a caller wants.
 type request struct {
-	route  *route
-	work   platformtest.Work
-	key    string
-	tokens int
-	domain string
-	leaves bool // its caller leaves early
-	stays  bool // its caller uses an open connection until its process is gone
+	route            *route
+	work             platformtest.Work
+	key              string
+	tokens           int
+	domain           string
+	leavesEarly      bool // its caller leaves early
+	reusesConnection bool // its caller uses an open connection until its process is gone
 }
 
 // callers send requests and keep the record of their tries. They are the callers of one
@@ -64,60 +64,60 @@
 	directories []string // of entries, nearest first
 	domain      string
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	named    []string // entries to use
-	namedTil time.Time
-	idle     map[string][]*connection
-	tries    []*Try
-	ids      int
+	mu             sync.Mutex
+	rng            *rand.Rand
+	entryAddresses []string // entries to use
+	entriesExpiry  time.Time
+	idle           map[string][]*connection
+	tries          []*Try
+	lastID         int
 }
 
 // connection is one to an entry.
 type connection struct {
-	raw     net.Conn
-	address string
-	reader  *bufio.Reader
-	since   time.Time // idle
-	used    bool
+	raw       net.Conn
+	address   string
+	reader    *bufio.Reader
+	idleSince time.Time // idle
+	reused    bool
 }
 
 const (
-	connectTime = time.Second
-	askTime     = time.Second
+	connectTimeout = time.Second
+	resolveTimeout = time.Second
 	// idlePart is the part of the declared idle time that callers keep a connection.
-	idlePart = 0.8
+	idleFraction = 0.8
 	// retries is how often a caller comes back.
-	retries = 1
+	maxRetries = 1
 )
 
 func newCallers(domain string, directories []string, seed uint64) *callers {
-	return &callers{domain: domain, directories: directories, random: rand.New(rand.NewPCG(seed, 11)), idle: map[string][]*connection{}}
+	return &callers{domain: domain, directories: directories, rng: rand.New(rand.NewPCG(seed, 11)), idle: map[string][]*connection{}}
 }
 
 // serve sends a request until it is served or the caller gives up.
 func (c *callers) serve(ctx context.Context, wanted *request) {
 	end := time.Now().Add(wanted.route.deadline)
 	after := 0
-	for try := 0; try <= retries; try++ {
+	for try := 0; try <= maxRetries; try++ {
 		left := time.Until(end)
 		if left <= 0 || ctx.Err() != nil {
 			return
 		}
 		done := c.send(ctx, wanted, left, after)
-		if done == nil || done.Whole && done.Status < http.StatusBadRequest || !mayReturn(done) {
+		if done == nil || done.Whole && done.Status < http.StatusBadRequest || !mayRetry(done) {
 			return
 		}
 		after = max(after, done.After+done.Events)
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(done.returnAfter, time.Until(end)/3)):
+		case <-time.After(min(done.retryAfter, time.Until(end)/3)):
 		}
 	}
 }
 
 // mayReturn reports whether a caller sends its request again after the try.
-func mayReturn(done *Try) bool {
+func mayRetry(done *Try) bool {
 	switch done.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -129,48 +129,48 @@
 
 // send sends a request once; nil: no connection came about.
 func (c *callers) send(ctx context.Context, wanted *request, left time.Duration, after int) *Try {
-	conn, err := c.connect(ctx, wanted.stays)
+	conn, err := c.connect(ctx, wanted.reusesConnection)
 	if err != nil {
 		return nil
 	}
-	one := c.note(wanted, conn, left, after)
+	one := c.recordTry(wanted, conn, left, after)
 	end := time.Now().Add(left)
-	if wanted.leaves {
+	if wanted.leavesEarly {
 		end = time.Now().Add(wanted.route.target / 2)
 	}
 	_ = conn.raw.SetDeadline(end)
 	if err := wanted.write(conn.raw, one, left, after); err != nil {
-		c.broke(one, conn, err)
+		c.recordBreak(one, conn, err)
 		return one
 	}
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		c.broke(one, conn, err)
+		c.recordBreak(one, conn, err)
 		return one
 	}
 	one.Status = resp.StatusCode
 	if err := one.read(resp, conn, end); err != nil {
-		c.broke(one, conn, err)
+		c.recordBreak(one, conn, err)
 		return one
 	}
 	one.Whole, one.Ended = true, time.Now().UnixNano()
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		one.returnAfter = time.Duration(seconds * float64(time.Second))
+		one.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if resp.Close {
 		_ = conn.raw.Close()
 	} else {
-		c.keep(conn)
+		c.putIdle(conn)
 	}
 	return one
 }
 
-func (c *callers) note(wanted *request, conn *connection, left time.Duration, after int) *Try {
+func (c *callers) recordTry(wanted *request, conn *connection, left time.Duration, after int) *Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ids++
+	c.lastID++
 	one := &Try{
-		ID: fmt.Sprintf("%s-%d", c.domain, c.ids), Route: wanted.route.name, Entry: conn.address, Key: wanted.key, Kept: conn.used,
+		ID: fmt.Sprintf("%s-%d", c.domain, c.lastID), Route: wanted.route.name, Entry: conn.address, Key: wanted.key, Kept: conn.reused,
 		After: after, Sent: time.Now().UnixNano(), Deadline: left, request: wanted,
 	}
 	c.tries = append(c.tries, one)
@@ -178,7 +178,7 @@
 }
 
 // broke notes that a try did not come to its end and closes the connection.
-func (c *callers) broke(one *Try, conn *connection, err error) {
+func (c *callers) recordBreak(one *Try, conn *connection, err error) {
 	one.Ended = time.Now().UnixNano()
 	_ = conn.raw.Close()
 	var timeout net.Error
@@ -249,7 +249,7 @@
 func (t *Try) readStream(resp *http.Response, conn *connection, end time.Time) error {
 	lines := bufio.NewReader(resp.Body)
 	for {
-		pause := time.Now().Add(t.request.route.patience())
+		pause := time.Now().Add(t.request.route.maxPause())
 		if pause.After(end) {
 			pause = end
 		}
@@ -292,8 +292,8 @@
 // take a kept one to any entry.
 func (c *callers) connect(ctx context.Context, stays bool) (*connection, error) {
 	if stays {
-		for _, address := range c.kept() {
-			if conn := c.take(address); conn != nil {
+		for _, address := range c.idleEntries() {
+			if conn := c.takeIdle(address); conn != nil {
 				return conn, nil
 			}
 		}
@@ -304,11 +304,11 @@
 	}
 	failed := map[string]bool{}
 	for range named {
-		address := c.choose(named, failed)
-		if conn := c.take(address); conn != nil {
+		address := c.chooseEntry(named, failed)
+		if conn := c.takeIdle(address); conn != nil {
 			return conn, nil
 		}
-		raw, err := (&net.Dialer{Timeout: connectTime}).DialContext(ctx, "tcp", address)
+		raw, err := (&net.Dialer{Timeout: connectTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			return &connection{raw: raw, address: address, reader: bufio.NewReader(raw)}, nil
 		}
@@ -317,33 +317,33 @@
 	return nil, errors.New("no entry takes a connection")
 }
 
-func (c *callers) choose(named []string, failed map[string]bool) string {
+func (c *callers) chooseEntry(named []string, failed map[string]bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		if address := named[c.random.IntN(len(named))]; !failed[address] {
+		if address := named[c.rng.IntN(len(named))]; !failed[address] {
 			return address
 		}
 	}
 }
 
 // kept returns the entries with a kept connection, by chance.
-func (c *callers) kept() []string {
+func (c *callers) idleEntries() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := slices.Sorted(maps.Keys(c.idle))
-	c.random.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
+	c.rng.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
 	return found
 }
 
-func (c *callers) take(address string) *connection {
+func (c *callers) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
 	for len(list) > 0 {
 		conn := list[len(list)-1]
 		list = list[:len(list)-1]
-		if time.Since(conn.since) < time.Duration(idlePart*float64(idleTime)) {
+		if time.Since(conn.idleSince) < time.Duration(idleFraction*float64(idleTime)) {
 			c.idle[address] = list
 			return conn
 		}
@@ -353,28 +353,28 @@
 	return nil
 }
 
-func (c *callers) keep(conn *connection) {
+func (c *callers) putIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.since, conn.used = time.Now(), true
+	conn.idleSince, conn.reused = time.Now(), true
 	c.idle[conn.address] = append(c.idle[conn.address], conn)
 }
 
 // entries returns the entries that the directory names, asked anew once its time is over.
 func (c *callers) entries(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	named, til := c.named, c.namedTil
+	named, til := c.entryAddresses, c.entriesExpiry
 	c.mu.Unlock()
 	if time.Now().Before(til) {
 		return named, nil
 	}
 	for _, address := range c.directories {
-		found, keep, err := c.ask(ctx, address)
+		found, keep, err := c.resolve(ctx, address)
 		if err != nil {
 			continue
 		}
 		c.mu.Lock()
-		c.named, c.namedTil = found, time.Now().Add(keep)
+		c.entryAddresses, c.entriesExpiry = found, time.Now().Add(keep)
 		c.mu.Unlock()
 		return found, nil
 	}
@@ -384,8 +384,8 @@
 	return nil, errors.New("no directory answers")
 }
 
-func (c *callers) ask(ctx context.Context, address string) ([]string, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (c *callers) resolve(ctx context.Context, address string) ([]string, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	query := url.Values{"name": {"a.example"}, "region": {"region-" + c.domain}, "zone": {c.domain}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/resolve?"+query.Encode(), nil)
@@ -409,7 +409,7 @@
 }
 
 // record returns all tries.
-func (c *callers) record() []*Try {
+func (c *callers) snapshot() []*Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Try(nil), c.tries...)
--- a/bench/internal/sitesoak/checks.go
+++ b/bench/internal/sitesoak/checks.go
@@ -19,23 +19,23 @@
 	// nothing was passed on.
 	lossSlack = 200 * time.Millisecond
 	// goneSlack is how long after its caller left a request may still reach an endpoint.
-	goneSlack = 500 * time.Millisecond
+	leaveSlack = 500 * time.Millisecond
 	// goneFew is how many may do so later.
-	goneFew = 3
+	maxLateRuns = 3
 	// workPart is the part of the requests whose callers left that may go on for goneSlack, and
 	// workOf of how many that is judged at least.
-	workPart = 0.25
-	workOf   = 8
+	maxContinuedFraction = 0.25
+	minAbandoned         = 8
 	// timeSlack is left of a request's time where its end is taken for that of the time.
-	timeSlack = 150 * time.Millisecond
+	deadlineSlack = 150 * time.Millisecond
 	// rotSlack is how long before its load a chunk may have turned bad.
-	rotSlack = 3 * time.Second
+	spoilSlack = 3 * time.Second
 )
 
 // judge checks the rules.
-func (r *run) judge(result *Result) {
+func (r *run) checkRecords(result *Result) {
 	byID := map[string][]platformtest.Run{}
-	r.runs = once(r.runs)
+	r.runs = dropDuplicates(r.runs)
 	for _, one := range r.runs {
 		byID[one.ID] = append(byID[one.ID], one)
 	}
@@ -45,36 +45,36 @@
 		entries[m.Callers()] = m
 	}
 	gone := 0
-	var after workAfter
+	var after abandonedWork
 	for _, group := range r.callers {
-		for _, one := range group.record() {
+		for _, one := range group.snapshot() {
 			tries[one.ID] = one
 			runs := byID[one.ID]
 			slices.SortFunc(runs, func(left, right platformtest.Run) int { return int(left.Arrived - right.Arrived) })
 			result.count(one, runs)
-			r.judgeTry(one, runs)
-			r.judgeLoss(one, runs, entries[one.Entry])
-			gone += r.late(one, runs, entries[one.Entry])
-			r.workAfter(&after, one, runs, entries[one.Entry])
+			r.checkTry(one, runs)
+			r.checkLoss(one, runs, entries[one.Entry])
+			gone += r.countLate(one, runs, entries[one.Entry])
+			r.countAbandoned(&after, one, runs, entries[one.Entry])
 		}
 	}
-	if after.of >= workOf && float64(after.on) > workPart*float64(after.of) {
-		r.violate("GONE", fmt.Sprintf("endpoints were at work on %d of %d requests %v after their callers had left", after.on, after.of, goneSlack))
+	if after.total >= minAbandoned && float64(after.continued) > maxContinuedFraction*float64(after.total) {
+		r.recordViolation("GONE", fmt.Sprintf("endpoints were at work on %d of %d requests %v after their callers had left", after.continued, after.total, leaveSlack))
 	}
-	if gone > goneFew {
-		r.violate("GONE", fmt.Sprintf("%d requests reached endpoints over %v after their callers had left", gone, goneSlack))
+	if gone > maxLateRuns {
+		r.recordViolation("GONE", fmt.Sprintf("%d requests reached endpoints over %v after their callers had left", gone, leaveSlack))
 	}
 	for _, one := range r.runs {
 		if tries[one.ID] == nil && !isProbe(one.ID) {
-			r.violate("UNASKED", fmt.Sprintf("%s ran %s, which nobody sent", one.Endpoint, one.ID))
+			r.recordViolation("UNASKED", fmt.Sprintf("%s ran %s, which nobody sent", one.Endpoint, one.ID))
 		}
 	}
-	r.judgeRepeats(byID, tries)
-	r.judgeLoads()
-	r.judgeVersions(tries, entries)
-	r.judgeDrains(tries, entries)
-	r.judgeConfigs(r.operator.changes)
-	r.judgeEnd()
+	r.checkRepeats(byID, tries)
+	r.checkLoads()
+	r.checkVersions(tries, entries)
+	r.checkDrains(tries, entries)
+	r.checkConfigs(r.operator.changes)
+	r.checkRecovery()
 	result.Connections, result.Reset = map[string]float64{}, r.reset
 	for kind, most := range r.peaks {
 		result.Connections[kind] = float64(most) / float64(r.operator.maxConns[kind])
@@ -84,7 +84,7 @@
 
 // once drops runs that were read twice, before two ends of an endpoint that overlap; the later
 // reading says how they ended.
-func once(runs []platformtest.Run) []platformtest.Run {
+func dropDuplicates(runs []platformtest.Run) []platformtest.Run {
 	type name struct {
 		id, endpoint string
 		arrived      int64
@@ -104,7 +104,7 @@
 
 func (res *Result) count(one *Try, runs []platformtest.Run) {
 	res.Requests++
-	res.Resumed += max(0, began(runs)-1)
+	res.Resumed += max(0, countBegan(runs)-1)
 	switch {
 	case one.Whole && one.Status < http.StatusMultipleChoices:
 		res.Served++
@@ -114,7 +114,7 @@
 		res.Failed++
 		res.Failures[one.failure()]++
 	}
-	if one.Broken != "" && len(runs) > 0 && brokeOff(lastToEnd(runs)) {
+	if one.Broken != "" && len(runs) > 0 && wasCutOff(lastToEnd(runs)) {
 		res.CutOff++
 	}
 }
@@ -131,7 +131,7 @@
 }
 
 // began returns how many of the runs an endpoint began.
-func began(runs []platformtest.Run) int {
+func countBegan(runs []platformtest.Run) int {
 	count := 0
 	for _, one := range runs {
 		if one.Began > 0 {
@@ -155,46 +155,46 @@
 	})
 }
 
-func brokeOff(last platformtest.Run) bool { return last.End == platformtest.Cut }
+func wasCutOff(last platformtest.Run) bool { return last.End == platformtest.Cut }
 
 // judgeTry checks what a single request promises.
-func (r *run) judgeTry(one *Try, runs []platformtest.Run) {
+func (r *run) checkTry(one *Try, runs []platformtest.Run) {
 	if one.Wrong != "" {
-		r.violate("MIXED", one.ID+": "+one.Wrong)
+		r.recordViolation("MIXED", one.ID+": "+one.Wrong)
 	}
-	ran := began(runs)
+	ran := countBegan(runs)
 	if ran > 1 && !one.request.route.repeatable() {
-		r.violate("TWICE", fmt.Sprintf("%s ran %d times", one.ID, ran))
+		r.recordViolation("TWICE", fmt.Sprintf("%s ran %d times", one.ID, ran))
 	}
 	if ran > one.request.route.attempts {
-		r.violate("ATTEMPTS", fmt.Sprintf("%s ran at %d endpoints of %d", one.ID, ran, one.request.route.attempts))
+		r.recordViolation("ATTEMPTS", fmt.Sprintf("%s ran at %d endpoints of %d", one.ID, ran, one.request.route.attempts))
 	}
 	promised := one.Status == http.StatusServiceUnavailable || one.Status == http.StatusTooManyRequests || one.Status == http.StatusRequestTimeout
 	if promised && ran > 0 && !one.request.route.repeatable() {
-		r.violate("REFUSED", fmt.Sprintf("%s got %d and ran", one.ID, one.Status))
+		r.recordViolation("REFUSED", fmt.Sprintf("%s got %d and ran", one.ID, one.Status))
 	}
 	r.operator.mu.Lock()
 	revoked, gone := r.operator.revoked[one.Key]
 	r.operator.mu.Unlock()
 	sent := time.Unix(0, one.Sent)
 	if gone && ran > 0 && sent.After(revoked.Add(bounds.Revoke)) {
-		r.violate("REVOKED", fmt.Sprintf("%s ran with a key that was taken away %v before", one.ID, sent.Sub(revoked)))
+		r.recordViolation("REVOKED", fmt.Sprintf("%s ran with a key that was taken away %v before", one.ID, sent.Sub(revoked)))
 	}
 	denied := one.Status == http.StatusUnauthorized || one.Status == http.StatusNotFound || one.Status == http.StatusForbidden
 	if denied && !gone {
-		r.violate("DENIED", fmt.Sprintf("%s got %d", one.ID, one.Status))
+		r.recordViolation("DENIED", fmt.Sprintf("%s got %d", one.ID, one.Status))
 	}
 }
 
 // judgeLoss checks that a request which its entry read was answered whole, where neither
 // the endpoint broke off nor a fault struck the entry or the endpoint.
-func (r *run) judgeLoss(one *Try, runs []platformtest.Run, entry *site.Member) {
+func (r *run) checkLoss(one *Try, runs []platformtest.Run, entry *site.Member) {
 	if one.Broken == "" {
 		return
 	}
 	sent, ended := time.Unix(0, one.Sent), time.Unix(0, one.Ended)
 	span := min(one.Deadline, one.request.route.timeout)
-	if ended.Sub(sent) >= span-timeSlack {
+	if ended.Sub(sent) >= span-deadlineSlack {
 		return
 	}
 	if len(runs) == 0 && ended.Sub(sent) < lossSlack {
@@ -202,14 +202,14 @@
 	}
 	if len(runs) > 0 {
 		last := lastToEnd(runs)
-		if brokeOff(last) || r.disturbed(last.Endpoint, sent, ended) {
+		if wasCutOff(last) || r.excusedByFault(last.Endpoint, sent, ended) {
 			return
 		}
 	}
-	if r.disturbed(entry.ID, sent, ended) || r.stops.cut(entry, sent, ended) {
+	if r.excusedByFault(entry.ID, sent, ended) || r.stops.mayHaveCut(entry, sent, ended) {
 		return
 	}
-	r.violate("LOST", fmt.Sprintf("%s at %s %s after %v and %d events, status %d: %s; runs %s",
+	r.recordViolation("LOST", fmt.Sprintf("%s at %s %s after %v and %d events, status %d: %s; runs %s",
 		one.ID, entry.Name, sent.Format("15:04:05.000"), ended.Sub(sent).Round(time.Millisecond), one.Events, one.Status, one.Broken, describe(runs)))
 }
 
@@ -224,32 +224,32 @@
 
 // disturbed reports whether a fault that excuses a loss struck a member, by its id, so
 // shortly before or within the span that it excuses what happened.
-func (r *run) disturbed(id string, from, to time.Time) bool {
-	return r.strikeWithin(from, to, func(one *strike) bool { return excuses[one.kind] && one.hits(id) })
+func (r *run) excusedByFault(id string, from, to time.Time) bool {
+	return r.faultWithin(from, to, func(one *faultRecord) bool { return lossCauses[one.kind] && one.affects(id) })
 }
 
 // strikeWithin reports whether a strike that matters lasted within a span or ended shortly
 // before.
-func (r *run) strikeWithin(from, to time.Time, matters func(*strike) bool) bool {
+func (r *run) faultWithin(from, to time.Time, matters func(*faultRecord) bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.strikes, func(one *strike) bool {
+	return slices.ContainsFunc(r.faultLog, func(one *faultRecord) bool {
 		return one.from.Before(to) && (one.to.IsZero() || one.to.Add(bounds.Contact).After(from)) && matters(one)
 	})
 }
 
 // hits reports whether the strike is at the member with the id, or at all.
-func (s *strike) hits(id string) bool { return s.member == nil || s.member.Was(id) }
+func (s *faultRecord) affects(id string) bool { return s.member == nil || s.member.Was(id) }
 
 // late returns how many of the runs reached an endpoint after the caller had left.
-func (r *run) late(one *Try, runs []platformtest.Run, entry *site.Member) int {
+func (r *run) countLate(one *Try, runs []platformtest.Run, entry *site.Member) int {
 	if !one.Left {
 		return 0
 	}
 	count, left := 0, time.Unix(0, one.Ended)
 	for _, found := range runs {
 		at := time.Unix(0, found.Arrived)
-		if at.After(left.Add(goneSlack)) && !r.outOfTouch(entry, left, at) && !r.disturbed(found.Endpoint, left, at) {
+		if at.After(left.Add(leaveSlack)) && !r.timingExempt(entry, left, at) && !r.excusedByFault(found.Endpoint, left, at) {
 			count++
 		}
 	}
@@ -257,12 +257,12 @@
 }
 
 // workAfter counts requests whose callers left while they ran, and those of them that went on.
-type workAfter struct{ of, on int }
+type abandonedWork struct{ total, continued int }
 
 // workAfter counts the runs of a request that may be repeated, at entries in touch.
-func (r *run) workAfter(count *workAfter, one *Try, runs []platformtest.Run, entry *site.Member) {
+func (r *run) countAbandoned(count *abandonedWork, one *Try, runs []platformtest.Run, entry *site.Member) {
 	left := time.Unix(0, one.Ended)
-	if !one.Left || !one.request.route.repeatable() || r.outOfTouch(entry, left, left.Add(goneSlack)) {
+	if !one.Left || !one.request.route.repeatable() || r.timingExempt(entry, left, left.Add(leaveSlack)) {
 		return
 	}
 	for _, found := range runs {
@@ -270,18 +270,18 @@
 		if found.Began == 0 || began.After(left) || found.Ended != 0 && ended.Before(left) {
 			continue
 		}
-		goesOn := found.Ended == 0 || ended.After(left.Add(goneSlack))
+		goesOn := found.Ended == 0 || ended.After(left.Add(leaveSlack))
 		if goesOn {
-			count.on++
+			count.continued++
 		}
 		if goesOn || found.End == platformtest.Gone {
-			count.of++
+			count.total++
 		}
 	}
 }
 
 // judgeRepeats checks the budget that all entries share.
-func (r *run) judgeRepeats(byID map[string][]platformtest.Run, tries map[string]*Try) {
+func (r *run) checkRepeats(byID map[string][]platformtest.Run, tries map[string]*Try) {
 	requests, repeats := map[string][]int64{}, map[string][]int64{}
 	for id, one := range tries {
 		service := one.request.route.service
@@ -303,7 +303,7 @@
 				most = max(most, between(requests[service], from-back.Nanoseconds(), at-back.Nanoseconds()))
 			}
 			if allowed := bounds.Ratio*float64(most) + bounds.Slack; float64(i-first+1) > allowed {
-				r.violate("BUDGET", fmt.Sprintf("%s: %d repeats within %v, %.0f allowed", service, i-first+1, bounds.Window, allowed))
+				r.recordViolation("BUDGET", fmt.Sprintf("%s: %d repeats within %v, %.0f allowed", service, i-first+1, bounds.Window, allowed))
 				break
 			}
 		}
@@ -319,23 +319,23 @@
 
 // judgeLoads checks that engines loaded whole versions, of chunks that did not turn bad
 // right before.
-func (r *run) judgeLoads() {
+func (r *run) checkLoads() {
 	for _, one := range r.loads {
 		sum := sha256.New()
 		for _, chunk := range platformtest.Chunks(one.Version, spec.Chunks, spec.ChunkBytes) {
 			sum.Write(chunk)
 		}
-		if want := hex.EncodeToString(sum.Sum(nil)); one.Digest != want && !r.spoilt(one) {
-			r.violate("WHOLE", fmt.Sprintf("%s loaded version %d from chunks that are not its own", one.member.Name, one.Version))
+		if want := hex.EncodeToString(sum.Sum(nil)); one.Digest != want && !r.recentlySpoilt(one) {
+			r.recordViolation("WHOLE", fmt.Sprintf("%s loaded version %d from chunks that are not its own", one.member.Name, one.Version))
 		}
 	}
 }
 
 // spoilt reports whether a chunk had turned bad at the engine so shortly before its load that
 // this counts as whole.
-func (r *run) spoilt(one load) bool {
+func (r *run) recentlySpoilt(one engineLoad) bool {
 	at := time.Unix(0, one.At)
-	return slices.ContainsFunc(r.strikes, func(struck *strike) bool {
-		return struck.kind == spoilChunk && struck.member == one.member && !struck.from.After(at) && struck.from.Add(rotSlack).After(at)
+	return slices.ContainsFunc(r.faultLog, func(struck *faultRecord) bool {
+		return struck.kind == spoilChunk && struck.member == one.member && !struck.from.After(at) && struck.from.Add(spoilSlack).After(at)
 	})
 }
--- a/bench/internal/sitesoak/checks_test.go
+++ b/bench/internal/sitesoak/checks_test.go
@@ -30,16 +30,16 @@
 //	leave ENDPOINT AT
 //	change AT [probe0]
 //	probe ENTRY SENT there|absent
-func TestJudge(t *testing.T) {
+func TestChecks(t *testing.T) {
 	datadriven.RunTest(t, "testdata/checks", func(t *testing.T, d *datadriven.TestData) string {
-		j := newJudged()
+		j := newScriptedRun()
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-			if err := j.take(strings.Fields(line)); err != nil {
+			if err := j.apply(strings.Fields(line)); err != nil {
 				t.Fatalf("%s: %q: %v", d.Pos, line, err)
 			}
 		}
 		result := Result{Failures: map[string]int{}}
-		j.run.judge(&result)
+		j.run.checkRecords(&result)
 		var out strings.Builder
 		for _, rule := range slices.Sorted(maps.Keys(result.Broken)) {
 			fmt.Fprintf(&out, "%s %d\n", rule, result.Broken[rule])
@@ -52,12 +52,12 @@
 }
 
 // judged is a run that is put together from what a script says.
-type judged struct {
+type scriptedRun struct {
 	run     *run
 	callers *callers
 }
 
-func newJudged() *judged {
+func newScriptedRun() *scriptedRun {
 	var members []*site.Member
 	for _, kind := range []string{site.Store, site.Entry, site.Engine, site.App, site.Agent} {
 		for i := range 2 {
@@ -67,10 +67,10 @@
 	r := &run{broken: map[string]int{}, site: site.Of(members), operator: &operator{routes: routes(), revoked: map[string]time.Time{}}}
 	group := newCallers("d1", nil, 1)
 	r.callers = []*callers{group}
-	return &judged{run: r, callers: group}
+	return &scriptedRun{run: r, callers: group}
 }
 
-func (j *judged) member(name string) *site.Member {
+func (j *scriptedRun) member(name string) *site.Member {
 	if name == "all" {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	panic("no member " + name)
 }
 
-func at(text string) time.Time {
+func parseTime(text string) time.Time {
 	var seconds float64
 	if _, err := fmt.Sscan(text, &seconds); err != nil {
 		panic(err)
@@ -102,61 +102,61 @@
 	return found
 }
 
-func (j *judged) take(words []string) error {
+func (j *scriptedRun) apply(words []string) error {
 	r := j.run
 	switch words[0] {
 	case "strike":
-		r.strikes = append(r.strikes, &strike{kind: kind(words[1]), member: j.member(words[2]), from: at(words[3]), to: at(words[4])})
+		r.faultLog = append(r.faultLog, &faultRecord{kind: kind(words[1]), member: j.member(words[2]), from: parseTime(words[3]), to: parseTime(words[4])})
 	case "stop":
-		from := at(words[2])
-		r.stops.list = append(r.stops.list, strike{member: j.member(words[1]), from: from, to: from.Add(bounds.Grace + time.Second)})
+		from := parseTime(words[2])
+		r.stops.list = append(r.stops.list, faultRecord{member: j.member(words[1]), from: from, to: from.Add(bounds.Grace + time.Second)})
 	case "version":
 		var number uint64
 		if _, err := fmt.Sscan(words[1], &number); err != nil {
 			return err
 		}
-		r.operator.named = append(r.operator.named, declared{version: number, from: at(words[2]), at: at(words[2])})
+		r.operator.declaredVersions = append(r.operator.declaredVersions, declaredVersion{version: number, from: parseTime(words[2]), at: parseTime(words[2])})
 	case "revoked":
-		r.operator.revoked[words[1]] = at(words[2])
+		r.operator.revoked[words[1]] = parseTime(words[2])
 	case "try":
-		return j.try(words[1], fields(words[2:]))
+		return j.addTry(words[1], fields(words[2:]))
 	case "run":
-		return j.ran(words[1], fields(words[2:]))
+		return j.addRun(words[1], fields(words[2:]))
 	case "load":
-		one := platformtest.Load{At: at(words[3]).UnixNano(), Digest: "bad"}
+		one := platformtest.Load{At: parseTime(words[3]).UnixNano(), Digest: "bad"}
 		if _, err := fmt.Sscan(words[2], &one.Version); err != nil {
 			return err
 		}
-		r.loads = append(r.loads, load{Load: one, member: j.member(words[1])})
+		r.loads = append(r.loads, engineLoad{Load: one, member: j.member(words[1])})
 	case "leave":
-		r.left = append(r.left, leave{endpoint: words[1], at: at(words[2])})
+		r.departures = append(r.departures, departure{endpoint: words[1], at: parseTime(words[2])})
 	case "change":
-		r.operator.changes = append(r.operator.changes, change{from: at(words[1]), at: at(words[1]), probes: [probeRoutes]bool{len(words) > 2}})
+		r.operator.changes = append(r.operator.changes, configChange{sentAt: parseTime(words[1]), ackedAt: parseTime(words[1]), probes: [probeRoutes]bool{len(words) > 2}})
 	case "probe":
-		sent := at(words[2])
-		r.probes = append(r.probes, probe{entry: j.member(words[1]), sent: sent, ended: sent, there: words[3] == "there"})
+		sent := parseTime(words[2])
+		r.probes = append(r.probes, probe{entry: j.member(words[1]), sent: sent, ended: sent, routeExists: words[3] == "there"})
 	default:
 		return fmt.Errorf("%s is unknown", words[0])
 	}
 	return nil
 }
 
-func (j *judged) try(id string, said map[string]string) error {
-	at2 := func(name string) int64 { return at(said[name]).UnixNano() }
-	one := &Try{ID: id, Entry: j.member(said["entry"]).Callers(), Key: said["key"], Sent: at2("sent"), Ended: at2("ended"), Deadline: 6 * time.Second}
-	if _, err := fmt.Sscan(said["status"], &one.Status); err != nil {
+func (j *scriptedRun) addTry(id string, values map[string]string) error {
+	nanos := func(name string) int64 { return parseTime(values[name]).UnixNano() }
+	one := &Try{ID: id, Entry: j.member(values["entry"]).Callers(), Key: values["key"], Sent: nanos("sent"), Ended: nanos("ended"), Deadline: 6 * time.Second}
+	if _, err := fmt.Sscan(values["status"], &one.Status); err != nil {
 		return err
 	}
-	_, one.Whole = said["whole"]
-	_, one.Left = said["left"]
-	if _, broken := said["broken"]; broken {
+	_, one.Whole = values["whole"]
+	_, one.Left = values["left"]
+	if _, broken := values["broken"]; broken {
 		one.Broken = "EOF"
 	}
-	if _, wrong := said["wrong"]; wrong {
+	if _, wrong := values["wrong"]; wrong {
 		one.Wrong = "another's"
 	}
 	for _, known := range j.run.operator.routes {
-		if known.name == said["route"] {
+		if known.name == values["route"] {
 			one.request = &request{route: known}
 			one.Route = known.name
 		}
@@ -165,15 +165,15 @@
 	return nil
 }
 
-func (j *judged) ran(id string, said map[string]string) error {
-	one := platformtest.Run{ID: id, Endpoint: said["endpoint"], Arrived: at(said["arrived"]).UnixNano(), End: platformtest.End(said["end"])}
+func (j *scriptedRun) addRun(id string, values map[string]string) error {
+	one := platformtest.Run{ID: id, Endpoint: values["endpoint"], Arrived: parseTime(values["arrived"]).UnixNano(), End: platformtest.End(values["end"])}
 	for name, into := range map[string]*int64{"began": &one.Began, "ended": &one.Ended} {
-		if said[name] != "" {
-			*into = at(said[name]).UnixNano()
+		if values[name] != "" {
+			*into = parseTime(values[name]).UnixNano()
 		}
 	}
-	if said["version"] != "" {
-		if _, err := fmt.Sscan(said["version"], &one.Version); err != nil {
+	if values["version"] != "" {
+		if _, err := fmt.Sscan(values["version"], &one.Version); err != nil {
 			return err
 		}
 	}
@@ -184,12 +184,12 @@
 func TestPlanRepeats(t *testing.T) {
 	counts := map[string]int{site.Entry: 9, site.Agent: 14, site.Engine: 14, site.App: 3, site.Store: 1, site.Origin: 1}
 	from := slices.Concat(planned, hiccups, faults)
-	one, other := draw(3, time.Hour, time.Second, from, counts), draw(3, time.Hour, time.Second, from, counts)
-	if !slices.Equal(one, other) {
+	first, second := drawEvents(3, time.Hour, time.Second, from, counts), drawEvents(3, time.Hour, time.Second, from, counts)
+	if !slices.Equal(first, second) {
 		t.Error("got two different plans for one seed, want the same")
 	}
 	seen := map[kind]bool{}
-	for _, event := range one {
+	for _, event := range first {
 		seen[event.kind] = true
 	}
 	if got, want := len(seen), len(from); got != want {
@@ -198,11 +198,11 @@
 }
 
 // binVariable names the directory of the built programs; make sets it.
-const binVariable = "COMFREY_BIN"
+const binEnv = "COMFREY_BIN"
 
 // TestShortSoak plays two seeds: planned work and hiccups, and faults too.
 func TestShortSoak(t *testing.T) {
-	bin := os.Getenv(binVariable)
+	bin := os.Getenv(binEnv)
 	if bin == "" {
 		t.Skip("the programs are not built: run make test")
 	}
--- a/bench/internal/sitesoak/checks_time.go
+++ b/bench/internal/sitesoak/checks_time.go
@@ -12,28 +12,28 @@
 const (
 	// leaveLag is how long an endpoint that is asked to leave takes to register so: a heartbeat
 	// and the store's answer.
-	leaveLag = 1500 * time.Millisecond
+	leaveDelay = 1500 * time.Millisecond
 	// servedPart is the part of the requests that is served at least once all faults are over.
-	servedPart = 0.25
+	minServedFraction = 0.25
 	// servedOf is of how many that is judged at least.
-	servedOf = 20
+	minServedSample = 20
 )
 
 // judgeVersions checks that no request begins on weights that ended long ago, at entries that
 // ran undisturbed while the store and the links were sound.
-func (r *run) judgeVersions(tries map[string]*Try, entries map[string]*site.Member) {
+func (r *run) checkVersions(tries map[string]*Try, entries map[string]*site.Member) {
 	for _, one := range r.runs {
 		sent := tries[one.ID]
 		if one.Version == 0 || one.Began == 0 || sent == nil {
 			continue
 		}
-		for _, newer := range r.operator.named {
+		for _, newer := range r.operator.declaredVersions {
 			began := time.Unix(0, one.Began)
 			if newer.version <= one.Version || began.Before(newer.at.Add(bounds.Version)) {
 				continue
 			}
-			if !r.outOfTouch(entries[sent.Entry], newer.at, began) {
-				r.violate("VERSION", fmt.Sprintf("%s arrived at %s %v and began on version %d %v after version %d",
+			if !r.timingExempt(entries[sent.Entry], newer.at, began) {
+				r.recordViolation("VERSION", fmt.Sprintf("%s arrived at %s %v and began on version %d %v after version %d",
 					one.ID, one.Endpoint, time.Unix(0, one.Arrived).Sub(newer.at), one.Version, began.Sub(newer.at), newer.version))
 			}
 			break
@@ -42,47 +42,47 @@
 }
 
 // judgeDrains checks that an endpoint that leaves gets no new requests after a while.
-func (r *run) judgeDrains(tries map[string]*Try, entries map[string]*site.Member) {
+func (r *run) checkDrains(tries map[string]*Try, entries map[string]*site.Member) {
 	leaving := map[string]time.Time{}
-	for _, one := range r.left {
+	for _, one := range r.departures {
 		leaving[one.endpoint] = one.at
 	}
 	for _, one := range r.runs {
 		sent, asked := tries[one.ID], leaving[one.Endpoint]
 		arrived := time.Unix(0, one.Arrived)
-		if sent == nil || asked.IsZero() || arrived.Before(asked.Add(leaveLag+bounds.Drain)) {
+		if sent == nil || asked.IsZero() || arrived.Before(asked.Add(leaveDelay+bounds.Drain)) {
 			continue
 		}
-		if !r.outOfTouch(entries[sent.Entry], asked, arrived) {
-			r.violate("DRAIN", fmt.Sprintf("%s arrived at %s %v after it was asked to leave", one.ID, one.Endpoint, arrived.Sub(asked)))
+		if !r.timingExempt(entries[sent.Entry], asked, arrived) {
+			r.recordViolation("DRAIN", fmt.Sprintf("%s arrived at %s %v after it was asked to leave", one.ID, one.Endpoint, arrived.Sub(asked)))
 		}
 	}
 }
 
 // outOfTouch reports whether bounds of time don't hold for an entry at a moment: it was
 // disturbed shortly before, or the store, a link or this machine was in the time since.
-func (r *run) outOfTouch(entry *site.Member, since, at time.Time) bool {
-	if r.strikeWithin(at, at, func(one *strike) bool { return one.hits(entry.ID) }) {
+func (r *run) timingExempt(entry *site.Member, since, at time.Time) bool {
+	if r.faultWithin(at, at, func(one *faultRecord) bool { return one.affects(entry.ID) }) {
 		return true
 	}
-	away := r.strikeWithin(since, at, func(one *strike) bool {
+	away := r.faultWithin(since, at, func(one *faultRecord) bool {
 		return one.member == nil || one.member.Kind == site.Store || doorFaults[one.kind].Status != 0 || linkFaults[one.kind] != platformtest.LinkFaults{} || doorFaults[one.kind].Link != platformtest.LinkFaults{}
 	})
-	return away || r.stops.hit(entry, at) || r.stalls.within(since, at)
+	return away || r.stops.stoppedNear(entry, at) || r.stalls.within(since, at)
 }
 
 // judgeEnd checks that the deployment serves once all faults are over.
-func (r *run) judgeEnd() {
+func (r *run) checkRecovery() {
 	total, served := 0, 0
 	var last int64
 	for _, group := range r.callers {
-		for _, one := range group.record() {
+		for _, one := range group.snapshot() {
 			last = max(last, one.Sent)
 		}
 	}
-	from := last - (endTime / 4).Nanoseconds()
+	from := last - (settleTime / 4).Nanoseconds()
 	for _, group := range r.callers {
-		for _, one := range group.record() {
+		for _, one := range group.snapshot() {
 			if one.Sent < from {
 				continue
 			}
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	if total >= servedOf && float64(served) < servedPart*float64(total) {
-		r.violate("RECOVER", fmt.Sprintf("%d of the last %d requests were served", served, total))
+	if total >= minServedSample && float64(served) < minServedFraction*float64(total) {
+		r.recordViolation("RECOVER", fmt.Sprintf("%d of the last %d requests were served", served, total))
 	}
 }
--- a/bench/internal/sitesoak/operator.go
+++ b/bench/internal/sitesoak/operator.go
@@ -46,7 +46,7 @@
 func (r *route) repeatable() bool { return r.kind != kindOnce }
 
 // patience is the pause after which the callers of a stream give it up.
-func (r *route) patience() time.Duration {
+func (r *route) maxPause() time.Duration {
 	if !r.stream {
 		return r.deadline
 	}
@@ -90,19 +90,19 @@
 	maxConns map[string]int // by kind of endpoint
 
 	mu      sync.Mutex
-	random  *rand.Rand
+	rng     *rand.Rand
 	version int
 	weights uint64
 	keys    [][]string // by customer
 	issued  int
 	// issuedAt is when keys came after the first configuration.
-	issuedAt map[string]time.Time
-	extra    int // routes that nobody uses
-	slow     bool
-	revoked  map[string]time.Time // by key, when that was acknowledged
-	named    []declared
-	changes  []change // of the configuration
-	probes   [probeRoutes]bool
+	issuedAt         map[string]time.Time
+	extraRoutes      int // routes that nobody uses
+	longTimeouts     bool
+	revoked          map[string]time.Time // by key, when that was acknowledged
+	declaredVersions []declaredVersion
+	changes          []configChange // of the configuration
+	probes           [probeRoutes]bool
 }
 
 // maxConns returns how many connections each endpoint takes from all callers: as many for each
@@ -113,20 +113,20 @@
 }
 
 // declared is a version and when it was acknowledged.
-type declared struct {
+type declaredVersion struct {
 	version  uint64
 	from, at time.Time
 }
 
 func newOperator(s *site.Site, maxConns map[string]int, seed uint64) *operator {
-	o := &operator{site: s, routes: routes(), maxConns: maxConns, random: rand.New(rand.NewPCG(seed, 5)), weights: 1, revoked: map[string]time.Time{}, issuedAt: map[string]time.Time{}}
+	o := &operator{site: s, routes: routes(), maxConns: maxConns, rng: rand.New(rand.NewPCG(seed, 5)), weights: 1, revoked: map[string]time.Time{}, issuedAt: map[string]time.Time{}}
 	for range customers {
-		o.keys = append(o.keys, []string{o.issue(), o.issue()})
+		o.keys = append(o.keys, []string{o.issueKey(), o.issueKey()})
 	}
 	return o
 }
 
-func (o *operator) issue() string {
+func (o *operator) issueKey() string {
 	o.issued++
 	key := fmt.Sprintf("key-%d", o.issued)
 	if o.version > 0 {
@@ -136,7 +136,7 @@
 }
 
 // key returns a customer's key that is in force; most requests are a few customers'.
-func (o *operator) key(random *rand.Rand) string {
+func (o *operator) activeKey(random *rand.Rand) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	keys := slices.DeleteFunc(slices.Clone(o.keys[min(random.IntN(customers), random.IntN(customers))]), func(key string) bool {
@@ -146,61 +146,61 @@
 }
 
 // change writes the configuration with one thing changed.
-func (o *operator) change(ctx context.Context) error {
+func (o *operator) writeChange(ctx context.Context) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	switch o.random.IntN(4) {
+	switch o.rng.IntN(4) {
 	case 0:
-		o.extra = (o.extra + 1) % 40
+		o.extraRoutes = (o.extraRoutes + 1) % 40
 	case 1:
-		o.slow = !o.slow
+		o.longTimeouts = !o.longTimeouts
 	case 2:
-		at := o.random.IntN(probeRoutes)
+		at := o.rng.IntN(probeRoutes)
 		o.probes[at] = !o.probes[at]
 	default:
-		customer := o.random.IntN(customers)
-		o.keys[customer] = append(o.keys[customer], o.issue())
+		customer := o.rng.IntN(customers)
+		o.keys[customer] = append(o.keys[customer], o.issueKey())
 	}
 	return o.write(ctx)
 }
 
 // revoke takes a customer's oldest key away.
-func (o *operator) revoke(ctx context.Context) error {
+func (o *operator) revokeKey(ctx context.Context) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	customer := o.random.IntN(customers)
+	customer := o.rng.IntN(customers)
 	if len(o.keys[customer]) < 3 {
 		// Its requests need another one that is in force everywhere.
-		o.keys[customer] = append(o.keys[customer], o.issue())
+		o.keys[customer] = append(o.keys[customer], o.issueKey())
 		return o.write(ctx)
 	}
 	gone := o.keys[customer][0]
-	o.keys[customer] = append(o.keys[customer][1:len(o.keys[customer]):len(o.keys[customer])], o.issue())
+	o.keys[customer] = append(o.keys[customer][1:len(o.keys[customer]):len(o.keys[customer])], o.issueKey())
 	if err := o.write(ctx); err != nil {
 		return err
 	}
-	o.revoked[gone] = o.changes[len(o.changes)-1].at
+	o.revoked[gone] = o.changes[len(o.changes)-1].ackedAt
 	return nil
 }
 
 // write writes the configuration; o.mu is held.
 func (o *operator) write(ctx context.Context) error {
-	o.version += 1 + o.random.IntN(3)
+	o.version += 1 + o.rng.IntN(3)
 	from := time.Now()
 	at, err := o.site.Put(ctx, "op/config", o.config())
-	o.changes = append(o.changes, change{from: from, at: at, probes: o.probes})
+	o.changes = append(o.changes, configChange{sentAt: from, ackedAt: at, probes: o.probes})
 	return err
 }
 
 // declare names new weights.
-func (o *operator) declare(ctx context.Context) error {
+func (o *operator) declareVersion(ctx context.Context) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.weights++
 	from := time.Now()
 	at, err := o.site.Put(ctx, "op/version/"+site.Model, map[string]any{"model": site.Model, "version": o.weights})
 	if err == nil {
-		o.named = append(o.named, declared{version: o.weights, from: from, at: at})
+		o.declaredVersions = append(o.declaredVersions, declaredVersion{version: o.weights, from: from, at: at})
 	}
 	return err
 }
@@ -211,7 +211,7 @@
 	list := []object{}
 	for _, r := range o.routes {
 		timeout := r.timeout
-		if o.slow {
+		if o.longTimeouts {
 			timeout += time.Second
 		}
 		one := object{
@@ -223,12 +223,12 @@
 		}
 		list = append(list, one)
 	}
-	for i := range o.extra {
+	for i := range o.extraRoutes {
 		list = append(list, object{"name": fmt.Sprint("extra-", i), "host": "c.example", "path_prefix": fmt.Sprintf("/x%d/", i), "kind": kindSafe, "timeout_ms": 1000, "service": site.AppService, "max_attempts": 1})
 	}
 	for i, there := range o.probes {
 		if there {
-			list = append(list, object{"name": fmt.Sprint("probe-", i), "host": probeHost, "path_prefix": probePath(i), "kind": kindSafe, "timeout_ms": probeTime.Milliseconds(), "service": site.AppService, "max_attempts": 1, "public": true})
+			list = append(list, object{"name": fmt.Sprint("probe-", i), "host": probeHost, "path_prefix": probePath(i), "kind": kindSafe, "timeout_ms": probeTimeout.Milliseconds(), "service": site.AppService, "max_attempts": 1, "public": true})
 		}
 	}
 	tenants := []object{}
--- a/bench/internal/sitesoak/plan.go
+++ b/bench/internal/sitesoak/plan.go
@@ -80,25 +80,25 @@
 // excuses are the faults at an entry or an endpoint, or between them, by which a request may
 // be lost. A store that is away, an agent that is gone and processes that stand still for a
 // moment excuse nothing.
-var excuses = map[kind]bool{
+var lossCauses = map[kind]bool{
 	killEntry: true, killEngine: true, pauseEntry: true, pauseEngine: true, linkSilent: true, linkOneWay: true,
 	linkNarrow: true, linkReset: true, killEntries: true, killAll: true,
 }
 
 // kills are the kinds of event that end processes.
-var kills = map[kind]bool{killEntry: true, killAgent: true, killEngine: true, killEntries: true, killAll: true}
+var killKinds = map[kind]bool{killEntry: true, killAgent: true, killEngine: true, killEntries: true, killAll: true}
 
 // rule is how one kind of event is drawn.
-type rule struct {
-	kind              kind
-	target            string // kind of member; empty: none
-	weight            int
-	shortest, longest time.Duration
+type eventRule struct {
+	kind                 kind
+	target               string // kind of member; empty: none
+	weight               int
+	minLength, maxLength time.Duration
 }
 
 // planned, hiccups and faults are the kinds of event that a run may draw from.
 var (
-	planned = []rule{
+	planned = []eventRule{
 		{changeConfig, "", 10, 0, 0},
 		{revokeKey, "", 3, 0, 0},
 		{newWeights, "", 3, 0, 0},
@@ -110,7 +110,7 @@
 		{burst, "", 1, 2 * time.Second, 5 * time.Second},
 		{impatience, "", 1, 2 * time.Second, 5 * time.Second},
 	}
-	hiccups = []rule{
+	hiccups = []eventRule{
 		{hiccupEntry, site.Entry, 3, 300 * time.Millisecond, 950 * time.Millisecond},
 		{hiccupAgent, site.Agent, 3, 300 * time.Millisecond, 950 * time.Millisecond},
 		{hiccupEngine, site.Engine, 5, 300 * time.Millisecond, 950 * time.Millisecond},
@@ -118,7 +118,7 @@
 		{hiccupAgents, "", 1, 300 * time.Millisecond, 950 * time.Millisecond},
 		{hiccupEngines, "", 1, 300 * time.Millisecond, 950 * time.Millisecond},
 	}
-	faults = []rule{
+	faults = []eventRule{
 		{killEntry, site.Entry, 2, time.Second, 4 * time.Second},
 		{killAgent, site.Agent, 2, 200 * time.Millisecond, 3 * time.Second},
 		{killEngine, site.Engine, 2, time.Second, 4 * time.Second},
@@ -157,81 +157,81 @@
 	}
 )
 
-func isPlanned(what kind) bool {
-	return slices.ContainsFunc(planned, func(one rule) bool { return one.kind == what })
+func isPlanned(k kind) bool {
+	return slices.ContainsFunc(planned, func(rule eventRule) bool { return rule.kind == k })
 }
 
 // event is one thing that happens.
 type event struct {
-	at     time.Duration // since the start of the load
-	kind   kind
-	of     string // kind of member that it strikes; empty: none
-	target int
-	length time.Duration
+	at         time.Duration // since the start of the load
+	kind       kind
+	memberKind string // kind of member that it strikes; empty: none
+	target     int
+	length     time.Duration
 }
 
 func (e event) String() string {
-	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", e.at.Seconds(), e.kind, e.of, e.target, e.length.Seconds())
+	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", e.at.Seconds(), e.kind, e.memberKind, e.target, e.length.Seconds())
 }
 
 // busyPart of the members of a kind may be struck at once; recovery is what each gets to
 // come back before it is struck again.
 const (
-	busyPart = 0.3
-	recovery = 2 * time.Second
+	maxBusyFraction = 0.3
+	recovery        = 2 * time.Second
 )
 
 // draw returns the events of a run: the same for the same arguments.
-func draw(seed uint64, length time.Duration, gap time.Duration, from []rule, counts map[string]int) []event {
-	random := rand.New(rand.NewPCG(seed, 7))
+func drawEvents(seed uint64, length time.Duration, meanInterval time.Duration, rules []eventRule, counts map[string]int) []event {
+	rng := rand.New(rand.NewPCG(seed, 7))
 	busy := map[string]time.Duration{}
-	next := func() time.Duration { return time.Duration(random.ExpFloat64() * float64(gap)) }
+	nextInterval := func() time.Duration { return time.Duration(rng.ExpFloat64() * float64(meanInterval)) }
 	var events []event
-	for at := next(); at < length; at += next() {
-		one := pick(random, from)
-		found := event{at: at, kind: one.kind, of: one.target, length: one.shortest}
-		if one.longest > one.shortest {
-			found.length += time.Duration(random.Int64N(int64(one.longest - one.shortest)))
+	for at := nextInterval(); at < length; at += nextInterval() {
+		rule := pickRule(rng, rules)
+		drawn := event{at: at, kind: rule.kind, memberKind: rule.target, length: rule.minLength}
+		if rule.maxLength > rule.minLength {
+			drawn.length += time.Duration(rng.Int64N(int64(rule.maxLength - rule.minLength)))
 		}
-		if one.target != "" {
-			found.target = random.IntN(counts[one.target])
+		if rule.target != "" {
+			drawn.target = rng.IntN(counts[rule.target])
 		}
-		name := fmt.Sprint(one.target, found.target)
-		if one.target == "" {
+		key := fmt.Sprint(rule.target, drawn.target)
+		if rule.target == "" {
 			// Of events that strike many, one of a kind lasts at a time.
-			name = string(one.kind)
+			key = string(rule.kind)
 		}
-		if busy[name] > at || one.target != "" && struck(busy, one.target, counts[one.target], at) > busyPart*float64(counts[one.target]) {
+		if busy[key] > at || rule.target != "" && busyCount(busy, rule.target, counts[rule.target], at) > maxBusyFraction*float64(counts[rule.target]) {
 			continue
 		}
-		if one.target != "" || found.length > 0 {
-			busy[name] = at + found.length + recovery
+		if rule.target != "" || drawn.length > 0 {
+			busy[key] = at + drawn.length + recovery
 		}
-		events = append(events, found)
+		events = append(events, drawn)
 	}
 	return events
 }
 
-func pick(random *rand.Rand, from []rule) rule {
-	sum := 0
-	for _, one := range from {
-		sum += one.weight
+func pickRule(rng *rand.Rand, rules []eventRule) eventRule {
+	totalWeight := 0
+	for _, rule := range rules {
+		totalWeight += rule.weight
 	}
-	at := random.IntN(sum)
-	for _, one := range from {
-		if at -= one.weight; at < 0 {
-			return one
+	remaining := rng.IntN(totalWeight)
+	for _, rule := range rules {
+		if remaining -= rule.weight; remaining < 0 {
+			return rule
 		}
 	}
-	return from[len(from)-1]
+	return rules[len(rules)-1]
 }
 
-func struck(busy map[string]time.Duration, of string, count int, at time.Duration) float64 {
-	found := 0.0
+func busyCount(busy map[string]time.Duration, of string, count int, at time.Duration) float64 {
+	busyMembers := 0.0
 	for i := range count {
 		if busy[fmt.Sprint(of, i)] > at {
-			found++
+			busyMembers++
 		}
 	}
-	return found
+	return busyMembers
 }
--- a/bench/internal/sitesoak/run.go
+++ b/bench/internal/sitesoak/run.go
@@ -29,10 +29,10 @@
 const (
 	startTimeout = 40 * time.Second
 	// warmTime is how long a run's load lasts before anything happens.
-	warmTime = 2 * time.Second
+	warmupTime = 2 * time.Second
 	// endTime is what the last requests get to end.
-	endTime = 8 * time.Second
-	apps    = 3
+	settleTime = 8 * time.Second
+	appCount   = 3
 )
 
 // Options configure a run.
@@ -82,28 +82,28 @@
 
 // run is one soak.
 type run struct {
-	options  Options
-	site     *site.Site
-	operator *operator
-	callers  []*callers
-	pending  sync.WaitGroup
-	rate     atomic.Int64 // times the usual rate of requests
-	leaving  atomic.Bool  // callers leave early
-	stops    stops
-	stalls   stalls
-	probes   []probe // in order
+	options    Options
+	site       *site.Site
+	operator   *operator
+	callers    []*callers
+	pending    sync.WaitGroup
+	rate       atomic.Int64 // times the usual rate of requests
+	leaveEarly atomic.Bool  // callers leave early
+	stops      stops
+	stalls     stalls
+	probes     []probe // in order
 
-	mu       sync.Mutex
-	left     []leave   // endpoints that were asked to leave
-	strikes  []*strike // faults
-	runs     []platformtest.Run
-	loads    []load
-	peaks    map[string]int // connections of one endpoint, the most, by kind
-	reset    int
-	missing  int
-	broken   map[string]int
-	examples []string
-	failed   error // of what the harness itself could not do
+	mu         sync.Mutex
+	departures []departure    // endpoints that were asked to leave
+	faultLog   []*faultRecord // faults
+	runs       []platformtest.Run
+	loads      []engineLoad
+	peaks      map[string]int // connections of one endpoint, the most, by kind
+	reset      int
+	missing    int
+	broken     map[string]int
+	examples   []string
+	harnessErr error // of what the harness itself could not do
 }
 
 // Run runs one soak.
@@ -123,21 +123,21 @@
 		return result, err
 	}
 	defer r.site.Stop()
-	events := r.plan()
+	events := r.planEvents()
 	result.Events = len(events)
-	if err := r.play(ctx, events); err != nil {
+	if err := r.runEvents(ctx, events); err != nil {
 		return result, err
 	}
 	for _, kind := range []string{site.Engine, site.App, site.Origin} {
 		for _, m := range r.site.Members(kind) {
-			r.collect(ctx, m)
+			r.collectRecord(ctx, m)
 		}
 	}
 	if ctx.Err() != nil { // without the records nothing can be judged
 		return result, ctx.Err()
 	}
-	r.judge(&result)
-	return result, r.failed
+	r.checkRecords(&result)
+	return result, r.harnessErr
 }
 
 var domains = []string{"d1", "d2", "d3"}
@@ -149,7 +149,7 @@
 	var err error
 	r.site, err = site.Start(ctx, site.Config{
 		Bin: r.options.Bin, Dir: dir, Log: r.options.Log, Domains: domains,
-		Entries: r.options.Entries, Engines: r.options.Engines, Apps: apps, Spec: spec, Bounds: bounds, MaxConns: limits,
+		Entries: r.options.Entries, Engines: r.options.Engines, Apps: appCount, Spec: spec, Bounds: bounds, MaxConns: limits,
 	})
 	if err != nil {
 		return err
@@ -177,56 +177,56 @@
 	return found
 }
 
-func (r *run) plan() []event {
-	var from []rule
-	for _, one := range []struct {
+func (r *run) planEvents() []event {
+	var enabled []eventRule
+	for _, set := range []struct {
 		on    bool
-		rules []rule
+		rules []eventRule
 	}{{r.options.Planned, planned}, {r.options.Hiccups, hiccups}, {r.options.Faults, faults}} {
-		if one.on {
-			from = append(from, one.rules...)
+		if set.on {
+			enabled = append(enabled, set.rules...)
 		}
 	}
-	if len(from) == 0 {
+	if len(enabled) == 0 {
 		return nil
 	}
 	counts := map[string]int{}
 	for _, kind := range []string{site.Entry, site.Agent, site.Engine, site.App, site.Store, site.Origin} {
 		counts[kind] = len(r.site.Members(kind))
 	}
-	return draw(r.options.Seed, r.options.Length, r.options.Gap, from, counts)
+	return drawEvents(r.options.Seed, r.options.Length, r.options.Gap, enabled, counts)
 }
 
 // play runs the load and the events to their end.
-func (r *run) play(ctx context.Context, events []event) error {
+func (r *run) runEvents(ctx context.Context, events []event) error {
 	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	requests := &sync.WaitGroup{}
 	var load sync.WaitGroup
 	for i := range r.callers {
-		load.Go(func() { r.call(loadCtx, i, requests) })
+		load.Go(func() { r.sendLoad(loadCtx, i, requests) })
 	}
-	load.Go(func() { r.stalls.watch(loadCtx) })
-	load.Go(func() { r.probe(loadCtx) })
+	load.Go(func() { r.stalls.detect(loadCtx) })
+	load.Go(func() { r.sendProbes(loadCtx) })
 	began := time.Now()
 	for _, one := range events {
-		if err := sleep(ctx, warmTime+one.at-time.Since(began)); err != nil {
+		if err := sleep(ctx, warmupTime+one.at-time.Since(began)); err != nil {
 			return err
 		}
 		r.options.Progress.Info("event", "event", one.String())
 		r.pending.Go(func() {
-			if err := r.act(ctx, one); err != nil {
+			if err := r.applyEvent(ctx, one); err != nil {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.failed = errors.Join(r.failed, fmt.Errorf("%s: %w", one, err))
+				r.harnessErr = errors.Join(r.harnessErr, fmt.Errorf("%s: %w", one, err))
 			}
 		})
 	}
-	if err := sleep(ctx, warmTime+r.options.Length-time.Since(began)); err != nil {
+	if err := sleep(ctx, warmupTime+r.options.Length-time.Since(began)); err != nil {
 		return err
 	}
 	r.pending.Wait()
-	if err := sleep(ctx, endTime/2); err != nil {
+	if err := sleep(ctx, settleTime/2); err != nil {
 		return err
 	}
 	cancel()
@@ -236,12 +236,12 @@
 }
 
 // perEngine is the streams a second that one engine serves without a queue.
-const perEngine = 12.0
+const streamsPerEngine = 12.0
 
 // call sends the requests of one failure domain, evenly spread at random, until ctx ends.
-func (r *run) call(ctx context.Context, domain int, requests *sync.WaitGroup) {
+func (r *run) sendLoad(ctx context.Context, domain int, requests *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+domain)))
-	rate := r.options.Load * perEngine * float64(r.options.Engines) / float64(len(r.callers))
+	rate := r.options.Load * streamsPerEngine * float64(r.options.Engines) / float64(len(r.callers))
 	number := 0
 	for next := time.Now(); ctx.Err() == nil; next = next.Add(time.Duration(random.ExpFloat64() / (rate * float64(r.rate.Load())) * float64(time.Second))) {
 		if sleep(ctx, time.Until(next)) != nil {
@@ -255,19 +255,19 @@
 
 // stayOf is of how many requests one goes over a connection that is open, whatever the directory
 // says.
-const stayOf = 4
+const reuseOneIn = 4
 
 // request draws a request.
 func (r *run) request(random *rand.Rand, domain, number int) *request {
-	at := random.Float64()
+	remaining := random.Float64()
 	chosen := r.operator.routes[0]
-	for _, one := range r.operator.routes {
-		chosen = one
-		if at -= one.share; at < 0 {
+	for _, candidate := range r.operator.routes {
+		chosen = candidate
+		if remaining -= candidate.share; remaining < 0 {
 			break
 		}
 	}
-	wanted := &request{route: chosen, leaves: r.leaving.Load() && random.IntN(3) == 0, stays: random.IntN(stayOf) == 0, key: r.operator.key(random), domain: domains[domain]}
+	wanted := &request{route: chosen, leavesEarly: r.leaveEarly.Load() && random.IntN(3) == 0, reusesConnection: random.IntN(reuseOneIn) == 0, key: r.operator.activeKey(random), domain: domains[domain]}
 	wanted.work.Subject = domains[domain] + "-" + strconv.Itoa(number)
 	if chosen.stream {
 		wanted.tokens = int(min(3*chosen.prompt, 1+chosen.prompt*random.ExpFloat64()))
@@ -277,7 +277,7 @@
 }
 
 // violate counts a broken rule and keeps the first few examples.
-func (r *run) violate(rule, detail string) {
+func (r *run) recordViolation(rule, detail string) {
 	const kept = 3
 	r.mu.Lock()
 	defer r.mu.Unlock()
