--- a/bench/internal/sitesoak/act.go
+++ b/bench/internal/sitesoak/act.go
@@ -15,14 +15,15 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// strike is a fault that happened to a member.
+// faultRecord is the span of time in which an event affected a member. A nil member stands
+// for all, and a zero end for an event that is still active.
 type faultRecord struct {
 	kind     kind
 	member   *site.Member
 	from, to time.Time
 }
 
-// load is an order that an engine took.
+// engineLoad is a load of weights that an engine recorded.
 type engineLoad struct {
 	platformtest.Load
 	member *site.Member
@@ -58,7 +59,7 @@
 	doorReset: {Link: platformtest.LinkFaults{Reset: true}}, doorBusy: {Status: http.StatusServiceUnavailable}, doorLimit: {Status: http.StatusTooManyRequests},
 }
 
-// act carries an event out and returns when it is over.
+// applyEvent executes an event and returns when it is over.
 func (r *run) applyEvent(ctx context.Context, event event) error {
 	var m *site.Member
 	if event.memberKind != "" {
@@ -122,10 +123,10 @@
 	return fmt.Errorf("no action for %s", event.kind)
 }
 
-// burstFactor is by how many times more callers send in a burst.
+// burstFactor is added to the load factor of 1 during a burst.
 const burstFactor int64 = 1
 
-// ifOn returns the value while something is on, else the zero value.
+// valueIf returns value if on is set, else the zero value.
 func valueIf[T any](on bool, value T) T {
 	var zero T
 	if on {
@@ -134,7 +135,7 @@
 	return zero
 }
 
-// during turns something on for so long.
+// toggleFor calls set(true), waits for length and calls set(false).
 func toggleFor(ctx context.Context, length time.Duration, set func(on bool) error) error {
 	if err := set(true); err != nil {
 		return err
@@ -143,7 +144,7 @@
 	return errors.Join(set(false), waitErr)
 }
 
-// struck notes that a fault strikes a member until the function that it returns is called.
+// beginFault records that a fault affects a member until the returned function is called.
 func (r *run) beginFault(kind kind, m *site.Member) func() {
 	record := &faultRecord{kind: kind, member: m, from: time.Now()}
 	r.mu.Lock()
@@ -156,7 +157,7 @@
 	}
 }
 
-// pause lets processes stand still; one that has ended meanwhile is left.
+// pauseMembers suspends processes for length. It ignores processes that have ended.
 func pauseMembers(ctx context.Context, length time.Duration, members ...*site.Member) error {
 	for _, m := range members {
 		if err := m.Process().Pause(); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -172,8 +173,9 @@
 	return waitErr
 }
 
-// kill kills processes at once and starts them again; engines come back as others, without
-// weights. One that has ended meanwhile is left to whoever ended it.
+// killAndRestart kills processes at the same time and restarts them after length. An engine
+// is replaced by a new one without weights. A process that had already ended is left to the
+// event that ended it.
 func (r *run) killAndRestart(ctx context.Context, length time.Duration, members ...*site.Member) error {
 	started := time.Now()
 	var killed []*site.Member
@@ -205,15 +207,15 @@
 	return nil
 }
 
-// killedSince reports whether another event killed a member after a moment: that one starts it
-// again.
+// killedSince reports whether another event killed a member after the given time. That event
+// also restarts it.
 func (r *run) killedSince(m *site.Member, at time.Time) bool {
 	return r.faultWithin(at, time.Now(), func(one *faultRecord) bool {
 		return killKinds[one.kind] && one.from.After(at) && one.affects(m.ID)
 	})
 }
 
-// stop asks a process of the system to end, as the platform does, and starts it again.
+// stopAndRestart terminates a process gracefully, as the platform does, and restarts it.
 func (r *run) stopAndRestart(ctx context.Context, m *site.Member) error {
 	r.stops.add(m)
 	if err := m.Process().Terminate(); err != nil {
@@ -223,7 +225,7 @@
 	defer cancel()
 	if err := m.Process().Wait(stopCtx); err != nil {
 		if r.excusedByFault(m.ID, time.Now().Add(-bounds.Grace), time.Now()) {
-			return nil // killed meanwhile, and started again by who did it
+			return nil // killed by another event, which also restarts it
 		}
 		r.recordViolation("stop", fmt.Sprintf("%s did not end cleanly within %v: %v", m.Name, bounds.Grace, err))
 		_ = m.Process().Kill()
@@ -231,16 +233,16 @@
 	return r.site.Begin(ctx, m)
 }
 
-// replaceTime is how long an endpoint that drains goes on: it serves what it had.
+// replaceTime is how long a draining endpoint keeps running to finish its requests.
 var replaceTime = bounds.Drain + 4*time.Second
 
-// leave is an endpoint that was asked to leave.
+// departure records when an endpoint was asked to leave.
 type departure struct {
 	endpoint string // its id
 	at       time.Time
 }
 
-// replace lets a plain endpoint drain and starts another one in its place.
+// replaceEndpoint drains a plain endpoint and starts another one in its place.
 func (r *run) replaceEndpoint(ctx context.Context, m *site.Member) error {
 	if err := r.site.Leave(ctx, m); err != nil {
 		return err
@@ -258,10 +260,11 @@
 	return r.site.Replace(ctx, m)
 }
 
-// collectTime bounds the reading of one record: a process that stands still has none to give.
+// collectTimeout limits the reading of one record, because a suspended process does not
+// answer.
 const collectTimeout = time.Second
 
-// collect keeps what a stand-in saw before its process ends.
+// collectRecord saves the record of a stand-in before its process ends.
 func (r *run) collectRecord(ctx context.Context, m *site.Member) {
 	if m.Kind != site.Engine && m.Kind != site.App && m.Kind != site.Origin {
 		return
@@ -283,7 +286,7 @@
 	}
 }
 
-// endedMeanwhile drops the error of a process that has ended.
+// ignoreProcessDone returns nil for the error of a process that has already ended.
 func ignoreProcessDone(err error) error {
 	if errors.Is(err, os.ErrProcessDone) {
 		return nil
@@ -291,6 +294,7 @@
 	return err
 }
 
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/bench/internal/sitesoak/caller.go
+++ b/bench/internal/sitesoak/caller.go
@@ -22,46 +22,45 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// Try is one request as its caller saw it.
+// Try is one attempt of a caller to send a request, as the caller observed it.
 type Try struct {
 	ID     string `json:"id"`
 	Route  string `json:"route"`
 	Entry  string `json:"entry"` // address
 	Key    string `json:"key"`
-	Kept   bool   `json:"kept"` // on a connection that had served others
+	Kept   bool   `json:"kept"` // sent over a reused connection
 	After  int    `json:"after,omitempty"`
-	Status int    `json:"status"` // 0: no answer began
-	Whole  bool   `json:"whole"`  // the answer came to its end
+	Status int    `json:"status"` // 0 if no answer began
+	Whole  bool   `json:"whole"`  // the answer was complete
 	Left   bool   `json:"left"`   // the caller closed the connection first
 	Events int    `json:"events,omitempty"`
-	// Sent and Ended are Unix nanoseconds; Deadline is what the caller gave.
+	// Sent and Ended are in Unix nanoseconds. Deadline is the time the caller allowed.
 	Sent     int64         `json:"sent"`
 	Ended    int64         `json:"ended"`
 	Deadline time.Duration `json:"deadline"`
-	// Wrong says what of the answer is not the endpoint's; empty: nothing.
+	// Wrong describes a difference from the endpoint's answer, if any.
 	Wrong string `json:"wrong,omitempty"`
-	// Broken says how the connection ended; empty: it did not.
+	// Broken is the error that broke the connection, if any.
 	Broken string `json:"broken,omitempty"`
 
 	retryAfter time.Duration
 	request    *request
 }
 
-// request is what a caller wants.
+// request is a request to send, with the behavior of its caller.
 type request struct {
 	route            *route
 	work             platformtest.Work
 	key              string
 	tokens           int
 	domain           string
-	leavesEarly      bool // its caller leaves early
-	reusesConnection bool // its caller uses an open connection until its process is gone
+	leavesEarly      bool // its caller closes the connection early
+	reusesConnection bool // its caller prefers an open connection to any entry
 }
 
-// callers send requests and keep the record of their tries. They are the callers of one
-// failure domain each.
+// callers sends the requests of one failure domain and records every try.
 type callers struct {
-	directories []string // of entries, nearest first
+	directories []string // addresses of the entries' directories, nearest first
 	domain      string
 
 	mu             sync.Mutex
@@ -73,21 +72,22 @@
 	lastID         int
 }
 
-// connection is one to an entry.
+// connection is a connection to an entry.
 type connection struct {
 	raw       net.Conn
 	address   string
 	reader    *bufio.Reader
-	idleSince time.Time // idle
+	idleSince time.Time // when it became idle
 	reused    bool
 }
 
 const (
 	connectTimeout = time.Second
 	resolveTimeout = time.Second
-	// idlePart is the part of the declared idle time that callers keep a connection.
+	// idlePart is the fraction of the declared idle time for which callers keep an idle
+	// connection.
 	idleFraction = 0.8
-	// retries is how often a caller comes back.
+	// retries is how often a caller sends a request again.
 	maxRetries = 1
 )
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// mayReturn reports whether a caller sends its request again after the try.
+// mayRetry reports whether a caller sends its request again after the try.
 func mayRetry(done *Try) bool {
 	switch done.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -127,7 +127,7 @@
 	return done.request.route.repeatable() && !done.Left
 }
 
-// send sends a request once; nil: no connection came about.
+// send sends a request once. It returns nil if no connection could be made.
 func (c *callers) send(ctx context.Context, wanted *request, left time.Duration, after int) *Try {
 	conn, err := c.connect(ctx, wanted.reusesConnection)
 	if err != nil {
@@ -165,6 +165,7 @@
 	return one
 }
 
+// recordTry adds a new try to the record.
 func (c *callers) recordTry(wanted *request, conn *connection, left time.Duration, after int) *Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +178,8 @@
 	return one
 }
 
-// broke notes that a try did not come to its end and closes the connection.
+// recordBreak records that a try did not complete and closes the connection. A timeout counts
+// as the caller leaving.
 func (c *callers) recordBreak(one *Try, conn *connection, err error) {
 	one.Ended = time.Now().UnixNano()
 	_ = conn.raw.Close()
@@ -189,7 +191,7 @@
 	one.Broken = err.Error()
 }
 
-// write writes the request.
+// write writes the HTTP request.
 func (w *request) write(to io.Writer, one *Try, left time.Duration, after int) error {
 	var body []byte
 	if w.route.method == http.MethodPost {
@@ -217,7 +219,7 @@
 	return err
 }
 
-// read reads an answer to its end and compares it with the endpoint's.
+// read reads a complete answer and compares it with the endpoint's expected answer.
 func (t *Try) read(resp *http.Response, conn *connection, end time.Time) error {
 	good := resp.StatusCode < http.StatusMultipleChoices
 	if id := resp.Header.Get("X-Attempt-Id"); good && id != t.ID {
@@ -236,7 +238,7 @@
 	return err
 }
 
-// text is the whole answer of a plain endpoint.
+// text returns the expected answer of a plain endpoint.
 func (w *request) text() string {
 	work := w.work
 	if w.route.method == http.MethodGet {
@@ -245,7 +247,8 @@
 	return work.Text(0)
 }
 
-// readStream reads events; a pause that is too long ends it as the caller's doing.
+// readStream reads and compares events. If the pause between two events is too long, the
+// caller leaves.
 func (t *Try) readStream(resp *http.Response, conn *connection, end time.Time) error {
 	lines := bufio.NewReader(resp.Body)
 	for {
@@ -273,7 +276,7 @@
 	return nil
 }
 
-// readEvent reads up to a blank line. io.EOF with no text says that the stream ended.
+// readEvent reads up to a blank line. It returns io.EOF without text at the end of the stream.
 func readEvent(lines *bufio.Reader) (string, error) {
 	event := ""
 	for {
@@ -288,8 +291,8 @@
 	}
 }
 
-// connect returns a kept connection to one of the entries named, or a new one. Callers that stay
-// take a kept one to any entry.
+// connect returns an idle or a new connection to one of the entries in the directory. With
+// stays set, it prefers an idle connection to any entry.
 func (c *callers) connect(ctx context.Context, stays bool) (*connection, error) {
 	if stays {
 		for _, address := range c.idleEntries() {
@@ -317,6 +320,7 @@
 	return nil, errors.New("no entry takes a connection")
 }
 
+// chooseEntry picks a random address that has not failed.
 func (c *callers) chooseEntry(named []string, failed map[string]bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -327,7 +331,7 @@
 	}
 }
 
-// kept returns the entries with a kept connection, by chance.
+// idleEntries returns the addresses in the idle pool in random order.
 func (c *callers) idleEntries() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -336,6 +340,8 @@
 	return found
 }
 
+// takeIdle removes a connection from the idle pool and closes those idle for too long. It
+// returns nil if none is left.
 func (c *callers) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -353,6 +359,7 @@
 	return nil
 }
 
+// putIdle returns a connection to the idle pool.
 func (c *callers) putIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -360,7 +367,8 @@
 	c.idle[conn.address] = append(c.idle[conn.address], conn)
 }
 
-// entries returns the entries that the directory names, asked anew once its time is over.
+// entries returns the entries listed by the directory, refreshed when its TTL expires. If no
+// directory answers, it returns the previous list.
 func (c *callers) entries(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
 	named, til := c.entryAddresses, c.entriesExpiry
@@ -384,6 +392,7 @@
 	return nil, errors.New("no directory answers")
 }
 
+// resolve asks one directory for the entries' addresses and their TTL.
 func (c *callers) resolve(ctx context.Context, address string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
@@ -408,7 +417,7 @@
 	return body.Addresses, time.Duration(body.TTL * float64(time.Second)), nil
 }
 
-// record returns all tries.
+// snapshot returns a copy of the list of tries.
 func (c *callers) snapshot() []*Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/bench/internal/sitesoak/checks.go
+++ b/bench/internal/sitesoak/checks.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// lossSlack is how long after a request was sent its connection may close, where
-	// nothing was passed on.
+	// lossSlack is how long after a request was sent its connection may close without a loss,
+	// if no endpoint received the request.
 	lossSlack = 200 * time.Millisecond
-	// goneSlack is how long after its caller left a request may still reach an endpoint.
+	// leaveSlack is how long after its caller left a request may still reach an endpoint.
 	leaveSlack = 500 * time.Millisecond
-	// goneFew is how many may do so later.
+	// maxLateRuns is how many requests may do so even later.
 	maxLateRuns = 3
-	// workPart is the part of the requests whose callers left that may go on for goneSlack, and
-	// workOf of how many that is judged at least.
+	// maxContinuedFraction is the fraction of abandoned requests that may still run after
+	// leaveSlack. It is checked only if there are at least minAbandoned of them.
 	maxContinuedFraction = 0.25
 	minAbandoned         = 8
-	// timeSlack is left of a request's time where its end is taken for that of the time.
+	// deadlineSlack is how long before its deadline a request already counts as timed out.
 	deadlineSlack = 150 * time.Millisecond
-	// rotSlack is how long before its load a chunk may have turned bad.
+	// spoilSlack is how long before a load a chunk may have been corrupted without the load
+	// counting as a violation.
 	spoilSlack = 3 * time.Second
 )
 
-// judge checks the rules.
+// checkRecords checks all rules and fills in the result.
 func (r *run) checkRecords(result *Result) {
 	byID := map[string][]platformtest.Run{}
 	r.runs = dropDuplicates(r.runs)
@@ -82,8 +83,8 @@
 	result.Broken, result.Examples, result.Missing, result.Stalls = r.broken, r.examples, r.missing, r.stalls.count()
 }
 
-// once drops runs that were read twice, before two ends of an endpoint that overlap; the later
-// reading says how they ended.
+// dropDuplicates drops runs that were read twice, which happens when two events end the same
+// endpoint at overlapping times. It keeps the later reading, which says how the run ended.
 func dropDuplicates(runs []platformtest.Run) []platformtest.Run {
 	type name struct {
 		id, endpoint string
@@ -102,6 +103,7 @@
 	return kept
 }
 
+// count adds a try to the result's counters.
 func (res *Result) count(one *Try, runs []platformtest.Run) {
 	res.Requests++
 	res.Resumed += max(0, countBegan(runs)-1)
@@ -119,7 +121,7 @@
 	}
 }
 
-// failure names how a try that was not served ended.
+// failure returns the key in Result.Failures of a try that was not served.
 func (t *Try) failure() string {
 	switch {
 	case t.Left:
@@ -130,7 +132,7 @@
 	return strconv.Itoa(t.Status)
 }
 
-// began returns how many of the runs an endpoint began.
+// countBegan returns how many of the runs began at their endpoint.
 func countBegan(runs []platformtest.Run) int {
 	count := 0
 	for _, one := range runs {
@@ -141,8 +143,8 @@
 	return count
 }
 
-// lastToEnd returns the run that ended last. An endpoint that stood still notes a request that was
-// taken from it meanwhile after the endpoint that had it next.
+// lastToEnd returns the run that ended last. The order of arrival is not reliable, because a
+// suspended endpoint records a request that was moved to another one only after that one did.
 func lastToEnd(runs []platformtest.Run) platformtest.Run {
 	return slices.MaxFunc(runs, func(left, right platformtest.Run) int {
 		switch {
@@ -157,7 +159,7 @@
 
 func wasCutOff(last platformtest.Run) bool { return last.End == platformtest.Cut }
 
-// judgeTry checks what a single request promises.
+// checkTry checks the rules that apply to a single request.
 func (r *run) checkTry(one *Try, runs []platformtest.Run) {
 	if one.Wrong != "" {
 		r.recordViolation("MIXED", one.ID+": "+one.Wrong)
@@ -186,8 +188,8 @@
 	}
 }
 
-// judgeLoss checks that a request which its entry read was answered whole, where neither
-// the endpoint broke off nor a fault struck the entry or the endpoint.
+// checkLoss checks that a request which its entry read was answered completely, unless the
+// endpoint broke off or a fault affected the entry or the endpoint.
 func (r *run) checkLoss(one *Try, runs []platformtest.Run, entry *site.Member) {
 	if one.Broken == "" {
 		return
@@ -213,6 +215,7 @@
 		one.ID, entry.Name, sent.Format("15:04:05.000"), ended.Sub(sent).Round(time.Millisecond), one.Events, one.Status, one.Broken, describe(runs)))
 }
 
+// describe formats runs for the detail of a violation.
 func describe(runs []platformtest.Run) string {
 	text := ""
 	for _, one := range runs {
@@ -222,13 +225,13 @@
 	return text
 }
 
-// disturbed reports whether a fault that excuses a loss struck a member, by its id, so
-// shortly before or within the span that it excuses what happened.
+// excusedByFault reports whether a fault that excuses a loss affected the member with the id
+// during a span or shortly before.
 func (r *run) excusedByFault(id string, from, to time.Time) bool {
 	return r.faultWithin(from, to, func(one *faultRecord) bool { return lossCauses[one.kind] && one.affects(id) })
 }
 
-// strikeWithin reports whether a strike that matters lasted within a span or ended shortly
+// faultWithin reports whether a matching fault was active during a span or ended shortly
 // before.
 func (r *run) faultWithin(from, to time.Time, matters func(*faultRecord) bool) bool {
 	r.mu.Lock()
@@ -238,10 +241,10 @@
 	})
 }
 
-// hits reports whether the strike is at the member with the id, or at all.
+// affects reports whether the fault affects the member with the id, or all members.
 func (s *faultRecord) affects(id string) bool { return s.member == nil || s.member.Was(id) }
 
-// late returns how many of the runs reached an endpoint after the caller had left.
+// countLate returns how many of the runs reached an endpoint too long after the caller left.
 func (r *run) countLate(one *Try, runs []platformtest.Run, entry *site.Member) int {
 	if !one.Left {
 		return 0
@@ -256,10 +259,10 @@
 	return count
 }
 
-// workAfter counts requests whose callers left while they ran, and those of them that went on.
+// abandonedWork counts runs whose callers left while they ran, and those that continued.
 type abandonedWork struct{ total, continued int }
 
-// workAfter counts the runs of a request that may be repeated, at entries in touch.
+// countAbandoned counts the runs of a repeatable request, unless timing is exempt.
 func (r *run) countAbandoned(count *abandonedWork, one *Try, runs []platformtest.Run, entry *site.Member) {
 	left := time.Unix(0, one.Ended)
 	if !one.Left || !one.request.route.repeatable() || r.timingExempt(entry, left, left.Add(leaveSlack)) {
@@ -280,7 +283,7 @@
 	}
 }
 
-// judgeRepeats checks the budget that all entries share.
+// checkRepeats checks the retry budget that all entries share.
 func (r *run) checkRepeats(byID map[string][]platformtest.Run, tries map[string]*Try) {
 	requests, repeats := map[string][]int64{}, map[string][]int64{}
 	for id, one := range tries {
@@ -310,15 +313,15 @@
 	}
 }
 
-// between returns how many of the sorted moments lie within the span.
+// between returns how many of the sorted times lie within the span.
 func between(sorted []int64, from, to int64) int {
 	first, _ := slices.BinarySearch(sorted, from)
 	last, _ := slices.BinarySearch(sorted, to)
 	return last - first
 }
 
-// judgeLoads checks that engines loaded whole versions, of chunks that did not turn bad
-// right before.
+// checkLoads checks that engines loaded complete versions, unless a chunk was corrupted right
+// before the load.
 func (r *run) checkLoads() {
 	for _, one := range r.loads {
 		sum := sha256.New()
@@ -331,8 +334,8 @@
 	}
 }
 
-// spoilt reports whether a chunk had turned bad at the engine so shortly before its load that
-// this counts as whole.
+// recentlySpoilt reports whether a chunk was corrupted at the engine so shortly before the load
+// that the load is not a violation.
 func (r *run) recentlySpoilt(one engineLoad) bool {
 	at := time.Unix(0, one.At)
 	return slices.ContainsFunc(r.faultLog, func(struck *faultRecord) bool {
--- a/bench/internal/sitesoak/checks_test.go
+++ b/bench/internal/sitesoak/checks_test.go
@@ -17,8 +17,8 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// TestJudge runs testdata/checks: each line is something that happened, its times in seconds, and
-// the output names the rules that broke.
+// TestChecks runs testdata/checks. Each input line is a recorded event with times in seconds,
+// and the output lists the violated rules.
 //
 //	strike KIND MEMBER FROM TO
 //	stop ENTRY AT
@@ -51,7 +51,7 @@
 	})
 }
 
-// judged is a run that is put together from what a script says.
+// scriptedRun is a run assembled from the lines of a script.
 type scriptedRun struct {
 	run     *run
 	callers *callers
@@ -181,6 +181,8 @@
 	return nil
 }
 
+// TestPlanRepeats checks that a plan depends only on its arguments and that an hour's plan has
+// events of every kind.
 func TestPlanRepeats(t *testing.T) {
 	counts := map[string]int{site.Entry: 9, site.Agent: 14, site.Engine: 14, site.App: 3, site.Store: 1, site.Origin: 1}
 	from := slices.Concat(planned, hiccups, faults)
@@ -197,10 +199,11 @@
 	}
 }
 
-// binVariable names the directory of the built programs; make sets it.
+// binEnv names the environment variable, set by make, that holds the directory of the built
+// programs.
 const binEnv = "COMFREY_BIN"
 
-// TestShortSoak plays two seeds: planned work and hiccups, and faults too.
+// TestShortSoak runs two seeds: one with planned operations and hiccups, one with faults too.
 func TestShortSoak(t *testing.T) {
 	bin := os.Getenv(binEnv)
 	if bin == "" {
--- a/bench/internal/sitesoak/checks_time.go
+++ b/bench/internal/sitesoak/checks_time.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// leaveLag is how long an endpoint that is asked to leave takes to register so: a heartbeat
-	// and the store's answer.
+	// leaveDelay is how long an endpoint takes to register that it was asked to leave: a
+	// heartbeat and the store's answer.
 	leaveDelay = 1500 * time.Millisecond
-	// servedPart is the part of the requests that is served at least once all faults are over.
+	// minServedFraction is the fraction of requests that must be served after all faults ended.
 	minServedFraction = 0.25
-	// servedOf is of how many that is judged at least.
+	// minServedSample is the least number of requests for which this is checked.
 	minServedSample = 20
 )
 
-// judgeVersions checks that no request begins on weights that ended long ago, at entries that
-// ran undisturbed while the store and the links were sound.
+// checkVersions checks that no request begins on weights that were replaced too long ago,
+// unless timing is exempt at its entry.
 func (r *run) checkVersions(tries map[string]*Try, entries map[string]*site.Member) {
 	for _, one := range r.runs {
 		sent := tries[one.ID]
@@ -41,7 +41,7 @@
 	}
 }
 
-// judgeDrains checks that an endpoint that leaves gets no new requests after a while.
+// checkDrains checks that a leaving endpoint gets no new requests after its drain time.
 func (r *run) checkDrains(tries map[string]*Try, entries map[string]*site.Member) {
 	leaving := map[string]time.Time{}
 	for _, one := range r.departures {
@@ -59,8 +59,9 @@
 	}
 }
 
-// outOfTouch reports whether bounds of time don't hold for an entry at a moment: it was
-// disturbed shortly before, or the store, a link or this machine was in the time since.
+// timingExempt reports whether time limits are not checked for an entry at a time: it was
+// affected by a fault or stopped shortly before, or the store, a link or this machine was
+// disturbed since the earlier time.
 func (r *run) timingExempt(entry *site.Member, since, at time.Time) bool {
 	if r.faultWithin(at, at, func(one *faultRecord) bool { return one.affects(entry.ID) }) {
 		return true
@@ -71,7 +72,7 @@
 	return away || r.stops.stoppedNear(entry, at) || r.stalls.within(since, at)
 }
 
-// judgeEnd checks that the deployment serves once all faults are over.
+// checkRecovery checks that the deployment serves requests after all faults ended.
 func (r *run) checkRecovery() {
 	total, served := 0, 0
 	var last int64
--- a/bench/internal/sitesoak/operator.go
+++ b/bench/internal/sitesoak/operator.go
@@ -13,7 +13,7 @@
 	"comfreyrelay.example/relay/catalog"
 )
 
-// spec is the engines' declaration.
+// spec is the performance declaration of the engines.
 var spec = catalog.Engine{
 	Slots: 16, Stride: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227, ReadPerSecond: 19100, PairMillis: 1.47,
 	ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94, Chunks: 96, ChunkBytes: 24576,
@@ -23,11 +23,11 @@
 	eventTokens = 5
 	idleTime    = 8 * time.Second
 	customers   = 6
-	// maxEvents bounds a stream's answer.
+	// maxEvents limits the events of a stream.
 	maxEvents = 52
 )
 
-// route is one route that callers use.
+// route is a route that callers use, with the shape of its requests.
 type route struct {
 	name, host, path string
 	method           string
@@ -35,7 +35,7 @@
 	service          string
 	model            string
 	stream           bool
-	share            float64 // of the requests
+	share            float64 // fraction of the requests
 	prompt, events   float64 // mean tokens and events of a stream
 	attempts         int
 	target, gap      time.Duration
@@ -45,7 +45,7 @@
 
 func (r *route) repeatable() bool { return r.kind != kindOnce }
 
-// patience is the pause after which the callers of a stream give it up.
+// maxPause is the pause between events after which callers give up a stream.
 func (r *route) maxPause() time.Duration {
 	if !r.stream {
 		return r.deadline
@@ -53,7 +53,7 @@
 	return max(2*time.Second, 4*r.target, 8*r.gap)
 }
 
-// Kinds of route, as the platform names them.
+// Kinds of route in the platform's configuration.
 const (
 	kindStream = "streaming"
 	kindOnce   = "non_idempotent"
@@ -83,7 +83,7 @@
 	}
 }
 
-// operator writes the configuration and names versions. It is safe for concurrent use.
+// operator writes configurations and declares versions. It is safe for concurrent use.
 type operator struct {
 	site     *site.Site
 	routes   []*route
@@ -95,24 +95,24 @@
 	weights uint64
 	keys    [][]string // by customer
 	issued  int
-	// issuedAt is when keys came after the first configuration.
+	// issuedAt holds when keys were issued, for keys after the first configuration.
 	issuedAt         map[string]time.Time
-	extraRoutes      int // routes that nobody uses
+	extraRoutes      int // number of unused routes
 	longTimeouts     bool
-	revoked          map[string]time.Time // by key, when that was acknowledged
+	revoked          map[string]time.Time // by key, when the revocation was acknowledged
 	declaredVersions []declaredVersion
 	changes          []configChange // of the configuration
 	probes           [probeRoutes]bool
 }
 
-// maxConns returns how many connections each endpoint takes from all callers: as many for each
-// entry as the platform's deployments have.
+// maxConns returns the connection limit of an endpoint of each kind. Engines and apps allow as
+// many per entry as in the platform's deployments.
 func maxConns(entries int) map[string]int {
 	const engineConns, appConns, originConns = 16, 12, 48
 	return map[string]int{site.Engine: engineConns * entries, site.App: appConns * entries, site.Origin: originConns}
 }
 
-// declared is a version and when it was acknowledged.
+// declaredVersion is a version with the times it was sent and acknowledged.
 type declaredVersion struct {
 	version  uint64
 	from, at time.Time
@@ -126,6 +126,7 @@
 	return o
 }
 
+// issueKey returns a new key.
 func (o *operator) issueKey() string {
 	o.issued++
 	key := fmt.Sprintf("key-%d", o.issued)
@@ -135,7 +136,8 @@
 	return key
 }
 
-// key returns a customer's key that is in force; most requests are a few customers'.
+// activeKey returns a key that is in force, of a random customer. A few customers send most of
+// the requests.
 func (o *operator) activeKey(random *rand.Rand) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -145,7 +147,7 @@
 	return keys[random.IntN(len(keys))]
 }
 
-// change writes the configuration with one thing changed.
+// writeChange writes the configuration with one random change.
 func (o *operator) writeChange(ctx context.Context) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -164,13 +166,13 @@
 	return o.write(ctx)
 }
 
-// revoke takes a customer's oldest key away.
+// revokeKey revokes the oldest key of a random customer.
 func (o *operator) revokeKey(ctx context.Context) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	customer := o.rng.IntN(customers)
 	if len(o.keys[customer]) < 3 {
-		// Its requests need another one that is in force everywhere.
+		// The customer's requests need another key that is in force everywhere.
 		o.keys[customer] = append(o.keys[customer], o.issueKey())
 		return o.write(ctx)
 	}
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// write writes the configuration; o.mu is held.
+// write writes the configuration. The caller holds o.mu.
 func (o *operator) write(ctx context.Context) error {
 	o.version += 1 + o.rng.IntN(3)
 	from := time.Now()
@@ -192,7 +194,7 @@
 	return err
 }
 
-// declare names new weights.
+// declareVersion declares a new version of the weights.
 func (o *operator) declareVersion(ctx context.Context) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -207,6 +209,7 @@
 
 type object = map[string]any
 
+// config returns the configuration document.
 func (o *operator) config() object {
 	list := []object{}
 	for _, r := range o.routes {
--- a/bench/internal/sitesoak/plan.go
+++ b/bench/internal/sitesoak/plan.go
@@ -9,30 +9,30 @@
 	"comfreyrelay.example/bench/internal/site"
 )
 
-// kind names what happens to a deployment.
+// kind is the type of an event, as printed in a plan.
 type kind string
 
-// What operators and platforms plan; it excuses nothing.
+// Planned operations of operators and platforms. They excuse no violation.
 const (
 	changeConfig kind = "changeConfig"
 	revokeKey    kind = "revokeKey"
 	newWeights   kind = "newWeights"
 	hangUp       kind = "hangUp"     // SIGHUP to an entry
-	stopEntry    kind = "stopEntry"  // SIGTERM, and started again
-	stopAgent    kind = "stopAgent"  // the same
-	replaceApp   kind = "replaceApp" // a plain endpoint drains, another one takes its place
+	stopEntry    kind = "stopEntry"  // SIGTERM and restart
+	stopAgent    kind = "stopAgent"  // SIGTERM and restart
+	replaceApp   kind = "replaceApp" // a plain endpoint drains and is replaced by another
 	addHost      kind = "addHost"    // an engine without weights, and its agent
 	burst        kind = "burst"      // callers send twice as much
-	impatience   kind = "impatience" // callers leave early
+	impatience   kind = "impatience" // some callers close their connections early
 )
 
-// Hiccups: a process stands still for less than a second, as on a busy machine. They
-// excuse nothing either.
+// Hiccups: a process is suspended for less than a second, as on a busy machine. They
+// excuse no violation either.
 const (
 	hiccupEntry  kind = "hiccupEntry"
 	hiccupAgent  kind = "hiccupAgent"
 	hiccupEngine kind = "hiccupEngine"
-	// All of a kind at once, as where a machine that carries them is busy.
+	// All processes of a kind at once, as when the machine that runs them is busy.
 	hiccupEntries kind = "hiccupEntries"
 	hiccupAgents  kind = "hiccupAgents"
 	hiccupEngines kind = "hiccupEngines"
@@ -63,12 +63,12 @@
 	storeLapses  kind = "storeLapses"
 	originDown   kind = "originDown"
 	originSpoilt kind = "originSpoilt"
-	doorSilent   kind = "doorSilent" // one entry's way to the store
+	doorSilent   kind = "doorSilent" // the connection of one entry to the store
 	doorOneWay   kind = "doorOneWay"
 	doorReset    kind = "doorReset"
 	doorBusy     kind = "doorBusy"
 	doorLimit    kind = "doorLimit"
-	waySilent    kind = "waySilent" // the way to one agent
+	waySilent    kind = "waySilent" // the connection to one agent
 	wayOneWay    kind = "wayOneWay"
 	wayReset     kind = "wayReset"
 	waySlow      kind = "waySlow"
@@ -77,26 +77,25 @@
 	killAll      kind = "killAll" // entries, agents and engines
 )
 
-// excuses are the faults at an entry or an endpoint, or between them, by which a request may
-// be lost. A store that is away, an agent that is gone and processes that stand still for a
-// moment excuse nothing.
+// lossCauses are the faults of an entry or an endpoint, or of the link between them, that
+// may lose a request. An unavailable store, a killed agent and a hiccup must not lose one.
 var lossCauses = map[kind]bool{
 	killEntry: true, killEngine: true, pauseEntry: true, pauseEngine: true, linkSilent: true, linkOneWay: true,
 	linkNarrow: true, linkReset: true, killEntries: true, killAll: true,
 }
 
-// kills are the kinds of event that end processes.
+// killKinds are the kinds of event that kill processes.
 var killKinds = map[kind]bool{killEntry: true, killAgent: true, killEngine: true, killEntries: true, killAll: true}
 
-// rule is how one kind of event is drawn.
+// eventRule defines how often one kind of event is drawn, its target and its length.
 type eventRule struct {
 	kind                 kind
-	target               string // kind of member; empty: none
+	target               string // kind of member, or empty for none
 	weight               int
 	minLength, maxLength time.Duration
 }
 
-// planned, hiccups and faults are the kinds of event that a run may draw from.
+// planned, hiccups and faults are the sets of rules that a run may draw events from.
 var (
 	planned = []eventRule{
 		{changeConfig, "", 10, 0, 0},
@@ -161,11 +160,11 @@
 	return slices.ContainsFunc(planned, func(rule eventRule) bool { return rule.kind == k })
 }
 
-// event is one thing that happens.
+// event is one planned operation, hiccup or fault.
 type event struct {
 	at         time.Duration // since the start of the load
 	kind       kind
-	memberKind string // kind of member that it strikes; empty: none
+	memberKind string // kind of member that is affected, or empty for none
 	target     int
 	length     time.Duration
 }
@@ -174,14 +173,14 @@
 	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", e.at.Seconds(), e.kind, e.memberKind, e.target, e.length.Seconds())
 }
 
-// busyPart of the members of a kind may be struck at once; recovery is what each gets to
-// come back before it is struck again.
+// No further event is drawn for a kind while more than maxBusyFraction of its members are
+// busy. recovery is the time a member has to recover before its next event.
 const (
 	maxBusyFraction = 0.3
 	recovery        = 2 * time.Second
 )
 
-// draw returns the events of a run: the same for the same arguments.
+// drawEvents returns the events of a run. The same arguments give the same events.
 func drawEvents(seed uint64, length time.Duration, meanInterval time.Duration, rules []eventRule, counts map[string]int) []event {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	busy := map[string]time.Duration{}
@@ -198,7 +197,7 @@
 		}
 		key := fmt.Sprint(rule.target, drawn.target)
 		if rule.target == "" {
-			// Of events that strike many, one of a kind lasts at a time.
+			// Only one event of each kind without a single target is active at a time.
 			key = string(rule.kind)
 		}
 		if busy[key] > at || rule.target != "" && busyCount(busy, rule.target, counts[rule.target], at) > maxBusyFraction*float64(counts[rule.target]) {
@@ -212,6 +211,7 @@
 	return events
 }
 
+// pickRule picks a rule at random, in proportion to the weights.
 func pickRule(rng *rand.Rand, rules []eventRule) eventRule {
 	totalWeight := 0
 	for _, rule := range rules {
@@ -226,6 +226,7 @@
 	return rules[len(rules)-1]
 }
 
+// busyCount returns how many members of a kind are busy at the given time.
 func busyCount(busy map[string]time.Duration, of string, count int, at time.Duration) float64 {
 	busyMembers := 0.0
 	for i := range count {
--- a/bench/internal/sitesoak/probe.go
+++ b/bench/internal/sitesoak/probe.go
@@ -14,32 +14,32 @@
 const (
 	// probeRoutes is how many routes the operator adds and removes for probes.
 	probeRoutes = 3
-	// probeGap is the time between two probes, each at the next entry.
+	// probeInterval is the time between two probes, which go to the entries in turn.
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = time.Second
-	// probePrefix begins the ids of probes, which are no callers' requests.
+	// probePrefix starts the ids of probes and tells them from callers' requests.
 	probePrefix = "probe-"
 	probeHost   = "p.example"
 )
 
 func probePath(route int) string { return fmt.Sprintf("/probe%d/", route) }
 
-// change is one configuration that the operator wrote.
+// configChange is a configuration that the operator wrote.
 type configChange struct {
-	sentAt, ackedAt time.Time // sent and acknowledged; at is zero where no acknowledgement came
+	sentAt, ackedAt time.Time // ackedAt is zero if the write was not acknowledged
 	probes          [probeRoutes]bool
 }
 
-// probe is a request sent straight to an entry on a route that comes and goes. What becomes of
-// it shows which configurations may be in force there.
+// probe is a request sent directly to an entry on a route that the operator adds and removes.
+// Its outcome shows which configurations may be in force at that entry.
 type probe struct {
 	entry       *site.Member
 	route       int
 	sent, ended time.Time
-	routeExists bool // the route was
+	routeExists bool // the entry knew the route
 }
 
-// probe sends probes to all entries in turn until ctx ends.
+// sendProbes sends probes to all entries in turn until ctx is done.
 func (r *run) sendProbes(ctx context.Context) {
 	client := &http.Client{Timeout: probeTimeout}
 	for number := 0; sleep(ctx, probeInterval) == nil; number++ {
@@ -49,7 +49,7 @@
 		one.ended = time.Now()
 		switch {
 		case err != nil || status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-			continue // it says nothing of the routes
+			continue // the status does not depend on the routes
 		case status == http.StatusNotFound:
 		default:
 			one.routeExists = true
@@ -75,11 +75,11 @@
 
 func isProbe(id string) bool { return strings.HasPrefix(id, probePrefix) }
 
-// judgeConfigs checks that a configuration is in force in time at entries in touch, and that no
-// process goes back to an older one.
+// checkConfigs checks that each entry applies a configuration in time, unless timing is exempt,
+// and that no process goes back to an older configuration.
 func (r *run) checkConfigs(changes []configChange) {
 	type observation struct {
-		newest int // index of the oldest configuration that all probes so far allow
+		newest int // index of the oldest configuration that is consistent with all probes so far
 		at     time.Time
 	}
 	observations := map[*site.Member]observation{}
@@ -109,7 +109,7 @@
 	}
 }
 
-// inForce returns the index of the newest configuration that was acknowledged before a moment.
+// newestAcknowledged returns the index of the newest configuration acknowledged before a time.
 func newestAcknowledged(changes []configChange, before time.Time) int {
 	for i := len(changes) - 1; i > 0; i-- {
 		if !changes[i].ackedAt.IsZero() && changes[i].ackedAt.Before(before) {
@@ -119,7 +119,7 @@
 	return 0
 }
 
-// restarted reports whether an entry's process may be another one than at an earlier moment.
+// mayHaveRestarted reports whether an entry's process may have been replaced since a time.
 func (r *run) mayHaveRestarted(entry *site.Member, since, at time.Time) bool {
 	killed := r.faultWithin(since, at, func(one *faultRecord) bool { return killKinds[one.kind] && one.affects(entry.ID) })
 	return killed || r.stops.stoppedNear(entry, at)
--- a/bench/internal/sitesoak/run.go
+++ b/bench/internal/sitesoak/run.go
@@ -1,6 +1,6 @@
-// Package sitesoak lets planned work, hiccups and faults happen to a deployment behind a
-// platform, all of it plain processes, and checks the platform's rules from what callers
-// and endpoints saw.
+// Package sitesoak injects planned operations, hiccups and faults into a deployment behind a
+// platform, all run as plain processes, and checks the platform's rules against the records
+// of callers and endpoints.
 package sitesoak
 
 import (
@@ -20,7 +20,7 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// bounds are those of the platform's smallest deployments.
+// bounds are the limits of the platform's smallest deployments.
 var bounds = site.Bounds{
 	Revoke: 5 * time.Second, Apply: 2 * time.Second, Version: 8 * time.Second, Drain: 2 * time.Second, Grace: 8 * time.Second,
 	Contact: 3 * time.Second, Ratio: 0.2, Slack: 106, Window: 10 * time.Second,
@@ -28,9 +28,10 @@
 
 const (
 	startTimeout = 40 * time.Second
-	// warmTime is how long a run's load lasts before anything happens.
+	// warmTime is how long the load runs before the first event.
 	warmupTime = 2 * time.Second
-	// endTime is what the last requests get to end.
+	// settleTime is the time scale of the phase after the last event. The load goes on for half
+	// of it, and the recovery check covers the last quarter.
 	settleTime = 8 * time.Second
 	appCount   = 3
 )
@@ -41,18 +42,18 @@
 	Log    io.Writer
 	Seed   uint64
 	Length time.Duration
-	// Entries and Engines are how many of them run.
+	// Entries and Engines are the numbers of processes.
 	Entries, Engines int
-	// Load is the requests a second as a part of what the engines can serve.
+	// Load is the request rate as a fraction of the engines' capacity.
 	Load float64
 	// Gap is the mean time between two events.
 	Gap time.Duration
-	// Planned, Hiccups and Faults say what may happen.
+	// Planned, Hiccups and Faults enable the sets of events.
 	Planned, Hiccups, Faults bool
 	Progress                 *slog.Logger
 }
 
-// Result is a run's JSON line.
+// Result is the summary of a run, printed as one line of JSON.
 type Result struct {
 	Bench    string  `json:"bench"`
 	Seed     uint64  `json:"seed"`
@@ -62,33 +63,33 @@
 	Served   int     `json:"served"`
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
-	// Failures counts those that failed by their status, or by how they ended without one.
+	// Failures counts failed requests by status, or by how they ended without one.
 	Failures map[string]int `json:"failures"`
-	// CutOff counts answers that broke off after their endpoint did.
+	// CutOff counts broken answers whose endpoint had broken off.
 	CutOff int `json:"cutOff"`
-	// Resumed counts runs that went on after another one.
+	// Resumed counts runs that continued a request after an earlier run.
 	Resumed int `json:"resumed"`
 	Missing int `json:"missing"` // records of endpoints that could not be read
-	Stalls  int `json:"stalls"`  // times at which this machine stood still
-	// Connections is the most that one endpoint had open at once, as a part of what it takes, by
-	// kind; Reset counts those beyond, which were reset.
+	Stalls  int `json:"stalls"`  // times at which this machine was stalled
+	// Connections is, by kind, the peak number of open connections of one endpoint as a fraction
+	// of its limit. Reset counts connections beyond the limit, which were reset.
 	Connections map[string]float64 `json:"connections"`
 	Reset       int                `json:"reset"`
-	// Broken counts broken rules by name; Examples are the first of each.
+	// Broken counts violations by rule. Examples holds the first few of each.
 	Broken   map[string]int `json:"broken"`
 	Examples []string       `json:"examples,omitempty"`
 	Error    string         `json:"error,omitempty"`
 }
 
-// run is one soak.
+// run holds the state of one soak run.
 type run struct {
 	options    Options
 	site       *site.Site
 	operator   *operator
 	callers    []*callers
 	pending    sync.WaitGroup
-	rate       atomic.Int64 // times the usual rate of requests
-	leaveEarly atomic.Bool  // callers leave early
+	rate       atomic.Int64 // factor on the usual request rate
+	leaveEarly atomic.Bool  // some callers close their connections early
 	stops      stops
 	stalls     stalls
 	probes     []probe // in order
@@ -98,15 +99,15 @@
 	faultLog   []*faultRecord // faults
 	runs       []platformtest.Run
 	loads      []engineLoad
-	peaks      map[string]int // connections of one endpoint, the most, by kind
+	peaks      map[string]int // peak connections of one endpoint, by kind
 	reset      int
 	missing    int
 	broken     map[string]int
 	examples   []string
-	harnessErr error // of what the harness itself could not do
+	harnessErr error // errors of the harness itself, such as failed events
 }
 
-// Run runs one soak.
+// Run starts a deployment, applies load and events, and checks the rules.
 func Run(ctx context.Context, options Options) (Result, error) {
 	r := &run{options: options, broken: map[string]int{}, peaks: map[string]int{}}
 	r.rate.Store(1)
@@ -133,7 +134,7 @@
 			r.collectRecord(ctx, m)
 		}
 	}
-	if ctx.Err() != nil { // without the records nothing can be judged
+	if ctx.Err() != nil { // the rules can't be checked without the records
 		return result, ctx.Err()
 	}
 	r.checkRecords(&result)
@@ -167,7 +168,7 @@
 	return r.site.WaitReady(ctx)
 }
 
-// directories returns three entries that callers of a domain ask, nearest first.
+// directories returns the directory addresses of up to three entries, nearest first.
 func (r *run) directories(domain int) []string {
 	entries := r.site.Members(site.Entry)
 	var found []string
@@ -177,6 +178,7 @@
 	return found
 }
 
+// planEvents draws the events of the enabled sets.
 func (r *run) planEvents() []event {
 	var enabled []eventRule
 	for _, set := range []struct {
@@ -197,7 +199,7 @@
 	return drawEvents(r.options.Seed, r.options.Length, r.options.Gap, enabled, counts)
 }
 
-// play runs the load and the events to their end.
+// runEvents runs the load and the events to their end.
 func (r *run) runEvents(ctx context.Context, events []event) error {
 	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -235,10 +237,10 @@
 	return nil
 }
 
-// perEngine is the streams a second that one engine serves without a queue.
+// streamsPerEngine is how many streams per second one engine serves without queueing.
 const streamsPerEngine = 12.0
 
-// call sends the requests of one failure domain, evenly spread at random, until ctx ends.
+// sendLoad sends the requests of one failure domain at random intervals until ctx is done.
 func (r *run) sendLoad(ctx context.Context, domain int, requests *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+domain)))
 	rate := r.options.Load * streamsPerEngine * float64(r.options.Engines) / float64(len(r.callers))
@@ -253,11 +255,11 @@
 	}
 }
 
-// stayOf is of how many requests one goes over a connection that is open, whatever the directory
-// says.
+// reuseOneIn is the number of requests of which, on average, one uses an open connection
+// regardless of the directory.
 const reuseOneIn = 4
 
-// request draws a request.
+// request draws a random request.
 func (r *run) request(random *rand.Rand, domain, number int) *request {
 	remaining := random.Float64()
 	chosen := r.operator.routes[0]
@@ -276,7 +278,7 @@
 	return wanted
 }
 
-// violate counts a broken rule and keeps the first few examples.
+// recordViolation counts a violation and keeps the first few examples of each rule.
 func (r *run) recordViolation(rule, detail string) {
 	const kept = 3
 	r.mu.Lock()
--- a/bench/internal/sitesoak/spans.go
+++ b/bench/internal/sitesoak/spans.go
@@ -9,7 +9,7 @@
 	"comfreyrelay.example/bench/internal/site"
 )
 
-// stops are the planned ends of entries. They are safe for concurrent use.
+// stops records the planned stops of processes. It is safe for concurrent use.
 type stops struct {
 	mu   sync.Mutex
 	list []faultRecord
@@ -21,8 +21,8 @@
 	s.list = append(s.list, faultRecord{kind: stopEntry, member: m, from: time.Now(), to: time.Now().Add(bounds.Grace + time.Second)})
 }
 
-// cut reports whether an entry was asked to end so long before that a request may not have
-// ended in time: the last sixth of its grace time had begun.
+// mayHaveCut reports whether a stopping entry may have cut off a request: the request ended in
+// the last sixth of the entry's grace time or within a second after it.
 func (s *stops) mayHaveCut(entry *site.Member, sent, ended time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 	})
 }
 
-// hit reports whether an entry was asked to end shortly before a moment.
+// stoppedNear reports whether an entry was asked to stop shortly before a time.
 func (s *stops) stoppedNear(entry *site.Member, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,20 +42,20 @@
 }
 
 const (
-	// stallLook is how often this process looks whether it is late, and stallLeast by how much
-	// it must be for the machine to count as standing still.
+	// stallCheckInterval is how often this process checks whether its timer is late. The
+	// machine counts as stalled if the timer is late by more than minStall.
 	stallCheckInterval = 20 * time.Millisecond
 	minStall           = 200 * time.Millisecond
 )
 
-// stalls are the times at which this machine stood still: bounds of time don't hold then. They
-// are safe for concurrent use.
+// stalls records when this machine was stalled. Time limits are not checked then. It is safe
+// for concurrent use.
 type stalls struct {
 	mu   sync.Mutex
 	list []faultRecord
 }
 
-// watch notes stalls until ctx ends.
+// detect records stalls until ctx is done.
 func (s *stalls) detect(ctx context.Context) {
 	for last := time.Now(); sleep(ctx, stallCheckInterval) == nil; last = time.Now() {
 		if now := time.Now(); now.Sub(last) > stallCheckInterval+minStall {
@@ -72,7 +72,7 @@
 	return len(s.list)
 }
 
-// within reports whether the machine stood still in a span or shortly before.
+// within reports whether the machine was stalled during a span or shortly before.
 func (s *stalls) within(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
