--- a/bench/internal/sitesoak/run.go
+++ b/bench/internal/sitesoak/run.go
@@ -30,8 +30,8 @@
 	startTimeout = 40 * time.Second
 	// warmTime is how long the load runs before the first event.
 	warmupTime = 2 * time.Second
-	// settleTime is the time scale of the phase after the last event. The load goes on for half
-	// of it, and the recovery check covers the last quarter.
+	// settleTime is the time for the last requests to end. The load goes on for half of it after
+	// the last event, and the recovery check covers a quarter of it before the last request.
 	settleTime = 8 * time.Second
 	appCount   = 3
 )
