--- a/bench/internal/protocols/log_test.go
+++ b/bench/internal/protocols/log_test.go
@@ -5,19 +5,20 @@
 	"sync"
 )
 
-// lineLog lets the deployment's processes write side by side.
-type lineLog struct {
+// syncBuffer collects the logs of the deployment's processes, which write
+// concurrently.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lineLog) Write(text []byte) (int, error) {
+func (l *syncBuffer) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(text)
 }
 
-func (l *lineLog) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/bench/internal/protocols/protocols_test.go
+++ b/bench/internal/protocols/protocols_test.go
@@ -19,48 +19,51 @@
 )
 
 const (
-	// binVariable names the directory of the built programs; make sets it.
+	// binVariable names the environment variable, set by make, that holds the
+	// directory of the built programs.
 	binVariable = "COMFREY_BIN"
-	// startLimit bounds the deployment's start; the machine may be busy.
-	startLimit = 3 * time.Minute
-	// callLimit bounds one command.
-	callLimit = 60 * time.Second
-	// pause is between two looks while the deployment starts.
-	pause = 50 * time.Millisecond
-	// maxAnswer bounds what is read of one answer, bytes.
-	maxAnswer = 4 << 20
-	entries   = 3
+	// startTimeout limits the deployment's start. It is generous because the
+	// machine may be busy.
+	startTimeout = 3 * time.Minute
+	// callTimeout limits one request.
+	callTimeout = 60 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 50 * time.Millisecond
+	// maxResponseBytes limits how much of a response body is read, in bytes.
+	maxResponseBytes = 4 << 20
+	entryCount       = 3
 )
 
-// customer is the one that the page names.
+// customer is the customer that the page uses.
 var customer = deployment.Customer{Name: "quetzal", Priority: 5}
 
-// client makes a connection for each command, as curl does.
+// client opens a new connection for each request, as curl does.
 var client = &http.Client{
-	Timeout:       callLimit,
+	Timeout:       callTimeout,
 	Transport:     &http.Transport{DisableKeepAlives: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Symptom: somebody writes a program by the page and gets other answers than it
-// shows. Cause: the page was written once, and the code went on.
+// TestPage guards against documentation that no longer matches the code, so that
+// a program written from the page gets different answers than the page shows.
 func TestPage(t *testing.T) {
-	bin := programs(t)
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	bin := programDir(t)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	log := new(lineLog)
-	started, version := start(ctx, t, bin, log)
-	page := newReader(started.Entries()[0].CallersAddress(), version)
+	log := new(syncBuffer)
+	started, version := startDeployment(ctx, t, bin, log)
+	runner := newExampleRunner(started.Entries()[0].CallersAddress(), version)
 	for _, shown := range readPage(t) {
-		page.try(t, shown)
+		runner.runExample(t, shown)
 	}
 	if t.Failed() {
 		t.Log("log of the deployment:\n" + log.String())
 	}
 }
 
-// programs returns the directory of the built programs.
-func programs(t *testing.T) string {
+// programDir returns the directory of the built programs and skips the test if
+// none is set.
+func programDir(t *testing.T) string {
 	t.Helper()
 	bin := os.Getenv(binVariable)
 	if bin == "" {
@@ -72,19 +75,19 @@
 	return bin
 }
 
-// start starts a deployment in which revision 1 is in force and every entry knows
-// every host and entry.
-func start(ctx context.Context, t *testing.T, bin string, log io.Writer) (*deployment.Deployment, string) {
+// startDeployment starts a deployment in which revision 1 is in force and every
+// entry knows every host and entry. It also returns the published version.
+func startDeployment(ctx context.Context, t *testing.T, bin string, log io.Writer) (*deployment.Deployment, string) {
 	t.Helper()
 	started, err := deployment.Start(ctx, deployment.Config{
-		Bin: bin, Log: log, Places: deployment.Quetzal(), Entries: entries, Hosts: 3, Services: 1,
+		Bin: bin, Log: log, Places: deployment.Quetzal(), Entries: entryCount, Hosts: 3, Services: 1,
 		Engine: deployment.Engine{TokenInterval: time.Millisecond, FirstTokenTime: time.Millisecond, LoadTime: time.Millisecond},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(started.Stop)
-	made, err := started.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: 1, ChunkKib: 64, Seed: 1})
+	publication, err := started.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: 1, ChunkKib: 64, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +95,7 @@
 		t.Fatal(err)
 	}
 	doc := started.Document(deployment.Desired{
-		Version: made.Version, Objective: deployment.ObjectiveTime, Customers: []deployment.Customer{customer}, MaxUnavailable: 1, Shift: "asHostsTurn",
+		Version: publication.Version, Objective: deployment.ObjectiveTime, Customers: []deployment.Customer{customer}, MaxUnavailable: 1, Shift: "asHostsTurn",
 	})
 	if _, err := started.Submit(ctx, started.Entries()[0], 0, doc, "first"); err != nil {
 		t.Fatal(err)
@@ -101,32 +104,34 @@
 		t.Fatal(err)
 	}
 	for _, entry := range started.Entries() {
-		if err := waitKnowing(ctx, entry.CallersAddress()); err != nil {
+		if err := waitForTopology(ctx, entry.CallersAddress()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return started, made.Version
+	return started, publication.Version
 }
 
-// waitKnowing waits until the entry knows the others, that every replica serves,
-// and a host for each service.
-func waitKnowing(ctx context.Context, entry string) error {
+// waitForTopology waits until the entry reports the other entries, a finished
+// rollout and all nodes.
+func waitForTopology(ctx context.Context, entry string) error {
 	for {
-		err := knows(ctx, entry)
+		err := checkTopology(ctx, entry)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("entry %s: %w", entry, err)
-		case <-time.After(pause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-var errNotYet = errors.New("not yet")
+var errNotReady = errors.New("deployment is not ready")
 
-func knows(ctx context.Context, entry string) error {
+// checkTopology returns an error while the entry reports an incomplete directory,
+// rollout or list of nodes.
+func checkTopology(ctx context.Context, entry string) error {
 	var directory struct {
 		Spares []string `json:"spares"`
 	}
@@ -147,13 +152,14 @@
 			return err
 		}
 	}
-	const nodes = entries + 4
-	if len(directory.Spares) != entries-1 || !rollout.Done || len(status.Nodes) != nodes {
-		return fmt.Errorf("%w: %d spares, rollout done %t, %d nodes", errNotYet, len(directory.Spares), rollout.Done, len(status.Nodes))
+	const nodes = entryCount + 4
+	if len(directory.Spares) != entryCount-1 || !rollout.Done || len(status.Nodes) != nodes {
+		return fmt.Errorf("%w: %d spares, rollout done %t, %d nodes", errNotReady, len(directory.Spares), rollout.Done, len(status.Nodes))
 	}
 	return nil
 }
 
+// get decodes the JSON answer to an authorized GET request into a value.
 func get(ctx context.Context, address, key string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -165,29 +171,31 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("%w: status %d: %s", errNotYet, status, text)
+		return fmt.Errorf("%w: status %d: %s", errNotReady, status, text)
 	}
 	return json.Unmarshal([]byte(text), into)
 }
 
+// send sends a request and returns the status and body of the response.
 func send(req *http.Request) (status int, text string, err error) {
 	res, err := client.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return res.StatusCode, string(body), err
 }
 
-// reader follows the page as a reader would.
-type reader struct {
+// exampleRunner runs the page's examples in order and keeps the shell variables
+// that they use.
+type exampleRunner struct {
 	shell *shell
 	vars  map[string]string
 }
 
-func newReader(entry, version string) *reader {
-	r := &reader{vars: map[string]string{
+func newExampleRunner(entry, version string) *exampleRunner {
+	r := &exampleRunner{vars: map[string]string{
 		"ENTRY":             entry,
 		"KEY":               customer.Key(),
 		"KEY_HASH":          deployment.KeyHash(customer.Key()),
@@ -200,7 +208,8 @@
 	return r
 }
 
-func (r *reader) variable(name string) (string, bool) {
+// variable returns the value of a shell variable; ID is new each time.
+func (r *exampleRunner) variable(name string) (string, bool) {
 	if name == "ID" {
 		return uuid.Must(uuid.NewV7()).String(), true
 	}
@@ -208,13 +217,13 @@
 	return value, found
 }
 
-// try runs an example and compares its last answer with the one shown.
-func (r *reader) try(t *testing.T, shown example) {
+// runExample runs an example and compares its last answer with the documented one.
+func (r *exampleRunner) runExample(t *testing.T, shown example) {
 	t.Helper()
-	where := fmt.Sprintf("line %d (%s)", shown.line, shown.heading)
+	location := fmt.Sprintf("line %d (%s)", shown.line, shown.heading)
 	status, text := 0, ""
 	err := r.shell.commands(shown.script, func(cmd command) error {
-		if r.shell.write(cmd) {
+		if r.shell.writeFile(cmd) {
 			return nil
 		}
 		req, err := r.shell.request(cmd)
@@ -225,35 +234,35 @@
 		return err
 	})
 	if err != nil {
-		t.Errorf("%s: %v", where, err)
+		t.Errorf("%s: %v", location, err)
 		return
 	}
 	if status != shown.status {
-		t.Errorf("%s: got status %d, want %d: %s", where, status, shown.status, text)
+		t.Errorf("%s: got status %d, want %d: %s", location, status, shown.status, text)
 		return
 	}
 	answer, err := r.shell.expand(shown.answer)
 	if err != nil {
-		t.Errorf("%s: %v", where, err)
+		t.Errorf("%s: %v", location, err)
 		return
 	}
 	compare := compareJSON
 	if shown.format == "text" {
 		compare = compareEvents
 	}
-	wrong, err := compare(answer, text)
+	differences, err := compare(answer, text)
 	if err != nil {
-		t.Errorf("%s: %v", where, err)
+		t.Errorf("%s: %v", location, err)
 	}
-	for _, difference := range wrong {
-		t.Errorf("%s: %s", where, difference)
+	for _, difference := range differences {
+		t.Errorf("%s: %s", location, difference)
 	}
-	r.learn(shown, text)
+	r.updateVars(shown, text)
 }
 
-// learn takes over what the page says of the first answer: the entry to connect
-// to and the owner of once keys.
-func (r *reader) learn(shown example, text string) {
+// updateVars sets ENTRY and OWNER from an answer of /v1/entries, as the page
+// instructs: the entry to connect to and the owner of once keys.
+func (r *exampleRunner) updateVars(shown example, text string) {
 	if !strings.Contains(shown.script, "/v1/entries") {
 		return
 	}
--- a/bench/internal/sitesoak/caller.go
+++ b/bench/internal/sitesoak/caller.go
@@ -22,102 +22,102 @@
 	"comfreyrelay.example/platform/platformtest"
 )
 
-// Try is one request as its caller saw it.
+// Try is one attempt of a caller to send a request, as the caller observed it.
 type Try struct {
 	ID     string `json:"id"`
 	Route  string `json:"route"`
 	Entry  string `json:"entry"` // address
 	Key    string `json:"key"`
-	Kept   bool   `json:"kept"` // on a connection that had served others
+	Kept   bool   `json:"kept"` // sent over a reused connection
 	After  int    `json:"after,omitempty"`
-	Status int    `json:"status"` // 0: no answer began
-	Whole  bool   `json:"whole"`  // the answer came to its end
+	Status int    `json:"status"` // 0 if no answer began
+	Whole  bool   `json:"whole"`  // the answer was complete
 	Left   bool   `json:"left"`   // the caller closed the connection first
 	Events int    `json:"events,omitempty"`
-	// Sent and Ended are Unix nanoseconds; Deadline is what the caller gave.
+	// Sent and Ended are in Unix nanoseconds. Deadline is the time the caller allowed.
 	Sent     int64         `json:"sent"`
 	Ended    int64         `json:"ended"`
 	Deadline time.Duration `json:"deadline"`
-	// Wrong says what of the answer is not the endpoint's; empty: nothing.
+	// Wrong describes a difference from the endpoint's answer, if any.
 	Wrong string `json:"wrong,omitempty"`
-	// Broken says how the connection ended; empty: it did not.
+	// Broken is the error that broke the connection, if any.
 	Broken string `json:"broken,omitempty"`
 
-	returnAfter time.Duration
-	request     *request
+	retryAfter time.Duration
+	request    *request
 }
 
-// request is what a caller wants.
+// request is a request to send, with the behavior of its caller.
 type request struct {
-	route  *route
-	work   platformtest.Work
-	key    string
-	tokens int
-	domain string
-	leaves bool // its caller leaves early
-	stays  bool // its caller uses an open connection until its process is gone
+	route            *route
+	work             platformtest.Work
+	key              string
+	tokens           int
+	domain           string
+	leavesEarly      bool // its caller closes the connection early
+	reusesConnection bool // its caller prefers an open connection to any entry
 }
 
-// callers send requests and keep the record of their tries. They are the callers of one
-// failure domain each.
+// callers sends the requests of one failure domain and records every try.
 type callers struct {
-	directories []string // of entries, nearest first
+	directories []string // addresses of the entries' directories, nearest first
 	domain      string
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	named    []string // entries to use
-	namedTil time.Time
-	idle     map[string][]*connection
-	tries    []*Try
-	ids      int
+	mu             sync.Mutex
+	rng            *rand.Rand
+	entryAddresses []string // entries to use
+	entriesExpiry  time.Time
+	idle           map[string][]*connection
+	tries          []*Try
+	lastID         int
 }
 
-// connection is one to an entry.
+// connection is a connection to an entry.
 type connection struct {
-	raw     net.Conn
-	address string
-	reader  *bufio.Reader
-	since   time.Time // idle
-	used    bool
+	raw       net.Conn
+	address   string
+	reader    *bufio.Reader
+	idleSince time.Time // when it became idle
+	reused    bool
 }
 
 const (
-	connectTime = time.Second
-	askTime     = time.Second
-	// idlePart is the part of the declared idle time that callers keep a connection.
-	idlePart = 0.8
-	// retries is how often a caller comes back.
-	retries = 1
+	connectTimeout = time.Second
+	resolveTimeout = time.Second
+	// idlePart is the fraction of the declared idle time for which callers keep an idle
+	// connection.
+	idleFraction = 0.8
+	// retries is how often a caller sends a request again.
+	maxRetries = 1
 )
 
 func newCallers(domain string, directories []string, seed uint64) *callers {
-	return &callers{domain: domain, directories: directories, random: rand.New(rand.NewPCG(seed, 11)), idle: map[string][]*connection{}}
+	return &callers{domain: domain, directories: directories, rng: rand.New(rand.NewPCG(seed, 11)), idle: map[string][]*connection{}}
 }
 
 // serve sends a request until it is served or the caller gives up.
 func (c *callers) serve(ctx context.Context, wanted *request) {
 	end := time.Now().Add(wanted.route.deadline)
 	after := 0
-	for try := 0; try <= retries; try++ {
+	for try := 0; try <= maxRetries; try++ {
 		left := time.Until(end)
 		if left <= 0 || ctx.Err() != nil {
 			return
 		}
 		done := c.send(ctx, wanted, left, after)
-		if done == nil || done.Whole && done.Status < http.StatusBadRequest || !mayReturn(done) {
+		if done == nil || done.Whole && done.Status < http.StatusBadRequest || !mayRetry(done) {
 			return
 		}
 		after = max(after, done.After+done.Events)
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(done.returnAfter, time.Until(end)/3)):
+		case <-time.After(min(done.retryAfter, time.Until(end)/3)):
 		}
 	}
 }
 
-// mayReturn reports whether a caller sends its request again after the try.
-func mayReturn(done *Try) bool {
+// mayRetry reports whether a caller sends its request again after the try.
+func mayRetry(done *Try) bool {
 	switch done.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -127,58 +127,60 @@
 	return done.request.route.repeatable() && !done.Left
 }
 
-// send sends a request once; nil: no connection came about.
+// send sends a request once. It returns nil if no connection could be made.
 func (c *callers) send(ctx context.Context, wanted *request, left time.Duration, after int) *Try {
-	conn, err := c.connect(ctx, wanted.stays)
+	conn, err := c.connect(ctx, wanted.reusesConnection)
 	if err != nil {
 		return nil
 	}
-	one := c.note(wanted, conn, left, after)
+	one := c.recordTry(wanted, conn, left, after)
 	end := time.Now().Add(left)
-	if wanted.leaves {
+	if wanted.leavesEarly {
 		end = time.Now().Add(wanted.route.target / 2)
 	}
 	_ = conn.raw.SetDeadline(end)
 	if err := wanted.write(conn.raw, one, left, after); err != nil {
-		c.broke(one, conn, err)
+		c.recordBreak(one, conn, err)
 		return one
 	}
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		c.broke(one, conn, err)
+		c.recordBreak(one, conn, err)
 		return one
 	}
 	one.Status = resp.StatusCode
 	if err := one.read(resp, conn, end); err != nil {
-		c.broke(one, conn, err)
+		c.recordBreak(one, conn, err)
 		return one
 	}
 	one.Whole, one.Ended = true, time.Now().UnixNano()
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		one.returnAfter = time.Duration(seconds * float64(time.Second))
+		one.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if resp.Close {
 		_ = conn.raw.Close()
 	} else {
-		c.keep(conn)
+		c.putIdle(conn)
 	}
 	return one
 }
 
-func (c *callers) note(wanted *request, conn *connection, left time.Duration, after int) *Try {
+// recordTry adds a new try to the record.
+func (c *callers) recordTry(wanted *request, conn *connection, left time.Duration, after int) *Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ids++
+	c.lastID++
 	one := &Try{
-		ID: fmt.Sprintf("%s-%d", c.domain, c.ids), Route: wanted.route.name, Entry: conn.address, Key: wanted.key, Kept: conn.used,
+		ID: fmt.Sprintf("%s-%d", c.domain, c.lastID), Route: wanted.route.name, Entry: conn.address, Key: wanted.key, Kept: conn.reused,
 		After: after, Sent: time.Now().UnixNano(), Deadline: left, request: wanted,
 	}
 	c.tries = append(c.tries, one)
 	return one
 }
 
-// broke notes that a try did not come to its end and closes the connection.
-func (c *callers) broke(one *Try, conn *connection, err error) {
+// recordBreak records that a try did not complete and closes the connection. A timeout counts
+// as the caller leaving.
+func (c *callers) recordBreak(one *Try, conn *connection, err error) {
 	one.Ended = time.Now().UnixNano()
 	_ = conn.raw.Close()
 	var timeout net.Error
@@ -189,7 +191,7 @@
 	one.Broken = err.Error()
 }
 
-// write writes the request.
+// write writes the HTTP request.
 func (w *request) write(to io.Writer, one *Try, left time.Duration, after int) error {
 	var body []byte
 	if w.route.method == http.MethodPost {
@@ -217,7 +219,7 @@
 	return err
 }
 
-// read reads an answer to its end and compares it with the endpoint's.
+// read reads a complete answer and compares it with the endpoint's expected answer.
 func (t *Try) read(resp *http.Response, conn *connection, end time.Time) error {
 	good := resp.StatusCode < http.StatusMultipleChoices
 	if id := resp.Header.Get("X-Attempt-Id"); good && id != t.ID {
@@ -236,7 +238,7 @@
 	return err
 }
 
-// text is the whole answer of a plain endpoint.
+// text returns the expected answer of a plain endpoint.
 func (w *request) text() string {
 	work := w.work
 	if w.route.method == http.MethodGet {
@@ -245,11 +247,12 @@
 	return work.Text(0)
 }
 
-// readStream reads events; a pause that is too long ends it as the caller's doing.
+// readStream reads and compares events. If the pause between two events is too long, the
+// caller leaves.
 func (t *Try) readStream(resp *http.Response, conn *connection, end time.Time) error {
 	lines := bufio.NewReader(resp.Body)
 	for {
-		pause := time.Now().Add(t.request.route.patience())
+		pause := time.Now().Add(t.request.route.maxPause())
 		if pause.After(end) {
 			pause = end
 		}
@@ -273,7 +276,7 @@
 	return nil
 }
 
-// readEvent reads up to a blank line. io.EOF with no text says that the stream ended.
+// readEvent reads up to a blank line. It returns io.EOF without text at the end of the stream.
 func readEvent(lines *bufio.Reader) (string, error) {
 	event := ""
 	for {
@@ -288,12 +291,12 @@
 	}
 }
 
-// connect returns a kept connection to one of the entries named, or a new one. Callers that stay
-// take a kept one to any entry.
+// connect returns an idle or a new connection to one of the entries in the directory. With
+// stays set, it prefers an idle connection to any entry.
 func (c *callers) connect(ctx context.Context, stays bool) (*connection, error) {
 	if stays {
-		for _, address := range c.kept() {
-			if conn := c.take(address); conn != nil {
+		for _, address := range c.idleEntries() {
+			if conn := c.takeIdle(address); conn != nil {
 				return conn, nil
 			}
 		}
@@ -304,11 +307,11 @@
 	}
 	failed := map[string]bool{}
 	for range named {
-		address := c.choose(named, failed)
-		if conn := c.take(address); conn != nil {
+		address := c.chooseEntry(named, failed)
+		if conn := c.takeIdle(address); conn != nil {
 			return conn, nil
 		}
-		raw, err := (&net.Dialer{Timeout: connectTime}).DialContext(ctx, "tcp", address)
+		raw, err := (&net.Dialer{Timeout: connectTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			return &connection{raw: raw, address: address, reader: bufio.NewReader(raw)}, nil
 		}
@@ -317,33 +320,36 @@
 	return nil, errors.New("no entry takes a connection")
 }
 
-func (c *callers) choose(named []string, failed map[string]bool) string {
+// chooseEntry picks a random address that has not failed.
+func (c *callers) chooseEntry(named []string, failed map[string]bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		if address := named[c.random.IntN(len(named))]; !failed[address] {
+		if address := named[c.rng.IntN(len(named))]; !failed[address] {
 			return address
 		}
 	}
 }
 
-// kept returns the entries with a kept connection, by chance.
-func (c *callers) kept() []string {
+// idleEntries returns the addresses in the idle pool in random order.
+func (c *callers) idleEntries() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := slices.Sorted(maps.Keys(c.idle))
-	c.random.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
+	c.rng.Shuffle(len(found), func(i, j int) { found[i], found[j] = found[j], found[i] })
 	return found
 }
 
-func (c *callers) take(address string) *connection {
+// takeIdle removes a connection from the idle pool and closes those idle for too long. It
+// returns nil if none is left.
+func (c *callers) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
 	for len(list) > 0 {
 		conn := list[len(list)-1]
 		list = list[:len(list)-1]
-		if time.Since(conn.since) < time.Duration(idlePart*float64(idleTime)) {
+		if time.Since(conn.idleSince) < time.Duration(idleFraction*float64(idleTime)) {
 			c.idle[address] = list
 			return conn
 		}
@@ -353,28 +359,30 @@
 	return nil
 }
 
-func (c *callers) keep(conn *connection) {
+// putIdle returns a connection to the idle pool.
+func (c *callers) putIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.since, conn.used = time.Now(), true
+	conn.idleSince, conn.reused = time.Now(), true
 	c.idle[conn.address] = append(c.idle[conn.address], conn)
 }
 
-// entries returns the entries that the directory names, asked anew once its time is over.
+// entries returns the entries listed by the directory, refreshed when its TTL expires. If no
+// directory answers, it returns the previous list.
 func (c *callers) entries(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	named, til := c.named, c.namedTil
+	named, til := c.entryAddresses, c.entriesExpiry
 	c.mu.Unlock()
 	if time.Now().Before(til) {
 		return named, nil
 	}
 	for _, address := range c.directories {
-		found, keep, err := c.ask(ctx, address)
+		found, keep, err := c.resolve(ctx, address)
 		if err != nil {
 			continue
 		}
 		c.mu.Lock()
-		c.named, c.namedTil = found, time.Now().Add(keep)
+		c.entryAddresses, c.entriesExpiry = found, time.Now().Add(keep)
 		c.mu.Unlock()
 		return found, nil
 	}
@@ -384,8 +392,9 @@
 	return nil, errors.New("no directory answers")
 }
 
-func (c *callers) ask(ctx context.Context, address string) ([]string, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// resolve asks one directory for the entries' addresses and their TTL.
+func (c *callers) resolve(ctx context.Context, address string) ([]string, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	query := url.Values{"name": {"a.example"}, "region": {"region-" + c.domain}, "zone": {c.domain}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/resolve?"+query.Encode(), nil)
@@ -408,8 +417,8 @@
 	return body.Addresses, time.Duration(body.TTL * float64(time.Second)), nil
 }
 
-// record returns all tries.
-func (c *callers) record() []*Try {
+// snapshot returns a copy of the list of tries.
+func (c *callers) snapshot() []*Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Try(nil), c.tries...)
--- /dev/null
+++ b/bench/internal/sitesoak/checks_time.go
@@ -0,0 +1,99 @@
+package sitesoak
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"comfreyrelay.example/bench/internal/site"
+	"comfreyrelay.example/platform/platformtest"
+)
+
+const (
+	// leaveDelay is how long an endpoint takes to register that it was asked to leave: a
+	// heartbeat and the store's answer.
+	leaveDelay = 1500 * time.Millisecond
+	// minServedFraction is the fraction of requests that must be served after all faults ended.
+	minServedFraction = 0.25
+	// minServedSample is the least number of requests for which this is checked.
+	minServedSample = 20
+)
+
+// checkVersions checks that no request begins on weights that were replaced too long ago,
+// unless timing is exempt at its entry.
+func (r *run) checkVersions(tries map[string]*Try, entries map[string]*site.Member) {
+	for _, one := range r.runs {
+		sent := tries[one.ID]
+		if one.Version == 0 || one.Began == 0 || sent == nil {
+			continue
+		}
+		for _, newer := range r.operator.declaredVersions {
+			began := time.Unix(0, one.Began)
+			if newer.version <= one.Version || began.Before(newer.at.Add(bounds.Version)) {
+				continue
+			}
+			if !r.timingExempt(entries[sent.Entry], newer.at, began) {
+				r.recordViolation("VERSION", fmt.Sprintf("%s arrived at %s %v and began on version %d %v after version %d",
+					one.ID, one.Endpoint, time.Unix(0, one.Arrived).Sub(newer.at), one.Version, began.Sub(newer.at), newer.version))
+			}
+			break
+		}
+	}
+}
+
+// checkDrains checks that a leaving endpoint gets no new requests after its drain time.
+func (r *run) checkDrains(tries map[string]*Try, entries map[string]*site.Member) {
+	leaving := map[string]time.Time{}
+	for _, one := range r.departures {
+		leaving[one.endpoint] = one.at
+	}
+	for _, one := range r.runs {
+		sent, asked := tries[one.ID], leaving[one.Endpoint]
+		arrived := time.Unix(0, one.Arrived)
+		if sent == nil || asked.IsZero() || arrived.Before(asked.Add(leaveDelay+bounds.Drain)) {
+			continue
+		}
+		if !r.timingExempt(entries[sent.Entry], asked, arrived) {
+			r.recordViolation("DRAIN", fmt.Sprintf("%s arrived at %s %v after it was asked to leave", one.ID, one.Endpoint, arrived.Sub(asked)))
+		}
+	}
+}
+
+// timingExempt reports whether time limits are not checked for an entry at a time: it was
+// affected by a fault or stopped shortly before, or the store, a link or this machine was
+// disturbed since the earlier time.
+func (r *run) timingExempt(entry *site.Member, since, at time.Time) bool {
+	if r.faultWithin(at, at, func(one *faultRecord) bool { return one.affects(entry.ID) }) {
+		return true
+	}
+	away := r.faultWithin(since, at, func(one *faultRecord) bool {
+		return one.member == nil || one.member.Kind == site.Store || doorFaults[one.kind].Status != 0 || linkFaults[one.kind] != platformtest.LinkFaults{} || doorFaults[one.kind].Link != platformtest.LinkFaults{}
+	})
+	return away || r.stops.stoppedNear(entry, at) || r.stalls.within(since, at)
+}
+
+// checkRecovery checks that the deployment serves requests after all faults ended.
+func (r *run) checkRecovery() {
+	total, served := 0, 0
+	var last int64
+	for _, group := range r.callers {
+		for _, one := range group.snapshot() {
+			last = max(last, one.Sent)
+		}
+	}
+	from := last - (settleTime / 4).Nanoseconds()
+	for _, group := range r.callers {
+		for _, one := range group.snapshot() {
+			if one.Sent < from {
+				continue
+			}
+			total++
+			if one.Whole && one.Status < http.StatusMultipleChoices {
+				served++
+			}
+		}
+	}
+	if total >= minServedSample && float64(served) < minServedFraction*float64(total) {
+		r.recordViolation("RECOVER", fmt.Sprintf("%d of the last %d requests were served", served, total))
+	}
+}
--- a/bench/internal/soak/run.go
+++ b/bench/internal/soak/run.go
@@ -1,5 +1,5 @@
-// Package soak lets random faults happen to a deployment under load and checks the
-// invariants from the callers' and the back ends' own records.
+// Package soak injects random faults into a deployment under load and checks its
+// invariants against the records of the callers and of the back ends.
 package soak
 
 import (
@@ -16,48 +16,48 @@
 	"comfreyrelay.example/bench/internal/follow"
 )
 
-// The deployment and its load.
+// Parameters of the deployment and of its load.
 const (
-	entryCount    = 9
-	hostCount     = 9
-	serviceCount  = 2
-	customerCount = 6
-	modelMiB      = 2
-	chunkKiB      = 64
-	changed       = 0.3 // of the chunks, from one version to the next
-	loadRate      = 60
-	answerTokens  = 24
-	slots         = 8
-	tokenTime     = 10 * time.Millisecond
-	requestTime   = 6 * time.Second
-	nonRepeatable = 0.4
-	doubleSend    = 0.3
-	toServices    = 0.2
+	entryCount            = 9
+	hostCount             = 9
+	serviceCount          = 2
+	customerCount         = 6
+	modelMiB              = 2
+	chunkKiB              = 64
+	changedFraction       = 0.3 // fraction of the chunks that differ between versions
+	loadRate              = 60
+	answerTokens          = 24
+	engineSlots           = 8
+	tokenInterval         = 10 * time.Millisecond
+	requestDeadline       = 6 * time.Second
+	nonRepeatableFraction = 0.4
+	doubleSendFraction    = 0.3
+	serviceFraction       = 0.2
 )
 
-// Bounds of the phases around the faults.
+// Timeouts of the phases around the faults.
 const (
-	startLimit = 40 * time.Second
-	// endLimit bounds the return of all that was struck and the convergence.
-	endLimit = 60 * time.Second
-	// leaveLimit is longer than an agent's drain, its lingering included.
-	leaveLimit = 30 * time.Second
+	startTimeout = 40 * time.Second
+	// convergeTimeout covers the recovery of all targets and the convergence.
+	convergeTimeout = 60 * time.Second
+	// leaveTimeout is longer than an agent's drain including its linger time.
+	leaveTimeout = 30 * time.Second
 )
 
 // Options configure a run.
 type Options struct {
-	// Bin is the directory of the built programs.
+	// Bin is the directory that contains the built programs.
 	Bin string
 	// ProcessLog receives the processes' logs.
 	ProcessLog io.Writer
 	Log        *slog.Logger
 	Progress   io.Writer
 	Seed       uint64
-	// Length is how long faults happen.
+	// Length is the duration of the load and of the fault injection.
 	Length time.Duration
 }
 
-// Result is the run's JSON line.
+// Result is the summary of a run, printed as one line of JSON.
 type Result struct {
 	Bench    string  `json:"bench"`
 	Seed     uint64  `json:"seed"`
@@ -65,30 +65,31 @@
 	Requests int     `json:"requests"`
 	Answered int     `json:"answered"`
 	NotRun   int     `json:"notRun"`
-	// Unknown holds answers that the death of their entry cut short.
+	// Unknown counts requests without a known outcome, including answers cut
+	// short because their entry died.
 	Unknown    int `json:"unknown"`
 	Faults     int `json:"faults"`
 	Documents  int `json:"documents"`
 	Violations int `json:"violations"`
-	// First is the first violation with the events before it.
+	// First is the first violation and the events that preceded it.
 	First *History `json:"first,omitempty"`
-	// ConvergeSeconds is from the end of the faults until all serve the last
-	// document's version.
+	// ConvergeSeconds is the time from the end of the faults until every host
+	// serves the last document's version and every node has that document.
 	ConvergeSeconds float64 `json:"convergeSeconds"`
-	// Lost counts back ends whose record could not be read.
+	// Lost counts back ends whose records could not be read.
 	Lost int `json:"lost"`
-	// Error says why the run did not come to its end.
+	// Error is the reason why the run did not complete.
 	Error string `json:"error,omitempty"`
 }
 
-// History is one violation and what happened before.
+// History is a violation and the events that started before it.
 type History struct {
 	Kind   string   `json:"kind"`
 	Detail string   `json:"detail"`
 	Events []string `json:"events"`
 }
 
-// run is one soak.
+// run holds the state of one soak run.
 type run struct {
 	options    Options
 	deployment *deployment.Deployment
@@ -96,21 +97,21 @@
 	follower   *follow.Follower
 	pending    sync.WaitGroup
 
-	document sync.Mutex // guards the fields of the document, and its changes
-	desired  deployment.Desired
-	former   string // version before the desired one
-	limit    int
-	accepted int
-	seed     uint64
+	documentMu        sync.Mutex // serializes document changes and guards the fields down to seed
+	desired           deployment.Desired
+	previousVersion   string // the version that desired.Version replaced
+	limitIncrement    int
+	acceptedDocuments int
+	seed              uint64
 
-	mu         sync.Mutex // guards the fields below
-	happened   []string
-	violations int
-	first      *History
-	failed     error // of what the harness itself could not do
+	mu            sync.Mutex // guards the fields below
+	startedEvents []string
+	violations    int
+	first         *History
+	harnessErr    error // errors of the harness itself, such as failed fault injection
 }
 
-// Run runs one soak.
+// Run starts a deployment, applies load and faults, and checks the invariants.
 func Run(ctx context.Context, options Options) (Result, error) {
 	result := Result{Bench: "soak", Seed: options.Seed, Seconds: options.Length.Seconds()}
 	r := &run{options: options, seed: options.Seed}
@@ -118,18 +119,19 @@
 		return result, err
 	}
 	defer r.deployment.Stop()
-	err := r.follower.During(ctx, func() error { return r.strike(ctx, &result) })
+	err := r.follower.During(ctx, func() error { return r.runFaults(ctx, &result) })
 	if err == nil {
-		err = r.judge(ctx, &result)
+		err = r.checkRecords(ctx, &result)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	result.Violations, result.First = r.violations, r.first
-	return result, errors.Join(err, r.failed)
+	return result, errors.Join(err, r.harnessErr)
 }
 
+// start starts the deployment and waits until it answers requests.
 func (r *run) start(ctx context.Context) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	r.deployment, err = deployment.Start(ctx, deployment.Config{
 		Bin:              r.options.Bin,
@@ -140,20 +142,22 @@
 		Services:         serviceCount,
 		OneEngineProcess: true,
 		Mixed:            true,
-		Engine:           deployment.Engine{Slots: slots, TokenInterval: tokenTime},
+		Engine:           deployment.Engine{Slots: engineSlots, TokenInterval: tokenInterval},
 	})
 	if err != nil {
 		return err
 	}
 	r.follower = follow.New(r.deployment.Members())
-	if err := r.serve(ctx); err != nil {
+	if err := r.deployFirstVersion(ctx); err != nil {
 		r.deployment.Stop()
 		return err
 	}
 	return nil
 }
 
-func (r *run) serve(ctx context.Context) error {
+// deployFirstVersion publishes the first version, submits a document that
+// selects it and waits until requests are answered.
+func (r *run) deployFirstVersion(ctx context.Context) error {
 	if err := r.deployment.WaitRoutable(ctx); err != nil {
 		return err
 	}
@@ -171,19 +175,20 @@
 	return r.deployment.WaitAnswering(ctx, r.desired.Customers[0])
 }
 
-// publish makes the next version from the one that is desired.
+// publish publishes a new version derived from the desired one, if any.
 func (r *run) publish(ctx context.Context) (string, error) {
 	r.seed++
 	pub := deployment.Publication{Model: deployment.ModelName, Mib: modelMiB, ChunkKib: chunkKiB, Seed: r.seed}
 	if r.desired.Version != "" {
-		pub.FromVersion, pub.ChangeFraction = r.desired.Version, changed
+		pub.FromVersion, pub.ChangeFraction = r.desired.Version, changedFraction
 	}
 	made, err := r.deployment.Publish(ctx, pub)
 	return made.Version, err
 }
 
-// strike runs the load and the plan's events to their end.
-func (r *run) strike(ctx context.Context, result *Result) error {
+// runFaults runs the load and the planned events to their end, checks the load's
+// results and waits for convergence.
+func (r *run) runFaults(ctx context.Context, result *Result) error {
 	var err error
 	r.load, err = r.deployment.StartLoad(ctx, deployment.LoadOptions{
 		Customers:     deployment.EvenShares(r.desired.Customers),
@@ -192,10 +197,10 @@
 		Seed:          r.options.Seed,
 		Versions:      []string{r.desired.Version},
 		MaxTokens:     answerTokens,
-		NonRepeatable: nonRepeatable,
-		DoubleSend:    doubleSend,
-		Services:      toServices,
-		Deadline:      requestTime,
+		NonRepeatable: nonRepeatableFraction,
+		DoubleSend:    doubleSendFraction,
+		Services:      serviceFraction,
+		Deadline:      requestDeadline,
 		Log:           r.options.Progress,
 	})
 	if err != nil {
@@ -205,10 +210,10 @@
 	result.Faults = len(events)
 	started := time.Now()
 	for _, event := range events {
-		if err := pause(ctx, event.At-time.Since(started)); err != nil {
+		if err := sleep(ctx, event.At-time.Since(started)); err != nil {
 			return err
 		}
-		r.begin(ctx, event)
+		r.startEvent(ctx, event)
 	}
 	summary, err := r.load.Wait(ctx)
 	r.pending.Wait()
@@ -216,83 +221,85 @@
 		return err
 	}
 	result.addLoad(summary)
-	r.judgeLoad(summary)
+	r.checkLoad(summary)
 	return r.converge(ctx, result)
 }
 
-// begin starts an event and does not wait for its end.
-func (r *run) begin(ctx context.Context, event Event) {
+// startEvent starts an event in the background. An error of the event goes to
+// harnessErr.
+func (r *run) startEvent(ctx context.Context, event Event) {
 	r.options.Log.Info("event", "event", event.String())
 	r.mu.Lock()
-	r.happened = append(r.happened, event.String())
+	r.startedEvents = append(r.startedEvents, event.String())
 	r.mu.Unlock()
 	r.pending.Go(func() {
-		if err := r.act(ctx, event); err != nil {
+		if err := r.applyEvent(ctx, event); err != nil {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.failed = errors.Join(r.failed, fmt.Errorf("%s: %w", event, err))
+			r.harnessErr = errors.Join(r.harnessErr, fmt.Errorf("%s: %w", event, err))
 		}
 	})
 }
 
-// violate counts a broken invariant and keeps the first one's history.
-func (r *run) violate(kind, detail string) {
+// recordViolation counts a violated invariant and keeps the history of the first.
+func (r *run) recordViolation(kind, detail string) {
 	r.options.Log.Error("invariant broke", "kind", kind, "detail", detail)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations++
 	if r.first == nil {
-		r.first = &History{Kind: kind, Detail: detail, Events: append([]string(nil), r.happened...)}
+		r.first = &History{Kind: kind, Detail: detail, Events: append([]string(nil), r.startedEvents...)}
 	}
 }
 
-// converge waits, with all faults gone, until every host serves the last
-// accepted document's version.
+// converge runs after all faults have ended. It waits until every host serves
+// the last accepted document's version and every node has that document.
 func (r *run) converge(ctx context.Context, result *Result) error {
-	ctx, cancel := context.WithTimeout(ctx, endLimit)
+	ctx, cancel := context.WithTimeout(ctx, convergeTimeout)
 	defer cancel()
 	started := time.Now()
-	revision, doc, err := r.inForce(ctx)
+	revision, doc, err := r.newestDocument(ctx)
 	if err != nil {
 		return err
 	}
 	version := doc.GetModels()[0].GetVersion()
 	if err := r.deployment.WaitServing(ctx, r.deployment.Agents(), version, nil); err != nil {
-		r.violate("notConverged", err.Error())
+		r.recordViolation("notConverged", err.Error())
 		return nil
 	}
 	if err := r.follower.Wait(ctx, revision); err != nil {
-		r.violate("notConverged", fmt.Sprintf("revision %d is not in force on every node", revision))
+		r.recordViolation("notConverged", fmt.Sprintf("revision %d is not in force on every node", revision))
 		return nil
 	}
 	result.ConvergeSeconds = time.Since(started).Seconds()
 	return nil
 }
 
-// judge compares the records once all is over.
-func (r *run) judge(ctx context.Context, result *Result) error {
+// checkRecords compares the records of callers and back ends after the run.
+func (r *run) checkRecords(ctx context.Context, result *Result) error {
 	ledgers := audit.Collect(ctx, r.deployment)
-	found, err := audit.CompareFile(r.load, ledgers.Runs, r.deployment, requestTime)
+	found, err := audit.CompareFile(r.load, ledgers.Runs, r.deployment, requestDeadline)
 	if err != nil {
 		return err
 	}
 	for _, breach := range found.Examples {
-		r.violate(breach.Kind, breach.RequestID+": "+breach.Detail)
+		r.recordViolation(breach.Kind, breach.RequestID+": "+breach.Detail)
 	}
 	if more := found.Breaches() - len(found.Examples); more > 0 {
-		r.violate("more", fmt.Sprintf("%d further breaches", more))
+		r.recordViolation("more", fmt.Sprintf("%d further breaches", more))
 	}
 	if found.NeverRan > 0 {
-		r.violate(audit.KindNeverRan, fmt.Sprintf("%d answers to requests that no back end ran", found.NeverRan))
+		r.recordViolation(audit.KindNeverRan, fmt.Sprintf("%d answers to requests that no back end ran", found.NeverRan))
 	}
 	if reverts := r.follower.Reverts(); reverts > 0 {
-		r.violate("reverted", fmt.Sprintf("nodes went back to an older revision %d times", reverts))
+		r.recordViolation("reverted", fmt.Sprintf("nodes went back to an older revision %d times", reverts))
 	}
-	result.Lost, result.Documents = ledgers.Lost, r.accepted
-	return r.judgeMembers(ctx)
+	result.Lost, result.Documents = ledgers.Lost, r.acceptedDocuments
+	return r.checkMembers(ctx)
 }
 
-func (r *run) judgeLoad(summary deployment.LoadSummary) {
+// checkLoad records the wrong and contradictory answers that callers received.
+func (r *run) checkLoad(summary deployment.LoadSummary) {
 	wrong := summary.WrongAnswer + summary.WrongVersion + summary.Contradicted
 	if wrong == 0 {
 		return
@@ -300,29 +307,30 @@
 	for _, example := range summary.Examples {
 		switch example.Outcome {
 		case "wrongAnswer", "wrongVersion":
-			r.violate(example.Outcome, example.RequestID+": "+example.Detail)
+			r.recordViolation(example.Outcome, example.RequestID+": "+example.Detail)
 			wrong--
 		}
 	}
 	if wrong > 0 {
-		r.violate("callers", fmt.Sprintf("%d further answers were wrong or contradicted", wrong))
+		r.recordViolation("callers", fmt.Sprintf("%d further answers were wrong or contradicted", wrong))
 	}
 }
 
-// judgeMembers reads the invariants that the programs assert inside.
-func (r *run) judgeMembers(ctx context.Context) error {
+// checkMembers reads each program's own count of failed invariant checks.
+func (r *run) checkMembers(ctx context.Context) error {
 	for _, m := range r.deployment.Members() {
 		counters, err := r.deployment.Counters(ctx, m)
 		if err != nil {
 			return err
 		}
 		if counters.InvariantFailures > 0 {
-			r.violate("inside", fmt.Sprintf("%s counted %v broken invariants", m.ID(), counters.InvariantFailures))
+			r.recordViolation("inside", fmt.Sprintf("%s counted %v broken invariants", m.ID(), counters.InvariantFailures))
 		}
 	}
 	return nil
 }
 
+// addLoad copies the load's request counts into the result.
 func (r *Result) addLoad(summary deployment.LoadSummary) {
 	r.Requests = summary.Requests
 	r.Answered = summary.Answered
@@ -330,7 +338,8 @@
 	r.Unknown = summary.Unknown + summary.CutOff
 }
 
-func pause(ctx context.Context, wait time.Duration) error {
+// sleep waits for the given time or until ctx is done.
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
