--- a/bench/internal/audit/audit.go
+++ b/bench/internal/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit compares what the callers got with what the back ends
-// ran, both from their own records, never from the system's.
+// Package audit compares the results that callers received with the requests
+// that back ends executed. It uses the records of the callers and back ends
+// only, never those of the system under test.
 package audit
 
 import (
@@ -13,13 +14,13 @@
 )
 
 const (
-	// maxLine bounds one line of the caller's record.
+	// maxLine is the maximum length in bytes of a line in the caller's record.
 	maxLine = 1 << 20
-	// maxExamples bounds the breaches listed in detail.
+	// maxExamples is the maximum number of breaches listed in Findings.Examples.
 	maxExamples = 20
 )
 
-// Outcomes in the caller's record that the audit looks at.
+// Outcomes in the caller's record that the audit checks.
 const (
 	outcomeNotRun   = "notRun"
 	outcomeAnswered = "answered"
@@ -41,51 +42,56 @@
 	Attempts   int    `json:"attempts"`
 	Address    string `json:"address"`
 	EndedAt    int64  `json:"endedAt"` // Unix milliseconds
-	Millis     int64  `json:"millis"`  // from the arrival to the outcome
+	Millis     int64  `json:"millis"`  // from arrival to outcome
 }
 
-// Death is an entry that was killed: it cuts the answers that it was sending,
-// and nothing else may.
+// Death records the kill of an entry. A killed entry truncates the responses
+// that it is sending; apart from Excuses.Deadline, nothing else may do so.
 type Death struct {
-	Address string // of the entry for callers
+	Address string // address of the entry that callers connect to
 	At      time.Time
 }
 
-// Excuses are what explains an answer without its end.
+// Excuses holds the permitted causes of a truncated response.
 type Excuses struct {
 	Deaths []Death
-	// Deadline of the requests: an answer that ends after it was late already,
-	// as when its entry was paused past it. 0 excuses nothing.
+	// Deadline is the deadline of the requests. A truncated
+	// response that ended after it, for example because its entry was paused
+	// past the deadline, is not a breach. 0 excuses nothing.
 	Deadline time.Duration
 }
 
+// late reports whether the request ended at or after its deadline.
 func (e Excuses) late(line Line) bool {
 	return e.Deadline > 0 && line.Millis >= e.Deadline.Milliseconds()
 }
 
-// deathSlack is how far apart a death and the cut that it explains may be.
+// deathSlack is the maximum time between the kill of an entry and a truncated
+// response attributed to it.
 const deathSlack = time.Second
 
+// explains reports whether the kill of the entry accounts for the truncated
+// response in line.
 func (d Death) explains(line Line) bool {
 	apart := time.UnixMilli(line.EndedAt).Sub(d.At).Abs()
 	return line.Address == d.Address && apart <= deathSlack
 }
 
-// Runs counts how often back ends began each request. Contents, unique to each
-// request of the callers, distinguish requests: the system may run one request
-// under several ids.
+// Runs counts how often back ends started each request. Requests are identified
+// by their content, which is unique to each caller request, because the system
+// may run one request under several ids.
 type Runs struct {
 	byContent map[string]int
-	// forgotten counts ids that a back end no longer remembers: the audit is
-	// incomplete unless it is 0.
+	// forgotten counts ids that back ends have dropped from their records. The
+	// audit is complete only if it is 0.
 	forgotten int
 	breaches  []Breach
 }
 
-// NewRuns returns an empty count.
+// NewRuns returns a Runs without any recorded requests.
 func NewRuns() *Runs { return &Runs{byContent: map[string]int{}} }
 
-// AddEngine adds one engine's record.
+// AddEngine adds the runs and violations in the record of the engine on host.
 func (r *Runs) AddEngine(host string, ledger deployment.EngineLedger) {
 	for _, account := range ledger.RunsByID {
 		r.byContent[account.Content] += account.Begun
@@ -96,7 +102,7 @@
 	}
 }
 
-// AddService adds one plain service's record.
+// AddService adds the runs in the record of a plain service.
 func (r *Runs) AddService(ledger deployment.ServiceLedger) {
 	for id, runs := range ledger.RunsByID {
 		r.byContent[ledger.Contents[id]] += runs
@@ -104,7 +110,7 @@
 	r.forgotten += ledger.Forgotten
 }
 
-// Kinds of breach beside those that engines see.
+// Kinds of breach, in addition to the violations that engines report.
 const (
 	KindDoubled    = "doubled"
 	KindRanNotRun  = "notRunButRan"
@@ -114,7 +120,7 @@
 	kindCutOff     = "cutOff"
 )
 
-// Breach is one broken promise.
+// Breach is one violation of a guarantee that the system gives to callers.
 type Breach struct {
 	Kind      string `json:"kind"`
 	RequestID string `json:"requestId"`
@@ -123,40 +129,42 @@
 
 // Findings is the result of an audit.
 type Findings struct {
-	// Doubled counts requests that are not repeatable and ran more than once.
+	// Doubled counts non-repeatable requests that ran more than once.
 	Doubled int
-	// NotRunButRan counts requests called not run that a back end began.
+	// NotRunButRan counts requests that were reported as not run although a
+	// back end started them.
 	NotRunButRan int
-	// CutOff counts runs that an order to the engine cut.
+	// CutOff counts runs that were interrupted by an order to the engine.
 	CutOff int
-	// CutShort counts answers that a caller got without an end though the entry
-	// lived; CutByDeath those whose entry was killed, CutLate those whose
-	// deadline had passed.
+	// CutShort counts truncated responses without a permitted cause. CutByDeath
+	// counts those whose entry was killed, CutLate those whose deadline had
+	// passed.
 	CutShort, CutByDeath, CutLate int
-	// Other counts what else engines saw and must never happen.
+	// Other counts all other violations that engines reported.
 	Other int
-	// Unverified counts ids that a back end forgot.
+	// Unverified counts ids that back ends have dropped from their records.
 	Unverified int
-	// NeverRan counts answers to requests that no record shows; records of
-	// back ends that died are gone with them.
+	// NeverRan counts answered requests that appear in no back end's record. It
+	// is not a breach: the record of a back end is lost when the back end dies.
 	NeverRan int
 	// Examples holds the first breaches.
 	Examples []Breach
 }
 
-// Breaches returns the sum of all that must be 0.
+// Breaches returns the total number of breaches; it must be 0.
 func (f Findings) Breaches() int {
 	return f.Doubled + f.NotRunButRan + f.CutOff + f.CutShort + f.Other
 }
 
+// add appends the breach to Examples unless maxExamples is reached.
 func (f *Findings) add(breach Breach) {
 	if len(f.Examples) < maxExamples {
 		f.Examples = append(f.Examples, breach)
 	}
 }
 
-// Compare reads the caller's record, one JSON object a line, and compares it
-// with the runs.
+// Compare reads the caller's record, which has one JSON object per line, and
+// checks each request against runs.
 func Compare(record io.Reader, runs *Runs, excuses Excuses) (Findings, error) {
 	found := Findings{Unverified: runs.forgotten}
 	for _, breach := range runs.breaches {
@@ -180,6 +188,7 @@
 	return found, lines.Err()
 }
 
+// compare checks the outcome of one request against the number of its runs.
 func (f *Findings) compare(line Line, runs *Runs) {
 	id := line.RequestID
 	if line.Key != "" {
@@ -200,6 +209,7 @@
 	}
 }
 
+// compareEnd classifies a truncated response by its cause.
 func (f *Findings) compareEnd(line Line, excuses Excuses) {
 	if line.Outcome != outcomeCutOff {
 		return
--- a/bench/internal/audit/audit_test.go
+++ b/bench/internal/audit/audit_test.go
@@ -11,8 +11,9 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// TestCompare replays records of callers and back ends: an audit that cannot
-// fail is no audit, so each breach has a script that provokes it.
+// TestCompare runs the scripts in testdata, which hold records of callers and
+// back ends. It guards against an audit that misses a breach: each kind of
+// breach has a script that provokes it.
 func TestCompare(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		runs := NewRuns()
@@ -39,7 +40,8 @@
 	})
 }
 
-// engineLedger reads lines "content |||", one stroke a run, and "violation kind id".
+// engineLedger parses lines of the form "content |||", with one stroke per run,
+// and "violation kind id".
 func engineLedger(input string) deployment.EngineLedger {
 	ledger := deployment.EngineLedger{RunsByID: map[string]deployment.Account{}}
 	for line := range strings.Lines(input) {
@@ -53,8 +55,8 @@
 	return ledger
 }
 
-// serviceLedger reads lines "content |||", one stroke a run; each run has an id
-// of its own.
+// serviceLedger parses lines of the form "content |||", with one stroke per run.
+// Each run gets its own id.
 func serviceLedger(input string) deployment.ServiceLedger {
 	ledger := deployment.ServiceLedger{RunsByID: map[string]int{}, Contents: map[string]string{}}
 	for line := range strings.Lines(input) {
@@ -68,7 +70,7 @@
 	return ledger
 }
 
-// readDeath reads the arguments entry and at, in Unix milliseconds.
+// readDeath parses the arguments entry (its address) and at (Unix milliseconds).
 func readDeath(t *testing.T, d *datadriven.TestData) Death {
 	var death Death
 	t.Helper()
@@ -79,6 +81,8 @@
 	return death
 }
 
+// describe compares the caller's record in input with runs and lists the
+// breaches found, one per line.
 func describe(t *testing.T, input string, runs *Runs, excuses Excuses) string {
 	t.Helper()
 	found, err := Compare(strings.NewReader(input), runs, excuses)
--- a/bench/internal/audit/collect.go
+++ b/bench/internal/audit/collect.go
@@ -8,19 +8,21 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Ledgers are the back ends' records of one deployment.
+// Ledgers holds the combined records of all back ends in a deployment.
 type Ledgers struct {
 	Runs *Runs
-	// CacheHits and CacheMisses sum over all engines, as do Loads, OldObeyed
-	// (orders with an old fencing number that an engine obeyed) and NotWhole
-	// (loads ordered with a chunk missing).
+	// The following are totals over all engines. OldObeyed counts orders that
+	// an engine executed despite an outdated fencing number, NotWhole counts
+	// loads that were ordered while a chunk was missing.
 	CacheHits, CacheMisses     int
 	Loads, OldObeyed, NotWhole int
-	// Lost counts back ends whose record died with them.
+	// Lost counts back ends whose record could not be read, for example because
+	// the back end died.
 	Lost int
 }
 
-// CacheHitRatio returns the part of the prompts whose prefix was cached.
+// CacheHitRatio returns the fraction of prompts whose prefix was cached, or 0
+// if there were none.
 func (l Ledgers) CacheHitRatio() float64 {
 	if l.CacheHits+l.CacheMisses == 0 {
 		return 0
@@ -28,7 +30,7 @@
 	return float64(l.CacheHits) / float64(l.CacheHits+l.CacheMisses)
 }
 
-// Collect reads the records of every engine and plain service of the deployment.
+// Collect reads the records of all engines and plain services in the deployment.
 func Collect(ctx context.Context, h *deployment.Deployment) Ledgers {
 	out := Ledgers{Runs: NewRuns()}
 	for _, m := range h.Agents() {
@@ -55,8 +57,8 @@
 	return out
 }
 
-// CompareFile is Compare on the record of the deployment's callers, whose requests
-// had the deadline.
+// CompareFile calls Compare with the record file of load. It excuses responses
+// truncated by the entries killed in the deployment or after the deadline.
 func CompareFile(load *deployment.Load, runs *Runs, h *deployment.Deployment, deadline time.Duration) (Findings, error) {
 	file, err := os.Open(load.Record())
 	if err != nil {
