--- a/bench/internal/audit/audit.go
+++ b/bench/internal/audit/audit.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxLine is the maximum length in bytes of a line in the caller's record.
-	maxLine = 1 << 20
+	// maxRecordLine is the maximum length in bytes of a line in the caller's record.
+	maxRecordLine = 1 << 20
 	// maxExamples is the maximum number of breaches listed in Findings.Examples.
 	maxExamples = 20
 )
@@ -61,20 +61,20 @@
 	Deadline time.Duration
 }
 
-// late reports whether the request ended at or after its deadline.
-func (e Excuses) late(line Line) bool {
+// missedDeadline reports whether the request ended at or after its deadline.
+func (e Excuses) missedDeadline(line Line) bool {
 	return e.Deadline > 0 && line.Millis >= e.Deadline.Milliseconds()
 }
 
-// deathSlack is the maximum time between the kill of an entry and a truncated
+// maxDeathSkew is the maximum time between the kill of an entry and a truncated
 // response attributed to it.
-const deathSlack = time.Second
+const maxDeathSkew = time.Second
 
 // explains reports whether the kill of the entry accounts for the truncated
 // response in line.
 func (d Death) explains(line Line) bool {
 	apart := time.UnixMilli(line.EndedAt).Sub(d.At).Abs()
-	return line.Address == d.Address && apart <= deathSlack
+	return line.Address == d.Address && apart <= maxDeathSkew
 }
 
 // Runs counts how often back ends started each request. Requests are identified
@@ -166,30 +166,30 @@
 // Compare reads the caller's record, which has one JSON object per line, and
 // checks each request against runs.
 func Compare(record io.Reader, runs *Runs, excuses Excuses) (Findings, error) {
-	found := Findings{Unverified: runs.forgotten}
+	findings := Findings{Unverified: runs.forgotten}
 	for _, breach := range runs.breaches {
 		if breach.Kind == kindCutOff {
-			found.CutOff++
+			findings.CutOff++
 		} else {
-			found.Other++
+			findings.Other++
 		}
-		found.add(breach)
+		findings.add(breach)
 	}
 	lines := bufio.NewScanner(record)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxRecordLine)
 	for lines.Scan() {
 		var line Line
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return found, fmt.Errorf("the caller's record cannot be read: %w", err)
+			return findings, fmt.Errorf("the caller's record cannot be read: %w", err)
 		}
-		found.compare(line, runs)
-		found.compareEnd(line, excuses)
+		findings.checkRuns(line, runs)
+		findings.classifyTruncation(line, excuses)
 	}
-	return found, lines.Err()
+	return findings, lines.Err()
 }
 
-// compare checks the outcome of one request against the number of its runs.
-func (f *Findings) compare(line Line, runs *Runs) {
+// checkRuns checks the outcome of one request against the number of its runs.
+func (f *Findings) checkRuns(line Line, runs *Runs) {
 	id := line.RequestID
 	if line.Key != "" {
 		id = line.Key
@@ -209,8 +209,8 @@
 	}
 }
 
-// compareEnd classifies a truncated response by its cause.
-func (f *Findings) compareEnd(line Line, excuses Excuses) {
+// classifyTruncation classifies a truncated response by its cause.
+func (f *Findings) classifyTruncation(line Line, excuses Excuses) {
 	if line.Outcome != outcomeCutOff {
 		return
 	}
@@ -220,7 +220,7 @@
 			return
 		}
 	}
-	if excuses.late(line) {
+	if excuses.missedDeadline(line) {
 		f.CutLate++
 		return
 	}
--- a/bench/internal/audit/audit_test.go
+++ b/bench/internal/audit/audit_test.go
@@ -85,12 +85,12 @@
 // breaches found, one per line.
 func describe(t *testing.T, input string, runs *Runs, excuses Excuses) string {
 	t.Helper()
-	found, err := Compare(strings.NewReader(input), runs, excuses)
+	findings, err := Compare(strings.NewReader(input), runs, excuses)
 	if err != nil {
 		return "error: " + err.Error()
 	}
 	var out strings.Builder
-	for _, breach := range found.Examples {
+	for _, breach := range findings.Examples {
 		out.WriteString(breach.Kind + " " + breach.RequestID + ": " + breach.Detail + "\n")
 	}
 	if out.Len() == 0 {
--- a/bench/internal/audit/collect.go
+++ b/bench/internal/audit/collect.go
@@ -31,42 +31,42 @@
 }
 
 // Collect reads the records of all engines and plain services in the deployment.
-func Collect(ctx context.Context, h *deployment.Deployment) Ledgers {
-	out := Ledgers{Runs: NewRuns()}
-	for _, m := range h.Agents() {
-		ledger, err := h.EngineLedger(ctx, m)
+func Collect(ctx context.Context, d *deployment.Deployment) Ledgers {
+	ledgers := Ledgers{Runs: NewRuns()}
+	for _, member := range d.Agents() {
+		ledger, err := d.EngineLedger(ctx, member)
 		if err != nil {
-			out.Lost++
+			ledgers.Lost++
 			continue
 		}
-		out.Runs.AddEngine(m.ID(), ledger)
-		out.CacheHits += ledger.Totals.CacheHits
-		out.CacheMisses += ledger.Totals.CacheMiss
-		out.Loads += ledger.Orders.Loads
-		out.OldObeyed += ledger.Orders.OldObeyed
-		out.NotWhole += ledger.Orders.NotWhole
+		ledgers.Runs.AddEngine(member.ID(), ledger)
+		ledgers.CacheHits += ledger.Totals.CacheHits
+		ledgers.CacheMisses += ledger.Totals.CacheMiss
+		ledgers.Loads += ledger.Orders.Loads
+		ledgers.OldObeyed += ledger.Orders.OldObeyed
+		ledgers.NotWhole += ledger.Orders.NotWhole
 	}
-	for _, m := range h.Services() {
-		ledger, err := h.ServiceLedger(ctx, m)
+	for _, member := range d.Services() {
+		ledger, err := d.ServiceLedger(ctx, member)
 		if err != nil {
-			out.Lost++
+			ledgers.Lost++
 			continue
 		}
-		out.Runs.AddService(ledger)
+		ledgers.Runs.AddService(ledger)
 	}
-	return out
+	return ledgers
 }
 
 // CompareFile calls Compare with the record file of load. It excuses responses
 // truncated by the entries killed in the deployment or after the deadline.
-func CompareFile(load *deployment.Load, runs *Runs, h *deployment.Deployment, deadline time.Duration) (Findings, error) {
+func CompareFile(load *deployment.Load, runs *Runs, d *deployment.Deployment, deadline time.Duration) (Findings, error) {
 	file, err := os.Open(load.Record())
 	if err != nil {
 		return Findings{}, err
 	}
 	defer file.Close()
 	excuses := Excuses{Deadline: deadline}
-	for _, death := range h.Deaths() {
+	for _, death := range d.Deaths() {
 		excuses.Deaths = append(excuses.Deaths, Death{Address: death.Member.CallersAddress(), At: death.At})
 	}
 	return Compare(file, runs, excuses)
