--- a/bench/internal/policy/caller.go
+++ b/bench/internal/policy/caller.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// ask is one request of a caller, with its later tries.
+// ask is one request of a caller, including its retries.
 type ask struct {
 	class    *Class
-	number   int // of the class
+	number   int // index of the class in Load.Classes
 	region   int
 	size     int // prompt tokens
-	answer   int // tokens
+	answer   int // answer tokens
 	asked    time.Duration
 	deadline time.Duration
 	tries    int
-	over     bool // it ended, one way or another
+	over     bool // the request has ended, with any outcome
 
-	first, newest time.Duration // events; 0: none came
-	longest       time.Duration // pause
+	first, newest time.Duration // arrival of the first and latest event; 0 if there was none
+	longest       time.Duration // longest pause between two events
 	state         outcome
 }
 
-// arrive lets a region's next caller ask.
+// arrive creates a request in the region and schedules the next arrival there.
 func (s *sim) arrive(region int) {
 	s.after(s.gap(region), func() { s.arrive(region) })
 	a := &ask{region: region, asked: s.now}
@@ -36,6 +36,7 @@
 	s.after(a.deadline-s.now, func() { s.finish(a, failed) })
 }
 
+// sharesSum returns the sum of the shares of all classes.
 func (s *sim) sharesSum() float64 {
 	sum := 0.0
 	for _, class := range s.load.Classes {
@@ -44,7 +45,8 @@
 	return sum
 }
 
-// send brings the request to an entry of the caller's region.
+// send sends the request to a random entry in the caller's region, or to any
+// entry if the region has none.
 func (s *sim) send(a *ask) {
 	var near []*entry
 	for _, ent := range s.entries {
@@ -59,7 +61,8 @@
 	s.after(s.callerDelay(), func() { ent.receive(a) })
 }
 
-// refused notifies the caller that its request was not run and when to come back.
+// refused tells the caller that its request was not run. The caller retries
+// after wait if it has retries left and wait is at most a third of the time left.
 func (s *sim) refused(a *ask, wait time.Duration) {
 	if a.over {
 		return
@@ -78,7 +81,7 @@
 	s.finish(a, refused)
 }
 
-// event brings an event to the caller.
+// event records that an event of the answer reached the caller.
 func (s *sim) event(a *ask) {
 	if a.over {
 		return
@@ -91,7 +94,8 @@
 	a.newest = s.now
 }
 
-// finish ends the request for its caller.
+// finish ends the request with an outcome. An answer in aim counts as late if its
+// first event or a pause took longer than its class allows.
 func (s *sim) finish(a *ask, how outcome) {
 	if a.over {
 		return
--- a/bench/internal/policy/entry.go
+++ b/bench/internal/policy/entry.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// mostSends is the endpoints beside the first that may have a request which proved not
-	// to have run it, as in a gateway.
+	// mostSends is the maximum number of endpoints that a request is sent to. A
+	// request is sent to another endpoint only if the previous one did not run
+	// it, as in a gateway.
 	mostSends = 4
-	// stallTargets is how many targets a first event may take until another engine is
-	// tried.
+	// stallTargets is the time to wait for a first event before another engine is
+	// tried, as a multiple of the target.
 	stallTargets = 3
 )
 
-// entry is one entry with the product's own cores.
+// entry is a simulated entry that uses the product's own decision code.
 type entry struct {
 	sim      *sim
 	id       string
@@ -35,7 +36,7 @@
 	reported map[string]int // unread prompt tokens as reported, by address
 }
 
-// exchange is one try of a request at one entry.
+// exchange is the handling of one attempt of a request by an entry.
 type exchange struct {
 	entry    *entry
 	ask      *ask
@@ -45,9 +46,9 @@
 	grant    *fleet.Grant
 	host     *host
 	work     *engine.Work
-	given    int // tokens that the caller has
+	given    int // tokens that were sent to the caller
 	over     bool
-	waitings int // how often it began to wait; timers of earlier ones are void
+	waitings int // how often it entered the queue; timers of earlier waits are ignored
 }
 
 func (s *sim) addEntry(number int) {
@@ -75,7 +76,8 @@
 	e.fleet.Register(reg)
 }
 
-// deal shares the engines out anew, as each entry does when engines come or go.
+// deal reassigns the engines to the entries, as each entry does when engines are
+// added or removed.
 func (s *sim) deal() {
 	var entries, engines []deal.Place
 	for _, ent := range s.entries {
@@ -97,7 +99,7 @@
 	}
 }
 
-// dealAll gives the entry a part in every engine.
+// dealAll assigns every engine to the entry.
 func (e *entry) dealAll(engines []deal.Place) {
 	for _, eng := range engines {
 		if e.parts[eng.ID].Reach != deal.Outside {
@@ -111,7 +113,7 @@
 	}
 }
 
-// dealHomes makes each engine of the domain home to the entry.
+// dealHomes makes the entry a home of every near engine.
 func (e *entry) dealHomes() {
 	for address, part := range e.parts {
 		if part.Reach == deal.Near {
@@ -120,7 +122,7 @@
 	}
 }
 
-// receive takes a request.
+// receive accepts a request from a caller and places it.
 func (e *entry) receive(a *ask) {
 	if a.over {
 		return
@@ -137,7 +139,7 @@
 	x.place()
 }
 
-// place looks for an engine and waits where there is none.
+// place sends the request to an engine, or queues it if none is available.
 func (x *exchange) place() {
 	e, s := x.entry, x.entry.sim
 	now := s.clock()
@@ -167,14 +169,16 @@
 
 func (x *exchange) waits() bool { return x.entry.waiting[&x.adm] == x }
 
-// lookAtChange looks again when the head of the line becomes late.
+// lookAtChange schedules another look for when the head of the queue changes
+// because a request becomes late.
 func (e *entry) lookAtChange() {
 	if at := e.line.ChangesAt(); !at.IsZero() {
 		e.sim.after(at.Sub(e.sim.clock()), func() { e.refuseLate(); e.look() })
 	}
 }
 
-// refuseLate refuses who became late where the late are not served.
+// refuseLate refuses waiting requests that can no longer meet their target, if the
+// mechanism "late" is disabled.
 func (e *entry) refuseLate() {
 	if !e.sim.without("late") {
 		return
@@ -191,7 +195,7 @@
 	}
 }
 
-// look lets those who wait take what room there is, in their order.
+// look sends waiting requests to engines in queue order until none has capacity.
 func (e *entry) look() {
 	for head := e.line.Head(e.sim.clock()); head != nil; head = e.line.Head(e.sim.clock()) {
 		if !e.waiting[head].pick() {
@@ -200,7 +204,8 @@
 	}
 }
 
-// pick takes an engine's place and sends the request there.
+// pick reserves capacity on an engine and sends the request there. It reports
+// whether an engine was available.
 func (x *exchange) pick() bool {
 	e, s := x.entry, x.entry.sim
 	need := x.adm.Need(s.clock(), model, domain(e.region), len(s.entries))
@@ -239,7 +244,8 @@
 	}
 }
 
-// refuse ends the request at this entry with the time to return.
+// refuse ends the exchange and tells the caller when to retry. If the answer had
+// begun, the request fails.
 func (x *exchange) refuse(verdict fleet.Verdict) {
 	if x.over {
 		return
@@ -256,7 +262,7 @@
 	s.after(s.callerDelay(), func() { s.refused(x.ask, wait) })
 }
 
-// event takes an event from an engine.
+// event handles an event from an engine and forwards it to the caller.
 func (x *exchange) event(work *engine.Work, tokens int) {
 	if x.over || x.work != work {
 		return
@@ -269,7 +275,7 @@
 	s.after(s.callerDelay(), func() { s.event(x.ask) })
 }
 
-// served ends the request well.
+// served ends the request successfully.
 func (x *exchange) served(work *engine.Work) {
 	if x.over || x.work != work {
 		return
@@ -280,14 +286,15 @@
 	s.after(s.callerDelay(), func() { s.finish(x.ask, inAim) })
 }
 
-// release gives the place back.
+// release returns the reserved capacity and serves waiting requests.
 func (x *exchange) release(outcome fleet.Outcome) {
 	x.grant.Done(outcome)
 	x.entry.reportReading(x.host)
 	x.entry.look()
 }
 
-// ended goes on after an engine that did not serve the request.
+// ended handles an engine's failure to serve the request: it tries another engine,
+// or refuses after mostSends attempts.
 func (x *exchange) ended(outcome fleet.Outcome) {
 	if x.over {
 		return
@@ -301,7 +308,7 @@
 	x.place()
 }
 
-// abandon ends the request when its caller's time is over.
+// abandon ends the request when its deadline passes.
 func (x *exchange) abandon() {
 	if x.over {
 		return
@@ -316,7 +323,8 @@
 	x.release(fleet.Abandoned)
 }
 
-// reportReading reports to an agent the entry's prompts that are not read yet.
+// reportReading reports to an agent how many prompt tokens of the entry its engine
+// has not read yet.
 func (e *entry) reportReading(to *host) {
 	s := e.sim
 	tokens := e.fleet.Reading(service, to.address)
--- a/bench/internal/policy/fluid.go
+++ b/bench/internal/policy/fluid.go
@@ -7,11 +7,13 @@
 	"comfreyrelay.example/relay/engine"
 )
 
-// fluidSpan is how long an engine is kept full to learn what it can serve.
+// fluidSpan is the virtual time for which a saturated engine is simulated to
+// measure its throughput.
 const fluidSpan = 60 * time.Second
 
-// fluid returns the requests a second that all engines serve which are never short of
-// work: the bound for any policy that keeps pauses out of account.
+// fluid returns the requests per second that all engines serve together when they
+// always have waiting work. It is an upper bound for any policy and does not
+// account for pauses.
 func (s *sim) fluid() float64 {
 	other := &sim{load: s.load, opts: s.opts, spec: s.spec, rng: rand.New(rand.NewPCG(s.opts.Seed, 2))}
 	batch := engine.NewBatch(s.spec, s.spec.Slots, s.load.Engine.MemoryTokens)
@@ -34,6 +36,7 @@
 	return float64(served) / fluidSpan.Seconds() * float64(len(s.order))
 }
 
+// drawClass draws a class at random, weighted by the shares.
 func (s *sim) drawClass() *Class {
 	point := s.rng.Float64() * s.sharesSum()
 	for i := range s.load.Classes {
--- a/bench/internal/policy/happen.go
+++ b/bench/internal/policy/happen.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// happen lets an event of the load begin.
+// happen starts an event of the load.
 func (s *sim) happen(one Event) {
 	last := seconds(one.ForSeconds)
 	switch one.Kind {
@@ -22,7 +22,7 @@
 	}
 }
 
-// chosen draws a share of the engines.
+// chosen selects a share of the engines at random.
 func (s *sim) chosen(share float64) []*host {
 	count := min(len(s.order), int(share*float64(len(s.order))+0.5))
 	var list []*host
@@ -32,7 +32,8 @@
 	return list
 }
 
-// add brings engines, spread over the time given; each serves once it has loaded.
+// add adds engines at even intervals over the duration last. They are added with
+// the model loaded.
 func (s *sim) add(one Event, last time.Duration) {
 	count := int(one.Share*float64(len(s.order)) + 0.5)
 	for i := range count {
@@ -46,7 +47,8 @@
 	}
 }
 
-// strike lets one engine go, answer nothing or turn slow for a while.
+// strike applies a fault to one engine: it disappears, or it stops responding or
+// slows down for the duration last.
 func (s *sim) strike(hit *host, one Event, last time.Duration) {
 	switch one.Kind {
 	case "gone":
@@ -63,7 +65,7 @@
 	}
 }
 
-// remove ends an engine's registration.
+// remove unregisters an engine from all entries.
 func (s *sim) remove(gone *host) {
 	var left []*host
 	for _, one := range s.order {
@@ -78,7 +80,8 @@
 	s.deal()
 }
 
-// loadAll has each engine load a version in its turn within the time given.
+// loadAll has all engines load a version, one after another in random order, over
+// the duration last.
 func (s *sim) loadAll(last time.Duration) {
 	for i, at := range s.rng.Perm(len(s.order)) {
 		one := s.order[at]
@@ -86,7 +89,8 @@
 	}
 }
 
-// reload gives notice, cuts what runs then, and serves again once loaded.
+// reload announces a load, aborts the requests that still run after noticeTime,
+// and serves again when the load is complete.
 func (h *host) reload() {
 	if h.ordering || h.dark {
 		return
--- a/bench/internal/policy/host.go
+++ b/bench/internal/policy/host.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// usualLooks and idleLooks are how often an agent looks at its engine while something
-	// runs and while nothing does, as agents do.
+	// usualLooks and idleLooks are the intervals at which an agent polls its engine
+	// while requests run and while it is idle. They match the real agents.
 	usualLooks = 30 * time.Millisecond
 	idleLooks  = 80 * time.Millisecond
-	// sendAnyway is the longest time between two states.
+	// sendAnyway is the maximum interval between two state messages, unless the
+	// follower's gap is longer.
 	sendAnyway = 250 * time.Millisecond
-	// noticeTime is how long entries send nothing new before a load.
+	// noticeTime is how long before a load entries stop sending new requests.
 	noticeTime = 600 * time.Millisecond
-	// stateBytes and readingBytes are what such messages take on a link, headers
-	// included.
+	// stateBytes and readingBytes are the sizes of state and reading messages on a
+	// link, including headers.
 	stateBytes   = 150
 	readingBytes = 110
 )
 
-// host is one engine with its agent.
+// host is a simulated engine with its agent.
 type host struct {
 	sim       *sim
 	id        string
@@ -33,23 +34,23 @@
 	loaded    uint64
 	batch     *engine.Batch
 	works     map[*engine.Work]*exchange
-	slow      float64 // passes take so many times as long
+	slow      float64 // factor by which passes take longer
 	dark      bool
 	ordering  bool // a load is about to begin or in progress
-	epochs    int  // of passes: those begun before a crash or load are void
-	served    int  // events
+	epochs    int  // incremented by a crash or load; passes of earlier epochs are discarded
+	served    int  // number of events sent
 	seen      fleet.EngineState
 	reading   map[*entry]int
 	followers map[*entry]*follower
 }
 
-// follower is one entry that follows a host.
+// follower is an entry's subscription to the state of a host.
 type follower struct {
 	host    *host
 	entry   *entry
 	gap     time.Duration
-	last    time.Duration // when a state was sent
-	planned bool          // the next one is
+	last    time.Duration // when the last state was sent
+	planned bool          // the next state is scheduled
 	sent    int
 }
 
@@ -70,7 +71,7 @@
 	return one
 }
 
-// looks returns how often agents look at engines that run something.
+// looks returns the polling interval for engines that run requests.
 func (s *sim) looks() time.Duration {
 	if s.opts.Looks > 0 {
 		return s.opts.Looks
@@ -78,7 +79,7 @@
 	return usualLooks
 }
 
-// followAll begins and ends feeds as the entry's parts say.
+// followAll starts and stops state subscriptions according to the entry's parts.
 func (e *entry) followAll() {
 	for _, one := range e.sim.order {
 		reach := e.parts[one.address].Reach
@@ -102,7 +103,7 @@
 	}
 }
 
-// look lets the agent look at its engine.
+// look polls the engine and notifies the followers if its state changed.
 func (h *host) look() {
 	wait := idleLooks
 	if h.batch.Running() > 0 {
@@ -119,6 +120,7 @@
 	}
 }
 
+// changed schedules a state message to each follower.
 func (h *host) changed() {
 	for _, ent := range h.sim.entries {
 		if to := h.followers[ent]; to != nil {
@@ -127,7 +129,7 @@
 	}
 }
 
-// poke sends a state, not sooner than the gap after the one before.
+// poke schedules a state message, at least gap after the previous one.
 func (f *follower) poke() {
 	if f.planned || f.host.followers[f.entry] != f {
 		return
@@ -137,6 +139,8 @@
 	s.after(f.last+f.gap-s.now, f.send)
 }
 
+// send sends the current state to the entry and schedules the next message after
+// sendAnyway.
 func (f *follower) send() {
 	h, s := f.host, f.host.sim
 	f.planned = false
@@ -170,6 +174,7 @@
 	})
 }
 
+// observeReading records the unread prompt tokens that an entry reported.
 func (h *host) observeReading(from *entry, tokens int) {
 	if h.followers[from] == nil {
 		return
@@ -178,7 +183,8 @@
 	h.changed()
 }
 
-// arrive takes a request, or proves that it did not run.
+// arrive accepts a request, or replies that it did not run. A dark engine does not
+// reply.
 func (h *host) arrive(x *exchange, work *engine.Work) {
 	s := h.sim
 	if h.dark {
@@ -197,13 +203,13 @@
 	h.pass()
 }
 
-// drop takes a request out whose caller left.
+// drop removes a request whose caller has gone.
 func (h *host) drop(work *engine.Work) {
 	h.batch.Remove(work)
 	delete(h.works, work)
 }
 
-// pass begins the next pass if there is anything to do.
+// pass begins the next pass if there is work.
 func (h *host) pass() {
 	took, ok := h.batch.Begin()
 	if !ok {
@@ -217,6 +223,7 @@
 	})
 }
 
+// endPass sends the events and completions of a pass and begins the next one.
 func (h *host) endPass() {
 	s := h.sim
 	wrote, done := h.batch.End()
@@ -244,7 +251,7 @@
 	h.pass()
 }
 
-// cut drops all that runs: the entries see broken answers.
+// cut aborts all requests of the engine; the entries see broken answers.
 func (h *host) cut() {
 	h.epochs++
 	for _, work := range h.batch.Clear() {
--- a/bench/internal/policy/load.go
+++ b/bench/internal/policy/load.go
@@ -1,10 +1,10 @@
-// Package policy plays the decisions of entries in virtual time: the product's own cores
-// (who sends where, who waits, what is reported of engines) over described arrivals, links
-// and engines, so that one policy can be held against another on the same load, at
-// sizes that no machine could run.
+// Package policy simulates the decisions of entries in virtual time. It runs the
+// product's own code for routing, queueing and engine state on modelled arrivals,
+// links and engines, so that policies can be compared on the same load, at sizes
+// that no machine could run.
 //
-// What is not the product's is modelled: callers, links as delays without queues, the
-// engines' passes (engine.Batch), agents that poll their engine and report to entries.
+// Everything else is modelled: callers, links as delays without queues, the engines'
+// passes (engine.Batch), and agents that poll their engine and report to entries.
 package policy
 
 import (
@@ -18,18 +18,20 @@
 	"comfreyrelay.example/relay/schema"
 )
 
-// Load describes a deployment and what its callers ask. Times are in the unit that the
-// field's name ends with.
+// Load describes a deployment and the requests of its callers. The suffix of a
+// field's name gives the unit of a time.
 type Load struct {
 	Name    string `json:"name"`
 	Regions int    `json:"regions"`
 	Entries int    `json:"entries"`
 	Engines int    `json:"engines"`
-	// Seconds are played; what arrives before WarmSeconds is not counted.
+	// Seconds is the simulated time. Requests that arrive before WarmSeconds are
+	// not counted.
 	Seconds     float64 `json:"seconds"`
 	WarmSeconds float64 `json:"warmSeconds"`
-	// RequestsPerSecond arrive at the rate 1, over all regions; a region's part is
-	// drawn once within Uneven of the mean, or is that of Parts against their sum.
+	// RequestsPerSecond is the total over all regions at rate 1. The weight of
+	// each region is drawn once within a fraction Uneven of the mean, or is given
+	// by Parts, and is normalized by the sum of the weights.
 	RequestsPerSecond float64   `json:"requestsPerSecond"`
 	Uneven            float64   `json:"uneven"`
 	Parts             []float64 `json:"parts,omitempty"`
@@ -43,68 +45,70 @@
 // Class is a kind of request.
 type Class struct {
 	Name     string  `json:"name"`
-	Share    float64 `json:"share"`    // of all requests, against the other classes'
+	Share    float64 `json:"share"`    // weight relative to the other classes
 	Prompt   Sizes   `json:"prompt"`   // tokens
 	Answer   Sizes   `json:"answer"`   // tokens
-	Priority int     `json:"priority"` // 0 the first
-	// TargetMillis is the time to the first event that is in aim, GapMillis the longest
-	// pause between two.
+	Priority int     `json:"priority"` // 0 is the highest
+	// TargetMillis is the maximum time to the first event and GapMillis the maximum
+	// pause between two events of an answer in aim.
 	TargetMillis float64 `json:"targetMillis"`
 	GapMillis    float64 `json:"gapMillis"`
 	Worth        float64 `json:"worth"`
 	LateWorth    float64 `json:"lateWorth"`
 }
 
-// Sizes are drawn from a lognormal distribution.
+// Sizes describes a lognormal distribution of token counts.
 type Sizes struct {
 	Mean float64 `json:"mean"`
-	// Spread is the standard deviation against the mean.
+	// Spread is the standard deviation divided by the mean.
 	Spread float64 `json:"spread"`
 	Most   float64 `json:"most,omitempty"`
 }
 
-// Engine is what an engine can do.
+// Engine describes the capacity and timing of an engine.
 type Engine struct {
 	Slots         int     `json:"slots"`
 	Queue         int     `json:"queue"`
 	Stride        int     `json:"stride"`
 	StepMillis    float64 `json:"stepMillis"`
 	PerSeqMillis  float64 `json:"perSeqMillis"`
-	ContextMillis float64 `json:"contextMillis"` // for each 1,000 tokens of context
+	ContextMillis float64 `json:"contextMillis"` // per 1,000 tokens of context
 	ReadPerSecond float64 `json:"readPerSecond"`
-	PairMillis    float64 `json:"pairMillis"` // for each million pairs of tokens
+	PairMillis    float64 `json:"pairMillis"` // per million pairs of tokens
 	ChunkTokens   int     `json:"chunkTokens"`
 	MemoryTokens  int     `json:"memoryTokens"`
-	// FirstMillis is how much later a first event leaves the engine than its pass ends.
+	// FirstMillis is the delay from the end of a pass until its first event leaves
+	// the engine.
 	FirstMillis float64 `json:"firstMillis"`
-	// LoadMillis is how long it serves nothing while it loads a version.
+	// LoadMillis is how long the engine is unavailable while it loads a version.
 	LoadMillis float64 `json:"loadMillis"`
 }
 
-// Links are the delays one way, without queues.
+// Links holds the one-way delays of links, which have no queues.
 type Links struct {
 	DomainMillis float64 `json:"domainMillis"` // within a failure domain
 	RegionMillis float64 `json:"regionMillis"` // between regions
 	CallerMillis float64 `json:"callerMillis"`
-	// TurnMillis is what a process takes until it handles a message.
+	// TurnMillis is the time until a process handles a received message.
 	TurnMillis float64 `json:"turnMillis"`
 }
 
-// Callers are those who ask.
+// Callers describes the behavior of callers.
 type Callers struct {
 	DeadlineMillis float64 `json:"deadlineMillis"`
-	// Patience is the part by which some give less time.
+	// Patience is the maximum fraction by which a caller's deadline is shortened.
 	Patience float64 `json:"patience"`
-	// Retries are made by a caller that got a time to return, within a third of the time
-	// left.
+	// Retries is the maximum number of retries. A caller retries only if the wait
+	// that it was told is at most a third of the time left.
 	Retries int `json:"retries"`
 }
 
-// Event is something that happens to engines or callers.
+// Event is a change to engines or callers during the simulation.
 type Event struct {
-	// Kind: "add" brings engines, "gone" takes them away, "dark" lets them answer
-	// nothing, "slow" makes their passes Factor as long, "load" has all load a version
-	// in turn, "burst" multiplies what is asked by Factor.
+	// Kind is the kind of change: "add" adds engines, "gone" removes them, "dark"
+	// stops them from responding, "slow" multiplies the duration of their passes
+	// by Factor, "load" has all engines load a version in turn, and "burst"
+	// multiplies the request rate by Factor.
 	Kind       string  `json:"kind"`
 	AtSeconds  float64 `json:"atSeconds"`
 	ForSeconds float64 `json:"forSeconds,omitempty"`
@@ -117,8 +121,8 @@
 
 var checker = schema.MustCompile("load.schema.json", loadSchema)
 
-// Read reads a load from a file. Errors are of kind failure.Invalid and name the line,
-// the field and the remedy.
+// Read reads a load from a file. Errors are of kind failure.Invalid and give the line,
+// the field and how to correct it.
 func Read(name string) (*Load, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -127,7 +131,7 @@
 	return Parse(text)
 }
 
-// Parse reads a load from its JSON text.
+// Parse parses and validates a load in JSON.
 func Parse(text []byte) (*Load, error) {
 	tree, problems := schema.ParseTree(text)
 	if len(problems) == 0 {
@@ -143,7 +147,7 @@
 	return load, nil
 }
 
-// spec is the engine in the product's terms.
+// spec converts the engine to the product's catalog format.
 func (l *Load) spec() *catalog.Engine {
 	spec := &catalog.Engine{
 		Slots: l.Engine.Slots, Stride: l.Engine.Stride, StepMillis: l.Engine.StepMillis, PerSeqMillis: l.Engine.PerSeqMillis,
@@ -167,7 +171,7 @@
 //go:embed usual.json
 var usualLoad []byte
 
-// Usual returns the load that is built in: a deployment of five regions at its full rate.
+// Usual returns the built-in load: a deployment of five regions at its full rate.
 func Usual() *Load {
 	load, err := Parse(usualLoad)
 	if err != nil {
@@ -176,8 +180,8 @@
 	return load
 }
 
-// Sized returns the load with so many entries, engines and regions, 0 for those of the
-// load. What is asked grows with the engines.
+// Sized returns a copy of the load with the given numbers of entries, engines and
+// regions; 0 keeps the load's number. The request rate scales with the engines.
 func (l *Load) Sized(entries, engines, regions int) (*Load, error) {
 	sized := *l
 	if engines != 0 {
--- a/bench/internal/policy/plot.go
+++ b/bench/internal/policy/plot.go
@@ -13,8 +13,9 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Plot draws the answers in aim, and all that were whole, against what was asked, each
-// the mean of the seeds, with what the engines can serve at most.
+// Plot draws the rates of answers in aim and of all complete answers against the
+// request rate, averaged over the seeds, and the throughput limit of the engines.
+// The format follows from the extension of file.
 func Plot(results []Result, file string) error {
 	byRate := map[float64][]Result{}
 	for _, one := range results {
--- a/bench/internal/policy/policy_test.go
+++ b/bench/internal/policy/policy_test.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// small is the built-in load on few machines, played shortly.
+// small returns the built-in load with few machines and a short duration.
 func small(t *testing.T, entries, engines int) *Load {
 	t.Helper()
 	load, err := Usual().Sized(entries, engines, 3)
@@ -39,7 +39,8 @@
 	}
 }
 
-// Each request ends once; the shares of how it did make one.
+// Guards against requests that never end or are counted twice: the shares of the
+// outcomes must add up to 1.
 func TestEveryRequestEnds(t *testing.T) {
 	load := small(t, 9, 24)
 	load.Events = []Event{
@@ -65,12 +66,12 @@
 	}
 }
 
-// Symptom: an entry's engines are full at three quarters of what they can do. Sequence:
-// twenty entries of a failure domain see the same free slot, 20 to 50 ms ago, and each
-// sends its next request there; the prompts wait for one another. Cause: all entries of
-// a domain sent to all its engines. The load is that of 60 entries and 141 engines in
-// three domains at what the engines can just serve, prompts of 600 to 1,300
-// tokens, targets of 500 to 800 ms.
+// Guards against engines that saturate at three quarters of their capacity. This
+// happened when all entries of a failure domain sent to all its engines: twenty
+// entries saw the same free slot in a state 20 to 50 ms old, each sent its next
+// request there, and the prompts queued behind one another. The load has 60 entries
+// and 141 engines in three domains at the limit of what the engines can serve,
+// prompts of 600 to 1,300 tokens and targets of 500 to 800 ms.
 func TestFewSendersAnEngineAreBetterThanAll(t *testing.T) {
 	load := small(t, 60, 141)
 	few, all := options(0.68), options(0.68)
@@ -84,7 +85,7 @@
 	}
 }
 
-// What an entry receives is flat in the size of the fleet.
+// Guards against a message rate per entry that grows with the size of the fleet.
 func TestMessagesOfAnEntryDoNotGrowWithTheFleet(t *testing.T) {
 	base := Play(small(t, 18, 42), options(0.5))
 	grown := Play(small(t, 72, 168), options(0.5))
@@ -132,7 +133,8 @@
 	}
 }
 
-// Guards against a load file that no longer fits the schema, or is named other than its file.
+// Guards against a load file that does not match the schema or whose name differs
+// from its file name.
 func TestLoadFilesCanBeRead(t *testing.T) {
 	files, err := filepath.Glob("../../loads/*.json")
 	if err != nil || len(files) == 0 {
--- a/bench/internal/policy/sim.go
+++ b/bench/internal/policy/sim.go
@@ -11,34 +11,38 @@
 	"comfreyrelay.example/relay/deal"
 )
 
-// service and model are the names in the simulated catalog.
+// service and model are the names of the service and its model in the simulated
+// catalog.
 const (
 	service = "engines"
 	model   = "model"
 )
 
-// Options are what is compared.
+// Options holds the parameters that differ between compared simulations.
 type Options struct {
 	Seed uint64
-	// Rate multiplies what is asked.
+	// Rate multiplies the request rate of the load; values up to 0 mean 1.
 	Rate   float64
 	Shares deal.Shares
-	// Gaps are how often an entry learns of an engine by its reach.
+	// Gaps are the minimum intervals between state updates of an engine at an
+	// entry, by the engine's reach.
 	Gaps Gaps
-	// Looks is how often an agent looks at its engine while something runs; 0: as
-	// usual.
+	// Looks is the interval at which an agent polls its engine while requests
+	// run. 0 means usualLooks.
 	Looks time.Duration
-	// Without names mechanisms that are left out; see Mechanisms.
+	// Without names the mechanisms that are disabled; see Mechanisms.
 	Without map[string]bool
 }
 
-// Gaps are the least times between two states of an engine that an entry receives.
+// Gaps holds the minimum intervals between two state updates of an engine that
+// an entry receives.
 type Gaps struct{ Home, Near, Far time.Duration }
 
-// UsualGaps are those in use.
+// UsualGaps are the intervals that the product uses.
 var UsualGaps = Gaps{Home: 25 * time.Millisecond, Near: 60 * time.Millisecond, Far: 250 * time.Millisecond}
 
-// Mechanisms are what Options.Without may name, with what happens without each.
+// Mechanisms maps each name allowed in Options.Without to the behavior of the
+// system when that mechanism is disabled.
 var Mechanisms = map[string]string{
 	"homes":   "every entry of its domain fills an engine's slots as its home does",
 	"dealing": "every entry sends to every engine and follows it",
@@ -48,7 +52,7 @@
 	"reading": "entries do not report to agents which prompts are not read yet",
 }
 
-// sim plays one load.
+// sim is a discrete-event simulation of one load.
 type sim struct {
 	load    *Load
 	opts    Options
@@ -60,12 +64,13 @@
 	byID    map[string]*entry
 	engines map[string]*host // by address
 	order   []*host
-	rates   []float64 // of the regions, requests a second
-	factor  float64   // of bursts
+	rates   []float64 // requests per second by region
+	factor  float64   // multiplier of the request rates during bursts
 	out     *tally
 }
 
-// epoch is the moment at which a simulation begins; only differences count.
+// epoch is the wall-clock time at which a simulation begins. Its value is arbitrary,
+// as only differences matter.
 var epoch = time.Unix(1_000_000_000, 0)
 
 func newSim(load *Load, opts Options) *sim {
@@ -90,7 +95,7 @@
 
 func (s *sim) clock() time.Time { return epoch.Add(s.now) }
 
-// drawRates gives each region its part of what is asked.
+// drawRates sets the request rate of each region.
 func (s *sim) drawRates() {
 	mean := s.load.RequestsPerSecond * s.opts.Rate / float64(s.load.Regions)
 	sum := 0.0
@@ -109,12 +114,12 @@
 
 func domain(region int) string { return fmt.Sprintf("d%02d", region) }
 
-// after calls fn after so long.
+// after schedules fn to run after wait in virtual time.
 func (s *sim) after(wait time.Duration, fn func()) {
 	heap.Push(&s.queue, event{at: s.now + max(0, wait), number: s.queue.next(), fn: fn})
 }
 
-// run plays the load to its end.
+// run simulates the load to its end.
 func (s *sim) run() {
 	for region := range s.load.Regions {
 		s.after(s.gap(region), func() { s.arrive(region) })
@@ -133,12 +138,12 @@
 	}
 }
 
-// gap draws the time to a region's next request.
+// gap draws the time until the next request in a region.
 func (s *sim) gap(region int) time.Duration {
 	return seconds(s.rng.ExpFloat64() / (s.rates[region] * s.factor))
 }
 
-// delay returns the time of a message between two regions, one way.
+// delay returns the one-way delay of a message between two regions.
 func (s *sim) delay(from, to int) time.Duration {
 	if from == to {
 		return millis(s.load.Links.DomainMillis + s.load.Links.TurnMillis)
@@ -150,7 +155,7 @@
 	return millis(s.load.Links.CallerMillis + s.load.Links.TurnMillis)
 }
 
-// draw draws a size.
+// draw draws a size from its lognormal distribution.
 func (s *sim) draw(size Sizes) int {
 	value := size.Mean
 	if size.Spread > 0 {
@@ -163,17 +168,17 @@
 	return max(1, int(math.Round(value)))
 }
 
-// without reports whether a mechanism is left out.
+// without reports whether a mechanism is disabled.
 func (s *sim) without(name string) bool { return s.opts.Without[name] }
 
-// event is something to do at a moment.
+// event is a function scheduled at a point in virtual time.
 type event struct {
 	at     time.Duration
-	number uint64 // among equals the earlier made comes first
+	number uint64 // events at the same time run in the order of creation
 	fn     func()
 }
 
-// events is a heap by time.
+// events is a heap of events ordered by time.
 type events struct {
 	list []event
 	made uint64
--- a/bench/internal/policy/tally.go
+++ b/bench/internal/policy/tally.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// outcome is how a request ended for its caller.
+// outcome is the result of a request for its caller.
 type outcome int
 
 const (
 	inAim   outcome = iota
-	late            // whole, but later than its target or with a longer pause
-	refused         // answered that it did not run
-	failed          // broken off, or its time was over
+	late            // complete, but the first event or a pause exceeded the limit of its class
+	refused         // rejected without having run
+	failed          // interrupted, or its deadline passed
 	outcomes
 )
 
-// window is the span of which the worst counts.
+// window is the length of the intervals among which Result.WorstWindow is found.
 const window = 2 * time.Second
 
-// counts are requests by how they ended.
+// counts holds the number of requests by outcome.
 type counts [outcomes]int
 
 func (c counts) asked() int { return c[inAim] + c[late] + c[refused] + c[failed] }
@@ -32,7 +32,7 @@
 	return float64(c[of]) / float64(c.asked())
 }
 
-// tally counts what happened.
+// tally collects the statistics of a simulation.
 type tally struct {
 	sim      *sim
 	all      counts
@@ -42,13 +42,13 @@
 	worth    float64
 	owed     float64
 	firsts   []time.Duration
-	returns  int // callers who came back
-	refusals int // by entries
+	returns  int // retries by callers
+	refusals int // requests refused by entries
 	picks    int
-	states   int // messages of agents
+	states   int // state messages sent by agents
 	messages int
-	farBytes int // between regions
-	events   int // of streams
+	farBytes int // bytes sent between regions
+	events   int // stream events sent by engines
 }
 
 func newTally(s *sim) *tally {
@@ -58,8 +58,8 @@
 	}
 }
 
-// counted reports whether a request arrived in the time that counts: late enough, and
-// early enough to have ended.
+// counted reports whether a request is included in the results: it arrived after
+// the warm-up and early enough to end before the simulation does.
 func (t *tally) counted(a *ask) bool {
 	return a.asked >= seconds(t.sim.load.WarmSeconds) && a.asked < seconds(t.sim.load.Seconds)-millis(t.sim.load.Callers.DeadlineMillis)
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// Result is what one play gave. Shares are of the requests asked in the time that
-// counts.
+// Result is the result of one simulation. Shares refer to the requests that arrived
+// in the measured interval; see tally.counted.
 type Result struct {
 	Load    string   `json:"load"`
 	Seed    uint64   `json:"seed"`
@@ -115,14 +115,14 @@
 	Late         float64 `json:"late"`
 	Refused      float64 `json:"refused"`
 	Failed       float64 `json:"failed"`
-	Worth        float64 `json:"worth"` // of what was owed
+	Worth        float64 `json:"worth"` // share of the worth of all requests
 	WorstClass   float64 `json:"worstClassInAim"`
 	WorstRegion  float64 `json:"worstRegionInAim"`
 	WorstWindow  float64 `json:"worstWindowInAim"`
 	FirstP50     float64 `json:"firstP50Millis"`
 	FirstP90     float64 `json:"firstP90Millis"`
 	EventsPerS   float64 `json:"eventsPerSecond"`
-	FluidPerS    float64 `json:"fluidRequestsPerSecond"` // that the engines can serve
+	FluidPerS    float64 `json:"fluidRequestsPerSecond"` // throughput limit of the engines
 	Returns      int     `json:"returns"`
 	StatesPerS   float64 `json:"statesPerEntryAndSecond"`
 	MessagesPerS float64 `json:"messagesPerEntryAndSecond"`
@@ -131,7 +131,7 @@
 	WallSeconds  float64 `json:"wallSeconds"`
 }
 
-// Play plays a load.
+// Play simulates a load and returns its result.
 func Play(load *Load, opts Options) Result {
 	began := time.Now()
 	s := newSim(load, opts)
@@ -169,7 +169,7 @@
 	return found
 }
 
-// worst returns the least share in aim among parts that were asked something.
+// worst returns the lowest share in aim among the parts with at least 20 requests.
 func worst(parts []counts) float64 {
 	least := 1.0
 	for _, part := range parts {
