--- a/bench/internal/audit/collect.go
+++ b/bench/internal/audit/collect.go
@@ -8,19 +8,21 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Ledgers are the back ends' records of one deployment.
+// Ledgers holds the combined records of all back ends in a deployment.
 type Ledgers struct {
 	Runs *Runs
-	// CacheHits and CacheMisses sum over all engines, as do Loads, OldObeyed
-	// (orders with an old fencing number that an engine obeyed) and NotWhole
-	// (loads ordered with a chunk missing).
+	// The following are totals over all engines. OldObeyed counts orders that
+	// an engine executed despite an outdated fencing number, NotWhole counts
+	// loads that were ordered while a chunk was missing.
 	CacheHits, CacheMisses     int
 	Loads, OldObeyed, NotWhole int
-	// Lost counts back ends whose record died with them.
+	// Lost counts back ends whose record could not be read, for example because
+	// the back end died.
 	Lost int
 }
 
-// CacheHitRatio returns the part of the prompts whose prefix was cached.
+// CacheHitRatio returns the fraction of prompts whose prefix was cached, or 0
+// if there were none.
 func (l Ledgers) CacheHitRatio() float64 {
 	if l.CacheHits+l.CacheMisses == 0 {
 		return 0
@@ -28,43 +30,43 @@
 	return float64(l.CacheHits) / float64(l.CacheHits+l.CacheMisses)
 }
 
-// Collect reads the records of every engine and plain service of the deployment.
-func Collect(ctx context.Context, h *deployment.Deployment) Ledgers {
-	out := Ledgers{Runs: NewRuns()}
-	for _, m := range h.Agents() {
-		ledger, err := h.EngineLedger(ctx, m)
+// Collect reads the records of all engines and plain services in the deployment.
+func Collect(ctx context.Context, d *deployment.Deployment) Ledgers {
+	ledgers := Ledgers{Runs: NewRuns()}
+	for _, member := range d.Agents() {
+		ledger, err := d.EngineLedger(ctx, member)
 		if err != nil {
-			out.Lost++
+			ledgers.Lost++
 			continue
 		}
-		out.Runs.AddEngine(m.ID(), ledger)
-		out.CacheHits += ledger.Totals.CacheHits
-		out.CacheMisses += ledger.Totals.CacheMiss
-		out.Loads += ledger.Orders.Loads
-		out.OldObeyed += ledger.Orders.OldObeyed
-		out.NotWhole += ledger.Orders.NotWhole
+		ledgers.Runs.AddEngine(member.ID(), ledger)
+		ledgers.CacheHits += ledger.Totals.CacheHits
+		ledgers.CacheMisses += ledger.Totals.CacheMiss
+		ledgers.Loads += ledger.Orders.Loads
+		ledgers.OldObeyed += ledger.Orders.OldObeyed
+		ledgers.NotWhole += ledger.Orders.NotWhole
 	}
-	for _, m := range h.Services() {
-		ledger, err := h.ServiceLedger(ctx, m)
+	for _, member := range d.Services() {
+		ledger, err := d.ServiceLedger(ctx, member)
 		if err != nil {
-			out.Lost++
+			ledgers.Lost++
 			continue
 		}
-		out.Runs.AddService(ledger)
+		ledgers.Runs.AddService(ledger)
 	}
-	return out
+	return ledgers
 }
 
-// CompareFile is Compare on the record of the deployment's callers, whose requests
-// had the deadline.
-func CompareFile(load *deployment.Load, runs *Runs, h *deployment.Deployment, deadline time.Duration) (Findings, error) {
+// CompareFile calls Compare with the record file of load. It excuses responses
+// truncated by the entries killed in the deployment or after the deadline.
+func CompareFile(load *deployment.Load, runs *Runs, d *deployment.Deployment, deadline time.Duration) (Findings, error) {
 	file, err := os.Open(load.Record())
 	if err != nil {
 		return Findings{}, err
 	}
 	defer file.Close()
 	excuses := Excuses{Deadline: deadline}
-	for _, death := range h.Deaths() {
+	for _, death := range d.Deaths() {
 		excuses.Deaths = append(excuses.Deaths, Death{Address: death.Member.CallersAddress(), At: death.At})
 	}
 	return Compare(file, runs, excuses)
