--- a/bench/internal/follow/follower.go
+++ b/bench/internal/follow/follower.go
@@ -21,35 +21,35 @@
 	members []*deployment.Member
 	client  *http.Client
 
-	mu       sync.Mutex
-	inForce  *hdrhistogram.Histogram // microseconds from the acceptance
-	times    map[uint32]time.Time    // of the acceptance, by revision
-	latest   uint32                  // newest accepted that is measured
-	revision map[string]uint32       // by node: the last one seen
-	back     int                     // times that a node's revision fell
+	mu         sync.Mutex
+	inForce    *hdrhistogram.Histogram // microseconds from the acceptance
+	acceptedAt map[uint32]time.Time    // of the acceptance, by revision
+	latest     uint32                  // newest accepted that is measured
+	revision   map[string]uint32       // by node: the last one seen
+	reverts    int                     // times that a node's revision fell
 }
 
 // New returns a Follower of the members that asks nobody yet.
 func New(members []*deployment.Member) *Follower {
 	return &Follower{
-		members:  members,
-		client:   &http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		inForce:  NewTimes(),
-		times:    map[uint32]time.Time{},
-		revision: map[string]uint32{},
+		members:    members,
+		client:     &http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		inForce:    NewTimes(),
+		acceptedAt: map[uint32]time.Time{},
+		revision:   map[string]uint32{},
 	}
 }
 
 // During asks the nodes while do runs.
 func (f *Follower) During(ctx context.Context, do func() error) error {
-	asking, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
+	polling, stop := context.WithCancel(ctx)
+	var pollers sync.WaitGroup
 	for _, m := range f.members {
-		all.Go(func() { f.ask(asking, m) })
+		pollers.Go(func() { f.poll(polling, m) })
 	}
 	err := do()
 	stop()
-	all.Wait()
+	pollers.Wait()
 	return err
 }
 
@@ -58,7 +58,7 @@
 func (f *Follower) Accepted(revision uint32, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.times[revision] = now
+	f.acceptedAt[revision] = now
 	f.latest = revision
 	for _, seen := range f.revision {
 		if seen >= revision {
@@ -69,7 +69,7 @@
 
 // Wait waits until every node has the revision.
 func (f *Follower) Wait(ctx context.Context, revision uint32) error {
-	for !f.all(revision) {
+	for !f.allReached(revision) {
 		if err := pause(ctx, Interval); err != nil {
 			return err
 		}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (f *Follower) all(revision uint32) bool {
+func (f *Follower) allReached(revision uint32) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
@@ -92,32 +92,32 @@
 func (f *Follower) Reverts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.back
+	return f.reverts
 }
 
-func (f *Follower) ask(ctx context.Context, m *deployment.Member) {
+func (f *Follower) poll(ctx context.Context, m *deployment.Member) {
 	for pause(ctx, Interval) == nil {
-		if revision, ok := f.read(ctx, m); ok {
-			f.note(m.ID(), revision, time.Now())
+		if revision, ok := f.fetchRevision(ctx, m); ok {
+			f.observe(m.ID(), revision, time.Now())
 		}
 	}
 }
 
-// note records the revisions that the node has reached since it was asked
+// observe records the revisions that the node has reached since it was asked
 // before.
-func (f *Follower) note(node string, revision uint32, now time.Time) {
+func (f *Follower) observe(node string, revision uint32, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := f.revision[node]
 	// A process that was restarted knows nothing at first: that is no revert.
 	if revision < last && revision > 0 {
-		f.back++
+		f.reverts++
 	}
 	if revision > last {
 		f.revision[node] = revision
 	}
 	for reached := last + 1; reached <= min(revision, f.latest); reached++ {
-		if at, measured := f.times[reached]; measured {
+		if at, measured := f.acceptedAt[reached]; measured {
 			Record(f.inForce, now.Sub(at))
 		}
 	}
@@ -133,7 +133,7 @@
 	} `json:"entryState"`
 }
 
-func (f *Follower) read(ctx context.Context, m *deployment.Member) (uint32, bool) {
+func (f *Follower) fetchRevision(ctx context.Context, m *deployment.Member) (uint32, bool) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.OperatorsAddress()+"/debug/vars", nil)
 	if err != nil {
 		return 0, false
--- a/bench/internal/follow/follower_test.go
+++ b/bench/internal/follow/follower_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TestNote follows one node through changes that arrive late, together and
+// TestObserve follows one node through changes that arrive late, together and
 // before their acceptance is known.
-func TestNote(t *testing.T) {
+func TestObserve(t *testing.T) {
 	start := time.Now()
 	f := New(nil)
 	f.Accepted(1, start)
-	f.note("a", 1, start.Add(time.Second))
+	f.observe("a", 1, start.Add(time.Second))
 	// The node has revision 2 before the submitter's call comes back.
-	f.note("a", 2, start.Add(2*time.Second))
+	f.observe("a", 2, start.Add(2*time.Second))
 	f.Accepted(2, start.Add(3*time.Second))
 	f.Accepted(3, start.Add(3*time.Second))
 	f.Accepted(4, start.Add(3*time.Second))
-	f.note("a", 4, start.Add(5*time.Second))
+	f.observe("a", 4, start.Add(5*time.Second))
 	if got, want := f.inForce.TotalCount(), int64(4); got != want {
 		t.Errorf("times: got %d, want %d", got, want)
 	}
@@ -32,7 +32,7 @@
 func TestReverts(t *testing.T) {
 	f := New(nil)
 	for _, revision := range []uint32{5, 4, 0, 5} {
-		f.note("a", revision, time.Now())
+		f.observe("a", revision, time.Now())
 	}
 	if got, want := f.Reverts(), 1; got != want {
 		t.Errorf("Reverts: got %d, want %d", got, want)
