--- a/bench/internal/keys/keys.go
+++ b/bench/internal/keys/keys.go
@@ -1,4 +1,5 @@
-// Package keys makes the throw-away certificates of one deployment.
+// Package keys creates a certificate authority and short-lived node certificates
+// for one deployment.
 package keys
 
 import (
@@ -17,9 +18,10 @@
 )
 
 const (
-	// lifetime is longer than any run and short enough to be worthless after.
+	// lifetime is the validity of the certificates: longer than any run, and short
+	// enough that leaked keys are soon useless.
 	lifetime = 24 * time.Hour
-	// keyMode keeps private keys from other users of the machine.
+	// keyMode makes the files unreadable for other users of the machine.
 	keyMode = 0o600
 )
 
@@ -30,7 +32,8 @@
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority whose files lie in the directory.
+// NewAuthority creates a self-signed authority and writes its certificate to dir,
+// where Issue writes its files too.
 func NewAuthority(dir string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -59,8 +62,8 @@
 
 func (a *Authority) authorityFile() string { return filepath.Join(a.dir, "authority.pem") }
 
-// Issue makes a certificate for one node: its id is the common name, its role
-// the organisational unit.
+// Issue creates a key and a signed certificate for one node and writes both to
+// files. The common name is the node id, the organisational unit its role.
 func (a *Authority) Issue(node, role string) (*wire.TlsSettings, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -85,6 +88,7 @@
 	return a.write(node, der, key)
 }
 
+// write stores the certificate and the key of a node as PEM files.
 func (a *Authority) write(node string, der []byte, key *ecdsa.PrivateKey) (*wire.TlsSettings, error) {
 	files := &wire.TlsSettings{
 		CertificateFile: filepath.Join(a.dir, node+".pem"),
--- a/bench/internal/keys/keys_test.go
+++ b/bench/internal/keys/keys_test.go
@@ -11,8 +11,8 @@
 	"comfreyrelay.example/relay/peer"
 )
 
-// TestIssueSatisfiesPeers makes two nodes' certificates and shakes hands as the
-// system's own processes do.
+// TestIssueSatisfiesPeers issues certificates for an entry and an agent and checks
+// that they complete the mutual TLS handshake that the system's processes use.
 func TestIssueSatisfiesPeers(t *testing.T) {
 	authority, err := NewAuthority(t.TempDir())
 	if err != nil {
