--- a/bench/internal/follow/follower.go
+++ b/bench/internal/follow/follower.go
@@ -1,4 +1,5 @@
-// Package follow asks every node of a deployment which revision it has in force.
+// Package follow polls the nodes of a deployment for the revision that each has
+// in force, and measures how long a change takes to reach them.
 package follow
 
 import (
@@ -13,23 +14,25 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Interval is how often each node is asked; it bounds the error of a time.
+// Interval is the time between two polls of a node; it bounds the error of a
+// measured time.
 const Interval = 50 * time.Millisecond
 
-// Follower asks every node which revision it has in force.
+// Follower polls every node for its revision in force and records the time from
+// the acceptance of a revision until the node has it.
 type Follower struct {
 	members []*deployment.Member
 	client  *http.Client
 
 	mu         sync.Mutex
-	inForce    *hdrhistogram.Histogram // microseconds from the acceptance
-	acceptedAt map[uint32]time.Time    // of the acceptance, by revision
-	latest     uint32                  // newest accepted that is measured
-	revision   map[string]uint32       // by node: the last one seen
-	reverts    int                     // times that a node's revision fell
+	inForce    *hdrhistogram.Histogram // microseconds from acceptance to in force
+	acceptedAt map[uint32]time.Time    // by revision
+	latest     uint32                  // newest accepted revision
+	revision   map[string]uint32       // by node: the highest one seen
+	reverts    int                     // how often a node's revision fell
 }
 
-// New returns a Follower of the members that asks nobody yet.
+// New returns a Follower of the members; polling starts with During.
 func New(members []*deployment.Member) *Follower {
 	return &Follower{
 		members:    members,
@@ -40,7 +43,7 @@
 	}
 }
 
-// During asks the nodes while do runs.
+// During runs do, polls the nodes meanwhile and returns the error of do.
 func (f *Follower) During(ctx context.Context, do func() error) error {
 	polling, stop := context.WithCancel(ctx)
 	var pollers sync.WaitGroup
@@ -53,8 +56,9 @@
 	return err
 }
 
-// Accepted notes that the revision was accepted now. A node that had it before
-// the acceptance came back counts as 0.
+// Accepted records that the revision was accepted now. A node that already has
+// it, because it applied the revision before the submitter got its reply, counts
+// as a time of 0.
 func (f *Follower) Accepted(revision uint32, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,7 +71,7 @@
 	}
 }
 
-// Wait waits until every node has the revision.
+// Wait blocks until every node has the revision or a later one, or ctx ends.
 func (f *Follower) Wait(ctx context.Context, revision uint32) error {
 	for !f.allReached(revision) {
 		if err := pause(ctx, Interval); err != nil {
@@ -88,7 +92,7 @@
 	return true
 }
 
-// Reverts counts the times that a node went back to an older revision.
+// Reverts returns how often a node went back to an older revision.
 func (f *Follower) Reverts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,13 +107,13 @@
 	}
 }
 
-// observe records the revisions that the node has reached since it was asked
-// before.
+// observe takes the result of a poll: it records the time for each revision that
+// the node has reached since the previous poll, and counts reverts.
 func (f *Follower) observe(node string, revision uint32, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := f.revision[node]
-	// A process that was restarted knows nothing at first: that is no revert.
+	// A restarted process reports revision 0 at first, which is not a revert.
 	if revision < last && revision > 0 {
 		f.reverts++
 	}
@@ -123,7 +127,7 @@
 	}
 }
 
-// nodeVars are the parts of /debug/vars that show the revision in force.
+// nodeVars is the part of /debug/vars that holds the revision in force.
 type nodeVars struct {
 	AgentState struct {
 		Revision uint32 `json:"revision"`
@@ -150,8 +154,8 @@
 	return max(vars.AgentState.Revision, vars.EntryState.Revision), true
 }
 
-// Seconds returns a percentile of the time from an acceptance until a node had
-// the revision in force.
+// Seconds returns a percentile of the time, in seconds, from the acceptance of a
+// revision until a node had it in force.
 func (f *Follower) Seconds(percentile float64) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/bench/internal/follow/follower_test.go
+++ b/bench/internal/follow/follower_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestObserve follows one node through changes that arrive late, together and
-// before their acceptance is known.
+// TestObserve checks the recorded times of a node that applies revisions late,
+// several at once, and before the submitter has the reply that accepts them.
 func TestObserve(t *testing.T) {
 	start := time.Now()
 	f := New(nil)
 	f.Accepted(1, start)
 	f.observe("a", 1, start.Add(time.Second))
-	// The node has revision 2 before the submitter's call comes back.
+	// The node has revision 2 before the submitter gets its reply.
 	f.observe("a", 2, start.Add(2*time.Second))
 	f.Accepted(2, start.Add(3*time.Second))
 	f.Accepted(3, start.Add(3*time.Second))
@@ -26,9 +26,9 @@
 	}
 }
 
-// Symptom: a run passes although a node went back. Sequence: a node shows
-// revision 5, then 4; another restarts and shows 0, then 5. Cause: only the
-// first of the two is a revert.
+// TestReverts guards against a run that passes although a node went back to an
+// older revision. The step from 5 to 4 is a revert; the 0 of a restarted node,
+// followed by 5, is not.
 func TestReverts(t *testing.T) {
 	f := New(nil)
 	for _, revision := range []uint32{5, 4, 0, 5} {
--- a/bench/internal/follow/times.go
+++ b/bench/internal/follow/times.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range of the histograms in microseconds.
+// Range of the histograms in microseconds, and their significant digits.
 const (
 	lowest  = 1
 	highest = int64(10 * time.Minute / time.Microsecond)
@@ -16,12 +16,13 @@
 // NewTimes returns an empty histogram of times.
 func NewTimes() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
 
-// Record adds a time, clamped to the range, so that nothing is lost.
+// Record adds a time. Times outside the range are clamped to it, so that none is
+// lost.
 func Record(times *hdrhistogram.Histogram, took time.Duration) {
-	_ = times.RecordValue(min(max(took.Microseconds(), lowest), highest)) // within the range it never fails
+	_ = times.RecordValue(min(max(took.Microseconds(), lowest), highest)) // fails only outside the range
 }
 
-// Seconds returns a percentile.
+// Seconds returns a percentile of the times, in seconds.
 func Seconds(times *hdrhistogram.Histogram, percentile float64) float64 {
 	return (time.Duration(times.ValueAtQuantile(percentile)) * time.Microsecond).Seconds()
 }
