--- a/bench/internal/process/process.go
+++ b/bench/internal/process/process.go
@@ -21,8 +21,8 @@
 const (
 	// readyPrefix begins the line that a server prints when it is ready.
 	readyPrefix = "listening address="
-	// outputLines bounds the ready lines kept for one process.
-	outputLines = 4096
+	// maxAddresses bounds the ready lines kept for one process.
+	maxAddresses = 4096
 )
 
 // Spec says what to start.
@@ -56,11 +56,11 @@
 	err       error // set before done closes
 }
 
-// starter runs every start on one locked thread that never ends. Linux sends
+// startThread runs every start on one locked thread that never ends. Linux sends
 // the death signal when the *thread* that forked ends; a start from a
 // short-lived thread would kill a healthy process, seen as programs that die
 // at random, so all starts share this thread.
-var starter = sync.OnceValue(func() chan func() {
+var startThread = sync.OnceValue(func() chan func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -71,8 +71,8 @@
 	return work
 })
 
-// errCleanEnd is the cause where a server ended without a failure.
-var errCleanEnd = errors.New("exit status 0")
+// errExitZero is the cause where a server ended without a failure.
+var errExitZero = errors.New("exit status 0")
 
 // Start runs the program and waits until it listens. The process ends with
 // this one, however this one ends.
@@ -86,11 +86,11 @@
 		return nil, err
 	}
 	started := make(chan error, 1)
-	starter() <- func() { started <- p.command.Start() }
+	startThread() <- func() { started <- p.command.Start() }
 	if err := <-started; err != nil {
 		return nil, fmt.Errorf("start %s: %w", spec.Name, err)
 	}
-	go p.follow(out)
+	go p.readOutput(out)
 	if err := p.waitListening(ctx); err != nil {
 		_ = p.Stop(0)
 		return nil, err
@@ -98,13 +98,13 @@
 	return p, nil
 }
 
-// follow reads standard output to its end, then collects the exit status: the
+// readOutput reads standard output to its end, then collects the exit status: the
 // other order would lose the last lines.
-func (p *Process) follow(out io.Reader) {
+func (p *Process) readOutput(out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 16<<20)
 	for lines.Scan() {
-		p.read(lines.Text())
+		p.handleLine(lines.Text())
 	}
 	_, _ = io.Copy(io.Discard, out)
 	err := p.command.Wait()
@@ -114,7 +114,7 @@
 	close(p.done)
 }
 
-func (p *Process) read(line string) {
+func (p *Process) handleLine(line string) {
 	rest, found := strings.CutPrefix(line, readyPrefix)
 	if !found {
 		if p.spec.Stdout != nil {
@@ -124,7 +124,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.addresses) >= outputLines {
+	if len(p.addresses) >= maxAddresses {
 		return
 	}
 	address, _, _ := strings.Cut(rest, " ")
@@ -144,7 +144,7 @@
 	case <-p.announced:
 		return nil
 	case <-p.done:
-		return fmt.Errorf("%s ended before it listened; see its log: %w", p.spec.Name, cmp.Or(p.Err(), errCleanEnd))
+		return fmt.Errorf("%s ended before it listened; see its log: %w", p.spec.Name, cmp.Or(p.Err(), errExitZero))
 	case <-timer.C:
 		return fmt.Errorf("%s does not listen after %v; see its log", p.spec.Name, p.spec.Timeout)
 	case <-ctx.Done():
