--- a/bench/internal/process/process.go
+++ b/bench/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts the programs of a deployment and ends them again, each by
-// its own id.
+// Package process starts, signals and stops the programs of a deployment, each by
+// its own process id.
 package process
 
 import (
@@ -19,15 +19,16 @@
 )
 
 const (
-	// readyPrefix begins the line that a server prints when it is ready.
+	// readyPrefix begins the line that a server prints for each address that it
+	// listens on.
 	readyPrefix = "listening address="
-	// maxAddresses bounds the ready lines kept for one process.
+	// maxAddresses bounds the addresses kept for one process.
 	maxAddresses = 4096
 )
 
-// Spec says what to start.
+// Spec describes the program to start.
 type Spec struct {
-	// Name is the process's name in messages; unique within a deployment.
+	// Name identifies the process in messages and is unique within a deployment.
 	Name string
 	// Program is the path of the binary.
 	Program string
@@ -37,7 +38,7 @@
 	// Listening is how many addresses the process announces; Start waits for
 	// all of them. 0 does not wait.
 	Listening int
-	// Timeout bounds the wait.
+	// Timeout bounds the wait for these addresses.
 	Timeout time.Duration
 	// Stdout receives the lines of standard output that announce no address;
 	// nil discards them.
@@ -56,10 +57,10 @@
 	err       error // set before done closes
 }
 
-// startThread runs every start on one locked thread that never ends. Linux sends
-// the death signal when the *thread* that forked ends; a start from a
-// short-lived thread would kill a healthy process, seen as programs that die
-// at random, so all starts share this thread.
+// startThread returns a queue of functions that run on one locked OS thread, which
+// never exits. Linux sends Pdeathsig when the thread that forked exits, not the
+// process: starts from short-lived threads made healthy programs die at random, so
+// all starts share this thread.
 var startThread = sync.OnceValue(func() chan func() {
 	work := make(chan func())
 	go func() {
@@ -71,11 +72,12 @@
 	return work
 })
 
-// errExitZero is the cause where a server ended without a failure.
+// errExitZero is the cause reported for a server that exited with status 0 before
+// it listened.
 var errExitZero = errors.New("exit status 0")
 
-// Start runs the program and waits until it listens. The process ends with
-// this one, however this one ends.
+// Start runs the program and waits until it listens on all announced addresses.
+// The kernel kills the process when the calling process exits, also after a crash.
 func Start(ctx context.Context, spec Spec) (*Process, error) {
 	p := &Process{spec: spec, done: make(chan struct{}), announced: make(chan struct{})}
 	p.command = exec.Command(spec.Program, spec.Args...)
@@ -98,8 +100,8 @@
 	return p, nil
 }
 
-// readOutput reads standard output to its end, then collects the exit status: the
-// other order would lose the last lines.
+// readOutput reads standard output to its end and then waits for the exit status.
+// Wait closes the pipe, so the other order would lose the last lines.
 func (p *Process) readOutput(out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 16<<20)
@@ -114,6 +116,7 @@
 	close(p.done)
 }
 
+// handleLine records an announced address, or passes any other line to Stdout.
 func (p *Process) handleLine(line string) {
 	rest, found := strings.CutPrefix(line, readyPrefix)
 	if !found {
@@ -134,6 +137,7 @@
 	}
 }
 
+// waitListening blocks until the process has announced all its addresses.
 func (p *Process) waitListening(ctx context.Context) error {
 	if p.spec.Listening == 0 {
 		return nil
@@ -144,9 +148,9 @@
 	case <-p.announced:
 		return nil
 	case <-p.done:
-		return fmt.Errorf("%s ended before it listened; see its log: %w", p.spec.Name, cmp.Or(p.Err(), errExitZero))
+		return fmt.Errorf("%s exited before it was listening; see its log: %w", p.spec.Name, cmp.Or(p.Err(), errExitZero))
 	case <-timer.C:
-		return fmt.Errorf("%s does not listen after %v; see its log", p.spec.Name, p.spec.Timeout)
+		return fmt.Errorf("%s is not listening after %v; see its log", p.spec.Name, p.spec.Timeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -185,8 +189,8 @@
 	return p.err
 }
 
-// Signal sends a signal; none once the process has ended, whose id may by then
-// belong to another.
+// Signal sends a signal. It returns os.ErrProcessDone once the process has ended,
+// because its id may by then belong to another process.
 func (p *Process) Signal(sig os.Signal) error {
 	if p.Ended() {
 		return os.ErrProcessDone
@@ -194,7 +198,7 @@
 	return p.command.Process.Signal(sig)
 }
 
-// Wait waits until the process has ended.
+// Wait blocks until the process has ended and returns how it ended.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
@@ -204,12 +208,13 @@
 	}
 }
 
-// Stop asks the process to end and kills it after the grace period.
+// Stop sends SIGTERM, and SIGKILL when the process still runs after the grace
+// period, and waits until it has ended.
 func (p *Process) Stop(grace time.Duration) error {
 	if p.Ended() {
 		return nil
 	}
-	// A paused process would not see the request to end.
+	// A paused process handles SIGTERM only after it is continued.
 	_ = p.Signal(syscall.SIGCONT)
 	_ = p.Signal(syscall.SIGTERM)
 	timer := time.NewTimer(grace)
--- a/bench/internal/process/process_test.go
+++ b/bench/internal/process/process_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Symptom: a deployment hangs at its start. Sequence: a program refuses its
-// settings and ends without listening. Cause: the launcher waited for an
-// address only, not for the end of the process.
+// TestStartFailsWhenProgramEnds guards against a deployment that hangs at its
+// start: a program that rejects its settings exits without listening, and Start
+// waited only for an address, not for the exit.
 func TestStartFailsWhenProgramEnds(t *testing.T) {
 	_, err := Start(context.Background(), Spec{Name: "test", Program: "/bin/false", Listening: 1, Timeout: testTimeout})
 	if err == nil {
@@ -53,9 +53,8 @@
 	}
 }
 
-// Symptom: a stalled host outlives the run. Sequence: a process is paused, then
-// asked to end. Cause: a paused process does not handle signals until it is
-// continued.
+// TestStopEndsPausedProcess guards against a paused process that outlives the run:
+// it does not handle SIGTERM until it is continued.
 func TestStopEndsPausedProcess(t *testing.T) {
 	p := shell(t, "echo listening address=127.0.0.1:1; exec sleep 60", 1, nil)
 	if err := p.Pause(); err != nil {
--- a/bench/internal/process/usage.go
+++ b/bench/internal/process/usage.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of processor time in /proc on Linux.
+// ticksPerSecond is the clock tick rate (USER_HZ) of CPU times in /proc on Linux.
 const ticksPerSecond = 100
 
-// kibibyte is the unit of memory in /proc.
+// kibibyte is the unit of memory sizes in /proc/PID/status.
 const kibibyte = 1024
 
-// Usage is what a process has used of the machine.
+// Usage holds the resources that a process has consumed.
 type Usage struct {
-	// CPU is processor time since the start, user and system.
+	// CPU is the user and system time since the start.
 	CPU time.Duration
-	// ResidentBytes is its memory now, PeakBytes the most it had.
+	// ResidentBytes is the resident memory now, PeakBytes its maximum so far.
 	ResidentBytes, PeakBytes uint64
-	// IOBytes is all that it read and wrote so far, files and connections.
+	// IOBytes counts bytes read and written so far, by files and connections.
 	IOBytes uint64
 }
 
-// Usage reads the process's use from /proc.
+// Usage reads the resource usage of the process from /proc.
 func (p *Process) Usage() (Usage, error) {
 	if p.Ended() {
 		return Usage{}, os.ErrProcessDone
@@ -57,14 +57,15 @@
 	}, nil
 }
 
-// parseStat reads user and system time, the 14th and 15th fields; the second,
-// the name in parentheses, may hold blanks, so fields count from its end.
+// parseStat returns the sum of user and system time, fields 14 and 15 of
+// /proc/PID/stat. Field 2, the program name in parentheses, may contain spaces, so
+// the fields are counted from its closing parenthesis.
 func parseStat(stat []byte) (time.Duration, error) {
 	const user, system = 11, 12
 	end := bytes.LastIndexByte(stat, ')')
 	fields := bytes.Fields(stat[end+1:])
 	if len(fields) <= system {
-		return 0, fmt.Errorf("the kernel's process status has %d fields", len(fields))
+		return 0, fmt.Errorf("/proc/PID/stat has %d fields after the program name, too few", len(fields))
 	}
 	var ticks int64
 	for _, field := range [][]byte{fields[user], fields[system]} {
@@ -77,8 +78,8 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// parseField returns the number behind the name at the start of a line; 0
-// where it is absent.
+// parseField returns the number that follows the name at the start of a line, or 0
+// when there is no such line or number.
 func parseField(text []byte, name string) uint64 {
 	for line := range bytes.Lines(text) {
 		rest, found := bytes.CutPrefix(line, []byte(name))
