--- a/bench/internal/deployment/addresses.go
+++ b/bench/internal/deployment/addresses.go
@@ -27,8 +27,8 @@
 
 func newAddresses() *addresses {
 	const low, high = 2, 250
-	octet := func() int { return low + rand.IntN(high-low) }
-	return &addresses{ip: fmt.Sprintf("127.%d.%d.%d", octet(), octet(), octet()), next: firstPort}
+	randomOctet := func() int { return low + rand.IntN(high-low) }
+	return &addresses{ip: fmt.Sprintf("127.%d.%d.%d", randomOctet(), randomOctet(), randomOctet()), next: firstPort}
 }
 
 // take returns an address that nothing listens on.
--- a/bench/internal/deployment/answering.go
+++ b/bench/internal/deployment/answering.go
@@ -17,16 +17,16 @@
 
 // WaitAnswering waits until every running entry answers a request of the
 // customer's: entries learn of serving hosts a little after the hosts serve.
-func (h *Deployment) WaitAnswering(ctx context.Context, customer Customer) error {
-	for _, m := range h.entries {
-		if err := h.waitAnswer(ctx, m, customer); err != nil {
+func (d *Deployment) WaitAnswering(ctx context.Context, customer Customer) error {
+	for _, m := range d.entries {
+		if err := d.waitAnswered(ctx, m, customer); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *Deployment) waitAnswer(ctx context.Context, m *Member, customer Customer) error {
+func (d *Deployment) waitAnswered(ctx context.Context, m *Member, customer Customer) error {
 	const deadlineMillis = 2000
 	body := probe{Model: ModelName, Prompt: "probe", MaxTokens: 1, Repeatable: true, DeadlineMillis: deadlineMillis}
 	for !m.process.Ended() {
--- a/bench/internal/deployment/counters.go
+++ b/bench/internal/deployment/counters.go
@@ -26,9 +26,9 @@
 }
 
 // Counters reads the member's /debug/vars.
-func (h *Deployment) Counters(ctx context.Context, m *Member) (Counters, error) {
+func (d *Deployment) Counters(ctx context.Context, m *Member) (Counters, error) {
 	vars := map[string]any{}
-	if err := h.call(ctx, http.MethodGet, "http://"+m.operators+"/debug/vars", nil, &vars); err != nil {
+	if err := d.call(ctx, http.MethodGet, "http://"+m.operators+"/debug/vars", nil, &vars); err != nil {
 		return Counters{}, err
 	}
 	out := Counters{Vars: vars}
@@ -38,7 +38,7 @@
 		bytes := number(vars, "crossRegionBytes")
 		out.CrossRegionBytes = &bytes
 	}
-	out.InvariantFailures = total(vars["invariantFailures"])
+	out.InvariantFailures = sumNumbers(vars["invariantFailures"])
 	if stats, ok := vars["memstats"].(map[string]any); ok {
 		out.AllocBytes = number(stats, "TotalAlloc")
 	}
@@ -64,14 +64,14 @@
 	return sum
 }
 
-// total sums a variable that is a number or a map of numbers.
-func total(value any) (sum float64) {
+// sumNumbers sums a variable that is a number or a map of numbers.
+func sumNumbers(value any) (sum float64) {
 	switch value := value.(type) {
 	case float64:
 		return value
 	case map[string]any:
-		for _, one := range value {
-			sum += total(one)
+		for _, element := range value {
+			sum += sumNumbers(element)
 		}
 	}
 	return sum
--- a/bench/internal/deployment/deployment.go
+++ b/bench/internal/deployment/deployment.go
@@ -21,8 +21,8 @@
 const (
 	// startTimeout bounds one process's start.
 	startTimeout = 30 * time.Second
-	// startsAtOnce bounds the processes that start side by side.
-	startsAtOnce = 12
+	// maxConcurrentStarts bounds the processes that start side by side.
+	maxConcurrentStarts = 12
 )
 
 // Deployment is one running deployment.
@@ -60,100 +60,100 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Deployment{config: config, dir: dir, addresses: newAddresses(), platform: map[string]*process.Process{}}
-	if err := h.start(ctx); err != nil {
-		h.Stop()
+	d := &Deployment{config: config, dir: dir, addresses: newAddresses(), platform: map[string]*process.Process{}}
+	if err := d.start(ctx); err != nil {
+		d.Stop()
 		return nil, err
 	}
-	return h, nil
+	return d, nil
 }
 
-func (h *Deployment) start(ctx context.Context) error {
-	authority, err := keys.NewAuthority(h.dir)
+func (d *Deployment) start(ctx context.Context) error {
+	authority, err := keys.NewAuthority(d.dir)
 	if err != nil {
 		return err
 	}
-	h.authority = authority
-	if err := h.startStores(ctx); err != nil {
+	d.authority = authority
+	if err := d.startStores(ctx); err != nil {
 		return err
 	}
-	if err := h.planMembers(); err != nil {
+	if err := d.createMembers(); err != nil {
 		return err
 	}
-	if err := h.startEndpoints(ctx); err != nil {
+	if err := d.startEndpoints(ctx); err != nil {
 		return err
 	}
-	if err := h.startHosts(ctx); err != nil {
+	if err := d.startHosts(ctx); err != nil {
 		return err
 	}
-	return h.startMembers(ctx)
+	return d.startMembers(ctx)
 }
 
-// planMembers chooses ids, places and addresses.
-func (h *Deployment) planMembers() error {
-	for i := range h.config.Entries {
-		m := &Member{id: fmt.Sprintf("entry-%02d", i), kind: kindEntry, place: h.place(i)}
-		if err := h.takeAddresses(m); err != nil {
+// createMembers chooses ids, places and addresses.
+func (d *Deployment) createMembers() error {
+	for i := range d.config.Entries {
+		m := &Member{id: fmt.Sprintf("entry-%02d", i), kind: kindEntry, place: d.place(i)}
+		if err := d.takeAddresses(m); err != nil {
 			return err
 		}
-		h.entries = append(h.entries, m)
+		d.entries = append(d.entries, m)
 	}
-	for i := range h.config.Hosts {
-		m := &Member{id: fmt.Sprintf("host-%03d", i), kind: kindAgent, place: h.place(i), endpoint: EngineClass}
-		if h.config.Mixed && i%2 == 1 {
+	for i := range d.config.Hosts {
+		m := &Member{id: fmt.Sprintf("host-%03d", i), kind: kindAgent, place: d.place(i), endpoint: EngineClass}
+		if d.config.Mixed && i%2 == 1 {
 			m.endpoint = LooseEngineClass
 		}
-		if err := h.takeAddresses(m); err != nil {
+		if err := d.takeAddresses(m); err != nil {
 			return err
 		}
-		h.agents = append(h.agents, m)
+		d.agents = append(d.agents, m)
 	}
-	for i := range h.config.Services {
-		m := &Member{id: fmt.Sprintf("service-%02d", i), kind: kindAgent, place: h.place(i), endpoint: ServiceClass, service: ServiceName}
-		if err := h.takeAddresses(m); err != nil {
+	for i := range d.config.Services {
+		m := &Member{id: fmt.Sprintf("service-%02d", i), kind: kindAgent, place: d.place(i), endpoint: ServiceClass, service: ServiceName}
+		if err := d.takeAddresses(m); err != nil {
 			return err
 		}
-		h.agents = append(h.agents, m)
+		d.agents = append(d.agents, m)
 	}
 	return nil
 }
 
-func (h *Deployment) place(i int) Place { return h.config.Places[i%len(h.config.Places)] }
+func (d *Deployment) place(i int) Place { return d.config.Places[i%len(d.config.Places)] }
 
-func (h *Deployment) takeAddresses(m *Member) (err error) {
-	if m.control, err = h.addresses.take(); err != nil {
+func (d *Deployment) takeAddresses(m *Member) (err error) {
+	if m.control, err = d.addresses.take(); err != nil {
 		return err
 	}
-	if m.operators, err = h.addresses.take(); err != nil {
+	if m.operators, err = d.addresses.take(); err != nil {
 		return err
 	}
 	if m.kind == kindEntry {
-		m.callers, err = h.addresses.take()
+		m.callers, err = d.addresses.take()
 	}
 	return err
 }
 
-func (h *Deployment) startMembers(ctx context.Context) error {
+func (d *Deployment) startMembers(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(startsAtOnce)
-	for _, m := range h.Members() {
-		group.Go(func() error { return h.startMember(ctx, m) })
+	group.SetLimit(maxConcurrentStarts)
+	for _, m := range d.Members() {
+		group.Go(func() error { return d.startMember(ctx, m) })
 	}
 	return group.Wait()
 }
 
 // startMember writes the member's settings and starts its process.
-func (h *Deployment) startMember(ctx context.Context, m *Member) error {
-	program, write := "comfreyentry", h.writeEntrySettings
+func (d *Deployment) startMember(ctx context.Context, m *Member) error {
+	program, write := "comfreyentry", d.writeEntrySettings
 	if m.kind == kindAgent {
-		program, write = "comfreyagent", h.writeAgentSettings
+		program, write = "comfreyagent", d.writeAgentSettings
 	}
 	if err := write(m); err != nil {
 		return err
 	}
-	proc, err := h.run(ctx, process.Spec{
+	proc, err := d.run(ctx, process.Spec{
 		Name:      m.id,
-		Program:   h.program(program),
+		Program:   d.program(program),
 		Args:      []string{"--settings", m.settings},
 		Listening: 1,
 	})
@@ -162,9 +162,9 @@
 }
 
 // run starts a process that Stop will end.
-func (h *Deployment) run(ctx context.Context, spec process.Spec) (*process.Process, error) {
+func (d *Deployment) run(ctx context.Context, spec process.Spec) (*process.Process, error) {
 	if spec.Log == nil {
-		spec.Log = h.config.Log
+		spec.Log = d.config.Log
 	}
 	if spec.Timeout == 0 {
 		spec.Timeout = startTimeout
@@ -173,103 +173,103 @@
 	if err != nil {
 		return nil, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.stopped {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stopped {
 		_ = proc.Stop(0)
 		return nil, errors.New("the deployment was stopped meanwhile")
 	}
-	h.processes = append(h.processes, proc)
+	d.processes = append(d.processes, proc)
 	return proc, nil
 }
 
-func (h *Deployment) program(name string) string { return filepath.Join(h.config.Bin, name) }
+func (d *Deployment) program(name string) string { return filepath.Join(d.config.Bin, name) }
 
 // Entries returns the entries.
-func (h *Deployment) Entries() []*Member { return h.entries }
+func (d *Deployment) Entries() []*Member { return d.entries }
 
 // Agents returns the agents of the engines.
-func (h *Deployment) Agents() []*Member { return h.agents[:h.config.Hosts] }
+func (d *Deployment) Agents() []*Member { return d.agents[:d.config.Hosts] }
 
 // Services returns the agents of the plain services.
-func (h *Deployment) Services() []*Member { return h.agents[h.config.Hosts:] }
+func (d *Deployment) Services() []*Member { return d.agents[d.config.Hosts:] }
 
 // Members returns all entries and agents.
-func (h *Deployment) Members() []*Member {
-	return append(append([]*Member(nil), h.entries...), h.agents...)
+func (d *Deployment) Members() []*Member {
+	return append(append([]*Member(nil), d.entries...), d.agents...)
 }
 
 // Dir returns a directory that lasts as long as the deployment.
-func (h *Deployment) Dir() string { return h.dir }
+func (d *Deployment) Dir() string { return d.dir }
 
 // Kill ends the member at once, as when its host dies: an engine goes with its
 // agent and loses its weights.
-func (h *Deployment) Kill(ctx context.Context, m *Member) error {
+func (d *Deployment) Kill(ctx context.Context, m *Member) error {
 	if m.kind == kindAgent && m.service == "" {
-		if err := h.killEngine(ctx, m); err != nil {
+		if err := d.killEngine(ctx, m); err != nil {
 			return err
 		}
 	}
-	h.mu.Lock()
-	h.deaths = append(h.deaths, Death{Member: m, At: time.Now()})
-	h.mu.Unlock()
+	d.mu.Lock()
+	d.deaths = append(d.deaths, Death{Member: m, At: time.Now()})
+	d.mu.Unlock()
 	return m.process.Kill()
 }
 
 // Deaths returns the members that Kill ended so far.
-func (h *Deployment) Deaths() []Death {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return append([]Death(nil), h.deaths...)
+func (d *Deployment) Deaths() []Death {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]Death(nil), d.deaths...)
 }
 
-func (h *Deployment) killEngine(ctx context.Context, m *Member) error {
+func (d *Deployment) killEngine(ctx context.Context, m *Member) error {
 	if m.engine == nil {
-		return h.SetEngineFaults(ctx, m, EngineFaults{Dead: true})
+		return d.SetEngineFaults(ctx, m, EngineFaults{Dead: true})
 	}
 	return m.engine.Kill()
 }
 
 // Restart starts the member's program again: the same node with a new
 // incarnation. An engine that was killed comes back empty.
-func (h *Deployment) Restart(ctx context.Context, m *Member) error {
+func (d *Deployment) Restart(ctx context.Context, m *Member) error {
 	if m.kind == kindAgent && m.service == "" {
-		if err := h.restartEngine(ctx, m); err != nil {
+		if err := d.restartEngine(ctx, m); err != nil {
 			return err
 		}
 	}
-	return h.startMember(ctx, m)
+	return d.startMember(ctx, m)
 }
 
 // RestartAll starts every member again, all at once.
-func (h *Deployment) RestartAll(ctx context.Context) error { return h.startMembers(ctx) }
+func (d *Deployment) RestartAll(ctx context.Context) error { return d.startMembers(ctx) }
 
-func (h *Deployment) restartEngine(ctx context.Context, m *Member) error {
+func (d *Deployment) restartEngine(ctx context.Context, m *Member) error {
 	if m.engine == nil {
-		return h.SetEngineFaults(ctx, m, EngineFaults{})
+		return d.SetEngineFaults(ctx, m, EngineFaults{})
 	}
 	if !m.engine.Ended() {
 		return nil
 	}
-	return h.startEngine(ctx, m)
+	return d.startEngine(ctx, m)
 }
 
 // Platform returns the process of a platform stand-in: "kv", "hosts" or
 // "origin".
-func (h *Deployment) Platform(name string) *process.Process { return h.platform[name] }
+func (d *Deployment) Platform(name string) *process.Process { return d.platform[name] }
 
 // Stop ends every process that the deployment started and removes its files. It may
 // be called more than once.
-func (h *Deployment) Stop() {
-	h.mu.Lock()
-	h.stopped = true
-	processes := h.processes
-	h.processes = nil
-	h.mu.Unlock()
-	var waits sync.WaitGroup
+func (d *Deployment) Stop() {
+	d.mu.Lock()
+	d.stopped = true
+	processes := d.processes
+	d.processes = nil
+	d.mu.Unlock()
+	var stops sync.WaitGroup
 	for _, proc := range processes {
-		waits.Go(func() { _ = proc.Stop(stopGrace) })
+		stops.Go(func() { _ = proc.Stop(stopGrace) })
 	}
-	waits.Wait()
-	_ = os.RemoveAll(h.dir)
+	stops.Wait()
+	_ = os.RemoveAll(d.dir)
 }
--- a/bench/internal/deployment/describe.go
+++ b/bench/internal/deployment/describe.go
@@ -24,20 +24,20 @@
 
 // Describe returns the addresses and keys of the deployment, which are throw-away
 // ones, and the file of its document.
-func (h *Deployment) Describe(document string) Description {
+func (d *Deployment) Describe(document string) Description {
 	out := Description{
 		OperatorKey: OperatorKey,
 		CustomerKey: Customers(1)[0].Key(),
-		Dir:         h.dir,
+		Dir:         d.dir,
 		Document:    document,
-		KV:          h.kvURL,
-		Hosts:       h.hostsURL,
-		Origin:      h.originURL,
+		KV:          d.kvURL,
+		Hosts:       d.hostsURL,
+		Origin:      d.originURL,
 	}
-	for _, m := range h.entries {
+	for _, m := range d.entries {
 		out.Entries = append(out.Entries, m.describe())
 	}
-	for _, m := range h.agents {
+	for _, m := range d.agents {
 		out.Agents = append(out.Agents, m.describe())
 	}
 	return out
--- a/bench/internal/deployment/document.go
+++ b/bench/internal/deployment/document.go
@@ -75,7 +75,7 @@
 }
 
 // Document builds the document for this deployment: every host serves the model.
-func (h *Deployment) Document(want Desired) *wire.Document {
+func (d *Deployment) Document(want Desired) *wire.Document {
 	names := make([]string, 0, len(want.Customers))
 	doc := &wire.Document{
 		Objective:    want.Objective,
@@ -102,12 +102,12 @@
 		Name:           ModelName,
 		Version:        want.Version,
 		Adapters:       want.Adapters,
-		Replicas:       h.replicas(),
+		Replicas:       d.replicas(),
 		Customers:      names,
 		MaxUnavailable: want.MaxUnavailable,
 		Shift:          want.Shift,
 	}}
-	if h.config.Services > 0 {
+	if d.config.Services > 0 {
 		doc.Services = []*wire.Service{{Name: ServiceName, Endpoint: ServiceClass, Customers: names}}
 	}
 	return doc
@@ -140,15 +140,15 @@
 }
 
 // replicas counts the engine hosts of each failure domain.
-func (h *Deployment) replicas() []*wire.Replicas {
+func (d *Deployment) replicas() []*wire.Replicas {
 	counts := map[string]uint32{}
-	for _, host := range h.agents {
+	for _, host := range d.agents {
 		if host.service == "" {
 			counts[host.place.FailureDomain]++
 		}
 	}
 	var replicas []*wire.Replicas
-	for _, place := range h.config.Places {
+	for _, place := range d.config.Places {
 		if counts[place.FailureDomain] > 0 {
 			replicas = append(replicas, &wire.Replicas{FailureDomain: place.FailureDomain, Count: counts[place.FailureDomain]})
 		}
--- a/bench/internal/deployment/faults.go
+++ b/bench/internal/deployment/faults.go
@@ -59,26 +59,26 @@
 }
 
 // SetEngineFaults turns the knobs of the member's engine.
-func (h *Deployment) SetEngineFaults(ctx context.Context, m *Member, faults EngineFaults) error {
-	return h.call(ctx, http.MethodPost, m.endpointURL+"/faults", faults, nil)
+func (d *Deployment) SetEngineFaults(ctx context.Context, m *Member, faults EngineFaults) error {
+	return d.call(ctx, http.MethodPost, m.endpointURL+"/faults", faults, nil)
 }
 
 // SetServiceFaults turns the knobs of the member's plain service.
-func (h *Deployment) SetServiceFaults(ctx context.Context, m *Member, faults ServiceFaults) error {
-	return h.call(ctx, http.MethodPost, m.endpointURL+"/faults", faults, nil)
+func (d *Deployment) SetServiceFaults(ctx context.Context, m *Member, faults ServiceFaults) error {
+	return d.call(ctx, http.MethodPost, m.endpointURL+"/faults", faults, nil)
 }
 
 // SetKVFaults turns the knobs of the key-value service.
-func (h *Deployment) SetKVFaults(ctx context.Context, faults KVFaults) error {
-	return h.call(ctx, http.MethodPost, h.kvURL+"/faults", faults, nil)
+func (d *Deployment) SetKVFaults(ctx context.Context, faults KVFaults) error {
+	return d.call(ctx, http.MethodPost, d.kvURL+"/faults", faults, nil)
 }
 
 // SetOriginFaults turns the knobs of the origin.
-func (h *Deployment) SetOriginFaults(ctx context.Context, faults OriginFaults) error {
-	return h.call(ctx, http.MethodPost, h.originURL+"/faults", faults, nil)
+func (d *Deployment) SetOriginFaults(ctx context.Context, faults OriginFaults) error {
+	return d.call(ctx, http.MethodPost, d.originURL+"/faults", faults, nil)
 }
 
 // SetHostListFaults turns the knobs of the host list.
-func (h *Deployment) SetHostListFaults(ctx context.Context, faults HostListFaults) error {
-	return h.call(ctx, http.MethodPost, h.hostsURL+"/faults", faults, nil)
+func (d *Deployment) SetHostListFaults(ctx context.Context, faults HostListFaults) error {
+	return d.call(ctx, http.MethodPost, d.hostsURL+"/faults", faults, nil)
 }
--- a/bench/internal/deployment/hostlist.go
+++ b/bench/internal/deployment/hostlist.go
@@ -28,7 +28,7 @@
 	Hosts []HostLine `json:"hosts"`
 }
 
-func (m *Member) line(state string) HostLine {
+func (m *Member) hostLine(state string) HostLine {
 	return HostLine{
 		ID:             m.id,
 		Role:           m.kind,
@@ -43,20 +43,20 @@
 }
 
 // List puts the member into the platform's list as live.
-func (h *Deployment) List(ctx context.Context, m *Member) error {
-	return h.putHost(ctx, m, stateLive)
+func (d *Deployment) List(ctx context.Context, m *Member) error {
+	return d.putHost(ctx, m, stateLive)
 }
 
 // ListLeaving marks the member as leaving in the platform's list.
-func (h *Deployment) ListLeaving(ctx context.Context, m *Member) error {
-	return h.putHost(ctx, m, stateLeaving)
+func (d *Deployment) ListLeaving(ctx context.Context, m *Member) error {
+	return d.putHost(ctx, m, stateLeaving)
 }
 
 // Unlist takes the member out of the platform's list.
-func (h *Deployment) Unlist(ctx context.Context, m *Member) error {
-	return h.call(ctx, http.MethodDelete, h.hostsURL+"/hosts/"+m.id, nil, nil)
+func (d *Deployment) Unlist(ctx context.Context, m *Member) error {
+	return d.call(ctx, http.MethodDelete, d.hostsURL+"/hosts/"+m.id, nil, nil)
 }
 
-func (h *Deployment) putHost(ctx context.Context, m *Member, state string) error {
-	return h.call(ctx, http.MethodPut, h.hostsURL+"/hosts/"+m.id, m.line(state), nil)
+func (d *Deployment) putHost(ctx context.Context, m *Member, state string) error {
+	return d.call(ctx, http.MethodPut, d.hostsURL+"/hosts/"+m.id, m.hostLine(state), nil)
 }
--- a/bench/internal/deployment/http.go
+++ b/bench/internal/deployment/http.go
@@ -27,11 +27,11 @@
 
 // call sends a JSON body where one is given and reads a JSON answer where one
 // is wanted.
-func (h *Deployment) call(ctx context.Context, method, url string, body, into any) error {
-	return callWith(ctx, method, url, "", body, into)
+func (d *Deployment) call(ctx context.Context, method, url string, body, reply any) error {
+	return callWith(ctx, method, url, "", body, reply)
 }
 
-func callWith(ctx context.Context, method, url, key string, body, into any) error {
+func callWith(ctx context.Context, method, url, key string, body, reply any) error {
 	var reader io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
@@ -47,20 +47,20 @@
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxBody))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s %s: status %d: %s", method, url, answer.StatusCode, strings.TrimSpace(string(text)))
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s %s: status %d: %s", method, url, response.StatusCode, strings.TrimSpace(string(text)))
 	}
-	if into == nil {
+	if reply == nil {
 		return nil
 	}
-	return json.Unmarshal(text, into)
+	return json.Unmarshal(text, reply)
 }
--- a/bench/internal/deployment/ledger.go
+++ b/bench/internal/deployment/ledger.go
@@ -110,25 +110,25 @@
 }
 
 // EngineLedger reads the record of the member's engine.
-func (h *Deployment) EngineLedger(ctx context.Context, m *Member) (ledger EngineLedger, err error) {
-	err = h.call(ctx, http.MethodGet, m.endpointURL+"/ledger", nil, &ledger)
+func (d *Deployment) EngineLedger(ctx context.Context, m *Member) (ledger EngineLedger, err error) {
+	err = d.call(ctx, http.MethodGet, m.endpointURL+"/ledger", nil, &ledger)
 	return ledger, err
 }
 
 // ServiceLedger reads the record of the member's plain service.
-func (h *Deployment) ServiceLedger(ctx context.Context, m *Member) (ledger ServiceLedger, err error) {
-	err = h.call(ctx, http.MethodGet, m.endpointURL+"/ledger", nil, &ledger)
+func (d *Deployment) ServiceLedger(ctx context.Context, m *Member) (ledger ServiceLedger, err error) {
+	err = d.call(ctx, http.MethodGet, m.endpointURL+"/ledger", nil, &ledger)
 	return ledger, err
 }
 
 // OriginLedger reads the origin's record.
-func (h *Deployment) OriginLedger(ctx context.Context) (ledger OriginLedger, err error) {
-	err = h.call(ctx, http.MethodGet, h.originURL+"/ledger", nil, &ledger)
+func (d *Deployment) OriginLedger(ctx context.Context) (ledger OriginLedger, err error) {
+	err = d.call(ctx, http.MethodGet, d.originURL+"/ledger", nil, &ledger)
 	return ledger, err
 }
 
 // KVLedger reads the key-value service's record.
-func (h *Deployment) KVLedger(ctx context.Context) (ledger KVLedger, err error) {
-	err = h.call(ctx, http.MethodGet, h.kvURL+"/ledger", nil, &ledger)
+func (d *Deployment) KVLedger(ctx context.Context) (ledger KVLedger, err error) {
+	err = d.call(ctx, http.MethodGet, d.kvURL+"/ledger", nil, &ledger)
 	return ledger, err
 }
--- a/bench/internal/deployment/load.go
+++ b/bench/internal/deployment/load.go
@@ -104,43 +104,43 @@
 	process *process.Process
 	record  string // file with one line a request
 	control string // base URL of its knobs
-	out     *output
+	out     *outputBuffer
 }
 
-// output collects what the load prints.
-type output struct {
+// outputBuffer collects what the load prints.
+type outputBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (o *output) Write(text []byte) (int, error) {
+func (o *outputBuffer) Write(text []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(text)
 }
 
-func (o *output) bytes() []byte {
+func (o *outputBuffer) bytes() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return bytes.Clone(o.text.Bytes())
 }
 
 // StartLoad starts callers against the deployment.
-func (h *Deployment) StartLoad(ctx context.Context, options LoadOptions) (*Load, error) {
-	control, err := h.addresses.take()
+func (d *Deployment) StartLoad(ctx context.Context, options LoadOptions) (*Load, error) {
+	control, err := d.addresses.take()
 	if err != nil {
 		return nil, err
 	}
 	load := &Load{
-		record:  filepath.Join(h.dir, "callers-"+uuid.NewString()+".jsonl"),
+		record:  filepath.Join(d.dir, "callers-"+uuid.NewString()+".jsonl"),
 		control: "http://" + control,
-		out:     &output{},
+		out:     &outputBuffer{},
 	}
-	args := append(h.loadArgs(options), "--control", control, "--ledger-file", load.record)
-	load.process, err = h.run(ctx, process.Spec{
+	args := append(d.loadArgs(options), "--control", control, "--ledger-file", load.record)
+	load.process, err = d.run(ctx, process.Spec{
 		Name:    "callers",
-		Program: h.program(standin),
+		Program: d.program(standinProgram),
 		Args:    args,
 		Stdout:  load.out,
 		Log:     options.Log,
@@ -148,15 +148,15 @@
 	return load, err
 }
 
-func (h *Deployment) loadArgs(options LoadOptions) []string {
+func (d *Deployment) loadArgs(options LoadOptions) []string {
 	args := []string{"load", "--model", ModelName}
 	flag := func(name, value string) { args = append(args, name, value) }
 	if options.Direct {
-		for _, m := range h.Agents() {
+		for _, m := range d.Agents() {
 			flag("--direct", m.endpointURL)
 		}
 	} else {
-		for _, m := range h.entries {
+		for _, m := range d.entries {
 			flag("--entry", m.callers)
 		}
 	}
@@ -186,7 +186,7 @@
 	}
 	flag("--rate", decimal(options.Rate))
 	flag("--seconds", decimal(options.Time.Seconds()))
-	flag("--seed", strconv.FormatUint(h.loadSeed(options.Seed), 10))
+	flag("--seed", strconv.FormatUint(d.loadSeed(options.Seed), 10))
 	flag("--nonrepeatable", decimal(options.NonRepeatable))
 	flag("--double-send", decimal(options.DoubleSend))
 	return args
@@ -194,9 +194,9 @@
 
 // loadSeed differs for each load of one deployment, since the audit distinguishes requests
 // apart by what they ask.
-func (h *Deployment) loadSeed(seed uint64) uint64 {
+func (d *Deployment) loadSeed(seed uint64) uint64 {
 	const perRun = 1000
-	return seed*perRun + h.loads.Add(1)
+	return seed*perRun + d.loads.Add(1)
 }
 
 // AddVersion lets the callers accept that answers may bear the version from now on.
--- a/bench/internal/deployment/operate.go
+++ b/bench/internal/deployment/operate.go
@@ -39,22 +39,22 @@
 }
 
 // Publish lets the origin make a version.
-func (h *Deployment) Publish(ctx context.Context, pub Publication) (made Published, err error) {
+func (d *Deployment) Publish(ctx context.Context, pub Publication) (made Published, err error) {
 	if pub.Kind == "" {
 		pub.Kind = "base"
 	}
-	err = h.call(ctx, http.MethodPost, h.originURL+"/publish", pub, &made)
+	err = d.call(ctx, http.MethodPost, d.originURL+"/publish", pub, &made)
 	return made, err
 }
 
 // WriteDocument writes the document to a file for comfreyctl and returns its
 // name.
-func (h *Deployment) WriteDocument(doc *wire.Document) (string, error) {
+func (d *Deployment) WriteDocument(doc *wire.Document) (string, error) {
 	text, err := documentText(doc)
 	if err != nil {
 		return "", err
 	}
-	name := filepath.Join(h.dir, "document-"+uuid.NewString()+".json")
+	name := filepath.Join(d.dir, "document-"+uuid.NewString()+".json")
 	return name, os.WriteFile(name, text, settingsMode)
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Submit submits the document to the entry and returns the new revision.
-func (h *Deployment) Submit(ctx context.Context, entry *Member, base uint32, doc *wire.Document, reason string) (uint32, error) {
+func (d *Deployment) Submit(ctx context.Context, entry *Member, base uint32, doc *wire.Document, reason string) (uint32, error) {
 	text, err := documentText(doc)
 	if err != nil {
 		return 0, err
@@ -81,7 +81,7 @@
 }
 
 // InForce reads the document in force at the entry.
-func (h *Deployment) InForce(ctx context.Context, entry *Member) (uint32, *wire.Document, error) {
+func (d *Deployment) InForce(ctx context.Context, entry *Member) (uint32, *wire.Document, error) {
 	var reply struct {
 		Revision uint32          `json:"revision"`
 		Document json.RawMessage `json:"document"`
@@ -112,8 +112,8 @@
 }
 
 // EngineStatus asks the member's engine itself, past the system.
-func (h *Deployment) EngineStatus(ctx context.Context, m *Member) (status EngineStatus, err error) {
-	err = h.call(ctx, http.MethodGet, m.endpointURL+"/status", nil, &status)
+func (d *Deployment) EngineStatus(ctx context.Context, m *Member) (status EngineStatus, err error) {
+	err = d.call(ctx, http.MethodGet, m.endpointURL+"/status", nil, &status)
 	return status, err
 }
 
@@ -123,7 +123,7 @@
 // WaitServing waits until each of the hosts has the version loaded, by the
 // engines' own reports, and returns the time of the last one's. Hosts that alive
 // reports as dead are not waited for.
-func (h *Deployment) WaitServing(ctx context.Context, hosts []*Member, version string, alive func(*Member) bool) error {
+func (d *Deployment) WaitServing(ctx context.Context, hosts []*Member, version string, alive func(*Member) bool) error {
 	waiting := append([]*Member(nil), hosts...)
 	for {
 		var rest []*Member
@@ -131,7 +131,7 @@
 			if alive != nil && !alive(m) {
 				continue
 			}
-			status, err := h.EngineStatus(ctx, m)
+			status, err := d.EngineStatus(ctx, m)
 			if err != nil || status.Version != version {
 				rest = append(rest, m)
 			}
@@ -147,10 +147,10 @@
 }
 
 // WaitRoutable waits until every running entry answers callers.
-func (h *Deployment) WaitRoutable(ctx context.Context) error {
-	for _, m := range h.entries {
+func (d *Deployment) WaitRoutable(ctx context.Context) error {
+	for _, m := range d.entries {
 		for !m.process.Ended() {
-			err := h.call(ctx, http.MethodGet, "http://"+m.operators+"/readyz", nil, nil)
+			err := d.call(ctx, http.MethodGet, "http://"+m.operators+"/readyz", nil, nil)
 			if err == nil {
 				break
 			}
--- a/bench/internal/deployment/platform.go
+++ b/bench/internal/deployment/platform.go
@@ -12,66 +12,66 @@
 	"comfreyrelay.example/bench/internal/process"
 )
 
-// standin is the program of all stand-ins.
-const standin = "comfreystandin"
+// standinProgram is the program of all stand-ins.
+const standinProgram = "comfreystandin"
 
 // storeMiB bounds the chunks that one engine keeps, in MiB.
 const storeMiB = 1024
 
 // startStores starts what needs to know of no member: key-value service and
 // origin.
-func (h *Deployment) startStores(ctx context.Context) error {
-	kv := []string{"kv", "--listen", h.anyPort()}
-	if h.config.ServiceReads > 0 {
-		kv = append(kv, "--reads", decimal(h.config.ServiceReads))
+func (d *Deployment) startStores(ctx context.Context) error {
+	kv := []string{"kv", "--listen", d.anyPort()}
+	if d.config.ServiceReads > 0 {
+		kv = append(kv, "--reads", decimal(d.config.ServiceReads))
 	}
-	if h.config.ServiceWrites > 0 {
-		kv = append(kv, "--writes", decimal(h.config.ServiceWrites))
+	if d.config.ServiceWrites > 0 {
+		kv = append(kv, "--writes", decimal(d.config.ServiceWrites))
 	}
-	url, err := h.startStandin(ctx, "kv", kv)
+	url, err := d.startStandin(ctx, "kv", kv)
 	if err != nil {
 		return err
 	}
-	h.kvURL = url
-	origin := []string{"origin", "--listen", h.anyPort()}
-	if h.config.OriginBytesPerSecond > 0 {
-		origin = append(origin, "--bytes-per-second", strconv.FormatUint(h.config.OriginBytesPerSecond, 10))
+	d.kvURL = url
+	origin := []string{"origin", "--listen", d.anyPort()}
+	if d.config.OriginBytesPerSecond > 0 {
+		origin = append(origin, "--bytes-per-second", strconv.FormatUint(d.config.OriginBytesPerSecond, 10))
 	}
-	h.originURL, err = h.startStandin(ctx, "origin", origin)
+	d.originURL, err = d.startStandin(ctx, "origin", origin)
 	return err
 }
 
 // startHosts starts the host list, which names every member.
-func (h *Deployment) startHosts(ctx context.Context) error {
+func (d *Deployment) startHosts(ctx context.Context) error {
 	list := hostList{Hosts: []HostLine{}}
-	for _, m := range h.Members() {
-		list.Hosts = append(list.Hosts, m.line(stateLive))
+	for _, m := range d.Members() {
+		list.Hosts = append(list.Hosts, m.hostLine(stateLive))
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
 		return err
 	}
-	name := filepath.Join(h.dir, "hosts.json")
+	name := filepath.Join(d.dir, "hosts.json")
 	if err := os.WriteFile(name, text, settingsMode); err != nil {
 		return err
 	}
-	h.hostsURL, err = h.startStandin(ctx, "hosts", []string{
-		"hosts", "--listen", h.anyPort(), "--file", name, "--lag", h.config.HostListLag.String()})
+	d.hostsURL, err = d.startStandin(ctx, "hosts", []string{
+		"hosts", "--listen", d.anyPort(), "--file", name, "--lag", d.config.HostListLag.String()})
 	return err
 }
 
 // startEndpoints starts the engines and the plain services.
-func (h *Deployment) startEndpoints(ctx context.Context) error {
-	for _, m := range h.Services() {
-		if err := h.startService(ctx, m); err != nil {
+func (d *Deployment) startEndpoints(ctx context.Context) error {
+	for _, m := range d.Services() {
+		if err := d.startService(ctx, m); err != nil {
 			return err
 		}
 	}
-	if h.config.OneEngineProcess {
-		return h.startSharedEngines(ctx)
+	if d.config.OneEngineProcess {
+		return d.startSharedEngines(ctx)
 	}
-	for _, m := range h.Agents() {
-		if err := h.startEngine(ctx, m); err != nil {
+	for _, m := range d.Agents() {
+		if err := d.startEngine(ctx, m); err != nil {
 			return err
 		}
 	}
@@ -79,10 +79,10 @@
 }
 
 // startSharedEngines starts one process for each class of engines.
-func (h *Deployment) startSharedEngines(ctx context.Context) error {
+func (d *Deployment) startSharedEngines(ctx context.Context) error {
 	for _, class := range []string{EngineClass, LooseEngineClass} {
 		var group []*Member
-		for _, m := range h.Agents() {
+		for _, m := range d.Agents() {
 			if m.endpoint == class {
 				group = append(group, m)
 			}
@@ -90,12 +90,12 @@
 		if len(group) == 0 {
 			continue
 		}
-		args := append(h.engineArgs(class, h.anyPort()), "--count", strconv.Itoa(len(group)))
-		proc, err := h.run(ctx, process.Spec{Name: "engines", Program: h.program(standin), Args: args, Listening: len(group)})
+		args := append(d.engineArgs(class, d.anyPort()), "--count", strconv.Itoa(len(group)))
+		proc, err := d.run(ctx, process.Spec{Name: "engines", Program: d.program(standinProgram), Args: args, Listening: len(group)})
 		if err != nil {
 			return err
 		}
-		h.engines = append(h.engines, proc)
+		d.engines = append(d.engines, proc)
 		for i, address := range proc.Addresses() {
 			group[i].endpointURL = "http://" + address
 		}
@@ -105,18 +105,18 @@
 
 // startEngine starts one member's engine, at its former address after a
 // restart: the agent's settings name it.
-func (h *Deployment) startEngine(ctx context.Context, m *Member) error {
+func (d *Deployment) startEngine(ctx context.Context, m *Member) error {
 	if m.endpointAddress == "" {
-		address, err := h.addresses.take()
+		address, err := d.addresses.take()
 		if err != nil {
 			return err
 		}
 		m.endpointAddress = address
 	}
-	proc, err := h.run(ctx, process.Spec{
+	proc, err := d.run(ctx, process.Spec{
 		Name:      "engine-of-" + m.id,
-		Program:   h.program(standin),
-		Args:      h.engineArgs(m.endpoint, m.endpointAddress),
+		Program:   d.program(standinProgram),
+		Args:      d.engineArgs(m.endpoint, m.endpointAddress),
 		Listening: 1,
 	})
 	if err != nil {
@@ -127,8 +127,8 @@
 	return nil
 }
 
-func (h *Deployment) engineArgs(class, listen string) []string {
-	engine := h.config.Engine
+func (d *Deployment) engineArgs(class, listen string) []string {
+	engine := d.config.Engine
 	args := []string{"engine", "--listen", listen, "--store-mib", strconv.Itoa(storeMiB)}
 	if class == EngineClass {
 		args = append(args, "--checks-fencing")
@@ -154,11 +154,11 @@
 	return args
 }
 
-func (h *Deployment) startService(ctx context.Context, m *Member) error {
-	proc, err := h.run(ctx, process.Spec{
+func (d *Deployment) startService(ctx context.Context, m *Member) error {
+	proc, err := d.run(ctx, process.Spec{
 		Name:      "endpoint-of-" + m.id,
-		Program:   h.program(standin),
-		Args:      []string{"service", "--listen", h.anyPort()},
+		Program:   d.program(standinProgram),
+		Args:      []string{"service", "--listen", d.anyPort()},
 		Listening: 1,
 	})
 	if err != nil {
@@ -169,18 +169,18 @@
 	return nil
 }
 
-func (h *Deployment) startStandin(ctx context.Context, name string, args []string) (string, error) {
-	proc, err := h.run(ctx, process.Spec{Name: name, Program: h.program(standin), Args: args, Listening: 1})
+func (d *Deployment) startStandin(ctx context.Context, name string, args []string) (string, error) {
+	proc, err := d.run(ctx, process.Spec{Name: name, Program: d.program(standinProgram), Args: args, Listening: 1})
 	if err != nil {
 		return "", err
 	}
-	h.platform[name] = proc
+	d.platform[name] = proc
 	return "http://" + proc.Addresses()[0], nil
 }
 
 // anyPort is an address on the deployment's own IP number with a port of the
 // system's choice.
-func (h *Deployment) anyPort() string { return fmt.Sprintf("%s:0", h.addresses.ip) }
+func (d *Deployment) anyPort() string { return fmt.Sprintf("%s:0", d.addresses.ip) }
 
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
 
--- a/bench/internal/deployment/settings.go
+++ b/bench/internal/deployment/settings.go
@@ -37,8 +37,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (h *Deployment) nodeSettings(m *Member, role string) (*wire.NodeSettings, error) {
-	files, err := h.authority.Issue(m.id, role)
+func (d *Deployment) nodeSettings(m *Member, role string) (*wire.NodeSettings, error) {
+	files, err := d.authority.Issue(m.id, role)
 	if err != nil {
 		return nil, err
 	}
@@ -49,67 +49,67 @@
 		ControlAddress:   m.control,
 		OperatorsAddress: m.operators,
 		Tls:              files,
-		HostsUrl:         h.hostsURL,
-		LogLevel:         h.logLevel(),
+		HostsUrl:         d.hostsURL,
+		LogLevel:         d.logLevel(),
 	}, nil
 }
 
-func (h *Deployment) logLevel() string {
-	if h.config.LogLevel == "" {
+func (d *Deployment) logLevel() string {
+	if d.config.LogLevel == "" {
 		return "warn"
 	}
-	return h.config.LogLevel
+	return d.config.LogLevel
 }
 
-func (h *Deployment) writeEntrySettings(m *Member) error {
-	node, err := h.nodeSettings(m, peer.RoleEntry)
+func (d *Deployment) writeEntrySettings(m *Member) error {
+	node, err := d.nodeSettings(m, peer.RoleEntry)
 	if err != nil {
 		return err
 	}
-	ttl := h.config.DirectoryTTL
+	ttl := d.config.DirectoryTTL
 	if ttl == 0 {
 		ttl = defaultDirectoryTTL
 	}
-	return h.writeSettings(m, &wire.EntrySettings{
+	return d.writeSettings(m, &wire.EntrySettings{
 		Node:               node,
 		CallersAddress:     m.callers,
-		KvUrl:              h.kvURL,
-		KvReadsPerSecond:   h.config.KVReadsPerSecond,
-		KvWritesPerSecond:  h.config.KVWritesPerSecond,
+		KvUrl:              d.kvURL,
+		KvReadsPerSecond:   d.config.KVReadsPerSecond,
+		KvWritesPerSecond:  d.config.KVWritesPerSecond,
 		BootstrapKeyHashes: []string{KeyHash(OperatorKey)},
 		DirectoryTtl:       durationpb.New(ttl),
 		SyncInterval:       durationpb.New(entrySyncInterval),
 		LeaseTtl:           durationpb.New(leaseTTL),
 		DrainTimeout:       durationpb.New(drainTimeout),
-		RoutePolicy:        h.config.RoutePolicy,
+		RoutePolicy:        d.config.RoutePolicy,
 	})
 }
 
-func (h *Deployment) writeAgentSettings(m *Member) error {
-	node, err := h.nodeSettings(m, peer.RoleAgent)
+func (d *Deployment) writeAgentSettings(m *Member) error {
+	node, err := d.nodeSettings(m, peer.RoleAgent)
 	if err != nil {
 		return err
 	}
-	link := h.config.Link
-	return h.writeSettings(m, &wire.AgentSettings{
+	link := d.config.Link
+	return d.writeSettings(m, &wire.AgentSettings{
 		Node:          node,
 		Endpoint:      m.endpoint,
 		Service:       m.service,
 		EndpointUrl:   m.endpointURL,
-		OriginUrl:     h.originURL,
+		OriginUrl:     d.originURL,
 		Link:          &wire.LinkSettings{Up: link.Up, Down: link.Down, Shared: link.Shared},
 		SyncInterval:  durationpb.New(agentSyncInterval),
 		DrainTimeout:  durationpb.New(drainTimeout),
-		WindowBytes:   h.config.WindowBytes,
-		BurstStrategy: h.config.BurstStrategy,
+		WindowBytes:   d.config.WindowBytes,
+		BurstStrategy: d.config.BurstStrategy,
 	})
 }
 
-func (h *Deployment) writeSettings(m *Member, set proto.Message) error {
+func (d *Deployment) writeSettings(m *Member, set proto.Message) error {
 	text, err := protojson.MarshalOptions{Multiline: true}.Marshal(set)
 	if err != nil {
 		return err
 	}
-	m.settings = filepath.Join(h.dir, m.id+".json")
+	m.settings = filepath.Join(d.dir, m.id+".json")
 	return os.WriteFile(m.settings, text, settingsMode)
 }
