--- a/bench/internal/process/process.go
+++ b/bench/internal/process/process.go
@@ -150,7 +150,7 @@
 	case <-p.done:
 		return fmt.Errorf("%s exited before it was listening; see its log: %w", p.spec.Name, cmp.Or(p.Err(), errExitZero))
 	case <-timer.C:
-		return fmt.Errorf("%s is not listening after %v; see its log", p.spec.Name, p.spec.Timeout)
+		return fmt.Errorf("%s does not listen after %v; see its log", p.spec.Name, p.spec.Timeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
