--- a/bench/internal/deployment/addresses.go
+++ b/bench/internal/deployment/addresses.go
@@ -8,18 +8,17 @@
 )
 
 const (
-	// firstPort to lastPort lie below the ports that Linux gives to outgoing
-	// connections, which could otherwise take a port between its choice and
-	// its use.
+	// The range lies below the ephemeral ports of Linux. Otherwise an outgoing
+	// connection could take a port between its choice and its use.
 	firstPort = 12000
 	lastPort  = 31999
 )
 
-// errNoPort: a loopback address has no free port left.
+// errNoPort is returned when the loopback address has no free port left.
 var errNoPort = errors.New("no free port on the loopback network; end other runs")
 
-// addresses hands out free addresses of one loopback IP number that the deployment
-// has for itself, so that deployments side by side do not meet.
+// addresses allocates free ports of one loopback IP address. The address is chosen
+// at random, so that concurrent deployments do not collide.
 type addresses struct {
 	ip   string
 	next int
--- a/bench/internal/deployment/answering.go
+++ b/bench/internal/deployment/answering.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// probe is a request that any caller may send again.
+// probe is a repeatable request that tests whether an entry answers.
 type probe struct {
 	Model          string `json:"model"`
 	Prompt         string `json:"prompt"`
@@ -15,8 +15,8 @@
 	DeadlineMillis int    `json:"deadlineMillis"`
 }
 
-// WaitAnswering waits until every running entry answers a request of the
-// customer's: entries learn of serving hosts a little after the hosts serve.
+// WaitAnswering waits until every running entry answers a request of the customer.
+// Entries learn which hosts serve a model only some time after the hosts do.
 func (d *Deployment) WaitAnswering(ctx context.Context, customer Customer) error {
 	for _, m := range d.entries {
 		if err := d.waitAnswered(ctx, m, customer); err != nil {
@@ -26,6 +26,7 @@
 	return nil
 }
 
+// waitAnswered sends probes to the entry until it answers one or its process ends.
 func (d *Deployment) waitAnswered(ctx context.Context, m *Member, customer Customer) error {
 	const deadlineMillis = 2000
 	body := probe{Model: ModelName, Prompt: "probe", MaxTokens: 1, Repeatable: true, DeadlineMillis: deadlineMillis}
--- a/bench/internal/deployment/counters.go
+++ b/bench/internal/deployment/counters.go
@@ -5,21 +5,21 @@
 	"net/http"
 )
 
-// Counters are figures that a member publishes at /debug/vars; 0 where it
-// publishes none.
+// Counters are figures that a member publishes at /debug/vars; one that it does
+// not publish is 0.
 type Counters struct {
-	// ControlBytes were sent and received between the system's processes, but
-	// for chunks and answers.
+	// ControlBytes were sent and received between the system's processes, without
+	// chunks and answers.
 	ControlBytes float64
-	// ConnectionBytes is all that its connections to other processes of the
-	// system carried, TLS included.
+	// ConnectionBytes is the traffic on its connections to other processes of the
+	// system, including TLS overhead.
 	ConnectionBytes float64
-	// CrossRegionBytes of chunks came from another region; nil where the
-	// program does not count them.
+	// CrossRegionBytes counts the chunk bytes received from another region; nil
+	// if the program does not count them.
 	CrossRegionBytes *float64
-	// AllocBytes is all memory ever allocated.
+	// AllocBytes is the cumulative size of heap allocations.
 	AllocBytes float64
-	// InvariantFailures counts what the program itself found broken.
+	// InvariantFailures counts violations that the program's own checks found.
 	InvariantFailures float64
 	// Vars holds every variable.
 	Vars map[string]any
@@ -51,7 +51,8 @@
 	return value
 }
 
-// controlBytes sums the bytes by call, but for chunks and requests.
+// controlBytes sums the bytes of all calls except those that carry chunks and
+// requests.
 func controlBytes(value any) (sum float64) {
 	byCall, _ := value.(map[string]any)
 	for call := range byCall {
@@ -64,7 +65,8 @@
 	return sum
 }
 
-// sumNumbers sums a variable that is a number or a map of numbers.
+// sumNumbers returns the sum of a variable that is a number or a (nested) map of
+// numbers.
 func sumNumbers(value any) (sum float64) {
 	switch value := value.(type) {
 	case float64:
--- a/bench/internal/deployment/deployment.go
+++ b/bench/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment starts a whole deployment of real processes over loopback: the
-// platform's stand-ins, entries, engines and services with their agents.
+// Package deployment runs a complete deployment as real processes on loopback:
+// stand-ins for the platform, entries, and engines and services with their agents.
 package deployment
 
 import (
@@ -19,13 +19,13 @@
 )
 
 const (
-	// startTimeout bounds one process's start.
+	// startTimeout bounds the start of one process.
 	startTimeout = 30 * time.Second
-	// maxConcurrentStarts bounds the processes that start side by side.
+	// maxConcurrentStarts bounds the processes that start concurrently.
 	maxConcurrentStarts = 12
 )
 
-// Deployment is one running deployment.
+// Deployment holds the processes, addresses and keys of a running deployment.
 type Deployment struct {
 	config    Config
 	dir       string // settings, keys and documents; removed by Stop
@@ -33,13 +33,13 @@
 	addresses *addresses
 
 	kvURL, hostsURL, originURL string
-	loads                      atomic.Uint64 // started so far
+	loads                      atomic.Uint64 // number of loads started so far
 
 	entries []*Member // in the order of their ids
 	agents  []*Member // engines first, then services
 
 	platform map[string]*process.Process // by name: kv, hosts, origin
-	engines  []*process.Process          // those that stand in for several engines
+	engines  []*process.Process          // each simulates several engines
 
 	mu        sync.Mutex
 	processes []*process.Process // all ever started, in the order of start
@@ -47,14 +47,14 @@
 	deaths    []Death
 }
 
-// Death is a member that Kill ended.
+// Death records a member that Kill ended.
 type Death struct {
 	Member *Member
 	At     time.Time
 }
 
 // Start starts a deployment and waits until every process listens. After an error
-// nothing is left running.
+// no process is left running.
 func Start(ctx context.Context, config Config) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "comfreybench-")
 	if err != nil {
@@ -89,7 +89,7 @@
 	return d.startMembers(ctx)
 }
 
-// createMembers chooses ids, places and addresses.
+// createMembers creates the members and assigns their ids, places and addresses.
 func (d *Deployment) createMembers() error {
 	for i := range d.config.Entries {
 		m := &Member{id: fmt.Sprintf("entry-%02d", i), kind: kindEntry, place: d.place(i)}
@@ -118,6 +118,7 @@
 	return nil
 }
 
+// place assigns places round-robin.
 func (d *Deployment) place(i int) Place { return d.config.Places[i%len(d.config.Places)] }
 
 func (d *Deployment) takeAddresses(m *Member) (err error) {
@@ -202,8 +203,8 @@
 // Dir returns a directory that lasts as long as the deployment.
 func (d *Deployment) Dir() string { return d.dir }
 
-// Kill ends the member at once, as when its host dies: an engine goes with its
-// agent and loses its weights.
+// Kill ends the member with SIGKILL, as a crash of its host would: the engine of an
+// agent ends too and loses its weights.
 func (d *Deployment) Kill(ctx context.Context, m *Member) error {
 	if m.kind == kindAgent && m.service == "" {
 		if err := d.killEngine(ctx, m); err != nil {
@@ -223,6 +224,8 @@
 	return append([]Death(nil), d.deaths...)
 }
 
+// killEngine kills the member's engine process, or makes the shared process treat
+// this engine as dead.
 func (d *Deployment) killEngine(ctx context.Context, m *Member) error {
 	if m.engine == nil {
 		return d.SetEngineFaults(ctx, m, EngineFaults{Dead: true})
@@ -230,8 +233,8 @@
 	return m.engine.Kill()
 }
 
-// Restart starts the member's program again: the same node with a new
-// incarnation. An engine that was killed comes back empty.
+// Restart starts the member's program again, as a new incarnation of the same node.
+// An engine that was killed restarts without weights.
 func (d *Deployment) Restart(ctx context.Context, m *Member) error {
 	if m.kind == kindAgent && m.service == "" {
 		if err := d.restartEngine(ctx, m); err != nil {
@@ -241,7 +244,7 @@
 	return d.startMember(ctx, m)
 }
 
-// RestartAll starts every member again, all at once.
+// RestartAll starts every member's program again, concurrently.
 func (d *Deployment) RestartAll(ctx context.Context) error { return d.startMembers(ctx) }
 
 func (d *Deployment) restartEngine(ctx context.Context, m *Member) error {
--- a/bench/internal/deployment/describe.go
+++ b/bench/internal/deployment/describe.go
@@ -1,6 +1,7 @@
 package deployment
 
-// Description shows a person how to reach a deployment.
+// Description lists the addresses and keys with which a person can reach a
+// deployment.
 type Description struct {
 	OperatorKey string              `json:"operatorKey"`
 	CustomerKey string              `json:"customerKey"`
@@ -13,7 +14,7 @@
 	Agents      []MemberDescription `json:"agents"`
 }
 
-// MemberDescription is one member's part.
+// MemberDescription holds the process id and the addresses of one member.
 type MemberDescription struct {
 	ID        string `json:"id"`
 	PID       int    `json:"pid"`
@@ -22,8 +23,8 @@
 	Endpoint  string `json:"endpoint,omitempty"`
 }
 
-// Describe returns the addresses and keys of the deployment, which are throw-away
-// ones, and the file of its document.
+// Describe returns the addresses of the deployment, its keys, which are valid only
+// for this run, and the name of the file with its document.
 func (d *Deployment) Describe(document string) Description {
 	out := Description{
 		OperatorKey: OperatorKey,
--- a/bench/internal/deployment/document.go
+++ b/bench/internal/deployment/document.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Names that the deployment's document uses.
+// Names in the deployment's document.
 const (
 	ModelName   = "parcel"
 	ServiceName = "notices"
@@ -22,7 +22,7 @@
 	OperatorName = "console"
 )
 
-// OperatorKey is the bearer key of the deployment's operator.
+// OperatorKey is the bearer key of the operator who submits documents.
 const OperatorKey = "operator-key-of-a-throw-away-deployment"
 
 // Bounds on the time that a request may take.
@@ -61,12 +61,12 @@
 	return customers
 }
 
-// Desired says what the document should declare.
+// Desired holds the variable parts of a document.
 type Desired struct {
 	Version   string
 	Objective string
-	// OriginCopies is the most copies that the origin may send; 0 stands for
-	// what the objective allows.
+	// OriginCopies is the maximum number of copies that the origin may send; 0
+	// selects a default that depends on the objective.
 	OriginCopies   uint32
 	Customers      []Customer
 	MaxUnavailable uint32
@@ -113,7 +113,7 @@
 	return doc
 }
 
-// originCopies follows the objective where nothing else is asked for.
+// originCopies returns the requested limit, or the default for the objective.
 func originCopies(want Desired) uint32 {
 	const most = 4
 	if want.OriginCopies > 0 {
@@ -156,7 +156,7 @@
 	return replicas
 }
 
-// documentText returns the document as operators write it.
+// documentText encodes the document as JSON, the form in which operators write it.
 func documentText(doc *wire.Document) ([]byte, error) {
 	return protojson.MarshalOptions{Multiline: true}.Marshal(doc)
 }
--- a/bench/internal/deployment/faults.go
+++ b/bench/internal/deployment/faults.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// EngineFaults are the knobs of an engine stand-in; each call sets all.
+// EngineFaults are the fault switches of an engine stand-in.
+// Each call sets all of them.
 type EngineFaults struct {
 	SlowFactor      float64 `json:"slowFactor"`
 	FailFast        bool    `json:"failFast"`
@@ -18,7 +19,8 @@
 	Dead            bool    `json:"dead"`
 }
 
-// ServiceFaults are the knobs of a plain service; each call sets all.
+// ServiceFaults are the fault switches of a plain service.
+// Each call sets all of them.
 type ServiceFaults struct {
 	FailBeforeRun float64 `json:"failBeforeRun"`
 	LoseReply     float64 `json:"loseReply"`
@@ -27,7 +29,7 @@
 	Dead          bool    `json:"dead"`
 }
 
-// KVFaults are the knobs of the key-value service.
+// KVFaults are the fault switches of the key-value service.
 type KVFaults struct {
 	Down         bool    `json:"down"`
 	DelayMillis  int     `json:"delayMillis"`
@@ -38,7 +40,7 @@
 	DropWatch    bool    `json:"dropWatch"`
 }
 
-// OriginFaults are the knobs of the origin.
+// OriginFaults are the fault switches of the origin.
 type OriginFaults struct {
 	Down            bool    `json:"down"`
 	DelayMillis     int     `json:"delayMillis"`
@@ -49,7 +51,7 @@
 	BytesPerSecond  float64 `json:"bytesPerSecond"`
 }
 
-// HostListFaults are the knobs of the host list.
+// HostListFaults are the fault switches of the host list.
 type HostListFaults struct {
 	Empty       bool     `json:"empty"`
 	Wrong       []string `json:"wrong"`
@@ -58,27 +60,27 @@
 	DelayMillis int      `json:"delayMillis"`
 }
 
-// SetEngineFaults turns the knobs of the member's engine.
+// SetEngineFaults sets the faults of the member's engine.
 func (d *Deployment) SetEngineFaults(ctx context.Context, m *Member, faults EngineFaults) error {
 	return d.call(ctx, http.MethodPost, m.endpointURL+"/faults", faults, nil)
 }
 
-// SetServiceFaults turns the knobs of the member's plain service.
+// SetServiceFaults sets the faults of the member's plain service.
 func (d *Deployment) SetServiceFaults(ctx context.Context, m *Member, faults ServiceFaults) error {
 	return d.call(ctx, http.MethodPost, m.endpointURL+"/faults", faults, nil)
 }
 
-// SetKVFaults turns the knobs of the key-value service.
+// SetKVFaults sets the faults of the key-value service.
 func (d *Deployment) SetKVFaults(ctx context.Context, faults KVFaults) error {
 	return d.call(ctx, http.MethodPost, d.kvURL+"/faults", faults, nil)
 }
 
-// SetOriginFaults turns the knobs of the origin.
+// SetOriginFaults sets the faults of the origin.
 func (d *Deployment) SetOriginFaults(ctx context.Context, faults OriginFaults) error {
 	return d.call(ctx, http.MethodPost, d.originURL+"/faults", faults, nil)
 }
 
-// SetHostListFaults turns the knobs of the host list.
+// SetHostListFaults sets the faults of the host list.
 func (d *Deployment) SetHostListFaults(ctx context.Context, faults HostListFaults) error {
 	return d.call(ctx, http.MethodPost, d.hostsURL+"/faults", faults, nil)
 }
--- a/bench/internal/deployment/hostlist.go
+++ b/bench/internal/deployment/hostlist.go
@@ -11,7 +11,7 @@
 	stateLeaving = "leaving"
 )
 
-// HostLine is one host in the platform's list.
+// HostLine is the entry of one host in the platform's host list.
 type HostLine struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
@@ -42,17 +42,17 @@
 	}
 }
 
-// List puts the member into the platform's list as live.
+// List adds the member to the platform's host list in the state live.
 func (d *Deployment) List(ctx context.Context, m *Member) error {
 	return d.putHost(ctx, m, stateLive)
 }
 
-// ListLeaving marks the member as leaving in the platform's list.
+// ListLeaving sets the member's state in the platform's host list to leaving.
 func (d *Deployment) ListLeaving(ctx context.Context, m *Member) error {
 	return d.putHost(ctx, m, stateLeaving)
 }
 
-// Unlist takes the member out of the platform's list.
+// Unlist removes the member from the platform's host list.
 func (d *Deployment) Unlist(ctx context.Context, m *Member) error {
 	return d.call(ctx, http.MethodDelete, d.hostsURL+"/hosts/"+m.id, nil, nil)
 }
--- a/bench/internal/deployment/http.go
+++ b/bench/internal/deployment/http.go
@@ -14,23 +14,25 @@
 const (
 	// callTimeout bounds one call to a stand-in or an operators' address.
 	callTimeout = 10 * time.Second
-	// maxBody bounds an answer: the ledgers of long runs are large.
+	// maxBody bounds a response body. The ledgers of long runs are large.
 	maxBody = 256 << 20
 )
 
-// client talks to the stand-ins and operators' addresses; one connection each
-// is enough, so none is kept.
+// client calls the stand-ins and the operators' addresses. A connection for each
+// call is enough, so none is kept open.
 var client = &http.Client{
 	Timeout:   callTimeout,
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
-// call sends a JSON body where one is given and reads a JSON answer where one
-// is wanted.
+// call sends body as JSON unless it is nil, and decodes the JSON response into
+// reply unless that is nil.
 func (d *Deployment) call(ctx context.Context, method, url string, body, reply any) error {
 	return callWith(ctx, method, url, "", body, reply)
 }
 
+// callWith is call with a bearer key, which is left out if empty. Any status but
+// 200 is an error.
 func callWith(ctx context.Context, method, url, key string, body, reply any) error {
 	var reader io.Reader
 	if body != nil {
--- a/bench/internal/deployment/ledger.go
+++ b/bench/internal/deployment/ledger.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Account is what one engine ran under one request id.
+// Account counts the runs of one request id on one engine, by outcome.
 type Account struct {
 	Begun     int    `json:"begun"`
 	Completed int    `json:"completed"`
@@ -14,18 +14,19 @@
 	Cancelled int    `json:"cancelled"`
 	Broken    int    `json:"broken"`
 	Version   string `json:"version"`
-	// Content names what was asked; equal for equal requests.
+	// Content identifies the content of the request; equal requests have equal
+	// values.
 	Content string `json:"content"`
 }
 
-// Violation is something that an engine saw and that must never happen.
+// Violation is an event that an engine observed and that must never happen.
 type Violation struct {
 	Kind      string `json:"kind"`
 	RequestID string `json:"requestId"`
 	Detail    string `json:"detail"`
 }
 
-// EngineLedger is one engine's own record.
+// EngineLedger is the record that one engine keeps of its requests and orders.
 type EngineLedger struct {
 	Totals struct {
 		Begun     int `json:"begun"`
@@ -51,7 +52,7 @@
 	RunsByID       map[string]Account `json:"runsById"`
 }
 
-// ServiceLedger is one plain service's own record.
+// ServiceLedger is the record that one plain service keeps of its requests.
 type ServiceLedger struct {
 	Runs        int            `json:"runs"`
 	Refused     int            `json:"refused"`
@@ -59,11 +60,11 @@
 	MaxRuns     int            `json:"maxRuns"`
 	Forgotten   int            `json:"forgotten"`
 	RunsByID    map[string]int `json:"runsById"`
-	// Contents names what was asked under each id.
+	// Contents identifies the content of the request, by request id.
 	Contents map[string]string `json:"contents"`
 }
 
-// OriginLedger is what the origin sent.
+// OriginLedger is the record of what the origin sent.
 type OriginLedger struct {
 	Bytes    int64 `json:"bytes"`
 	Versions []struct {
@@ -78,7 +79,7 @@
 	CutOff    int64 `json:"cutOff"`
 }
 
-// Copies returns the copies drawn of the version.
+// Copies returns the number of copies of the version that the origin sent.
 func (l OriginLedger) Copies(version string) float64 {
 	for _, line := range l.Versions {
 		if line.Version == version {
@@ -88,7 +89,7 @@
 	return 0
 }
 
-// KVLedger is what the key-value service was asked.
+// KVLedger is the record of the calls to the key-value service.
 type KVLedger struct {
 	Lines []struct {
 		Kind    string `json:"kind"`
--- a/bench/internal/deployment/load.go
+++ b/bench/internal/deployment/load.go
@@ -17,20 +17,21 @@
 	"comfreyrelay.example/bench/internal/process"
 )
 
-// LoadOptions say what the callers send; zero values keep the stand-in's
-// defaults, but for fractions, where 0 means none.
+// LoadOptions configure what the callers send. Zero values keep the defaults of the
+// stand-in, except for fractions, where 0 means none.
 type LoadOptions struct {
-	// Direct sends straight to the engines, past the system.
+	// Direct sends requests directly to the engines and bypasses the system.
 	Direct bool
-	// Customers send the requests, each by its Share of them.
+	// Customers send the requests, divided by their Share.
 	Customers []LoadCustomer
-	// Callers of each customer that keep an address of an entry each.
+	// Callers is the number of callers of each customer; each caches the address
+	// of an entry.
 	Callers int
-	// Rate is the mean of the arrivals a second, Time how long they arrive.
+	// Rate is the mean number of arrivals per second, Time their duration.
 	Rate float64
 	Time time.Duration
 	Seed uint64
-	// Versions that answers may bear.
+	// Versions are the model versions that answers may name.
 	Versions  []string
 	MaxTokens int
 	// PromptBytes is the length of a prompt, PromptGroups how many prefixes
@@ -39,19 +40,20 @@
 	// Fractions of the requests.
 	NonRepeatable, DoubleSend, Services float64
 	Deadline                            time.Duration
-	// Retries of a request that was not run; negative means none.
+	// Retries is how often a request that was not run is sent again; negative
+	// means never.
 	Retries int
-	// Log receives the progress.
+	// Log receives progress messages.
 	Log io.Writer
 }
 
-// LoadCustomer is one customer's part of the load.
+// LoadCustomer is a customer and its share of the load.
 type LoadCustomer struct {
 	Customer
 	Share float64
 }
 
-// EvenShares gives each customer the same part.
+// EvenShares gives each customer the same share.
 func EvenShares(customers []Customer) []LoadCustomer {
 	out := make([]LoadCustomer, 0, len(customers))
 	for _, customer := range customers {
@@ -60,7 +62,7 @@
 	return out
 }
 
-// LoadCounts are outcomes and times that the callers saw.
+// LoadCounts are request outcomes and latencies as the callers measured them.
 type LoadCounts struct {
 	Requests           int     `json:"requests"`
 	Answered           int     `json:"answered"`
@@ -84,7 +86,8 @@
 	AnswerMsP99        float64 `json:"answerMsP99"`
 }
 
-// LoadSummary is the callers' whole record.
+// LoadSummary is the result of a load: totals, and counts by customer, version and
+// failure.
 type LoadSummary struct {
 	LoadCounts
 	Seconds    float64               `json:"seconds"`
@@ -102,12 +105,13 @@
 // Load is a running load.
 type Load struct {
 	process *process.Process
-	record  string // file with one line a request
-	control string // base URL of its knobs
+	record  string // file with one line per request
+	control string // base URL of its control interface
 	out     *outputBuffer
 }
 
-// outputBuffer collects what the load prints.
+// outputBuffer collects the standard output of a load and is safe for concurrent
+// use.
 type outputBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -192,20 +196,20 @@
 	return args
 }
 
-// loadSeed differs for each load of one deployment, since the audit distinguishes requests
-// apart by what they ask.
+// loadSeed returns a different seed for each load of one deployment, because the
+// audit tells requests apart by their content.
 func (d *Deployment) loadSeed(seed uint64) uint64 {
 	const perRun = 1000
 	return seed*perRun + d.loads.Add(1)
 }
 
-// AddVersion lets the callers accept that answers may bear the version from now on.
+// AddVersion makes the callers accept answers of the version from now on.
 func (l *Load) AddVersion(ctx context.Context, version string) error {
 	return callWith(ctx, http.MethodPost, l.control+"/versions", "", map[string][]string{"add": {version}}, nil)
 }
 
-// RemoveVersion lets the callers expect that answers to requests sent from now on
-// may not bear the version.
+// RemoveVersion makes the callers reject answers of the version to requests that
+// are sent from now on.
 func (l *Load) RemoveVersion(ctx context.Context, version string) error {
 	return callWith(ctx, http.MethodPost, l.control+"/versions", "", map[string][]string{"remove": {version}}, nil)
 }
@@ -216,7 +220,7 @@
 	return summary, err
 }
 
-// StopArrivals ends the arrivals; requests in progress go on.
+// StopArrivals stops sending new requests; requests in progress continue.
 func (l *Load) StopArrivals(ctx context.Context) error {
 	return callWith(ctx, http.MethodPost, l.control+"/stop", "", struct{}{}, nil)
 }
@@ -224,7 +228,8 @@
 // Ended reports whether the last request has its outcome.
 func (l *Load) Ended() bool { return l.process.Ended() }
 
-// Record names the file with one line a request, complete once Wait returned.
+// Record returns the name of the file with one line per request. The file is
+// complete once Wait has returned.
 func (l *Load) Record() string { return l.record }
 
 // Wait waits for the last request's outcome and returns the summary.
--- a/bench/internal/deployment/operate.go
+++ b/bench/internal/deployment/operate.go
@@ -16,10 +16,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// pollInterval is how often a wait looks again.
+// pollInterval is the time between two checks of a condition that is waited for.
 const pollInterval = 50 * time.Millisecond
 
-// Publication is what the origin should make.
+// Publication describes a model version that the origin should generate.
 type Publication struct {
 	Model          string  `json:"model"`
 	Kind           string  `json:"kind"`
@@ -31,14 +31,14 @@
 	ChangeFraction float64 `json:"changeFraction,omitempty"`
 }
 
-// Published is the version that the origin made.
+// Published is a version that the origin generated.
 type Published struct {
 	Version string `json:"version"`
 	Chunks  int    `json:"chunks"`
 	Bytes   uint64 `json:"bytes"`
 }
 
-// Publish lets the origin make a version.
+// Publish makes the origin generate a version.
 func (d *Deployment) Publish(ctx context.Context, pub Publication) (made Published, err error) {
 	if pub.Kind == "" {
 		pub.Kind = "base"
@@ -98,7 +98,7 @@
 	return reply.Revision, doc, nil
 }
 
-// EngineStatus is what an engine says it has loaded.
+// EngineStatus is an engine's report of what it has loaded and runs.
 type EngineStatus struct {
 	Model    string `json:"model"`
 	Version  string `json:"version"`
@@ -111,18 +111,18 @@
 	} `json:"adapters"`
 }
 
-// EngineStatus asks the member's engine itself, past the system.
+// EngineStatus asks the member's engine directly, not through the system.
 func (d *Deployment) EngineStatus(ctx context.Context, m *Member) (status EngineStatus, err error) {
 	err = d.call(ctx, http.MethodGet, m.endpointURL+"/status", nil, &status)
 	return status, err
 }
 
-// errNotServing: a wait ended too early.
+// errNotServing is returned when the context ends before all hosts serve.
 var errNotServing = errors.New("not every host serves the version")
 
-// WaitServing waits until each of the hosts has the version loaded, by the
-// engines' own reports, and returns the time of the last one's. Hosts that alive
-// reports as dead are not waited for.
+// WaitServing waits until the engine of each host reports that it has loaded the
+// version. It does not wait for hosts for which alive returns false; a nil alive
+// means that all are alive.
 func (d *Deployment) WaitServing(ctx context.Context, hosts []*Member, version string, alive func(*Member) bool) error {
 	waiting := append([]*Member(nil), hosts...)
 	for {
@@ -146,7 +146,7 @@
 	}
 }
 
-// WaitRoutable waits until every running entry answers callers.
+// WaitRoutable waits until every running entry reports at /readyz that it is ready.
 func (d *Deployment) WaitRoutable(ctx context.Context) error {
 	for _, m := range d.entries {
 		for !m.process.Ended() {
--- a/bench/internal/deployment/place.go
+++ b/bench/internal/deployment/place.go
@@ -5,7 +5,7 @@
 	Region, FailureDomain string
 }
 
-// Quetzal returns the three places of the first deployment.
+// Quetzal returns the three places of the Quetzal deployment, the first one.
 func Quetzal() []Place {
 	return []Place{
 		{Region: "guatemala", FailureDomain: "zona-uno"},
--- a/bench/internal/deployment/platform.go
+++ b/bench/internal/deployment/platform.go
@@ -12,14 +12,14 @@
 	"comfreyrelay.example/bench/internal/process"
 )
 
-// standinProgram is the program of all stand-ins.
+// standinProgram is the program that runs every kind of stand-in.
 const standinProgram = "comfreystandin"
 
 // storeMiB bounds the chunks that one engine keeps, in MiB.
 const storeMiB = 1024
 
-// startStores starts what needs to know of no member: key-value service and
-// origin.
+// startStores starts the stand-ins that need no list of members: the key-value
+// service and the origin.
 func (d *Deployment) startStores(ctx context.Context) error {
 	kv := []string{"kv", "--listen", d.anyPort()}
 	if d.config.ServiceReads > 0 {
@@ -41,7 +41,8 @@
 	return err
 }
 
-// startHosts starts the host list, which names every member.
+// startHosts starts the stand-in of the platform's host list with every member
+// listed as live.
 func (d *Deployment) startHosts(ctx context.Context) error {
 	list := hostList{Hosts: []HostLine{}}
 	for _, m := range d.Members() {
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// startSharedEngines starts one process for each class of engines.
+// startSharedEngines starts one process for each engine class, which simulates all
+// engines of that class.
 func (d *Deployment) startSharedEngines(ctx context.Context) error {
 	for _, class := range []string{EngineClass, LooseEngineClass} {
 		var group []*Member
@@ -103,8 +105,8 @@
 	return nil
 }
 
-// startEngine starts one member's engine, at its former address after a
-// restart: the agent's settings name it.
+// startEngine starts the engine of one member. After a restart it listens on its
+// previous address, because the agent's settings name that address.
 func (d *Deployment) startEngine(ctx context.Context, m *Member) error {
 	if m.endpointAddress == "" {
 		address, err := d.addresses.take()
@@ -178,8 +180,8 @@
 	return "http://" + proc.Addresses()[0], nil
 }
 
-// anyPort is an address on the deployment's own IP number with a port of the
-// system's choice.
+// anyPort returns a listen address on the deployment's IP address with port 0, so
+// that the kernel chooses the port.
 func (d *Deployment) anyPort() string { return fmt.Sprintf("%s:0", d.addresses.ip) }
 
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
--- a/bench/internal/deployment/settings.go
+++ b/bench/internal/deployment/settings.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// settingsMode: settings name key files, nobody else reads them.
+	// settingsMode makes the settings unreadable for other users, because they
+	// name key files.
 	settingsMode = 0o600
-	// Sync calls are held for so long, as the settings' defaults have it.
+	// Time that sync calls are held open, equal to the defaults of the settings.
 	entrySyncInterval = 2 * time.Second
 	agentSyncInterval = time.Second
-	// leaseTTL is short, so that a killed lease-holder is replaced within a
-	// run's time.
+	// leaseTTL is short, so that a killed lease holder is replaced during the run.
 	leaseTTL = 3 * time.Second
-	// drainTimeout bounds a graceful end; longer than the longest request.
+	// drainTimeout bounds a graceful shutdown; it is longer than the longest
+	// request.
 	drainTimeout = 20 * time.Second
-	// defaultDirectoryTTL of the entry that a caller uses.
+	// defaultDirectoryTTL is how long callers cache the address of an entry.
 	defaultDirectoryTTL = 5 * time.Second
 )
 
-// KeyHash returns the form in which the document and settings hold a bearer
-// key.
+// KeyHash returns the hex SHA-256 of a bearer key, the form in which the document
+// and the settings store it.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
