--- a/bench/internal/site/site.go
+++ b/bench/internal/site/site.go
@@ -56,8 +56,8 @@
 	readyPort     = 8002
 	callersPort   = 8005
 	directoryPort = 8009
-	partPort      = 8203
-	knobsPort     = 8204
+	standinPort   = 8203
+	faultsPort    = 8204
 	// agentPort is where agents listen; what others reach at controlPort is a link before it.
 	agentPort = 7710
 )
@@ -68,8 +68,8 @@
 	// callTimeout bounds one call to a stand-in's control address.
 	callTimeout = 10 * time.Second
 	fileMode    = 0o600
-	// maxRecord bounds the record of one stand-in, bytes.
-	maxRecord = 256 << 20
+	// maxResponse bounds the record of one stand-in, bytes.
+	maxResponse = 256 << 20
 	// maxHosts bounds the hosts with an engine, those that are added included.
 	maxHosts = 120
 	// heartbeat of endpoints' registrations.
@@ -102,33 +102,33 @@
 
 // Member is one process.
 type Member struct {
-	Name    string
-	Kind    string
-	Domain  string
-	IP      string
-	ID      string   // of an endpoint, in its registration
-	former  []string // ids before it was replaced
-	empty   bool     // an engine that starts with no weights
-	program string
-	args    []string
-
-	knobs  sync.Mutex
-	faults platformtest.PartFaults // that last, of a stand-in
+	Name      string
+	Kind      string
+	Domain    string
+	IP        string
+	ID        string   // of an endpoint, in its registration
+	formerIDs []string // ids before it was replaced
+	empty     bool     // an engine that starts with no weights
+	program   string
+	args      []string
+
+	faultsMu sync.Mutex
+	faults   platformtest.PartFaults // that last, of a stand-in
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
 // Callers returns the address that an entry serves callers at.
-func (m *Member) Callers() string { return m.at(callersPort) }
+func (m *Member) Callers() string { return m.address(callersPort) }
 
 // Directory returns the address at which an entry lists the entries to use.
-func (m *Member) Directory() string { return m.at(directoryPort) }
+func (m *Member) Directory() string { return m.address(directoryPort) }
 
-func (m *Member) at(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
+func (m *Member) address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
 // Was reports whether the member has the id, or had it before it was replaced.
-func (m *Member) Was(id string) bool { return m.ID == id || slices.Contains(m.former, id) }
+func (m *Member) Was(id string) bool { return m.ID == id || slices.Contains(m.formerIDs, id) }
 
 // Process returns the process that runs now, or ran last.
 func (m *Member) Process() *process.Process {
@@ -140,7 +140,7 @@
 // Site is a deployment that runs.
 type Site struct {
 	config  Config
-	net     int // second byte of all addresses
+	subnet  int // second byte of all addresses
 	members []*Member
 	store   *Member
 
@@ -150,7 +150,7 @@
 
 // Start starts all processes. The caller stops them.
 func Start(ctx context.Context, config Config) (*Site, error) {
-	s := &Site{config: config, net: freeNet()}
+	s := &Site{config: config, subnet: freeSubnet()}
 	s.store = s.add(Store, platformNet, 0)
 	s.add(Origin, platformNet, 1)
 	s.add(Network, platformNet, 2)
@@ -166,12 +166,12 @@
 	for i := range config.Entries {
 		s.add(Entry, entryNet, i)
 	}
-	for _, m := range s.all() {
-		if err := s.write(m); err != nil {
+	for _, m := range s.allMembers() {
+		if err := s.writeSettings(m); err != nil {
 			return s, err
 		}
 	}
-	for _, m := range s.all() {
+	for _, m := range s.allMembers() {
 		if err := s.Begin(ctx, m); err != nil {
 			return s, err
 		}
@@ -179,12 +179,12 @@
 	return s, nil
 }
 
-// freeNet returns a part of loopback that no other run uses.
-func freeNet() int {
+// freeSubnet returns a part of loopback that no other run uses.
+func freeSubnet() int {
 	const first, count = 64, 128
 	for i := range count {
 		found := first + (os.Getpid()+i)%count
-		lis, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", found, partPort))
+		lis, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", found, standinPort))
 		if err == nil {
 			_ = lis.Close()
 			return found
@@ -193,10 +193,10 @@
 	return first
 }
 
-func (s *Site) add(kind string, third, index int) *Member {
+func (s *Site) add(kind string, group, index int) *Member {
 	m := &Member{
 		Kind: kind, Name: fmt.Sprintf("%s-%d", kind, index), ID: fmt.Sprintf("i-%s-%d", kind, index),
-		Domain: s.config.Domains[index%len(s.config.Domains)], IP: s.ip(third, index),
+		Domain: s.config.Domains[index%len(s.config.Domains)], IP: s.ip(group, index),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,13 +210,15 @@
 	entryNet
 	hostNet
 	appNet
-	doorNet
+	storeLinkNet
 )
 
-func (s *Site) ip(third, index int) string { return fmt.Sprintf("127.%d.%d.%d", s.net, third, index+1) }
+func (s *Site) ip(group, index int) string {
+	return fmt.Sprintf("127.%d.%d.%d", s.subnet, group, index+1)
+}
 
-// all returns the members.
-func (s *Site) all() []*Member {
+// allMembers returns the members.
+func (s *Site) allMembers() []*Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.members)
@@ -228,7 +230,7 @@
 	engine := s.add(Engine, hostNet, number)
 	engine.empty = true
 	for _, m := range []*Member{engine, s.add(Agent, hostNet, number)} {
-		if err := s.write(m); err != nil {
+		if err := s.writeSettings(m); err != nil {
 			return err
 		}
 		if err := s.Begin(ctx, m); err != nil {
@@ -241,7 +243,7 @@
 // Members returns the members of a kind.
 func (s *Site) Members(kind string) []*Member {
 	var found []*Member
-	for _, m := range s.all() {
+	for _, m := range s.allMembers() {
 		if m.Kind == kind {
 			found = append(found, m)
 		}
@@ -250,11 +252,11 @@
 }
 
 // Origin returns the address of the origin.
-func (s *Site) Origin() string { return s.Members(Origin)[0].at(partPort) }
+func (s *Site) Origin() string { return s.Members(Origin)[0].address(standinPort) }
 
-// door returns the address at which an entry reaches the store: a link of its own.
-func (s *Site) door(m *Member) string {
-	return fmt.Sprintf("%s:%d", s.ip(doorNet, slices.Index(s.Members(Entry), m)), partPort)
+// storeAddress returns the address at which an entry reaches the store: a link of its own.
+func (s *Site) storeAddress(m *Member) string {
+	return fmt.Sprintf("%s:%d", s.ip(storeLinkNet, slices.Index(s.Members(Entry), m)), standinPort)
 }
 
 // Begin starts a member's process, the first time or again after its end.
@@ -275,7 +277,7 @@
 
 // Stop ends all processes.
 func (s *Site) Stop() {
-	for _, m := range s.all() {
+	for _, m := range s.allMembers() {
 		if p := m.Process(); p != nil && !p.Ended() {
 			_ = p.Resume()
 			_ = p.Kill()
@@ -283,21 +285,21 @@
 	}
 }
 
-// write writes a member's settings.
-func (s *Site) write(m *Member) error {
+// writeSettings writes a member's settings.
+func (s *Site) writeSettings(m *Member) error {
 	file := filepath.Join(s.config.Dir, m.Name+".json")
 	var text []byte
 	var err error
 	switch m.Kind {
 	case Entry:
 		m.program, m.args = "comfreyentry", []string{"--settings", file}
-		text, err = protoText(s.entrySettings(m))
+		text, err = marshalSettings(s.entrySettings(m))
 	case Agent:
 		m.program, m.args = "comfreyagent", []string{"--settings", file}
-		text, err = protoText(s.agentSettings(m))
+		text, err = marshalSettings(s.agentSettings(m))
 	default:
 		m.program, m.args = "comfreystandin", []string{"site", "--file", file}
-		text, err = json.Marshal(s.partOptions(m))
+		text, err = json.Marshal(s.standinOptions(m))
 	}
 	if err != nil {
 		return err
@@ -305,14 +307,14 @@
 	return os.WriteFile(file, text, fileMode)
 }
 
-func protoText(set proto.Message) ([]byte, error) {
+func marshalSettings(set proto.Message) ([]byte, error) {
 	return protojson.MarshalOptions{Multiline: true}.Marshal(set)
 }
 
 func (s *Site) nodeSettings(m *Member) *wire.NodeSettings {
 	return &wire.NodeSettings{
 		Id: m.Name, Region: "region-" + m.Domain, FailureDomain: m.Domain, Insecure: true, LogLevel: "info",
-		ControlAddress: m.at(controlPort), OperatorsAddress: m.at(operatorsPort), HostsUrl: "http://" + s.store.at(partPort),
+		ControlAddress: m.address(controlPort), OperatorsAddress: m.address(operatorsPort), HostsUrl: "http://" + s.store.address(standinPort),
 	}
 }
 
@@ -335,35 +337,35 @@
 func millis(span time.Duration) uint32 { return uint32(span.Milliseconds()) }
 
 func (s *Site) entrySettings(m *Member) *wire.EntrySettings {
-	set := &wire.EntrySettings{Node: s.nodeSettings(m), CallersAddress: m.Callers(), KvUrl: "http://" + s.door(m), Site: s.siteSettings()}
-	set.Site.ReadyAddress, set.Site.DirectoryAddress = m.at(readyPort), m.Directory()
+	set := &wire.EntrySettings{Node: s.nodeSettings(m), CallersAddress: m.Callers(), KvUrl: "http://" + s.storeAddress(m), Site: s.siteSettings()}
+	set.Site.ReadyAddress, set.Site.DirectoryAddress = m.address(readyPort), m.Directory()
 	return set
 }
 
 func (s *Site) agentSettings(m *Member) *wire.AgentSettings {
 	node := s.nodeSettings(m)
-	node.ControlAddress = m.at(agentPort)
+	node.ControlAddress = m.address(agentPort)
 	return &wire.AgentSettings{
 		Node: node, Endpoint: "engine", Service: EngineService,
-		EndpointUrl: "http://" + m.at(partPort), Site: s.siteSettings(),
+		EndpointUrl: "http://" + m.address(standinPort), Site: s.siteSettings(),
 	}
 }
 
 const (
-	plainSlots, plainQueue = 6, 24
-	engineQueue            = 32
-	eventTokens            = 5
-	originVersions         = 200
-	warm                   = 300 * time.Millisecond
-	appWork                = 15 * time.Millisecond
-	appErrors              = 0.05
+	appSlots, appQueue = 6, 24
+	engineQueue        = 32
+	eventTokens        = 5
+	originVersions     = 200
+	warmUp             = 300 * time.Millisecond
+	appWorkTime        = 15 * time.Millisecond
+	appErrorShare      = 0.05
 )
 
-func (s *Site) partOptions(m *Member) platformtest.PartOptions {
+func (s *Site) standinOptions(m *Member) platformtest.PartOptions {
 	options := platformtest.PartOptions{
-		Role: m.Kind, Address: m.at(partPort), Control: m.at(knobsPort), StoreControl: s.store.at(knobsPort),
+		Role: m.Kind, Address: m.address(standinPort), Control: m.address(faultsPort), StoreControl: s.store.address(faultsPort),
 		HeartbeatMillis: int(heartbeat.Milliseconds()), LeaveMillis: int(s.config.Bounds.Drain.Milliseconds()),
-		WarmMillis: int(warm.Milliseconds()), Model: Model, Chunks: s.config.Spec.Chunks, ChunkBytes: s.config.Spec.ChunkBytes, Versions: originVersions,
+		WarmMillis: int(warmUp.Milliseconds()), Model: Model, Chunks: s.config.Spec.Chunks, ChunkBytes: s.config.Spec.ChunkBytes, Versions: originVersions,
 	}
 	options.MaxConns = s.config.MaxConns[m.Kind]
 	switch m.Kind {
@@ -375,7 +377,7 @@
 		}
 	case Store:
 		for _, entry := range s.Members(Entry) {
-			options.Doors = append(options.Doors, s.door(entry))
+			options.Doors = append(options.Doors, s.storeAddress(entry))
 		}
 	case Engine:
 		options.Role = platformtest.RoleEndpoint
@@ -389,7 +391,7 @@
 	case App:
 		options.Role = platformtest.RoleEndpoint
 		options.Endpoint = platformtest.EndpointOptions{
-			ID: m.ID, Service: AppService, Domain: m.Domain, Slots: plainSlots, Queue: plainQueue, WorkTime: appWork, ErrorShare: appErrors,
+			ID: m.ID, Service: AppService, Domain: m.Domain, Slots: appSlots, Queue: appQueue, WorkTime: appWorkTime, ErrorShare: appErrorShare,
 		}
 	}
 	return options
@@ -398,8 +400,8 @@
 // Change changes the fault knobs of a stand-in. Faults of one stand-in may overlap, so that each
 // change starts from those that last.
 func (s *Site) Change(ctx context.Context, m *Member, change func(*platformtest.PartFaults)) error {
-	m.knobs.Lock()
-	defer m.knobs.Unlock()
+	m.faultsMu.Lock()
+	defer m.faultsMu.Unlock()
 	faults := m.faults
 	faults.Doors, faults.Ways = maps.Clone(m.faults.Doors), maps.Clone(m.faults.Ways)
 	if faults.Doors == nil {
@@ -428,12 +430,12 @@
 
 // ChangeWay changes the faults of the way to an agent.
 func (s *Site) ChangeWay(ctx context.Context, m *Member, faults platformtest.LinkFaults) error {
-	return s.Change(ctx, s.Members(Network)[0], func(all *platformtest.PartFaults) { all.Ways[m.at(controlPort)] = faults })
+	return s.Change(ctx, s.Members(Network)[0], func(all *platformtest.PartFaults) { all.Ways[m.address(controlPort)] = faults })
 }
 
 // ChangeDoor changes the faults of an entry's way to the store.
 func (s *Site) ChangeDoor(ctx context.Context, m *Member, faults platformtest.DoorFaults) error {
-	return s.Change(ctx, s.store, func(all *platformtest.PartFaults) { all.Doors[s.door(m)] = faults })
+	return s.Change(ctx, s.store, func(all *platformtest.PartFaults) { all.Doors[s.storeAddress(m)] = faults })
 }
 
 // Leave makes an endpoint drain.
@@ -482,12 +484,12 @@
 }
 
 func isReady(ctx context.Context, m *Member) bool {
-	text, err := send(ctx, http.MethodGet, "http://"+m.at(readyPort)+"/ready", nil)
+	text, err := send(ctx, http.MethodGet, "http://"+m.address(readyPort)+"/ready", nil)
 	return err == nil && text != nil
 }
 
 func control(ctx context.Context, method string, m *Member, path string, body any) ([]byte, error) {
-	return send(ctx, method, "http://"+m.at(knobsPort)+path, body)
+	return send(ctx, method, "http://"+m.address(faultsPort)+path, body)
 }
 
 // send makes one call with a JSON body and returns the answer's.
@@ -508,7 +510,7 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err = io.ReadAll(io.LimitReader(resp.Body, maxRecord))
+	text, err = io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s %s: status %d", method, address, resp.StatusCode)
 	}
@@ -519,11 +521,11 @@
 func (s *Site) Replace(ctx context.Context, m *Member) error {
 	s.mu.Lock()
 	s.replaced++
-	m.former = append(m.former, m.ID)
+	m.formerIDs = append(m.formerIDs, m.ID)
 	m.faults = platformtest.PartFaults{}
 	m.ID, m.empty = fmt.Sprintf("i-%s-r%d", m.Name, s.replaced), true
 	s.mu.Unlock()
-	if err := s.write(m); err != nil {
+	if err := s.writeSettings(m); err != nil {
 		return err
 	}
 	return s.Begin(ctx, m)
