--- a/bench/internal/site/site.go
+++ b/bench/internal/site/site.go
@@ -1,5 +1,5 @@
-// Package site starts a whole deployment behind a platform as plain processes on
-// loopback: entries, agents, and stand-ins of the platform's store, endpoints and origin.
+// Package site runs a complete deployment in site mode as processes on loopback:
+// entries, agents, and stand-ins for the platform's store, endpoints and origin.
 package site
 
 import (
@@ -37,11 +37,12 @@
 	App    = "app"
 	Store  = "store"
 	Origin = "origin"
-	// Network carries the connections between processes of the system.
+	// Network relays the connections between processes of the system and injects
+	// link faults.
 	Network = "network"
 )
 
-// Names of what is declared.
+// Names of the declared services and of the model.
 const (
 	EngineService = "llm"
 	AppService    = "app"
@@ -49,7 +50,7 @@
 	Model         = "m0"
 )
 
-// Ports of each host, the same on all of them.
+// Ports, the same on every host.
 const (
 	controlPort   = 7700
 	operatorsPort = 7701
@@ -58,25 +59,26 @@
 	directoryPort = 8009
 	standinPort   = 8203
 	faultsPort    = 8204
-	// agentPort is where agents listen; what others reach at controlPort is a link before it.
+	// agentPort is where agents listen. Other processes connect to controlPort, where
+	// the network stand-in relays to agentPort.
 	agentPort = 7710
 )
 
 const (
-	// startTimeout bounds the start of a process until it listens.
+	// startTimeout bounds the time from the start of a process until it listens.
 	startTimeout = 20 * time.Second
-	// callTimeout bounds one call to a stand-in's control address.
+	// callTimeout bounds one call to the control address of a stand-in.
 	callTimeout = 10 * time.Second
 	fileMode    = 0o600
-	// maxResponse bounds the record of one stand-in, bytes.
+	// maxResponse bounds a response body in bytes; the largest is a stand-in's record.
 	maxResponse = 256 << 20
-	// maxHosts bounds the hosts with an engine, those that are added included.
+	// maxHosts bounds the hosts with an engine, including those that AddHost adds.
 	maxHosts = 120
-	// heartbeat of endpoints' registrations.
+	// heartbeat is the interval at which endpoints renew their registrations.
 	heartbeat = 1200 * time.Millisecond
 )
 
-// Config says what to start.
+// Config describes the deployment to start.
 type Config struct {
 	Bin     string // directory of the built programs
 	Dir     string // where settings are written
@@ -87,20 +89,20 @@
 	Apps    int
 	Spec    catalog.Engine
 	Bounds  Bounds
-	// MaxConns is how many connections each endpoint, and the origin, takes, by kind.
+	// MaxConns limits the connections that each endpoint and the origin accept, by kind.
 	MaxConns map[string]int
 }
 
-// Bounds are the promises that the platform holds the system to.
+// Bounds are the limits that the platform requires the system to keep.
 type Bounds struct {
 	Revoke, Apply, Version, Drain, Grace time.Duration
-	// Contact is how long a disruption goes on to excuse what comes after its end.
+	// Contact is how long after its end a disruption still excuses a violation.
 	Contact      time.Duration
 	Ratio, Slack float64 // of repeats
 	Window       time.Duration
 }
 
-// Member is one process.
+// Member is one process of the deployment or stand-in of the platform.
 type Member struct {
 	Name      string
 	Kind      string
@@ -113,13 +115,13 @@
 	args      []string
 
 	faultsMu sync.Mutex
-	faults   platformtest.PartFaults // that last, of a stand-in
+	faults   platformtest.PartFaults // in effect, of a stand-in
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
-// Callers returns the address that an entry serves callers at.
+// Callers returns the address at which an entry serves callers.
 func (m *Member) Callers() string { return m.address(callersPort) }
 
 // Directory returns the address at which an entry lists the entries to use.
@@ -127,17 +129,17 @@
 
 func (m *Member) address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
-// Was reports whether the member has the id, or had it before it was replaced.
+// Was reports whether the id is the member's current or a former endpoint id.
 func (m *Member) Was(id string) bool { return m.ID == id || slices.Contains(m.formerIDs, id) }
 
-// Process returns the process that runs now, or ran last.
+// Process returns the current process, or the last one after it ended.
 func (m *Member) Process() *process.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// Site is a deployment that runs.
+// Site is a running deployment with its platform stand-ins.
 type Site struct {
 	config  Config
 	subnet  int // second byte of all addresses
@@ -148,7 +150,7 @@
 	replaced int // endpoints that were replaced
 }
 
-// Start starts all processes. The caller stops them.
+// Start starts all processes. The caller must call Stop, also after an error.
 func Start(ctx context.Context, config Config) (*Site, error) {
 	s := &Site{config: config, subnet: freeSubnet()}
 	s.store = s.add(Store, platformNet, 0)
@@ -179,7 +181,7 @@
 	return s, nil
 }
 
-// freeSubnet returns a part of loopback that no other run uses.
+// freeSubnet returns a second address byte under 127.0.0.0/8 that no other run uses.
 func freeSubnet() int {
 	const first, count = 64, 128
 	for i := range count {
@@ -204,7 +206,7 @@
 	return m
 }
 
-// Third bytes of addresses.
+// Third bytes of addresses, one for each group of members.
 const (
 	platformNet = iota
 	entryNet
@@ -213,18 +215,16 @@
 	storeLinkNet
 )
 
-func (s *Site) ip(group, index int) string {
-	return fmt.Sprintf("127.%d.%d.%d", s.subnet, group, index+1)
-}
+func (s *Site) ip(group, i int) string { return fmt.Sprintf("127.%d.%d.%d", s.subnet, group, i+1) }
 
-// allMembers returns the members.
+// allMembers returns a copy of the member list.
 func (s *Site) allMembers() []*Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.members)
 }
 
-// AddHost starts one more engine without weights and its agent.
+// AddHost starts one more engine, which has no weights, and its agent.
 func (s *Site) AddHost(ctx context.Context) error {
 	number := len(s.Members(Engine))
 	engine := s.add(Engine, hostNet, number)
@@ -254,12 +254,13 @@
 // Origin returns the address of the origin.
 func (s *Site) Origin() string { return s.Members(Origin)[0].address(standinPort) }
 
-// storeAddress returns the address at which an entry reaches the store: a link of its own.
+// storeAddress returns the address at which an entry reaches the store. Each entry has
+// its own, so that faults can be injected for one entry alone.
 func (s *Site) storeAddress(m *Member) string {
 	return fmt.Sprintf("%s:%d", s.ip(storeLinkNet, slices.Index(s.Members(Entry), m)), standinPort)
 }
 
-// Begin starts a member's process, the first time or again after its end.
+// Begin starts a member's process, or starts it again after it ended.
 func (s *Site) Begin(ctx context.Context, m *Member) error {
 	spec := process.Spec{Name: m.Name, Program: filepath.Join(s.config.Bin, m.program), Args: m.args, Log: s.config.Log, Stdout: s.config.Log, Timeout: startTimeout}
 	if m.program == "comfreystandin" {
@@ -275,7 +276,7 @@
 	return nil
 }
 
-// Stop ends all processes.
+// Stop kills all processes; it resumes paused ones first.
 func (s *Site) Stop() {
 	for _, m := range s.allMembers() {
 		if p := m.Process(); p != nil && !p.Ended() {
@@ -285,7 +286,7 @@
 	}
 }
 
-// writeSettings writes a member's settings.
+// writeSettings sets a member's program and arguments and writes its settings file.
 func (s *Site) writeSettings(m *Member) error {
 	file := filepath.Join(s.config.Dir, m.Name+".json")
 	var text []byte
@@ -397,8 +398,8 @@
 	return options
 }
 
-// Change changes the fault knobs of a stand-in. Faults of one stand-in may overlap, so that each
-// change starts from those that last.
+// Change updates the injected faults of a stand-in. Faults of one stand-in may overlap in
+// time, so each change starts from the faults in effect.
 func (s *Site) Change(ctx context.Context, m *Member, change func(*platformtest.PartFaults)) error {
 	m.faultsMu.Lock()
 	defer m.faultsMu.Unlock()
@@ -410,7 +411,7 @@
 	change(&faults)
 	_, err := control(ctx, http.MethodPost, m, "/faults", faults)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) {
-		return nil // killed meanwhile: it comes back sound
+		return nil // killed meanwhile; it restarts without faults
 	}
 	if err != nil {
 		return err
@@ -428,23 +429,24 @@
 	return nil
 }
 
-// ChangeWay changes the faults of the way to an agent.
+// ChangeWay sets the faults of the network link to an agent.
 func (s *Site) ChangeWay(ctx context.Context, m *Member, faults platformtest.LinkFaults) error {
 	return s.Change(ctx, s.Members(Network)[0], func(all *platformtest.PartFaults) { all.Ways[m.address(controlPort)] = faults })
 }
 
-// ChangeDoor changes the faults of an entry's way to the store.
+// ChangeDoor sets the faults of an entry's link to the store.
 func (s *Site) ChangeDoor(ctx context.Context, m *Member, faults platformtest.DoorFaults) error {
 	return s.Change(ctx, s.store, func(all *platformtest.PartFaults) { all.Doors[s.storeAddress(m)] = faults })
 }
 
-// Leave makes an endpoint drain.
+// Leave tells an endpoint to drain.
 func (s *Site) Leave(ctx context.Context, m *Member) error {
 	_, err := control(ctx, http.MethodPost, m, "/leave", nil)
 	return err
 }
 
-// Put writes a key of the store as an operator does and returns when it was acknowledged.
+// Put writes a key of the store, as an operator would, and returns the time of the
+// acknowledgement.
 func (s *Site) Put(ctx context.Context, key string, value any) (time.Time, error) {
 	text, err := control(ctx, http.MethodPut, s.store, "/key?"+url.Values{"key": {key}}.Encode(), value)
 	if err != nil {
@@ -457,7 +459,7 @@
 	return time.Unix(0, at), nil
 }
 
-// Record returns what an endpoint saw.
+// Record returns what an endpoint stand-in recorded.
 func (s *Site) Record(ctx context.Context, m *Member) (platformtest.Record, error) {
 	var record platformtest.Record
 	text, err := control(ctx, http.MethodGet, m, "/record", nil)
@@ -467,7 +469,7 @@
 	return record, json.Unmarshal(text, &record)
 }
 
-// WaitReady waits until every entry takes callers.
+// WaitReady waits until every entry reports that it is ready for callers.
 func (s *Site) WaitReady(ctx context.Context) error {
 	for _, m := range s.Members(Entry) {
 		for !isReady(ctx, m) {
@@ -488,11 +490,13 @@
 	return err == nil && text != nil
 }
 
+// control calls the control address of a stand-in.
 func control(ctx context.Context, method string, m *Member, path string, body any) ([]byte, error) {
 	return send(ctx, method, "http://"+m.address(faultsPort)+path, body)
 }
 
-// send makes one call with a JSON body and returns the answer's.
+// send makes one call with a JSON body and returns the response body. Any status but 200
+// is an error.
 func send(ctx context.Context, method, address string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -517,7 +521,8 @@
 	return text, err
 }
 
-// Replace starts another endpoint in the place of one that ended, under an id of its own.
+// Replace starts a new endpoint, with a new id and without weights, in place of one that
+// ended.
 func (s *Site) Replace(ctx context.Context, m *Member) error {
 	s.mu.Lock()
 	s.replaced++
@@ -531,5 +536,5 @@
 	return s.Begin(ctx, m)
 }
 
-// Of returns a Site of members that run elsewhere or not at all.
+// Of returns a Site with members that this package did not start.
 func Of(members []*Member) *Site { return &Site{members: members} }
