--- a/bench/internal/requests/cases.go
+++ b/bench/internal/requests/cases.go
@@ -14,18 +14,18 @@
 	// Load is the offered rate over the engines' capacity.
 	Load float64
 	// Trouble happens while the callers send; nil for none.
-	Trouble trouble
+	Fault faultFunc
 	// Calm runs the same load without the trouble first, to compare with.
-	Calm bool
+	CompareBefore bool
 	// Greedy lets one large customer send by itself beside the others.
 	Greedy bool
 	// Long lets the callers go on until the trouble is over.
-	Long bool
+	UntilFaultEnds bool
 }
 
 func (c Case) length() time.Duration {
-	if c.Long {
-		return longTime
+	if c.UntilFaultEnds {
+		return untilFaultEndsTime
 	}
 	return loadTime
 }
@@ -49,23 +49,23 @@
 		cases = append(cases, Case{Name: "baseline-" + policy, Policy: policy, Load: 0.9})
 	}
 	cases = append(cases,
-		Case{Name: "greedy-customer", Load: smallLoad, Calm: true, Greedy: true},
-		Case{Name: "rolling-restart", Load: faultLoad, Trouble: restartAll, Long: true},
+		Case{Name: "greedy-customer", Load: smallLoad, CompareBefore: true, Greedy: true},
+		Case{Name: "rolling-restart", Load: faultLoad, Fault: restartAll, UntilFaultEnds: true},
 	)
 	for _, c := range []Case{
-		{Name: "slow-replica", Trouble: slowReplica, Calm: true},
-		{Name: "fails-fast-looks-idle", Trouble: failsFast, Calm: true},
-		{Name: "engine-stalls", Trouble: engineStalls},
-		{Name: "breaks-after-tokens", Trouble: breaksAfterTokens},
-		{Name: "host-dies", Trouble: hostDies},
-		{Name: "cold-replica", Trouble: coldReplica},
-		{Name: "agent-pauses", Trouble: agentPauses},
-		{Name: "entry-dies", Trouble: entryDies},
-		{Name: "entry-leaves", Trouble: entryLeaves},
-		{Name: "host-leaves", Trouble: hostLeaves},
-		{Name: "service-loses-replies", Trouble: serviceLosesReplies},
-		{Name: "service-down", Trouble: kvDown},
-		{Name: "list-empty", Trouble: listEmpty},
+		{Name: "slow-replica", Fault: slowReplica, CompareBefore: true},
+		{Name: "fails-fast-looks-idle", Fault: failsFast, CompareBefore: true},
+		{Name: "engine-stalls", Fault: engineStalls},
+		{Name: "breaks-after-tokens", Fault: breaksAfterTokens},
+		{Name: "host-dies", Fault: hostDies},
+		{Name: "cold-replica", Fault: coldReplica},
+		{Name: "agent-pauses", Fault: agentPauses},
+		{Name: "entry-dies", Fault: entryDies},
+		{Name: "entry-leaves", Fault: entryLeaves},
+		{Name: "host-leaves", Fault: hostLeaves},
+		{Name: "service-loses-replies", Fault: serviceLosesReplies},
+		{Name: "service-down", Fault: kvDown},
+		{Name: "list-empty", Fault: listEmpty},
 	} {
 		c.Load = faultLoad
 		cases = append(cases, c)
--- a/bench/internal/requests/faults.go
+++ b/bench/internal/requests/faults.go
@@ -14,66 +14,66 @@
 
 // trouble happens to the deployment while callers send; it returns once it is over
 // or set for good.
-type trouble func(ctx context.Context, h *deployment.Deployment) error
+type faultFunc func(ctx context.Context, h *deployment.Deployment) error
 
 // Times within a case.
 const (
-	troubleTime = 4 * time.Second
-	restartGap  = 300 * time.Millisecond
+	faultTime  = 4 * time.Second
+	restartGap = 300 * time.Millisecond
 )
 
 // victim is the engine host that troubles strike.
-func victim(h *deployment.Deployment) *deployment.Member { return h.Agents()[2] }
+func targetHost(h *deployment.Deployment) *deployment.Member { return h.Agents()[2] }
 
 // slowReplica makes one engine a tenth as fast; it goes on reporting as usual.
 func slowReplica(ctx context.Context, h *deployment.Deployment) error {
-	return h.SetEngineFaults(ctx, victim(h), deployment.EngineFaults{SlowFactor: 10})
+	return h.SetEngineFaults(ctx, targetHost(h), deployment.EngineFaults{SlowFactor: 10})
 }
 
 // failsFast makes one engine refuse all at once and so look idle.
 func failsFast(ctx context.Context, h *deployment.Deployment) error {
-	return h.SetEngineFaults(ctx, victim(h), deployment.EngineFaults{FailFast: true, ReportIdle: true})
+	return h.SetEngineFaults(ctx, targetHost(h), deployment.EngineFaults{FailFast: true, ReportIdle: true})
 }
 
 func engineStalls(ctx context.Context, h *deployment.Deployment) error {
-	return forAWhile(ctx, h, deployment.EngineFaults{Stall: true})
+	return injectTemporarily(ctx, h, deployment.EngineFaults{Stall: true})
 }
 
 func breaksAfterTokens(ctx context.Context, h *deployment.Deployment) error {
-	return forAWhile(ctx, h, deployment.EngineFaults{DieAfterTokens: 5})
+	return injectTemporarily(ctx, h, deployment.EngineFaults{DieAfterTokens: 5})
 }
 
-func forAWhile(ctx context.Context, h *deployment.Deployment, faults deployment.EngineFaults) error {
-	if err := h.SetEngineFaults(ctx, victim(h), faults); err != nil {
+func injectTemporarily(ctx context.Context, h *deployment.Deployment, faults deployment.EngineFaults) error {
+	if err := h.SetEngineFaults(ctx, targetHost(h), faults); err != nil {
 		return err
 	}
-	err := pause(ctx, troubleTime)
-	return errors.Join(err, h.SetEngineFaults(ctx, victim(h), deployment.EngineFaults{}))
+	err := pause(ctx, faultTime)
+	return errors.Join(err, h.SetEngineFaults(ctx, targetHost(h), deployment.EngineFaults{}))
 }
 
 func hostDies(ctx context.Context, h *deployment.Deployment) error {
-	return h.Kill(ctx, victim(h))
+	return h.Kill(ctx, targetHost(h))
 }
 
 // coldReplica lets a host die and come back with nothing.
 func coldReplica(ctx context.Context, h *deployment.Deployment) error {
-	if err := h.Kill(ctx, victim(h)); err != nil {
+	if err := h.Kill(ctx, targetHost(h)); err != nil {
 		return err
 	}
-	if err := pause(ctx, troubleTime); err != nil {
+	if err := pause(ctx, faultTime); err != nil {
 		return err
 	}
-	return h.Restart(ctx, victim(h))
+	return h.Restart(ctx, targetHost(h))
 }
 
 // agentPauses stops an agent past every deadline of its requests' first
 // attempts and lets it wake with what it held.
 func agentPauses(ctx context.Context, h *deployment.Deployment) error {
-	if err := victim(h).Pause(); err != nil {
+	if err := targetHost(h).Pause(); err != nil {
 		return err
 	}
-	err := pause(ctx, troubleTime)
-	return errors.Join(err, victim(h).Resume())
+	err := pause(ctx, faultTime)
+	return errors.Join(err, targetHost(h).Resume())
 }
 
 func entryDies(ctx context.Context, h *deployment.Deployment) error {
@@ -85,7 +85,7 @@
 }
 
 func hostLeaves(ctx context.Context, h *deployment.Deployment) error {
-	return victim(h).Terminate(ctx)
+	return targetHost(h).Terminate(ctx)
 }
 
 // restartAll restarts every entry and every agent gracefully: entries one by
@@ -101,16 +101,16 @@
 // restartInTurn restarts so many members at once.
 func restartInTurn(ctx context.Context, h *deployment.Deployment, members []*deployment.Member, at int) error {
 	for group := range slices.Chunk(members, at) {
-		var together errgroup.Group
+		var restarts errgroup.Group
 		for _, m := range group {
-			together.Go(func() error {
+			restarts.Go(func() error {
 				if err := m.Terminate(ctx); err != nil {
 					return fmt.Errorf("%s did not leave: %w", m.ID(), err)
 				}
 				return h.Restart(ctx, m)
 			})
 		}
-		if err := together.Wait(); err != nil {
+		if err := restarts.Wait(); err != nil {
 			return err
 		}
 		if err := pause(ctx, restartGap); err != nil {
@@ -134,7 +134,7 @@
 	if err := h.SetKVFaults(ctx, deployment.KVFaults{Down: true}); err != nil {
 		return err
 	}
-	err := pause(ctx, 2*troubleTime)
+	err := pause(ctx, 2*faultTime)
 	return errors.Join(err, h.SetKVFaults(ctx, deployment.KVFaults{}))
 }
 
--- a/bench/internal/requests/loadrun.go
+++ b/bench/internal/requests/loadrun.go
@@ -10,36 +10,36 @@
 )
 
 // sending is one run of callers whose rates are measured.
-type sending struct {
+type loadRun struct {
 	load     *deployment.Load
 	services bool                   // sends to plain services alone
 	summary  deployment.LoadSummary // set by wait
 	// first and last are the counts after the warm-up and close to the end of
 	// the arrivals: what is answered after them would flatter an overload.
 	first, last deployment.LoadSummary
-	watched     sync.WaitGroup
-	problem     error // of the watching
+	watcher     sync.WaitGroup
+	watchErr    error // of the watching
 }
 
 // begin starts callers and reads their counts meanwhile.
-func (r *run) begin(ctx context.Context, options deployment.LoadOptions) (*sending, error) {
+func (r *run) begin(ctx context.Context, options deployment.LoadOptions) (*loadRun, error) {
 	load, err := r.deployment.StartLoad(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	s := &sending{load: load, services: options.Services == 1}
-	s.watched.Go(func() { s.problem = s.watch(ctx, options.Time) })
+	s := &loadRun{load: load, services: options.Services == 1}
+	s.watcher.Go(func() { s.watchErr = s.watch(ctx, options.Time) })
 	return s, nil
 }
 
-func (s *sending) watch(ctx context.Context, length time.Duration) (err error) {
-	if err := pause(ctx, warmTime); err != nil {
+func (s *loadRun) watch(ctx context.Context, length time.Duration) (err error) {
+	if err := pause(ctx, warmUpTime); err != nil {
 		return err
 	}
 	if s.first, err = s.load.Progress(ctx); err != nil {
 		return err
 	}
-	for end := time.Now().Add(length - warmTime - endTime); time.Now().Before(end); {
+	for end := time.Now().Add(length - warmUpTime - tailTime); time.Now().Before(end); {
 		if err := pause(ctx, watchInterval); err != nil {
 			return err
 		}
@@ -56,14 +56,14 @@
 }
 
 // wait waits for the last request's outcome.
-func (s *sending) wait(ctx context.Context) (err error) {
+func (s *loadRun) wait(ctx context.Context) (err error) {
 	s.summary, err = s.load.Wait(ctx)
-	s.watched.Wait()
-	return errors.Join(err, s.problem)
+	s.watcher.Wait()
+	return errors.Join(err, s.watchErr)
 }
 
 // rates returns the answers a second, all and those in time.
-func (s *sending) rates() (all, inTime float64) {
+func (s *loadRun) rates() (all, inTime float64) {
 	seconds := s.last.Seconds - s.first.Seconds
 	if seconds <= 0 {
 		return 0, 0
--- a/bench/internal/requests/result.go
+++ b/bench/internal/requests/result.go
@@ -47,8 +47,8 @@
 	AddedMsP50                float64 `json:"addedMsP50"`
 	// Calm and Small are set where the case compares with the same load before
 	// the trouble: all customers, and the small ones beside a greedy one.
-	Calm  *Compared `json:"calm,omitempty"`
-	Small *Compared `json:"small,omitempty"`
+	Calm  *Comparison `json:"calm,omitempty"`
+	Small *Comparison `json:"small,omitempty"`
 	// Failures counts the last failures of requests without an answer by kind.
 	Failures map[string]int `json:"failures,omitempty"`
 	Examples []audit.Breach `json:"examples,omitempty"`
@@ -57,7 +57,7 @@
 }
 
 // Compared holds percentiles before and during the trouble.
-type Compared struct {
+type Comparison struct {
 	FirstTokenMsP95Before float64 `json:"firstTokenMsP95Before"`
 	FirstTokenMsP95       float64 `json:"firstTokenMsP95"`
 	FirstTokenMsP99Before float64 `json:"firstTokenMsP99Before"`
@@ -66,8 +66,8 @@
 	AnswerMsP99           float64 `json:"answerMsP99"`
 }
 
-func compare(before, during deployment.LoadCounts) *Compared {
-	return &Compared{
+func compare(before, during deployment.LoadCounts) *Comparison {
+	return &Comparison{
 		FirstTokenMsP95Before: before.FirstTokenMsP95,
 		FirstTokenMsP95:       during.FirstTokenMsP95,
 		FirstTokenMsP99Before: before.FirstTokenMsP99,
@@ -108,17 +108,17 @@
 	return load * capacity()
 }
 
-func (r *Result) addRates(one *sending) {
-	all, inTime := one.rates()
+func (r *Result) addRates(lr *loadRun) {
+	all, inTime := lr.rates()
 	r.AnsweredPerSecond += all
 	r.Goodput += inTime / r.CapacityPerSecond
 }
 
 // addUse adds what the entries used for each request of all callers.
-func (r *Result) addUse(before, after use, sendings []*sending) {
+func (r *Result) addUsage(before, after entryUsage, loadRuns []*loadRun) {
 	sent := 0
-	for _, one := range sendings {
-		sent += one.summary.Requests
+	for _, lr := range loadRuns {
+		sent += lr.summary.Requests
 	}
 	if sent == 0 || after.cpu < before.cpu {
 		return // entries restarted: their counts began anew
@@ -129,7 +129,7 @@
 
 // addCalm compares with the same load before the trouble; beside a greedy
 // customer these are the small ones.
-func (r *Result) addCalm(c Case, before, during deployment.LoadCounts) {
+func (r *Result) addComparison(c Case, before, during deployment.LoadCounts) {
 	if c.Greedy {
 		r.Small = compare(before, during)
 		return
--- a/bench/internal/requests/run.go
+++ b/bench/internal/requests/run.go
@@ -27,34 +27,34 @@
 
 // The engines of the experiments.
 const (
-	slots         = 8
-	queue         = 16
-	tokenTime     = 10 * time.Millisecond
-	firstToken    = 40 * time.Millisecond
-	warmPart      = 0.25 // of the first token's time with a cached prefix
-	answerTokens  = 32
-	cachePrefixes = 64
-	promptGroups  = 400
-	promptBytes   = 200
+	slots              = 8
+	queue              = 16
+	tokenTime          = 10 * time.Millisecond
+	firstTokenTime     = 40 * time.Millisecond
+	cachedPrefixFactor = 0.25 // of the first token's time with a cached prefix
+	answerTokens       = 32
+	cachePrefixes      = 64
+	promptGroups       = 400
+	promptBytes        = 200
 )
 
 // Times of one case; all of it stays under a minute.
 const (
-	caseLimit    = 70 * time.Second
-	loadTime     = 20 * time.Second
-	calmTime     = 10 * time.Second
-	compareTime  = 3 * time.Second
-	compareLoad  = 0.2 // of the capacity, straight and through the system
-	troubleAfter = 3 * time.Second
+	caseLimit   = 70 * time.Second
+	loadTime    = 20 * time.Second
+	beforeTime  = 10 * time.Second
+	compareTime = 3 * time.Second
+	compareLoad = 0.2 // of the capacity, straight and through the system
+	faultDelay  = 3 * time.Second
 	// warmTime and endTime are left out of the rates.
-	warmTime      = 4 * time.Second
-	endTime       = time.Second
+	warmUpTime    = 4 * time.Second
+	tailTime      = time.Second
 	watchInterval = 500 * time.Millisecond
 	// longTime covers a restart of every entry and agent, each with its drain;
 	// arrivals stop once it is over and a little longer.
-	longTime  = 45 * time.Second
-	afterTime = 2 * time.Second
-	deadline  = 5 * time.Second
+	untilFaultEndsTime = 45 * time.Second
+	afterFaultTime     = 2 * time.Second
+	deadline           = 5 * time.Second
 )
 
 // Fractions of the requests; those to services come on top.
@@ -78,7 +78,7 @@
 // prefix cached, so a goodput of 1 is out of reach.
 func capacity() float64 {
 	perToken := tokenTime.Seconds() * (2 - 1.0/slots)
-	perRequest := warmPart*firstToken.Seconds() + answerTokens*perToken
+	perRequest := cachedPrefixFactor*firstTokenTime.Seconds() + answerTokens*perToken
 	return hostCount * slots / perRequest
 }
 
@@ -102,16 +102,16 @@
 	defer r.deployment.Stop()
 	result := Named(current)
 	var err error
-	if result.AddedMsP50, err = r.added(ctx); err != nil {
+	if result.AddedMsP50, err = r.addedLatency(ctx); err != nil {
 		return result, err
 	}
-	var calm deployment.LoadSummary
-	if current.Calm {
-		if calm, err = r.load(ctx, r.plain(current.Load, calmTime)); err != nil {
+	var before deployment.LoadSummary
+	if current.CompareBefore {
+		if before, err = r.load(ctx, r.loadOptions(current.Load, beforeTime)); err != nil {
 			return result, err
 		}
 	}
-	return result, r.measure(ctx, &result, calm)
+	return result, r.measure(ctx, &result, before)
 }
 
 func (r *run) start(ctx context.Context) (err error) {
@@ -128,7 +128,7 @@
 			Slots:          slots,
 			Queue:          queue,
 			TokenInterval:  tokenTime,
-			FirstTokenTime: firstToken,
+			FirstTokenTime: firstTokenTime,
 			CachePrefixes:  cachePrefixes,
 		},
 	})
@@ -159,7 +159,7 @@
 }
 
 // plain is the load of all customers alike.
-func (r *run) plain(load float64, length time.Duration) deployment.LoadOptions {
+func (r *run) loadOptions(load float64, length time.Duration) deployment.LoadOptions {
 	return deployment.LoadOptions{
 		Customers:     deployment.EvenShares(r.customers),
 		Rate:          load * capacity(),
@@ -178,17 +178,17 @@
 
 // added compares the first token through the system with the engines' own, at
 // the same light load of prompts that every engine has cached.
-func (r *run) added(ctx context.Context) (float64, error) {
-	options := r.plain(compareLoad, compareTime)
+func (r *run) addedLatency(ctx context.Context) (float64, error) {
+	options := r.loadOptions(compareLoad, compareTime)
 	options.PromptGroups, options.NonRepeatable = 1, 0
 	options.Direct = true
-	straight, err := r.load(ctx, options)
+	direct, err := r.load(ctx, options)
 	if err != nil {
 		return 0, err
 	}
 	options.Direct = false
 	through, err := r.load(ctx, options)
-	return through.FirstTokenMsP50 - straight.FirstTokenMsP50, err
+	return through.FirstTokenMsP50 - direct.FirstTokenMsP50, err
 }
 
 // load runs callers to their end.
@@ -201,28 +201,28 @@
 }
 
 // strike lets the trouble happen; in a long case arrivals end soon after it.
-func (r *run) strike(ctx context.Context, sendings []*sending) error {
-	if r.current.Trouble == nil {
+func (r *run) injectFault(ctx context.Context, loadRuns []*loadRun) error {
+	if r.current.Fault == nil {
 		return nil
 	}
-	if err := pause(ctx, troubleAfter); err != nil {
+	if err := pause(ctx, faultDelay); err != nil {
 		return err
 	}
 	r.options.Log.Info("trouble", "case", r.current.Name)
-	if err := r.current.Trouble(ctx, r.deployment); err != nil {
+	if err := r.current.Fault(ctx, r.deployment); err != nil {
 		return fmt.Errorf("trouble: %w", err)
 	}
-	if !r.current.Long {
+	if !r.current.UntilFaultEnds {
 		return nil
 	}
-	if err := pause(ctx, afterTime); err != nil {
+	if err := pause(ctx, afterFaultTime); err != nil {
 		return err
 	}
-	for _, one := range sendings {
-		if one.load.Ended() {
+	for _, lr := range loadRuns {
+		if lr.load.Ended() {
 			continue
 		}
-		if err := one.load.StopArrivals(ctx); err != nil {
+		if err := lr.load.StopArrivals(ctx); err != nil {
 			return err
 		}
 	}
@@ -230,62 +230,62 @@
 }
 
 // measure runs the case's own load and fills the result.
-func (r *run) measure(ctx context.Context, result *Result, calm deployment.LoadSummary) error {
+func (r *run) measure(ctx context.Context, result *Result, before deployment.LoadSummary) error {
 	usedBefore, ranBefore := r.usage(ctx), audit.Collect(ctx, r.deployment)
-	sendings, err := r.sendings(ctx)
+	loadRuns, err := r.loadRuns(ctx)
 	if err != nil {
 		return err
 	}
-	err = r.strike(ctx, sendings)
-	for _, one := range sendings {
-		err = errors.Join(err, one.wait(ctx))
+	err = r.injectFault(ctx, loadRuns)
+	for _, lr := range loadRuns {
+		err = errors.Join(err, lr.wait(ctx))
 	}
 	if err != nil {
 		return err
 	}
-	result.addTimes(sendings[0].summary)
-	for _, one := range sendings {
-		result.addCounts(one.summary)
-		if !one.services {
-			result.addRates(one)
+	result.addTimes(loadRuns[0].summary)
+	for _, lr := range loadRuns {
+		result.addCounts(lr.summary)
+		if !lr.services {
+			result.addRates(lr)
 		}
 	}
-	result.addUse(usedBefore, r.usage(ctx), sendings)
-	if r.current.Calm {
-		result.addCalm(r.current, calm.LoadCounts, sendings[0].summary.LoadCounts)
+	result.addUsage(usedBefore, r.usage(ctx), loadRuns)
+	if r.current.CompareBefore {
+		result.addComparison(r.current, before.LoadCounts, loadRuns[0].summary.LoadCounts)
 	}
-	return r.audit(ctx, result, ranBefore, sendings)
+	return r.audit(ctx, result, ranBefore, loadRuns)
 }
 
 // sendings starts the callers: those whose times count first, then a greedy
 // customer's, then those of the plain services, which take nothing of the
 // engines' capacity and so must not count as goodput.
-func (r *run) sendings(ctx context.Context) ([]*sending, error) {
-	engines := r.plain(r.current.Load, r.current.length())
+func (r *run) loadRuns(ctx context.Context) ([]*loadRun, error) {
+	engines := r.loadOptions(r.current.Load, r.current.length())
 	services := engines
 	services.Services, services.Rate = 1, toServices*engines.Rate
 	all := []deployment.LoadOptions{engines, services}
 	if r.current.Greedy {
 		all[0].Customers = deployment.EvenShares(r.customers[1:])
-		greedy := r.plain(greedyLoad, loadTime)
+		greedy := r.loadOptions(greedyLoad, loadTime)
 		greedy.Customers = deployment.EvenShares(r.customers[:1])
 		all = []deployment.LoadOptions{all[0], greedy, services}
 	}
-	var begun []*sending
+	var begun []*loadRun
 	for _, options := range all {
-		one, err := r.begin(ctx, options)
+		lr, err := r.begin(ctx, options)
 		if err != nil {
 			return nil, err
 		}
-		begun = append(begun, one)
+		begun = append(begun, lr)
 	}
 	return begun, nil
 }
 
-func (r *run) audit(ctx context.Context, result *Result, before audit.Ledgers, sendings []*sending) error {
+func (r *run) audit(ctx context.Context, result *Result, before audit.Ledgers, loadRuns []*loadRun) error {
 	ledgers := audit.Collect(ctx, r.deployment)
-	for _, one := range sendings {
-		found, err := audit.CompareFile(one.load, ledgers.Runs, r.deployment, deadline)
+	for _, lr := range loadRuns {
+		found, err := audit.CompareFile(lr.load, ledgers.Runs, r.deployment, deadline)
 		if err != nil {
 			return err
 		}
@@ -301,14 +301,14 @@
 }
 
 // use is what the entries have used so far.
-type use struct {
+type entryUsage struct {
 	cpu       time.Duration
 	allocated float64
 }
 
 // usage sums over the entries that run; one that was restarted counts from its
 // new start.
-func (r *run) usage(ctx context.Context) (sum use) {
+func (r *run) usage(ctx context.Context) (sum entryUsage) {
 	for _, m := range r.deployment.Entries() {
 		if used, err := m.Process().Usage(); err == nil {
 			sum.cpu += used.CPU
