--- a/bench/internal/requests/cases.go
+++ b/bench/internal/requests/cases.go
@@ -6,23 +6,25 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Case is one experiment.
+// Case describes one experiment.
 type Case struct {
 	Name string
-	// Policy is empty for the system's own, or a baseline's name.
+	// Policy is the name of a baseline route policy; empty selects the system's.
 	Policy string
-	// Load is the offered rate over the engines' capacity.
+	// Load is the offered rate as a fraction of the engines' capacity.
 	Load float64
-	// Trouble happens while the callers send; nil for none.
+	// Fault is injected while the callers send; nil for none.
 	Fault faultFunc
-	// Calm runs the same load without the trouble first, to compare with.
+	// CompareBefore first runs the same load without the fault, for comparison.
 	CompareBefore bool
-	// Greedy lets one large customer send by itself beside the others.
+	// Greedy makes one large customer overload the system on its own while the
+	// others send their usual load.
 	Greedy bool
-	// Long lets the callers go on until the trouble is over.
+	// UntilFaultEnds keeps the callers sending until the fault is over.
 	UntilFaultEnds bool
 }
 
+// length returns how long requests arrive.
 func (c Case) length() time.Duration {
 	if c.UntilFaultEnds {
 		return untilFaultEndsTime
@@ -30,7 +32,8 @@
 	return loadTime
 }
 
-// Loads of the cases with a fault, and of the callers beside a greedy one.
+// Loads of the cases with a fault, of the small customers in the greedy case and of
+// the greedy customer.
 const (
 	faultLoad  = 0.6
 	smallLoad  = 0.3
--- a/bench/internal/requests/faults.go
+++ b/bench/internal/requests/faults.go
@@ -12,25 +12,25 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// trouble happens to the deployment while callers send; it returns once it is over
-// or set for good.
+// faultFunc injects a fault into the deployment while callers send. It returns once
+// the fault is over or, if it is permanent, in effect.
 type faultFunc func(ctx context.Context, h *deployment.Deployment) error
 
-// Times within a case.
+// Durations of temporary faults and of the gap between restarts.
 const (
 	faultTime  = 4 * time.Second
 	restartGap = 300 * time.Millisecond
 )
 
-// victim is the engine host that troubles strike.
+// targetHost returns the engine host into which faults are injected.
 func targetHost(h *deployment.Deployment) *deployment.Member { return h.Agents()[2] }
 
-// slowReplica makes one engine a tenth as fast; it goes on reporting as usual.
+// slowReplica makes one engine ten times slower while its reports stay as usual.
 func slowReplica(ctx context.Context, h *deployment.Deployment) error {
 	return h.SetEngineFaults(ctx, targetHost(h), deployment.EngineFaults{SlowFactor: 10})
 }
 
-// failsFast makes one engine refuse all at once and so look idle.
+// failsFast makes one engine reject every request immediately, so that it looks idle.
 func failsFast(ctx context.Context, h *deployment.Deployment) error {
 	return h.SetEngineFaults(ctx, targetHost(h), deployment.EngineFaults{FailFast: true, ReportIdle: true})
 }
@@ -43,6 +43,7 @@
 	return injectTemporarily(ctx, h, deployment.EngineFaults{DieAfterTokens: 5})
 }
 
+// injectTemporarily injects engine faults for faultTime.
 func injectTemporarily(ctx context.Context, h *deployment.Deployment, faults deployment.EngineFaults) error {
 	if err := h.SetEngineFaults(ctx, targetHost(h), faults); err != nil {
 		return err
@@ -55,7 +56,7 @@
 	return h.Kill(ctx, targetHost(h))
 }
 
-// coldReplica lets a host die and come back with nothing.
+// coldReplica kills a host and restarts it without weights or caches.
 func coldReplica(ctx context.Context, h *deployment.Deployment) error {
 	if err := h.Kill(ctx, targetHost(h)); err != nil {
 		return err
@@ -66,8 +67,8 @@
 	return h.Restart(ctx, targetHost(h))
 }
 
-// agentPauses stops an agent past every deadline of its requests' first
-// attempts and lets it wake with what it held.
+// agentPauses suspends an agent beyond the deadlines of the first attempts of its
+// requests. After that the agent continues with the requests that it holds.
 func agentPauses(ctx context.Context, h *deployment.Deployment) error {
 	if err := targetHost(h).Pause(); err != nil {
 		return err
@@ -88,8 +89,8 @@
 	return targetHost(h).Terminate(ctx)
 }
 
-// restartAll restarts every entry and every agent gracefully: entries one by
-// one, and beside them as many agents at once as there are places.
+// restartAll restarts every entry and every agent gracefully: entries one by one,
+// and concurrently with them as many agents at a time as there are places.
 func restartAll(ctx context.Context, h *deployment.Deployment) error {
 	agents := append(append([]*deployment.Member(nil), h.Agents()...), h.Services()...)
 	var both errgroup.Group
@@ -98,7 +99,7 @@
 	return both.Wait()
 }
 
-// restartInTurn restarts so many members at once.
+// restartInTurn restarts the members in groups of size at.
 func restartInTurn(ctx context.Context, h *deployment.Deployment, members []*deployment.Member, at int) error {
 	for group := range slices.Chunk(members, at) {
 		var restarts errgroup.Group
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// serviceLosesReplies lets calls run whose replies are lost, and refuses some.
+// serviceLosesReplies makes the services run some calls but lose their replies, and
+// refuse others before they run.
 func serviceLosesReplies(ctx context.Context, h *deployment.Deployment) error {
 	var err error
 	for _, m := range h.Services() {
@@ -129,7 +131,7 @@
 	return err
 }
 
-// kvDown takes the key-value service away for longer than a lease.
+// kvDown makes the key-value service unavailable for longer than a lease.
 func kvDown(ctx context.Context, h *deployment.Deployment) error {
 	if err := h.SetKVFaults(ctx, deployment.KVFaults{Down: true}); err != nil {
 		return err
--- a/bench/internal/requests/loadrun.go
+++ b/bench/internal/requests/loadrun.go
@@ -9,19 +9,19 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// sending is one run of callers whose rates are measured.
+// loadRun is one run of callers whose rates are measured.
 type loadRun struct {
 	load     *deployment.Load
-	services bool                   // sends to plain services alone
+	services bool                   // sends only to plain services
 	summary  deployment.LoadSummary // set by wait
-	// first and last are the counts after the warm-up and close to the end of
-	// the arrivals: what is answered after them would flatter an overload.
+	// first and last are the counts after the warm-up and close to the end of the
+	// arrivals. Answers after the last arrivals would flatter an overload case.
 	first, last deployment.LoadSummary
 	watcher     sync.WaitGroup
-	watchErr    error // of the watching
+	watchErr    error // set by watch
 }
 
-// begin starts callers and reads their counts meanwhile.
+// begin starts callers and polls their counts in the background.
 func (r *run) begin(ctx context.Context, options deployment.LoadOptions) (*loadRun, error) {
 	load, err := r.deployment.StartLoad(ctx, options)
 	if err != nil {
@@ -32,6 +32,7 @@
 	return s, nil
 }
 
+// watch polls the counts of the load from the end of the warm-up to the tail.
 func (s *loadRun) watch(ctx context.Context, length time.Duration) (err error) {
 	if err := pause(ctx, warmUpTime); err != nil {
 		return err
@@ -55,14 +56,14 @@
 	return nil
 }
 
-// wait waits for the last request's outcome.
+// wait waits until the last request has an outcome.
 func (s *loadRun) wait(ctx context.Context) (err error) {
 	s.summary, err = s.load.Wait(ctx)
 	s.watcher.Wait()
 	return errors.Join(err, s.watchErr)
 }
 
-// rates returns the answers a second, all and those in time.
+// rates returns the answers per second: all, and those within the deadline.
 func (s *loadRun) rates() (all, inTime float64) {
 	seconds := s.last.Seconds - s.first.Seconds
 	if seconds <= 0 {
--- a/bench/internal/requests/result.go
+++ b/bench/internal/requests/result.go
@@ -15,9 +15,9 @@
 	CapacityPerSecond float64 `json:"capacityPerSecond"`
 	OfferedPerSecond  float64 `json:"offeredPerSecond"`
 	AnsweredPerSecond float64 `json:"answeredPerSecond"`
-	// Goodput is the rate of engines' answers in time over the engines'
-	// capacity, while arrivals went on. Calls to plain services are in the
-	// counts below alone.
+	// Goodput is the rate of engine answers within the deadline, as a fraction of
+	// the engines' capacity, while requests arrived. Calls to plain services are
+	// included only in the counts below.
 	Goodput            float64 `json:"goodput"`
 	FirstTokenMsP50    float64 `json:"firstTokenMsP50"`
 	FirstTokenMsP95    float64 `json:"firstTokenMsP95"`
@@ -34,29 +34,29 @@
 	WrongAnswer        int     `json:"wrongAnswer"`
 	WrongVersion       int     `json:"wrongVersion"`
 	CutOff             int     `json:"cutOff"`
-	// CutByDeath counts answers cut by the death of the entry that sent them;
-	// their callers know them as unknown, and they are no violation.
+	// CutByDeath counts answers that were cut off because the entry that sent them
+	// was killed. Their callers report the outcome unknown; they are no violation.
 	CutByDeath int `json:"cutByDeath"`
-	// CutLate are those whose deadline had passed.
+	// CutLate counts answers cut off after their deadline.
 	CutLate       int `json:"cutLate"`
 	NotRunButRan  int `json:"notRunButRan"`
 	OtherBreaches int `json:"otherBreaches"`
-	// Use of the entries; 0 where they restarted.
+	// Resource usage of the entries; 0 if they were restarted.
 	EntryCPUUsPerRequest      float64 `json:"entryCpuUsPerRequest"`
 	EntryAllocBytesPerRequest float64 `json:"entryAllocBytesPerRequest"`
 	AddedMsP50                float64 `json:"addedMsP50"`
-	// Calm and Small are set where the case compares with the same load before
-	// the trouble: all customers, and the small ones beside a greedy one.
+	// Calm and Small are set if the case compares with the same load before the
+	// fault: Calm for all customers, Small for those beside a greedy one.
 	Calm  *Comparison `json:"calm,omitempty"`
 	Small *Comparison `json:"small,omitempty"`
-	// Failures counts the last failures of requests without an answer by kind.
+	// Failures counts unanswered requests by the kind of their last failure.
 	Failures map[string]int `json:"failures,omitempty"`
 	Examples []audit.Breach `json:"examples,omitempty"`
-	// Error says why the case did not come to its end; the figures are void.
+	// Error says why the case was aborted; the figures are then invalid.
 	Error string `json:"error,omitempty"`
 }
 
-// Compared holds percentiles before and during the trouble.
+// Comparison holds percentiles before and during the fault.
 type Comparison struct {
 	FirstTokenMsP95Before float64 `json:"firstTokenMsP95Before"`
 	FirstTokenMsP95       float64 `json:"firstTokenMsP95"`
@@ -77,12 +77,12 @@
 	}
 }
 
-// Violations returns the sum of all that must be 0.
+// Violations returns the sum of all counts that must be 0.
 func (r Result) Violations() int {
 	return r.Doubled + r.WrongAnswer + r.WrongVersion + r.CutOff + r.NotRunButRan + r.OtherBreaches
 }
 
-// Named returns the line's fields that are known before the case runs.
+// Named returns a Result with the fields that are known before the case runs.
 func Named(c Case) Result {
 	policy := c.Policy
 	if policy == "" {
@@ -99,7 +99,7 @@
 	}
 }
 
-// offered is the rate of all callers together.
+// offered returns the request rate of all callers together.
 func (c Case) offered() float64 {
 	load := c.Load
 	if c.Greedy {
@@ -114,21 +114,21 @@
 	r.Goodput += inTime / r.CapacityPerSecond
 }
 
-// addUse adds what the entries used for each request of all callers.
+// addUsage sets the resources that the entries used per request of all callers.
 func (r *Result) addUsage(before, after entryUsage, loadRuns []*loadRun) {
 	sent := 0
 	for _, lr := range loadRuns {
 		sent += lr.summary.Requests
 	}
 	if sent == 0 || after.cpu < before.cpu {
-		return // entries restarted: their counts began anew
+		return // entries were restarted, so their counters were reset
 	}
 	r.EntryCPUUsPerRequest = float64((after.cpu - before.cpu).Microseconds()) / float64(sent)
 	r.EntryAllocBytesPerRequest = (after.allocated - before.allocated) / float64(sent)
 }
 
-// addCalm compares with the same load before the trouble; beside a greedy
-// customer these are the small ones.
+// addComparison compares with the same load before the fault. In the greedy case it
+// compares the small customers only.
 func (r *Result) addComparison(c Case, before, during deployment.LoadCounts) {
 	if c.Greedy {
 		r.Small = compare(before, during)
@@ -137,7 +137,7 @@
 	r.Calm = compare(before, during)
 }
 
-// addCounts adds the outcomes of one run of callers.
+// addCounts adds the request outcomes of one load run.
 func (r *Result) addCounts(summary deployment.LoadSummary) {
 	r.Requests += summary.Requests
 	r.Answered += summary.Answered
--- a/bench/internal/requests/run.go
+++ b/bench/internal/requests/run.go
@@ -1,6 +1,6 @@
-// Package requests measures requests under load, faults and shutdowns: real
-// processes, open arrivals, answers checked by the callers and runs counted by
-// the back ends.
+// Package requests measures request handling under load, faults and shutdowns. It
+// uses real processes and an open arrival process; the callers check the answers
+// and the endpoints count the runs.
 package requests
 
 import (
@@ -15,7 +15,7 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// The deployment of the experiments: one of the users' deployments.
+// Size of the deployment in the experiments, taken from one of the users' own.
 const (
 	entryCount    = 9
 	hostCount     = 14
@@ -25,39 +25,39 @@
 	chunkKiB      = 64
 )
 
-// The engines of the experiments.
+// Configuration of the engines and their requests.
 const (
 	slots              = 8
 	queue              = 16
 	tokenTime          = 10 * time.Millisecond
 	firstTokenTime     = 40 * time.Millisecond
-	cachedPrefixFactor = 0.25 // of the first token's time with a cached prefix
+	cachedPrefixFactor = 0.25 // fraction of firstTokenTime that a cached prefix needs
 	answerTokens       = 32
 	cachePrefixes      = 64
 	promptGroups       = 400
 	promptBytes        = 200
 )
 
-// Times of one case; all of it stays under a minute.
+// Times of one case, chosen so that a case stays under a minute.
 const (
 	caseLimit   = 70 * time.Second
 	loadTime    = 20 * time.Second
 	beforeTime  = 10 * time.Second
 	compareTime = 3 * time.Second
-	compareLoad = 0.2 // of the capacity, straight and through the system
+	compareLoad = 0.2 // fraction of the capacity, sent directly and through the system
 	faultDelay  = 3 * time.Second
-	// warmTime and endTime are left out of the rates.
+	// warmUpTime and tailTime are excluded from the rates.
 	warmUpTime    = 4 * time.Second
 	tailTime      = time.Second
 	watchInterval = 500 * time.Millisecond
-	// longTime covers a restart of every entry and agent, each with its drain;
-	// arrivals stop once it is over and a little longer.
+	// untilFaultEndsTime covers a restart of every entry and agent, each with its
+	// drain. Arrivals stop afterFaultTime after the fault is over.
 	untilFaultEndsTime = 45 * time.Second
 	afterFaultTime     = 2 * time.Second
 	deadline           = 5 * time.Second
 )
 
-// Fractions of the requests; those to services come on top.
+// Fractions of the requests; toServices is added to the requests to engines.
 const (
 	nonRepeatable = 0.3
 	doubleSend    = 0.1
@@ -68,21 +68,21 @@
 type Options struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// ProcessLog receives the processes' logs.
+	// ProcessLog receives the logs of all processes.
 	ProcessLog io.Writer
 	Log        *slog.Logger
 	Seed       uint64
 }
 
-// capacity is what the engines answer a second with every slot taken and every
-// prefix cached, so a goodput of 1 is out of reach.
+// capacity returns the requests per second that the engines answer with every slot
+// busy and every prefix cached. This is an ideal, so a goodput of 1 is out of reach.
 func capacity() float64 {
 	perToken := tokenTime.Seconds() * (2 - 1.0/slots)
 	perRequest := cachedPrefixFactor*firstTokenTime.Seconds() + answerTokens*perToken
 	return hostCount * slots / perRequest
 }
 
-// run is one case while it runs.
+// run is the state of a running case.
 type run struct {
 	options    Options
 	current    Case
@@ -91,7 +91,7 @@
 	customers  []deployment.Customer
 }
 
-// Run runs one case and returns its line.
+// Run runs one case and returns its result.
 func Run(ctx context.Context, options Options, current Case) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, caseLimit)
 	defer cancel()
@@ -138,7 +138,7 @@
 	return r.serve(ctx)
 }
 
-// serve brings the model to every host.
+// serve publishes the model and waits until every host serves it.
 func (r *run) serve(ctx context.Context) error {
 	if err := r.deployment.WaitRoutable(ctx); err != nil {
 		return err
@@ -158,7 +158,7 @@
 	return r.deployment.WaitAnswering(ctx, r.customers[0])
 }
 
-// plain is the load of all customers alike.
+// loadOptions returns a load to which all customers contribute equally.
 func (r *run) loadOptions(load float64, length time.Duration) deployment.LoadOptions {
 	return deployment.LoadOptions{
 		Customers:     deployment.EvenShares(r.customers),
@@ -176,8 +176,9 @@
 	}
 }
 
-// added compares the first token through the system with the engines' own, at
-// the same light load of prompts that every engine has cached.
+// addedLatency returns by how many milliseconds the system delays the first token at
+// the median, compared with direct requests. Both runs use the same light load of
+// prompts that every engine has cached.
 func (r *run) addedLatency(ctx context.Context) (float64, error) {
 	options := r.loadOptions(compareLoad, compareTime)
 	options.PromptGroups, options.NonRepeatable = 1, 0
@@ -191,7 +192,7 @@
 	return through.FirstTokenMsP50 - direct.FirstTokenMsP50, err
 }
 
-// load runs callers to their end.
+// load runs callers until their last request has an outcome.
 func (r *run) load(ctx context.Context, options deployment.LoadOptions) (deployment.LoadSummary, error) {
 	load, err := r.deployment.StartLoad(ctx, options)
 	if err != nil {
@@ -200,7 +201,8 @@
 	return load.Wait(ctx)
 }
 
-// strike lets the trouble happen; in a long case arrivals end soon after it.
+// injectFault injects the case's fault. If the case runs until the fault ends, it
+// stops the arrivals soon after.
 func (r *run) injectFault(ctx context.Context, loadRuns []*loadRun) error {
 	if r.current.Fault == nil {
 		return nil
@@ -210,7 +212,7 @@
 	}
 	r.options.Log.Info("trouble", "case", r.current.Name)
 	if err := r.current.Fault(ctx, r.deployment); err != nil {
-		return fmt.Errorf("trouble: %w", err)
+		return fmt.Errorf("inject fault: %w", err)
 	}
 	if !r.current.UntilFaultEnds {
 		return nil
@@ -229,7 +231,7 @@
 	return nil
 }
 
-// measure runs the case's own load and fills the result.
+// measure runs the load of the case and fills in the result.
 func (r *run) measure(ctx context.Context, result *Result, before deployment.LoadSummary) error {
 	usedBefore, ranBefore := r.usage(ctx), audit.Collect(ctx, r.deployment)
 	loadRuns, err := r.loadRuns(ctx)
@@ -257,9 +259,9 @@
 	return r.audit(ctx, result, ranBefore, loadRuns)
 }
 
-// sendings starts the callers: those whose times count first, then a greedy
-// customer's, then those of the plain services, which take nothing of the
-// engines' capacity and so must not count as goodput.
+// loadRuns starts the callers: first those whose latencies are reported, then a
+// greedy customer's, last those of the plain services. Services use none of the
+// engines' capacity, so their answers must not count as goodput.
 func (r *run) loadRuns(ctx context.Context) ([]*loadRun, error) {
 	engines := r.loadOptions(r.current.Load, r.current.length())
 	services := engines
@@ -282,6 +284,7 @@
 	return begun, nil
 }
 
+// audit compares the callers' records with the endpoints' ledgers.
 func (r *run) audit(ctx context.Context, result *Result, before audit.Ledgers, loadRuns []*loadRun) error {
 	ledgers := audit.Collect(ctx, r.deployment)
 	for _, lr := range loadRuns {
@@ -300,14 +303,14 @@
 	return nil
 }
 
-// use is what the entries have used so far.
+// entryUsage is the resource usage of all entries so far.
 type entryUsage struct {
 	cpu       time.Duration
 	allocated float64
 }
 
-// usage sums over the entries that run; one that was restarted counts from its
-// new start.
+// usage sums the usage of the running entries. The counters of a restarted entry
+// begin at its last start.
 func (r *run) usage(ctx context.Context) (sum entryUsage) {
 	for _, m := range r.deployment.Entries() {
 		if used, err := m.Process().Usage(); err == nil {
