--- a/bench/internal/control/run.go
+++ b/bench/internal/control/run.go
@@ -21,14 +21,14 @@
 	// caseLimit bounds one case, its start included.
 	caseLimit = 110 * time.Second
 	// quietTime is measured without changes, costTime with.
-	quietTime = 6 * time.Second
-	costTime  = 12 * time.Second
+	idleTime   = 6 * time.Second
+	changeTime = 12 * time.Second
 	// spreadTime is how long changes are followed to every node, at least
 	// leastChanges of them.
-	spreadTime   = 12 * time.Second
-	leastChanges = 2
-	modelMiB     = 1
-	chunkKiB     = 64
+	propagationTime = 12 * time.Second
+	minChanges      = 2
+	modelMiB        = 1
+	chunkKiB        = 64
 )
 
 // Options configure a run of cases.
@@ -88,14 +88,14 @@
 		return err
 	}
 	r.version = made.Version
-	if err := r.change(ctx); err != nil {
+	if err := r.submitChange(ctx); err != nil {
 		return err
 	}
 	return r.deployment.WaitServing(ctx, r.deployment.Agents(), made.Version, nil)
 }
 
 // change submits a document that differs in one customer's limit.
-func (r *run) change(ctx context.Context) error {
+func (r *run) submitChange(ctx context.Context) error {
 	customers := deployment.Customers(r.current.Customers)
 	customers[r.changes%len(customers)].RequestsPerSecond = float64(1000 + r.changes)
 	doc := r.deployment.Document(deployment.Desired{Version: r.version, Objective: deployment.ObjectiveTime, Customers: customers})
@@ -111,7 +111,7 @@
 }
 
 // every calls do at the case's rate for the time.
-func (r *run) every(ctx context.Context, length time.Duration, do func(context.Context) error) error {
+func (r *run) repeat(ctx context.Context, length time.Duration, do func(context.Context) error) error {
 	interval := time.Duration(float64(time.Second) / r.current.ChangesPerSecond)
 	next, end := time.Now(), time.Now().Add(length)
 	for next.Before(end) {
@@ -131,32 +131,32 @@
 }
 
 func (r *run) measure(ctx context.Context, result *Result) error {
-	quiet, err := r.cost(ctx, func() error { return pause(ctx, quietTime) })
+	idle, err := r.measureUsage(ctx, func() error { return pause(ctx, idleTime) })
 	if err != nil {
 		return err
 	}
-	result.IdleKVReadsPerSecond, result.IdleKVWritesPerSecond = quiet.reads, quiet.writes
-	result.IdleBytesPerNodePerSecond = quiet.bytes(entryCount, r.current.Agents)
-	busy, err := r.cost(ctx, func() error { return r.every(ctx, costTime, r.change) })
+	result.IdleKVReadsPerSecond, result.IdleKVWritesPerSecond = idle.reads, idle.writes
+	result.IdleBytesPerNodePerSecond = idle.bytes(entryCount, r.current.Agents)
+	changing, err := r.measureUsage(ctx, func() error { return r.repeat(ctx, changeTime, r.submitChange) })
 	if err != nil {
 		return err
 	}
-	result.addCost(busy, r.current.Agents)
-	if err := r.spread(ctx); err != nil {
+	result.addUsage(changing, r.current.Agents)
+	if err := r.measurePropagation(ctx); err != nil {
 		return err
 	}
-	if err := r.trouble(ctx, result); err != nil {
+	if err := r.injectFault(ctx, result); err != nil {
 		return err
 	}
-	return r.finish(ctx, result)
+	return r.fillResult(ctx, result)
 }
 
 // spread follows changes until each is in force on every node.
-func (r *run) spread(ctx context.Context) error {
-	length := max(spreadTime, time.Duration(leastChanges/r.current.ChangesPerSecond*float64(time.Second)))
+func (r *run) measurePropagation(ctx context.Context) error {
+	length := max(propagationTime, time.Duration(minChanges/r.current.ChangesPerSecond*float64(time.Second)))
 	return r.follower.During(ctx, func() error {
-		err := r.every(ctx, length, func(ctx context.Context) error {
-			if err := r.change(ctx); err != nil {
+		err := r.repeat(ctx, length, func(ctx context.Context) error {
+			if err := r.submitChange(ctx); err != nil {
 				return err
 			}
 			r.follower.Accepted(r.revision, time.Now())
@@ -170,7 +170,7 @@
 }
 
 // trouble provokes the case's outage or restart.
-func (r *run) trouble(ctx context.Context, result *Result) error {
+func (r *run) injectFault(ctx context.Context, result *Result) error {
 	switch {
 	case r.current.Outage > 0:
 		return r.outage(ctx, result)
@@ -186,13 +186,13 @@
 	if err := r.deployment.SetKVFaults(ctx, deployment.KVFaults{Down: true}); err != nil {
 		return err
 	}
-	refused := r.change(ctx) != nil
+	refused := r.submitChange(ctx) != nil
 	result.OutageRefused = &refused
 	err := pause(ctx, r.current.Outage)
 	if err = errors.Join(err, r.deployment.SetKVFaults(ctx, deployment.KVFaults{})); err != nil {
 		return err
 	}
-	return r.recover(ctx, result)
+	return r.measureRecovery(ctx, result)
 }
 
 // restartAll kills every entry and agent and starts all at once.
@@ -205,14 +205,14 @@
 	if err := r.deployment.RestartAll(ctx); err != nil {
 		return err
 	}
-	return r.recover(ctx, result)
+	return r.measureRecovery(ctx, result)
 }
 
 // recover measures the time until a new document is in force everywhere.
-func (r *run) recover(ctx context.Context, result *Result) error {
+func (r *run) measureRecovery(ctx context.Context, result *Result) error {
 	started := time.Now()
 	err := r.follower.During(ctx, func() error {
-		for r.change(ctx) != nil {
+		for r.submitChange(ctx) != nil {
 			if err := pause(ctx, follow.Interval); err != nil {
 				return err
 			}
@@ -223,7 +223,7 @@
 	return err
 }
 
-func (r *run) finish(ctx context.Context, result *Result) error {
+func (r *run) fillResult(ctx context.Context, result *Result) error {
 	ledger, err := r.deployment.KVLedger(ctx)
 	if err != nil {
 		return err
--- a/bench/internal/control/usage.go
+++ b/bench/internal/control/usage.go
@@ -8,7 +8,7 @@
 )
 
 // cost is what a stretch of time cost, in sums over the nodes of a role.
-type cost struct {
+type usageRates struct {
 	length                     time.Duration
 	reads, writes              float64 // of the key-value service, a second
 	entryBytes, agentBytes     float64 // between processes, a second
@@ -18,12 +18,12 @@
 }
 
 // bytes returns the mean a node and second.
-func (c cost) bytes(entries, agents int) float64 {
+func (c usageRates) bytes(entries, agents int) float64 {
 	return (c.entryBytes + c.agentBytes) / float64(entries+agents)
 }
 
 // sums are the figures at one moment.
-type sums struct {
+type totals struct {
 	at                     time.Time
 	reads, writes          int
 	entryBytes, agentBytes float64
@@ -32,19 +32,19 @@
 	entryMax, agentMax     uint64
 }
 
-func (r *run) sums(ctx context.Context) (sums, error) {
+func (r *run) readTotals(ctx context.Context) (totals, error) {
 	ledger, err := r.deployment.KVLedger(ctx)
 	if err != nil {
-		return sums{}, err
+		return totals{}, err
 	}
-	out := sums{at: time.Now(), reads: ledger.Reads, writes: ledger.Writes}
+	out := totals{at: time.Now(), reads: ledger.Reads, writes: ledger.Writes}
 	for _, m := range r.deployment.Entries() {
-		if err := r.addUsage(ctx, m, usageOf{&out.entryBytes, &out.entryCPU, &out.entryMax, &out.io}); err != nil {
+		if err := r.addUsage(ctx, m, roleTotals{&out.entryBytes, &out.entryCPU, &out.entryMax, &out.io}); err != nil {
 			return out, err
 		}
 	}
 	for _, m := range r.deployment.Agents() {
-		if err := r.addUsage(ctx, m, usageOf{&out.agentBytes, &out.agentCPU, &out.agentMax, &out.io}); err != nil {
+		if err := r.addUsage(ctx, m, roleTotals{&out.agentBytes, &out.agentCPU, &out.agentMax, &out.io}); err != nil {
 			return out, err
 		}
 	}
@@ -52,14 +52,14 @@
 }
 
 // usageOf points to the sums that a member of one role adds to.
-type usageOf struct {
+type roleTotals struct {
 	bytes   *float64
 	cpu     *time.Duration
 	largest *uint64
 	io      *uint64
 }
 
-func (r *run) addUsage(ctx context.Context, m *deployment.Member, sum usageOf) error {
+func (r *run) addUsage(ctx context.Context, m *deployment.Member, sum roleTotals) error {
 	use, err := m.Process().Usage()
 	if err != nil {
 		return err
@@ -75,21 +75,21 @@
 	return nil
 }
 
-// cost measures what happens while do runs.
-func (r *run) cost(ctx context.Context, do func() error) (cost, error) {
-	before, err := r.sums(ctx)
+// measureUsage measures what happens while do runs.
+func (r *run) measureUsage(ctx context.Context, do func() error) (usageRates, error) {
+	before, err := r.readTotals(ctx)
 	if err != nil {
-		return cost{}, err
+		return usageRates{}, err
 	}
 	if err := do(); err != nil {
-		return cost{}, err
+		return usageRates{}, err
 	}
-	after, err := r.sums(ctx)
+	after, err := r.readTotals(ctx)
 	if err != nil {
-		return cost{}, err
+		return usageRates{}, err
 	}
 	length := after.at.Sub(before.at)
-	return cost{
+	return usageRates{
 		length:       length,
 		reads:        float64(after.reads-before.reads) / length.Seconds(),
 		writes:       float64(after.writes-before.writes) / length.Seconds(),
@@ -103,19 +103,19 @@
 	}, nil
 }
 
-func (r *Result) addCost(busy cost, agents int) {
+func (r *Result) addUsage(changing usageRates, agents int) {
 	const mebibyte = 1 << 20
 	percent := func(cpu time.Duration, nodes int) float64 {
-		return 100 * cpu.Seconds() / busy.length.Seconds() / float64(nodes)
+		return 100 * cpu.Seconds() / changing.length.Seconds() / float64(nodes)
 	}
-	r.KVReadsPerSecond, r.KVWritesPerSecond = busy.reads, busy.writes
-	r.ControlBytesPerNodePerSecond = busy.bytes(entryCount, agents)
-	r.ControlBytesPerEntryPerSecond = busy.entryBytes / entryCount
-	r.ControlBytesPerAgentPerSecond = busy.agentBytes / float64(agents)
-	r.IOBytesPerNodePerSecond = busy.nodeIO / float64(entryCount+agents)
-	r.ControlCPUPercentPerNode = percent(busy.entryCPU+busy.agentCPU, entryCount+agents)
-	r.ControlCPUPercentPerEntry = percent(busy.entryCPU, entryCount)
-	r.ControlCPUPercentPerAgent = percent(busy.agentCPU, agents)
-	r.ResidentMib = max(busy.largestEntry, busy.largestAgent) / mebibyte
-	r.ResidentMibAgent = busy.largestAgent / mebibyte
+	r.KVReadsPerSecond, r.KVWritesPerSecond = changing.reads, changing.writes
+	r.ControlBytesPerNodePerSecond = changing.bytes(entryCount, agents)
+	r.ControlBytesPerEntryPerSecond = changing.entryBytes / entryCount
+	r.ControlBytesPerAgentPerSecond = changing.agentBytes / float64(agents)
+	r.IOBytesPerNodePerSecond = changing.nodeIO / float64(entryCount+agents)
+	r.ControlCPUPercentPerNode = percent(changing.entryCPU+changing.agentCPU, entryCount+agents)
+	r.ControlCPUPercentPerEntry = percent(changing.entryCPU, entryCount)
+	r.ControlCPUPercentPerAgent = percent(changing.agentCPU, agents)
+	r.ResidentMib = max(changing.largestEntry, changing.largestAgent) / mebibyte
+	r.ResidentMibAgent = changing.largestAgent / mebibyte
 }
