--- a/bench/internal/control/cases.go
+++ b/bench/internal/control/cases.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Case is one experiment.
+// Case describes one experiment.
 type Case struct {
 	Name   string
 	Agents int
 	// ChangesPerSecond is how often a new document is submitted.
 	ChangesPerSecond float64
-	// Customers is the size of the document.
+	// Customers is the number of customers in the document.
 	Customers int
-	// Outage takes the key-value service away for this long; changes stop
-	// meanwhile and go on after it.
+	// Outage is how long the key-value service is unavailable; no changes are
+	// submitted meanwhile.
 	Outage time.Duration
 	// RestartAll restarts every entry and agent at once, without a drain.
 	RestartAll bool
@@ -20,8 +20,8 @@
 const (
 	usualCustomers = 10
 	usualAgents    = 50
-	// outageTime is longer than every lease and watch of the deployment; the hour
-	// of an outage runs under a fake clock in the cores' tests.
+	// outageTime is longer than every lease and watch of the deployment. An outage
+	// of an hour is tested under a fake clock in the tests of the decision cores.
 	outageTime = 12 * time.Second
 )
 
--- a/bench/internal/control/run.go
+++ b/bench/internal/control/run.go
@@ -1,5 +1,6 @@
-// Package control measures how documents spread, what that costs every node
-// and the key-value service, and what an outage or a restart of all does.
+// Package control measures how fast documents reach all nodes, what this costs the
+// nodes and the key-value service, and the effect of an outage of that service or a
+// restart of all nodes.
 package control
 
 import (
@@ -18,13 +19,13 @@
 
 const (
 	entryCount = 9
-	// caseLimit bounds one case, its start included.
+	// caseLimit bounds one case, including the start of its deployment.
 	caseLimit = 110 * time.Second
-	// quietTime is measured without changes, costTime with.
+	// Usage is measured for idleTime without changes and for changeTime with them.
 	idleTime   = 6 * time.Second
 	changeTime = 12 * time.Second
-	// spreadTime is how long changes are followed to every node, at least
-	// leastChanges of them.
+	// propagationTime is how long changes are followed to every node. It is extended
+	// where it would hold fewer than minChanges.
 	propagationTime = 12 * time.Second
 	minChanges      = 2
 	modelMiB        = 1
@@ -35,13 +36,13 @@
 type Options struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// ProcessLog receives the processes' logs.
+	// ProcessLog receives the logs of all processes.
 	ProcessLog io.Writer
 	Log        *slog.Logger
 	Seed       uint64
 }
 
-// run is one case while it runs.
+// run is the state of a running case.
 type run struct {
 	options    Options
 	current    Case
@@ -53,7 +54,7 @@
 	accept     *hdrhistogram.Histogram // microseconds
 }
 
-// Run runs one case and returns its line.
+// Run runs one case and returns its result.
 func Run(ctx context.Context, options Options, current Case) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, caseLimit)
 	defer cancel()
@@ -94,7 +95,8 @@
 	return r.deployment.WaitServing(ctx, r.deployment.Agents(), made.Version, nil)
 }
 
-// change submits a document that differs in one customer's limit.
+// submitChange submits a document that differs from the last one in the limit of one
+// customer.
 func (r *run) submitChange(ctx context.Context) error {
 	customers := deployment.Customers(r.current.Customers)
 	customers[r.changes%len(customers)].RequestsPerSecond = float64(1000 + r.changes)
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// every calls do at the case's rate for the time.
+// repeat calls do at the case's change rate for the given time.
 func (r *run) repeat(ctx context.Context, length time.Duration, do func(context.Context) error) error {
 	interval := time.Duration(float64(time.Second) / r.current.ChangesPerSecond)
 	next, end := time.Now(), time.Now().Add(length)
@@ -151,7 +153,8 @@
 	return r.fillResult(ctx, result)
 }
 
-// spread follows changes until each is in force on every node.
+// measurePropagation submits changes and measures the time until each is in force on
+// every node.
 func (r *run) measurePropagation(ctx context.Context) error {
 	length := max(propagationTime, time.Duration(minChanges/r.current.ChangesPerSecond*float64(time.Second)))
 	return r.follower.During(ctx, func() error {
@@ -169,7 +172,7 @@
 	})
 }
 
-// trouble provokes the case's outage or restart.
+// injectFault runs the case's outage or restart, if it has one.
 func (r *run) injectFault(ctx context.Context, result *Result) error {
 	switch {
 	case r.current.Outage > 0:
@@ -180,8 +183,8 @@
 	return nil
 }
 
-// outage takes the service away: a document is refused clearly, and once the
-// service is back the next one is in force everywhere.
+// outage makes the key-value service unavailable and checks that a document is
+// rejected meanwhile. Then it measures the recovery.
 func (r *run) outage(ctx context.Context, result *Result) error {
 	if err := r.deployment.SetKVFaults(ctx, deployment.KVFaults{Down: true}); err != nil {
 		return err
@@ -195,7 +198,8 @@
 	return r.measureRecovery(ctx, result)
 }
 
-// restartAll kills every entry and agent and starts all at once.
+// restartAll kills every entry and agent, starts all of them concurrently, and
+// measures the recovery.
 func (r *run) restartAll(ctx context.Context, result *Result) error {
 	for _, m := range r.deployment.Members() {
 		if err := m.Process().Kill(); err != nil {
@@ -208,7 +212,7 @@
 	return r.measureRecovery(ctx, result)
 }
 
-// recover measures the time until a new document is in force everywhere.
+// measureRecovery measures the time until a new document is in force on all nodes.
 func (r *run) measureRecovery(ctx context.Context, result *Result) error {
 	started := time.Now()
 	err := r.follower.During(ctx, func() error {
--- a/bench/internal/control/usage.go
+++ b/bench/internal/control/usage.go
@@ -7,22 +7,23 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// cost is what a stretch of time cost, in sums over the nodes of a role.
+// usageRates is the resource usage during an interval, summed over the nodes of a
+// role.
 type usageRates struct {
 	length                     time.Duration
-	reads, writes              float64 // of the key-value service, a second
-	entryBytes, agentBytes     float64 // between processes, a second
-	nodeIO                     float64 // all that the processes read and wrote, a second
+	reads, writes              float64 // calls of the key-value service per second
+	entryBytes, agentBytes     float64 // on connections between processes, per second
+	nodeIO                     float64 // bytes that the processes read and wrote, per second
 	entryCPU, agentCPU         time.Duration
 	largestEntry, largestAgent float64 // resident bytes of an entry, of an agent
 }
 
-// bytes returns the mean a node and second.
+// bytes returns the mean number of connection bytes per node and second.
 func (c usageRates) bytes(entries, agents int) float64 {
 	return (c.entryBytes + c.agentBytes) / float64(entries+agents)
 }
 
-// sums are the figures at one moment.
+// totals are the cumulative counters at one moment.
 type totals struct {
 	at                     time.Time
 	reads, writes          int
@@ -32,6 +33,7 @@
 	entryMax, agentMax     uint64
 }
 
+// readTotals reads the counters of the key-value service and of every process.
 func (r *run) readTotals(ctx context.Context) (totals, error) {
 	ledger, err := r.deployment.KVLedger(ctx)
 	if err != nil {
@@ -51,7 +53,7 @@
 	return out, nil
 }
 
-// usageOf points to the sums that a member of one role adds to.
+// roleTotals points to the totals to which members of one role add.
 type roleTotals struct {
 	bytes   *float64
 	cpu     *time.Duration
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// measureUsage measures what happens while do runs.
+// measureUsage returns the resource usage while do runs.
 func (r *run) measureUsage(ctx context.Context, do func() error) (usageRates, error) {
 	before, err := r.readTotals(ctx)
 	if err != nil {
@@ -103,6 +105,7 @@
 	}, nil
 }
 
+// addUsage sets the usage that was measured while documents changed.
 func (r *Result) addUsage(changing usageRates, agents int) {
 	const mebibyte = 1 << 20
 	percent := func(cpu time.Duration, nodes int) float64 {
