--- a/bench/internal/control/run.go
+++ b/bench/internal/control/run.go
@@ -95,8 +95,7 @@
 	return r.deployment.WaitServing(ctx, r.deployment.Agents(), made.Version, nil)
 }
 
-// submitChange submits a document that differs from the last one in the limit of one
-// customer.
+// submitChange submits a document with a new request limit for one customer.
 func (r *run) submitChange(ctx context.Context) error {
 	customers := deployment.Customers(r.current.Customers)
 	customers[r.changes%len(customers)].RequestsPerSecond = float64(1000 + r.changes)
