--- a/bench/internal/burst/cases.go
+++ b/bench/internal/burst/cases.go
@@ -46,7 +46,7 @@
 	var cases []Case
 	for _, n := range []int{18, 50, 100, 200} {
 		for _, objective := range []string{deployment.ObjectiveTime, deployment.ObjectiveOriginBytes} {
-			cases = append(cases, Case{Name: plainName(n, objective), Hosts: n, Objective: objective, Window: window})
+			cases = append(cases, Case{Name: caseName(n, objective), Hosts: n, Objective: objective, Window: window})
 		}
 	}
 	cases = append(cases, Case{Name: "n100-shared-link", Hosts: faultHosts, Objective: deployment.ObjectiveTime, Window: faultWindow, Shared: true})
@@ -58,7 +58,7 @@
 	)
 }
 
-func plainName(n int, objective string) string {
+func caseName(n int, objective string) string {
 	names := map[string]string{deployment.ObjectiveTime: "time", deployment.ObjectiveOriginBytes: "origin-bytes"}
 	return "n" + itoa(n) + "-" + names[objective]
 }
@@ -84,7 +84,7 @@
 	}
 	// The users' question to a failing fleet, for the other objective too.
 	index := slices.IndexFunc(cases, func(c Case) bool { return c.Name == tenthDiesCorrupt })
-	again := cases[index]
-	again.Name, again.Objective = tenthDiesCorrupt+"-origin-bytes", deployment.ObjectiveOriginBytes
-	return append(cases, again)
+	variant := cases[index]
+	variant.Name, variant.Objective = tenthDiesCorrupt+"-origin-bytes", deployment.ObjectiveOriginBytes
+	return append(cases, variant)
 }
--- a/bench/internal/burst/faults.go
+++ b/bench/internal/burst/faults.go
@@ -16,7 +16,7 @@
 	// Before is called before the document is submitted; nil for nothing.
 	Before func(ctx context.Context, r *run) error
 	// Strike is called in the middle of the transfer.
-	Strike func(ctx context.Context, r *run) error
+	Inject func(ctx context.Context, r *run) error
 }
 
 const (
@@ -30,19 +30,19 @@
 // faults returns every fault in the order of the report.
 func faults() []*Fault {
 	return []*Fault{
-		{Name: "tenth-dies", Strike: killTenth},
+		{Name: "tenth-dies", Inject: killTenth},
 		{Name: "corrupt-chunks", Before: corruptChunks},
-		{Name: tenthDiesCorrupt, Before: corruptChunks, Strike: killTenth},
-		{Name: "origin-down", Strike: originDown},
-		{Name: "origin-refuses", Strike: originRefuses},
+		{Name: tenthDiesCorrupt, Before: corruptChunks, Inject: killTenth},
+		{Name: "origin-down", Inject: originDown},
+		{Name: "origin-refuses", Inject: originRefuses},
 		{Name: "corrupt-manifest", Before: corruptManifest},
-		{Name: "host-stalls", Strike: stallHost},
-		{Name: "agent-restarts", Strike: restartTenth},
-		{Name: "version-changes", Strike: changeVersion},
-		{Name: "version-changes-back", Strike: changeVersionBack},
-		{Name: "list-lags-tenth-dies", LaggingList: true, Strike: killTenth},
-		{Name: "region-pauses", Strike: pauseRegion},
-		{Name: "domain-dies", Strike: killDomain},
+		{Name: "host-stalls", Inject: stallHost},
+		{Name: "agent-restarts", Inject: restartTenth},
+		{Name: "version-changes", Inject: changeVersion},
+		{Name: "version-changes-back", Inject: changeVersionBack},
+		{Name: "list-lags-tenth-dies", LaggingList: true, Inject: killTenth},
+		{Name: "region-pauses", Inject: pauseRegion},
+		{Name: "domain-dies", Inject: killDomain},
 		{Name: "engines-refuse-load", Before: refuseLoad},
 	}
 }
@@ -76,30 +76,30 @@
 // corruptManifest gives a manifest that does not match its hash for a part of
 // the bound.
 func corruptManifest(ctx context.Context, r *run) error {
-	return r.originTrouble(ctx, deployment.OriginFaults{CorruptManifest: true})
+	return r.injectOriginFault(ctx, deployment.OriginFaults{CorruptManifest: true})
 }
 
 func originDown(ctx context.Context, r *run) error {
-	return r.originTrouble(ctx, deployment.OriginFaults{Down: true})
+	return r.injectOriginFault(ctx, deployment.OriginFaults{Down: true})
 }
 
 func originRefuses(ctx context.Context, r *run) error {
-	return r.originTrouble(ctx, deployment.OriginFaults{Refuse: true})
+	return r.injectOriginFault(ctx, deployment.OriginFaults{Refuse: true})
 }
 
 // originTrouble lasts a quarter of the bound.
-func (r *run) originTrouble(ctx context.Context, faults deployment.OriginFaults) error {
+func (r *run) injectOriginFault(ctx context.Context, faults deployment.OriginFaults) error {
 	if err := r.deployment.SetOriginFaults(ctx, faults); err != nil {
 		return err
 	}
-	r.later(r.quarter(), func() error { return r.deployment.SetOriginFaults(ctx, deployment.OriginFaults{}) })
+	r.schedule(r.quarterOfBound(), func() error { return r.deployment.SetOriginFaults(ctx, deployment.OriginFaults{}) })
 	return nil
 }
 
 // stallHost stops one agent without closing its connections, for good.
 func stallHost(_ context.Context, r *run) error {
 	m := r.deployment.Agents()[1]
-	r.lose(m)
+	r.markLost(m)
 	return m.Pause()
 }
 
@@ -117,11 +117,11 @@
 // changeVersion submits a second version that shares half of its chunks.
 func changeVersion(ctx context.Context, r *run) error {
 	const changed = 0.5
-	made, err := r.deployment.Publish(ctx, r.publication(changed))
+	published, err := r.deployment.Publish(ctx, r.publication(changed))
 	if err != nil {
 		return err
 	}
-	return r.submit(ctx, made.Version)
+	return r.submit(ctx, published.Version)
 }
 
 // changeVersionBack submits a second version and soon the first one again.
@@ -130,7 +130,7 @@
 	if err := changeVersion(ctx, r); err != nil {
 		return err
 	}
-	r.later(time.Second, func() error { return r.submit(ctx, first) })
+	r.schedule(time.Second, func() error { return r.submit(ctx, first) })
 	r.pending.Wait()
 	return nil
 }
@@ -147,7 +147,7 @@
 			paused = append(paused, m)
 		}
 	}
-	r.later(r.quarter(), func() error {
+	r.schedule(r.quarterOfBound(), func() error {
 		var err error
 		for _, m := range paused {
 			err = errors.Join(err, m.Resume())
@@ -169,6 +169,6 @@
 		}
 		return err
 	}
-	r.later(time.Duration(r.bound*float64(time.Second)), func() error { return set(deployment.EngineFaults{}) })
+	r.schedule(time.Duration(r.bound*float64(time.Second)), func() error { return set(deployment.EngineFaults{}) })
 	return set(deployment.EngineFaults{RefuseLoad: true})
 }
--- a/bench/internal/burst/roll.go
+++ b/bench/internal/burst/roll.go
@@ -12,14 +12,14 @@
 
 const (
 	// rollChange is the fraction of chunks that the next version changes.
-	rollChange = 0.5
+	rollChangedFraction = 0.5
 	// calmTime is how long callers send before the roll, to compare with.
-	calmTime = 4 * time.Second
+	beforeTime = 4 * time.Second
 	// loadRate is per host: live requests take a part of each engine.
 	loadRatePerHost = 1
 	// watchInterval is how often the serving hosts are counted.
-	watchInterval = 250 * time.Millisecond
-	requestTime   = 5 * time.Second
+	watchInterval   = 250 * time.Millisecond
+	requestDeadline = 5 * time.Second
 	// loadLimit ends arrivals where the roll does not.
 	loadLimit = 60 * time.Second
 )
@@ -36,32 +36,32 @@
 	if err := r.waitServing(ctx); err != nil {
 		return Result{}, err
 	}
-	second, err := r.deployment.Publish(ctx, r.publication(rollChange))
+	second, err := r.deployment.Publish(ctx, r.publication(rollChangedFraction))
 	if err != nil {
 		return Result{}, err
 	}
-	var calm, during *deployment.Load
+	var loadBefore, during *deployment.Load
 	if r.current.Load {
-		if calm, err = r.calm(ctx); err != nil {
+		if loadBefore, err = r.loadBefore(ctx); err != nil {
 			return Result{}, err
 		}
 		if during, err = r.startLoad(ctx, loadLimit, second.Version); err != nil {
 			return Result{}, err
 		}
 	}
-	result, err := r.step(ctx, second.Version)
+	result, err := r.measureRoll(ctx, second.Version)
 	if err != nil || !r.current.Load {
 		return result, err
 	}
-	return result, r.judgeLoad(ctx, &result, calm, during)
+	return result, r.evaluateLoad(ctx, &result, loadBefore, during)
 }
 
 // step submits the version and counts the serving hosts until all serve it.
-func (r *run) step(ctx context.Context, version string) (Result, error) {
+func (r *run) measureRoll(ctx context.Context, version string) (Result, error) {
 	before := r.usage()
-	watching, stop := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	watch.Go(func() { r.watchServing(watching) })
+	watchCtx, stop := context.WithCancel(ctx)
+	var watcher sync.WaitGroup
+	watcher.Go(func() { r.watchServing(watchCtx) })
 	started := time.Now()
 	err := r.submit(ctx, version)
 	if err == nil {
@@ -69,21 +69,21 @@
 	}
 	took := time.Since(started)
 	stop()
-	watch.Wait()
+	watcher.Wait()
 	if err != nil {
 		return Result{}, err
 	}
 	result, err := r.result(ctx, took, before)
 	// Half of the bytes are new, so the bound halves.
-	result.BoundSeconds *= rollChange
+	result.BoundSeconds *= rollChangedFraction
 	result.Ratio = result.Seconds / result.BoundSeconds
-	result.MinServing = &r.minimum
+	result.MinServing = &r.minServing
 	return result, err
 }
 
 // watchServing keeps the fewest hosts that had any version loaded.
 func (r *run) watchServing(ctx context.Context) {
-	r.minimum = r.current.Hosts
+	r.minServing = r.current.Hosts
 	for pause(ctx, watchInterval) == nil {
 		serving := 0
 		for _, m := range r.deployment.Agents() {
@@ -93,17 +93,17 @@
 			}
 		}
 		if ctx.Err() == nil {
-			r.minimum = min(r.minimum, serving)
+			r.minServing = min(r.minServing, serving)
 		}
 	}
 }
 
 // calm runs callers before the roll, for the comparison.
-func (r *run) calm(ctx context.Context) (*deployment.Load, error) {
+func (r *run) loadBefore(ctx context.Context) (*deployment.Load, error) {
 	if err := r.deployment.WaitAnswering(ctx, deployment.Customers(1)[0]); err != nil {
 		return nil, err
 	}
-	load, err := r.startLoad(ctx, calmTime, "")
+	load, err := r.startLoad(ctx, beforeTime, "")
 	if err != nil {
 		return nil, err
 	}
@@ -123,34 +123,34 @@
 		Seed:          r.seed,
 		Versions:      versions,
 		NonRepeatable: 0.2,
-		Deadline:      requestTime,
+		Deadline:      requestDeadline,
 		Log:           r.options.ProcessLog,
 	})
 }
 
 // judgeLoad ends the callers and compares the time between tokens.
-func (r *run) judgeLoad(ctx context.Context, result *Result, calm, during *deployment.Load) error {
+func (r *run) evaluateLoad(ctx context.Context, result *Result, loadBefore, during *deployment.Load) error {
 	if err := during.StopArrivals(ctx); err != nil {
 		return err
 	}
-	quiet, err := calm.Wait(ctx)
+	before, err := loadBefore.Wait(ctx)
 	if err != nil {
 		return err
 	}
-	busy, err := during.Wait(ctx)
+	summary, err := during.Wait(ctx)
 	if err != nil {
 		return err
 	}
-	found, err := audit.CompareFile(during, audit.Collect(ctx, r.deployment).Runs, r.deployment, requestTime)
+	found, err := audit.CompareFile(during, audit.Collect(ctx, r.deployment).Runs, r.deployment, requestDeadline)
 	if err != nil {
 		return err
 	}
 	result.Load = &LoadResult{
-		Requests:              busy.Requests,
-		Answered:              busy.Answered,
-		BetweenTokensMsP95:    busy.BetweenTokensMsP95,
-		BetweenTokensMsBefore: quiet.BetweenTokensMsP95,
-		Violations:            found.Breaches() + busy.WrongAnswer + busy.WrongVersion + busy.Contradicted,
+		Requests:              summary.Requests,
+		Answered:              summary.Answered,
+		BetweenTokensMsP95:    summary.BetweenTokensMsP95,
+		BetweenTokensMsBefore: before.BetweenTokensMsP95,
+		Violations:            found.Breaches() + summary.WrongAnswer + summary.WrongVersion + summary.Contradicted,
 	}
 	if result.Load.Violations > 0 {
 		return fmt.Errorf("%d invariants broke during the roll: %+v", result.Load.Violations, found.Examples)
--- a/bench/internal/burst/run.go
+++ b/bench/internal/burst/run.go
@@ -49,10 +49,10 @@
 	revision   uint32
 	pending    sync.WaitGroup
 
-	mu      sync.Mutex
-	lost    map[*deployment.Member]bool // not waited for
-	late    error                       // of what later did
-	minimum int                         // fewest hosts that served during a roll
+	mu           sync.Mutex
+	lost         map[*deployment.Member]bool // not waited for
+	scheduledErr error                       // of what later did
+	minServing   int                         // fewest hosts that served during a roll
 }
 
 // Run runs one case and returns its line.
@@ -101,7 +101,7 @@
 
 // burst measures the first version's way to every host.
 func (r *run) burst(ctx context.Context) (Result, error) {
-	made, err := r.deployment.Publish(ctx, r.publication(0))
+	published, err := r.deployment.Publish(ctx, r.publication(0))
 	if err != nil {
 		return Result{}, err
 	}
@@ -112,10 +112,10 @@
 	}
 	before := r.usage()
 	started := time.Now()
-	if err := r.submit(ctx, made.Version); err != nil {
+	if err := r.submit(ctx, published.Version); err != nil {
 		return Result{}, err
 	}
-	if err := r.strike(ctx); err != nil {
+	if err := r.injectFault(ctx); err != nil {
 		return Result{}, err
 	}
 	if err := r.waitServing(ctx); err != nil {
@@ -125,24 +125,24 @@
 }
 
 // strike provokes the fault when two fifths of the bound have passed.
-func (r *run) strike(ctx context.Context) error {
+func (r *run) injectFault(ctx context.Context) error {
 	const share = 0.4
 	fault := r.current.Fault
-	if fault == nil || fault.Strike == nil {
+	if fault == nil || fault.Inject == nil {
 		return nil
 	}
 	if err := pause(ctx, time.Duration(r.bound*share*float64(time.Second))); err != nil {
 		return err
 	}
 	r.options.Log.Info("fault", "case", r.current.Name)
-	return fault.Strike(ctx, r)
+	return fault.Inject(ctx, r)
 }
 
 func (r *run) waitServing(ctx context.Context) error {
 	err := r.deployment.WaitServing(ctx, r.deployment.Agents(), r.version, r.alive)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return errors.Join(err, r.late)
+	return errors.Join(err, r.scheduledErr)
 }
 
 func (r *run) publication(changed float64) deployment.Publication {
@@ -179,11 +179,11 @@
 
 // kill lets a host die; the platform's list drops it, as late as it is.
 func (r *run) kill(ctx context.Context, m *deployment.Member) error {
-	r.lose(m)
+	r.markLost(m)
 	return errors.Join(r.deployment.Kill(ctx, m), r.deployment.Unlist(ctx, m))
 }
 
-func (r *run) lose(m *deployment.Member) {
+func (r *run) markLost(m *deployment.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost[m] = true
@@ -201,19 +201,19 @@
 	return r.current.Hosts - len(r.lost)
 }
 
-func (r *run) quarter() time.Duration {
+func (r *run) quarterOfBound() time.Duration {
 	const parts = 4
 	return time.Duration(r.bound * float64(time.Second) / parts)
 }
 
 // later calls do after the wait; the case does not end before.
-func (r *run) later(wait time.Duration, do func() error) {
+func (r *run) schedule(wait time.Duration, do func() error) {
 	r.pending.Go(func() {
 		time.Sleep(wait)
 		if err := do(); err != nil {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.late = errors.Join(r.late, err)
+			r.scheduledErr = errors.Join(r.scheduledErr, err)
 		}
 	})
 }
