--- a/bench/internal/burst/bound_test.go
+++ b/bench/internal/burst/bound_test.go
@@ -14,11 +14,11 @@
 		shared bool
 		want   float64
 	}{
-		// One host draws at its own link's rate: 2 copies a window.
+		// One host is limited by its own link: 2 copies per window.
 		{"one host", 1, false, 5},
-		// 200 copies over 4 + 200*2 copies a window.
+		// 200 copies at 4 + 200*2 copies per window, less than the limit of one link.
 		{"many hosts", 200, false, 5},
-		// 400 copies over 4 + 200*2 copies a window.
+		// 400 copies, sent and received, at 4 + 200*2 copies per window.
 		{"many hosts, shared", 200, true, 10 * 400.0 / 404},
 	}
 	for _, test := range tests {
--- a/bench/internal/burst/cases.go
+++ b/bench/internal/burst/cases.go
@@ -7,34 +7,34 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Case is one experiment.
+// Case describes one experiment.
 type Case struct {
 	Name      string
 	Hosts     int
 	Objective string
-	// Strategy is empty for the system's own, or a baseline's name.
+	// Strategy is the name of a baseline burst strategy; empty selects the system's.
 	Strategy string
 	// Window is the time in which a host's link carries two copies.
 	Window time.Duration
-	// Shared links carry both directions at one rate.
+	// Shared makes both directions of a host's link share its bandwidth.
 	Shared bool
-	// Fault provokes the case's fault; nil for none.
+	// Fault is injected during the transfer; nil for none.
 	Fault *Fault
-	// Roll measures the step from a serving version to the next.
+	// Roll measures the rollout from a version that serves to the next one.
 	Roll bool
-	// Load lets callers go on beside the roll.
+	// Load keeps callers sending requests during the roll.
 	Load bool
-	// HostListLag is how late the platform's list is.
+	// HostListLag is the delay before a change appears in the platform's host list.
 	HostListLag time.Duration
 }
 
 const (
-	// window gives a bound of 20 s: 200 agents on one machine need that long
-	// for their processor time not to be what is measured.
+	// window gives a bound of 20 s. With 200 agents on one machine, a shorter bound
+	// would measure their CPU time instead of the links.
 	window = 40 * time.Second
 	// faultWindow gives a bound of 10 s, for 100 hosts and many cases.
 	faultWindow = 20 * time.Second
-	// slowBaselineWindow keeps the slowest baseline under a minute.
+	// slowBaselineWindow keeps the slowest baseline below a minute.
 	slowBaselineWindow = 8 * time.Second
 	faultHosts         = 100
 	smallHosts         = 18
@@ -82,7 +82,8 @@
 		}
 		cases = append(cases, c)
 	}
-	// The users' question to a failing fleet, for the other objective too.
+	// The users asked about this combination of failures, so run it for the other
+	// objective too.
 	index := slices.IndexFunc(cases, func(c Case) bool { return c.Name == tenthDiesCorrupt })
 	variant := cases[index]
 	variant.Name, variant.Objective = tenthDiesCorrupt+"-origin-bytes", deployment.ObjectiveOriginBytes
--- a/bench/internal/burst/faults.go
+++ b/bench/internal/burst/faults.go
@@ -8,22 +8,22 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Fault is one kind of trouble in the middle of a burst.
+// Fault describes a fault that is injected into a burst.
 type Fault struct {
 	Name string
-	// LaggingList makes the platform's list of hosts a minute late.
+	// LaggingList delays changes of the platform's host list by a minute.
 	LaggingList bool
 	// Before is called before the document is submitted; nil for nothing.
 	Before func(ctx context.Context, r *run) error
-	// Strike is called in the middle of the transfer.
+	// Inject is called in the middle of the transfer; nil for nothing.
 	Inject func(ctx context.Context, r *run) error
 }
 
 const (
 	tenthDiesCorrupt = "tenth-dies-and-corrupt"
-	// corruptFraction of the chunks arrive corrupt from the origin.
+	// corruptFraction is the fraction of chunks that the origin sends corrupted.
 	corruptFraction = 0.01
-	// tenth of the hosts are struck where the fault names no other number.
+	// tenth selects every tenth host for the faults that hit a part of the hosts.
 	tenth = 10
 )
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// killTenth lets every tenth host die.
+// killTenth kills every tenth host.
 func killTenth(ctx context.Context, r *run) error {
 	var err error
 	for i, m := range r.deployment.Agents() {
@@ -58,6 +58,7 @@
 	return err
 }
 
+// killDomain kills every host of one failure domain.
 func killDomain(ctx context.Context, r *run) error {
 	var err error
 	domain := deployment.Quetzal()[0].FailureDomain
@@ -73,8 +74,8 @@
 	return r.deployment.SetOriginFaults(ctx, deployment.OriginFaults{CorruptFraction: corruptFraction})
 }
 
-// corruptManifest gives a manifest that does not match its hash for a part of
-// the bound.
+// corruptManifest makes the origin send a manifest that does not match its hash, for
+// a quarter of the bound.
 func corruptManifest(ctx context.Context, r *run) error {
 	return r.injectOriginFault(ctx, deployment.OriginFaults{CorruptManifest: true})
 }
@@ -87,7 +88,7 @@
 	return r.injectOriginFault(ctx, deployment.OriginFaults{Refuse: true})
 }
 
-// originTrouble lasts a quarter of the bound.
+// injectOriginFault sets faults of the origin for a quarter of the bound.
 func (r *run) injectOriginFault(ctx context.Context, faults deployment.OriginFaults) error {
 	if err := r.deployment.SetOriginFaults(ctx, faults); err != nil {
 		return err
@@ -96,14 +97,14 @@
 	return nil
 }
 
-// stallHost stops one agent without closing its connections, for good.
+// stallHost suspends one agent permanently; its connections stay open.
 func stallHost(_ context.Context, r *run) error {
 	m := r.deployment.Agents()[1]
 	r.markLost(m)
 	return m.Pause()
 }
 
-// restartTenth lets every tenth host die and come back with nothing.
+// restartTenth kills every tenth host and restarts it without weights.
 func restartTenth(ctx context.Context, r *run) error {
 	var err error
 	for i, m := range r.deployment.Agents() {
@@ -114,7 +115,8 @@
 	return err
 }
 
-// changeVersion submits a second version that shares half of its chunks.
+// changeVersion submits a second version that shares half of its chunks with the
+// first.
 func changeVersion(ctx context.Context, r *run) error {
 	const changed = 0.5
 	published, err := r.deployment.Publish(ctx, r.publication(changed))
@@ -124,7 +126,7 @@
 	return r.submit(ctx, published.Version)
 }
 
-// changeVersionBack submits a second version and soon the first one again.
+// changeVersionBack submits a second version, and the first one again a second later.
 func changeVersionBack(ctx context.Context, r *run) error {
 	first := r.version
 	if err := changeVersion(ctx, r); err != nil {
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// pauseRegion stops all processes of one region for a quarter of the bound, as
-// when it is cut off.
+// pauseRegion suspends all processes of one region for a quarter of the bound, to
+// simulate a network partition.
 func pauseRegion(_ context.Context, r *run) error {
 	var err error
 	var paused []*deployment.Member
--- a/bench/internal/burst/result.go
+++ b/bench/internal/burst/result.go
@@ -19,26 +19,27 @@
 	BoundSeconds float64 `json:"boundSeconds"`
 	Ratio        float64 `json:"ratio"`
 	OriginCopies float64 `json:"originCopies"`
-	// CrossRegionCopies is nil where the agents do not count them.
+	// CrossRegionCopies is nil if the agents do not count cross-region bytes.
 	CrossRegionCopies *float64 `json:"crossRegionCopies"`
 	PeakAgentMib      float64  `json:"peakAgentMib"`
-	// AgentCPUSeconds is the mean over the agents, from the submission on.
+	// AgentCPUSeconds is the mean CPU time of the agents since the submission.
 	AgentCPUSeconds              float64 `json:"agentCpuSeconds"`
 	ControlBytesPerHostPerSecond float64 `json:"controlBytesPerHostPerSecond"`
-	// LiveHosts served at the end; the rest died or stalled by the fault.
+	// LiveHosts counts the hosts that served at the end. The fault killed or stalled
+	// the others.
 	LiveHosts int `json:"liveHosts"`
 	// AcceptSeconds is the part of Seconds until the document was accepted.
 	AcceptSeconds float64 `json:"acceptSeconds"`
 	WindowSeconds float64 `json:"windowSeconds"`
 	SharedLink    bool    `json:"sharedLink"`
-	// MinServing is the fewest hosts that served during a roll.
+	// MinServing is the minimum number of hosts that served during a roll.
 	MinServing *int        `json:"minServing,omitempty"`
 	Load       *LoadResult `json:"load,omitempty"`
-	// Error says why the case did not come to its end; the figures are void.
+	// Error says why the case was aborted; the figures are then invalid.
 	Error string `json:"error,omitempty"`
 }
 
-// LoadResult is what callers saw beside a roll.
+// LoadResult holds the outcomes that callers measured during a roll.
 type LoadResult struct {
 	Requests              int     `json:"requests"`
 	Answered              int     `json:"answered"`
@@ -47,7 +48,7 @@
 	Violations            int     `json:"violations"`
 }
 
-// Named returns the line's fields that are known before the case runs.
+// Named returns a Result with the fields that are known before the case runs.
 func Named(options Options, c Case) Result {
 	strategy := c.Strategy
 	if strategy == "" {
@@ -65,7 +66,7 @@
 	}
 }
 
-// snapshot is the agents' use of the machine at one moment.
+// snapshot holds the cumulative resource usage of the agents at one moment.
 type snapshot struct {
 	at       time.Time
 	cpu      map[string]time.Duration // by node
@@ -101,8 +102,7 @@
 	return out, nil
 }
 
-// addUsage adds processor time, memory and traffic of the agents that still
-// run.
+// addUsage sets CPU time, memory and traffic from the agents that still run.
 func (r *run) addUsage(out *Result, before snapshot) {
 	const mebibyte = 1 << 20
 	var cpu time.Duration
--- a/bench/internal/burst/roll.go
+++ b/bench/internal/burst/roll.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// rollChange is the fraction of chunks that the next version changes.
+	// rollChangedFraction is the fraction of chunks that the next version changes.
 	rollChangedFraction = 0.5
-	// calmTime is how long callers send before the roll, to compare with.
+	// beforeTime is how long callers send before the roll, for comparison.
 	beforeTime = 4 * time.Second
-	// loadRate is per host: live requests take a part of each engine.
+	// loadRatePerHost is in requests per second; they use a part of each engine.
 	loadRatePerHost = 1
-	// watchInterval is how often the serving hosts are counted.
+	// watchInterval is the time between two counts of the serving hosts.
 	watchInterval   = 250 * time.Millisecond
 	requestDeadline = 5 * time.Second
-	// loadLimit ends arrivals where the roll does not.
+	// loadLimit ends the arrivals if the roll does not end before.
 	loadLimit = 60 * time.Second
 )
 
-// roll measures the step from a version that serves everywhere to the next.
+// roll measures the rollout from a version that all hosts serve to the next one.
 func (r *run) roll(ctx context.Context) (Result, error) {
 	first, err := r.deployment.Publish(ctx, r.publication(0))
 	if err != nil {
@@ -56,7 +56,8 @@
 	return result, r.evaluateLoad(ctx, &result, loadBefore, during)
 }
 
-// step submits the version and counts the serving hosts until all serve it.
+// measureRoll submits the version, waits until all hosts serve it and counts the
+// serving hosts meanwhile.
 func (r *run) measureRoll(ctx context.Context, version string) (Result, error) {
 	before := r.usage()
 	watchCtx, stop := context.WithCancel(ctx)
@@ -74,14 +75,15 @@
 		return Result{}, err
 	}
 	result, err := r.result(ctx, took, before)
-	// Half of the bytes are new, so the bound halves.
+	// Only the changed fraction of the bytes is transferred, so the bound shrinks
+	// accordingly: half of the bytes, half of the bound.
 	result.BoundSeconds *= rollChangedFraction
 	result.Ratio = result.Seconds / result.BoundSeconds
 	result.MinServing = &r.minServing
 	return result, err
 }
 
-// watchServing keeps the fewest hosts that had any version loaded.
+// watchServing records the minimum number of hosts that had any version loaded.
 func (r *run) watchServing(ctx context.Context) {
 	r.minServing = r.current.Hosts
 	for pause(ctx, watchInterval) == nil {
@@ -98,7 +100,7 @@
 	}
 }
 
-// calm runs callers before the roll, for the comparison.
+// loadBefore runs callers before the roll, for comparison.
 func (r *run) loadBefore(ctx context.Context) (*deployment.Load, error) {
 	if err := r.deployment.WaitAnswering(ctx, deployment.Customers(1)[0]); err != nil {
 		return nil, err
@@ -128,7 +130,8 @@
 	})
 }
 
-// judgeLoad ends the callers and compares the time between tokens.
+// evaluateLoad stops the callers, audits their records and compares the time between
+// tokens before and during the roll.
 func (r *run) evaluateLoad(ctx context.Context, result *Result, loadBefore, during *deployment.Load) error {
 	if err := during.StopArrivals(ctx); err != nil {
 		return err
--- a/bench/internal/burst/run.go
+++ b/bench/internal/burst/run.go
@@ -1,5 +1,6 @@
-// Package burst measures how long it takes until a model serves on N hosts and
-// what the origin sends meanwhile, on real processes with paced links.
+// Package burst measures how long the distribution of a model to N hosts takes, until
+// all of them serve it, and how much the origin sends. It uses real processes with
+// rate-limited links.
 package burst
 
 import (
@@ -15,12 +16,12 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Sizes of one case.
+// Sizes and time limit of one case.
 const (
 	entryCount    = 9
 	customerCount = 10
 	chunkKiB      = 64
-	// caseLimit bounds one case, its start included.
+	// caseLimit bounds one case, including the start of its deployment.
 	caseLimit = 100 * time.Second
 )
 
@@ -28,7 +29,7 @@
 type Options struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// ProcessLog receives the processes' logs.
+	// ProcessLog receives the logs of all processes.
 	ProcessLog io.Writer
 	Log        *slog.Logger
 	Seed       uint64
@@ -36,26 +37,26 @@
 	ModelMiB float64
 }
 
-// run is one case while it runs.
+// run is the state of a running case.
 type run struct {
 	options    Options
 	current    Case
 	links      Links
 	bound      float64 // seconds
 	deployment *deployment.Deployment
-	version    string        // intended now
-	accepted   time.Duration // that the last submission's call took
+	version    string        // submitted last
+	accepted   time.Duration // duration of the last submission's call
 	seed       uint64
 	revision   uint32
 	pending    sync.WaitGroup
 
 	mu           sync.Mutex
-	lost         map[*deployment.Member]bool // not waited for
-	scheduledErr error                       // of what later did
-	minServing   int                         // fewest hosts that served during a roll
+	lost         map[*deployment.Member]bool // killed or stalled, not waited for
+	scheduledErr error                       // errors of scheduled functions
+	minServing   int                         // minimum of hosts that served during a roll
 }
 
-// Run runs one case and returns its line.
+// Run runs one case and returns its result.
 func Run(ctx context.Context, options Options, current Case) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, caseLimit)
 	defer cancel()
@@ -67,7 +68,7 @@
 		return Result{}, err
 	}
 	defer r.deployment.Stop()
-	// A fault that is still to be mended would meet a deployment that is gone.
+	// Scheduled functions that undo a fault need a running deployment.
 	defer r.pending.Wait()
 	if current.Roll {
 		return r.roll(ctx)
@@ -99,7 +100,7 @@
 	return r.deployment.WaitRoutable(ctx)
 }
 
-// burst measures the first version's way to every host.
+// burst measures the distribution of the first version to every host.
 func (r *run) burst(ctx context.Context) (Result, error) {
 	published, err := r.deployment.Publish(ctx, r.publication(0))
 	if err != nil {
@@ -124,7 +125,7 @@
 	return r.result(ctx, time.Since(started), before)
 }
 
-// strike provokes the fault when two fifths of the bound have passed.
+// injectFault injects the fault after two fifths of the bound.
 func (r *run) injectFault(ctx context.Context) error {
 	const share = 0.4
 	fault := r.current.Fault
@@ -145,6 +146,8 @@
 	return errors.Join(err, r.scheduledErr)
 }
 
+// publication describes a new version; changed is the fraction of chunks that differ
+// from the current version, 0 for an unrelated one.
 func (r *run) publication(changed float64) deployment.Publication {
 	r.seed++
 	pub := deployment.Publication{Model: deployment.ModelName, Mib: r.options.ModelMiB, ChunkKib: chunkKiB, Seed: r.seed}
@@ -170,19 +173,22 @@
 	return nil
 }
 
-// maxUnavailable lets a fifth of each failure domain's hosts turn at once.
+// maxUnavailable lets a fifth of the hosts of each failure domain change versions at
+// the same time.
 func maxUnavailable(hosts int) uint32 {
 	const waves = 5
 	perDomain := hosts / len(deployment.Quetzal())
 	return uint32(max(1, perDomain/waves))
 }
 
-// kill lets a host die; the platform's list drops it, as late as it is.
+// kill kills a host and removes it from the platform's host list, where the removal
+// appears after the list's lag.
 func (r *run) kill(ctx context.Context, m *deployment.Member) error {
 	r.markLost(m)
 	return errors.Join(r.deployment.Kill(ctx, m), r.deployment.Unlist(ctx, m))
 }
 
+// markLost excludes the host from the hosts that must serve.
 func (r *run) markLost(m *deployment.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,7 +212,7 @@
 	return time.Duration(r.bound * float64(time.Second) / parts)
 }
 
-// later calls do after the wait; the case does not end before.
+// schedule calls do after the wait. The case does not end before that.
 func (r *run) schedule(wait time.Duration, do func() error) {
 	r.pending.Go(func() {
 		time.Sleep(wait)
