--- a/bench/internal/burst/bound_test.go
+++ b/bench/internal/burst/bound_test.go
@@ -16,7 +16,7 @@
 	}{
 		// One host is limited by its own link: 2 copies per window.
 		{"one host", 1, false, 5},
-		// 200 copies at 4 + 200*2 copies per window, less than the limit of one link.
+		// 200 copies at 4 + 200*2 copies per window take 4.95 s, less than the 5 s of one link.
 		{"many hosts", 200, false, 5},
 		// 400 copies, sent and received, at 4 + 200*2 copies per window.
 		{"many hosts, shared", 200, true, 10 * 400.0 / 404},
