--- a/bench/internal/demo/demo.go
+++ b/bench/internal/demo/demo.go
@@ -38,21 +38,21 @@
 
 // Sizes and times of the demo.
 const (
-	entryCount     = 9
-	serviceCount   = 1
-	customerCount  = 10
-	chunkKiB       = 64
-	changeFraction = 0.25 // of the chunks, between the two versions
-	loadRate       = 80   // requests a second
-	loadTime       = 18 * time.Second
-	rollAfter      = 3 * time.Second
-	leaveAfter     = 3 * time.Second // behind the start of the roll
-	answerTokens   = 16
-	linkFactor     = 2 // copies of the model a window, each host's link
-	originFactor   = 4 // copies of the model a window, the origin's link
-	window         = 6 * time.Second
-	limit          = 58 * time.Second
-	requestTime    = 8 * time.Second
+	entryCount      = 9
+	serviceCount    = 1
+	customerCount   = 10
+	chunkKiB        = 64
+	changeFraction  = 0.25 // of the chunks, between the two versions
+	loadRate        = 80   // requests a second
+	loadTime        = 18 * time.Second
+	rollDelay       = 3 * time.Second
+	leaveDelay      = 3 * time.Second // behind the start of the roll
+	answerTokens    = 16
+	linkFactor      = 2 // copies of the model a window, each host's link
+	originFactor    = 4 // copies of the model a window, the origin's link
+	window          = 6 * time.Second
+	runLimit        = 58 * time.Second
+	requestDeadline = 8 * time.Second
 )
 
 // Result is the demo's JSON line. The callers and the back ends' stand-ins
@@ -86,7 +86,7 @@
 	stateBroken = "broken"
 )
 
-func (r *Result) judge() {
+func (r *Result) setState() {
 	r.Demo = stateOK
 	if r.Doubled+r.WrongAnswer+r.WrongVersion+r.CutOff+r.NotRunButRan+r.OtherBreaches > 0 || r.Answered == 0 {
 		r.Demo = stateBroken
@@ -108,7 +108,7 @@
 // Run runs the demo and ends all that it started.
 func Run(ctx context.Context, options Options) (Result, error) {
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, runLimit)
 	defer cancel()
 	d := &demo{options: options, log: options.Log}
 	d.result.Hosts, d.result.Objective = options.Hosts, options.Objective
@@ -120,7 +120,7 @@
 		return d.result, err
 	}
 	d.result.Seconds = time.Since(started).Seconds()
-	d.result.judge()
+	d.result.setState()
 	return d.result, nil
 }
 
@@ -170,7 +170,7 @@
 		NonRepeatable: 0.3,
 		DoubleSend:    0.2,
 		Services:      0.15,
-		Deadline:      requestTime,
+		Deadline:      requestDeadline,
 		Log:           d.options.Progress,
 	})
 	if err != nil {
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	return d.count(ctx, load, summary, first)
+	return d.fillResult(ctx, load, summary, first)
 }
 
 func (d *demo) publish(ctx context.Context, pub deployment.Publication) (string, error) {
@@ -204,7 +204,7 @@
 		return 0, err
 	}
 	d.log.Info("document applied", "version", want.Version)
-	if err := d.deployment.WaitServing(ctx, hosts, want.Version, d.staying); err != nil {
+	if err := d.deployment.WaitServing(ctx, hosts, want.Version, d.mustServe); err != nil {
 		return 0, err
 	}
 	took := time.Since(started).Seconds()
@@ -213,7 +213,7 @@
 }
 
 // staying leaves out the host that is asked to leave: it need not turn.
-func (d *demo) staying(m *deployment.Member) bool { return m != d.leaving.host }
+func (d *demo) mustServe(m *deployment.Member) bool { return m != d.leaving.host }
 
 func (d *demo) apply(ctx context.Context, doc *wire.Document) error {
 	name, err := d.deployment.WriteDocument(doc)
@@ -233,7 +233,7 @@
 // changeUnderLoad rolls to a second version while the callers go on, and lets
 // one entry and one host leave meanwhile.
 func (d *demo) changeUnderLoad(ctx context.Context, load *deployment.Load, want deployment.Desired) error {
-	if err := pause(ctx, rollAfter); err != nil {
+	if err := pause(ctx, rollDelay); err != nil {
 		return err
 	}
 	first := want.Version
@@ -260,7 +260,7 @@
 
 // leave ends one entry and one host gracefully.
 func (d *demo) leave(ctx context.Context) error {
-	if err := pause(ctx, leaveAfter); err != nil {
+	if err := pause(ctx, leaveDelay); err != nil {
 		return err
 	}
 	for _, m := range []*deployment.Member{d.leaving.entry, d.leaving.host} {
@@ -284,12 +284,12 @@
 }
 
 // count fills the result from the callers' and the back ends' records.
-func (d *demo) count(ctx context.Context, load *deployment.Load, summary deployment.LoadSummary, first string) (err error) {
+func (d *demo) fillResult(ctx context.Context, load *deployment.Load, summary deployment.LoadSummary, first string) (err error) {
 	if d.result.OriginCopies, err = d.copies(ctx, first); err != nil {
 		return err
 	}
 	ledgers := audit.Collect(ctx, d.deployment)
-	found, err := audit.CompareFile(load, ledgers.Runs, d.deployment, requestTime)
+	found, err := audit.CompareFile(load, ledgers.Runs, d.deployment, requestDeadline)
 	if err != nil {
 		return err
 	}
