--- a/bench/internal/demo/demo.go
+++ b/bench/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs one whole deployment through a working day in under a minute:
-// a model is rolled out, requests are served, a second version follows while
-// they run, and one entry and one host leave.
+// Package demo runs a complete deployment for less than a minute: it rolls out a
+// model, serves requests, rolls out a second version under load, and shuts down one
+// entry and one host gracefully.
 package demo
 
 import (
@@ -19,7 +19,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Options say what deployment to show.
+// Options configure the demo.
 type Options struct {
 	// Bin is the directory of the built programs.
 	Bin string
@@ -29,7 +29,8 @@
 	Objective string
 	// ModelMiB is the size of the weights.
 	ModelMiB float64
-	// Log receives the demo's own progress, ProcessLog the processes' logs.
+	// Log receives the log of the demo itself, Progress that of the callers and
+	// ProcessLog those of all other processes.
 	Log        *slog.Logger
 	Progress   io.Writer
 	ProcessLog io.Writer
@@ -43,20 +44,20 @@
 	customerCount   = 10
 	chunkKiB        = 64
 	changeFraction  = 0.25 // of the chunks, between the two versions
-	loadRate        = 80   // requests a second
+	loadRate        = 80   // requests per second
 	loadTime        = 18 * time.Second
 	rollDelay       = 3 * time.Second
-	leaveDelay      = 3 * time.Second // behind the start of the roll
+	leaveDelay      = 3 * time.Second // after the start of the roll
 	answerTokens    = 16
-	linkFactor      = 2 // copies of the model a window, each host's link
-	originFactor    = 4 // copies of the model a window, the origin's link
+	linkFactor      = 2 // copies of the model per window on each host's link
+	originFactor    = 4 // copies of the model per window on the origin's link
 	window          = 6 * time.Second
 	runLimit        = 58 * time.Second
 	requestDeadline = 8 * time.Second
 )
 
-// Result is the demo's JSON line. The callers and the back ends' stand-ins
-// counted all of it; the system says nothing about itself.
+// Result is the JSON line of the demo. All figures come from the callers and the
+// stand-ins; none is reported by the system under test.
 type Result struct {
 	Demo             string  `json:"demo"`
 	Hosts            int     `json:"hosts"`
@@ -74,8 +75,8 @@
 	WrongVersion     int     `json:"wrongVersion"`
 	CutOff           int     `json:"cutOff"`
 	NotRunButRan     int     `json:"notRunButRan"`
-	// OtherBreaches counts what engines saw and must never happen, and members
-	// that did not end cleanly.
+	// OtherBreaches counts violations that engines observed and members that did
+	// not shut down cleanly.
 	OtherBreaches int     `json:"otherBreaches"`
 	Seconds       float64 `json:"seconds"`
 }
@@ -86,6 +87,7 @@
 	stateBroken = "broken"
 )
 
+// setState sets Demo to broken if an invariant broke or no request was answered.
 func (r *Result) setState() {
 	r.Demo = stateOK
 	if r.Doubled+r.WrongAnswer+r.WrongVersion+r.CutOff+r.NotRunButRan+r.OtherBreaches > 0 || r.Answered == 0 {
@@ -93,10 +95,10 @@
 	}
 }
 
-// Broken reports whether an invariant broke.
+// Broken reports whether the demo failed: an invariant broke or nothing was answered.
 func (r *Result) Broken() bool { return r.Demo != stateOK }
 
-// demo is one run.
+// demo is the state of one run.
 type demo struct {
 	options    Options
 	deployment *deployment.Deployment
@@ -105,7 +107,7 @@
 	leaving    struct{ entry, host *deployment.Member }
 }
 
-// Run runs the demo and ends all that it started.
+// Run runs the demo and stops every process that it started.
 func Run(ctx context.Context, options Options) (Result, error) {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, runLimit)
@@ -212,7 +214,7 @@
 	return took, nil
 }
 
-// staying leaves out the host that is asked to leave: it need not turn.
+// mustServe is false for the host that shuts down; it need not change versions.
 func (d *demo) mustServe(m *deployment.Member) bool { return m != d.leaving.host }
 
 func (d *demo) apply(ctx context.Context, doc *wire.Document) error {
@@ -230,8 +232,8 @@
 	return nil
 }
 
-// changeUnderLoad rolls to a second version while the callers go on, and lets
-// one entry and one host leave meanwhile.
+// changeUnderLoad rolls out a second version while the callers send, and shuts down
+// one entry and one host meanwhile.
 func (d *demo) changeUnderLoad(ctx context.Context, load *deployment.Load, want deployment.Desired) error {
 	if err := pause(ctx, rollDelay); err != nil {
 		return err
@@ -245,7 +247,7 @@
 		return err
 	}
 	want.Version = second
-	// The last ones are taken, so that comfreyctl's entry stays.
+	// Use the last ones, because comfreyctl is connected to the first entry.
 	entries, hosts := d.deployment.Entries(), d.deployment.Agents()
 	d.leaving.entry, d.leaving.host = entries[len(entries)-1], hosts[len(hosts)-1]
 	left := make(chan error, 1)
@@ -258,7 +260,7 @@
 	return errors.Join(err, load.RemoveVersion(ctx, first))
 }
 
-// leave ends one entry and one host gracefully.
+// leave shuts down one entry and one host gracefully.
 func (d *demo) leave(ctx context.Context) error {
 	if err := pause(ctx, leaveDelay); err != nil {
 		return err
@@ -283,7 +285,7 @@
 	return ledger.Copies(version), err
 }
 
-// count fills the result from the callers' and the back ends' records.
+// fillResult fills in the result from the records of the callers and the endpoints.
 func (d *demo) fillResult(ctx context.Context, load *deployment.Load, summary deployment.LoadSummary, first string) (err error) {
 	if d.result.OriginCopies, err = d.copies(ctx, first); err != nil {
 		return err
