--- a/bench/internal/cmd/cmd_burst.go
+++ b/bench/internal/cmd/cmd_burst.go
@@ -57,15 +57,15 @@
 		})
 }
 
-// caseRun says which cases to run and how often.
+// caseRun selects the cases to run and the number of runs.
 type caseRun struct {
 	name string
 	runs int
 	list bool
 }
 
-// runCases runs the chosen cases one after the other and prints one JSON line
-// each; a case that fails does not stop the others.
+// runCases runs the selected cases sequentially and prints one JSON line per run. A
+// case that fails does not stop the others.
 func runCases[C any](ctx context.Context, want caseRun, cases []C, name func(C) string, run func(context.Context, C) (any, error)) error {
 	out := json.NewEncoder(os.Stdout)
 	chosen, failed := 0, 0
--- a/bench/internal/cmd/cmd_demo.go
+++ b/bench/internal/cmd/cmd_demo.go
@@ -79,7 +79,7 @@
 	Seed uint64 `long:"seed" default:"1" description:"seed of loads, contents and faults"`
 }
 
-// processLog opens the file that takes the log lines of all processes.
+// processLog creates the file to which all processes log.
 func (c *common) processLog(name string) (*os.File, func(), error) {
 	const dirMode = 0o755
 	if err := os.MkdirAll(c.Out, dirMode); err != nil {
@@ -94,7 +94,7 @@
 
 func logger() *slog.Logger { return logging.New(os.Stderr, "info", program, "bench") }
 
-// untilSignal returns a context that ends when the user wants the run to end.
+// untilSignal returns a context that is cancelled by SIGINT or SIGTERM.
 func untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 }
--- a/bench/internal/cmd/cmd_deployment.go
+++ b/bench/internal/cmd/cmd_deployment.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// printInfo writes the whole object at once, so that a reader of the file never
-// sees a part of it.
+// printInfo writes the description to standard output or, atomically by a rename, to
+// a file, so that a reader never sees a part of it.
 func printInfo(name string, info deployment.Description) error {
 	const mode = 0o600
 	text, err := json.Marshal(info)
@@ -91,7 +91,7 @@
 	return os.Rename(partial, name)
 }
 
-// rollOut brings a model to every host and returns the document's file.
+// rollOut rolls out a model to every host and returns the name of the document file.
 func rollOut(ctx context.Context, kept *deployment.Deployment, options *deploymentOptions) (string, error) {
 	const chunkKiB = 64
 	made, err := kept.Publish(ctx, deployment.Publication{Model: deployment.ModelName, Mib: options.ModelMiB, ChunkKib: chunkKiB, Seed: options.Seed})
--- a/bench/internal/cmd/cmd_policy.go
+++ b/bench/internal/cmd/cmd_policy.go
@@ -104,7 +104,7 @@
 	return policy.Plot(results, options.Plot)
 }
 
-// load returns the load at the size asked for.
+// load reads the load and scales it to the size given by the flags.
 func (o *policyOptions) load() (*policy.Load, error) {
 	load, err := policy.Usual(), error(nil)
 	if o.Load != "" {
@@ -116,7 +116,7 @@
 	return load.Sized(o.Entries, o.Engines, o.Regions)
 }
 
-// plays returns one play for each rate and seed.
+// plays returns the options of one simulation for each rate and seed.
 func (o *policyOptions) plays() ([]policy.Options, error) {
 	first, last, err := seedRange(o.Seeds)
 	if err != nil {
@@ -143,9 +143,9 @@
 }
 
 const (
-	// maxRate bounds what is asked: far beyond what any engine serves.
+	// maxRate bounds the load multiplier, far beyond what any engine serves.
 	maxRate = 20.0
-	// maxSeeds bounds the plays of one rate.
+	// maxSeeds bounds the simulations per rate.
 	maxSeeds = 1000
 )
 
@@ -172,7 +172,7 @@
 	return value
 }
 
-// seedRange reads "A" or "A..B".
+// seedRange parses "A" or "A..B".
 func seedRange(text string) (first, last uint64, err error) {
 	low, high, several := strings.Cut(text, "..")
 	if !several {
