--- a/bench/internal/burst/faults.go
+++ b/bench/internal/burst/faults.go
@@ -8,46 +8,46 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Fault is one kind of trouble in the middle of a burst.
+// Fault describes a fault that is injected into a burst.
 type Fault struct {
 	Name string
-	// LaggingList makes the platform's list of hosts a minute late.
+	// LaggingList delays changes of the platform's host list by a minute.
 	LaggingList bool
 	// Before is called before the document is submitted; nil for nothing.
 	Before func(ctx context.Context, r *run) error
-	// Strike is called in the middle of the transfer.
-	Strike func(ctx context.Context, r *run) error
+	// Inject is called in the middle of the transfer; nil for nothing.
+	Inject func(ctx context.Context, r *run) error
 }
 
 const (
 	tenthDiesCorrupt = "tenth-dies-and-corrupt"
-	// corruptFraction of the chunks arrive corrupt from the origin.
+	// corruptFraction is the fraction of chunks that the origin sends corrupted.
 	corruptFraction = 0.01
-	// tenth of the hosts are struck where the fault names no other number.
+	// tenth selects every tenth host for the faults that hit a part of the hosts.
 	tenth = 10
 )
 
 // faults returns every fault in the order of the report.
 func faults() []*Fault {
 	return []*Fault{
-		{Name: "tenth-dies", Strike: killTenth},
+		{Name: "tenth-dies", Inject: killTenth},
 		{Name: "corrupt-chunks", Before: corruptChunks},
-		{Name: tenthDiesCorrupt, Before: corruptChunks, Strike: killTenth},
-		{Name: "origin-down", Strike: originDown},
-		{Name: "origin-refuses", Strike: originRefuses},
+		{Name: tenthDiesCorrupt, Before: corruptChunks, Inject: killTenth},
+		{Name: "origin-down", Inject: originDown},
+		{Name: "origin-refuses", Inject: originRefuses},
 		{Name: "corrupt-manifest", Before: corruptManifest},
-		{Name: "host-stalls", Strike: stallHost},
-		{Name: "agent-restarts", Strike: restartTenth},
-		{Name: "version-changes", Strike: changeVersion},
-		{Name: "version-changes-back", Strike: changeVersionBack},
-		{Name: "list-lags-tenth-dies", LaggingList: true, Strike: killTenth},
-		{Name: "region-pauses", Strike: pauseRegion},
-		{Name: "domain-dies", Strike: killDomain},
+		{Name: "host-stalls", Inject: stallHost},
+		{Name: "agent-restarts", Inject: restartTenth},
+		{Name: "version-changes", Inject: changeVersion},
+		{Name: "version-changes-back", Inject: changeVersionBack},
+		{Name: "list-lags-tenth-dies", LaggingList: true, Inject: killTenth},
+		{Name: "region-pauses", Inject: pauseRegion},
+		{Name: "domain-dies", Inject: killDomain},
 		{Name: "engines-refuse-load", Before: refuseLoad},
 	}
 }
 
-// killTenth lets every tenth host die.
+// killTenth kills every tenth host.
 func killTenth(ctx context.Context, r *run) error {
 	var err error
 	for i, m := range r.deployment.Agents() {
@@ -58,6 +58,7 @@
 	return err
 }
 
+// killDomain kills every host of one failure domain.
 func killDomain(ctx context.Context, r *run) error {
 	var err error
 	domain := deployment.Quetzal()[0].FailureDomain
@@ -73,37 +74,37 @@
 	return r.deployment.SetOriginFaults(ctx, deployment.OriginFaults{CorruptFraction: corruptFraction})
 }
 
-// corruptManifest gives a manifest that does not match its hash for a part of
-// the bound.
+// corruptManifest makes the origin send a manifest that does not match its hash, for
+// a quarter of the bound.
 func corruptManifest(ctx context.Context, r *run) error {
-	return r.originTrouble(ctx, deployment.OriginFaults{CorruptManifest: true})
+	return r.injectOriginFault(ctx, deployment.OriginFaults{CorruptManifest: true})
 }
 
 func originDown(ctx context.Context, r *run) error {
-	return r.originTrouble(ctx, deployment.OriginFaults{Down: true})
+	return r.injectOriginFault(ctx, deployment.OriginFaults{Down: true})
 }
 
 func originRefuses(ctx context.Context, r *run) error {
-	return r.originTrouble(ctx, deployment.OriginFaults{Refuse: true})
+	return r.injectOriginFault(ctx, deployment.OriginFaults{Refuse: true})
 }
 
-// originTrouble lasts a quarter of the bound.
-func (r *run) originTrouble(ctx context.Context, faults deployment.OriginFaults) error {
+// injectOriginFault sets faults of the origin for a quarter of the bound.
+func (r *run) injectOriginFault(ctx context.Context, faults deployment.OriginFaults) error {
 	if err := r.deployment.SetOriginFaults(ctx, faults); err != nil {
 		return err
 	}
-	r.later(r.quarter(), func() error { return r.deployment.SetOriginFaults(ctx, deployment.OriginFaults{}) })
+	r.schedule(r.quarterOfBound(), func() error { return r.deployment.SetOriginFaults(ctx, deployment.OriginFaults{}) })
 	return nil
 }
 
-// stallHost stops one agent without closing its connections, for good.
+// stallHost suspends one agent permanently; its connections stay open.
 func stallHost(_ context.Context, r *run) error {
 	m := r.deployment.Agents()[1]
-	r.lose(m)
+	r.markLost(m)
 	return m.Pause()
 }
 
-// restartTenth lets every tenth host die and come back with nothing.
+// restartTenth kills every tenth host and restarts it without weights.
 func restartTenth(ctx context.Context, r *run) error {
 	var err error
 	for i, m := range r.deployment.Agents() {
@@ -114,29 +115,30 @@
 	return err
 }
 
-// changeVersion submits a second version that shares half of its chunks.
+// changeVersion submits a second version that shares half of its chunks with the
+// first.
 func changeVersion(ctx context.Context, r *run) error {
 	const changed = 0.5
-	made, err := r.deployment.Publish(ctx, r.publication(changed))
+	published, err := r.deployment.Publish(ctx, r.publication(changed))
 	if err != nil {
 		return err
 	}
-	return r.submit(ctx, made.Version)
+	return r.submit(ctx, published.Version)
 }
 
-// changeVersionBack submits a second version and soon the first one again.
+// changeVersionBack submits a second version, and the first one again a second later.
 func changeVersionBack(ctx context.Context, r *run) error {
 	first := r.version
 	if err := changeVersion(ctx, r); err != nil {
 		return err
 	}
-	r.later(time.Second, func() error { return r.submit(ctx, first) })
+	r.schedule(time.Second, func() error { return r.submit(ctx, first) })
 	r.pending.Wait()
 	return nil
 }
 
-// pauseRegion stops all processes of one region for a quarter of the bound, as
-// when it is cut off.
+// pauseRegion suspends all processes of one region for a quarter of the bound, to
+// simulate a network partition.
 func pauseRegion(_ context.Context, r *run) error {
 	var err error
 	var paused []*deployment.Member
@@ -147,7 +149,7 @@
 			paused = append(paused, m)
 		}
 	}
-	r.later(r.quarter(), func() error {
+	r.schedule(r.quarterOfBound(), func() error {
 		var err error
 		for _, m := range paused {
 			err = errors.Join(err, m.Resume())
@@ -169,6 +171,6 @@
 		}
 		return err
 	}
-	r.later(time.Duration(r.bound*float64(time.Second)), func() error { return set(deployment.EngineFaults{}) })
+	r.schedule(time.Duration(r.bound*float64(time.Second)), func() error { return set(deployment.EngineFaults{}) })
 	return set(deployment.EngineFaults{RefuseLoad: true})
 }
--- a/bench/internal/control/run.go
+++ b/bench/internal/control/run.go
@@ -1,5 +1,6 @@
-// Package control measures how documents spread, what that costs every node
-// and the key-value service, and what an outage or a restart of all does.
+// Package control measures how fast documents reach all nodes, what this costs the
+// nodes and the key-value service, and the effect of an outage of that service or a
+// restart of all nodes.
 package control
 
 import (
@@ -18,30 +19,30 @@
 
 const (
 	entryCount = 9
-	// caseLimit bounds one case, its start included.
+	// caseLimit bounds one case, including the start of its deployment.
 	caseLimit = 110 * time.Second
-	// quietTime is measured without changes, costTime with.
-	quietTime = 6 * time.Second
-	costTime  = 12 * time.Second
-	// spreadTime is how long changes are followed to every node, at least
-	// leastChanges of them.
-	spreadTime   = 12 * time.Second
-	leastChanges = 2
-	modelMiB     = 1
-	chunkKiB     = 64
+	// Usage is measured for idleTime without changes and for changeTime with them.
+	idleTime   = 6 * time.Second
+	changeTime = 12 * time.Second
+	// propagationTime is how long changes are followed to every node. It is extended
+	// where it would hold fewer than minChanges.
+	propagationTime = 12 * time.Second
+	minChanges      = 2
+	modelMiB        = 1
+	chunkKiB        = 64
 )
 
 // Options configure a run of cases.
 type Options struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// ProcessLog receives the processes' logs.
+	// ProcessLog receives the logs of all processes.
 	ProcessLog io.Writer
 	Log        *slog.Logger
 	Seed       uint64
 }
 
-// run is one case while it runs.
+// run is the state of a running case.
 type run struct {
 	options    Options
 	current    Case
@@ -53,7 +54,7 @@
 	accept     *hdrhistogram.Histogram // microseconds
 }
 
-// Run runs one case and returns its line.
+// Run runs one case and returns its result.
 func Run(ctx context.Context, options Options, current Case) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, caseLimit)
 	defer cancel()
@@ -88,14 +89,14 @@
 		return err
 	}
 	r.version = made.Version
-	if err := r.change(ctx); err != nil {
+	if err := r.submitChange(ctx); err != nil {
 		return err
 	}
 	return r.deployment.WaitServing(ctx, r.deployment.Agents(), made.Version, nil)
 }
 
-// change submits a document that differs in one customer's limit.
-func (r *run) change(ctx context.Context) error {
+// submitChange submits a document with a new request limit for one customer.
+func (r *run) submitChange(ctx context.Context) error {
 	customers := deployment.Customers(r.current.Customers)
 	customers[r.changes%len(customers)].RequestsPerSecond = float64(1000 + r.changes)
 	doc := r.deployment.Document(deployment.Desired{Version: r.version, Objective: deployment.ObjectiveTime, Customers: customers})
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// every calls do at the case's rate for the time.
-func (r *run) every(ctx context.Context, length time.Duration, do func(context.Context) error) error {
+// repeat calls do at the case's change rate for the given time.
+func (r *run) repeat(ctx context.Context, length time.Duration, do func(context.Context) error) error {
 	interval := time.Duration(float64(time.Second) / r.current.ChangesPerSecond)
 	next, end := time.Now(), time.Now().Add(length)
 	for next.Before(end) {
@@ -131,32 +132,33 @@
 }
 
 func (r *run) measure(ctx context.Context, result *Result) error {
-	quiet, err := r.cost(ctx, func() error { return pause(ctx, quietTime) })
+	idle, err := r.measureUsage(ctx, func() error { return pause(ctx, idleTime) })
 	if err != nil {
 		return err
 	}
-	result.IdleKVReadsPerSecond, result.IdleKVWritesPerSecond = quiet.reads, quiet.writes
-	result.IdleBytesPerNodePerSecond = quiet.bytes(entryCount, r.current.Agents)
-	busy, err := r.cost(ctx, func() error { return r.every(ctx, costTime, r.change) })
+	result.IdleKVReadsPerSecond, result.IdleKVWritesPerSecond = idle.reads, idle.writes
+	result.IdleBytesPerNodePerSecond = idle.bytes(entryCount, r.current.Agents)
+	changing, err := r.measureUsage(ctx, func() error { return r.repeat(ctx, changeTime, r.submitChange) })
 	if err != nil {
 		return err
 	}
-	result.addCost(busy, r.current.Agents)
-	if err := r.spread(ctx); err != nil {
+	result.addUsage(changing, r.current.Agents)
+	if err := r.measurePropagation(ctx); err != nil {
 		return err
 	}
-	if err := r.trouble(ctx, result); err != nil {
+	if err := r.injectFault(ctx, result); err != nil {
 		return err
 	}
-	return r.finish(ctx, result)
+	return r.fillResult(ctx, result)
 }
 
-// spread follows changes until each is in force on every node.
-func (r *run) spread(ctx context.Context) error {
-	length := max(spreadTime, time.Duration(leastChanges/r.current.ChangesPerSecond*float64(time.Second)))
+// measurePropagation submits changes and measures the time until each is in force on
+// every node.
+func (r *run) measurePropagation(ctx context.Context) error {
+	length := max(propagationTime, time.Duration(minChanges/r.current.ChangesPerSecond*float64(time.Second)))
 	return r.follower.During(ctx, func() error {
-		err := r.every(ctx, length, func(ctx context.Context) error {
-			if err := r.change(ctx); err != nil {
+		err := r.repeat(ctx, length, func(ctx context.Context) error {
+			if err := r.submitChange(ctx); err != nil {
 				return err
 			}
 			r.follower.Accepted(r.revision, time.Now())
@@ -169,8 +171,8 @@
 	})
 }
 
-// trouble provokes the case's outage or restart.
-func (r *run) trouble(ctx context.Context, result *Result) error {
+// injectFault runs the case's outage or restart, if it has one.
+func (r *run) injectFault(ctx context.Context, result *Result) error {
 	switch {
 	case r.current.Outage > 0:
 		return r.outage(ctx, result)
@@ -180,22 +182,23 @@
 	return nil
 }
 
-// outage takes the service away: a document is refused clearly, and once the
-// service is back the next one is in force everywhere.
+// outage makes the key-value service unavailable and checks that a document is
+// rejected meanwhile. Then it measures the recovery.
 func (r *run) outage(ctx context.Context, result *Result) error {
 	if err := r.deployment.SetKVFaults(ctx, deployment.KVFaults{Down: true}); err != nil {
 		return err
 	}
-	refused := r.change(ctx) != nil
+	refused := r.submitChange(ctx) != nil
 	result.OutageRefused = &refused
 	err := pause(ctx, r.current.Outage)
 	if err = errors.Join(err, r.deployment.SetKVFaults(ctx, deployment.KVFaults{})); err != nil {
 		return err
 	}
-	return r.recover(ctx, result)
+	return r.measureRecovery(ctx, result)
 }
 
-// restartAll kills every entry and agent and starts all at once.
+// restartAll kills every entry and agent, starts all of them concurrently, and
+// measures the recovery.
 func (r *run) restartAll(ctx context.Context, result *Result) error {
 	for _, m := range r.deployment.Members() {
 		if err := m.Process().Kill(); err != nil {
@@ -205,14 +208,14 @@
 	if err := r.deployment.RestartAll(ctx); err != nil {
 		return err
 	}
-	return r.recover(ctx, result)
+	return r.measureRecovery(ctx, result)
 }
 
-// recover measures the time until a new document is in force everywhere.
-func (r *run) recover(ctx context.Context, result *Result) error {
+// measureRecovery measures the time until a new document is in force on all nodes.
+func (r *run) measureRecovery(ctx context.Context, result *Result) error {
 	started := time.Now()
 	err := r.follower.During(ctx, func() error {
-		for r.change(ctx) != nil {
+		for r.submitChange(ctx) != nil {
 			if err := pause(ctx, follow.Interval); err != nil {
 				return err
 			}
@@ -223,7 +226,7 @@
 	return err
 }
 
-func (r *run) finish(ctx context.Context, result *Result) error {
+func (r *run) fillResult(ctx context.Context, result *Result) error {
 	ledger, err := r.deployment.KVLedger(ctx)
 	if err != nil {
 		return err
--- a/bench/internal/deployment/counters.go
+++ b/bench/internal/deployment/counters.go
@@ -5,30 +5,30 @@
 	"net/http"
 )
 
-// Counters are figures that a member publishes at /debug/vars; 0 where it
-// publishes none.
+// Counters are figures that a member publishes at /debug/vars; one that it does
+// not publish is 0.
 type Counters struct {
-	// ControlBytes were sent and received between the system's processes, but
-	// for chunks and answers.
+	// ControlBytes were sent and received between the system's processes, without
+	// chunks and answers.
 	ControlBytes float64
-	// ConnectionBytes is all that its connections to other processes of the
-	// system carried, TLS included.
+	// ConnectionBytes is the traffic on its connections to other processes of the
+	// system, including TLS overhead.
 	ConnectionBytes float64
-	// CrossRegionBytes of chunks came from another region; nil where the
-	// program does not count them.
+	// CrossRegionBytes counts the chunk bytes received from another region; nil
+	// if the program does not count them.
 	CrossRegionBytes *float64
-	// AllocBytes is all memory ever allocated.
+	// AllocBytes is the cumulative size of heap allocations.
 	AllocBytes float64
-	// InvariantFailures counts what the program itself found broken.
+	// InvariantFailures counts violations that the program's own checks found.
 	InvariantFailures float64
 	// Vars holds every variable.
 	Vars map[string]any
 }
 
 // Counters reads the member's /debug/vars.
-func (h *Deployment) Counters(ctx context.Context, m *Member) (Counters, error) {
+func (d *Deployment) Counters(ctx context.Context, m *Member) (Counters, error) {
 	vars := map[string]any{}
-	if err := h.call(ctx, http.MethodGet, "http://"+m.operators+"/debug/vars", nil, &vars); err != nil {
+	if err := d.call(ctx, http.MethodGet, "http://"+m.operators+"/debug/vars", nil, &vars); err != nil {
 		return Counters{}, err
 	}
 	out := Counters{Vars: vars}
@@ -38,7 +38,7 @@
 		bytes := number(vars, "crossRegionBytes")
 		out.CrossRegionBytes = &bytes
 	}
-	out.InvariantFailures = total(vars["invariantFailures"])
+	out.InvariantFailures = sumNumbers(vars["invariantFailures"])
 	if stats, ok := vars["memstats"].(map[string]any); ok {
 		out.AllocBytes = number(stats, "TotalAlloc")
 	}
@@ -51,7 +51,8 @@
 	return value
 }
 
-// controlBytes sums the bytes by call, but for chunks and requests.
+// controlBytes sums the bytes of all calls except those that carry chunks and
+// requests.
 func controlBytes(value any) (sum float64) {
 	byCall, _ := value.(map[string]any)
 	for call := range byCall {
@@ -64,14 +65,15 @@
 	return sum
 }
 
-// total sums a variable that is a number or a map of numbers.
-func total(value any) (sum float64) {
+// sumNumbers returns the sum of a variable that is a number or a (nested) map of
+// numbers.
+func sumNumbers(value any) (sum float64) {
 	switch value := value.(type) {
 	case float64:
 		return value
 	case map[string]any:
-		for _, one := range value {
-			sum += total(one)
+		for _, element := range value {
+			sum += sumNumbers(element)
 		}
 	}
 	return sum
--- a/bench/internal/deployment/describe.go
+++ b/bench/internal/deployment/describe.go
@@ -1,6 +1,7 @@
 package deployment
 
-// Description shows a person how to reach a deployment.
+// Description lists the addresses and keys with which a person can reach a
+// deployment.
 type Description struct {
 	OperatorKey string              `json:"operatorKey"`
 	CustomerKey string              `json:"customerKey"`
@@ -13,7 +14,7 @@
 	Agents      []MemberDescription `json:"agents"`
 }
 
-// MemberDescription is one member's part.
+// MemberDescription holds the process id and the addresses of one member.
 type MemberDescription struct {
 	ID        string `json:"id"`
 	PID       int    `json:"pid"`
@@ -22,22 +23,22 @@
 	Endpoint  string `json:"endpoint,omitempty"`
 }
 
-// Describe returns the addresses and keys of the deployment, which are throw-away
-// ones, and the file of its document.
-func (h *Deployment) Describe(document string) Description {
+// Describe returns the addresses of the deployment, its keys, which are valid only
+// for this run, and the name of the file with its document.
+func (d *Deployment) Describe(document string) Description {
 	out := Description{
 		OperatorKey: OperatorKey,
 		CustomerKey: Customers(1)[0].Key(),
-		Dir:         h.dir,
+		Dir:         d.dir,
 		Document:    document,
-		KV:          h.kvURL,
-		Hosts:       h.hostsURL,
-		Origin:      h.originURL,
+		KV:          d.kvURL,
+		Hosts:       d.hostsURL,
+		Origin:      d.originURL,
 	}
-	for _, m := range h.entries {
+	for _, m := range d.entries {
 		out.Entries = append(out.Entries, m.describe())
 	}
-	for _, m := range h.agents {
+	for _, m := range d.agents {
 		out.Agents = append(out.Agents, m.describe())
 	}
 	return out
--- a/bench/internal/deployment/http.go
+++ b/bench/internal/deployment/http.go
@@ -14,24 +14,26 @@
 const (
 	// callTimeout bounds one call to a stand-in or an operators' address.
 	callTimeout = 10 * time.Second
-	// maxBody bounds an answer: the ledgers of long runs are large.
+	// maxBody bounds a response body. The ledgers of long runs are large.
 	maxBody = 256 << 20
 )
 
-// client talks to the stand-ins and operators' addresses; one connection each
-// is enough, so none is kept.
+// client calls the stand-ins and the operators' addresses. A connection for each
+// call is enough, so none is kept open.
 var client = &http.Client{
 	Timeout:   callTimeout,
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
-// call sends a JSON body where one is given and reads a JSON answer where one
-// is wanted.
-func (h *Deployment) call(ctx context.Context, method, url string, body, into any) error {
-	return callWith(ctx, method, url, "", body, into)
+// call sends body as JSON unless it is nil, and decodes the JSON response into
+// reply unless that is nil.
+func (d *Deployment) call(ctx context.Context, method, url string, body, reply any) error {
+	return callWith(ctx, method, url, "", body, reply)
 }
 
-func callWith(ctx context.Context, method, url, key string, body, into any) error {
+// callWith is call with a bearer key, which is left out if empty. Any status but
+// 200 is an error.
+func callWith(ctx context.Context, method, url, key string, body, reply any) error {
 	var reader io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
@@ -47,20 +49,20 @@
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxBody))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s %s: status %d: %s", method, url, answer.StatusCode, strings.TrimSpace(string(text)))
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s %s: status %d: %s", method, url, response.StatusCode, strings.TrimSpace(string(text)))
 	}
-	if into == nil {
+	if reply == nil {
 		return nil
 	}
-	return json.Unmarshal(text, into)
+	return json.Unmarshal(text, reply)
 }
--- a/bench/internal/deployment/operate.go
+++ b/bench/internal/deployment/operate.go
@@ -16,10 +16,10 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// pollInterval is how often a wait looks again.
+// pollInterval is the time between two checks of a condition that is waited for.
 const pollInterval = 50 * time.Millisecond
 
-// Publication is what the origin should make.
+// Publication describes a model version that the origin should generate.
 type Publication struct {
 	Model          string  `json:"model"`
 	Kind           string  `json:"kind"`
@@ -31,30 +31,30 @@
 	ChangeFraction float64 `json:"changeFraction,omitempty"`
 }
 
-// Published is the version that the origin made.
+// Published is a version that the origin generated.
 type Published struct {
 	Version string `json:"version"`
 	Chunks  int    `json:"chunks"`
 	Bytes   uint64 `json:"bytes"`
 }
 
-// Publish lets the origin make a version.
-func (h *Deployment) Publish(ctx context.Context, pub Publication) (made Published, err error) {
+// Publish makes the origin generate a version.
+func (d *Deployment) Publish(ctx context.Context, pub Publication) (made Published, err error) {
 	if pub.Kind == "" {
 		pub.Kind = "base"
 	}
-	err = h.call(ctx, http.MethodPost, h.originURL+"/publish", pub, &made)
+	err = d.call(ctx, http.MethodPost, d.originURL+"/publish", pub, &made)
 	return made, err
 }
 
 // WriteDocument writes the document to a file for comfreyctl and returns its
 // name.
-func (h *Deployment) WriteDocument(doc *wire.Document) (string, error) {
+func (d *Deployment) WriteDocument(doc *wire.Document) (string, error) {
 	text, err := documentText(doc)
 	if err != nil {
 		return "", err
 	}
-	name := filepath.Join(h.dir, "document-"+uuid.NewString()+".json")
+	name := filepath.Join(d.dir, "document-"+uuid.NewString()+".json")
 	return name, os.WriteFile(name, text, settingsMode)
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Submit submits the document to the entry and returns the new revision.
-func (h *Deployment) Submit(ctx context.Context, entry *Member, base uint32, doc *wire.Document, reason string) (uint32, error) {
+func (d *Deployment) Submit(ctx context.Context, entry *Member, base uint32, doc *wire.Document, reason string) (uint32, error) {
 	text, err := documentText(doc)
 	if err != nil {
 		return 0, err
@@ -81,7 +81,7 @@
 }
 
 // InForce reads the document in force at the entry.
-func (h *Deployment) InForce(ctx context.Context, entry *Member) (uint32, *wire.Document, error) {
+func (d *Deployment) InForce(ctx context.Context, entry *Member) (uint32, *wire.Document, error) {
 	var reply struct {
 		Revision uint32          `json:"revision"`
 		Document json.RawMessage `json:"document"`
@@ -98,7 +98,7 @@
 	return reply.Revision, doc, nil
 }
 
-// EngineStatus is what an engine says it has loaded.
+// EngineStatus is an engine's report of what it has loaded and runs.
 type EngineStatus struct {
 	Model    string `json:"model"`
 	Version  string `json:"version"`
@@ -111,19 +111,19 @@
 	} `json:"adapters"`
 }
 
-// EngineStatus asks the member's engine itself, past the system.
-func (h *Deployment) EngineStatus(ctx context.Context, m *Member) (status EngineStatus, err error) {
-	err = h.call(ctx, http.MethodGet, m.endpointURL+"/status", nil, &status)
+// EngineStatus asks the member's engine directly, not through the system.
+func (d *Deployment) EngineStatus(ctx context.Context, m *Member) (status EngineStatus, err error) {
+	err = d.call(ctx, http.MethodGet, m.endpointURL+"/status", nil, &status)
 	return status, err
 }
 
-// errNotServing: a wait ended too early.
+// errNotServing is returned when the context ends before all hosts serve.
 var errNotServing = errors.New("not every host serves the version")
 
-// WaitServing waits until each of the hosts has the version loaded, by the
-// engines' own reports, and returns the time of the last one's. Hosts that alive
-// reports as dead are not waited for.
-func (h *Deployment) WaitServing(ctx context.Context, hosts []*Member, version string, alive func(*Member) bool) error {
+// WaitServing waits until the engine of each host reports that it has loaded the
+// version. It does not wait for hosts for which alive returns false; a nil alive
+// means that all are alive.
+func (d *Deployment) WaitServing(ctx context.Context, hosts []*Member, version string, alive func(*Member) bool) error {
 	waiting := append([]*Member(nil), hosts...)
 	for {
 		var rest []*Member
@@ -131,7 +131,7 @@
 			if alive != nil && !alive(m) {
 				continue
 			}
-			status, err := h.EngineStatus(ctx, m)
+			status, err := d.EngineStatus(ctx, m)
 			if err != nil || status.Version != version {
 				rest = append(rest, m)
 			}
@@ -146,11 +146,11 @@
 	}
 }
 
-// WaitRoutable waits until every running entry answers callers.
-func (h *Deployment) WaitRoutable(ctx context.Context) error {
-	for _, m := range h.entries {
+// WaitRoutable waits until every running entry reports at /readyz that it is ready.
+func (d *Deployment) WaitRoutable(ctx context.Context) error {
+	for _, m := range d.entries {
 		for !m.process.Ended() {
-			err := h.call(ctx, http.MethodGet, "http://"+m.operators+"/readyz", nil, nil)
+			err := d.call(ctx, http.MethodGet, "http://"+m.operators+"/readyz", nil, nil)
 			if err == nil {
 				break
 			}
--- a/bench/internal/deployment/settings.go
+++ b/bench/internal/deployment/settings.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	// settingsMode: settings name key files, nobody else reads them.
+	// settingsMode makes the settings unreadable for other users, because they
+	// name key files.
 	settingsMode = 0o600
-	// Sync calls are held for so long, as the settings' defaults have it.
+	// Time that sync calls are held open, equal to the defaults of the settings.
 	entrySyncInterval = 2 * time.Second
 	agentSyncInterval = time.Second
-	// leaseTTL is short, so that a killed lease-holder is replaced within a
-	// run's time.
+	// leaseTTL is short, so that a killed lease holder is replaced during the run.
 	leaseTTL = 3 * time.Second
-	// drainTimeout bounds a graceful end; longer than the longest request.
+	// drainTimeout bounds a graceful shutdown; it is longer than the longest
+	// request.
 	drainTimeout = 20 * time.Second
-	// defaultDirectoryTTL of the entry that a caller uses.
+	// defaultDirectoryTTL is how long callers cache the address of an entry.
 	defaultDirectoryTTL = 5 * time.Second
 )
 
-// KeyHash returns the form in which the document and settings hold a bearer
-// key.
+// KeyHash returns the hex SHA-256 of a bearer key, the form in which the document
+// and the settings store it.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-func (h *Deployment) nodeSettings(m *Member, role string) (*wire.NodeSettings, error) {
-	files, err := h.authority.Issue(m.id, role)
+func (d *Deployment) nodeSettings(m *Member, role string) (*wire.NodeSettings, error) {
+	files, err := d.authority.Issue(m.id, role)
 	if err != nil {
 		return nil, err
 	}
@@ -49,67 +50,67 @@
 		ControlAddress:   m.control,
 		OperatorsAddress: m.operators,
 		Tls:              files,
-		HostsUrl:         h.hostsURL,
-		LogLevel:         h.logLevel(),
+		HostsUrl:         d.hostsURL,
+		LogLevel:         d.logLevel(),
 	}, nil
 }
 
-func (h *Deployment) logLevel() string {
-	if h.config.LogLevel == "" {
+func (d *Deployment) logLevel() string {
+	if d.config.LogLevel == "" {
 		return "warn"
 	}
-	return h.config.LogLevel
+	return d.config.LogLevel
 }
 
-func (h *Deployment) writeEntrySettings(m *Member) error {
-	node, err := h.nodeSettings(m, peer.RoleEntry)
+func (d *Deployment) writeEntrySettings(m *Member) error {
+	node, err := d.nodeSettings(m, peer.RoleEntry)
 	if err != nil {
 		return err
 	}
-	ttl := h.config.DirectoryTTL
+	ttl := d.config.DirectoryTTL
 	if ttl == 0 {
 		ttl = defaultDirectoryTTL
 	}
-	return h.writeSettings(m, &wire.EntrySettings{
+	return d.writeSettings(m, &wire.EntrySettings{
 		Node:               node,
 		CallersAddress:     m.callers,
-		KvUrl:              h.kvURL,
-		KvReadsPerSecond:   h.config.KVReadsPerSecond,
-		KvWritesPerSecond:  h.config.KVWritesPerSecond,
+		KvUrl:              d.kvURL,
+		KvReadsPerSecond:   d.config.KVReadsPerSecond,
+		KvWritesPerSecond:  d.config.KVWritesPerSecond,
 		BootstrapKeyHashes: []string{KeyHash(OperatorKey)},
 		DirectoryTtl:       durationpb.New(ttl),
 		SyncInterval:       durationpb.New(entrySyncInterval),
 		LeaseTtl:           durationpb.New(leaseTTL),
 		DrainTimeout:       durationpb.New(drainTimeout),
-		RoutePolicy:        h.config.RoutePolicy,
+		RoutePolicy:        d.config.RoutePolicy,
 	})
 }
 
-func (h *Deployment) writeAgentSettings(m *Member) error {
-	node, err := h.nodeSettings(m, peer.RoleAgent)
+func (d *Deployment) writeAgentSettings(m *Member) error {
+	node, err := d.nodeSettings(m, peer.RoleAgent)
 	if err != nil {
 		return err
 	}
-	link := h.config.Link
-	return h.writeSettings(m, &wire.AgentSettings{
+	link := d.config.Link
+	return d.writeSettings(m, &wire.AgentSettings{
 		Node:          node,
 		Endpoint:      m.endpoint,
 		Service:       m.service,
 		EndpointUrl:   m.endpointURL,
-		OriginUrl:     h.originURL,
+		OriginUrl:     d.originURL,
 		Link:          &wire.LinkSettings{Up: link.Up, Down: link.Down, Shared: link.Shared},
 		SyncInterval:  durationpb.New(agentSyncInterval),
 		DrainTimeout:  durationpb.New(drainTimeout),
-		WindowBytes:   h.config.WindowBytes,
-		BurstStrategy: h.config.BurstStrategy,
+		WindowBytes:   d.config.WindowBytes,
+		BurstStrategy: d.config.BurstStrategy,
 	})
 }
 
-func (h *Deployment) writeSettings(m *Member, set proto.Message) error {
+func (d *Deployment) writeSettings(m *Member, set proto.Message) error {
 	text, err := protojson.MarshalOptions{Multiline: true}.Marshal(set)
 	if err != nil {
 		return err
 	}
-	m.settings = filepath.Join(h.dir, m.id+".json")
+	m.settings = filepath.Join(d.dir, m.id+".json")
 	return os.WriteFile(m.settings, text, settingsMode)
 }
--- a/bench/internal/follow/follower.go
+++ b/bench/internal/follow/follower.go
@@ -1,4 +1,5 @@
-// Package follow asks every node of a deployment which revision it has in force.
+// Package follow polls the nodes of a deployment for the revision that each has
+// in force, and measures how long a change takes to reach them.
 package follow
 
 import (
@@ -13,52 +14,55 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Interval is how often each node is asked; it bounds the error of a time.
+// Interval is the time between two polls of a node; it bounds the error of a
+// measured time.
 const Interval = 50 * time.Millisecond
 
-// Follower asks every node which revision it has in force.
+// Follower polls every node for its revision in force and records the time from
+// the acceptance of a revision until the node has it.
 type Follower struct {
 	members []*deployment.Member
 	client  *http.Client
 
-	mu       sync.Mutex
-	inForce  *hdrhistogram.Histogram // microseconds from the acceptance
-	times    map[uint32]time.Time    // of the acceptance, by revision
-	latest   uint32                  // newest accepted that is measured
-	revision map[string]uint32       // by node: the last one seen
-	back     int                     // times that a node's revision fell
+	mu         sync.Mutex
+	inForce    *hdrhistogram.Histogram // microseconds from acceptance to in force
+	acceptedAt map[uint32]time.Time    // by revision
+	latest     uint32                  // newest accepted revision
+	revision   map[string]uint32       // by node: the highest one seen
+	reverts    int                     // how often a node's revision fell
 }
 
-// New returns a Follower of the members that asks nobody yet.
+// New returns a Follower of the members; polling starts with During.
 func New(members []*deployment.Member) *Follower {
 	return &Follower{
-		members:  members,
-		client:   &http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		inForce:  NewTimes(),
-		times:    map[uint32]time.Time{},
-		revision: map[string]uint32{},
+		members:    members,
+		client:     &http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		inForce:    NewTimes(),
+		acceptedAt: map[uint32]time.Time{},
+		revision:   map[string]uint32{},
 	}
 }
 
-// During asks the nodes while do runs.
+// During runs do, polls the nodes meanwhile and returns the error of do.
 func (f *Follower) During(ctx context.Context, do func() error) error {
-	asking, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
+	polling, stop := context.WithCancel(ctx)
+	var pollers sync.WaitGroup
 	for _, m := range f.members {
-		all.Go(func() { f.ask(asking, m) })
+		pollers.Go(func() { f.poll(polling, m) })
 	}
 	err := do()
 	stop()
-	all.Wait()
+	pollers.Wait()
 	return err
 }
 
-// Accepted notes that the revision was accepted now. A node that had it before
-// the acceptance came back counts as 0.
+// Accepted records that the revision was accepted now. A node that already has
+// it, because it applied the revision before the submitter got its reply, counts
+// as a time of 0.
 func (f *Follower) Accepted(revision uint32, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.times[revision] = now
+	f.acceptedAt[revision] = now
 	f.latest = revision
 	for _, seen := range f.revision {
 		if seen >= revision {
@@ -67,9 +71,9 @@
 	}
 }
 
-// Wait waits until every node has the revision.
+// Wait blocks until every node has the revision or a later one, or ctx ends.
 func (f *Follower) Wait(ctx context.Context, revision uint32) error {
-	for !f.all(revision) {
+	for !f.allReached(revision) {
 		if err := pause(ctx, Interval); err != nil {
 			return err
 		}
@@ -77,7 +81,7 @@
 	return nil
 }
 
-func (f *Follower) all(revision uint32) bool {
+func (f *Follower) allReached(revision uint32) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
@@ -88,42 +92,42 @@
 	return true
 }
 
-// Reverts counts the times that a node went back to an older revision.
+// Reverts returns how often a node went back to an older revision.
 func (f *Follower) Reverts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.back
+	return f.reverts
 }
 
-func (f *Follower) ask(ctx context.Context, m *deployment.Member) {
+func (f *Follower) poll(ctx context.Context, m *deployment.Member) {
 	for pause(ctx, Interval) == nil {
-		if revision, ok := f.read(ctx, m); ok {
-			f.note(m.ID(), revision, time.Now())
+		if revision, ok := f.fetchRevision(ctx, m); ok {
+			f.observe(m.ID(), revision, time.Now())
 		}
 	}
 }
 
-// note records the revisions that the node has reached since it was asked
-// before.
-func (f *Follower) note(node string, revision uint32, now time.Time) {
+// observe takes the result of a poll: it records the time for each revision that
+// the node has reached since the previous poll, and counts reverts.
+func (f *Follower) observe(node string, revision uint32, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := f.revision[node]
-	// A process that was restarted knows nothing at first: that is no revert.
+	// A restarted process reports revision 0 at first, which is not a revert.
 	if revision < last && revision > 0 {
-		f.back++
+		f.reverts++
 	}
 	if revision > last {
 		f.revision[node] = revision
 	}
 	for reached := last + 1; reached <= min(revision, f.latest); reached++ {
-		if at, measured := f.times[reached]; measured {
+		if at, measured := f.acceptedAt[reached]; measured {
 			Record(f.inForce, now.Sub(at))
 		}
 	}
 }
 
-// nodeVars are the parts of /debug/vars that show the revision in force.
+// nodeVars is the part of /debug/vars that holds the revision in force.
 type nodeVars struct {
 	AgentState struct {
 		Revision uint32 `json:"revision"`
@@ -133,7 +137,7 @@
 	} `json:"entryState"`
 }
 
-func (f *Follower) read(ctx context.Context, m *deployment.Member) (uint32, bool) {
+func (f *Follower) fetchRevision(ctx context.Context, m *deployment.Member) (uint32, bool) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.OperatorsAddress()+"/debug/vars", nil)
 	if err != nil {
 		return 0, false
@@ -150,8 +154,8 @@
 	return max(vars.AgentState.Revision, vars.EntryState.Revision), true
 }
 
-// Seconds returns a percentile of the time from an acceptance until a node had
-// the revision in force.
+// Seconds returns a percentile of the time, in seconds, from the acceptance of a
+// revision until a node had it in force.
 func (f *Follower) Seconds(percentile float64) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/bench/internal/requests/cases.go
+++ b/bench/internal/requests/cases.go
@@ -6,31 +6,34 @@
 	"comfreyrelay.example/bench/internal/deployment"
 )
 
-// Case is one experiment.
+// Case describes one experiment.
 type Case struct {
 	Name string
-	// Policy is empty for the system's own, or a baseline's name.
+	// Policy is the name of a baseline route policy; empty selects the system's.
 	Policy string
-	// Load is the offered rate over the engines' capacity.
+	// Load is the offered rate as a fraction of the engines' capacity.
 	Load float64
-	// Trouble happens while the callers send; nil for none.
-	Trouble trouble
-	// Calm runs the same load without the trouble first, to compare with.
-	Calm bool
-	// Greedy lets one large customer send by itself beside the others.
+	// Fault is injected while the callers send; nil for none.
+	Fault faultFunc
+	// CompareBefore first runs the same load without the fault, for comparison.
+	CompareBefore bool
+	// Greedy makes one large customer overload the system on its own while the
+	// others send their usual load.
 	Greedy bool
-	// Long lets the callers go on until the trouble is over.
-	Long bool
+	// UntilFaultEnds keeps the callers sending until the fault is over.
+	UntilFaultEnds bool
 }
 
+// length returns how long requests arrive.
 func (c Case) length() time.Duration {
-	if c.Long {
-		return longTime
+	if c.UntilFaultEnds {
+		return untilFaultEndsTime
 	}
 	return loadTime
 }
 
-// Loads of the cases with a fault, and of the callers beside a greedy one.
+// Loads of the cases with a fault, of the small customers in the greedy case and of
+// the greedy customer.
 const (
 	faultLoad  = 0.6
 	smallLoad  = 0.3
@@ -49,23 +52,23 @@
 		cases = append(cases, Case{Name: "baseline-" + policy, Policy: policy, Load: 0.9})
 	}
 	cases = append(cases,
-		Case{Name: "greedy-customer", Load: smallLoad, Calm: true, Greedy: true},
-		Case{Name: "rolling-restart", Load: faultLoad, Trouble: restartAll, Long: true},
+		Case{Name: "greedy-customer", Load: smallLoad, CompareBefore: true, Greedy: true},
+		Case{Name: "rolling-restart", Load: faultLoad, Fault: restartAll, UntilFaultEnds: true},
 	)
 	for _, c := range []Case{
-		{Name: "slow-replica", Trouble: slowReplica, Calm: true},
-		{Name: "fails-fast-looks-idle", Trouble: failsFast, Calm: true},
-		{Name: "engine-stalls", Trouble: engineStalls},
-		{Name: "breaks-after-tokens", Trouble: breaksAfterTokens},
-		{Name: "host-dies", Trouble: hostDies},
-		{Name: "cold-replica", Trouble: coldReplica},
-		{Name: "agent-pauses", Trouble: agentPauses},
-		{Name: "entry-dies", Trouble: entryDies},
-		{Name: "entry-leaves", Trouble: entryLeaves},
-		{Name: "host-leaves", Trouble: hostLeaves},
-		{Name: "service-loses-replies", Trouble: serviceLosesReplies},
-		{Name: "service-down", Trouble: kvDown},
-		{Name: "list-empty", Trouble: listEmpty},
+		{Name: "slow-replica", Fault: slowReplica, CompareBefore: true},
+		{Name: "fails-fast-looks-idle", Fault: failsFast, CompareBefore: true},
+		{Name: "engine-stalls", Fault: engineStalls},
+		{Name: "breaks-after-tokens", Fault: breaksAfterTokens},
+		{Name: "host-dies", Fault: hostDies},
+		{Name: "cold-replica", Fault: coldReplica},
+		{Name: "agent-pauses", Fault: agentPauses},
+		{Name: "entry-dies", Fault: entryDies},
+		{Name: "entry-leaves", Fault: entryLeaves},
+		{Name: "host-leaves", Fault: hostLeaves},
+		{Name: "service-loses-replies", Fault: serviceLosesReplies},
+		{Name: "service-down", Fault: kvDown},
+		{Name: "list-empty", Fault: listEmpty},
 	} {
 		c.Load = faultLoad
 		cases = append(cases, c)
--- a/bench/internal/site/site.go
+++ b/bench/internal/site/site.go
@@ -1,5 +1,5 @@
-// Package site starts a whole deployment behind a platform as plain processes on
-// loopback: entries, agents, and stand-ins of the platform's store, endpoints and origin.
+// Package site runs a complete deployment in site mode as processes on loopback:
+// entries, agents, and stand-ins for the platform's store, endpoints and origin.
 package site
 
 import (
@@ -37,11 +37,12 @@
 	App    = "app"
 	Store  = "store"
 	Origin = "origin"
-	// Network carries the connections between processes of the system.
+	// Network relays the connections between processes of the system and injects
+	// link faults.
 	Network = "network"
 )
 
-// Names of what is declared.
+// Names of the declared services and of the model.
 const (
 	EngineService = "llm"
 	AppService    = "app"
@@ -49,34 +50,35 @@
 	Model         = "m0"
 )
 
-// Ports of each host, the same on all of them.
+// Ports, the same on every host.
 const (
 	controlPort   = 7700
 	operatorsPort = 7701
 	readyPort     = 8002
 	callersPort   = 8005
 	directoryPort = 8009
-	partPort      = 8203
-	knobsPort     = 8204
-	// agentPort is where agents listen; what others reach at controlPort is a link before it.
+	standinPort   = 8203
+	faultsPort    = 8204
+	// agentPort is where agents listen. Other processes connect to controlPort, where
+	// the network stand-in relays to agentPort.
 	agentPort = 7710
 )
 
 const (
-	// startTimeout bounds the start of a process until it listens.
+	// startTimeout bounds the time from the start of a process until it listens.
 	startTimeout = 20 * time.Second
-	// callTimeout bounds one call to a stand-in's control address.
+	// callTimeout bounds one call to the control address of a stand-in.
 	callTimeout = 10 * time.Second
 	fileMode    = 0o600
-	// maxRecord bounds the record of one stand-in, bytes.
-	maxRecord = 256 << 20
-	// maxHosts bounds the hosts with an engine, those that are added included.
+	// maxResponse bounds a response body in bytes; the largest is a stand-in's record.
+	maxResponse = 256 << 20
+	// maxHosts bounds the hosts with an engine, including those that AddHost adds.
 	maxHosts = 120
-	// heartbeat of endpoints' registrations.
+	// heartbeat is the interval at which endpoints renew their registrations.
 	heartbeat = 1200 * time.Millisecond
 )
 
-// Config says what to start.
+// Config describes the deployment to start.
 type Config struct {
 	Bin     string // directory of the built programs
 	Dir     string // where settings are written
@@ -87,60 +89,60 @@
 	Apps    int
 	Spec    catalog.Engine
 	Bounds  Bounds
-	// MaxConns is how many connections each endpoint, and the origin, takes, by kind.
+	// MaxConns limits the connections that each endpoint and the origin accept, by kind.
 	MaxConns map[string]int
 }
 
-// Bounds are the promises that the platform holds the system to.
+// Bounds are the limits that the platform requires the system to keep.
 type Bounds struct {
 	Revoke, Apply, Version, Drain, Grace time.Duration
-	// Contact is how long a disruption goes on to excuse what comes after its end.
+	// Contact is how long after its end a disruption still excuses a violation.
 	Contact      time.Duration
 	Ratio, Slack float64 // of repeats
 	Window       time.Duration
 }
 
-// Member is one process.
+// Member is one process of the deployment or stand-in of the platform.
 type Member struct {
-	Name    string
-	Kind    string
-	Domain  string
-	IP      string
-	ID      string   // of an endpoint, in its registration
-	former  []string // ids before it was replaced
-	empty   bool     // an engine that starts with no weights
-	program string
-	args    []string
-
-	knobs  sync.Mutex
-	faults platformtest.PartFaults // that last, of a stand-in
+	Name      string
+	Kind      string
+	Domain    string
+	IP        string
+	ID        string   // of an endpoint, in its registration
+	formerIDs []string // ids before it was replaced
+	empty     bool     // an engine that starts with no weights
+	program   string
+	args      []string
+
+	faultsMu sync.Mutex
+	faults   platformtest.PartFaults // in effect, of a stand-in
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
-// Callers returns the address that an entry serves callers at.
-func (m *Member) Callers() string { return m.at(callersPort) }
+// Callers returns the address at which an entry serves callers.
+func (m *Member) Callers() string { return m.address(callersPort) }
 
 // Directory returns the address at which an entry lists the entries to use.
-func (m *Member) Directory() string { return m.at(directoryPort) }
+func (m *Member) Directory() string { return m.address(directoryPort) }
 
-func (m *Member) at(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
+func (m *Member) address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
-// Was reports whether the member has the id, or had it before it was replaced.
-func (m *Member) Was(id string) bool { return m.ID == id || slices.Contains(m.former, id) }
+// Was reports whether the id is the member's current or a former endpoint id.
+func (m *Member) Was(id string) bool { return m.ID == id || slices.Contains(m.formerIDs, id) }
 
-// Process returns the process that runs now, or ran last.
+// Process returns the current process, or the last one after it ended.
 func (m *Member) Process() *process.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// Site is a deployment that runs.
+// Site is a running deployment with its platform stand-ins.
 type Site struct {
 	config  Config
-	net     int // second byte of all addresses
+	subnet  int // second byte of all addresses
 	members []*Member
 	store   *Member
 
@@ -148,9 +150,9 @@
 	replaced int // endpoints that were replaced
 }
 
-// Start starts all processes. The caller stops them.
+// Start starts all processes. The caller must call Stop, also after an error.
 func Start(ctx context.Context, config Config) (*Site, error) {
-	s := &Site{config: config, net: freeNet()}
+	s := &Site{config: config, subnet: freeSubnet()}
 	s.store = s.add(Store, platformNet, 0)
 	s.add(Origin, platformNet, 1)
 	s.add(Network, platformNet, 2)
@@ -166,12 +168,12 @@
 	for i := range config.Entries {
 		s.add(Entry, entryNet, i)
 	}
-	for _, m := range s.all() {
-		if err := s.write(m); err != nil {
+	for _, m := range s.allMembers() {
+		if err := s.writeSettings(m); err != nil {
 			return s, err
 		}
 	}
-	for _, m := range s.all() {
+	for _, m := range s.allMembers() {
 		if err := s.Begin(ctx, m); err != nil {
 			return s, err
 		}
@@ -179,12 +181,12 @@
 	return s, nil
 }
 
-// freeNet returns a part of loopback that no other run uses.
-func freeNet() int {
+// freeSubnet returns a second address byte under 127.0.0.0/8 that no other run uses.
+func freeSubnet() int {
 	const first, count = 64, 128
 	for i := range count {
 		found := first + (os.Getpid()+i)%count
-		lis, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", found, partPort))
+		lis, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", found, standinPort))
 		if err == nil {
 			_ = lis.Close()
 			return found
@@ -193,10 +195,10 @@
 	return first
 }
 
-func (s *Site) add(kind string, third, index int) *Member {
+func (s *Site) add(kind string, group, index int) *Member {
 	m := &Member{
 		Kind: kind, Name: fmt.Sprintf("%s-%d", kind, index), ID: fmt.Sprintf("i-%s-%d", kind, index),
-		Domain: s.config.Domains[index%len(s.config.Domains)], IP: s.ip(third, index),
+		Domain: s.config.Domains[index%len(s.config.Domains)], IP: s.ip(group, index),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,31 +206,31 @@
 	return m
 }
 
-// Third bytes of addresses.
+// Third bytes of addresses, one for each group of members.
 const (
 	platformNet = iota
 	entryNet
 	hostNet
 	appNet
-	doorNet
+	storeLinkNet
 )
 
-func (s *Site) ip(third, index int) string { return fmt.Sprintf("127.%d.%d.%d", s.net, third, index+1) }
+func (s *Site) ip(group, i int) string { return fmt.Sprintf("127.%d.%d.%d", s.subnet, group, i+1) }
 
-// all returns the members.
-func (s *Site) all() []*Member {
+// allMembers returns a copy of the member list.
+func (s *Site) allMembers() []*Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.members)
 }
 
-// AddHost starts one more engine without weights and its agent.
+// AddHost starts one more engine, which has no weights, and its agent.
 func (s *Site) AddHost(ctx context.Context) error {
 	number := len(s.Members(Engine))
 	engine := s.add(Engine, hostNet, number)
 	engine.empty = true
 	for _, m := range []*Member{engine, s.add(Agent, hostNet, number)} {
-		if err := s.write(m); err != nil {
+		if err := s.writeSettings(m); err != nil {
 			return err
 		}
 		if err := s.Begin(ctx, m); err != nil {
@@ -241,7 +243,7 @@
 // Members returns the members of a kind.
 func (s *Site) Members(kind string) []*Member {
 	var found []*Member
-	for _, m := range s.all() {
+	for _, m := range s.allMembers() {
 		if m.Kind == kind {
 			found = append(found, m)
 		}
@@ -250,14 +252,15 @@
 }
 
 // Origin returns the address of the origin.
-func (s *Site) Origin() string { return s.Members(Origin)[0].at(partPort) }
+func (s *Site) Origin() string { return s.Members(Origin)[0].address(standinPort) }
 
-// door returns the address at which an entry reaches the store: a link of its own.
-func (s *Site) door(m *Member) string {
-	return fmt.Sprintf("%s:%d", s.ip(doorNet, slices.Index(s.Members(Entry), m)), partPort)
+// storeAddress returns the address at which an entry reaches the store. Each entry has
+// its own, so that faults can be injected for one entry alone.
+func (s *Site) storeAddress(m *Member) string {
+	return fmt.Sprintf("%s:%d", s.ip(storeLinkNet, slices.Index(s.Members(Entry), m)), standinPort)
 }
 
-// Begin starts a member's process, the first time or again after its end.
+// Begin starts a member's process, or starts it again after it ended.
 func (s *Site) Begin(ctx context.Context, m *Member) error {
 	spec := process.Spec{Name: m.Name, Program: filepath.Join(s.config.Bin, m.program), Args: m.args, Log: s.config.Log, Stdout: s.config.Log, Timeout: startTimeout}
 	if m.program == "comfreystandin" {
@@ -273,9 +276,9 @@
 	return nil
 }
 
-// Stop ends all processes.
+// Stop kills all processes; it resumes paused ones first.
 func (s *Site) Stop() {
-	for _, m := range s.all() {
+	for _, m := range s.allMembers() {
 		if p := m.Process(); p != nil && !p.Ended() {
 			_ = p.Resume()
 			_ = p.Kill()
@@ -283,21 +286,21 @@
 	}
 }
 
-// write writes a member's settings.
-func (s *Site) write(m *Member) error {
+// writeSettings sets a member's program and arguments and writes its settings file.
+func (s *Site) writeSettings(m *Member) error {
 	file := filepath.Join(s.config.Dir, m.Name+".json")
 	var text []byte
 	var err error
 	switch m.Kind {
 	case Entry:
 		m.program, m.args = "comfreyentry", []string{"--settings", file}
-		text, err = protoText(s.entrySettings(m))
+		text, err = marshalSettings(s.entrySettings(m))
 	case Agent:
 		m.program, m.args = "comfreyagent", []string{"--settings", file}
-		text, err = protoText(s.agentSettings(m))
+		text, err = marshalSettings(s.agentSettings(m))
 	default:
 		m.program, m.args = "comfreystandin", []string{"site", "--file", file}
-		text, err = json.Marshal(s.partOptions(m))
+		text, err = json.Marshal(s.standinOptions(m))
 	}
 	if err != nil {
 		return err
@@ -305,14 +308,14 @@
 	return os.WriteFile(file, text, fileMode)
 }
 
-func protoText(set proto.Message) ([]byte, error) {
+func marshalSettings(set proto.Message) ([]byte, error) {
 	return protojson.MarshalOptions{Multiline: true}.Marshal(set)
 }
 
 func (s *Site) nodeSettings(m *Member) *wire.NodeSettings {
 	return &wire.NodeSettings{
 		Id: m.Name, Region: "region-" + m.Domain, FailureDomain: m.Domain, Insecure: true, LogLevel: "info",
-		ControlAddress: m.at(controlPort), OperatorsAddress: m.at(operatorsPort), HostsUrl: "http://" + s.store.at(partPort),
+		ControlAddress: m.address(controlPort), OperatorsAddress: m.address(operatorsPort), HostsUrl: "http://" + s.store.address(standinPort),
 	}
 }
 
@@ -335,35 +338,35 @@
 func millis(span time.Duration) uint32 { return uint32(span.Milliseconds()) }
 
 func (s *Site) entrySettings(m *Member) *wire.EntrySettings {
-	set := &wire.EntrySettings{Node: s.nodeSettings(m), CallersAddress: m.Callers(), KvUrl: "http://" + s.door(m), Site: s.siteSettings()}
-	set.Site.ReadyAddress, set.Site.DirectoryAddress = m.at(readyPort), m.Directory()
+	set := &wire.EntrySettings{Node: s.nodeSettings(m), CallersAddress: m.Callers(), KvUrl: "http://" + s.storeAddress(m), Site: s.siteSettings()}
+	set.Site.ReadyAddress, set.Site.DirectoryAddress = m.address(readyPort), m.Directory()
 	return set
 }
 
 func (s *Site) agentSettings(m *Member) *wire.AgentSettings {
 	node := s.nodeSettings(m)
-	node.ControlAddress = m.at(agentPort)
+	node.ControlAddress = m.address(agentPort)
 	return &wire.AgentSettings{
 		Node: node, Endpoint: "engine", Service: EngineService,
-		EndpointUrl: "http://" + m.at(partPort), Site: s.siteSettings(),
+		EndpointUrl: "http://" + m.address(standinPort), Site: s.siteSettings(),
 	}
 }
 
 const (
-	plainSlots, plainQueue = 6, 24
-	engineQueue            = 32
-	eventTokens            = 5
-	originVersions         = 200
-	warm                   = 300 * time.Millisecond
-	appWork                = 15 * time.Millisecond
-	appErrors              = 0.05
+	appSlots, appQueue = 6, 24
+	engineQueue        = 32
+	eventTokens        = 5
+	originVersions     = 200
+	warmUp             = 300 * time.Millisecond
+	appWorkTime        = 15 * time.Millisecond
+	appErrorShare      = 0.05
 )
 
-func (s *Site) partOptions(m *Member) platformtest.PartOptions {
+func (s *Site) standinOptions(m *Member) platformtest.PartOptions {
 	options := platformtest.PartOptions{
-		Role: m.Kind, Address: m.at(partPort), Control: m.at(knobsPort), StoreControl: s.store.at(knobsPort),
+		Role: m.Kind, Address: m.address(standinPort), Control: m.address(faultsPort), StoreControl: s.store.address(faultsPort),
 		HeartbeatMillis: int(heartbeat.Milliseconds()), LeaveMillis: int(s.config.Bounds.Drain.Milliseconds()),
-		WarmMillis: int(warm.Milliseconds()), Model: Model, Chunks: s.config.Spec.Chunks, ChunkBytes: s.config.Spec.ChunkBytes, Versions: originVersions,
+		WarmMillis: int(warmUp.Milliseconds()), Model: Model, Chunks: s.config.Spec.Chunks, ChunkBytes: s.config.Spec.ChunkBytes, Versions: originVersions,
 	}
 	options.MaxConns = s.config.MaxConns[m.Kind]
 	switch m.Kind {
@@ -375,7 +378,7 @@
 		}
 	case Store:
 		for _, entry := range s.Members(Entry) {
-			options.Doors = append(options.Doors, s.door(entry))
+			options.Doors = append(options.Doors, s.storeAddress(entry))
 		}
 	case Engine:
 		options.Role = platformtest.RoleEndpoint
@@ -389,17 +392,17 @@
 	case App:
 		options.Role = platformtest.RoleEndpoint
 		options.Endpoint = platformtest.EndpointOptions{
-			ID: m.ID, Service: AppService, Domain: m.Domain, Slots: plainSlots, Queue: plainQueue, WorkTime: appWork, ErrorShare: appErrors,
+			ID: m.ID, Service: AppService, Domain: m.Domain, Slots: appSlots, Queue: appQueue, WorkTime: appWorkTime, ErrorShare: appErrorShare,
 		}
 	}
 	return options
 }
 
-// Change changes the fault knobs of a stand-in. Faults of one stand-in may overlap, so that each
-// change starts from those that last.
+// Change updates the injected faults of a stand-in. Faults of one stand-in may overlap in
+// time, so each change starts from the faults in effect.
 func (s *Site) Change(ctx context.Context, m *Member, change func(*platformtest.PartFaults)) error {
-	m.knobs.Lock()
-	defer m.knobs.Unlock()
+	m.faultsMu.Lock()
+	defer m.faultsMu.Unlock()
 	faults := m.faults
 	faults.Doors, faults.Ways = maps.Clone(m.faults.Doors), maps.Clone(m.faults.Ways)
 	if faults.Doors == nil {
@@ -408,7 +411,7 @@
 	change(&faults)
 	_, err := control(ctx, http.MethodPost, m, "/faults", faults)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) {
-		return nil // killed meanwhile: it comes back sound
+		return nil // killed meanwhile; it restarts without faults
 	}
 	if err != nil {
 		return err
@@ -426,23 +429,24 @@
 	return nil
 }
 
-// ChangeWay changes the faults of the way to an agent.
+// ChangeWay sets the faults of the network link to an agent.
 func (s *Site) ChangeWay(ctx context.Context, m *Member, faults platformtest.LinkFaults) error {
-	return s.Change(ctx, s.Members(Network)[0], func(all *platformtest.PartFaults) { all.Ways[m.at(controlPort)] = faults })
+	return s.Change(ctx, s.Members(Network)[0], func(all *platformtest.PartFaults) { all.Ways[m.address(controlPort)] = faults })
 }
 
-// ChangeDoor changes the faults of an entry's way to the store.
+// ChangeDoor sets the faults of an entry's link to the store.
 func (s *Site) ChangeDoor(ctx context.Context, m *Member, faults platformtest.DoorFaults) error {
-	return s.Change(ctx, s.store, func(all *platformtest.PartFaults) { all.Doors[s.door(m)] = faults })
+	return s.Change(ctx, s.store, func(all *platformtest.PartFaults) { all.Doors[s.storeAddress(m)] = faults })
 }
 
-// Leave makes an endpoint drain.
+// Leave tells an endpoint to drain.
 func (s *Site) Leave(ctx context.Context, m *Member) error {
 	_, err := control(ctx, http.MethodPost, m, "/leave", nil)
 	return err
 }
 
-// Put writes a key of the store as an operator does and returns when it was acknowledged.
+// Put writes a key of the store, as an operator would, and returns the time of the
+// acknowledgement.
 func (s *Site) Put(ctx context.Context, key string, value any) (time.Time, error) {
 	text, err := control(ctx, http.MethodPut, s.store, "/key?"+url.Values{"key": {key}}.Encode(), value)
 	if err != nil {
@@ -455,7 +459,7 @@
 	return time.Unix(0, at), nil
 }
 
-// Record returns what an endpoint saw.
+// Record returns what an endpoint stand-in recorded.
 func (s *Site) Record(ctx context.Context, m *Member) (platformtest.Record, error) {
 	var record platformtest.Record
 	text, err := control(ctx, http.MethodGet, m, "/record", nil)
@@ -465,7 +469,7 @@
 	return record, json.Unmarshal(text, &record)
 }
 
-// WaitReady waits until every entry takes callers.
+// WaitReady waits until every entry reports that it is ready for callers.
 func (s *Site) WaitReady(ctx context.Context) error {
 	for _, m := range s.Members(Entry) {
 		for !isReady(ctx, m) {
@@ -482,15 +486,17 @@
 }
 
 func isReady(ctx context.Context, m *Member) bool {
-	text, err := send(ctx, http.MethodGet, "http://"+m.at(readyPort)+"/ready", nil)
+	text, err := send(ctx, http.MethodGet, "http://"+m.address(readyPort)+"/ready", nil)
 	return err == nil && text != nil
 }
 
+// control calls the control address of a stand-in.
 func control(ctx context.Context, method string, m *Member, path string, body any) ([]byte, error) {
-	return send(ctx, method, "http://"+m.at(knobsPort)+path, body)
+	return send(ctx, method, "http://"+m.address(faultsPort)+path, body)
 }
 
-// send makes one call with a JSON body and returns the answer's.
+// send makes one call with a JSON body and returns the response body. Any status but 200
+// is an error.
 func send(ctx context.Context, method, address string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -508,26 +514,27 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err = io.ReadAll(io.LimitReader(resp.Body, maxRecord))
+	text, err = io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s %s: status %d", method, address, resp.StatusCode)
 	}
 	return text, err
 }
 
-// Replace starts another endpoint in the place of one that ended, under an id of its own.
+// Replace starts a new endpoint, with a new id and without weights, in place of one that
+// ended.
 func (s *Site) Replace(ctx context.Context, m *Member) error {
 	s.mu.Lock()
 	s.replaced++
-	m.former = append(m.former, m.ID)
+	m.formerIDs = append(m.formerIDs, m.ID)
 	m.faults = platformtest.PartFaults{}
 	m.ID, m.empty = fmt.Sprintf("i-%s-r%d", m.Name, s.replaced), true
 	s.mu.Unlock()
-	if err := s.write(m); err != nil {
+	if err := s.writeSettings(m); err != nil {
 		return err
 	}
 	return s.Begin(ctx, m)
 }
 
-// Of returns a Site of members that run elsewhere or not at all.
+// Of returns a Site with members that this package did not start.
 func Of(members []*Member) *Site { return &Site{members: members} }
