--- a/bench/internal/capacity/size.go
+++ b/bench/internal/capacity/size.go
@@ -44,7 +44,7 @@
 	neighbours          = 16.0    // calls kept and calls answered: about 8 each, spread.Neighbours
 	viewsPerSecond      = 2.0     // least, buildInterval of entry/internal/control
 	listReadsPerSecond  = 1 / 7.5 // jittered 10 s: entry/internal/control and agent/internal/control
-	onceHorizonSeconds  = 3_660.0 // once.Horizon and a generation
+	onceHorizonSeconds  = 3_660.0 // once.MaxKeyAge and a generation
 	keyPollsPerSecond   = 3 / 45. // of one entry: root, plan and drain marks, jittered 60 s
 )
 
--- a/entry/internal/callers/call.go
+++ b/entry/internal/callers/call.go
@@ -131,14 +131,14 @@
 }
 
 // releaseKey settles the key of a request that did not run, before the caller is
-// told so. It raises the problem's Retry-After to at least once.Hold, because the
+// told so. It raises the problem's Retry-After to at least once.ReclaimDelay, because the
 // key can't be claimed again before that.
 func (c *call) releaseKey(prob *problem) {
 	if c.grant == nil {
 		return
 	}
 	c.srv.settle(context.WithoutCancel(c.r.Context()), c.grant, once.RunNotRun, nil)
-	prob.err = prob.err.WithRetryAfter(max(prob.err.RetryAfter(), once.Hold))
+	prob.err = prob.err.WithRetryAfter(max(prob.err.RetryAfter(), once.ReclaimDelay))
 }
 
 // visibleID returns the request ID that is reported to the caller: the once key
--- a/entry/internal/callers/claims.go
+++ b/entry/internal/callers/claims.go
@@ -170,7 +170,7 @@
 			"get another entry from GET /v1/entries and make a new key").WithRetryAfter(fullRetryAfter))
 	case once.Held:
 		return nil, nil, notRun(http.StatusServiceUnavailable, failure.New(failure.Unavailable, "an earlier request with this key was refused just now without running",
-			"send the key again").WithRetryAfter(once.Hold))
+			"send the key again").WithRetryAfter(once.ReclaimDelay))
 	case once.Ahead:
 		return nil, nil, invalid("the time in the once key is in the future", "set the clock of the machine that makes the keys")
 	case once.NotOwner:
--- a/entry/internal/callers/keystore.go
+++ b/entry/internal/callers/keystore.go
@@ -23,10 +23,10 @@
 	storeRetryAfter = 2 * time.Second
 	// Keys are bound to a lease, so that the store deletes them when it expires.
 	// The lease must last until every entry refuses the youngest key bound to it
-	// because of its age: once.Horizon, twice the allowed clock difference and
+	// because of its age: once.MaxKeyAge, twice the allowed clock difference and
 	// leaseRotation.
 	leaseRotation = 5 * time.Minute
-	leaseTTL      = once.Horizon + 2*once.MaxAhead + leaseRotation + 10*time.Minute
+	leaseTTL      = once.MaxKeyAge + 2*once.MaxAhead + leaseRotation + 10*time.Minute
 )
 
 // keyStore claims once keys without an owner in the platform's key-value store, by
@@ -53,8 +53,8 @@
 // claimInStore claims a key in the platform's store. While the store is
 // unavailable, it can't be known whether the key ran before.
 func (s *Server) claimInStore(ctx context.Context, claim once.Claim) (*grant, []byte, *problem) {
-	now, made := s.now(), claim.Key.Made()
-	if made.Before(now.Add(-once.Horizon)) {
+	now, made := s.now(), claim.Key.Created()
+	if made.Before(now.Add(-once.MaxKeyAge)) {
 		return claimResult(nil, once.Verdict{State: once.Unknown})
 	}
 	if made.After(now.Add(once.MaxAhead)) {
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 			running: map[fleet.Incarnation]*crashCheck{},
 		},
 	}
-	cfg.State.Ledger().Notify(g.cancelQuarantined)
+	cfg.State.Ledger().NotifyMaybeHeld(g.cancelQuarantined)
 	cfg.State.Ledger().NotifyForgotten(func(fingerprint quarantine.Fingerprint) {
 		cfg.Log.Warn("quarantined request forgotten, too many endpoint ends recorded for other requests", "print", fingerprint)
 	})
@@ -175,7 +175,7 @@
 	if refused := g.readBody(x, r); refused != nil {
 		return refused
 	}
-	x.fingerprint = quarantine.Of(x.customerName(), req.Method, req.Host, req.Target, req.Body)
+	x.fingerprint = quarantine.NewFingerprint(x.customerName(), req.Method, req.Host, req.Target, req.Body)
 	return nil
 }
 
--- a/entry/internal/gateway/quarantine_test.go
+++ b/entry/internal/gateway/quarantine_test.go
@@ -15,7 +15,7 @@
 
 // fingerprintOf returns the fingerprint of a request that deployment.send sends.
 func fingerprintOf(path, body string) quarantine.Fingerprint {
-	return quarantine.Of("mine", http.MethodPost, "h", path, []byte(body))
+	return quarantine.NewFingerprint("mine", http.MethodPost, "h", path, []byte(body))
 }
 
 // reportEnds reports to the entry that count endpoints ended while they ran a request.
--- a/entry/internal/gateway/run.go
+++ b/entry/internal/gateway/run.go
@@ -176,8 +176,8 @@
 		conn.Close()
 		return x.abandonedOr(ctx, fleet.Broken)
 	}
-	conn.SetPatience(x.waitPolicy(ctx, grant))
-	defer func() { x.responseWait.wakeupDelay = conn.Late() }()
+	conn.SetReadWait(x.waitPolicy(ctx, grant))
+	defer func() { x.responseWait.wakeupDelay = conn.WakeDelay() }()
 	resp, answer, err := x.receive(conn, out)
 	if err != nil {
 		closeAfterError(conn, err)
@@ -247,7 +247,7 @@
 // connection is reset, because data still queued for it must not reach it once the request is at
 // another endpoint.
 func closeAfterError(conn *upstream.Conn, err error) {
-	if upstream.GivenUp(err) {
+	if upstream.IsReadAbandoned(err) {
 		conn.Cancel()
 	}
 	conn.Close()
@@ -256,7 +256,7 @@
 // silentOutcome returns fleet.Silent if the read ended because it waited too long, and otherwise
 // if not.
 func silentOutcome(err error, otherwise fleet.Outcome) fleet.Outcome {
-	if upstream.GivenUp(err) {
+	if upstream.IsReadAbandoned(err) {
 		return fleet.Silent
 	}
 	return otherwise
--- a/entry/internal/onsite/reporter_test.go
+++ b/entry/internal/onsite/reporter_test.go
@@ -23,7 +23,7 @@
 )
 
 // crashFingerprint is the fingerprint of a request that crashed endpoints.
-var crashFingerprint = quarantine.Of("customer", "POST", "host", "/deadly", nil)
+var crashFingerprint = quarantine.NewFingerprint("customer", "POST", "host", "/deadly", nil)
 
 func oneEntry() int { return 1 }
 
@@ -190,7 +190,7 @@
 		for i := range maxBatchReports {
 			report := site.Report{Report: quarantine.Report{End: quarantine.End{Endpoint: fmt.Sprintf("i-%d", i), Born: 1796287200000}}}
 			for j := range requests {
-				report.Suspects = append(report.Suspects, quarantine.Of("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
+				report.Suspects = append(report.Suspects, quarantine.NewFingerprint("customer", "POST", "host", fmt.Sprint(entry, i, j), nil))
 			}
 			batch = append(batch, report)
 		}
--- a/entry/internal/upstream/conn.go
+++ b/entry/internal/upstream/conn.go
@@ -54,9 +54,9 @@
 	return c
 }
 
-// SetPatience sets the function that decides whether a read keeps waiting. With
+// SetReadWait sets the function that decides whether a read keeps waiting. With
 // nil, reads wait without a limit.
-func (c *Conn) SetPatience(f func(waited time.Duration) bool) { c.keepWaiting, c.wakeDelay = f, 0 }
+func (c *Conn) SetReadWait(f func(waited time.Duration) bool) { c.keepWaiting, c.wakeDelay = f, 0 }
 
 // Send writes a request. The write fails at the deadline.
 func (c *Conn) Send(req *http.Request, deadline time.Time) error {
@@ -86,9 +86,9 @@
 	_ = c.netConn.SetDeadline(time.Unix(1, 0))
 }
 
-// Late returns the largest delay with which a waiting read was woken after its poll
+// WakeDelay returns the largest delay with which a waiting read was woken after its poll
 // deadline. A large value means that this process itself was stalled for that long.
-func (c *Conn) Late() time.Duration { return c.wakeDelay }
+func (c *Conn) WakeDelay() time.Duration { return c.wakeDelay }
 
 // Close closes the connection.
 func (c *Conn) Close() { _ = c.netConn.Close() }
@@ -159,6 +159,6 @@
 	return n == 0 && errors.Is(err, io.EOF) && reader.Buffered() == 0
 }
 
-// GivenUp reports whether a read failed because it was cancelled or because the
+// IsReadAbandoned reports whether a read failed because it was cancelled or because the
 // connection's keepWaiting function stopped it.
-func GivenUp(err error) bool { return errors.Is(err, errReadAbandoned) }
+func IsReadAbandoned(err error) bool { return errors.Is(err, errReadAbandoned) }
--- a/entry/internal/upstream/pool.go
+++ b/entry/internal/upstream/pool.go
@@ -149,7 +149,7 @@
 // than limit connections to the target are idle. idleTimeout is the time that the
 // endpoint sent, or 0 if it sent none.
 func (p *Pool) Put(conn *Conn, resp *http.Response, idleTimeout time.Duration, limit int) {
-	conn.SetPatience(nil)
+	conn.SetReadWait(nil)
 	if resp.Close || conn.cancelled.Load() || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 ||
 		!fullyRead(resp.Body, conn.reader) {
 		conn.Close()
--- a/relay/once/authority.go
+++ b/relay/once/authority.go
@@ -214,7 +214,7 @@
 		}
 	}
 	a.stores[owner] = st
-	a.expiry[owner] = now.Add(Horizon + MaxAhead + generationSpan)
+	a.expiry[owner] = now.Add(MaxKeyAge + MaxAhead + generationSpan)
 	return nil
 }
 
--- a/relay/once/key.go
+++ b/relay/once/key.go
@@ -69,8 +69,8 @@
 // ID returns the caller's part of the key.
 func (k Key) ID() uuid.UUID { return k.id }
 
-// Made returns when the caller created the key, by the caller's clock.
-func (k Key) Made() time.Time {
+// Created returns when the caller created the key, by the caller's clock.
+func (k Key) Created() time.Time {
 	seconds, nanos := k.id.Time().UnixTime()
 	return time.Unix(seconds, nanos)
 }
--- a/relay/once/key_test.go
+++ b/relay/once/key_test.go
@@ -17,7 +17,7 @@
 	if got != key {
 		t.Errorf("got %v, want %v", got, key)
 	}
-	if got := key.Made(); !got.Equal(testStart) {
+	if got := key.Created(); !got.Equal(testStart) {
 		t.Errorf("got made %v, want %v", got, testStart)
 	}
 }
--- a/relay/once/reclaim.go
+++ b/relay/once/reclaim.go
@@ -27,7 +27,7 @@
 	if len(h.order) >= maxReclaimDelays {
 		h.dropOldest()
 	}
-	h.until[id] = now.Add(Hold)
+	h.until[id] = now.Add(ReclaimDelay)
 	h.order = append(h.order, id)
 }
 
--- a/relay/once/record.go
+++ b/relay/once/record.go
@@ -44,7 +44,7 @@
 			return failure.New(failure.Corrupt, "a handover contains a record with an unknown phase", "run the same release on all entries")
 		}
 		key := Key{id: id}
-		s.shardOf(key).table.put(key.Made(), id, rec)
+		s.shardOf(key).table.put(key.Created(), id, rec)
 	}
 	return nil
 }
--- a/relay/once/table.go
+++ b/relay/once/table.go
@@ -8,15 +8,15 @@
 
 // Time limits of keys.
 const (
-	// Horizon is the maximum age at which a key may still be granted.
-	Horizon = time.Hour
+	// MaxKeyAge is the maximum age at which a key may still be granted.
+	MaxKeyAge = time.Hour
 	// MaxAhead is how far a caller's clock may be ahead of the owner's.
 	MaxAhead = 5 * time.Minute
-	// Hold is the reclaim delay: how long a key cannot be claimed again after its run
+	// ReclaimDelay is the reclaim delay: how long a key cannot be claimed again after its run
 	// was proved not to have happened. A caller that sent the key twice at the same
 	// time thus gets the same answer twice. Without the delay the second request would
 	// run after the first was answered "notRun".
-	Hold = 500 * time.Millisecond
+	ReclaimDelay = 500 * time.Millisecond
 	// generationSpan is the creation time span of keys that are removed together.
 	generationSpan = time.Minute
 )
@@ -129,7 +129,7 @@
 // Rule ONEGRANT of spec/once.pml.
 func (t *Table) Claim(now time.Time, claim Claim) Verdict {
 	t.advance(now)
-	created := claim.Key.Made()
+	created := claim.Key.Created()
 	if created.Before(t.floor) {
 		return Verdict{State: Unknown}
 	}
@@ -191,7 +191,7 @@
 // late claim would be granted to a claimant that no longer waits.
 func (t *Table) Settle(now time.Time, claim Claim, outcome Outcome, answer []byte) bool {
 	t.advance(now)
-	created := claim.Key.Made()
+	created := claim.Key.Created()
 	if created.Before(t.floor) || created.After(now.Add(MaxAhead)) {
 		return false
 	}
@@ -239,7 +239,7 @@
 // second time. Keys carry wall-clock times, so the floor is one too; Round strips
 // the monotonic reading, which would hide a clock step.
 func (t *Table) advance(now time.Time) {
-	floor := now.Add(-Horizon).Round(0)
+	floor := now.Add(-MaxKeyAge).Round(0)
 	if !floor.After(t.floor) {
 		return
 	}
--- a/relay/quarantine/fingerprint.go
+++ b/relay/quarantine/fingerprint.go
@@ -23,9 +23,9 @@
 // makes it collide with another customer's request.
 type Fingerprint [fingerprintBytes]byte
 
-// Of returns the fingerprint of a request. The customer is empty if the request names none;
+// NewFingerprint returns the fingerprint of a request. The customer is empty if the request names none;
 // target is the path with its query.
-func Of(customer, method, host, target string, body []byte) Fingerprint {
+func NewFingerprint(customer, method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range []string{customer, method, host, target} {
--- a/relay/quarantine/ledger.go
+++ b/relay/quarantine/ledger.go
@@ -254,9 +254,9 @@
 	return true
 }
 
-// Notify sets the function that is called, with no lock held, whenever a further request may be
+// NotifyMaybeHeld sets the function that is called, with no lock held, whenever a further request may be
 // held. Notify must be called before the first Observe.
-func (l *Ledger) Notify(maybeHeld func()) { l.onMaybeHeld = maybeHeld }
+func (l *Ledger) NotifyMaybeHeld(maybeHeld func()) { l.onMaybeHeld = maybeHeld }
 
 // NotifyForgotten sets the function that is called, with no lock held, with each held request that
 // is evicted because there is no room. NotifyForgotten must be called before the first Observe.
--- a/relay/quarantine/ledger_test.go
+++ b/relay/quarantine/ledger_test.go
@@ -16,7 +16,7 @@
 func fingerprintsOf(names []string) []Fingerprint {
 	var fps []Fingerprint
 	for _, name := range names {
-		fps = append(fps, Of("customer", "POST", "host", "/"+name, nil))
+		fps = append(fps, NewFingerprint("customer", "POST", "host", "/"+name, nil))
 	}
 	return fps
 }
@@ -41,7 +41,7 @@
 			var id string
 			td.ScanArgs(t, "of", &id)
 			notified := false
-			led.Notify(func() { notified = true })
+			led.NotifyMaybeHeld(func() { notified = true })
 			led.Observe(Report{End: End{Endpoint: id}, Suspects: fingerprintsOf(names("suspects")), Running: fingerprintsOf(names("running"))})
 			if notified {
 				return "notified"
@@ -159,7 +159,7 @@
 		{"c", "POST", "h", "/a", "b"}, {"cP", "OST", "h", "/a", "b"}, {"c", "POST", "h/", "a", "b"}, {"c", "POST", "h", "/ab", ""},
 		{"c", "POST", "h", "/a?b", ""}, {"", "POST", "h", "/a", "b"}, {"c", "GET", "h", "/a", "b"},
 	} {
-		fp := Of(parts[0], parts[1], parts[2], parts[3], []byte(parts[4]))
+		fp := NewFingerprint(parts[0], parts[1], parts[2], parts[3], []byte(parts[4]))
 		if other, ok := seen[fp]; ok {
 			t.Errorf("got one fingerprint for %v and %s", parts, other)
 		}
--- a/relay/quarantine/simulation_test.go
+++ b/relay/quarantine/simulation_test.go
@@ -101,7 +101,7 @@
 }
 
 func newSimFleet(seed uint64, entries, endpoints int) *simFleet {
-	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), deadly: Of("c", "POST", "h", "/deadly", nil)}
+	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), deadly: NewFingerprint("c", "POST", "h", "/deadly", nil)}
 	for range entries {
 		f.addEntry()
 	}
@@ -337,12 +337,12 @@
 func (f *simFleet) scheduleLoadAndFaults(load int) {
 	f.every(time.Second/time.Duration(load), func() {
 		f.harmlessRequests++
-		f.submit(Of("c", "POST", "h", fmt.Sprintf("/%d", f.harmlessRequests), nil), 1)
+		f.submit(NewFingerprint("c", "POST", "h", fmt.Sprintf("/%d", f.harmlessRequests), nil), 1)
 	})
 	// One harmless request is so frequent that it is in progress at most ends.
 	f.every(50*time.Millisecond, func() {
 		f.harmlessRequests++
-		f.submit(Of("c", "GET", "h", "/status", nil), 1)
+		f.submit(NewFingerprint("c", "GET", "h", "/status", nil), 1)
 	})
 	f.every(2*time.Second, func() { f.endEndpoint(f.endpoints[f.random.IntN(len(f.endpoints))], false) })
 	f.every(2*time.Second, func() {
