--- a/entry/internal/gateway/admit.go
+++ b/entry/internal/gateway/admit.go
@@ -116,8 +116,8 @@
 	if x.adm.Engine != nil {
 		need.FinalAttempt = !x.route.Repeatable() || !x.attemptsLeft(x.attemptsUsed+1)
 		need.Floor = g.minVersion(x.req.Model)
-		need.SoonFloor = g.cfg.State.Floor(x.req.Model, g.cfg.Bounds().Version-nextMinVersionMargin)
-		need.VersionEndsIn = g.cfg.State.Ends(x.req.Model, need.SoonFloor, g.cfg.Bounds().Version)
+		need.SoonFloor = g.cfg.State.Floor(x.req.Model, g.cfg.Bounds().VersionRollout-nextMinVersionMargin)
+		need.VersionEndsIn = g.cfg.State.Ends(x.req.Model, need.SoonFloor, g.cfg.Bounds().VersionRollout)
 		want, _ := g.cfg.State.WantedOf(x.req.Model)
 		need.Wanted = want.Version
 	}
@@ -134,7 +134,7 @@
 
 // minVersion returns the lowest version of a model that may still serve requests, 0 for any.
 func (g *Gateway) minVersion(model string) uint64 {
-	return g.cfg.State.Floor(model, g.cfg.Bounds().Version-minVersionMargin)
+	return g.cfg.State.Floor(model, g.cfg.Bounds().VersionRollout-minVersionMargin)
 }
 
 // engine returns the engine settings of the request's service, nil if it runs no engine.
--- a/entry/internal/gateway/deployment_test.go
+++ b/entry/internal/gateway/deployment_test.go
@@ -240,7 +240,7 @@
 		State: h.state, Pool: upstream.NewPool(time.Now), Wire: platform.Wire(), Clock: h.clock,
 		Log: slog.New(slog.NewTextHandler(h.log, nil)),
 		Bounds: func() gateway.Bounds {
-			return gateway.Bounds{Revoke: 4 * time.Second, Apply: 2 * time.Second, Version: 8 * time.Second, Ratio: 0.2, Slack: h.retrySlack, Window: 10 * time.Second}
+			return gateway.Bounds{MaxKeyAge: 4 * time.Second, MaxConfigAge: 2 * time.Second, VersionRollout: 8 * time.Second, Ratio: 0.2, Slack: h.retrySlack, Window: 10 * time.Second}
 		},
 		Entries: func() int { return 1 },
 		Publish: func(report site.Report) { h.published <- report },
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -41,13 +41,13 @@
 
 // Bounds are the time limits and retry limits that the gateway enforces.
 type Bounds struct {
-	// Revoke is the maximum age of the configuration by which a key is accepted, so that a
+	// MaxKeyAge is the maximum age of the configuration by which a key is accepted, so that a
 	// revoked key stops working within this time.
-	Revoke time.Duration
-	// Apply is the maximum age of the configuration by which a request is refused for good.
-	Apply time.Duration
-	// Version is how long after its declaration a model version must be in use everywhere.
-	Version time.Duration
+	MaxKeyAge time.Duration
+	// MaxConfigAge is the maximum age of the configuration by which a request is refused for good.
+	MaxConfigAge time.Duration
+	// VersionRollout is how long after its declaration a model version must be in use everywhere.
+	VersionRollout time.Duration
 	// Ratio and Slack limit the retries of all entries together: Ratio per request, plus Slack.
 	Ratio, Slack float64
 	// Window is the time over which retries are counted.
@@ -108,10 +108,10 @@
 	return g
 }
 
-// Leave makes each answer that begins from now on close its connection. A connection whose answer
+// DisableKeepAlives makes each answer that begins from now on close its connection. A connection whose answer
 // began before stays open: the caller was not told that it closes, and its next request, which may
 // be in transit, would be lost.
-func (g *Gateway) Leave() { g.closeConns.Store(true) }
+func (g *Gateway) DisableKeepAlives() { g.closeConns.Store(true) }
 
 // Drain makes the gateway refuse new requests.
 func (g *Gateway) Drain() { g.draining.Store(true) }
@@ -187,7 +187,7 @@
 func (g *Gateway) route(x *exchange) *refusal {
 	bounds := g.cfg.Bounds()
 	age, known := x.configAge, x.ageKnown
-	behind := !known || age > bounds.Apply-configAgeMargin
+	behind := !known || age > bounds.MaxConfigAge-configAgeMargin
 	route, ok := x.catalog.Match(x.req.Host, x.req.Path)
 	if !ok {
 		if behind {
@@ -201,7 +201,7 @@
 	if !x.catalog.Keyed(route) {
 		return nil
 	}
-	if !known || age > bounds.Revoke {
+	if !known || age > bounds.MaxKeyAge {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "keys are not proven", retryAfter: shortRetryAfter, closeConn: true}
 	}
 	customer, ok := x.catalog.Customer(x.req.Key)
--- a/entry/internal/gateway/gateway_test.go
+++ b/entry/internal/gateway/gateway_test.go
@@ -366,7 +366,7 @@
 	if err != nil || stream.Close {
 		t.Fatalf("got %v, want a stream without Connection: close", err)
 	}
-	h.gateway.Leave()
+	h.gateway.DisableKeepAlives()
 	close(left)
 	if text, err := io.ReadAll(stream.Body); err != nil || !strings.Contains(string(text), "token-2") {
 		t.Fatalf("got %q, %v, want the complete stream", text, err)
--- a/entry/internal/gateway/metrics.go
+++ b/entry/internal/gateway/metrics.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Publish exports the counters under /debug/vars. The name is already taken only when a test
+// PublishMetrics exports the counters under /debug/vars. The name is already taken only when a test
 // process runs several gateways.
-func (g *Gateway) Publish() {
+func (g *Gateway) PublishMetrics() {
 	if expvar.Get("gateway") == nil {
 		expvar.Publish("gateway", expvar.Func(func() any { return g.Counters() }))
 	}
--- a/entry/internal/onsite/bounds.go
+++ b/entry/internal/onsite/bounds.go
@@ -37,12 +37,12 @@
 	ttl := seconds(cfg.GetDirectoryTtlSeconds(), defaultTTL)
 	return bounds{
 		gateway: gateway.Bounds{
-			Revoke:  max(revokeMargin, millis(cfg.GetRevokeMillis(), defaultRevoke)-revokeMargin),
-			Apply:   millis(cfg.GetApplyMillis(), defaultApply),
-			Version: millis(cfg.GetVersionMillis(), defaultVersion),
-			Ratio:   orDefault(cfg.GetRetryRatio(), defaultRatio),
-			Slack:   orDefault(cfg.GetRetrySlack(), defaultSlack),
-			Window:  seconds(cfg.GetRetryWindowSeconds(), defaultWindow),
+			MaxKeyAge:      max(revokeMargin, millis(cfg.GetRevokeMillis(), defaultRevoke)-revokeMargin),
+			MaxConfigAge:   millis(cfg.GetApplyMillis(), defaultApply),
+			VersionRollout: millis(cfg.GetVersionMillis(), defaultVersion),
+			Ratio:          orDefault(cfg.GetRetryRatio(), defaultRatio),
+			Slack:          orDefault(cfg.GetRetrySlack(), defaultSlack),
+			Window:         seconds(cfg.GetRetryWindowSeconds(), defaultWindow),
 		},
 		grace:        millis(cfg.GetGraceMillis(), defaultGrace),
 		directoryTTL: min(maxDirectoryTTL, ttl),
--- a/entry/internal/onsite/onsite_test.go
+++ b/entry/internal/onsite/onsite_test.go
@@ -326,11 +326,11 @@
 
 func TestBoundsHaveDefaults(t *testing.T) {
 	got := newBounds(nil)
-	if got.grace != 8*time.Second || got.gateway.Revoke != 4600*time.Millisecond || got.directoryTTL != 2*time.Second {
+	if got.grace != 8*time.Second || got.gateway.MaxKeyAge != 4600*time.Millisecond || got.directoryTTL != 2*time.Second {
 		t.Errorf("got %+v, want the defaults", got)
 	}
 	got = newBounds(&wire.SiteBounds{RevokeMillis: 100, DirectoryTtlSeconds: 0.5, GraceMillis: 3000})
-	if got.gateway.Revoke <= 0 || got.directoryTTL != 500*time.Millisecond || got.grace != 3*time.Second {
+	if got.gateway.MaxKeyAge <= 0 || got.directoryTTL != 500*time.Millisecond || got.grace != 3*time.Second {
 		t.Errorf("got %+v, want the configured values", got)
 	}
 }
--- a/entry/internal/onsite/run.go
+++ b/entry/internal/onsite/run.go
@@ -140,7 +140,7 @@
 	pool := peer.NewPool(nil)
 	news := &newsClient{
 		state: e.state, mirror: e.mirror, pool: pool, entryID: e.cfg.GetNode().GetId(), entry: e.self,
-		clock: e.clock, log: e.log, apply: func() time.Duration { return e.bounds.Load().gateway.Apply },
+		clock: e.clock, log: e.log, apply: func() time.Duration { return e.bounds.Load().gateway.MaxConfigAge },
 	}
 	follower := &site.Follower{
 		Store: e.store, State: e.state, Mirror: e.mirror, Clock: e.clock, Log: e.log, Led: news.storeNotNeededFor, Wait: news.watchWait,
@@ -173,9 +173,9 @@
 	e.serve(ctx, group, listeners.ready, platform.ReadyHandler(e.ready))
 	e.serve(ctx, group, listeners.directory, platform.DirectoryHandler(e.directory().selectAddresses))
 	e.serve(ctx, group, listeners.operators, node.OperatorsRouter(node.Health{Ready: e.ready}))
-	e.gateway.Publish()
+	e.gateway.PublishMetrics()
 	e.log.Info("started", "incarnation", e.self.Incarnation, "callersAddress", e.self.CallersAddress,
-		"revokeMillis", e.bounds.Load().gateway.Revoke.Milliseconds(), "versionMillis", e.bounds.Load().gateway.Version.Milliseconds())
+		"revokeMillis", e.bounds.Load().gateway.MaxKeyAge.Milliseconds(), "versionMillis", e.bounds.Load().gateway.VersionRollout.Milliseconds())
 	group.Go(func() error {
 		defer stop()
 		e.waitAndDrain(ctx, drain, kill)
@@ -272,7 +272,7 @@
 	if e.state.Catalog() == nil {
 		return failure.New(failure.Unavailable, "no configuration has been read yet", "check kvUrl")
 	}
-	if age, known := e.state.Fresh().Age(); !known || age > e.bounds.Load().gateway.Revoke {
+	if age, known := e.state.Fresh().Age(); !known || age > e.bounds.Load().gateway.MaxKeyAge {
 		return failure.New(failure.Unavailable, "the data from the store is too old", "check that the store can be reached")
 	}
 	return nil
@@ -287,7 +287,7 @@
 	}
 	startedAt := e.clock.Now()
 	e.draining.Store(true)
-	e.gateway.Leave()
+	e.gateway.DisableKeepAlives()
 	e.log.Info("draining", "inFlight", e.gateway.InFlight(), "graceMillis", e.bounds.Load().grace.Milliseconds())
 	e.sleep(kill, drainAcceptPeriod)
 	e.gateway.Drain()
