--- a/entry/internal/callers/account.go
+++ b/entry/internal/callers/account.go
@@ -47,7 +47,7 @@
 		attrs = append(attrs, slog.String("customer", c.customer.name))
 	}
 	if c.req != nil {
-		attrs = append(attrs, slog.String("lane", c.req.Lane))
+		attrs = append(attrs, slog.String("lane", c.req.HostPool))
 	}
 	if result.Attempts > 0 {
 		attrs = append(attrs,
--- a/entry/internal/callers/requests.go
+++ b/entry/internal/callers/requests.go
@@ -31,7 +31,7 @@
 		return prob
 	}
 	c.req = &dispatch.Request{
-		Lane:       modelLane + body.Model,
+		HostPool:   modelLane + body.Model,
 		Model:      body.Model,
 		Adapter:    body.Adapter,
 		Prompt:     body.Prompt,
@@ -59,7 +59,7 @@
 	}
 	name := chi.URLParam(c.r, "name")
 	c.req = &dispatch.Request{
-		Lane:       serviceLane + name,
+		HostPool:   serviceLane + name,
 		Service:    name,
 		Body:       body.Body,
 		Repeatable: body.Repeatable && c.index.deployment.callsRepeatable(name),
--- a/entry/internal/dispatch/dispatcher.go
+++ b/entry/internal/dispatch/dispatcher.go
@@ -36,7 +36,7 @@
 	Weight     float64 // relative share under overload; greater than 0
 	Large      bool    // the customer's demand is far above its share
 	Priority   uint32
-	Lane       string // name of the host pool that serves it; see Dispatcher.Update
+	HostPool   string // name of the host pool that serves it; see Dispatcher.Update
 	Model      string
 	Adapter    string
 	Service    string
@@ -123,7 +123,7 @@
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
 	run := &requestRun{
 		dispatcher: d,
-		pool:       d.pool(req.Lane),
+		pool:       d.pool(req.HostPool),
 		req:        req,
 		sink:       sink,
 		progress:   NewProgress(req.ID, req.Repeatable),
--- a/entry/internal/dispatch/run_test.go
+++ b/entry/internal/dispatch/run_test.go
@@ -124,7 +124,7 @@
 
 func testRequest(hosts *fakeHosts, number int, repeatable bool) *Request {
 	return &Request{
-		ID: fmt.Sprintf("r%d", number), Customer: "quetzal", Weight: 1, Lane: "lane", Model: "parcel",
+		ID: fmt.Sprintf("r%d", number), Customer: "quetzal", Weight: 1, HostPool: "lane", Model: "parcel",
 		Prompt: fmt.Sprintf("Envelope %d", number), MaxTokens: testTokenCount, Repeatable: repeatable,
 		Deadline: hosts.clock.Now().Add(30 * time.Second),
 		Versions: func() []string { return []string{"v1"} },
