--- a/agent/internal/onsite/loader.go
+++ b/agent/internal/onsite/loader.go
@@ -205,7 +205,7 @@
 func (l *loader) fetchTarget(want wantedWeights, loaded uint64, priority int) weights.Target {
 	target := weights.Target{Version: versionName(want.model, want.version), Priority: priority}
 	if loaded > 0 {
-		target.PullFrom = want.declaredAt.Add(rollout.PullDelay(l.estimateMove(want), l.place()))
+		target.PullNotBefore = want.declaredAt.Add(rollout.PullDelay(l.estimateMove(want), l.place()))
 	}
 	return target
 }
@@ -279,7 +279,7 @@
 		l.log.Warn("chunks in memory cannot be staged", "version", name, "error", err)
 		return
 	}
-	bad, err := l.mgr.Recheck(checkCtx, name)
+	bad, err := l.mgr.VerifyStored(checkCtx, name)
 	if bad > 0 || err != nil {
 		l.log.Warn("staged weights are not whole", "version", name, "bad", bad, "error", err)
 		l.retryAt = l.clock.Now().Add(loaderInterval)
--- a/agent/internal/orders/config.go
+++ b/agent/internal/orders/config.go
@@ -42,7 +42,7 @@
 		Changed:    manager.Changed(),
 		State: func(version string) Progress {
 			state := manager.State(version)
-			return Progress{Phase: state.Phase(), Have: state.Have(), Total: state.Total(), HoldUp: state.HoldUp()}
+			return Progress{Phase: state.Phase(), Have: state.Have(), Total: state.Total(), HoldUp: state.StallReason()}
 		},
 	}
 }
--- a/agent/internal/weights/fetch.go
+++ b/agent/internal/weights/fetch.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// recordProblem records a failed fetch for State.HoldUp, unless a peer was merely
+// recordProblem records a failed fetch for State.StallReason, unless a peer was merely
 // busy. t.mu must be held.
 func (t *transfer) recordProblem(key fetchKey, err *fetchError) {
 	from := "host " + key.source
--- a/agent/internal/weights/manager.go
+++ b/agent/internal/weights/manager.go
@@ -57,18 +57,18 @@
 	// WindowBytes bounds the bytes of chunks in memory, from 4 to 64 MiB; 0
 	// means 32 MiB.
 	WindowBytes uint64
-	// Fetches returns how many chunks of one version may be requested at once;
+	// MaxFetches returns how many chunks of one version may be requested at once;
 	// nil means 6. Requested chunks queue up in front of this host's link and
 	// delay the bytes of live requests that queue behind them.
-	Fetches func() int
+	MaxFetches func() int
 	// DrawWindow is how many chunks the fleet fetches from the origin at once; 0
 	// means the default of package burst.
 	DrawWindow int
 	// MaxBackoff bounds the pause after a failed request to the origin; 0 means
 	// 15 s.
 	MaxBackoff time.Duration
-	// DearRegions keeps the traffic between regions low.
-	DearRegions bool
+	// LimitCrossRegionTraffic keeps the traffic between regions low.
+	LimitCrossRegionTraffic bool
 	// Strategy is one of package burst's strategies; empty means swarm.
 	Strategy string
 
@@ -143,8 +143,8 @@
 	if client == nil {
 		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
 	}
-	if cfg.Fetches == nil {
-		cfg.Fetches = func() int { return defaultMaxFetches }
+	if cfg.MaxFetches == nil {
+		cfg.MaxFetches = func() int { return defaultMaxFetches }
 	}
 	if cfg.MaxBackoff <= 0 {
 		cfg.MaxBackoff = maxOriginBackoff
@@ -288,9 +288,9 @@
 	return m.originBytes.Load(), m.peerBytes.Load(), m.sentBytes.Load()
 }
 
-// Recheck reads back and verifies every chunk of a version. It returns how many are
+// VerifyStored reads back and verifies every chunk of a version. It returns how many are
 // corrupt or missing; these are fetched again.
-func (m *Manager) Recheck(ctx context.Context, version string) (bad int, err error) {
+func (m *Manager) VerifyStored(ctx context.Context, version string) (bad int, err error) {
 	for _, hash := range m.Manifest(version).GetChunkHashes() {
 		if _, err := m.store.readBack(ctx, chunkHash(hash)); err == nil {
 			continue
--- a/agent/internal/weights/manager_test.go
+++ b/agent/internal/weights/manager_test.go
@@ -92,7 +92,7 @@
 	fleet.setTargets(version)
 	for _, host := range fleet.hosts {
 		await(t, "failed state", func() bool { return host.mgr.State(version).Phase() == Failed })
-		if got := host.mgr.State(version).HoldUp(); !strings.Contains(got, "does not match") {
+		if got := host.mgr.State(version).StallReason(); !strings.Contains(got, "does not match") {
 			t.Errorf("got reason %q, want the mismatch", got)
 		}
 	}
--- a/agent/internal/weights/serve.go
+++ b/agent/internal/weights/serve.go
@@ -145,9 +145,9 @@
 	return t.core.Turn(id)
 }
 
-// Lost records that the host no longer has a chunk because its store has overwritten
+// MarkChunkLost records that the host no longer has a chunk because its store has overwritten
 // it with another one.
-func (m *Manager) Lost(hash []byte) {
+func (m *Manager) MarkChunkLost(hash []byte) {
 	m.store.forget(chunkHash(hash))
 	m.markLostInAll(chunkHash(hash))
 }
--- a/agent/internal/weights/state.go
+++ b/agent/internal/weights/state.go
@@ -32,6 +32,6 @@
 // this host knows.
 func (s State) Drawn() int { return s.drawn }
 
-// HoldUp returns the reason why the version makes no progress; empty if it does or
+// StallReason returns the reason why the version makes no progress; empty if it does or
 // if it is complete.
-func (s State) HoldUp() string { return s.stallReason }
+func (s State) StallReason() string { return s.stallReason }
--- a/agent/internal/weights/targets.go
+++ b/agent/internal/weights/targets.go
@@ -11,9 +11,9 @@
 	Version string
 	// Priority orders the targets: the highest is fetched first.
 	Priority int
-	// PullFrom is the time before which nothing is fetched from peers, so that
+	// PullNotBefore is the time before which nothing is fetched from peers, so that
 	// other hosts complete the version first; zero means no delay.
-	PullFrom time.Time
+	PullNotBefore time.Time
 }
 
 // Policy holds the document's settings for the transfer of versions.
@@ -76,7 +76,7 @@
 	trans := m.transfers[target.Version]
 	if trans == nil {
 		trans = newTransfer(m, target.Version, m.policy)
-		trans.pullNotBefore = target.PullFrom
+		trans.pullNotBefore = target.PullNotBefore
 		m.transfers[target.Version] = trans
 		trans.start(ctx)
 	}
--- a/agent/internal/weights/transfer.go
+++ b/agent/internal/weights/transfer.go
@@ -17,11 +17,11 @@
 	wholeDecisionInterval = 250 * time.Millisecond
 	// peerListInterval is how often the list of peers is read.
 	peerListInterval = time.Second
-	// stallTimeout is the time without a new chunk after which State.HoldUp gives a
+	// stallTimeout is the time without a new chunk after which State.StallReason gives a
 	// reason.
 	stallTimeout = 5 * time.Second
 	// defaultMaxFetches is how many chunks of one version are requested at once if
-	// Config.Fetches is nil.
+	// Config.MaxFetches is nil.
 	defaultMaxFetches = 6
 )
 
@@ -130,7 +130,7 @@
 // they take up at most half of the memory window.
 func (t *transfer) maxFetches(man *wire.Manifest) int {
 	fitting := t.mgr.windowBytes / 2 / int64(max(1, man.GetChunkBytes()))
-	return int(max(1, min(fitting, int64(t.mgr.cfg.Fetches()))))
+	return int(max(1, min(fitting, int64(t.mgr.cfg.MaxFetches()))))
 }
 
 // startCore creates the core for the verified manifest.
@@ -149,7 +149,7 @@
 		Strategy:     t.mgr.cfg.Strategy,
 		DrawWindow:   t.mgr.cfg.DrawWindow,
 		MaxBackoff:   t.mgr.cfg.MaxBackoff,
-		DearRegions:  t.mgr.cfg.DearRegions,
+		DearRegions:  t.mgr.cfg.LimitCrossRegionTraffic,
 		Objective:    t.policy.Objective,
 		OriginCopies: t.policy.OriginCopies,
 		MaxFetches:   t.maxFetches(man),
--- a/relay/burst/sim_test.go
+++ b/relay/burst/sim_test.go
@@ -38,7 +38,7 @@
 	strategy               string
 	objective              string
 	originCopies           int
-	costlyRegions          bool // sets Config.DearRegions
+	costlyRegions          bool // sets Config.LimitCrossRegionTraffic
 	shared                 bool // both directions of a host's link share one rate
 	seed                   uint64
 	corrupt                float64 // fraction of chunks that arrive corrupt
