--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -70,7 +70,7 @@
 type process struct{ parts }
 
 func newProcess(all parts) *process {
-	all.Callbacks.suspect = all.Orders.Suspect
+	all.Callbacks.suspect = all.Orders.PollNow
 	all.Callbacks.observe = all.Control.Observe
 	all.Callbacks.nudge = all.Control.Nudge
 	all.Callbacks.report = all.Reporter.Build
@@ -213,7 +213,7 @@
 		return failure.New(failure.Leaving, "the host leaves", "use another")
 	case !p.Control.Synced():
 		return failure.New(failure.Unavailable, "no entry has answered yet", "check node.hostsUrl and the entries")
-	case !p.Orders.Answers():
+	case !p.Orders.EndpointResponds():
 		return failure.New(failure.Unavailable, "the endpoint does not answer", "check endpointUrl and the endpoint")
 	}
 	return nil
--- a/agent/internal/cmd/wiring.go
+++ b/agent/internal/cmd/wiring.go
@@ -154,19 +154,19 @@
 	calls *callbacks, rules *gate.Invariants, stats *metrics, core *fallback.Core) *orders.Runner {
 	placement := &outagePlacement{core: core, clock: clock, log: log, counters: stats.counters}
 	return orders.New(orders.Config{
-		Self:       self,
-		Clock:      clock,
-		Log:        log,
-		View:       holder,
-		Synced:     func() bool { return calls.synced() },
-		Service:    set.GetService(),
-		Engine:     client,
-		Gate:       hostGate,
-		Weights:    orders.FromManager(chunks),
-		Counters:   stats.counters,
-		Invariants: rules,
-		Changed:    func() { calls.nudge() },
-		Placement:  placement.place,
+		Self:               self,
+		Clock:              clock,
+		Log:                log,
+		View:               holder,
+		Synced:             func() bool { return calls.synced() },
+		Service:            set.GetService(),
+		Engine:             client,
+		Gate:               hostGate,
+		Weights:            orders.FromManager(chunks),
+		Counters:           stats.counters,
+		Invariants:         rules,
+		Changed:            func() { calls.nudge() },
+		FallbackAssignment: placement.place,
 	})
 }
 
--- a/agent/internal/orders/config.go
+++ b/agent/internal/orders/config.go
@@ -67,8 +67,8 @@
 	// Changed is called after the result of Runner.States changed. It must not
 	// block.
 	Changed func()
-	// Placement, if set, is called in each step and may return an assignment,
+	// FallbackAssignment, if set, is called in each step and may return an assignment,
 	// which is used if the plan has none for this host. The argument own is the
 	// host's present state.
-	Placement func(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment
+	FallbackAssignment func(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment
 }
--- a/agent/internal/orders/runner.go
+++ b/agent/internal/orders/runner.go
@@ -102,10 +102,10 @@
 	return &Runner{cfg: cfg, wake: make(chan struct{}, 1), guard: fence.NewGuard()}
 }
 
-// Suspect makes the runner poll the engine's status at once. The gate calls it
+// PollNow makes the runner poll the engine's status at once. The gate calls it
 // when the endpoint's replies contradict the confirmed content; a single poll
 // that also contradicts it is then enough to replace it.
-func (r *Runner) Suspect() {
+func (r *Runner) PollNow() {
 	r.mu.Lock()
 	r.recheck = true
 	r.mu.Unlock()
@@ -220,8 +220,8 @@
 // when the plan takes over.
 func (r *Runner) currentAssignment(snap *view.Snapshot) *wire.Assignment {
 	var placed *wire.Assignment
-	if r.cfg.Placement != nil {
-		placed = r.cfg.Placement(snap, r.ownReport())
+	if r.cfg.FallbackAssignment != nil {
+		placed = r.cfg.FallbackAssignment(snap, r.ownReport())
 	}
 	for _, assignment := range snap.Plan.GetAssignments() {
 		if assignment.GetHost() == r.cfg.Self.GetId() {
--- a/agent/internal/orders/status.go
+++ b/agent/internal/orders/status.go
@@ -108,8 +108,8 @@
 	return r.guard.Highest().Fence()
 }
 
-// Answers reports whether the endpoint responded to recent polls.
-func (r *Runner) Answers() bool {
+// EndpointResponds reports whether the endpoint responded to recent polls.
+func (r *Runner) EndpointResponds() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cfg.Service != "" {
