--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -253,7 +253,7 @@
 		"version":            state.Loaded().Version,
 		"running":            state.Running(),
 		"leaving":            state.Leaving(),
-		"remembered":         p.Gate.Remembered(),
+		"remembered":         p.Gate.RecordedRequests(),
 		"tokenGapMillis":     p.Gate.TokenGap().Milliseconds(),
 	}
 }
--- a/agent/internal/cmd/wiring.go
+++ b/agent/internal/cmd/wiring.go
@@ -110,18 +110,18 @@
 func newGate(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, log *slog.Logger, keys *peer.Keys,
 	client *engine.Client, holder *view.Holder, calls *callbacks, rules *gate.Invariants, stats *metrics) *gate.Gate {
 	return gate.New(gate.Config{
-		Self:       self,
-		Clock:      clock,
-		Log:        log,
-		Secure:     keys != nil,
-		Endpoint:   set.GetEndpoint(),
-		Service:    set.GetService(),
-		Engine:     client,
-		View:       holder,
-		Suspect:    func() { calls.suspect() },
-		Observe:    func(from *wire.Node, known *wire.Known) { calls.observe(from, known) },
-		Invariants: rules,
-		Counters:   stats.counters,
+		Self:          self,
+		Clock:         clock,
+		Log:           log,
+		Secure:        keys != nil,
+		EndpointClass: set.GetEndpoint(),
+		Service:       set.GetService(),
+		Engine:        client,
+		View:          holder,
+		Suspect:       func() { calls.suspect() },
+		Observe:       func(from *wire.Node, known *wire.Known) { calls.observe(from, known) },
+		Invariants:    rules,
+		Counters:      stats.counters,
 	})
 }
 
@@ -141,7 +141,7 @@
 		GetChunk:    client.GetChunk,
 		DropChunk:   client.DropChunk,
 		HeldChunks:  client.HeldChunks,
-		TokensSlow:  hostGate.TokensSlow,
+		TokensSlow:  hostGate.TokenSlowdown,
 	})
 }
 
--- a/agent/internal/engine/cache.go
+++ b/agent/internal/engine/cache.go
@@ -7,8 +7,8 @@
 
 // Kinds of CacheEvent.
 const (
-	Stored  = "stored"
-	Evicted = "evicted"
+	CacheStored  = "stored"
+	CacheEvicted = "evicted"
 )
 
 // CacheEvent reports that the engine's prefix cache stored or evicted a prefix.
--- a/agent/internal/engine/call.go
+++ b/agent/internal/engine/call.go
@@ -49,8 +49,8 @@
 		"check in the service's log whether the call ran")
 }
 
-// Reach returns nil if a TCP connection to the endpoint's address can be opened.
-func (c *Client) Reach(ctx context.Context) error {
+// CheckReachable returns nil if a TCP connection to the endpoint's address can be opened.
+func (c *Client) CheckReachable(ctx context.Context) error {
 	endpoint, err := url.Parse(c.baseURL)
 	if err != nil {
 		return failure.Wrap(err, failure.Invalid, "endpointUrl is not a valid URL", "correct it")
--- a/agent/internal/engine/client_test.go
+++ b/agent/internal/engine/client_test.go
@@ -110,7 +110,7 @@
 			w.WriteHeader(tc.status)
 			_, _ = w.Write([]byte(tc.body))
 		}))
-		current, err := New(server.URL).Order(t.Context(), &Order{Fence: 7, Order: Load})
+		current, err := New(server.URL).Order(t.Context(), &Order{Fence: 7, Kind: OrderLoad})
 		if got := failure.KindOf(err); err == nil || got != tc.kind || current != tc.current {
 			t.Errorf("status %d: got %v, fence %d, want kind %s, fence %d", tc.status, err, current, tc.kind, tc.current)
 		}
--- a/agent/internal/engine/orders.go
+++ b/agent/internal/engine/orders.go
@@ -11,9 +11,9 @@
 
 // Kinds of orders to an engine.
 const (
-	Load   = "load"
-	Unload = "unload"
-	Role   = "role"
+	OrderLoad    = "load"
+	OrderUnload  = "unload"
+	OrderSetRole = "role"
 )
 
 // Adapter describes an adapter in an order or a status.
@@ -28,7 +28,7 @@
 // an order it has accepted.
 type Order struct {
 	Fence       uint64    `json:"fence"`
-	Order       string    `json:"order"`
+	Kind        string    `json:"order"`
 	Model       string    `json:"model,omitempty"`
 	Version     string    `json:"version,omitempty"`
 	ChunkHashes []string  `json:"chunkHashes,omitempty"`
--- a/agent/internal/gate/gate.go
+++ b/agent/internal/gate/gate.go
@@ -33,8 +33,8 @@
 	Log   *slog.Logger
 	// Secure is set if callers authenticate with certificates.
 	Secure bool
-	// Endpoint is the name of this endpoint's EndpointClass in the document.
-	Endpoint string
+	// EndpointClass is the name of this endpoint's EndpointClass in the document.
+	EndpointClass string
 	// Service is the name of the plain service; it is empty for an engine.
 	Service string
 	Engine  *engine.Client
@@ -63,7 +63,7 @@
 func New(cfg Config) *Gate {
 	return &Gate{
 		cfg:       cfg,
-		rules:     ruleCache{holder: cfg.View, endpoint: cfg.Endpoint},
+		rules:     ruleCache{holder: cfg.View, endpoint: cfg.EndpointClass},
 		attempts:  newAttemptStore(cfg.Clock.Now()),
 		admission: admission{drain: drain.NewLane(drain.Drained)},
 		limiter:   newConcurrencyLimiter(),
@@ -78,10 +78,10 @@
 // Drain stops admitting attempts and cancels those that still run after limit.
 func (g *Gate) Drain(limit time.Duration) { g.admission.beginDrain(g.cfg.Clock.Now(), limit) }
 
-// Abandon ends a drain and admits attempts again. It may only be called before
+// AbandonDrain ends a drain and admits attempts again. It may only be called before
 // anything was changed at the endpoint. It reports false if the drain has finished
 // or is past its deadline, or after Exit.
-func (g *Gate) Abandon() bool { return g.admission.abandonDrain() }
+func (g *Gate) AbandonDrain() bool { return g.admission.abandonDrain() }
 
 // SetLeaving sets whether all new attempts are refused because the host is taken
 // out of service.
@@ -104,12 +104,12 @@
 // TokenGap returns the median time between tokens; 0 while unknown.
 func (g *Gate) TokenGap() time.Duration { return g.tokenGaps.lastMedian() }
 
-// TokensSlow returns how much slower tokens arrive than at their recent best, from
+// TokenSlowdown returns how much slower tokens arrive than at their recent best, from
 // 0 (not slower) to 1.
-func (g *Gate) TokensSlow() float64 { return g.tokenGaps.slowdown() }
+func (g *Gate) TokenSlowdown() float64 { return g.tokenGaps.slowdown() }
 
-// Remembered returns the number of requests whose attempts are recorded.
-func (g *Gate) Remembered() int { return g.attempts.len() }
+// RecordedRequests returns the number of requests whose attempts are recorded.
+func (g *Gate) RecordedRequests() int { return g.attempts.len() }
 
 // Work runs the periodic tasks until ctx is done: it calls Tick, and once a second
 // updates the token gap statistics.
--- a/agent/internal/gate/gate_test.go
+++ b/agent/internal/gate/gate_test.go
@@ -173,16 +173,16 @@
 		Endpoints: []*wire.EndpointClass{{Name: testClass, RefusesBeforeRun: true}, {Name: "vague"}},
 	}})
 	cfg := Config{
-		Self:       &wire.Node{Id: "h1", Incarnation: testIncarnation},
-		Clock:      fixture.clock,
-		Log:        slog.New(slog.DiscardHandler),
-		Endpoint:   testClass,
-		Engine:     engine.New(server.URL),
-		View:       holder,
-		Suspect:    func() { fixture.suspectCalls++ },
-		Observe:    func(*wire.Node, *wire.Known) {},
-		Invariants: &Invariants{Log: slog.Default(), Failures: fixture.brokenInvariants, Panic: true},
-		Counters:   new(expvar.Map).Init(),
+		Self:          &wire.Node{Id: "h1", Incarnation: testIncarnation},
+		Clock:         fixture.clock,
+		Log:           slog.New(slog.DiscardHandler),
+		EndpointClass: testClass,
+		Engine:        engine.New(server.URL),
+		View:          holder,
+		Suspect:       func() { fixture.suspectCalls++ },
+		Observe:       func(*wire.Node, *wire.Known) {},
+		Invariants:    &Invariants{Log: slog.Default(), Failures: fixture.brokenInvariants, Panic: true},
+		Counters:      new(expvar.Map).Init(),
 	}
 	if configure != nil {
 		configure(&cfg)
@@ -638,7 +638,7 @@
 		{testClass, http.StatusConflict, "broken:" + reasonEndpointFailed},
 		{testClass, http.StatusInternalServerError, "broken:" + reasonEndpointFailed},
 	} {
-		gf := newGateFixture(t, func(cfg *Config) { cfg.Service, cfg.Endpoint = "labels", tc.class })
+		gf := newGateFixture(t, func(cfg *Config) { cfg.Service, cfg.EndpointClass = "labels", tc.class })
 		gf.engine.call = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(tc.status) }
 		got := gf.run(newAttempt("r1", func(att *wire.Attempt) { att.Service, att.Model, att.Version = "labels", "", "" }))
 		if got.frameKinds() != tc.want {
--- a/agent/internal/orders/order.go
+++ b/agent/internal/orders/order.go
@@ -50,7 +50,7 @@
 		}
 	}
 	r.pending = pending
-	r.cfg.Log.Info("order", "order", engineOrder.Order, "model", engineOrder.Model, "version", engineOrder.Version, "fence", number.String())
+	r.cfg.Log.Info("order", "order", engineOrder.Kind, "model", engineOrder.Model, "version", engineOrder.Version, "fence", number.String())
 	go r.sendOrder(ctx, pending, engineOrder)
 }
 
@@ -73,13 +73,13 @@
 	engineOrder = &engine.Order{Fence: number.Fence()}
 	switch action {
 	case Unload:
-		engineOrder.Order = engine.Unload
+		engineOrder.Kind = engine.OrderUnload
 		return engineOrder, true
 	case SetRole:
-		engineOrder.Order, engineOrder.Role = engine.Role, r.desired.Role
+		engineOrder.Kind, engineOrder.Role = engine.OrderSetRole, r.desired.Role
 		return engineOrder, true
 	}
-	engineOrder.Order, engineOrder.Model, engineOrder.Version = engine.Load, r.desired.Model, r.desired.Version
+	engineOrder.Kind, engineOrder.Model, engineOrder.Version = engine.OrderLoad, r.desired.Model, r.desired.Version
 	engineOrder.Role = r.desired.Role
 	engineOrder.ChunkHashes, ok = r.chunkHashes(r.desired.Version)
 	if !ok {
@@ -127,7 +127,7 @@
 	r.lastOrderError = err.Error()
 	r.backoffUntil = now.Add(failureBackoff)
 	r.cfg.Counters.Add("ordersFailed", 1)
-	r.cfg.Log.Warn("order failed", "order", engineOrder.Order, "version", engineOrder.Version, "error", err)
+	r.cfg.Log.Warn("order failed", "order", engineOrder.Kind, "version", engineOrder.Version, "error", err)
 	if failure.KindOf(err) == failure.Invalid && pending.action == Load {
 		r.noTargetsUntil = now.Add(refetchPause)
 	}
--- a/agent/internal/orders/runner.go
+++ b/agent/internal/orders/runner.go
@@ -167,7 +167,7 @@
 	ticker := r.cfg.Clock.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
-		err := r.cfg.Engine.Reach(ctx)
+		err := r.cfg.Engine.CheckReachable(ctx)
 		r.mu.Lock()
 		r.actualKnown = err == nil
 		r.mu.Unlock()
@@ -293,7 +293,7 @@
 	case Serve:
 		r.openGate()
 	case Resume:
-		r.cfg.Gate.Abandon()
+		r.cfg.Gate.AbandonDrain()
 	case CloseGate:
 		r.cfg.Gate.Drain(0)
 	case Drain:
--- a/agent/internal/report/prefixes.go
+++ b/agent/internal/report/prefixes.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		p.hashes = slices.DeleteFunc(p.hashes, func(held uint64) bool { return held == hash })
-		if event.Kind == engine.Stored {
+		if event.Kind == engine.CacheStored {
 			p.hashes = slices.Insert(p.hashes, 0, hash)
 		}
 	}
--- a/standin/internal/engine/orders.go
+++ b/standin/internal/engine/orders.go
@@ -10,7 +10,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Values of Order.Order.
+// Values of Order.Kind.
 const (
 	orderLoad   = "load"
 	orderUnload = "unload"
