--- a/agent/internal/cmd/placement.go
+++ b/agent/internal/cmd/placement.go
@@ -15,7 +15,7 @@
 // package fallback. It is not safe for concurrent use: only orders.Runner calls
 // it.
 type outagePlacement struct {
-	core     *fallback.Core
+	core     *fallback.Decider
 	clock    clockwork.Clock
 	log      *slog.Logger
 	counters *expvar.Map
@@ -24,7 +24,7 @@
 // place returns what the host should serve although the plan doesn't assign
 // anything to it.
 func (p *outagePlacement) place(snap *view.Snapshot, own *wire.HostReport) *wire.Assignment {
-	before := p.core.Held()
+	before := p.core.TakenModel()
 	given := p.core.Decide(fallback.Input{
 		Now:         p.clock.Now(),
 		Document:    snap.Document,
@@ -33,7 +33,7 @@
 		Hosts:       snap.Hosts,
 		Own:         own,
 	})
-	if after := p.core.Held(); after != before {
+	if after := p.core.TakenModel(); after != before {
 		p.logHeld(before, after, snap)
 	}
 	return given
--- a/agent/internal/cmd/wiring.go
+++ b/agent/internal/cmd/wiring.go
@@ -70,7 +70,7 @@
 		func() *engine.Client { return engine.New(set.GetEndpointUrl()) },
 		newMetrics, newKeys, peer.NewPool, newListener, newSelf, newInvariants, view.NewHolder,
 		newGate, newWeights, newRunner, newReporter, newControl,
-		func() *fallback.Core { return fallback.New(limits) },
+		func() *fallback.Decider { return fallback.New(limits) },
 	)
 	return container
 }
@@ -151,7 +151,7 @@
 
 func newRunner(set *wire.AgentSettings, self *wire.Node, clock clockwork.Clock, log *slog.Logger,
 	holder *view.Holder, client *engine.Client, hostGate *gate.Gate, chunks *weights.Manager,
-	calls *callbacks, rules *gate.Invariants, stats *metrics, core *fallback.Core) *orders.Runner {
+	calls *callbacks, rules *gate.Invariants, stats *metrics, core *fallback.Decider) *orders.Runner {
 	placement := &outagePlacement{core: core, clock: clock, log: log, counters: stats.counters}
 	return orders.New(orders.Config{
 		Self:               self,
--- a/relay/fallback/domain.go
+++ b/relay/fallback/domain.go
@@ -50,7 +50,7 @@
 
 // newDomain builds the snapshot from the document, the plan and the reports,
 // and decides which hosts outside the plan keep their replica slot.
-func (c *Core) newDomain(in Input) *domain {
+func (c *Decider) newDomain(in Input) *domain {
 	name := in.Own.GetNode().GetFailureDomain()
 	dom := &domain{demands: demandsIn(in.Document, name)}
 	hosts := hostsIn(in, name)
@@ -134,7 +134,7 @@
 
 // takenBy returns the model of this host's own last decision, which its report
 // may not contain yet, and "" for any other host.
-func (c *Core) takenBy(in Input, id string) string {
+func (c *Decider) takenBy(in Input, id string) string {
 	if id != in.Own.GetNode().GetId() {
 		return ""
 	}
--- a/relay/fallback/fallback.go
+++ b/relay/fallback/fallback.go
@@ -81,8 +81,8 @@
 	Own *wire.HostReport
 }
 
-// Core makes the decisions for one host. It is not safe for concurrent use.
-type Core struct {
+// Decider makes the decisions for one host. It is not safe for concurrent use.
+type Decider struct {
 	limits Limits
 	// absentSince is when this process first saw each absent host as leaving,
 	// lost or unreported.
@@ -95,16 +95,16 @@
 }
 
 // New returns a Core for a host that has not taken a replica slot.
-func New(limits Limits) *Core {
-	return &Core{limits: limits, absentSince: map[string]time.Time{}}
+func New(limits Limits) *Decider {
+	return &Decider{limits: limits, absentSince: map[string]time.Time{}}
 }
 
-// Held returns the model whose replica slot this host took; empty if none.
-func (c *Core) Held() string { return c.takenModel }
+// TakenModel returns the model whose replica slot this host took; empty if none.
+func (c *Decider) TakenModel() string { return c.takenModel }
 
 // Decide returns an assignment for this host that is not in the plan; nil if the
 // host should serve nothing beyond the plan.
-func (c *Core) Decide(in Input) *wire.Assignment {
+func (c *Decider) Decide(in Input) *wire.Assignment {
 	c.trackTimes(in)
 	own := in.Own.GetNode()
 	if in.Document == nil || in.Plan == nil || in.Own.GetLeaving() || isPlanned(in.Plan, own.GetId()) {
@@ -139,7 +139,7 @@
 // After a pause of the process its data is old: if the outage time were not
 // reset, a process that resumes would consider the whole deployment cut off from
 // the service until the next reply arrives.
-func (c *Core) trackTimes(in Input) {
+func (c *Decider) trackTimes(in Input) {
 	gap := in.Now.Sub(c.lastDecision)
 	if !c.lastDecision.IsZero() && (gap > c.limits.Pause || gap < 0) {
 		c.staleSince = time.Time{}
@@ -157,14 +157,14 @@
 }
 
 // outage reports whether the document has been stale for at least Limits.Settle.
-func (c *Core) outage(now time.Time) bool {
+func (c *Decider) outage(now time.Time) bool {
 	return !c.staleSince.IsZero() && now.Sub(c.staleSince) >= c.limits.Settle
 }
 
 // isVacant reports whether the host has been absent long enough for its replica
 // slot to count as vacant. The wait is needed because most hosts that stop
 // reporting are back soon, and a move costs a transfer of the whole model.
-func (c *Core) isVacant(id string, host view.Host, reported bool, now time.Time) bool {
+func (c *Decider) isVacant(id string, host view.Host, reported bool, now time.Time) bool {
 	if reported && !host.Lost() && !host.Leaving() {
 		delete(c.absentSince, id)
 		return false
@@ -189,7 +189,7 @@
 
 // pruneAbsences removes from absentSince the hosts that are not present, that is
 // neither reported nor in the plan, so that the map does not grow without bound.
-func (c *Core) pruneAbsences(present map[string]bool) {
+func (c *Decider) pruneAbsences(present map[string]bool) {
 	for id := range c.absentSince {
 		if !present[id] {
 			delete(c.absentSince, id)
--- a/relay/fallback/fallback_test.go
+++ b/relay/fallback/fallback_test.go
@@ -38,7 +38,7 @@
 	report        *wire.HostReport
 	seenAt        time.Time
 	leaving, lost bool
-	core          *Core
+	core          *Decider
 }
 
 func newScenario() *scenario {
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -32,7 +32,7 @@
 	fetched  int              // steps spent on want
 	unwanted int              // steps since want became empty
 	taken    string           // model assigned by the strategy instead of the plan
-	core     *Core
+	core     *Decider
 	// observed contains this host's latest observation of each other host.
 	observed map[string]observation
 }
