--- a/agent/internal/control/knowledge.go
+++ b/agent/internal/control/knowledge.go
@@ -134,7 +134,7 @@
 	for _, id := range k.state.Drains().GetHosts() {
 		drained[id] = true
 	}
-	hosts := k.table.Hosts(now, membership.Outlook{Drained: drained, HostCount: k.table.Len()})
+	hosts := k.table.Hosts(now, membership.ExternalState{Drained: drained, HostCount: k.table.Len()})
 	membership.SortHosts(hosts)
 	return hosts
 }
@@ -307,7 +307,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if jump := now.Sub(k.lastClockCheck); jump > maxClockGap || jump < 0 {
-		k.table.Adjust(jump)
+		k.table.ShiftLastSeen(jump)
 	}
 	k.lastClockCheck = now
 	return &view.Snapshot{
--- a/agent/internal/onsite/loader.go
+++ b/agent/internal/onsite/loader.go
@@ -149,7 +149,7 @@
 	declared := l.guidance.declarations(newest.model)
 	host := rollout.Fetch{
 		Now: l.clock.Now(), Loaded: loaded, Current: current,
-		Whole:    current > 0 && l.mgr.State(versionName(newest.model, current)).Phase() == weights.Whole,
+		Complete: current > 0 && l.mgr.State(versionName(newest.model, current)).Phase() == weights.Whole,
 		Progress: l.progress(newest.model, declared),
 	}
 	version := rollout.Target(declared, host, l.versionUseLimit(), l.estimateMove(newest))
@@ -186,7 +186,7 @@
 		state := l.mgr.State(versionName(model, decl.Version))
 		if total := float64(state.Total()); total > 0 {
 			found = append(found, rollout.Progress{
-				Version: decl.Version, Drawn: float64(state.Drawn()) / total, Held: float64(state.Have()) / total,
+				Version: decl.Version, SentByOrigin: float64(state.Drawn()) / total, Received: float64(state.Have()) / total,
 			})
 		}
 	}
@@ -215,9 +215,9 @@
 
 // estimateMove returns the estimated times for transferring the weights to this host and
 // for loading them into the engine, including the notice period.
-func (l *loader) estimateMove(want wantedWeights) rollout.Move {
+func (l *loader) estimateMove(want wantedWeights) rollout.TransferTimes {
 	bytes := want.chunks * want.chunkBytes
-	return rollout.Move{Host: transferTime(bytes, l.linkRate), Origin: transferTime(bytes, l.guidance.originRate()), Load: noticePeriod + want.loadTime}
+	return rollout.TransferTimes{Host: transferTime(bytes, l.linkRate), Origin: transferTime(bytes, l.guidance.originRate()), Load: noticePeriod + want.loadTime}
 }
 
 // transferTime returns the time to transfer the bytes at a rate in bytes per second; 0 if
@@ -251,11 +251,11 @@
 		return time.Time{}
 	}
 	now := l.clock.Now()
-	if report.Running > 0 && !rollout.MayCut(now, deadline) {
+	if report.Running > 0 && !rollout.MayInterrupt(now, deadline) {
 		return now.Add(loaderInterval)
 	}
 	start := rollout.Start(want.declaredAt, deadline, l.estimateMove(want), l.place())
-	if l.poller.countPinnedRequests() > 0 && rollout.LetsPass(now, start, deadline, l.estimateMove(want)) {
+	if l.poller.countPinnedRequests() > 0 && rollout.MayPostpone(now, start, deadline, l.estimateMove(want)) {
 		return now.Add(loaderInterval)
 	}
 	return start
--- a/bench/internal/capacity/slope_views.go
+++ b/bench/internal/capacity/slope_views.go
@@ -34,7 +34,7 @@
 // buildView does what an entry does for each view: it judges every host and
 // sorts them.
 func buildView(tables []*membership.Table, n int) *view.Snapshot {
-	out := membership.Outlook{Self: "entry-00001", HostCount: n}
+	out := membership.ExternalState{Self: "entry-00001", HostCount: n}
 	hosts := make([]view.Host, 0, n)
 	for _, table := range tables {
 		hosts = append(hosts, table.Hosts(epoch.Add(time.Second), out)...)
--- a/entry/internal/control/members.go
+++ b/entry/internal/control/members.go
@@ -116,7 +116,7 @@
 // Adjust shifts the times at which members were last seen, after this process was
 // paused for the given time.
 func (m *Members) Adjust(jump time.Duration) {
-	m.each(func(t *membership.Table) { t.Adjust(jump) })
+	m.each(func(t *membership.Table) { t.ShiftLastSeen(jump) })
 }
 
 // Forget removes the members that have long been silent and are not listed.
@@ -150,7 +150,7 @@
 // Hosts returns the known hosts, sorted by id. entries must be the result of
 // Entries for the same time.
 func (m *Members) Hosts(now time.Time, drains *wire.DrainMarks, entries []view.Peer) []view.Host {
-	out := membership.Outlook{Self: m.self, HostCount: m.Len(), Drained: map[string]bool{}, LostEntries: map[string]bool{}}
+	out := membership.ExternalState{Self: m.self, HostCount: m.Len(), Drained: map[string]bool{}, LostEntries: map[string]bool{}}
 	for _, id := range drains.GetHosts() {
 		out.Drained[id] = true
 	}
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -154,13 +154,13 @@
 		h := r.hosts[id]
 		host := placement.Host{ID: id, FailureDomain: "a", ServingModel: h.has}
 		if h.has != "" {
-			host.ServingVersion, host.Whole = "v1", []string{"v1"}
+			host.ServingVersion, host.CompleteVersions = "v1", []string{"v1"}
 		}
 		if h.alive {
 			delete(r.absentSteps, id)
 		} else if r.step-h.diedAt > lostSteps {
 			r.absentSteps[id]++
-			host.Away = time.Duration(r.absentSteps[id]) * time.Second
+			host.UnavailableFor = time.Duration(r.absentSteps[id]) * time.Second
 		}
 		hosts = append(hosts, host)
 	}
--- a/relay/fleet/pick.go
+++ b/relay/fleet/pick.go
@@ -277,7 +277,7 @@
 // resumedCost returns the weight of an engine that has yet to load the wanted version, for a
 // resumed request.
 func resumedCost(position float64) float64 {
-	if rollout.RunsDry(position) {
+	if rollout.LoadsAfterDeadline(position) {
 		return outdatedResumedCost
 	}
 	return outdatedResumedCost + earlyRolloutCost*(1-position)
--- a/relay/membership/membership.go
+++ b/relay/membership/membership.go
@@ -199,10 +199,10 @@
 	t.Forget(now)
 }
 
-// Adjust shifts all last-seen times after this process was paused or its clock
+// ShiftLastSeen shifts all last-seen times after this process was paused or its clock
 // jumped. Otherwise the process would treat the whole deployment as silent and
 // route to no host until the hosts have reported again.
-func (t *Table) Adjust(jump time.Duration) {
+func (t *Table) ShiftLastSeen(jump time.Duration) {
 	for _, stored := range t.members {
 		if !stored.seenAt.IsZero() {
 			stored.seenAt = stored.seenAt.Add(jump)
@@ -223,8 +223,8 @@
 	}
 }
 
-// Outlook holds the inputs from outside the table that the state of hosts depends on.
-type Outlook struct {
+// ExternalState holds the inputs from outside the table that the state of hosts depends on.
+type ExternalState struct {
 	// Self is the id of this entry.
 	Self string
 	// Drained holds the ids of hosts that operators drain.
@@ -238,7 +238,7 @@
 // isHostLost reports whether a host counts as lost. For a host that reports to
 // another entry, its home entry, long silence is normal. There it relies on that
 // entry's report of the loss, or applies LostAfter once that entry itself is lost.
-func (t *Table) isHostLost(stored *member, now time.Time, out Outlook) bool {
+func (t *Table) isHostLost(stored *member, now time.Time, out ExternalState) bool {
 	silence := now.Sub(stored.seenAt)
 	home := stored.report.GetHome()
 	switch {
@@ -265,7 +265,7 @@
 }
 
 // Hosts returns the hosts that reported at least once, in unspecified order.
-func (t *Table) Hosts(now time.Time, out Outlook) []view.Host {
+func (t *Table) Hosts(now time.Time, out ExternalState) []view.Host {
 	hosts := make([]view.Host, 0, len(t.members))
 	for id, stored := range t.members {
 		if stored.report == nil {
--- a/relay/membership/membership_test.go
+++ b/relay/membership/membership_test.go
@@ -69,7 +69,7 @@
 		s.now = s.now.Add(time.Duration(number("seconds")) * time.Second)
 	case "paused":
 		s.now = s.now.Add(time.Duration(number("seconds")) * time.Second)
-		s.table.Adjust(time.Duration(number("seconds")) * time.Second)
+		s.table.ShiftLastSeen(time.Duration(number("seconds")) * time.Second)
 	case "show":
 	default:
 		t.Fatalf("unknown command %s", cmd.Cmd)
@@ -90,7 +90,7 @@
 
 func (s *fixture) show() string {
 	var out strings.Builder
-	outlook := Outlook{Self: "self", Drained: s.drained, LostEntries: s.lost, HostCount: 10}
+	outlook := ExternalState{Self: "self", Drained: s.drained, LostEntries: s.lost, HostCount: 10}
 	hosts := s.table.Hosts(s.now, outlook)
 	SortHosts(hosts)
 	for _, host := range hosts {
@@ -136,7 +136,7 @@
 			}
 			sc.table.ObserveHost(report, sc.now)
 		}
-		stored := sc.table.Hosts(sc.now, Outlook{})[0].Report()
+		stored := sc.table.Hosts(sc.now, ExternalState{})[0].Report()
 		if stored.GetNode().GetIncarnation() != newest.GetNode().GetIncarnation() || stored.GetSequence() != newest.GetSequence() {
 			t.Fatalf("got %s/%d, want %s/%d", stored.GetNode().GetIncarnation(), stored.GetSequence(),
 				newest.GetNode().GetIncarnation(), newest.GetSequence())
--- a/relay/placement/domain.go
+++ b/relay/placement/domain.go
@@ -117,9 +117,9 @@
 		limit = dom.limits.LeavingAfter
 	}
 	switch {
-	case host.Away <= 0 && !host.Leaving:
+	case host.UnavailableFor <= 0 && !host.Leaving:
 		return hostAvailable
-	case host.Away < limit:
+	case host.UnavailableFor < limit:
 		return hostUnavailable
 	default:
 		return hostExpired
--- a/relay/placement/observer.go
+++ b/relay/placement/observer.go
@@ -41,7 +41,7 @@
 	}
 	for _, assignment := range plan.GetAssignments() {
 		if id := assignment.GetHost(); !known[id] {
-			hosts = append(hosts, Host{ID: id, FailureDomain: assignment.GetFailureDomain(), Away: o.unavailableFor(id, true, now)})
+			hosts = append(hosts, Host{ID: id, FailureDomain: assignment.GetFailureDomain(), UnavailableFor: o.unavailableFor(id, true, now)})
 		}
 	}
 	o.prune(plan, known)
@@ -75,18 +75,18 @@
 func newHost(host view.Host, away time.Duration) Host {
 	report := host.Report()
 	result := Host{
-		ID:            report.GetNode().GetId(),
-		FailureDomain: report.GetNode().GetFailureDomain(),
-		Leaving:       host.Leaving(),
-		Away:          away,
+		ID:             report.GetNode().GetId(),
+		FailureDomain:  report.GetNode().GetFailureDomain(),
+		Leaving:        host.Leaving(),
+		UnavailableFor: away,
 	}
 	for _, state := range report.GetVersions() {
 		switch state.GetState() {
 		case stateServing:
 			result.ServingModel, result.ServingVersion = state.GetModel(), state.GetVersion()
-			result.Whole = append(result.Whole, state.GetVersion())
+			result.CompleteVersions = append(result.CompleteVersions, state.GetVersion())
 		case stateWhole, stateLoading:
-			result.Whole = append(result.Whole, state.GetVersion())
+			result.CompleteVersions = append(result.CompleteVersions, state.GetVersion())
 		}
 	}
 	return result
--- a/relay/placement/placement.go
+++ b/relay/placement/placement.go
@@ -24,12 +24,12 @@
 	FailureDomain string
 	// Leaving is set when the host shuts down or an operator drains it.
 	Leaving bool
-	// Away is how long the host has been leaving or silent; 0 if usable.
-	Away time.Duration
+	// UnavailableFor is how long the host has been leaving or silent; 0 if usable.
+	UnavailableFor time.Duration
 	// ServingModel and ServingVersion are what the host's engine serves now.
 	ServingModel, ServingVersion string
-	// Whole lists the model versions that the host has downloaded completely.
-	Whole []string
+	// CompleteVersions lists the model versions that the host has downloaded completely.
+	CompleteVersions []string
 }
 
 // Limits are the periods of unavailability after which a host's replicas move.
@@ -121,7 +121,7 @@
 	if host.ServingModel == model.GetName() && host.ServingVersion == model.GetVersion() {
 		return 2
 	}
-	if slices.Contains(host.Whole, model.GetVersion()) {
+	if slices.Contains(host.CompleteVersions, model.GetVersion()) {
 		return 1
 	}
 	return 0
--- a/relay/placement/placement_test.go
+++ b/relay/placement/placement_test.go
@@ -114,7 +114,7 @@
 			host = &Host{ID: id}
 			s.hosts[id] = host
 		}
-		host.FailureDomain, host.Away, host.Leaving = domain, silence, cmd.HasArg("leaving")
+		host.FailureDomain, host.UnavailableFor, host.Leaving = domain, silence, cmd.HasArg("leaving")
 	}
 	return ""
 }
@@ -122,9 +122,9 @@
 // serve makes every available host serve its assignment in the plan.
 func (s *fixture) serve() {
 	for _, assignment := range s.plan.GetAssignments() {
-		if host := s.hosts[assignment.GetHost()]; host != nil && host.Away == 0 {
+		if host := s.hosts[assignment.GetHost()]; host != nil && host.UnavailableFor == 0 {
 			host.ServingModel, host.ServingVersion = assignment.GetModel(), assignment.GetVersion()
-			host.Whole = []string{assignment.GetVersion()}
+			host.CompleteVersions = []string{assignment.GetVersion()}
 		}
 	}
 }
@@ -190,8 +190,8 @@
 			host = &Host{ID: id, FailureDomain: domain}
 			st.hosts[id] = host
 		}
-		host.Away = time.Duration(rapid.SampledFrom([]int{0, 0, 5, 60}).Draw(t, "away")) * time.Second
-		host.Leaving = host.Away > 0 && rapid.Bool().Draw(t, "leaving")
+		host.UnavailableFor = time.Duration(rapid.SampledFrom([]int{0, 0, 5, 60}).Draw(t, "away")) * time.Second
+		host.Leaving = host.UnavailableFor > 0 && rapid.Bool().Draw(t, "leaving")
 	}
 }
 
@@ -218,13 +218,13 @@
 		switch {
 		case has && had:
 			kept++
-		case had && host.Away == 0:
+		case had && host.UnavailableFor == 0:
 			left++
 		}
 		if has {
 			count++
 		}
-		if held[id] == nil && host.Away == 0 && countOf(held, model, wanted) < int(wanted.GetCount()) {
+		if held[id] == nil && host.UnavailableFor == 0 && countOf(held, model, wanted) < int(wanted.GetCount()) {
 			t.Fatalf("got %s idle while %s lacks replicas", id, model.GetName())
 		}
 	}
@@ -254,7 +254,7 @@
 	for id, assignment := range held {
 		old := previous[id]
 		upgrades := old.GetModel() == model.GetName() && assignment.GetModel() == model.GetName() && old.GetVersion() != assignment.GetVersion()
-		if upgrades && assignment.GetFailureDomain() == wanted.GetFailureDomain() && st.hosts[id].ServingModel == model.GetName() && st.hosts[id].Away == 0 {
+		if upgrades && assignment.GetFailureDomain() == wanted.GetFailureDomain() && st.hosts[id].ServingModel == model.GetName() && st.hosts[id].UnavailableFor == 0 {
 			upgrading[assignment.GetWave()]++
 		}
 	}
@@ -290,7 +290,7 @@
 	planned, functional, lost := 0, 0, 0
 	for d := range domains {
 		for h := range 3 {
-			st.hosts[fmt.Sprintf("d%02d-h%02d", d, h)].Away = time.Minute
+			st.hosts[fmt.Sprintf("d%02d-h%02d", d, h)].UnavailableFor = time.Minute
 			lost++
 		}
 		next := st.next()
--- a/relay/rollout/target.go
+++ b/relay/rollout/target.go
@@ -16,17 +16,17 @@
 
 // Progress is the download progress of a version as known to this host.
 type Progress struct {
-	Version uint64
-	Drawn   float64 // fraction of its chunks that the origin has sent
-	Held    float64 // fraction of its chunks that this host has
+	Version      uint64
+	SentByOrigin float64 // fraction of its chunks that the origin has sent
+	Received     float64 // fraction of its chunks that this host has
 }
 
 // Fetch is the state of a host's loaded and fetched versions.
 type Fetch struct {
-	Now     time.Time
-	Loaded  uint64 // 0 if no version is loaded
-	Current uint64 // version being fetched
-	Whole   bool   // Current is fetched completely and ready to load
+	Now      time.Time
+	Loaded   uint64 // 0 if no version is loaded
+	Current  uint64 // version being fetched
+	Complete bool   // Current is fetched completely and ready to load
 	// Progress lists the versions whose manifest is known.
 	Progress []Progress
 }
@@ -51,7 +51,7 @@
 // complete version for one that they can't fetch serve nothing meanwhile.
 //
 // Only the newest two versions can still be fetched.
-func Target(history []Declared, host Fetch, bound time.Duration, move Move) uint64 {
+func Target(history []Declared, host Fetch, bound time.Duration, move TransferTimes) uint64 {
 	newest, former := newestTwo(history)
 	deadline, ends := Deadline(history, host.Loaded, bound)
 	if !ends || host.Loaded == 0 || former.Version <= host.Loaded || host.Current < former.Version {
@@ -66,7 +66,7 @@
 	if tooLate <= 0 || host.Current == newest.Version && tooLate < minLateness {
 		return newest.Version
 	}
-	if former.Version == host.Current && host.Whole {
+	if former.Version == host.Current && host.Complete {
 		return formerIfUsable(former, newest, now.Add(move.Load+minUsableTime), newest.At.Add(bound))
 	}
 	progress, known := host.progressOf(former.Version)
@@ -111,10 +111,10 @@
 
 // remaining returns the estimated time until most hosts have the complete version. It
 // is the time of a whole fetch if the version's manifest is unknown.
-func (m Move) remaining(progress Progress, known bool) time.Duration {
+func (m TransferTimes) remaining(progress Progress, known bool) time.Duration {
 	if !known {
 		return m.completeAfter(mostHostsSpread)
 	}
-	missing := 1 - progress.Held
-	return max(scale(m.Origin, 1-progress.Drawn), scale(m.Host, missing)) + scale(m.Host, mostHostsSpread*missing)
+	missing := 1 - progress.Received
+	return max(scale(m.Origin, 1-progress.SentByOrigin), scale(m.Host, missing)) + scale(m.Host, mostHostsSpread*missing)
 }
--- a/relay/rollout/wave.go
+++ b/relay/rollout/wave.go
@@ -43,8 +43,8 @@
 	At      time.Time
 }
 
-// Move holds the transfer and load times of one version's weights.
-type Move struct {
+// TransferTimes holds the transfer and load times of one version's weights.
+type TransferTimes struct {
 	Host   time.Duration // over the host's link alone; 0 if unknown
 	Origin time.Duration // over the origin's link alone; 0 if unknown
 	Load   time.Duration // into the engine
@@ -52,7 +52,7 @@
 
 // completeAfter returns the time from the declaration until a host has the complete
 // version: the origin sends every chunk once, then the hosts exchange the chunks.
-func (m Move) completeAfter(spread float64) time.Duration {
+func (m TransferTimes) completeAfter(spread float64) time.Duration {
 	return max(m.Origin, m.Host) + scale(m.Host, spread)
 }
 
@@ -84,7 +84,7 @@
 
 // PullDelay returns how long a host waits before it fetches from other hosts, so
 // that hosts with a lower place can use the links first.
-func PullDelay(move Move, place float64) time.Duration {
+func PullDelay(move TransferTimes, place float64) time.Duration {
 	return scale(move.Host, pullSpread*place)
 }
 
@@ -93,8 +93,8 @@
 // version to the deadline, less the time for a load. The last hosts load after the
 // deadline: they get no new requests before it, finish the running ones and
 // interrupt none.
-func Start(declared, deadline time.Time, move Move, place float64) time.Time {
-	if RunsDry(place) {
+func Start(declared, deadline time.Time, move TransferTimes, place float64) time.Time {
+	if LoadsAfterDeadline(place) {
 		return deadline.Add(scale(lateStartSpread, (place-onTimeFraction)/(1-onTimeFraction)))
 	}
 	first := declared.Add(move.completeAfter(firstHostSpread))
@@ -105,25 +105,25 @@
 	return first.Add(scale(last.Sub(first), place/onTimeFraction))
 }
 
-// LetsPass reports whether a host may postpone its load for requests in progress that
+// MayPostpone reports whether a host may postpone its load for requests in progress that
 // the load would end without another attempt.
-func LetsPass(now, start, deadline time.Time, move Move) bool {
+func MayPostpone(now, start, deadline time.Time, move TransferTimes) bool {
 	return now.Before(start.Add(maxPostponement)) && now.Before(latestLoadStart(deadline, move))
 }
 
 // latestLoadStart returns the latest start of a load that still ends before the
 // deadline.
-func latestLoadStart(deadline time.Time, move Move) time.Time {
+func latestLoadStart(deadline time.Time, move TransferTimes) time.Time {
 	return deadline.Add(-move.Load - deadlineMargin)
 }
 
-// RunsDry reports whether a host with the given place finishes its running requests
+// LoadsAfterDeadline reports whether a host with the given place finishes its running requests
 // before it loads.
-func RunsDry(place float64) bool { return place >= onTimeFraction }
+func LoadsAfterDeadline(place float64) bool { return place >= onTimeFraction }
 
-// MayCut reports whether a load may interrupt running requests: before the deadline,
+// MayInterrupt reports whether a load may interrupt running requests: before the deadline,
 // and again once drainTimeout has passed after it.
-func MayCut(now, deadline time.Time) bool {
+func MayInterrupt(now, deadline time.Time) bool {
 	return now.Before(deadline) || now.After(deadline.Add(drainTimeout))
 }
 
--- a/relay/rollout/wave_test.go
+++ b/relay/rollout/wave_test.go
@@ -21,7 +21,7 @@
 // and the time of its declaration in seconds. The bound is 8 s, a fetch takes 2.6 s.
 func TestScripts(t *testing.T) {
 	var history []rollout.Declared
-	move := rollout.Move{Host: 2600 * time.Millisecond, Load: 300 * time.Millisecond}
+	move := rollout.TransferTimes{Host: 2600 * time.Millisecond, Load: 300 * time.Millisecond}
 	datadriven.RunTest(t, "testdata/rollout", func(t *testing.T, td *datadriven.TestData) string {
 		const bound = 8 * time.Second
 		arg := func(key string) float64 {
@@ -52,7 +52,7 @@
 			move.Origin = time.Duration(arg("seconds") * float64(time.Second))
 			return "ok"
 		case "target":
-			host := rollout.Fetch{Loaded: uint64(arg("loaded")), Current: uint64(arg("current")), Whole: td.HasArg("whole")}
+			host := rollout.Fetch{Loaded: uint64(arg("loaded")), Current: uint64(arg("current")), Complete: td.HasArg("whole")}
 			if td.HasArg("now") {
 				host.Now = at(arg("now"))
 			}
@@ -80,7 +80,7 @@
 		}
 		for _, text := range arg.Vals {
 			var item rollout.Progress
-			if _, err := fmt.Sscanf(text, "%d:%f:%f", &item.Version, &item.Drawn, &item.Held); err != nil {
+			if _, err := fmt.Sscanf(text, "%d:%f:%f", &item.Version, &item.SentByOrigin, &item.Received); err != nil {
 				t.Fatalf("%s: %v", text, err)
 			}
 			found = append(found, item)
@@ -99,7 +99,7 @@
 		before := time.Time{}
 		onTime := 0
 		for i := range hosts {
-			loadStart := rollout.Start(start, deadline, rollout.Move{Host: 2600 * time.Millisecond, Load: load}, float64(i)/float64(hosts))
+			loadStart := rollout.Start(start, deadline, rollout.TransferTimes{Host: 2600 * time.Millisecond, Load: load}, float64(i)/float64(hosts))
 			if loadStart.Before(before) {
 				t.Fatalf("got host %d before host %d, want the order of places", i, i-1)
 			}
@@ -141,7 +141,7 @@
 // Guards against requests that fail because two loads in a row interrupt them, and
 // against hosts that postpone their loads until all load at once or too late.
 func TestTurnPassesForWhatALoadWouldEndForGood(t *testing.T) {
-	move := rollout.Move{Load: time.Second}
+	move := rollout.TransferTimes{Load: time.Second}
 	for _, item := range []struct {
 		name            string
 		turn, now, ends float64
@@ -152,7 +152,7 @@
 		{"postponed for too long", 2, 3.3, 8, false},
 		{"latest start before the deadline has passed", 6, 6.4, 8, false},
 	} {
-		if got := rollout.LetsPass(at(item.now), at(item.turn), at(item.ends), move); got != item.want {
+		if got := rollout.MayPostpone(at(item.now), at(item.turn), at(item.ends), move); got != item.want {
 			t.Errorf("%s: got %v, want %v", item.name, got, item.want)
 		}
 	}
