--- a/agent/internal/onsite/run.go
+++ b/agent/internal/onsite/run.go
@@ -352,7 +352,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return manifest.Encode(manifest.Named(version, man.ChunkBytes, man.Digests))
+	return manifest.Encode(manifest.BuildNamed(version, man.ChunkBytes, man.Digests))
 }
 
 // downloadChunk downloads a chunk of at most limit bytes from the origin.
--- a/agent/internal/weights/store.go
+++ b/agent/internal/weights/store.go
@@ -14,7 +14,7 @@
 const storeRetryDelay = time.Second
 
 // chunkHash is the hash of a chunk, BLAKE3 unless Config.Source says otherwise.
-type chunkHash [manifest.HashBytes]byte
+type chunkHash [manifest.HashSize]byte
 
 // store tracks which chunks the host has stored. A chunk is used only after this
 // process has verified its bytes.
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, hash := range hashes {
-		if len(hash) != manifest.HashBytes {
+		if len(hash) != manifest.HashSize {
 			continue
 		}
 		if _, ok := s.verified[chunkHash(hash)]; !ok {
--- a/bench/internal/policy/load.go
+++ b/bench/internal/policy/load.go
@@ -138,7 +138,7 @@
 		problems = checker.Check(tree)
 	}
 	if len(problems) > 0 {
-		return nil, failure.New(failure.Invalid, schema.Lines(text, problems), "correct the load; nothing was played")
+		return nil, failure.New(failure.Invalid, schema.FormatWithLines(text, problems), "correct the load; nothing was played")
 	}
 	load := &Load{}
 	if err := json.Unmarshal(text, load); err != nil {
@@ -150,8 +150,8 @@
 // spec converts the engine to the product's catalog format.
 func (l *Load) spec() *catalog.Engine {
 	spec := &catalog.Engine{
-		Slots: l.Engine.Slots, Stride: l.Engine.Stride, StepMillis: l.Engine.StepMillis, PerSeqMillis: l.Engine.PerSeqMillis,
-		ContextMillis: l.Engine.ContextMillis, ReadPerSecond: l.Engine.ReadPerSecond, PairMillis: l.Engine.PairMillis,
+		Slots: l.Engine.Slots, StepsPerPass: l.Engine.Stride, StepMillis: l.Engine.StepMillis, PerSeqMillis: l.Engine.PerSeqMillis,
+		ContextMillis: l.Engine.ContextMillis, PromptTokensPerSecond: l.Engine.ReadPerSecond, PairMillis: l.Engine.PairMillis,
 		ChunkTokens: l.Engine.ChunkTokens,
 	}
 	shares, prompts, answers := 0.0, 0.0, 0.0
@@ -160,7 +160,7 @@
 		prompts += class.Share * class.Prompt.Mean
 		answers += class.Share * class.Answer.Mean
 	}
-	spec.UsualPrompt, spec.UsualAnswer = int(prompts/shares), int(answers/shares)
+	spec.MeanPromptTokens, spec.MeanAnswerTokens = int(prompts/shares), int(answers/shares)
 	return spec
 }
 
--- a/bench/internal/sitesoak/operator.go
+++ b/bench/internal/sitesoak/operator.go
@@ -15,8 +15,8 @@
 
 // spec is the performance declaration of the engines.
 var spec = catalog.Engine{
-	Slots: 16, Stride: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227, ReadPerSecond: 19100, PairMillis: 1.47,
-	ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94, Chunks: 96, ChunkBytes: 24576,
+	Slots: 16, StepsPerPass: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227, PromptTokensPerSecond: 19100, PairMillis: 1.47,
+	ChunkTokens: 2048, MeanPromptTokens: 977, MeanAnswerTokens: 94, Chunks: 96, ChunkBytes: 24576,
 }
 
 const (
@@ -247,9 +247,9 @@
 func (o *operator) services() []object {
 	return []object{
 		{"name": site.EngineService, "health_path": "/health", "max_conns": o.maxConns[site.Engine], "engine": object{
-			"slots": spec.Slots, "stride": spec.Stride, "step_ms": spec.StepMillis, "per_seq_ms": spec.PerSeqMillis, "context_per_k": spec.ContextMillis,
-			"read_per_s": spec.ReadPerSecond, "pairs_per_m": spec.PairMillis, "chunk": spec.ChunkTokens, "chunks": spec.Chunks, "chunk_bytes": spec.ChunkBytes,
-			"models": []object{{"name": site.Model, "warm_s": 0.3}}, "usual": object{"prompt": spec.UsualPrompt, "answer": spec.UsualAnswer},
+			"slots": spec.Slots, "stride": spec.StepsPerPass, "step_ms": spec.StepMillis, "per_seq_ms": spec.PerSeqMillis, "context_per_k": spec.ContextMillis,
+			"read_per_s": spec.PromptTokensPerSecond, "pairs_per_m": spec.PairMillis, "chunk": spec.ChunkTokens, "chunks": spec.Chunks, "chunk_bytes": spec.ChunkBytes,
+			"models": []object{{"name": site.Model, "warm_s": 0.3}}, "usual": object{"prompt": spec.MeanPromptTokens, "answer": spec.MeanAnswerTokens},
 		}},
 		{"name": site.AppService, "health_path": "/health", "max_conns": o.maxConns[site.App]},
 		{"name": site.OriginService, "origin": o.site.Origin(), "link_mbps": 7.3, "max_conns": o.maxConns[site.Origin]},
--- a/entry/internal/control/deployment.go
+++ b/entry/internal/control/deployment.go
@@ -241,7 +241,7 @@
 	if len(root.GetParts()) == 0 || document.ContentHash(root.GetParts()) != root.GetAudit().GetContentHash() {
 		return nil, failure.New(failure.Corrupt, "a root does not match its content hash", "fetch it from another process")
 	}
-	missing := document.Missing(root, d.parts.Has)
+	missing := document.MissingHashes(root, d.parts.Has)
 	contents := map[string][]byte{}
 	if len(missing) > 0 {
 		fetched, err := fetch(ctx, missing)
--- a/entry/internal/control/fleet_test.go
+++ b/entry/internal/control/fleet_test.go
@@ -562,7 +562,7 @@
 	a.applyReports(reply)
 	a.known = reply.GetKnown().GetRevision()
 	reply.Root = revision.Expand(a.state.Root(), reply.GetRoot())
-	lacking := document.Missing(reply.GetRoot(), a.parts.Has)
+	lacking := document.MissingHashes(reply.GetRoot(), a.parts.Has)
 	a.mu.Unlock()
 	if len(lacking) > 0 {
 		fetched, err := a.fleet.parts(ctx, a.node.GetRegion(), home, &wire.PartsRequest{From: membership.NameOnly(a.node), Hashes: lacking})
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -198,7 +198,7 @@
 	x.route = route
 	x.service = route.Service(x.req.ID)
 	x.initAdmission()
-	if !x.catalog.Keyed(route) {
+	if !x.catalog.RequiresKey(route) {
 		return nil
 	}
 	if !known || age > bounds.MaxKeyAge {
--- a/entry/internal/store/store.go
+++ b/entry/internal/store/store.go
@@ -132,7 +132,7 @@
 		return &wire.Document{}, nil
 	}
 	contents := map[string][]byte{}
-	for _, hash := range document.Missing(root, func(string) bool { return false }) {
+	for _, hash := range document.MissingHashes(root, func(string) bool { return false }) {
 		content, err := s.fetchPart(ctx, hash)
 		if err != nil {
 			return nil, err
--- a/relay/admission/admission.go
+++ b/relay/admission/admission.go
@@ -78,11 +78,11 @@
 	if late {
 		return lateMaxUnread
 	}
-	if spec.ReadPerSecond <= 0 {
+	if spec.PromptTokensPerSecond <= 0 {
 		return 0
 	}
-	writeTime := engine.WriteTime(spec, spec.Slots, spec.Slots*spec.UsualPrompt).Seconds()
-	perToken := 1 / spec.ReadPerSecond
+	writeTime := engine.WriteTime(spec, spec.Slots, spec.Slots*spec.MeanPromptTokens).Seconds()
+	perToken := 1 / spec.PromptTokensPerSecond
 	if spec.ChunkTokens > 0 {
 		perToken += writeTime / float64(spec.ChunkTokens)
 	}
--- a/relay/admission/admission_test.go
+++ b/relay/admission/admission_test.go
@@ -9,8 +9,8 @@
 )
 
 var spec = &catalog.Engine{
-	Slots: 16, Stride: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227,
-	ReadPerSecond: 19100, ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94,
+	Slots: 16, StepsPerPass: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227,
+	PromptTokensPerSecond: 19100, ChunkTokens: 2048, MeanPromptTokens: 977, MeanAnswerTokens: 94,
 }
 
 const ms = time.Millisecond
@@ -21,7 +21,7 @@
 	if fresh <= waited {
 		t.Errorf("got %d and %d tokens, want fewer for a request that has waited", fresh, waited)
 	}
-	if seconds := float64(fresh) / spec.ReadPerSecond; seconds > 0.5 {
+	if seconds := float64(fresh) / spec.PromptTokensPerSecond; seconds > 0.5 {
 		t.Errorf("got %d tokens, %.2f s of reading, want less than the target", fresh, seconds)
 	}
 	if late := admission.MaxUnread(spec, -time.Second, true); late > waited {
--- a/relay/admission/line_test.go
+++ b/relay/admission/line_test.go
@@ -8,7 +8,7 @@
 	"comfreyrelay.example/relay/fleet"
 )
 
-var spec = &catalog.Engine{Slots: 12, ReadPerSecond: 19100, StepMillis: 9}
+var spec = &catalog.Engine{Slots: 12, PromptTokensPerSecond: 19100, StepMillis: 9}
 
 // newStream returns a request for a stream that arrived age ago.
 func newStream(now time.Time, age time.Duration, begun, returned bool) *Request {
--- a/relay/catalog/catalog.go
+++ b/relay/catalog/catalog.go
@@ -78,19 +78,19 @@
 // Engine holds the performance parameters of a service's model engines; package
 // engine documents the model that uses them.
 type Engine struct {
-	Slots         int     // concurrent requests
-	Stride        int     // token steps per pass while requests generate tokens
-	StepMillis    float64 // duration of one token step
-	PerSeqMillis  float64 // added for each request that generates tokens
-	ContextMillis float64 // added for each 1,000 context tokens, summed over all requests
-	ReadPerSecond float64 // prompt tokens processed per second
-	PairMillis    float64 // added for each million pairs of tokens
-	ChunkTokens   int     // maximum prompt tokens processed in a step
-	UsualPrompt   int     // mean prompt length in tokens
-	UsualAnswer   int     // mean answer length in tokens
-	Chunks        int     // chunks of one version's weights
-	ChunkBytes    int
-	Loads         map[string]time.Duration // time to load a model
+	Slots                 int     // concurrent requests
+	StepsPerPass          int     // token steps per pass while requests generate tokens
+	StepMillis            float64 // duration of one token step
+	PerSeqMillis          float64 // added for each request that generates tokens
+	ContextMillis         float64 // added for each 1,000 context tokens, summed over all requests
+	PromptTokensPerSecond float64 // prompt tokens processed per second
+	PairMillis            float64 // added for each million pairs of tokens
+	ChunkTokens           int     // maximum prompt tokens processed in a step
+	MeanPromptTokens      int     // mean prompt length in tokens
+	MeanAnswerTokens      int     // mean answer length in tokens
+	Chunks                int     // chunks of one version's weights
+	ChunkBytes            int
+	Loads                 map[string]time.Duration // time to load a model
 }
 
 // Service is a group of endpoints that answer the same requests, or the origin
@@ -228,8 +228,8 @@
 	return "", 0
 }
 
-// Keyed reports whether a request on the route needs a customer's key.
-func (c *Catalog) Keyed(route *Route) bool { return c.requiresKeys && !route.Public }
+// RequiresKey reports whether a request on the route needs a customer's key.
+func (c *Catalog) RequiresKey(route *Route) bool { return c.requiresKeys && !route.Public }
 
 // Customer returns the customer that a key belongs to.
 func (c *Catalog) Customer(key string) (*Customer, bool) {
--- a/relay/document/join.go
+++ b/relay/document/join.go
@@ -64,9 +64,9 @@
 	return piece, nil
 }
 
-// Missing returns the hashes of the root's parts for which have returns false, in
+// MissingHashes returns the hashes of the root's parts for which have returns false, in
 // the root's order and without duplicates.
-func Missing(root *wire.Root, have func(hash string) bool) []string {
+func MissingHashes(root *wire.Root, have func(hash string) bool) []string {
 	var hashes []string
 	seen := map[string]bool{}
 	for _, part := range root.GetParts() {
--- a/relay/document/split_test.go
+++ b/relay/document/split_test.go
@@ -60,7 +60,7 @@
 			have.put(document.Split(doc))
 			change(doc)
 			root := rootOf(document.Split(doc))
-			missing := document.Missing(root, func(hash string) bool { return have[hash] != nil })
+			missing := document.MissingHashes(root, func(hash string) bool { return have[hash] != nil })
 			if got, want := len(missing), 1; got != want {
 				t.Errorf("%d customers, %s: got %d parts changed, want %d", count, name, got, want)
 			}
--- a/relay/engine/batch.go
+++ b/relay/engine/batch.go
@@ -105,7 +105,7 @@
 			context += work.Prompt + work.written
 		}
 	}
-	steps := max(1, b.spec.Stride)
+	steps := max(1, b.spec.StepsPerPass)
 	if writers == 0 {
 		steps = 1
 	}
@@ -142,7 +142,7 @@
 // preempt puts the newest requests back into the queue until the next pass fits into
 // memory.
 func (b *Batch) preempt() {
-	for b.memoryTokens > 0 && len(b.running) > 1 && b.usedMemory()+len(b.running)*max(1, b.spec.Stride) > b.memoryTokens {
+	for b.memoryTokens > 0 && len(b.running) > 1 && b.usedMemory()+len(b.running)*max(1, b.spec.StepsPerPass) > b.memoryTokens {
 		newest := slices.MaxFunc(b.running, func(left, right *Work) int { return cmp.Compare(left.arrival, right.arrival) })
 		b.Remove(newest)
 		newest.unread = newest.Prompt + newest.written
@@ -182,7 +182,7 @@
 func (b *Batch) End() (writers, done []*Work) {
 	b.inPass = false
 	for _, work := range b.writers {
-		work.lastPass = min(work.Answer-work.written, max(1, b.spec.Stride))
+		work.lastPass = min(work.Answer-work.written, max(1, b.spec.StepsPerPass))
 		work.written += work.lastPass
 		writers = append(writers, work)
 		if work.written >= work.Answer {
--- a/relay/engine/batch_test.go
+++ b/relay/engine/batch_test.go
@@ -8,7 +8,7 @@
 )
 
 // exampleSpec has times that are easy to add up: 10 ms per step, 0.1 ms to read a token.
-var exampleSpec = &catalog.Engine{Slots: 2, Stride: 5, StepMillis: 10, ReadPerSecond: 10000, ChunkTokens: 200}
+var exampleSpec = &catalog.Engine{Slots: 2, StepsPerPass: 5, StepMillis: 10, PromptTokensPerSecond: 10000, ChunkTokens: 200}
 
 // run runs passes until the engine is idle and returns the times of each request's events.
 func run(b *Batch) map[*Work][]time.Duration {
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -17,18 +17,18 @@
 
 // ReadTime returns the time to read a prompt of the given number of tokens.
 func ReadTime(spec *catalog.Engine, prompt int) time.Duration {
-	if spec.ReadPerSecond <= 0 {
+	if spec.PromptTokensPerSecond <= 0 {
 		return 0
 	}
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2
-	return time.Duration(tokens/spec.ReadPerSecond*float64(time.Second)) + fromMillis(spec.PairMillis*pairs/pairsPerMillion)
+	return time.Duration(tokens/spec.PromptTokensPerSecond*float64(time.Second)) + fromMillis(spec.PairMillis*pairs/pairsPerMillion)
 }
 
 // WriteTime returns the time of the decoding steps of one pass, with the given number of
 // writing requests and total tokens of context.
 func WriteTime(spec *catalog.Engine, writers, context int) time.Duration {
-	return time.Duration(max(1, spec.Stride)) * stepTime(spec, writers, context)
+	return time.Duration(max(1, spec.StepsPerPass)) * stepTime(spec, writers, context)
 }
 
 // stepTime returns the time of one decoding step.
@@ -40,13 +40,13 @@
 // progress. Each writes Stride tokens per pass, and new prompts replace requests that
 // end.
 func UsualPassTime(spec *catalog.Engine, running int) time.Duration {
-	context := running * (spec.UsualPrompt + spec.UsualAnswer/2)
+	context := running * (spec.MeanPromptTokens + spec.MeanAnswerTokens/2)
 	writeTime := WriteTime(spec, running, context)
-	if spec.UsualAnswer <= 0 {
+	if spec.MeanAnswerTokens <= 0 {
 		return writeTime
 	}
-	ending := float64(running) * float64(max(1, spec.Stride)) / float64(spec.UsualAnswer)
-	return writeTime + time.Duration(ending*float64(ReadTime(spec, spec.UsualPrompt)))
+	ending := float64(running) * float64(max(1, spec.StepsPerPass)) / float64(spec.MeanAnswerTokens)
+	return writeTime + time.Duration(ending*float64(ReadTime(spec, spec.MeanPromptTokens)))
 }
 
 // FirstEventTime returns the expected time from dispatch to the first event of a request,
@@ -60,10 +60,10 @@
 // CompletionInterval returns the mean time between the ends of two requests at an engine
 // whose slots are all taken.
 func CompletionInterval(spec *catalog.Engine) time.Duration {
-	if spec.Slots <= 0 || spec.UsualAnswer <= 0 {
+	if spec.Slots <= 0 || spec.MeanAnswerTokens <= 0 {
 		return 0
 	}
-	passes := float64(spec.UsualAnswer) / float64(max(1, spec.Stride))
+	passes := float64(spec.MeanAnswerTokens) / float64(max(1, spec.StepsPerPass))
 	return time.Duration(float64(UsualPassTime(spec, spec.Slots)) * passes / float64(spec.Slots))
 }
 
--- a/relay/engine/engine_test.go
+++ b/relay/engine/engine_test.go
@@ -10,8 +10,8 @@
 
 // spec is an engine as declared in the users' data sheets.
 var spec = &catalog.Engine{
-	Slots: 16, Stride: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227,
-	ReadPerSecond: 19100, PairMillis: 1.47, ChunkTokens: 2048, UsualPrompt: 977, UsualAnswer: 94,
+	Slots: 16, StepsPerPass: 5, StepMillis: 8.87, PerSeqMillis: 0.0388, ContextMillis: 0.0227,
+	PromptTokensPerSecond: 19100, PairMillis: 1.47, ChunkTokens: 2048, MeanPromptTokens: 977, MeanAnswerTokens: 94,
 }
 
 // The expected times were calculated by hand from the data sheet.
--- a/relay/fleet/fleet_test.go
+++ b/relay/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 	w := &fixture{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	w.fleet = fleet.New(func() time.Time { return w.now })
 	w.fleet.Configure(catalog.New(catalog.Spec{Services: []catalog.Service{
-		{Name: "llm", Engine: &catalog.Engine{Slots: 16, ReadPerSecond: 19100}},
+		{Name: "llm", Engine: &catalog.Engine{Slots: 16, PromptTokensPerSecond: 19100}},
 		{Name: "app"},
 	}}))
 	return w
--- a/relay/fleet/limit_test.go
+++ b/relay/fleet/limit_test.go
@@ -68,7 +68,7 @@
 	f.entries = append(f.entries, e)
 	e.fleet.SetRandom(f.random.Float64)
 	e.fleet.Configure(catalog.New(catalog.Spec{Services: []catalog.Service{
-		{Name: "llm", Engine: &catalog.Engine{Slots: 16, ReadPerSecond: 19100}}, {Name: "app"},
+		{Name: "llm", Engine: &catalog.Engine{Slots: 16, PromptTokensPerSecond: 19100}}, {Name: "app"},
 	}}))
 	for i := range endpoints {
 		e.fleet.Register(fleet.Registration{
--- a/relay/fleet/pick.go
+++ b/relay/fleet/pick.go
@@ -285,8 +285,8 @@
 
 // prefillMillis returns the time in milliseconds to process a number of prompt tokens.
 func (g *Group) prefillMillis(tokens int) float64 {
-	if g.engine.ReadPerSecond <= 0 {
+	if g.engine.PromptTokensPerSecond <= 0 {
 		return 0
 	}
-	return float64(tokens) / g.engine.ReadPerSecond * 1000
+	return float64(tokens) / g.engine.PromptTokensPerSecond * 1000
 }
--- a/relay/manifest/fuzz_test.go
+++ b/relay/manifest/fuzz_test.go
@@ -25,7 +25,7 @@
 // rejected as corrupt or invalid, or every chunk must have a hash and a size
 // within the bounds and the sizes must add up to the total.
 func FuzzDecode(f *testing.F) {
-	hash := make([]byte, manifest.HashBytes)
+	hash := make([]byte, manifest.HashSize)
 	f.Add([]byte{})
 	f.Add([]byte{0xff, 0xff})
 	f.Add(encode(f, manifest.Build("parcel", manifest.KindBase, "", 4, []byte("nine bytes"))))
@@ -52,7 +52,7 @@
 	total := uint64(0)
 	for i, hash := range man.GetChunkHashes() {
 		size := manifest.ChunkSize(man, i)
-		if size < 1 || size > manifest.MaxChunkBytes || len(hash) != manifest.HashBytes {
+		if size < 1 || size > manifest.MaxChunkBytes || len(hash) != manifest.HashSize {
 			t.Fatalf("got chunk %d of %d bytes with a hash of %d, want it within the bounds", i, size, len(hash))
 		}
 		total += uint64(size)
--- a/relay/manifest/manifest.go
+++ b/relay/manifest/manifest.go
@@ -19,8 +19,8 @@
 	KindAdapter = "adapter"
 )
 
-// HashBytes is the size of a chunk hash in bytes.
-const HashBytes = 32
+// HashSize is the size of a chunk hash in bytes.
+const HashSize = 32
 
 // MaxChunkBytes is the maximum size of a chunk. A chunk must fit into one message
 // between processes.
@@ -72,7 +72,7 @@
 			"publish it again")
 	}
 	for _, hash := range man.GetChunkHashes() {
-		if len(hash) != HashBytes {
+		if len(hash) != HashSize {
 			return failure.New(failure.Invalid, "the manifest holds a malformed chunk hash", "publish it again")
 		}
 	}
@@ -109,9 +109,9 @@
 	return int(min(size, man.GetTotalBytes()-start))
 }
 
-// Named returns the manifest of a version whose name is chosen by its publisher
+// BuildNamed returns the manifest of a version whose name is chosen by its publisher
 // instead of derived from its hash. All chunks but the last have size chunkBytes.
-func Named(version string, chunkBytes int, hashes [][]byte) *wire.Manifest {
+func BuildNamed(version string, chunkBytes int, hashes [][]byte) *wire.Manifest {
 	return &wire.Manifest{
 		Model: version, Kind: KindBase, ChunkBytes: uint32(chunkBytes),
 		TotalBytes: uint64(chunkBytes) * uint64(len(hashes)), ChunkHashes: hashes,
--- a/relay/schema/lines.go
+++ b/relay/schema/lines.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Lines formats the problems of a JSON text, one per line. Each begins with the
+// FormatWithLines formats the problems of a JSON text, one per line. Each begins with the
 // line number of the value in the text or, if the value is missing, of the closest
 // parent that is present.
-func Lines(text []byte, problems []Problem) string {
+func FormatWithLines(text []byte, problems []Problem) string {
 	lines := lineNumbers(text)
 	var messages []string
 	for _, problem := range problems {
