--- a/agent/internal/control/knowledge.go
+++ b/agent/internal/control/knowledge.go
@@ -188,7 +188,7 @@
 func (k *knowledge) adoptRoot(ctx context.Context, root *wire.Root,
 	fetch func(ctx context.Context, hashes []string) ([][]byte, error)) (revision.Verdict, error) {
 	k.mu.Lock()
-	verdict := k.state.JudgeRoot(root)
+	verdict := k.state.CompareRoot(root)
 	whole := revision.Expand(k.state.Root(), root)
 	parts := make(map[string][]byte, len(k.parts))
 	for hash, content := range k.parts {
--- a/agent/internal/gate/admission.go
+++ b/agent/internal/gate/admission.go
@@ -32,7 +32,7 @@
 // what the endpoint has loaded, and whether the host is leaving.
 type admission struct {
 	mu     sync.Mutex
-	drain  *drain.Lane
+	drain  *drain.WorkTracker
 	loaded Loaded // confirmed by the endpoint; valid in phase drain.Open
 	// leaving is set while the host is taken out of service. Unlike
 	// shuttingDown it may be reset.
--- a/agent/internal/gate/gate.go
+++ b/agent/internal/gate/gate.go
@@ -65,7 +65,7 @@
 		cfg:       cfg,
 		rules:     ruleCache{holder: cfg.View, endpoint: cfg.EndpointClass},
 		attempts:  newAttemptStore(cfg.Clock.Now()),
-		admission: admission{drain: drain.NewLane(drain.Drained)},
+		admission: admission{drain: drain.NewWorkTracker(drain.Drained)},
 		limiter:   newConcurrencyLimiter(),
 	}
 }
--- a/entry/internal/control/deployment.go
+++ b/entry/internal/control/deployment.go
@@ -208,7 +208,7 @@
 // part is fetched. Two different roots of one revision violate an invariant.
 func (d *Deployment) isNewerRoot(root *wire.Root, source string) bool {
 	d.mu.Lock()
-	verdict := d.state.JudgeRoot(root)
+	verdict := d.state.CompareRoot(root)
 	d.mu.Unlock()
 	if verdict == revision.Contradiction {
 		d.reportViolation("oneContentPerRevision", "revision", root.GetRevision(), "source", source)
--- a/entry/internal/gateway/metrics.go
+++ b/entry/internal/gateway/metrics.go
@@ -74,7 +74,7 @@
 		"outcome", outcome.String(), "occupied", grant.Occupied(), "unread", grant.PendingPrefill(), "home", grant.Home(),
 		"stateAgeMillis", grant.StateAge().Milliseconds(), "delayMillis", grant.Delay().Milliseconds(),
 		"version", grant.Version(), "events", x.events, "print", x.fingerprint,
-		"leaving", x.answerHead.Leaving, "restMillis", x.answerHead.Rest.Milliseconds(),
+		"leaving", x.answerHead.Leaving, "restMillis", x.answerHead.BackOff.Milliseconds(),
 		"gaveUp", x.responseWait.stopReason, "silentMillis", x.responseWait.idle.Milliseconds(), "oversleptMillis", x.responseWait.wakeupDelay.Milliseconds(),
 	}
 }
--- a/entry/internal/gateway/relay.go
+++ b/entry/internal/gateway/relay.go
@@ -36,7 +36,7 @@
 	if answer.NotRun {
 		x.mayHaveRun = x.mayHaveRunBefore
 		outcome := fleet.Refused
-		if answer.Elsewhere {
+		if answer.Misdirected {
 			outcome = fleet.Moved
 		}
 		if discardAnswer(resp) != nil {
--- a/entry/internal/gateway/run.go
+++ b/entry/internal/gateway/run.go
@@ -169,7 +169,7 @@
 	x.mayHaveRun, x.mayHaveRunBefore = true, x.mayHaveRun
 	remaining := x.adm.Deadline.Sub(g.cfg.Clock.Now())
 	out := g.cfg.Wire.Encode(x.req, call.Sending{
-		Endpoint: grant.ID(), Customer: x.customerName(), Left: remaining,
+		Endpoint: grant.ID(), Customer: x.customerName(), Remaining: remaining,
 		Version: x.expectedVersion(grant), Urgency: x.adm.Rank(g.cfg.Clock.Now()), ResumeAfter: x.lastEventID,
 	})
 	if err := conn.Send(out, time.Now().Add(remaining)); err != nil {
@@ -193,7 +193,7 @@
 // applyRateLimit applies the rate limit stated in the answer and publishes changes to the other
 // entries. It ignores an answer from a different endpoint that now has the address.
 func (x *exchange) applyRateLimit(grant *fleet.Grant, answer call.Answer) {
-	if answer.Elsewhere {
+	if answer.Misdirected {
 		return
 	}
 	change := grant.ApplyLimit(answer.Limit, answer.Limited)
@@ -213,11 +213,11 @@
 // applyAvailability applies what the answer says about new requests: that the endpoint wants none
 // for a while, or that it is leaving.
 func (x *exchange) applyAvailability(grant *fleet.Grant, answer call.Answer) {
-	if answer.Elsewhere {
+	if answer.Misdirected {
 		return
 	}
-	if answer.Rest > 0 {
-		grant.BackOff(answer.Rest)
+	if answer.BackOff > 0 {
+		grant.BackOff(answer.BackOff)
 	}
 	if answer.Leaving && grant.NoteLeaving() {
 		x.gateway.cfg.Log.Info("endpoint leaves", "request", x.req.ID, "endpoint", grant.ID(), "address", grant.Address(),
--- a/relay/call/call.go
+++ b/relay/call/call.go
@@ -33,8 +33,8 @@
 type Sending struct {
 	Endpoint string // expected ID of the receiving endpoint
 	Customer string // empty on public routes
-	// Left is the time remaining until the caller's deadline.
-	Left time.Duration
+	// Remaining is the time remaining until the caller's deadline.
+	Remaining time.Duration
 	// Version is the version of the model that must be loaded; 0 means any.
 	Version uint64
 	// Urgency ranges from 0, which goes first, to 9.
@@ -54,10 +54,10 @@
 type Answer struct {
 	ID     string // of the request it belongs to; empty if not given
 	NotRun bool   // the endpoint proves that it did not run the request
-	// Elsewhere reports that the address now belongs to another endpoint.
-	Elsewhere bool
-	Signed    bool  // carries the endpoint's signature
-	Load      *Load // nil if not given
+	// Misdirected reports that the address now belongs to another endpoint.
+	Misdirected bool
+	Signed      bool  // carries the endpoint's signature
+	Load        *Load // nil if not given
 	// Limit is the requests a second that the endpoint accepts from all entries
 	// together; valid if Limited.
 	Limit   float64
@@ -65,9 +65,9 @@
 	// Leaving reports that the endpoint is shutting down and should get no new
 	// requests.
 	Leaving bool
-	// Rest is how long an endpoint that refused the request wants no requests
+	// BackOff is how long an endpoint that refused the request wants no requests
 	// from this entry; 0 if not given.
-	Rest time.Duration
+	BackOff time.Duration
 	// Idle is how long the endpoint keeps an idle connection open; 0 if not
 	// given.
 	Idle time.Duration
--- a/relay/drain/drain.go
+++ b/relay/drain/drain.go
@@ -28,28 +28,28 @@
 	return [...]string{"open", "draining", "cancelling", "drained"}[p]
 }
 
-// Lane admits and counts running work. It is not safe for concurrent use.
-type Lane struct {
+// WorkTracker admits and counts running work. It is not safe for concurrent use.
+type WorkTracker struct {
 	phase    Phase
 	running  int       // never negative; 0 in phase Drained
 	deadline time.Time // set in phases Draining and Cancelling
 }
 
-// NewLane returns a Lane in the given phase, Open or Drained.
-func NewLane(phase Phase) *Lane { return &Lane{phase: phase} }
+// NewWorkTracker returns a Lane in the given phase, Open or Drained.
+func NewWorkTracker(phase Phase) *WorkTracker { return &WorkTracker{phase: phase} }
 
 // Phase returns the phase.
-func (l *Lane) Phase() Phase { return l.phase }
+func (l *WorkTracker) Phase() Phase { return l.phase }
 
 // Running returns the number of pieces of work that are running.
-func (l *Lane) Running() int { return l.running }
+func (l *WorkTracker) Running() int { return l.running }
 
 // Deadline returns when running work is cancelled, or the zero time outside a
 // drain.
-func (l *Lane) Deadline() time.Time { return l.deadline }
+func (l *WorkTracker) Deadline() time.Time { return l.deadline }
 
 // Enter admits one piece of work. It reports false unless the lane is open.
-func (l *Lane) Enter() bool {
+func (l *WorkTracker) Enter() bool {
 	if l.phase != Open {
 		return false
 	}
@@ -59,7 +59,7 @@
 
 // Leave records that one piece of work ended. It reports false if none was
 // running, which is an error of the caller.
-func (l *Lane) Leave() bool {
+func (l *WorkTracker) Leave() bool {
 	if l.running == 0 {
 		return false
 	}
@@ -70,7 +70,7 @@
 
 // Begin starts a drain that cancels work still running after limit. If the lane
 // is already draining, the earlier of the two deadlines applies.
-func (l *Lane) Begin(now time.Time, limit time.Duration) {
+func (l *WorkTracker) Begin(now time.Time, limit time.Duration) {
 	until := now.Add(limit)
 	switch l.phase {
 	case Open:
@@ -87,7 +87,7 @@
 
 // Tick reports whether the caller must cancel running work now. It reports true
 // once per drain.
-func (l *Lane) Tick(now time.Time) (cancel bool) {
+func (l *WorkTracker) Tick(now time.Time) (cancel bool) {
 	if l.phase != Draining || now.Before(l.deadline) {
 		return false
 	}
@@ -97,7 +97,7 @@
 
 // Reopen admits work again after a drain. It reports false while work admitted
 // before the drain still runs, because that work would continue on new weights.
-func (l *Lane) Reopen() bool {
+func (l *WorkTracker) Reopen() bool {
 	if l.phase == Cancelling {
 		return false
 	}
@@ -111,7 +111,7 @@
 // Abandon ends a drain that is no longer needed before anything was changed:
 // running work continues and new work is admitted. It reports false if running
 // work has already been told to stop.
-func (l *Lane) Abandon() bool {
+func (l *WorkTracker) Abandon() bool {
 	if l.phase == Cancelling {
 		return false
 	}
@@ -120,7 +120,7 @@
 }
 
 // drainIfIdle moves a draining lane with no running work to Drained.
-func (l *Lane) drainIfIdle() {
+func (l *WorkTracker) drainIfIdle() {
 	if l.running > 0 || l.phase == Open {
 		return
 	}
--- a/relay/drain/drain_test.go
+++ b/relay/drain/drain_test.go
@@ -11,7 +11,7 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		lane := NewLane(Open)
+		lane := NewWorkTracker(Open)
 		now := time.Unix(0, 0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var seconds int
@@ -20,7 +20,7 @@
 			result := ""
 			switch d.Cmd {
 			case "new":
-				lane = NewLane(Open)
+				lane = NewWorkTracker(Open)
 			case "enter":
 				result = fmt.Sprintf("%v, ", lane.Enter())
 			case "leave":
@@ -47,7 +47,7 @@
 // reopened while work runs.
 func TestNeverMixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lane := NewLane(Open)
+		lane := NewWorkTracker(Open)
 		now := time.Unix(0, 0)
 		running := 0
 		cancelled := false // in this drain
--- a/relay/revision/revision.go
+++ b/relay/revision/revision.go
@@ -47,8 +47,8 @@
 // clock, or the zero time if it never has.
 func (s *State) ConfirmedAt() time.Time { return s.confirmedAt }
 
-// JudgeRoot compares root with the current root without adopting it.
-func (s *State) JudgeRoot(root *wire.Root) Verdict {
+// CompareRoot compares root with the current root without adopting it.
+func (s *State) CompareRoot(root *wire.Root) Verdict {
 	offered, held := root.GetRevision(), s.root.GetRevision()
 	if offered < held {
 		return Older
@@ -67,7 +67,7 @@
 //
 // Rule MONOTONE of spec/document.pml.
 func (s *State) AdoptRoot(root *wire.Root) Verdict {
-	verdict := s.JudgeRoot(root)
+	verdict := s.CompareRoot(root)
 	if verdict == Newer {
 		s.root = root
 	}
