--- a/agent/internal/control/sync.go
+++ b/agent/internal/control/sync.go
@@ -66,7 +66,7 @@
 		c.baseline, c.baseOf, c.wanted = spread.Baseline{}, entry, nil
 	}
 	from := c.cfg.Self
-	if !c.baseline.Whole() {
+	if !c.baseline.NeedsFullReport() {
 		from = membership.NameOnly(from)
 	}
 	report = c.baseline.Next(report, c.cfg.Clock.Now())
@@ -132,10 +132,10 @@
 	}
 	c.wanted = lacking
 	if slices.Contains(reply.GetWholeWanted(), c.cfg.Self.GetId()) {
-		c.baseline.Drop()
+		c.baseline.Reset()
 		return
 	}
-	c.baseline.Took(sent, c.cfg.Clock.Now())
+	c.baseline.RecordAcknowledged(sent, c.cfg.Clock.Now())
 	c.acked.Store(max(c.acked.Load(), sent.GetSequence()))
 }
 
--- a/bench/internal/capacity/fleet.go
+++ b/bench/internal/capacity/fleet.go
@@ -90,11 +90,11 @@
 	}
 	held, ok := l.home.Complete(received)
 	if !ok {
-		l.baseline.Drop()
+		l.baseline.Reset()
 		return sent, nil
 	}
 	l.home.ObserveHost(held, now)
-	l.baseline.Took(sent, now)
+	l.baseline.RecordAcknowledged(sent, now)
 	return sent, held
 }
 
--- a/bench/internal/capacity/slope_messages.go
+++ b/bench/internal/capacity/slope_messages.go
@@ -90,7 +90,7 @@
 	choose := digest.Select
 	if receiver.GetRole() == peer.RoleAgent {
 		digest = spread.NewEntryDigest(toAgents)
-		choose = digest.SelectRare
+		choose = digest.SelectPresence
 	}
 	sent := 0
 	reported := map[string]bool{}
--- a/entry/internal/control/exchange.go
+++ b/entry/internal/control/exchange.go
@@ -58,7 +58,7 @@
 	if x.candidateView != snap {
 		x.rebuildCandidates(snap)
 	}
-	if spread.AllCallAll(len(snap.Entries)) {
+	if spread.IsFullMesh(len(snap.Entries)) {
 		return x.hosts, x.homeHosts
 	}
 	return x.hosts, x.hosts
@@ -141,7 +141,7 @@
 	defer sess.mu.Unlock()
 	sess.entries.SetRelay(relayFor(sess.node, len(snap.Entries)))
 	if isAgent(sess.node) {
-		return sess.entries.SelectRare(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
+		return sess.entries.SelectPresence(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 	}
 	return sess.entries.Select(x.ownReport(), snap.Entries, sess.node.GetId(), now, maxEntryReportBytes)
 }
--- a/entry/internal/control/fleet_test.go
+++ b/entry/internal/control/fleet_test.go
@@ -555,9 +555,9 @@
 		return err
 	}
 	a.mu.Lock()
-	a.baseline.Took(req.GetHosts()[0], time.Now())
+	a.baseline.RecordAcknowledged(req.GetHosts()[0], time.Now())
 	if slices.Contains(reply.GetWholeWanted(), a.node.GetId()) {
-		a.baseline.Drop()
+		a.baseline.Reset()
 	}
 	a.applyReports(reply)
 	a.known = reply.GetKnown().GetRevision()
@@ -626,7 +626,7 @@
 		a.baseline, a.baselineHome = spread.Baseline{}, a.home
 	}
 	from := a.node
-	if !a.baseline.Whole() {
+	if !a.baseline.NeedsFullReport() {
 		from = membership.NameOnly(a.node)
 	}
 	wanted := a.wanted
--- a/entry/internal/control/session.go
+++ b/entry/internal/control/session.go
@@ -87,8 +87,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range ids[:min(len(ids), maxWanted)] {
-		s.hosts.Lose(id)
-		s.entries.Lose(id)
+		s.hosts.Invalidate(id)
+		s.entries.InvalidateDescription(id)
 	}
 }
 
@@ -177,8 +177,8 @@
 	s.mu.Unlock()
 	for _, sess := range held {
 		sess.mu.Lock()
-		sess.hosts.Forget(known)
-		sess.entries.Forget(known)
+		sess.hosts.Prune(known)
+		sess.entries.Prune(known)
 		sess.mu.Unlock()
 	}
 }
--- a/entry/internal/gateway/admit.go
+++ b/entry/internal/gateway/admit.go
@@ -117,7 +117,7 @@
 		need.FinalAttempt = !x.route.Repeatable() || !x.attemptsLeft(x.attemptsUsed+1)
 		need.Floor = g.minVersion(x.req.Model)
 		need.SoonFloor = g.cfg.State.Floor(x.req.Model, g.cfg.Bounds().VersionRollout-nextMinVersionMargin)
-		need.VersionEndsIn = g.cfg.State.Ends(x.req.Model, need.SoonFloor, g.cfg.Bounds().VersionRollout)
+		need.VersionEndsIn = g.cfg.State.OlderVersionsEndIn(x.req.Model, need.SoonFloor, g.cfg.Bounds().VersionRollout)
 		want, _ := g.cfg.State.WantedOf(x.req.Model)
 		need.Wanted = want.Version
 	}
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -163,7 +163,7 @@
 	}
 	// The age must be read before the configuration. In the opposite order, an update that arrives
 	// in between would make the older configuration, which routes this request, look up to date.
-	age, known := g.cfg.State.Fresh().Age()
+	age, known := g.cfg.State.Freshness().Age()
 	x.configAge, x.ageKnown = age, known
 	x.catalog = g.cfg.State.Catalog()
 	if x.catalog == nil {
--- a/entry/internal/gateway/gateway_test.go
+++ b/entry/internal/gateway/gateway_test.go
@@ -210,7 +210,7 @@
 	h.onAgeRead = func() {
 		h.onAgeRead = nil
 		h.state.Apply([]site.Record{{Kind: site.CatalogRecord, Catalog: catalog.New(newer)}}, 2)
-		h.state.Fresh().Prove(h.freshnessNow)
+		h.state.Freshness().Prove(h.freshnessNow)
 	}
 	h.send(t, "/once/a", "key-1", "").check(t, 401, "", true)
 	if got, want := requestCount(ep), 0; got != want {
--- a/entry/internal/gateway/leaving_test.go
+++ b/entry/internal/gateway/leaving_test.go
@@ -68,7 +68,7 @@
 	leaves := newEndpoint(t, "i-1", leaving, leaving)
 	h := newDeployment(t, leaves)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusOK, "ok", true)
-	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: "i-1", Gone: true}}, 2)
+	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: "i-1", Removed: true}}, 2)
 	h.send(t, "/safe/a", "key-1", "").check(t, http.StatusServiceUnavailable, "no endpoint", true)
 	h.state.Apply([]site.Record{{Kind: site.EndpointRecord, ID: "i-1", Endpoint: fleet.Registration{
 		ID: "i-1", Service: "app", Address: leaves.address, Slots: 4,
--- a/entry/internal/onsite/feed.go
+++ b/entry/internal/onsite/feed.go
@@ -130,7 +130,7 @@
 			f.log.Info("dependency regained", "dependency", "agent", "address", address)
 		}
 		for _, weights := range state.GetDeclared() {
-			f.state.DeclaredFor(weights.GetModel(), weights.GetVersion(), time.Duration(weights.GetAgeMillis())*time.Millisecond)
+			f.state.RecordDeclarationAge(weights.GetModel(), weights.GetVersion(), time.Duration(weights.GetAgeMillis())*time.Millisecond)
 		}
 		if d.sendsRequests() {
 			d.observe(state)
--- a/entry/internal/onsite/news.go
+++ b/entry/internal/onsite/news.go
@@ -100,7 +100,7 @@
 //
 // Rule AGEFIRST of spec/freshness.pml.
 func (s *newsServer) send(stream wire.DRPCNews_ShareStream, requestNumber uint64, sent *uint64, acceptsParts bool) (<-chan struct{}, error) {
-	age, proven := s.state.Fresh().Age()
+	age, proven := s.state.Freshness().Age()
 	changes, changed := s.mirror.Since(*sent)
 	replies := s.buildReplies(changes)
 	if acceptsParts {
@@ -109,7 +109,7 @@
 	for i, reply := range replies {
 		if i == len(replies)-1 {
 			reply.Answers, reply.Proven, reply.AgeMicros = requestNumber, proven, uint64(age.Microseconds())+1
-			reply.SettleMillis = uint32(s.state.Settling().Milliseconds())
+			reply.SettleMillis = uint32(s.state.GraceLeft().Milliseconds())
 			reply.StoreLost = s.state.StoreLost()
 		}
 		if err := stream.Send(reply); err != nil {
@@ -122,12 +122,12 @@
 
 // buildReplies distributes changes over replies. Only the last reply has the revision.
 func (s *newsServer) buildReplies(changes site.Changes) []*wire.NewsReply {
-	reply := &wire.NewsReply{Whole: changes.Whole}
+	reply := &wire.NewsReply{Whole: changes.Full}
 	replies := []*wire.NewsReply{reply}
 	bytes := 0
 	for _, entry := range changes.Entries {
 		if bytes >= maxBatchBytes {
-			reply, bytes = &wire.NewsReply{Whole: changes.Whole}, 0
+			reply, bytes = &wire.NewsReply{Whole: changes.Full}, 0
 			replies = append(replies, reply)
 		}
 		stored := &wire.StoredValue{Key: entry.Key(), Revision: entry.Revision(), Deleted: entry.Deleted()}
@@ -214,7 +214,7 @@
 	changes := r.pending
 	r.pending = nil
 	if settle := reply.GetSettleMillis(); settle > 0 {
-		r.state.SettleFor(time.Duration(settle) * time.Millisecond)
+		r.state.KeepRegistrationsFor(time.Duration(settle) * time.Millisecond)
 	}
 	if reply.GetWhole() {
 		r.mirror.Reset(changes, reply.GetRevision())
@@ -235,7 +235,7 @@
 	if !ok || !reply.GetProven() {
 		return
 	}
-	r.state.Fresh().Prove(sentAt - time.Duration(reply.GetAgeMicros())*time.Microsecond)
+	r.state.Freshness().Prove(sentAt - time.Duration(reply.GetAgeMicros())*time.Microsecond)
 	for number := range r.requestTimes {
 		if number < reply.GetAnswers() {
 			delete(r.requestTimes, number)
--- a/entry/internal/onsite/news_client.go
+++ b/entry/internal/onsite/news_client.go
@@ -49,13 +49,13 @@
 // storeNotNeededFor returns how long this entry need not watch the store itself, because its
 // sources send changes and their data is recent enough.
 func (s *newsClient) storeNotNeededFor() time.Duration {
-	age, known := s.state.Fresh().Age()
+	age, known := s.state.Freshness().Age()
 	if s.liveStreams.Load() == 0 || !known {
 		return 0
 	}
-	maxAge := site.Trust(s.apply())
+	maxAge := site.MaxSourceAge(s.apply())
 	if s.storeBackedStreams.Load() == 0 {
-		maxAge = site.TrustOfLost(s.apply())
+		maxAge = site.MaxLostSourceAge(s.apply())
 	}
 	return max(0, maxAge-age)
 }
@@ -207,7 +207,7 @@
 	if a.number == 1 {
 		request.Revision, request.Parts = a.reader.revision, true
 	}
-	a.reader.requestTimes[a.number] = a.reader.state.Fresh().Now()
+	a.reader.requestTimes[a.number] = a.reader.state.Freshness().Now()
 	a.mu.Unlock()
 	return a.stream.Send(request)
 }
--- a/entry/internal/onsite/news_test.go
+++ b/entry/internal/onsite/news_test.go
@@ -38,7 +38,7 @@
 	fresh := freshness.NewTracker(func() time.Duration { return time.Duration(k.now.Load()) })
 	k.state = site.NewState(clock.Now, fleet.New(clock.Now), fresh)
 	decode := func(entry kv.Entry) (site.Record, error) {
-		return site.Record{Kind: site.EntryRecord, ID: entry.Key(), Gone: entry.Deleted()}, nil
+		return site.Record{Kind: site.EntryRecord, ID: entry.Key(), Removed: entry.Deleted()}, nil
 	}
 	k.mirror = site.NewMirror(k.state, decode, clock, slog.New(slog.DiscardHandler))
 	return k
@@ -100,7 +100,7 @@
 func TestEntryFollowsAnother(t *testing.T) {
 	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", []byte("v"), 5, false)}, 7)
-	source.state.Fresh().Prove(0)
+	source.state.Freshness().Prove(0)
 	address, stop := source.serve(t)
 	reader, client := startFollowing(t, address)
 	eventually(t, "the full state", func() error {
@@ -126,7 +126,7 @@
 		}
 		return errors.New("the store is not needed although the data is old")
 	})
-	source.state.Fresh().Prove(5 * time.Second)
+	source.state.Freshness().Prove(5 * time.Second)
 	eventually(t, "the store is not needed again", func() error {
 		if client.storeNotNeededFor() > 0 {
 			return nil
@@ -153,11 +153,11 @@
 	if !reader.receive(reply) {
 		t.Fatal("got a full reading rejected")
 	}
-	if age, known := k.state.Fresh().Age(); !known || age != 4500*time.Millisecond {
+	if age, known := k.state.Freshness().Age(); !known || age != 4500*time.Millisecond {
 		t.Errorf("got age %v, %v, want 4.5s: half a second before the request at 0", age, known)
 	}
 	reader.receive(&wire.NewsReply{Answers: 2, Proven: true, AgeMicros: 1, Revision: 3})
-	if age, _ := k.state.Fresh().Age(); age < 3*time.Second || age > 3001*time.Millisecond {
+	if age, _ := k.state.Freshness().Age(); age < 3*time.Second || age > 3001*time.Millisecond {
 		t.Errorf("got age %v, want the age from the request at 1 s", age)
 	}
 	if len(reader.requestTimes) != 1 {
@@ -209,7 +209,7 @@
 		}
 		entries = append(entries, kv.NewEntry("k"+strings.Repeat("x", i), value, uint64(i+1), false))
 	}
-	replies := (&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 6, Whole: true})
+	replies := (&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 6, Full: true})
 	if len(replies) != len(entries) {
 		t.Fatalf("got %d replies, want one per value", len(replies))
 	}
@@ -235,7 +235,7 @@
 	}
 	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", value, 5, false), kv.NewEntry("e-2", []byte("v"), 6, false)}, 7)
-	source.state.Fresh().Prove(0)
+	source.state.Freshness().Prove(0)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -267,7 +267,7 @@
 	}
 	packs := bytes.Repeat(append(text, entries[5].Value()...), 3)
 	entries = append(entries, kv.NewEntry("k6", packs, 7, false), kv.NewEntry("k7", nil, 8, true))
-	replies := splitLargeValues((&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 9, Whole: false}))
+	replies := splitLargeValues((&newsServer{}).buildReplies(site.Changes{Entries: entries, Revision: 9, Full: false}))
 	k := newReplica()
 	k.mirror.Reset(nil, 1)
 	reader := &newsReader{state: k.state, mirror: k.mirror, revision: 1, requestTimes: map[uint64]time.Duration{}}
@@ -304,7 +304,7 @@
 func TestFollowersWatchStoreSoonerWhenSourceLosesIt(t *testing.T) {
 	source := newReplica()
 	source.mirror.Reset([]kv.Entry{kv.NewEntry("e-1", []byte("v"), 5, false)}, 7)
-	source.state.Fresh().Prove(0)
+	source.state.Freshness().Prove(0)
 	address, _ := source.serve(t)
 	reader, client := startFollowing(t, address)
 	eventually(t, "led", func() error {
@@ -320,15 +320,15 @@
 	if client.storeNotNeededFor() == 0 {
 		t.Errorf("got the store needed with data %v old from a source that watches it, want it not needed", age)
 	}
-	source.state.Lost()
+	source.state.MarkStoreLost()
 	eventually(t, "the store is needed", func() error {
 		if client.storeNotNeededFor() == 0 {
 			return nil
 		}
 		return errors.New("the store is not needed although the source lost it")
 	})
-	source.state.Regained()
-	source.state.Fresh().Prove(age)
+	source.state.MarkStoreRegained()
+	source.state.Freshness().Prove(age)
 	eventually(t, "the store is not needed again", func() error {
 		if client.storeNotNeededFor() > 0 {
 			return nil
--- a/entry/internal/onsite/onsite_test.go
+++ b/entry/internal/onsite/onsite_test.go
@@ -312,7 +312,7 @@
 	}
 	var gone []site.Record
 	for id := range otherEntries {
-		gone = append(gone, site.Record{Kind: site.EntryRecord, ID: id, Gone: true})
+		gone = append(gone, site.Record{Kind: site.EntryRecord, ID: id, Removed: true})
 	}
 	state.Apply(gone, 3)
 	if got := target.next(); got == nil || got.GetReadingOnly() {
--- a/entry/internal/onsite/run.go
+++ b/entry/internal/onsite/run.go
@@ -143,8 +143,8 @@
 		clock: e.clock, log: e.log, apply: func() time.Duration { return e.bounds.Load().gateway.MaxConfigAge },
 	}
 	follower := &site.Follower{
-		Store: e.store, State: e.state, Mirror: e.mirror, Clock: e.clock, Log: e.log, Led: news.storeNotNeededFor, Wait: news.watchWait,
-		EntriesPrefix: platform.EntryPrefix, Follows: news.followsOthers, Brings: news.sourceHasStore,
+		Store: e.store, State: e.state, Mirror: e.mirror, Clock: e.clock, Log: e.log, SourceTrust: news.storeNotNeededFor, WatchTimeout: news.watchWait,
+		EntriesPrefix: platform.EntryPrefix, HasSources: news.followsOthers, SourcesReachStore: news.sourceHasStore,
 	}
 	agentFeeds := &feedManager{state: e.state, pool: pool, agentPort: e.cfg.GetSite().GetAgentPort(),
 		entryID: e.cfg.GetNode().GetId(), domain: e.self.FailureDomain,
@@ -272,7 +272,7 @@
 	if e.state.Catalog() == nil {
 		return failure.New(failure.Unavailable, "no configuration has been read yet", "check kvUrl")
 	}
-	if age, known := e.state.Fresh().Age(); !known || age > e.bounds.Load().gateway.MaxKeyAge {
+	if age, known := e.state.Freshness().Age(); !known || age > e.bounds.Load().gateway.MaxKeyAge {
 		return failure.New(failure.Unavailable, "the data from the store is too old", "check that the store can be reached")
 	}
 	return nil
--- a/relay/site/follower.go
+++ b/relay/site/follower.go
@@ -53,7 +53,7 @@
 // and records the data as fresh if the mirror has reached it. The call costs next to nothing
 // compared with the answer. Otherwise the next watch begins at once.
 func (f *Follower) confirmLatest(ctx context.Context) error {
-	asked := f.State.Fresh().Now()
+	asked := f.State.Freshness().Now()
 	_, revision, err := f.Store.Watch(ctx, "", kv.Latest, 0)
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 	known := f.Mirror.Revision()
 	if revision == known {
 		f.unwatched = false
-		f.State.Fresh().Prove(asked)
+		f.State.Freshness().Prove(asked)
 	}
 	f.Log.Info("a large part of the history was read", "revision", known, "newest", revision)
 	return nil
@@ -87,21 +87,21 @@
 	Mirror *Mirror
 	Clock  clockwork.Clock
 	Log    *slog.Logger
-	// Led returns for how long the data from other entries is still fresh enough that
+	// SourceTrust returns for how long the data from other entries is still fresh enough that
 	// the store need not be watched. Nil means that it always must be.
-	Led func() time.Duration
-	// Wait returns the timeout of one watch. Nil means watchWait.
-	Wait func() time.Duration
+	SourceTrust func() time.Duration
+	// WatchTimeout returns the timeout of one watch. Nil means watchWait.
+	WatchTimeout func() time.Duration
 
 	// EntriesPrefix is the key prefix of the entries' registrations. If it is empty, a
 	// starting entry reads the whole store itself.
 	EntriesPrefix string
-	// Follows reports whether this entry receives the store's keys from other known
+	// HasSources reports whether this entry receives the store's keys from other known
 	// entries. Nil means no.
-	Follows func() bool
-	// Brings reports whether one of those entries answers and reaches the store. Nil
+	HasSources func() bool
+	// SourcesReachStore reports whether one of those entries answers and reaches the store. Nil
 	// means no.
-	Brings func() bool
+	SourcesReachStore func() bool
 
 	partialRead *snapshotRead // an interrupted read of the whole store, or nil
 
@@ -161,7 +161,7 @@
 // send the store's keys. Otherwise entries of a region that start together would each read
 // the whole store over the same link.
 func (f *Follower) join(ctx context.Context) error {
-	if f.EntriesPrefix == "" || f.Follows == nil {
+	if f.EntriesPrefix == "" || f.HasSources == nil {
 		return nil
 	}
 	entries, err := f.Store.List(ctx, f.EntriesPrefix)
@@ -170,12 +170,14 @@
 	}
 	f.recordSuccess()
 	f.Mirror.AddPartial(entries)
-	if !f.Follows() {
+	if !f.HasSources() {
 		return nil
 	}
 	began := f.Clock.Now()
 	timeout := f.Clock.After(minJoinWait + rand.N(minJoinWait))
-	syncing := func() bool { return f.Brings != nil && f.Brings() && f.Clock.Since(began) < maxJoinWait }
+	syncing := func() bool {
+		return f.SourcesReachStore != nil && f.SourcesReachStore() && f.Clock.Since(began) < maxJoinWait
+	}
 	for {
 		changed := f.State.Changed()
 		if revision := f.Mirror.Revision(); revision > 0 {
@@ -211,7 +213,7 @@
 // recordFailure marks the store as unreachable and logs the error, at most once per
 // failureLogInterval.
 func (f *Follower) recordFailure(ctx context.Context, err error) {
-	f.State.Lost()
+	f.State.MarkStoreLost()
 	f.unwatched = false
 	f.failures++
 	message := "dependency lost"
@@ -232,12 +234,12 @@
 	}
 	f.Log.Info("dependency regained", "dependency", "store", "revision", f.Mirror.Revision(), "failed", f.failures)
 	f.down, f.failures = false, 0
-	f.State.Regained()
+	f.State.MarkStoreRegained()
 }
 
 // snapshotRead is a paged read of the whole store that can be resumed after a failure.
 type snapshotRead struct {
-	began    time.Duration // on the clock of State.Fresh
+	began    time.Duration // on the clock of State.Freshness
 	revision uint64        // of the store when the read began
 	entries  []kv.Entry
 }
@@ -247,7 +249,7 @@
 // interrupted read resumes after the last page received, so that entries that start together do
 // not discard what already crossed the link that they share.
 func (f *Follower) readAll(ctx context.Context) error {
-	now := f.State.Fresh().Now()
+	now := f.State.Freshness().Now()
 	if f.partialRead == nil || now-f.partialRead.began > maxReadDuration {
 		_, revision, err := f.Store.Watch(ctx, "", kv.Latest, 0)
 		if err != nil {
@@ -255,10 +257,10 @@
 		}
 		if known := f.Mirror.Revision(); known > 0 && revision == known {
 			f.recordSuccess()
-			f.State.Fresh().Prove(now)
+			f.State.Freshness().Prove(now)
 			return nil
 		}
-		f.partialRead = &snapshotRead{began: f.State.Fresh().Now(), revision: revision}
+		f.partialRead = &snapshotRead{began: f.State.Freshness().Now(), revision: revision}
 	}
 	read := f.partialRead
 	for more := true; more; {
@@ -273,7 +275,7 @@
 	f.recordSuccess()
 	f.unwatched = false
 	f.Mirror.Reset(read.entries, read.revision)
-	f.State.Fresh().Prove(read.began)
+	f.State.Freshness().Prove(read.began)
 	return nil
 }
 
@@ -294,18 +296,18 @@
 // sourceTrust returns for how long the data from other entries is fresh enough that the store
 // need not be watched.
 func (f *Follower) sourceTrust() time.Duration {
-	if f.Led == nil {
+	if f.SourceTrust == nil {
 		return 0
 	}
-	return f.Led()
+	return f.SourceTrust()
 }
 
 // watchTimeout returns how long one watch waits for changes.
 func (f *Follower) watchTimeout() time.Duration {
-	if f.Wait == nil {
+	if f.WatchTimeout == nil {
 		return watchWait
 	}
-	return f.Wait()
+	return f.WatchTimeout()
 }
 
 // watch waits once for changes after the known revision, applies them, and records how fresh
@@ -313,7 +315,7 @@
 //
 // Rule BEGIN of spec/freshness.pml.
 func (f *Follower) watch(ctx context.Context) error {
-	began := f.State.Fresh().Now()
+	began := f.State.Freshness().Now()
 	wait := f.watchTimeout()
 	after := f.Mirror.Revision()
 	changes, now, err := f.Store.Watch(ctx, "", after, wait)
@@ -321,7 +323,7 @@
 		return err
 	}
 	f.recordSuccess()
-	ended := f.State.Fresh().Now()
+	ended := f.State.Freshness().Now()
 	f.Mirror.Apply(after, changes, now, !f.unwatched || ended-began > liveWatchThreshold)
 	if maybeTruncated(changes) {
 		return f.confirmLatest(ctx)
@@ -331,10 +333,10 @@
 		// The store watched for the whole timeout, measured on its own clock from a
 		// later start than ours. A watch that returned sooner was cut short and
 		// proves only what held when it began.
-		f.State.Fresh().Prove(began + wait)
+		f.State.Freshness().Prove(began + wait)
 		return nil
 	}
-	f.State.Fresh().Prove(began)
+	f.State.Freshness().Prove(began)
 	f.sleep(ctx, minWatchInterval-(ended-began))
 	return nil
 }
--- a/relay/site/mirror.go
+++ b/relay/site/mirror.go
@@ -118,7 +118,7 @@
 		}
 		m.setKey(entry, old)
 		if rec, ok := m.decodeEntry(entry); ok {
-			rec.Late = delay
+			rec.MaxDelay = delay
 			records = append(records, rec)
 		}
 	}
@@ -195,8 +195,8 @@
 	Entries []kv.Entry
 	// Revision is the revision up to which they include all changes.
 	Revision uint64
-	// Whole is set if Entries holds the full state: other keys do not exist.
-	Whole bool
+	// Full is set if Entries holds the full state: other keys do not exist.
+	Full bool
 }
 
 // Since returns what changed after a revision, ordered by revision, and a channel that is
@@ -209,9 +209,9 @@
 	if m.revision == 0 {
 		return Changes{}, m.changed // keys from AddPartial are not a full read
 	}
-	found := Changes{Revision: m.revision, Whole: revision < m.prunedRevision || revision == 0}
+	found := Changes{Revision: m.revision, Full: revision < m.prunedRevision || revision == 0}
 	for _, entry := range m.keys {
-		if found.Whole && !entry.Deleted() || !found.Whole && entry.Revision() > revision {
+		if found.Full && !entry.Deleted() || !found.Full && entry.Revision() > revision {
 			found.Entries = append(found.Entries, entry)
 		}
 	}
--- a/relay/site/mirror_test.go
+++ b/relay/site/mirror_test.go
@@ -77,7 +77,7 @@
 				known = min(known, rapid.Uint64Range(0, known).Draw(t, "known"))
 			}
 			changes, _ := from.mirror.Since(known)
-			if changes.Whole {
+			if changes.Full {
 				to.mirror.Reset(changes.Entries, changes.Revision)
 			} else if !to.mirror.Apply(known, changes.Entries, changes.Revision, true) {
 				t.Fatalf("got changes after %d refused where %d is known", known, to.mirror.Revision())
@@ -137,11 +137,11 @@
 		w.mirror.Apply(w.mirror.Revision(), []kv.Entry{deletion(fmt.Sprint("host-", i), 2*i+3)}, 2*i+3, true)
 	}
 	old, _ := w.mirror.Since(1)
-	if !old.Whole || len(old.Entries) != 1 {
-		t.Errorf("got whole=%v and %d keys after revision 1, want the full state of one key", old.Whole, len(old.Entries))
+	if !old.Full || len(old.Entries) != 1 {
+		t.Errorf("got whole=%v and %d keys after revision 1, want the full state of one key", old.Full, len(old.Entries))
 	}
 	late, _ := w.mirror.Since(2*hosts - 10)
-	if late.Whole || len(late.Entries) == 0 {
-		t.Errorf("got whole=%v and %d recent changes, want only some changes", late.Whole, len(late.Entries))
+	if late.Full || len(late.Entries) == 0 {
+		t.Errorf("got whole=%v and %d recent changes, want only some changes", late.Full, len(late.Entries))
 	}
 }
--- a/relay/site/record.go
+++ b/relay/site/record.go
@@ -25,16 +25,16 @@
 type Record struct {
 	Kind RecordKind
 	// ID names the model, the endpoint or the entry.
-	ID   string
-	Gone bool // the key was deleted, or its value is unusable
+	ID      string
+	Removed bool // the key was deleted, or its value is unusable
 	// Withdrawn is set if the key's present value names nothing usable. Unlike a
 	// registration that lapsed, it was not lost in an outage, so its use ends at once.
 	Withdrawn bool
 	// Revision is that of the key's last change; 0 means the revision of the update that
 	// the record came with.
 	Revision uint64
-	// Late is the longest time that may have passed between the change and its receipt.
-	Late time.Duration
+	// MaxDelay is the longest time that may have passed between the change and its receipt.
+	MaxDelay time.Duration
 	// Only the field that belongs to Kind is set, and none if Gone is.
 	Catalog  *catalog.Catalog
 	Weights  uint64 // declared version
--- a/relay/site/site_test.go
+++ b/relay/site/site_test.go
@@ -49,9 +49,9 @@
 	id, isEndpoint := strings.CutPrefix(entry.Key(), "endpoint/")
 	switch {
 	case isEndpoint && string(entry.Value()) == "spoilt":
-		return site.Record{Kind: site.EndpointRecord, ID: id, Gone: true, Withdrawn: true}, errors.New("unreadable")
+		return site.Record{Kind: site.EndpointRecord, ID: id, Removed: true, Withdrawn: true}, errors.New("unreadable")
 	case isEndpoint:
-		return site.Record{Kind: site.EndpointRecord, ID: id, Gone: entry.Deleted(),
+		return site.Record{Kind: site.EndpointRecord, ID: id, Removed: entry.Deleted(),
 			Endpoint: fleet.Registration{ID: id, Service: "app", Slots: 1}}, nil
 	case entry.Key() == "bad":
 		return site.Record{}, errors.New("unreadable")
@@ -60,7 +60,7 @@
 	case isWeights:
 		return site.Record{Kind: site.WeightsRecord, ID: name, Weights: uint64(len(entry.Value()))}, nil
 	}
-	return site.Record{Kind: site.EntryRecord, ID: entry.Key(), Gone: entry.Deleted()}, nil
+	return site.Record{Kind: site.EntryRecord, ID: entry.Key(), Removed: entry.Deleted()}, nil
 }
 
 // value returns a key of the store at a revision, and deletion returns its deletion.
@@ -98,10 +98,10 @@
 func TestEntriesThatLapsedInAnOutageAreKept(t *testing.T) {
 	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Entry: site.Entry{CallersAddress: "10.0.0.1:1"}}}, 1)
-	w.state.Lost()
+	w.state.MarkStoreLost()
 	w.clock.Advance(10 * time.Second)
-	w.state.Regained()
-	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Gone: true}}, 5)
+	w.state.MarkStoreRegained()
+	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Removed: true}}, 5)
 	if got, want := len(w.state.Entries()), 1; got != want {
 		t.Errorf("got %d entries right after the outage, want %d", got, want)
 	}
@@ -114,7 +114,7 @@
 func TestDeregisteredEntryIsDroppedAtOnce(t *testing.T) {
 	w := newTestSite()
 	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1"}}, 1)
-	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Gone: true}}, 2)
+	w.state.Apply([]site.Record{{Kind: site.EntryRecord, ID: "e-1", Removed: true}}, 2)
 	if got := len(w.state.Entries()); got != 0 {
 		t.Errorf("got %d entries, want none", got)
 	}
@@ -157,9 +157,9 @@
 			if !hostFirst {
 				learn()
 			}
-			w.state.DeclaredFor("m", 2, 5*time.Second)
-			w.state.DeclaredFor("m", 2, time.Second)
-			w.state.DeclaredFor("other", 2, time.Hour)
+			w.state.RecordDeclarationAge("m", 2, 5*time.Second)
+			w.state.RecordDeclarationAge("m", 2, time.Second)
+			w.state.RecordDeclarationAge("other", 2, time.Hour)
 			if hostFirst {
 				learn()
 			}
@@ -186,7 +186,7 @@
 				learn()
 			}
 			for version, age := range map[uint64]time.Duration{2: 9 * time.Second, 3: 7 * time.Second, 4: time.Second} {
-				w.state.DeclaredFor("m", version, age)
+				w.state.RecordDeclarationAge("m", version, age)
 			}
 			if hostFirst {
 				learn()
@@ -353,8 +353,8 @@
 		return verdict
 	}
 	w.mirror.Apply(0, []kv.Entry{value("endpoint/a", 1)}, 1, true)
-	w.state.Lost()
-	w.state.Regained()
+	w.state.MarkStoreLost()
+	w.state.MarkStoreRegained()
 	for step, test := range []struct {
 		entries []kv.Entry
 		want    fleet.Verdict
--- a/relay/site/sources.go
+++ b/relay/site/sources.go
@@ -56,14 +56,14 @@
 	return ids
 }
 
-// Trust returns the age up to which data from other entries is fresh enough, given the bound
+// MaxSourceAge returns the age up to which data from other entries is fresh enough, given the bound
 // within which a change must apply.
-func Trust(apply time.Duration) time.Duration { return max(minTrust, apply-trustMargin) }
+func MaxSourceAge(apply time.Duration) time.Duration { return max(minTrust, apply-trustMargin) }
 
-// TrustOfLost is Trust for an entry whose sources cannot reach the store. They will send nothing
+// MaxLostSourceAge is Trust for an entry whose sources cannot reach the store. They will send nothing
 // newer, and all their followers then read the store at the same moment, so that an answer takes
 // longer over a link between regions.
-func TrustOfLost(apply time.Duration) time.Duration { return Trust(apply) / 2 }
+func MaxLostSourceAge(apply time.Duration) time.Duration { return MaxSourceAge(apply) / 2 }
 
 // WatchWait returns the timeout of a watch, which is shorter if other entries may follow this
 // one.
@@ -71,5 +71,5 @@
 	if !followed {
 		return watchWait
 	}
-	return min(watchWait, max(minWatchWait, Trust(apply)-watchMargin))
+	return min(watchWait, max(minWatchWait, MaxSourceAge(apply)-watchMargin))
 }
--- a/relay/site/sources_test.go
+++ b/relay/site/sources_test.go
@@ -57,10 +57,10 @@
 // one call must fit into the bound. Healthy sources must not cause such reads.
 func TestTrustLeavesTimeToReadTheStore(t *testing.T) {
 	for _, apply := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 9 * time.Second} {
-		if got, most := Trust(apply), apply-500*time.Millisecond; got > most {
+		if got, most := MaxSourceAge(apply), apply-500*time.Millisecond; got > most {
 			t.Errorf("bound %v: trust %v, want at most %v", apply, got, most)
 		}
-		if got, most := WatchWait(apply, true), Trust(apply)-400*time.Millisecond; got > most {
+		if got, most := WatchWait(apply, true), MaxSourceAge(apply)-400*time.Millisecond; got > most {
 			t.Errorf("bound %v: a source waits %v, want at most %v", apply, got, most)
 		}
 	}
--- a/relay/site/state.go
+++ b/relay/site/state.go
@@ -69,8 +69,8 @@
 // Fleet returns the endpoints.
 func (s *State) Fleet() *fleet.Fleet { return s.fleet }
 
-// Fresh returns the tracker of how old this view is.
-func (s *State) Fresh() *freshness.Tracker { return s.fresh }
+// Freshness returns the tracker of how old this view is.
+func (s *State) Freshness() *freshness.Tracker { return s.fresh }
 
 // Ledger returns the record of the requests during which endpoints ended.
 func (s *State) Ledger() *quarantine.Ledger { return s.ledger }
@@ -126,9 +126,9 @@
 	return rollout.Floor(s.history[model], now, bound)
 }
 
-// Ends returns for how long versions of a model older than the given one may still be used,
+// OlderVersionsEndIn returns for how long versions of a model older than the given one may still be used,
 // which is until the bound after its declaration. It returns 0 if that time is over or unknown.
-func (s *State) Ends(model string, version uint64, bound time.Duration) time.Duration {
+func (s *State) OlderVersionsEndIn(model string, version uint64, bound time.Duration) time.Duration {
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,15 +140,15 @@
 	return 0
 }
 
-// Lost records that the store does not answer. Registrations that lapse from now on are
+// MarkStoreLost records that the store does not answer. Registrations that lapse from now on are
 // kept for recoveryGrace, since their owners may register again once it recovers.
-func (s *State) Lost() {
+func (s *State) MarkStoreLost() {
 	s.storeLost.Store(true)
 	s.extendGrace()
 }
 
-// Regained records that the store answers again, and restarts the grace period.
-func (s *State) Regained() {
+// MarkStoreRegained records that the store answers again, and restarts the grace period.
+func (s *State) MarkStoreRegained() {
 	s.storeLost.Store(false)
 	s.extendGrace()
 }
@@ -157,19 +157,19 @@
 func (s *State) StoreLost() bool { return s.storeLost.Load() }
 
 // extendGrace keeps registrations that end within recoveryGrace from now.
-func (s *State) extendGrace() { s.SettleFor(recoveryGrace) }
+func (s *State) extendGrace() { s.KeepRegistrationsFor(recoveryGrace) }
 
-// SettleFor keeps registrations that end within the given time from now at least until it
+// KeepRegistrationsFor keeps registrations that end within the given time from now at least until it
 // is over. It is called when another entry found that the store was unreachable.
-func (s *State) SettleFor(wait time.Duration) {
+func (s *State) KeepRegistrationsFor(wait time.Duration) {
 	until := s.clock().Add(wait)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.graceUntil = laterOf(s.graceUntil, until)
 }
 
-// Settling returns the rest of the grace period for registrations that end.
-func (s *State) Settling() time.Duration {
+// GraceLeft returns the rest of the grace period for registrations that end.
+func (s *State) GraceLeft() time.Duration {
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,16 +205,16 @@
 		}
 	case WeightsRecord:
 		if rec.Weights > s.wanted[rec.ID].Version {
-			s.recordDeclaration(rec, now.Add(-rec.Late), revision)
+			s.recordDeclaration(rec, now.Add(-rec.MaxDelay), revision)
 		}
 	case EndpointRecord:
-		if rec.Gone {
+		if rec.Removed {
 			s.fleet.Remove(rec.ID, s.removalTime(now, rec))
 			return
 		}
 		s.fleet.Register(rec.Endpoint)
 	case EntryRecord:
-		if rec.Gone {
+		if rec.Removed {
 			s.expiring[rec.ID] = s.removalTime(now, rec)
 			return
 		}
@@ -260,9 +260,9 @@
 	s.wanted[rec.ID] = Wanted{Model: rec.ID, Version: rec.Weights, Revision: revision, Since: since}
 }
 
-// DeclaredFor records for how long a host has known that a version was declared. Without it, an
+// RecordDeclarationAge records for how long a host has known that a version was declared. Without it, an
 // entry that started after the declaration would count the version's age from its own start.
-func (s *State) DeclaredFor(model string, version uint64, age time.Duration) {
+func (s *State) RecordDeclarationAge(model string, version uint64, age time.Duration) {
 	at := s.clock().Add(-age)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/spread/baseline.go
+++ b/relay/spread/baseline.go
@@ -32,18 +32,18 @@
 	return amendment
 }
 
-// Took records that the receiver acknowledged a message with the report.
-func (b *Baseline) Took(sent *wire.HostReport, now time.Time) {
+// RecordAcknowledged records that the receiver acknowledged a message with the report.
+func (b *Baseline) RecordAcknowledged(sent *wire.HostReport, now time.Time) {
 	if !membership.IsAmendment(sent) {
 		*b = Baseline{stable: stableFields(sent), sequence: sent.GetSequence(), sentAt: now}
 	}
 }
 
-// Drop records that the receiver lacks the full report.
-func (b *Baseline) Drop() { *b = Baseline{} }
+// Reset records that the receiver lacks the full report.
+func (b *Baseline) Reset() { *b = Baseline{} }
 
-// Whole reports whether the receiver has no full report, so that the next one is sent in full.
-func (b *Baseline) Whole() bool { return b.stable == nil }
+// NeedsFullReport reports whether the receiver has no full report, so that the next one is sent in full.
+func (b *Baseline) NeedsFullReport() bool { return b.stable == nil }
 
 // stableFields returns the fields of a report that amendments don't carry and whose changes
 // must be sent at once.
--- a/relay/spread/digest.go
+++ b/relay/spread/digest.go
@@ -128,8 +128,8 @@
 	d.known[id] = next
 }
 
-// Lose records that the receiver lacks the full report of a host.
-func (d *Digest) Lose(id string) { delete(d.known, id) }
+// Invalidate records that the receiver lacks the full report of a host.
+func (d *Digest) Invalidate(id string) { delete(d.known, id) }
 
 // prepareAndRecord returns the report as it should be sent, in full or as an amendment, and
 // records it as sent.
@@ -158,8 +158,8 @@
 	return amendment
 }
 
-// Forget drops the records of hosts that no longer exist, to bound memory.
-func (d *Digest) Forget(exists func(id string) bool) {
+// Prune drops the records of hosts that no longer exist, to bound memory.
+func (d *Digest) Prune(exists func(id string) bool) {
 	for id := range d.known {
 		if !exists(id) {
 			delete(d.known, id)
--- a/relay/spread/entries.go
+++ b/relay/spread/entries.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Lose records that the receiver lacks the entry's description.
-func (d *EntryDigest) Lose(id string) { delete(d.known, id) }
+// InvalidateDescription records that the receiver lacks the entry's description.
+func (d *EntryDigest) InvalidateDescription(id string) { delete(d.known, id) }
 
 // prepare returns the report as it should be sent now, and whether it includes the entry's
 // description.
@@ -90,8 +90,8 @@
 	return sent
 }
 
-// Forget drops the records of entries that no longer exist.
-func (d *EntryDigest) Forget(exists func(id string) bool) {
+// Prune drops the records of entries that no longer exist.
+func (d *EntryDigest) Prune(exists func(id string) bool) {
 	for id := range d.known {
 		if !exists(id) {
 			delete(d.known, id)
@@ -120,10 +120,10 @@
 	return !seen || report.GetDraining() != held.draining || report.GetNode().GetIncarnation() != held.incarnation
 }
 
-// SelectRare is like Select for a receiver that only needs to know which entries exist and
+// SelectPresence is like Select for a receiver that only needs to know which entries exist and
 // which are leaving. The sender's own report is repeated as rarely as any other, and no report
 // carries load or demand.
-func (d *EntryDigest) SelectRare(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
+func (d *EntryDigest) SelectPresence(own *wire.EntryReport, others []view.Peer, receiver string, now time.Time, byteLimit int) []*wire.EntryReport {
 	var chosen []*wire.EntryReport
 	if d.shouldRelay(own, now) {
 		chosen = append(chosen, presenceOnly(d.prepareAndRecord(own, 0, now)))
--- a/relay/spread/neighbours.go
+++ b/relay/spread/neighbours.go
@@ -19,10 +19,10 @@
 	maxFarNeighbours = 3
 )
 
-// AllCallAll reports whether a deployment with the given number of entries, this one included,
+// IsFullMesh reports whether a deployment with the given number of entries, this one included,
 // is so small that each entry calls all others. An entry then sends its own observations to all
 // others itself; relaying those of others would multiply the bytes by the number of entries.
-func AllCallAll(entries int) bool { return entries <= maxFullMesh+1 }
+func IsFullMesh(entries int) bool { return entries <= maxFullMesh+1 }
 
 // Neighbours returns those of the given entries that self keeps a call to. A few are in its own
 // failure domain and a few in others, both chosen by rendezvous hash, and one is the next by id:
