--- a/agent/internal/weights/fetch.go
+++ b/agent/internal/weights/fetch.go
@@ -99,7 +99,7 @@
 		// Without a pause, a store that refuses the chunk would make the fleet send
 		// it over and over.
 		_ = t.mgr.sleep(ctx, storeRetryDelay)
-		return &fetchError{cause: burst.Dropped, err: err}
+		return &fetchError{cause: burst.StoreRejected, err: err}
 	}
 	return nil
 }
@@ -142,13 +142,13 @@
 	report := t.report()
 	req := &wire.ChunkRequest{
 		From: t.mgr.cfg.Self, Version: t.version, Index: uint32(index),
-		Chunks: report.Held, Drawn: report.Drawn, UploadQueue: uint32(report.Queue),
+		Chunks: report.Held, Drawn: report.OriginFetched, UploadQueue: uint32(report.Queue),
 	}
 	return t.mgr.requestFromPeer(ctx, id, req, size, func(first *wire.ChunkData) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.core.Answered(t.now(), id, burst.Report{
-			Held: first.GetChunks(), Drawn: first.GetDrawn(), Queue: int(first.GetUploadQueue()),
+		t.core.ReportReceived(t.now(), id, burst.Report{
+			Held: first.GetChunks(), OriginFetched: first.GetDrawn(), Queue: int(first.GetUploadQueue()),
 		})
 	})
 }
@@ -186,7 +186,7 @@
 		wait := time.Duration(first.GetRetryAfterMillis()) * time.Millisecond
 		return &fetchError{cause: burst.Busy, retryAfter: wait, err: errors.New("the host is busy")}
 	case size == 0:
-		return &fetchError{cause: burst.Lacks, err: errors.New("the host does not have the chunk")}
+		return &fetchError{cause: burst.NotHeld, err: errors.New("the host does not have the chunk")}
 	case size > limit:
 		return &fetchError{cause: burst.Corrupt, err: errors.New("the chunk is larger than the manifest says")}
 	}
--- a/agent/internal/weights/peers.go
+++ b/agent/internal/weights/peers.go
@@ -66,7 +66,7 @@
 	} else {
 		t.core.Replied(t.now(), id, burst.Report{
 			Held: reply.GetChunks(), Fetching: reply.GetFetching(),
-			Drawn: reply.GetDrawn(), Queue: int(reply.GetUploadQueue()),
+			OriginFetched: reply.GetDrawn(), Queue: int(reply.GetUploadQueue()),
 		})
 	}
 	signal(t.wake)
@@ -81,7 +81,7 @@
 	return client.Have(ctx, &wire.HaveRequest{
 		From: t.mgr.cfg.Self, Version: t.version,
 		Chunks: report.Held, Fetching: report.Fetching,
-		Drawn: report.Drawn, UploadQueue: uint32(report.Queue),
+		Drawn: report.OriginFetched, UploadQueue: uint32(report.Queue),
 	})
 }
 
@@ -104,7 +104,7 @@
 	}
 	return &wire.HaveReply{
 		Chunks: report.Held, Fetching: report.Fetching,
-		Drawn: report.Drawn, UploadQueue: uint32(report.Queue),
+		Drawn: report.OriginFetched, UploadQueue: uint32(report.Queue),
 	}, nil
 }
 
@@ -143,7 +143,7 @@
 	t.core.SetUploads(load)
 	t.core.Observe(t.now(), peerOf(from), burst.Report{
 		Held: req.GetChunks(), Fetching: req.GetFetching(),
-		Drawn: req.GetDrawn(), Queue: int(req.GetUploadQueue()),
+		OriginFetched: req.GetDrawn(), Queue: int(req.GetUploadQueue()),
 	})
 	signal(t.wake)
 	return t.core.Report(), true
--- a/agent/internal/weights/serve.go
+++ b/agent/internal/weights/serve.go
@@ -61,14 +61,14 @@
 		return
 	}
 	t.core.Observe(t.now(), peerOf(req.GetFrom()), burst.Report{
-		Held: req.GetChunks(), Drawn: req.GetDrawn(), Queue: int(req.GetUploadQueue()),
+		Held: req.GetChunks(), OriginFetched: req.GetDrawn(), Queue: int(req.GetUploadQueue()),
 	})
 }
 
 // newReply returns the first message of an answer, with this host's report.
 func (t *transfer) newReply() *wire.ChunkData {
 	report := t.report()
-	return &wire.ChunkData{Chunks: report.Held, Drawn: report.Drawn, UploadQueue: uint32(report.Queue)}
+	return &wire.ChunkData{Chunks: report.Held, Drawn: report.OriginFetched, UploadQueue: uint32(report.Queue)}
 }
 
 // sendChunk sends a stored chunk, or an empty answer if it cannot be read. A corrupt
@@ -142,7 +142,7 @@
 func (t *transfer) uploadRank(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.core.Turn(id)
+	return t.core.UploadPriority(id)
 }
 
 // MarkChunkLost records that the host no longer has a chunk because its store has overwritten
--- a/agent/internal/weights/transfer.go
+++ b/agent/internal/weights/transfer.go
@@ -143,18 +143,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	core := burst.New(burst.Config{
-		Self:         peerOf(self),
-		Version:      t.version,
-		Chunks:       len(man.GetChunkHashes()),
-		Strategy:     t.mgr.cfg.Strategy,
-		DrawWindow:   t.mgr.cfg.DrawWindow,
-		MaxBackoff:   t.mgr.cfg.MaxBackoff,
-		DearRegions:  t.mgr.cfg.LimitCrossRegionTraffic,
-		Objective:    t.policy.Objective,
-		OriginCopies: t.policy.OriginCopies,
-		MaxFetches:   t.maxFetches(man),
-		Seed:         rendezvous.Seed(self.GetIncarnation()),
-		Broken:       t.violationReporter(),
+		Self:                    peerOf(self),
+		Version:                 t.version,
+		Chunks:                  len(man.GetChunkHashes()),
+		Strategy:                t.mgr.cfg.Strategy,
+		OriginWindow:            t.mgr.cfg.DrawWindow,
+		MaxBackoff:              t.mgr.cfg.MaxBackoff,
+		LimitCrossRegionTraffic: t.mgr.cfg.LimitCrossRegionTraffic,
+		Objective:               t.policy.Objective,
+		OriginCopies:            t.policy.OriginCopies,
+		MaxFetches:              t.maxFetches(man),
+		Seed:                    rendezvous.Seed(self.GetIncarnation()),
+		OnInvariantViolation:    t.violationReporter(),
 	})
 	core.SetPullFrom(t.pullNotBefore)
 	t.man, t.encoded, t.core, t.chunks = man, encoded, core, chunks
@@ -246,7 +246,7 @@
 	for _, act := range t.core.Decide(now) {
 		t.perform(ctx, act)
 	}
-	if t.core.Whole() && !t.wholeLogged {
+	if t.core.Complete() && !t.wholeLogged {
 		t.wholeLogged = true
 		t.logWhole(now)
 	}
@@ -257,8 +257,8 @@
 	stats := t.core.Stats()
 	t.mgr.cfg.Log.Info("version whole", "version", t.version, "chunks", t.core.Held(),
 		"seconds", t.secondsSinceStart(now), "manifestSeconds", t.secondsSinceStart(t.manifestKnownAt),
-		"firstSeconds", t.secondsSinceStart(stats.FirstHeld), "drawnSeconds", t.secondsSinceStart(stats.AllDrawn),
-		"draws", stats.Draws, "drawsAgain", stats.DrawsAgain, "pulls", stats.Pulls, "farPulls", stats.FarPulls, "busy", stats.Busy,
+		"firstSeconds", t.secondsSinceStart(stats.FirstHeld), "drawnSeconds", t.secondsSinceStart(stats.AllOriginFetched),
+		"draws", stats.OriginFetches, "drawsAgain", stats.OriginRefetches, "pulls", stats.Pulls, "farPulls", stats.CrossRegionPulls, "busy", stats.Busy,
 		"timedOut", stats.TimedOut, "corrupt", stats.Corrupt, "broken", stats.Broken, "exchanges", stats.Exchanges)
 }
 
@@ -302,10 +302,10 @@
 func (t *transfer) activePriority() (priority int, originBusy bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.passive || t.failed || t.stallReason() != "" || (t.core != nil && t.core.Whole()) {
+	if t.passive || t.failed || t.stallReason() != "" || (t.core != nil && t.core.Complete()) {
 		return -1, false
 	}
-	return t.priority, t.core == nil || t.core.Drawn() < len(t.man.GetChunkHashes())
+	return t.priority, t.core == nil || t.core.OriginFetched() < len(t.man.GetChunkHashes())
 }
 
 // later returns the later of two times.
@@ -319,7 +319,7 @@
 func (t *transfer) whole() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.core != nil && t.core.Whole()
+	return t.core != nil && t.core.Complete()
 }
 
 func (t *transfer) manifest() *wire.Manifest {
@@ -337,8 +337,8 @@
 	if t.core == nil {
 		return State{phase: Fetching, stallReason: t.stallReason()}
 	}
-	st := State{phase: Fetching, have: t.core.Held(), total: len(t.man.GetChunkHashes()), drawn: t.core.Drawn()}
-	if t.core.Whole() {
+	st := State{phase: Fetching, have: t.core.Held(), total: len(t.man.GetChunkHashes()), drawn: t.core.OriginFetched()}
+	if t.core.Complete() {
 		st.phase = Whole
 		return st
 	}
--- a/relay/burst/burst.go
+++ b/relay/burst/burst.go
@@ -155,19 +155,19 @@
 	OriginCopies int
 	// MaxFetches bounds the concurrent requests; 0 means the default.
 	MaxFetches int
-	// DrawWindow is the number of chunks that the fleet fetches from the origin concurrently; 0
+	// OriginWindow is the number of chunks that the fleet fetches from the origin concurrently; 0
 	// starts with a few and grows. A larger window keeps the origin's link busy where chunks are so
 	// small that reporting a fetch takes longer than the fetch.
-	DrawWindow int
+	OriginWindow int
 	// MaxBackoff bounds the pause after failed origin fetches; 0 means 15 s. A short one suits
 	// fleets whose origin can take the retries of all hosts.
 	MaxBackoff time.Duration
-	// DearRegions minimizes traffic between regions: each chunk enters a region once, unless that
+	// LimitCrossRegionTraffic minimizes traffic between regions: each chunk enters a region once, unless that
 	// takes too long.
-	DearRegions bool
-	// Broken is called with a description of each violated invariant of the Core's state; nil
+	LimitCrossRegionTraffic bool
+	// OnInvariantViolation is called with a description of each violated invariant of the Core's state; nil
 	// ignores violations.
-	Broken func(rule string)
+	OnInvariantViolation func(rule string)
 	// Seed varies the choices among equal candidates from host to host.
 	Seed uint64
 }
@@ -192,10 +192,10 @@
 // Report is the state that two peers send each other in an exchange. The bitmaps consist of
 // little-endian words with one bit per chunk.
 type Report struct {
-	Held     []uint64 // verified and stored
-	Fetching []uint64 // being fetched from the origin, or about to be
-	Drawn    []uint64 // known to have been fetched from the origin by some host
-	Queue    int      // uploads in progress or waiting
+	Held          []uint64 // verified and stored
+	Fetching      []uint64 // being fetched from the origin, or about to be
+	OriginFetched []uint64 // known to have been fetched from the origin by some host
+	Queue         int      // uploads in progress or waiting
 }
 
 // Cause is the reason why a fetch failed.
@@ -205,8 +205,8 @@
 const (
 	Broken  Cause = iota + 1 // the connection failed or the source returned an error
 	Busy                     // the source asks to retry later
-	Lacks                    // the source does not hold the chunk
+	NotHeld                  // the source does not hold the chunk
 	Corrupt                  // the data does not match the chunk's hash
 	TimedOut
-	Dropped // the local store rejected the data; the source is not at fault
+	StoreRejected // the local store rejected the data; the source is not at fault
 )
--- a/relay/burst/core.go
+++ b/relay/burst/core.go
@@ -95,14 +95,14 @@
 	}
 }
 
-// Whole reports whether all chunks are held.
-func (c *Core) Whole() bool { return c.held.Count() == uint(c.cfg.Chunks) }
+// Complete reports whether all chunks are held.
+func (c *Core) Complete() bool { return c.held.Count() == uint(c.cfg.Chunks) }
 
 // Held returns the number of chunks held.
 func (c *Core) Held() int { return int(c.held.Count()) }
 
-// Drawn returns the number of chunks known to have been fetched from the origin by some host.
-func (c *Core) Drawn() int { return int(c.originFetched.Count()) }
+// OriginFetched returns the number of chunks known to have been fetched from the origin by some host.
+func (c *Core) OriginFetched() int { return int(c.originFetched.Count()) }
 
 // Holds reports whether the chunk is held.
 func (c *Core) Holds(chunk int) bool { return c.held.Test(uint(chunk)) }
@@ -159,17 +159,17 @@
 
 // Stats counts the activity of a Core since its creation.
 type Stats struct {
-	Draws      int // requests to the origin
-	DrawsAgain int // of those, requests for chunks that some host had fetched before
-	Pulls      int // requests to peers
-	Busy       int // requests refused by a busy source
-	TimedOut   int
-	Corrupt    int
-	Broken     int
-	Exchanges  int
-	FarPulls   int       // requests to peers in other regions
-	FirstHeld  time.Time // when the first chunk was held
-	AllDrawn   time.Time // when all chunks were known to have been fetched from the origin
+	OriginFetches    int // requests to the origin
+	OriginRefetches  int // of those, requests for chunks that some host had fetched before
+	Pulls            int // requests to peers
+	Busy             int // requests refused by a busy source
+	TimedOut         int
+	Corrupt          int
+	Broken           int
+	Exchanges        int
+	CrossRegionPulls int       // requests to peers in other regions
+	FirstHeld        time.Time // when the first chunk was held
+	AllOriginFetched time.Time // when all chunks were known to have been fetched from the origin
 }
 
 // Stats returns the counters.
@@ -182,7 +182,7 @@
 	if !c.recheckAt.IsZero() && !now.Before(c.recheckAt) {
 		c.membershipChanged(now)
 	}
-	if !c.Whole() && !c.paused {
+	if !c.Complete() && !c.paused {
 		switch c.cfg.Strategy {
 		case OriginOnly:
 			c.fetchAllFromOrigin(now)
--- a/relay/burst/exchange.go
+++ b/relay/burst/exchange.go
@@ -27,13 +27,13 @@
 }
 
 func (c *Core) exchangeInterval(pst *peerState) time.Duration {
-	if c.Whole() && pst.heldCount == c.cfg.Chunks {
+	if c.Complete() && pst.heldCount == c.cfg.Chunks {
 		return completeInterval
 	}
 	if pst.sentRevision == c.revision {
 		return idleInterval
 	}
-	if c.cfg.DearRegions {
+	if c.cfg.LimitCrossRegionTraffic {
 		return regionUpdateInterval
 	}
 	return updateInterval
--- a/relay/burst/invariants.go
+++ b/relay/burst/invariants.go
@@ -1,9 +1,9 @@
 package burst
 
 // checkInvariants verifies the Core's state after each decision and reports violations to
-// Config.Broken.
+// Config.OnInvariantViolation.
 func (c *Core) checkInvariants() {
-	if c.cfg.Broken == nil {
+	if c.cfg.OnInvariantViolation == nil {
 		return
 	}
 	inPeers, fetches, counted := 0, 0, 0
@@ -12,7 +12,7 @@
 			fetches++
 		}
 		if c.held.Test(uint(req.chunk)) {
-			c.cfg.Broken("a held chunk is being fetched")
+			c.cfg.OnInvariantViolation("a held chunk is being fetched")
 		}
 	}
 	for _, pst := range c.sortedPeers {
@@ -22,16 +22,16 @@
 		counted += int(count)
 	}
 	if counted != len(c.requests) || inPeers > len(c.requests)-fetches {
-		c.cfg.Broken("the request counters do not match the requests in progress")
+		c.cfg.OnInvariantViolation("the request counters do not match the requests in progress")
 	}
 	if c.held.DifferenceCardinality(c.originFetched) != 0 {
-		c.cfg.Broken("a held chunk is not recorded as fetched from the origin")
+		c.cfg.OnInvariantViolation("a held chunk is not recorded as fetched from the origin")
 	}
 	c.excess = min(c.excess, max(0, len(c.requests)-c.cfg.MaxFetches))
 	if len(c.requests) > c.cfg.MaxFetches+c.excess+maxOriginFetches {
-		c.cfg.Broken("more requests are in progress than allowed")
+		c.cfg.OnInvariantViolation("more requests are in progress than allowed")
 	}
 	if c.cfg.Strategy == Swarm && fetches > maxOriginFetches {
-		c.cfg.Broken("more origin fetches are in progress than allowed")
+		c.cfg.OnInvariantViolation("more origin fetches are in progress than allowed")
 	}
 }
--- a/relay/burst/origin.go
+++ b/relay/burst/origin.go
@@ -48,8 +48,8 @@
 // It starts small, so that the first chunks arrive and spread early. It grows later, when owners
 // have less of their link capacity left and one stalled owner should not matter.
 func (c *Core) originWindow() int {
-	if c.cfg.DrawWindow > 0 {
-		return c.cfg.DrawWindow
+	if c.cfg.OriginWindow > 0 {
+		return c.cfg.OriginWindow
 	}
 	return min(minOriginWindow+int(c.originFetched.Count())/originWindowStep, maxOriginWindow)
 }
@@ -367,7 +367,7 @@
 // originFailed backs off after a failed origin fetch. The pause doubles with each failure to
 // relieve a failing origin, and is never shorter than the retry delay that the origin requested.
 func (c *Core) originFailed(now time.Time, cause Cause, retryAfter time.Duration) {
-	if cause == Dropped {
+	if cause == StoreRejected {
 		return
 	}
 	pause := min(minOriginBackoff<<min(c.originFailures, 8), c.cfg.MaxBackoff)
--- a/relay/burst/peers.go
+++ b/relay/burst/peers.go
@@ -176,7 +176,7 @@
 		}
 	}
 	slices.SortFunc(ranked, byScore)
-	if c.cfg.DearRegions {
+	if c.cfg.LimitCrossRegionTraffic {
 		c.chooseByRegion(ranked)
 	} else {
 		c.chooseByDomain(ranked)
--- a/relay/burst/regions.go
+++ b/relay/burst/regions.go
@@ -42,7 +42,7 @@
 
 // isCostly reports whether traffic from the peer crosses regions under DearRegions.
 func (c *Core) isCostly(pst *peerState) bool {
-	return c.cfg.DearRegions && pst.peer.Region != c.cfg.Self.Region
+	return c.cfg.LimitCrossRegionTraffic && pst.peer.Region != c.cfg.Self.Region
 }
 
 // mayImport reports whether this host may now fetch the chunk from another region.
@@ -50,7 +50,7 @@
 
 // updateAllowedImports determines which chunks held in other regions this host may import now.
 func (c *Core) updateAllowedImports(now time.Time) {
-	if !c.cfg.DearRegions || now.Before(c.imports.nextScan) {
+	if !c.cfg.LimitCrossRegionTraffic || now.Before(c.imports.nextScan) {
 		return
 	}
 	c.imports.nextScan = now.Add(importScanInterval)
@@ -79,7 +79,7 @@
 
 // pullImports requests the chunks that this host imports into its region.
 func (c *Core) pullImports(now time.Time) {
-	if !c.cfg.DearRegions {
+	if !c.cfg.LimitCrossRegionTraffic {
 		return
 	}
 	wanted := c.imports.allowed.Difference(c.held)
@@ -139,7 +139,7 @@
 // would learn of the chunk through other hosts, each adding an exchange interval, which is long
 // compared to the chunk's transfer time.
 func (c *Core) notifyImporters(now time.Time, chunk int) {
-	if !c.cfg.DearRegions {
+	if !c.cfg.LimitCrossRegionTraffic {
 		return
 	}
 	first := map[string]*peerState{}
--- a/relay/burst/regions_test.go
+++ b/relay/burst/regions_test.go
@@ -17,7 +17,7 @@
 	}
 	pulls := 0
 	for _, host := range s.hosts {
-		pulls += host.core.Stats().FarPulls
+		pulls += host.core.Stats().CrossRegionPulls
 	}
 	return float64(pulls) / 96
 }
@@ -42,20 +42,20 @@
 // to retry later and retried late, because peers with the fewest chunks were served first and the
 // queue admitted no more than for any peer.
 func TestImporterHasPriority(t *testing.T) {
-	core := New(Config{Self: Peer{ID: "self", Region: "here"}, Version: "v", Chunks: 64, DearRegions: true})
+	core := New(Config{Self: Peer{ID: "self", Region: "here"}, Version: "v", Chunks: 64, LimitCrossRegionTraffic: true})
 	core.Observe(simStart, Peer{ID: "near", Region: "here"}, Report{Held: []uint64{0}})
 	core.Observe(simStart, Peer{ID: "far", Region: "there"}, Report{Held: []uint64{1<<20 - 1}})
-	if near, far := core.Turn("near"), core.Turn("far"); far >= near {
+	if near, far := core.UploadPriority("near"), core.UploadPriority("far"); far >= near {
 		t.Errorf("got Turn %d for the importer and %d for a neighbour that holds no chunks, want the importer first", far, near)
 	}
 	var full Uploads
 	for range UploadSlots + UploadQueue {
-		full.Admit(core.Turn("near"))
+		full.Admit(core.UploadPriority("near"))
 	}
-	if ok, _ := full.Admit(core.Turn("near")); ok {
+	if ok, _ := full.Admit(core.UploadPriority("near")); ok {
 		t.Error("a neighbour was admitted to a full queue, want it refused")
 	}
-	if ok, _ := full.Admit(core.Turn("far")); !ok {
+	if ok, _ := full.Admit(core.UploadPriority("far")); !ok {
 		t.Error("the importer was refused, want it admitted")
 	}
 }
@@ -63,7 +63,7 @@
 // Checks that a host that fetched a chunk from the origin notifies the importer in each other
 // region, and no other host there.
 func TestOriginFetchNotifiesImporters(t *testing.T) {
-	core := New(Config{Self: Peer{ID: "self", Region: "r-0"}, Version: "v", Chunks: 64, DearRegions: true})
+	core := New(Config{Self: Peer{ID: "self", Region: "r-0"}, Version: "v", Chunks: 64, LimitCrossRegionTraffic: true})
 	var list []Peer
 	for i := range 24 {
 		list = append(list, Peer{ID: fmt.Sprint("host-", i), Region: fmt.Sprint("r-", i%3)})
@@ -73,7 +73,7 @@
 	core.notifyImporters(simStart, 7)
 	for _, act := range core.actions {
 		notified[core.peers[act.Source].peer.Region]++
-		other := New(Config{Self: core.peers[act.Source].peer, Version: "v", Chunks: 64, DearRegions: true})
+		other := New(Config{Self: core.peers[act.Source].peer, Version: "v", Chunks: 64, LimitCrossRegionTraffic: true})
 		other.SetPeers(simStart, append(list, core.cfg.Self))
 		if rank := other.importRank(simStart, 7); rank != 0 {
 			t.Errorf("%s was notified and has import rank %d, want 0", act.Source, rank)
--- a/relay/burst/reports.go
+++ b/relay/burst/reports.go
@@ -14,10 +14,10 @@
 		}
 	}
 	return Report{
-		Held:     slices.Clone(c.held.Words()),
-		Fetching: fetching.Words(),
-		Drawn:    slices.Clone(c.originFetched.Words()),
-		Queue:    c.uploads,
+		Held:          slices.Clone(c.held.Words()),
+		Fetching:      fetching.Words(),
+		OriginFetched: slices.Clone(c.originFetched.Words()),
+		Queue:         c.uploads,
 	}
 }
 
@@ -43,9 +43,9 @@
 	c.applyReport(now, pst, rep)
 }
 
-// Answered processes the report that came with a chunk or a refusal. Chunk requests carry reports
+// ReportReceived processes the report that came with a chunk or a refusal. Chunk requests carry reports
 // in both directions, so neighbours that transfer chunks need few separate exchanges.
-func (c *Core) Answered(now time.Time, id string, rep Report) {
+func (c *Core) ReportReceived(now time.Time, id string, rep Report) {
 	pst := c.peers[id]
 	if pst == nil || len(rep.Held) == 0 {
 		return
@@ -72,7 +72,7 @@
 	if !pst.neighbour && !pst.absent(now) && len(c.neighbours) < maxNeighbours {
 		c.setNeighbour(pst, true)
 	}
-	c.markOriginFetched(now, rep.Drawn)
+	c.markOriginFetched(now, rep.OriginFetched)
 	c.markOriginFetched(now, rep.Held)
 }
 
@@ -120,8 +120,8 @@
 	if c.stats.FirstHeld.IsZero() && c.held.Any() {
 		c.stats.FirstHeld = now
 	}
-	if c.stats.AllDrawn.IsZero() && int(c.originFetched.Count()) == c.cfg.Chunks {
-		c.stats.AllDrawn = now
+	if c.stats.AllOriginFetched.IsZero() && int(c.originFetched.Count()) == c.cfg.Chunks {
+		c.stats.AllOriginFetched = now
 	}
 	c.nextOriginScan = now
 	c.discountStall(now)
--- a/relay/burst/requests.go
+++ b/relay/burst/requests.go
@@ -64,7 +64,7 @@
 	switch cause {
 	case Busy:
 		pst.busyUntil = now.Add(max(busyWait, retryAfter))
-	case Lacks:
+	case NotHeld:
 		pst.busyUntil = now.Add(lacksWait)
 		c.clearPeerChunk(pst, chunk)
 	case Corrupt:
@@ -89,7 +89,7 @@
 		c.stats.TimedOut++
 	case Corrupt:
 		c.stats.Corrupt++
-	case Broken, Lacks, Dropped:
+	case Broken, NotHeld, StoreRejected:
 		c.stats.Broken++
 	}
 }
@@ -140,13 +140,13 @@
 	case source != nil:
 		c.stats.Pulls++
 		if source.peer.Region != c.cfg.Self.Region {
-			c.stats.FarPulls++
+			c.stats.CrossRegionPulls++
 		}
 	case c.originFetched.Test(uint(chunk)):
-		c.stats.Draws++
-		c.stats.DrawsAgain++
+		c.stats.OriginFetches++
+		c.stats.OriginRefetches++
 	default:
-		c.stats.Draws++
+		c.stats.OriginFetches++
 	}
 	req := &request{chunk: chunk, source: source, started: now, deadline: now.Add(c.timeout(source))}
 	c.requests = append(c.requests, req)
--- a/relay/burst/sim_test.go
+++ b/relay/burst/sim_test.go
@@ -195,8 +195,8 @@
 	host.core = New(Config{
 		Self: host.peer, Version: "version", Chunks: s.cfg.chunks, Strategy: s.cfg.strategy,
 		Objective: s.cfg.objective, OriginCopies: s.cfg.originCopies, Seed: s.cfg.seed + uint64(host.incarnation),
-		DearRegions: s.cfg.costlyRegions, MaxBackoff: s.cfg.backoff, DrawWindow: s.cfg.drawWindow, MaxFetches: s.cfg.maxFetches,
-		Broken: func(rule string) { panic(host.peer.ID + ": " + rule) },
+		LimitCrossRegionTraffic: s.cfg.costlyRegions, MaxBackoff: s.cfg.backoff, OriginWindow: s.cfg.drawWindow, MaxFetches: s.cfg.maxFetches,
+		OnInvariantViolation: func(rule string) { panic(host.peer.ID + ": " + rule) },
 	})
 	s.tick(host, host.incarnation, true)
 }
@@ -267,7 +267,7 @@
 			s.exchange(host, s.byID[act.Source])
 		}
 	}
-	if host.completeAt == 0 && host.core.Whole() {
+	if host.completeAt == 0 && host.core.Complete() {
 		host.completeAt = s.now
 	}
 }
@@ -329,10 +329,10 @@
 		}
 		peer.core.Observe(s.time(), host.peer, rep)
 		if !peer.core.Holds(act.Chunk) {
-			s.failLater(transfer, lat, Lacks, 0)
+			s.failLater(transfer, lat, NotHeld, 0)
 			return
 		}
-		ok, retryAfter := peer.uploads.Admit(peer.core.Turn(host.peer.ID))
+		ok, retryAfter := peer.uploads.Admit(peer.core.UploadPriority(host.peer.ID))
 		if !ok {
 			s.sendReport(transfer, lat)
 			s.failLater(transfer, lat, Busy, retryAfter)
@@ -349,7 +349,7 @@
 	from.core.SetUploads(from.uploads.Load())
 	rep := from.core.Report()
 	rep.Fetching = nil
-	s.scheduleOn(transfer.to, wait, func() { transfer.to.core.Answered(s.time(), from.peer.ID, rep) })
+	s.scheduleOn(transfer.to, wait, func() { transfer.to.core.ReportReceived(s.time(), from.peer.ID, rep) })
 }
 
 func (s *sim) originRequest(host *simHost, transfer *simTransfer) {
@@ -442,7 +442,7 @@
 	for len(peer.waiting) > 0 && peer.uploads.Start() {
 		next := 0
 		for i, other := range peer.waiting {
-			if peer.core.Turn(other.to.peer.ID) < peer.core.Turn(peer.waiting[next].to.peer.ID) {
+			if peer.core.UploadPriority(other.to.peer.ID) < peer.core.UploadPriority(peer.waiting[next].to.peer.ID) {
 				next = i
 			}
 		}
@@ -521,12 +521,12 @@
 	}
 	var cause Cause
 	if transfer.to.storeRefuses {
-		cause = Dropped
+		cause = StoreRejected
 	} else if (transfer.from != nil && transfer.from.corrupts) || s.rng.Float64() < s.cfg.corrupt {
 		cause = Corrupt
 	}
 	wait := at - s.now + simProcessingTime
-	if cause == Dropped {
+	if cause == StoreRejected {
 		wait += simStoreRefusalDelay
 	}
 	s.scheduleOn(transfer.to, wait, func() { s.endTransfer(transfer, cause, 0) })
--- a/relay/burst/uploads.go
+++ b/relay/burst/uploads.go
@@ -57,12 +57,12 @@
 // importPriority is the Turn of requests from other regions under DearRegions.
 const importPriority = -1
 
-// Turn returns the priority of a peer's waiting request; the lowest value is served first.
+// UploadPriority returns the priority of a peer's waiting request; the lowest value is served first.
 // Requests from other regions come first under DearRegions: all hosts of that region wait for the
 // one that imports the chunk. Before this rule it was queued behind hosts of this region, which
 // can also supply each other, or was asked to retry later. Next come the peers that hold the
 // fewest chunks, because the slowest host determines when the whole fleet is complete.
-func (c *Core) Turn(id string) int {
+func (c *Core) UploadPriority(id string) int {
 	pst := c.peers[id]
 	if pst == nil {
 		return 0
