--- a/entry/internal/cmd/process.go
+++ b/entry/internal/cmd/process.go
@@ -221,7 +221,7 @@
 	p.Self.Drain()
 	p.Deployment.Members().ObserveEntry(p.Self.Latest(), p.Clock.Now())
 	p.Publisher.Wake()
-	p.Deployment.Hurry()
+	p.Deployment.NotifyUrgent()
 }
 
 // ready returns nil if this entry knows the document in force and accepts requests
--- a/entry/internal/control/deployment.go
+++ b/entry/internal/control/deployment.go
@@ -148,10 +148,10 @@
 	d.changed = make(chan struct{})
 }
 
-// Hurry ends the waiting calls of other entries, so that they learn at once that
+// NotifyUrgent ends the waiting calls of other entries, so that they learn at once that
 // a node is leaving. Calls of agents keep waiting: ending them all would cause a
 // burst of calls when there are many agents.
-func (d *Deployment) Hurry() {
+func (d *Deployment) NotifyUrgent() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.urgent)
--- a/entry/internal/control/publisher.go
+++ b/entry/internal/control/publisher.go
@@ -114,6 +114,6 @@
 		ConfirmedAt:  confirmedAt,
 	})
 	if urgent {
-		p.deployment.Hurry()
+		p.deployment.NotifyUrgent()
 	}
 }
