--- a/entry/internal/cmd/wiring.go
+++ b/entry/internal/cmd/wiring.go
@@ -61,7 +61,7 @@
 			return logging.New(errOut, set.GetNode().GetLogLevel(), program, set.GetNode().GetId())
 		},
 		func() *http.Client { return &http.Client{} },
-		func() *store.Parts { return store.NewParts(partsCacheBytes) },
+		func() *store.PartCache { return store.NewPartCache(partsCacheBytes) },
 		newKeys, peer.NewPool, newListeners, newSelfNode, view.NewHolder, newService, store.New, store.NewCollector,
 		newCallers, control.NewDeployment, newSelf, newExchange, newSyncer, newServer, newPublisher, newHostList,
 		newLeases, newWatcher, newPlanner, newOperators, newConsole,
--- a/entry/internal/control/deployment.go
+++ b/entry/internal/control/deployment.go
@@ -47,7 +47,7 @@
 	self    *wire.Node
 	clock   clockwork.Clock
 	log     *slog.Logger
-	parts   *store.Parts
+	parts   *store.PartCache
 	view    *view.Holder
 	members *Members
 
@@ -64,7 +64,7 @@
 }
 
 // NewDeployment returns an empty Deployment.
-func NewDeployment(self *wire.Node, parts *store.Parts, holder *view.Holder, clock clockwork.Clock, log *slog.Logger) *Deployment {
+func NewDeployment(self *wire.Node, parts *store.PartCache, holder *view.Holder, clock clockwork.Clock, log *slog.Logger) *Deployment {
 	return &Deployment{
 		self:          self,
 		clock:         clock,
--- a/entry/internal/control/fleet_test.go
+++ b/entry/internal/control/fleet_test.go
@@ -111,7 +111,7 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	m := &member{fleet: f, stop: stop, view: view.NewHolder()}
 	m.node = node.Describe(&wire.NodeSettings{Id: id, Region: region, FailureDomain: region + "1", ControlAddress: id}, "entry", id)
-	parts := store.NewParts(1 << 20)
+	parts := store.NewPartCache(1 << 20)
 	service := f.storeFor(region)
 	m.docs = store.New(service, parts, clock, log)
 	m.deployment = NewDeployment(m.node, parts, m.view, clock, log)
@@ -483,7 +483,7 @@
 
 	mu           sync.Mutex
 	state        revision.State
-	parts        *store.Parts
+	parts        *store.PartCache
 	known        uint32 // revision in the home entry's last reply
 	home         string
 	sequence     uint64
@@ -495,7 +495,7 @@
 
 func (f *fleet) startAgent(id, region string) {
 	ctx, stop := context.WithCancel(f.ctx)
-	agent := &fakeAgent{fleet: f, stop: stop, view: view.NewHolder(), parts: store.NewParts(1 << 20)}
+	agent := &fakeAgent{fleet: f, stop: stop, view: view.NewHolder(), parts: store.NewPartCache(1 << 20)}
 	agent.table = membership.New(membership.DefaultLimits())
 	agent.node = node.Describe(&wire.NodeSettings{Id: id, Region: region, FailureDomain: region + "1", ControlAddress: id}, "agent", "")
 	f.mu.Lock()
--- a/entry/internal/control/fuzz_test.go
+++ b/entry/internal/control/fuzz_test.go
@@ -18,7 +18,7 @@
 func newIsolatedEntry() (*Server, *Exchange) {
 	clock := clockwork.NewFakeClock()
 	self := &wire.Node{Id: "entry-0", Incarnation: "i1", Role: "entry"}
-	deployment := NewDeployment(self, store.NewParts(1<<20), view.NewHolder(), clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	deployment := NewDeployment(self, store.NewPartCache(1<<20), view.NewHolder(), clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	report := &wire.EntryReport{Node: self, Sequence: 1}
 	exchange := NewExchange(deployment, func() *wire.EntryReport { return report })
 	return NewServer(exchange, Delegate{}, false, func(*wire.Node) {}), exchange
--- a/entry/internal/operators/operators_test.go
+++ b/entry/internal/operators/operators_test.go
@@ -54,7 +54,7 @@
 		}
 		return get(ctx, key)
 	}
-	parts := store.NewParts(1 << 20)
+	parts := store.NewPartCache(1 << 20)
 	node := &wire.Node{Id: "entry-0", Incarnation: "i1", Role: "entry", FailureDomain: "zona-uno"}
 	holder := view.NewHolder()
 	f.deployment = control.NewDeployment(node, parts, holder, clock, log)
--- a/entry/internal/store/parts.go
+++ b/entry/internal/store/parts.go
@@ -11,18 +11,18 @@
 // maxCachedParts limits the number of parts in the cache.
 const maxCachedParts = 4096
 
-// Parts is an LRU cache of document parts, keyed by content hash and limited in
+// PartCache is an LRU cache of document parts, keyed by content hash and limited in
 // bytes. It is safe for concurrent use.
-type Parts struct {
+type PartCache struct {
 	mu    sync.Mutex
 	cache *simplelru.LRU[string, []byte]
 	bytes int // sum of the parts' sizes
 	limit int // maximum of bytes; a single larger part may exceed it
 }
 
-// NewParts returns an empty cache that holds at most limit bytes.
-func NewParts(limit int) *Parts {
-	parts := &Parts{limit: limit}
+// NewPartCache returns an empty cache that holds at most limit bytes.
+func NewPartCache(limit int) *PartCache {
+	parts := &PartCache{limit: limit}
 	cache, err := simplelru.NewLRU(maxCachedParts, func(_ string, content []byte) { parts.bytes -= len(content) })
 	if err != nil {
 		panic("store: " + err.Error()) // NewLRU fails only for a size below 1.
@@ -33,7 +33,7 @@
 
 // Get returns the part's bytes, or nil if it is not cached. The caller must not
 // modify them.
-func (p *Parts) Get(hash string) []byte {
+func (p *PartCache) Get(hash string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	content, _ := p.cache.Get(hash)
@@ -41,7 +41,7 @@
 }
 
 // Has reports whether the part is cached.
-func (p *Parts) Has(hash string) bool {
+func (p *PartCache) Has(hash string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cache.Contains(hash)
@@ -49,7 +49,7 @@
 
 // Add caches the part if its bytes match the hash, and reports whether they do.
 // The check keeps corrupt data out of documents, whatever its source.
-func (p *Parts) Add(hash string, content []byte) bool {
+func (p *PartCache) Add(hash string, content []byte) bool {
 	if content == nil || document.HashBytes(content) != hash {
 		return false
 	}
--- a/entry/internal/store/simulation_test.go
+++ b/entry/internal/store/simulation_test.go
@@ -53,7 +53,7 @@
 	sim := &simulation{t: t, clock: clock, service: newFaultyService(clock), history: map[uint32]*wire.Root{}, outcomes: map[string]string{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range 3 {
-		entry := New(sim.service.store(), NewParts(4<<10), autoAdvanceClock{clock, clock}, log)
+		entry := New(sim.service.store(), NewPartCache(4<<10), autoAdvanceClock{clock, clock}, log)
 		entry.runAsync = func(work func()) { work() }
 		sim.entries = append(sim.entries, entry)
 	}
--- a/entry/internal/store/store.go
+++ b/entry/internal/store/store.go
@@ -42,7 +42,7 @@
 // Store reads and writes documents in the key-value service.
 type Store struct {
 	kv    *kv.Store
-	parts *Parts
+	parts *PartCache
 	clock clockwork.Clock
 	log   *slog.Logger
 	// runAsync runs work that the submitter does not wait for. Tests replace it to
@@ -51,12 +51,12 @@
 }
 
 // New returns a Store backed by the key-value service.
-func New(service *kv.Store, parts *Parts, clock clockwork.Clock, log *slog.Logger) *Store {
+func New(service *kv.Store, parts *PartCache, clock clockwork.Clock, log *slog.Logger) *Store {
 	return &Store{kv: service, parts: parts, clock: clock, log: log, runAsync: func(work func()) { go work() }}
 }
 
 // Parts returns the part cache.
-func (s *Store) Parts() *Parts { return s.parts }
+func (s *Store) Parts() *PartCache { return s.parts }
 
 // versionedRoot is a root with the revision of its key in the key-value service.
 type versionedRoot struct {
--- a/entry/internal/store/store_test.go
+++ b/entry/internal/store/store_test.go
@@ -37,7 +37,7 @@
 // entry returns the named entry's store and creates it on first use.
 func (s *scriptEnv) entry(name string) *Store {
 	if s.entries[name] == nil {
-		s.entries[name] = New(s.service.store(), NewParts(1<<20), s.clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		s.entries[name] = New(s.service.store(), NewPartCache(1<<20), s.clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		s.entries[name].runAsync = func(work func()) { work() }
 	}
 	return s.entries[name]
@@ -201,7 +201,7 @@
 }
 
 func TestPartsCacheIsBounded(t *testing.T) {
-	parts := NewParts(100)
+	parts := NewPartCache(100)
 	var hashes []string
 	for i := range 10 {
 		content := []byte(strings.Repeat(fmt.Sprint(i), 30))
