--- a/agent/internal/onsite/memory_store_test.go
+++ b/agent/internal/onsite/memory_store_test.go
@@ -83,7 +83,7 @@
 				t.Fatal(err)
 			}
 		}
-		engine.Spoil(1)
+		engine.CorruptChunk(1)
 		data, err := stage.readBack(t.Context(), man.ChunkHashes[1])
 		if err != nil {
 			t.Fatal(err)
@@ -91,7 +91,7 @@
 		if got, want := bytes.Equal(data, chunks[1]), capacity > 0; got != want {
 			t.Errorf("memory for %d bytes: got an intact chunk %v, want %v", capacity, got, want)
 		}
-		if got, want := engine.Lies(chunks), capacity > 0; got != want {
+		if got, want := engine.HasStaged(chunks), capacity > 0; got != want {
 			t.Errorf("memory for %d bytes: got an intact version staged %v, want %v", capacity, got, want)
 		}
 	}
--- a/agent/internal/onsite/onsite_test.go
+++ b/agent/internal/onsite/onsite_test.go
@@ -194,7 +194,7 @@
 func TestCorruptedStagedChunkIsFetchedAgain(t *testing.T) {
 	s := newTestSite(t, 1, 1, 0)
 	for i := range testChunks {
-		s.engines[0].Spoil(i)
+		s.engines[0].CorruptChunk(i)
 	}
 	s.sendGuidance(1, 1)
 	for len(s.engines[2].Loads()) == 0 {
@@ -204,7 +204,7 @@
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
 	s.engines[1].SetRunning(1) // makes it wait for its turn, which leaves time to corrupt a chunk
 	s.sendGuidance(2, 5)
-	for !s.engines[1].Spoil(3) {
+	for !s.engines[1].CorruptChunk(3) {
 		time.Sleep(time.Millisecond)
 	}
 	s.awaitVersion(t, 2)
@@ -218,7 +218,7 @@
 	s := newTestSite(t, 1, 1)
 	s.sendGuidance(1, 1)
 	s.origin.Add(2, platformtest.Chunks(2, testChunks, testSize))
-	s.origin.SpoilManifests(1)
+	s.origin.CorruptManifests(1)
 	s.sendGuidance(2, 5)
 	s.awaitVersion(t, 2)
 	s.checkLoads(t)
--- a/agent/internal/onsite/stage.go
+++ b/agent/internal/onsite/stage.go
@@ -175,7 +175,7 @@
 // readOrRepair returns what is staged at an index. If that is not the expected chunk and
 // memory has a copy of it, the copy is staged and read back first.
 func (s *stage) readOrRepair(ctx context.Context, model string, index int, sum digest) ([]byte, error) {
-	staged, err := s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
+	staged, err := s.engine.StagedChunk(ctx, model, index, manifest.MaxChunkBytes)
 	if err != nil && failure.KindOf(err) != failure.NotFound {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 	if err := s.engine.Stage(ctx, model, index, backup); err != nil {
 		return nil, err
 	}
-	return s.engine.Unstage(ctx, model, index, manifest.MaxChunkBytes)
+	return s.engine.StagedChunk(ctx, model, index, manifest.MaxChunkBytes)
 }
 
 // drop forgets a chunk. Its staged bytes stay until another chunk overwrites them.
@@ -216,7 +216,7 @@
 	}
 	var found [][]byte
 	for _, i := range indexes {
-		data, err := s.engine.Unstage(ctx, want.model, i, manifest.MaxChunkBytes)
+		data, err := s.engine.StagedChunk(ctx, want.model, i, manifest.MaxChunkBytes)
 		if err != nil {
 			continue
 		}
--- a/agent/internal/onsite/stage_test.go
+++ b/agent/internal/onsite/stage_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("version %d, chunk %d: got error %v, want it accepted: %v", test.version, test.index, err, test.fits)
 		}
 	}
-	if !engine.Lies(chunks[2]) {
+	if !engine.HasStaged(chunks[2]) {
 		t.Error("got other chunks staged than those of version 2")
 	}
 	if data, err := stage.get(t.Context(), manifests[3].ChunkHashes[1]); err != nil || !bytes.Equal(data, chunks[3][1]) {
@@ -57,7 +57,7 @@
 	if err := put(3, 2); err != nil {
 		t.Fatal(err)
 	}
-	if !engine.Lies(chunks[3]) {
+	if !engine.HasStaged(chunks[3]) {
 		t.Error("got other chunks staged than those of version 3")
 	}
 	if got := len(stage.memory.pending); got != 0 {
--- a/entry/internal/onsite/directory.go
+++ b/entry/internal/onsite/directory.go
@@ -29,7 +29,7 @@
 
 // selectAddresses returns the entries in the caller's failure domain, or all entries if the
 // domain has too few, and how long the answer may be cached.
-func (d *directory) selectAddresses(place platform.Place) ([]string, time.Duration) {
+func (d *directory) selectAddresses(place platform.CallerLocation) ([]string, time.Duration) {
 	entries := d.state.Entries()
 	delete(entries, d.id)
 	if d.acceptsCallers() {
--- a/entry/internal/onsite/leaving_test.go
+++ b/entry/internal/onsite/leaving_test.go
@@ -44,7 +44,7 @@
 	f := newTestFleet(t, 3, 3, nil)
 	resting := f.workers[0]
 	f.awaitUseByAllEntries(t, resting)
-	resting.Rest("60")
+	resting.SetRetryAfter("60")
 	if got, want := f.sendFromEachEntry(t, resting, 40), len(f.entries); got > want {
 		t.Errorf("got %d requests at an endpoint that asked for a pause, want one from each of %d entries at most", got, want)
 	}
--- a/entry/internal/onsite/limit_test.go
+++ b/entry/internal/onsite/limit_test.go
@@ -43,7 +43,7 @@
 		for _, to := range f.entries {
 			body := "from " + to.cfg.GetNode().GetId()
 			f.send(to, body)
-			if worker.Seen(body) == 0 {
+			if worker.RequestCount(body) == 0 {
 				idle = append(idle, body)
 			}
 		}
@@ -60,7 +60,7 @@
 	const perSecond = 1
 	f := newTestFleet(t, 9, 3, nil)
 	limited := f.workers[0]
-	limited.Limit("1")
+	limited.SetRateLimit("1")
 	startedAt := time.Now()
 	var callers sync.WaitGroup
 	for _, to := range f.entries {
@@ -79,7 +79,7 @@
 	if got := maxInWindow(arrivals, startedAt.Add(limitGracePeriod), limitWindow); got > allowed {
 		t.Errorf("got %d requests in %v at an endpoint that accepts %d a second, want %d at most", got, limitWindow, perSecond, allowed)
 	}
-	limited.Limit("")
+	limited.SetRateLimit("")
 	f.awaitUseByAllEntries(t, limited)
 	if last := arrivals[len(arrivals)-1]; last.Before(startedAt.Add(limitGracePeriod)) {
 		t.Errorf("got no request after %v at a rate-limited endpoint, want requests up to its limit", last.Sub(startedAt))
--- a/entry/internal/onsite/onsite_test.go
+++ b/entry/internal/onsite/onsite_test.go
@@ -137,7 +137,7 @@
 	}
 	check := func(domain string, want ...string) {
 		t.Helper()
-		if got, _ := dir.selectAddresses(platform.Place{FailureDomain: domain}); !slices.Equal(got, want) {
+		if got, _ := dir.selectAddresses(platform.CallerLocation{FailureDomain: domain}); !slices.Equal(got, want) {
 			t.Errorf("%s: got %v, want %v", domain, got, want)
 		}
 	}
--- a/entry/internal/onsite/quarantine_test.go
+++ b/entry/internal/onsite/quarantine_test.go
@@ -61,7 +61,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(worker.End)
+		t.Cleanup(worker.Crash)
 		f.workers = append(f.workers, worker)
 		f.store.Put("servers/"+id, worker.Registration("app", "d1", 4))
 	}
@@ -151,7 +151,7 @@
 func (f *testFleet) timesReceived(body string) int {
 	count := 0
 	for _, worker := range f.workers {
-		count += worker.Seen(body)
+		count += worker.RequestCount(body)
 	}
 	return count
 }
@@ -234,11 +234,11 @@
 	f.send(f.entries[0], crashBody)
 	interrupted := 0
 	for _, worker := range f.workers {
-		if worker.Ends() == 0 {
+		if worker.CrashCount() == 0 {
 			continue
 		}
 		for i := range concurrent {
-			interrupted += worker.Seen(fmt.Sprintf("beside-%d", i))
+			interrupted += worker.RequestCount(fmt.Sprintf("beside-%d", i))
 		}
 	}
 	if interrupted == 0 {
--- a/entry/internal/onsite/simultaneous_start_test.go
+++ b/entry/internal/onsite/simultaneous_start_test.go
@@ -40,7 +40,7 @@
 func newStartGroup(t *testing.T, entries, valueBytes int) *startGroup {
 	t.Helper()
 	store := platformtest.NewStore()
-	store.Run()
+	store.EnableLeaseExpiry()
 	server := httptest.NewUnstartedServer(store)
 	r := &startGroup{link: platformtest.NewNarrowLink(server.Listener, linkMegabits*1e6/8), config: incompressibleConfig(valueBytes)}
 	server.Listener = r.link
--- a/standin/internal/site/endpoint.go
+++ b/standin/internal/site/endpoint.go
@@ -23,12 +23,12 @@
 		options.Chunks = platformtest.Chunks(options.Version, p.options.Chunks, p.options.ChunkBytes)
 	}
 	worker := platformtest.NewEndpoint(options, ctx.Done())
-	worker.SetWarm(time.Duration(p.options.WarmMillis) * time.Millisecond)
+	worker.SetLoadTime(time.Duration(p.options.WarmMillis) * time.Millisecond)
 	p.handler = worker
 	p.faults = func(f platformtest.PartFaults) {
 		worker.SetFaults(f.Broken, f.Slow)
 		if f.Spoil {
-			worker.Spoil()
+			worker.CorruptChunk()
 		}
 	}
 	p.control.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) {
@@ -98,7 +98,7 @@
 	}
 	p.handler = origin
 	p.faults = func(f platformtest.PartFaults) {
-		origin.SpoilManifests(f.Manifests)
+		origin.CorruptManifests(f.Manifests)
 		origin.RefuseChunks(f.Refuse)
 	}
 	p.control.HandleFunc("GET /record", func(w http.ResponseWriter, _ *http.Request) {
--- a/standin/internal/site/store.go
+++ b/standin/internal/site/store.go
@@ -21,7 +21,7 @@
 // and endpoints; a key with a TTL is removed unless it is written again.
 func (p *part) setupStore() error {
 	store := platformtest.NewStore()
-	store.Run()
+	store.EnableLeaseExpiry()
 	p.handler = store
 	proxies := map[string]*storeProxy{}
 	for _, address := range p.options.Doors {
