--- a/agent/internal/orders/runner.go
+++ b/agent/internal/orders/runner.go
@@ -216,8 +216,8 @@
 }
 
 // currentAssignment returns this host's assignment in the plan, or else the one
-// from Placement, or nil. Placement is called in either case, so that it notices
-// when the plan takes over.
+// from FallbackAssignment, or nil. FallbackAssignment is called in either case, so
+// that it notices when the plan takes over.
 func (r *Runner) currentAssignment(snap *view.Snapshot) *wire.Assignment {
 	var placed *wire.Assignment
 	if r.cfg.FallbackAssignment != nil {
@@ -231,7 +231,8 @@
 	return placed
 }
 
-// ownReport returns the part of this host's report that Placement needs.
+// ownReport returns the part of this host's report that FallbackAssignment
+// needs.
 func (r *Runner) ownReport() *wire.HostReport {
 	return &wire.HostReport{Node: r.cfg.Self, Leaving: r.cfg.Gate.State().Leaving(), Versions: r.States()}
 }
--- a/agent/internal/weights/uploads.go
+++ b/agent/internal/weights/uploads.go
@@ -10,7 +10,7 @@
 )
 
 // uploadQueue makes peers' requests for chunks wait for an upload slot, in the order
-// of burst.Core's Turn.
+// of burst.Core's UploadPriority.
 type uploadQueue struct {
 	mu        sync.Mutex
 	admission burst.Uploads
@@ -25,8 +25,9 @@
 
 func newUploadQueue() *uploadQueue { return &uploadQueue{} }
 
-// acquire waits for a slot; rank comes from burst.Core's Turn. If too many requests
-// wait already, it returns at once with the time after which the peer should retry.
+// acquire waits for a slot; rank comes from burst.Core's UploadPriority. If too
+// many requests wait already, it returns at once with the time after which the peer
+// should retry.
 func (u *uploadQueue) acquire(ctx context.Context, rank int) (retryAfter time.Duration, err error) {
 	granted := make(chan struct{})
 	u.mu.Lock()
--- a/bench/internal/capacity/size.go
+++ b/bench/internal/capacity/size.go
@@ -42,7 +42,7 @@
 	agentCallsPerSecond = 1.0     // of one agent to its home: defaultWait of agent/internal/cmd
 	entryCallsPerSecond = 0.5     // of one entry to one neighbour: defaultSync of entry/internal/cmd
 	neighbours          = 16.0    // calls kept and calls answered: about 8 each, spread.Neighbours
-	viewsPerSecond      = 2.0     // least, buildInterval of entry/internal/control
+	viewsPerSecond      = 2.0     // least, maxBuildInterval of entry/internal/control
 	listReadsPerSecond  = 1 / 7.5 // jittered 10 s: entry/internal/control and agent/internal/control
 	onceHorizonSeconds  = 3_660.0 // once.MaxKeyAge and a generation
 	keyPollsPerSecond   = 3 / 45. // of one entry: root, plan and drain marks, jittered 60 s
--- a/bench/internal/sitesoak/caller.go
+++ b/bench/internal/sitesoak/caller.go
@@ -84,10 +84,10 @@
 const (
 	connectTimeout = time.Second
 	resolveTimeout = time.Second
-	// idlePart is the fraction of the declared idle time for which callers keep an idle
+	// idleFraction is the fraction of the declared idle time for which callers keep an idle
 	// connection.
 	idleFraction = 0.8
-	// retries is how often a caller sends a request again.
+	// maxRetries is how often a caller sends a request again.
 	maxRetries = 1
 )
 
--- a/bench/internal/sitesoak/run.go
+++ b/bench/internal/sitesoak/run.go
@@ -28,7 +28,7 @@
 
 const (
 	startTimeout = 40 * time.Second
-	// warmTime is how long the load runs before the first event.
+	// warmupTime is how long the load runs before the first event.
 	warmupTime = 2 * time.Second
 	// settleTime is the time for the last requests to end. The load goes on for half of it after
 	// the last event, and the recovery check covers a quarter of it before the last request.
--- a/entry/internal/control/deployment.go
+++ b/entry/internal/control/deployment.go
@@ -159,7 +159,7 @@
 }
 
 // notifications returns the channels that close at the next revision change and
-// the next call of Hurry.
+// the next call of NotifyUrgent.
 func (d *Deployment) notifications() (changed, urgent <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/relay/burst/origin.go
+++ b/relay/burst/origin.go
@@ -277,8 +277,8 @@
 // need not be a neighbour. If it sends only corrupt data, this request is how the lower-ranked
 // owners find out.
 //
-// Under DearRegions, only the host that imports the chunk into its region asks an owner in another
-// region.
+// Under LimitCrossRegionTraffic, only the host that imports the chunk into its region asks an owner
+// in another region.
 func (c *Core) pullFromOwner(now time.Time, owner *peerState, chunk int) {
 	if c.isCostly(owner) && c.importRank(now, chunk) > 0 {
 		return
--- a/relay/burst/regions.go
+++ b/relay/burst/regions.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// Under DearRegions, a host has sameRegionNeighbours in its own region, which supply most
-	// chunks, and otherRegionNeighbours elsewhere, which are enough to import one copy.
+	// Under LimitCrossRegionTraffic, a host has sameRegionNeighbours in its own region, which supply
+	// most chunks, and otherRegionNeighbours elsewhere, which are enough to import one copy.
 	sameRegionNeighbours  = 6
 	otherRegionNeighbours = 4
-	// regionUpdateInterval replaces updateInterval under DearRegions: with few neighbours, each is
-	// the only path to the chunks it holds.
+	// regionUpdateInterval replaces updateInterval under LimitCrossRegionTraffic: with few
+	// neighbours, each is the only path to the chunks it holds.
 	regionUpdateInterval = 300 * time.Millisecond
 	// A host waits for each host of its region that ranks before it until it imports a chunk: at
 	// least minImportRankTimeout, and at least importRankFetchTimes measured fetch durations. One
@@ -40,7 +40,7 @@
 	return &importState{allowed: newChunkSet(chunks), firstOffered: make([]time.Time, chunks)}
 }
 
-// isCostly reports whether traffic from the peer crosses regions under DearRegions.
+// isCostly reports whether traffic from the peer crosses regions under LimitCrossRegionTraffic.
 func (c *Core) isCostly(pst *peerState) bool {
 	return c.cfg.LimitCrossRegionTraffic && pst.peer.Region != c.cfg.Self.Region
 }
--- a/relay/burst/regions_test.go
+++ b/relay/burst/regions_test.go
@@ -28,12 +28,12 @@
 func TestRegionImportsOneCopy(t *testing.T) {
 	anywhere, costlyRegions := crossRegionCopies(t, false), crossRegionCopies(t, true)
 	if anywhere < 10 {
-		t.Errorf("got %.1f copies across regions without DearRegions, want at least 10 for a meaningful comparison", anywhere)
+		t.Errorf("got %.1f copies across regions without LimitCrossRegionTraffic, want at least 10 for a meaningful comparison", anywhere)
 	}
 	// Two copies are needed; an eighth of a copy is allowed for a second host that fetches while
 	// the first is busy.
 	if costlyRegions > 2.25 {
-		t.Errorf("got %.2f copies across regions with DearRegions, want at most 2.25", costlyRegions)
+		t.Errorf("got %.2f copies across regions with LimitCrossRegionTraffic, want at most 2.25", costlyRegions)
 	}
 }
 
@@ -46,7 +46,7 @@
 	core.Observe(simStart, Peer{ID: "near", Region: "here"}, Report{Held: []uint64{0}})
 	core.Observe(simStart, Peer{ID: "far", Region: "there"}, Report{Held: []uint64{1<<20 - 1}})
 	if near, far := core.UploadPriority("near"), core.UploadPriority("far"); far >= near {
-		t.Errorf("got Turn %d for the importer and %d for a neighbour that holds no chunks, want the importer first", far, near)
+		t.Errorf("got UploadPriority %d for the importer and %d for a neighbour that holds no chunks, want the importer first", far, near)
 	}
 	var full Uploads
 	for range UploadSlots + UploadQueue {
--- a/relay/burst/uploads.go
+++ b/relay/burst/uploads.go
@@ -18,8 +18,8 @@
 	meanDuration time.Duration
 }
 
-// Admit reports whether a request with the given Turn may run or wait. If not, it returns a delay
-// after which to retry.
+// Admit reports whether a request with the given UploadPriority may run or wait. If not, it
+// returns a delay after which to retry.
 func (u *Uploads) Admit(priority int) (ok bool, retryAfter time.Duration) {
 	maximum := UploadSlots + UploadQueue
 	if priority == importPriority {
@@ -54,14 +54,15 @@
 // Load returns the number of uploads in progress or waiting.
 func (u *Uploads) Load() int { return u.active + u.waiting }
 
-// importPriority is the Turn of requests from other regions under DearRegions.
+// importPriority is the UploadPriority of requests from other regions under
+// LimitCrossRegionTraffic.
 const importPriority = -1
 
 // UploadPriority returns the priority of a peer's waiting request; the lowest value is served first.
-// Requests from other regions come first under DearRegions: all hosts of that region wait for the
-// one that imports the chunk. Before this rule it was queued behind hosts of this region, which
-// can also supply each other, or was asked to retry later. Next come the peers that hold the
-// fewest chunks, because the slowest host determines when the whole fleet is complete.
+// Requests from other regions come first under LimitCrossRegionTraffic: all hosts of that region
+// wait for the one that imports the chunk. Before this rule it was queued behind hosts of this
+// region, which can also supply each other, or was asked to retry later. Next come the peers that
+// hold the fewest chunks, because the slowest host determines when the whole fleet is complete.
 func (c *Core) UploadPriority(id string) int {
 	pst := c.peers[id]
 	if pst == nil {
--- a/relay/drain/drain.go
+++ b/relay/drain/drain.go
@@ -2,13 +2,13 @@
 // while a host takes its endpoint out of service: before it changes weights, and
 // before the process exits.
 //
-// Admitted work may finish until the deadline and is cancelled after it. A Lane
-// is Drained only once no work is running.
+// Admitted work may finish until the deadline and is cancelled after it. A
+// WorkTracker is Drained only once no work is running.
 package drain
 
 import "time"
 
-// Phase is the state of a Lane.
+// Phase is the state of a WorkTracker.
 type Phase int
 
 // The phases, in the order in which a drain goes through them.
@@ -35,7 +35,7 @@
 	deadline time.Time // set in phases Draining and Cancelling
 }
 
-// NewWorkTracker returns a Lane in the given phase, Open or Drained.
+// NewWorkTracker returns a WorkTracker in the given phase, Open or Drained.
 func NewWorkTracker(phase Phase) *WorkTracker { return &WorkTracker{phase: phase} }
 
 // Phase returns the phase.
@@ -48,7 +48,7 @@
 // drain.
 func (l *WorkTracker) Deadline() time.Time { return l.deadline }
 
-// Enter admits one piece of work. It reports false unless the lane is open.
+// Enter admits one piece of work. It reports false unless the tracker is Open.
 func (l *WorkTracker) Enter() bool {
 	if l.phase != Open {
 		return false
@@ -68,8 +68,8 @@
 	return true
 }
 
-// Begin starts a drain that cancels work still running after limit. If the lane
-// is already draining, the earlier of the two deadlines applies.
+// Begin starts a drain that cancels work still running after limit. If the
+// tracker is already draining, the earlier of the two deadlines applies.
 func (l *WorkTracker) Begin(now time.Time, limit time.Duration) {
 	until := now.Add(limit)
 	switch l.phase {
@@ -119,7 +119,7 @@
 	return true
 }
 
-// drainIfIdle moves a draining lane with no running work to Drained.
+// drainIfIdle moves a draining tracker with no running work to Drained.
 func (l *WorkTracker) drainIfIdle() {
 	if l.running > 0 || l.phase == Open {
 		return
--- a/relay/drain/drain_test.go
+++ b/relay/drain/drain_test.go
@@ -43,8 +43,8 @@
 }
 
 // TestNeverMixes guards against work admitted before a weight change running on
-// the new weights. That happens if any order of calls makes a lane drained or
-// reopened while work runs.
+// the new weights. That happens if any order of calls makes a WorkTracker
+// drained or reopened while work runs.
 func TestNeverMixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lane := NewWorkTracker(Open)
--- a/relay/engine/batch.go
+++ b/relay/engine/batch.go
@@ -177,8 +177,8 @@
 	return b.spec.ChunkTokens
 }
 
-// End ends the current pass, in which each writer got up to Stride tokens. Requests in
-// done have their whole answer and were removed.
+// End ends the current pass, in which each writer got up to StepsPerPass tokens.
+// Requests in done have their whole answer and were removed.
 func (b *Batch) End() (writers, done []*Work) {
 	b.inPass = false
 	for _, work := range b.writers {
--- a/relay/engine/engine.go
+++ b/relay/engine/engine.go
@@ -37,8 +37,8 @@
 }
 
 // UsualPassTime returns the average time of a pass with the given number of requests in
-// progress. Each writes Stride tokens per pass, and new prompts replace requests that
-// end.
+// progress. Each writes StepsPerPass tokens per pass, and new prompts replace requests
+// that end.
 func UsualPassTime(spec *catalog.Engine, running int) time.Duration {
 	context := running * (spec.MeanPromptTokens + spec.MeanAnswerTokens/2)
 	writeTime := WriteTime(spec, running, context)
--- a/relay/fallback/fallback.go
+++ b/relay/fallback/fallback.go
@@ -94,7 +94,7 @@
 	takenModel   string    // model whose replica slot this host took; empty if none
 }
 
-// New returns a Core for a host that has not taken a replica slot.
+// New returns a Decider for a host that has not taken a replica slot.
 func New(limits Limits) *Decider {
 	return &Decider{limits: limits, absentSince: map[string]time.Time{}}
 }
--- a/relay/fallback/fallback_test.go
+++ b/relay/fallback/fallback_test.go
@@ -33,7 +33,7 @@
 	hosts     map[string]*hostState
 }
 
-// hostState is a host with its Core.
+// hostState is a host with its Decider.
 type hostState struct {
 	report        *wire.HostReport
 	seenAt        time.Time
--- a/relay/fallback/sim_test.go
+++ b/relay/fallback/sim_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// input returns the input of the host's Core.
+// input returns the input of the host's Decider.
 func (r *run) input(h *simHost) Input {
 	in := Input{Now: r.now(), Document: r.doc, Plan: r.plan, ConfirmedAt: start.Add(time.Duration(r.confirmedStep) * time.Second), Own: r.report(h)}
 	for _, id := range r.order {
--- a/relay/fleet/group.go
+++ b/relay/fleet/group.go
@@ -26,7 +26,7 @@
 	// byAddress holds the same endpoints by address: one per address, and those that used the
 	// address before until their registrations end.
 	byAddress    map[string][]*endpoint
-	assigned     bool                   // SetParts has been called
+	assigned     bool                   // setParts has been called
 	self         string                 // id of this entry
 	others       []string               // ids of the other entries
 	changed      chan struct{}          // closed and replaced when capacity may have become free
@@ -60,7 +60,8 @@
 	g.notifyPrefillChanged(ep.reg.Address)
 }
 
-// notifyPrefillChanged signals the channel returned by ReadingChanged, if there is one.
+// notifyPrefillChanged signals the channel returned by PendingPrefillChanged, if there
+// is one.
 func (g *Group) notifyPrefillChanged(address string) {
 	select {
 	case g.prefillChanged[address] <- struct{}{}:
--- a/relay/manifest/manifest.go
+++ b/relay/manifest/manifest.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// DecodeNamed decodes a manifest that Named created and checks that it is for the
-// given version.
+// DecodeNamed decodes a manifest that BuildNamed created and checks that it is for
+// the given version.
 func DecodeNamed(encoded []byte, version string) (*wire.Manifest, error) {
 	man := &wire.Manifest{}
 	if err := proto.Unmarshal(encoded, man); err != nil {
--- a/relay/rollout/wave.go
+++ b/relay/rollout/wave.go
@@ -13,14 +13,14 @@
 
 const (
 	// firstHostSpread is the time from the origin's last chunk until the first
-	// host has all chunks, as a multiple of Move.Host.
+	// host has all chunks, as a multiple of TransferTimes.Host.
 	firstHostSpread = 0.65
 	// mostHostsSpread is the same time until most hosts have all chunks, with a
 	// reserve for slow links.
 	mostHostsSpread = 1.1
 	// pullSpread is how much later the last host begins to fetch from other
-	// hosts than the first, as a multiple of Move.Host. If all hosts were ready
-	// at once, all would load at once.
+	// hosts than the first, as a multiple of TransferTimes.Host. If all hosts were
+	// ready at once, all would load at once.
 	pullSpread = 0.85
 	// onTimeFraction is the fraction of hosts that load before the deadline.
 	onTimeFraction = 0.75
--- a/relay/site/record.go
+++ b/relay/site/record.go
@@ -35,7 +35,7 @@
 	Revision uint64
 	// MaxDelay is the longest time that may have passed between the change and its receipt.
 	MaxDelay time.Duration
-	// Only the field that belongs to Kind is set, and none if Gone is.
+	// Only the field that belongs to Kind is set, and none if Removed is.
 	Catalog  *catalog.Catalog
 	Weights  uint64 // declared version
 	Endpoint fleet.Registration
--- a/relay/site/sources.go
+++ b/relay/site/sources.go
@@ -17,7 +17,7 @@
 	// trustMargin is the part of the bound on applying a change that is reserved for an
 	// entry that finds its sources' data too old: a call to the store and its network delay.
 	trustMargin = 600 * time.Millisecond
-	// minTrust is the lower limit of Trust.
+	// minTrust is the lower limit of MaxSourceAge.
 	minTrust = 800 * time.Millisecond
 	// watchMargin is the age that a source's data gains on its way to the other entries:
 	// one request between two entries, and scheduling delays.
@@ -60,9 +60,9 @@
 // within which a change must apply.
 func MaxSourceAge(apply time.Duration) time.Duration { return max(minTrust, apply-trustMargin) }
 
-// MaxLostSourceAge is Trust for an entry whose sources cannot reach the store. They will send nothing
-// newer, and all their followers then read the store at the same moment, so that an answer takes
-// longer over a link between regions.
+// MaxLostSourceAge is MaxSourceAge for an entry whose sources cannot reach the store. They will send
+// nothing newer, and all their followers then read the store at the same moment, so that an answer
+// takes longer over a link between regions.
 func MaxLostSourceAge(apply time.Duration) time.Duration { return MaxSourceAge(apply) / 2 }
 
 // WatchWait returns the timeout of a watch, which is shorter if other entries may follow this
