--- a/bench/internal/sitesoak/act.go
+++ b/bench/internal/sitesoak/act.go
@@ -210,8 +210,8 @@
 // killedSince reports whether another event killed a member after the given time. That event
 // also restarts it.
 func (r *run) killedSince(m *site.Member, at time.Time) bool {
-	return r.faultWithin(at, time.Now(), func(one *faultRecord) bool {
-		return killKinds[one.kind] && one.from.After(at) && one.affects(m.ID)
+	return r.faultWithin(at, time.Now(), func(fault *faultRecord) bool {
+		return killKinds[fault.kind] && fault.from.After(at) && fault.affects(m.ID)
 	})
 }
 
@@ -281,8 +281,8 @@
 	r.runs = append(r.runs, record.Runs...)
 	r.peaks[m.Kind] = max(r.peaks[m.Kind], record.Connections)
 	r.reset += record.Refused
-	for _, one := range record.Loads {
-		r.loads = append(r.loads, engineLoad{Load: one, member: m})
+	for _, load := range record.Loads {
+		r.loads = append(r.loads, engineLoad{Load: load, member: m})
 	}
 }
 
--- a/bench/internal/sitesoak/caller.go
+++ b/bench/internal/sitesoak/caller.go
@@ -96,15 +96,15 @@
 }
 
 // serve sends a request until it is served or the caller gives up.
-func (c *callers) serve(ctx context.Context, wanted *request) {
-	end := time.Now().Add(wanted.route.deadline)
+func (c *callers) serve(ctx context.Context, outgoing *request) {
+	end := time.Now().Add(outgoing.route.deadline)
 	after := 0
 	for try := 0; try <= maxRetries; try++ {
 		left := time.Until(end)
 		if left <= 0 || ctx.Err() != nil {
 			return
 		}
-		done := c.send(ctx, wanted, left, after)
+		done := c.send(ctx, outgoing, left, after)
 		if done == nil || done.Whole && done.Status < http.StatusBadRequest || !mayRetry(done) {
 			return
 		}
@@ -128,71 +128,71 @@
 }
 
 // send sends a request once. It returns nil if no connection could be made.
-func (c *callers) send(ctx context.Context, wanted *request, left time.Duration, after int) *Try {
-	conn, err := c.connect(ctx, wanted.reusesConnection)
+func (c *callers) send(ctx context.Context, outgoing *request, left time.Duration, after int) *Try {
+	conn, err := c.connect(ctx, outgoing.reusesConnection)
 	if err != nil {
 		return nil
 	}
-	one := c.recordTry(wanted, conn, left, after)
+	try := c.recordTry(outgoing, conn, left, after)
 	end := time.Now().Add(left)
-	if wanted.leavesEarly {
-		end = time.Now().Add(wanted.route.target / 2)
+	if outgoing.leavesEarly {
+		end = time.Now().Add(outgoing.route.target / 2)
 	}
 	_ = conn.raw.SetDeadline(end)
-	if err := wanted.write(conn.raw, one, left, after); err != nil {
-		c.recordBreak(one, conn, err)
-		return one
+	if err := outgoing.write(conn.raw, try, left, after); err != nil {
+		c.recordBreak(try, conn, err)
+		return try
 	}
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		c.recordBreak(one, conn, err)
-		return one
+		c.recordBreak(try, conn, err)
+		return try
 	}
-	one.Status = resp.StatusCode
-	if err := one.read(resp, conn, end); err != nil {
-		c.recordBreak(one, conn, err)
-		return one
+	try.Status = resp.StatusCode
+	if err := try.read(resp, conn, end); err != nil {
+		c.recordBreak(try, conn, err)
+		return try
 	}
-	one.Whole, one.Ended = true, time.Now().UnixNano()
+	try.Whole, try.Ended = true, time.Now().UnixNano()
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		one.retryAfter = time.Duration(seconds * float64(time.Second))
+		try.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if resp.Close {
 		_ = conn.raw.Close()
 	} else {
 		c.putIdle(conn)
 	}
-	return one
+	return try
 }
 
 // recordTry adds a new try to the record.
-func (c *callers) recordTry(wanted *request, conn *connection, left time.Duration, after int) *Try {
+func (c *callers) recordTry(outgoing *request, conn *connection, left time.Duration, after int) *Try {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID++
-	one := &Try{
-		ID: fmt.Sprintf("%s-%d", c.domain, c.lastID), Route: wanted.route.name, Entry: conn.address, Key: wanted.key, Kept: conn.reused,
-		After: after, Sent: time.Now().UnixNano(), Deadline: left, request: wanted,
+	try := &Try{
+		ID: fmt.Sprintf("%s-%d", c.domain, c.lastID), Route: outgoing.route.name, Entry: conn.address, Key: outgoing.key, Kept: conn.reused,
+		After: after, Sent: time.Now().UnixNano(), Deadline: left, request: outgoing,
 	}
-	c.tries = append(c.tries, one)
-	return one
+	c.tries = append(c.tries, try)
+	return try
 }
 
 // recordBreak records that a try did not complete and closes the connection. A timeout counts
 // as the caller leaving.
-func (c *callers) recordBreak(one *Try, conn *connection, err error) {
-	one.Ended = time.Now().UnixNano()
+func (c *callers) recordBreak(try *Try, conn *connection, err error) {
+	try.Ended = time.Now().UnixNano()
 	_ = conn.raw.Close()
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		one.Left = true
+		try.Left = true
 		return
 	}
-	one.Broken = err.Error()
+	try.Broken = err.Error()
 }
 
 // write writes the HTTP request.
-func (w *request) write(to io.Writer, one *Try, left time.Duration, after int) error {
+func (w *request) write(to io.Writer, try *Try, left time.Duration, after int) error {
 	var body []byte
 	if w.route.method == http.MethodPost {
 		body, _ = json.Marshal(w.work) // plain values
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("X-Attempt-Id", one.ID)
+	req.Header.Set("X-Attempt-Id", try.ID)
 	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
 	req.Header.Set("Authorization", "Bearer "+w.key)
 	if w.route.stream {
--- a/bench/internal/sitesoak/checks.go
+++ b/bench/internal/sitesoak/checks.go
@@ -37,8 +37,8 @@
 func (r *run) checkRecords(result *Result) {
 	byID := map[string][]platformtest.Run{}
 	r.runs = dropDuplicates(r.runs)
-	for _, one := range r.runs {
-		byID[one.ID] = append(byID[one.ID], one)
+	for _, execution := range r.runs {
+		byID[execution.ID] = append(byID[execution.ID], execution)
 	}
 	tries := map[string]*Try{}
 	entries := map[string]*site.Member{}
@@ -48,15 +48,15 @@
 	gone := 0
 	var after abandonedWork
 	for _, group := range r.callers {
-		for _, one := range group.snapshot() {
-			tries[one.ID] = one
-			runs := byID[one.ID]
+		for _, try := range group.snapshot() {
+			tries[try.ID] = try
+			runs := byID[try.ID]
 			slices.SortFunc(runs, func(left, right platformtest.Run) int { return int(left.Arrived - right.Arrived) })
-			result.count(one, runs)
-			r.checkTry(one, runs)
-			r.checkLoss(one, runs, entries[one.Entry])
-			gone += r.countLate(one, runs, entries[one.Entry])
-			r.countAbandoned(&after, one, runs, entries[one.Entry])
+			result.count(try, runs)
+			r.checkTry(try, runs)
+			r.checkLoss(try, runs, entries[try.Entry])
+			gone += r.countLate(try, runs, entries[try.Entry])
+			r.countAbandoned(&after, try, runs, entries[try.Entry])
 		}
 	}
 	if after.total >= minAbandoned && float64(after.continued) > maxContinuedFraction*float64(after.total) {
@@ -65,9 +65,9 @@
 	if gone > maxLateRuns {
 		r.recordViolation("GONE", fmt.Sprintf("%d requests reached endpoints over %v after their callers had left", gone, leaveSlack))
 	}
-	for _, one := range r.runs {
-		if tries[one.ID] == nil && !isProbe(one.ID) {
-			r.recordViolation("UNASKED", fmt.Sprintf("%s ran %s, which nobody sent", one.Endpoint, one.ID))
+	for _, execution := range r.runs {
+		if tries[execution.ID] == nil && !isProbe(execution.ID) {
+			r.recordViolation("UNASKED", fmt.Sprintf("%s ran %s, which nobody sent", execution.Endpoint, execution.ID))
 		}
 	}
 	r.checkRepeats(byID, tries)
@@ -91,32 +91,32 @@
 		arrived      int64
 	}
 	last := map[name]int{}
-	for i, one := range runs {
-		last[name{one.ID, one.Endpoint, one.Arrived}] = i
+	for i, execution := range runs {
+		last[name{execution.ID, execution.Endpoint, execution.Arrived}] = i
 	}
 	var kept []platformtest.Run
-	for i, one := range runs {
-		if last[name{one.ID, one.Endpoint, one.Arrived}] == i {
-			kept = append(kept, one)
+	for i, execution := range runs {
+		if last[name{execution.ID, execution.Endpoint, execution.Arrived}] == i {
+			kept = append(kept, execution)
 		}
 	}
 	return kept
 }
 
 // count adds a try to the result's counters.
-func (res *Result) count(one *Try, runs []platformtest.Run) {
+func (res *Result) count(try *Try, runs []platformtest.Run) {
 	res.Requests++
 	res.Resumed += max(0, countBegan(runs)-1)
 	switch {
-	case one.Whole && one.Status < http.StatusMultipleChoices:
+	case try.Whole && try.Status < http.StatusMultipleChoices:
 		res.Served++
-	case one.Whole && one.Status == http.StatusServiceUnavailable:
+	case try.Whole && try.Status == http.StatusServiceUnavailable:
 		res.Refused++
 	default:
 		res.Failed++
-		res.Failures[one.failure()]++
+		res.Failures[try.failure()]++
 	}
-	if one.Broken != "" && len(runs) > 0 && wasCutOff(lastToEnd(runs)) {
+	if try.Broken != "" && len(runs) > 0 && wasCutOff(lastToEnd(runs)) {
 		res.CutOff++
 	}
 }
@@ -135,8 +135,8 @@
 // countBegan returns how many of the runs began at their endpoint.
 func countBegan(runs []platformtest.Run) int {
 	count := 0
-	for _, one := range runs {
-		if one.Began > 0 {
+	for _, execution := range runs {
+		if execution.Began > 0 {
 			count++
 		}
 	}
@@ -160,42 +160,42 @@
 func wasCutOff(last platformtest.Run) bool { return last.End == platformtest.Cut }
 
 // checkTry checks the rules that apply to a single request.
-func (r *run) checkTry(one *Try, runs []platformtest.Run) {
-	if one.Wrong != "" {
-		r.recordViolation("MIXED", one.ID+": "+one.Wrong)
+func (r *run) checkTry(try *Try, runs []platformtest.Run) {
+	if try.Wrong != "" {
+		r.recordViolation("MIXED", try.ID+": "+try.Wrong)
 	}
 	ran := countBegan(runs)
-	if ran > 1 && !one.request.route.repeatable() {
-		r.recordViolation("TWICE", fmt.Sprintf("%s ran %d times", one.ID, ran))
+	if ran > 1 && !try.request.route.repeatable() {
+		r.recordViolation("TWICE", fmt.Sprintf("%s ran %d times", try.ID, ran))
 	}
-	if ran > one.request.route.attempts {
-		r.recordViolation("ATTEMPTS", fmt.Sprintf("%s ran at %d endpoints of %d", one.ID, ran, one.request.route.attempts))
+	if ran > try.request.route.attempts {
+		r.recordViolation("ATTEMPTS", fmt.Sprintf("%s ran at %d endpoints of %d", try.ID, ran, try.request.route.attempts))
 	}
-	promised := one.Status == http.StatusServiceUnavailable || one.Status == http.StatusTooManyRequests || one.Status == http.StatusRequestTimeout
-	if promised && ran > 0 && !one.request.route.repeatable() {
-		r.recordViolation("REFUSED", fmt.Sprintf("%s got %d and ran", one.ID, one.Status))
+	promised := try.Status == http.StatusServiceUnavailable || try.Status == http.StatusTooManyRequests || try.Status == http.StatusRequestTimeout
+	if promised && ran > 0 && !try.request.route.repeatable() {
+		r.recordViolation("REFUSED", fmt.Sprintf("%s got %d and ran", try.ID, try.Status))
 	}
 	r.operator.mu.Lock()
-	revoked, gone := r.operator.revoked[one.Key]
+	revoked, gone := r.operator.revoked[try.Key]
 	r.operator.mu.Unlock()
-	sent := time.Unix(0, one.Sent)
+	sent := time.Unix(0, try.Sent)
 	if gone && ran > 0 && sent.After(revoked.Add(bounds.Revoke)) {
-		r.recordViolation("REVOKED", fmt.Sprintf("%s ran with a key that was taken away %v before", one.ID, sent.Sub(revoked)))
+		r.recordViolation("REVOKED", fmt.Sprintf("%s ran with a key that was taken away %v before", try.ID, sent.Sub(revoked)))
 	}
-	denied := one.Status == http.StatusUnauthorized || one.Status == http.StatusNotFound || one.Status == http.StatusForbidden
+	denied := try.Status == http.StatusUnauthorized || try.Status == http.StatusNotFound || try.Status == http.StatusForbidden
 	if denied && !gone {
-		r.recordViolation("DENIED", fmt.Sprintf("%s got %d", one.ID, one.Status))
+		r.recordViolation("DENIED", fmt.Sprintf("%s got %d", try.ID, try.Status))
 	}
 }
 
 // checkLoss checks that a request which its entry read was answered completely, unless the
 // endpoint broke off or a fault affected the entry or the endpoint.
-func (r *run) checkLoss(one *Try, runs []platformtest.Run, entry *site.Member) {
-	if one.Broken == "" {
+func (r *run) checkLoss(try *Try, runs []platformtest.Run, entry *site.Member) {
+	if try.Broken == "" {
 		return
 	}
-	sent, ended := time.Unix(0, one.Sent), time.Unix(0, one.Ended)
-	span := min(one.Deadline, one.request.route.timeout)
+	sent, ended := time.Unix(0, try.Sent), time.Unix(0, try.Ended)
+	span := min(try.Deadline, try.request.route.timeout)
 	if ended.Sub(sent) >= span-deadlineSlack {
 		return
 	}
@@ -212,15 +212,15 @@
 		return
 	}
 	r.recordViolation("LOST", fmt.Sprintf("%s at %s %s after %v and %d events, status %d: %s; runs %s",
-		one.ID, entry.Name, sent.Format("15:04:05.000"), ended.Sub(sent).Round(time.Millisecond), one.Events, one.Status, one.Broken, describe(runs)))
+		try.ID, entry.Name, sent.Format("15:04:05.000"), ended.Sub(sent).Round(time.Millisecond), try.Events, try.Status, try.Broken, describe(runs)))
 }
 
 // describe formats runs for the detail of a violation.
 func describe(runs []platformtest.Run) string {
 	text := ""
-	for _, one := range runs {
-		text += fmt.Sprintf("[%s %s..%s %d events %s]", one.Endpoint,
-			time.Unix(0, one.Arrived).Format("05.000"), time.Unix(0, one.Ended).Format("05.000"), one.Events, one.End)
+	for _, execution := range runs {
+		text += fmt.Sprintf("[%s %s..%s %d events %s]", execution.Endpoint,
+			time.Unix(0, execution.Arrived).Format("05.000"), time.Unix(0, execution.Ended).Format("05.000"), execution.Events, execution.End)
 	}
 	return text
 }
@@ -228,7 +228,7 @@
 // excusedByFault reports whether a fault that excuses a loss affected the member with the id
 // during a span or shortly before.
 func (r *run) excusedByFault(id string, from, to time.Time) bool {
-	return r.faultWithin(from, to, func(one *faultRecord) bool { return lossCauses[one.kind] && one.affects(id) })
+	return r.faultWithin(from, to, func(fault *faultRecord) bool { return lossCauses[fault.kind] && fault.affects(id) })
 }
 
 // faultWithin reports whether a matching fault was active during a span or ended shortly
@@ -236,8 +236,8 @@
 func (r *run) faultWithin(from, to time.Time, matters func(*faultRecord) bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.faultLog, func(one *faultRecord) bool {
-		return one.from.Before(to) && (one.to.IsZero() || one.to.Add(bounds.Contact).After(from)) && matters(one)
+	return slices.ContainsFunc(r.faultLog, func(fault *faultRecord) bool {
+		return fault.from.Before(to) && (fault.to.IsZero() || fault.to.Add(bounds.Contact).After(from)) && matters(fault)
 	})
 }
 
@@ -245,11 +245,11 @@
 func (s *faultRecord) affects(id string) bool { return s.member == nil || s.member.Was(id) }
 
 // countLate returns how many of the runs reached an endpoint too long after the caller left.
-func (r *run) countLate(one *Try, runs []platformtest.Run, entry *site.Member) int {
-	if !one.Left {
+func (r *run) countLate(try *Try, runs []platformtest.Run, entry *site.Member) int {
+	if !try.Left {
 		return 0
 	}
-	count, left := 0, time.Unix(0, one.Ended)
+	count, left := 0, time.Unix(0, try.Ended)
 	for _, found := range runs {
 		at := time.Unix(0, found.Arrived)
 		if at.After(left.Add(leaveSlack)) && !r.timingExempt(entry, left, at) && !r.excusedByFault(found.Endpoint, left, at) {
@@ -263,9 +263,9 @@
 type abandonedWork struct{ total, continued int }
 
 // countAbandoned counts the runs of a repeatable request, unless timing is exempt.
-func (r *run) countAbandoned(count *abandonedWork, one *Try, runs []platformtest.Run, entry *site.Member) {
-	left := time.Unix(0, one.Ended)
-	if !one.Left || !one.request.route.repeatable() || r.timingExempt(entry, left, left.Add(leaveSlack)) {
+func (r *run) countAbandoned(count *abandonedWork, try *Try, runs []platformtest.Run, entry *site.Member) {
+	left := time.Unix(0, try.Ended)
+	if !try.Left || !try.request.route.repeatable() || r.timingExempt(entry, left, left.Add(leaveSlack)) {
 		return
 	}
 	for _, found := range runs {
@@ -286,9 +286,9 @@
 // checkRepeats checks the retry budget that all entries share.
 func (r *run) checkRepeats(byID map[string][]platformtest.Run, tries map[string]*Try) {
 	requests, repeats := map[string][]int64{}, map[string][]int64{}
-	for id, one := range tries {
-		service := one.request.route.service
-		requests[service] = append(requests[service], one.Sent)
+	for id, try := range tries {
+		service := try.request.route.service
+		requests[service] = append(requests[service], try.Sent)
 		for i, found := range byID[id] {
 			if i > 0 {
 				repeats[service] = append(repeats[service], found.Arrived)
@@ -323,22 +323,22 @@
 // checkLoads checks that engines loaded complete versions, unless a chunk was corrupted right
 // before the load.
 func (r *run) checkLoads() {
-	for _, one := range r.loads {
+	for _, load := range r.loads {
 		sum := sha256.New()
-		for _, chunk := range platformtest.Chunks(one.Version, spec.Chunks, spec.ChunkBytes) {
+		for _, chunk := range platformtest.Chunks(load.Version, spec.Chunks, spec.ChunkBytes) {
 			sum.Write(chunk)
 		}
-		if want := hex.EncodeToString(sum.Sum(nil)); one.Digest != want && !r.recentlySpoilt(one) {
-			r.recordViolation("WHOLE", fmt.Sprintf("%s loaded version %d from chunks that are not its own", one.member.Name, one.Version))
+		if want := hex.EncodeToString(sum.Sum(nil)); load.Digest != want && !r.recentlySpoilt(load) {
+			r.recordViolation("WHOLE", fmt.Sprintf("%s loaded version %d from chunks that are not its own", load.member.Name, load.Version))
 		}
 	}
 }
 
 // recentlySpoilt reports whether a chunk was corrupted at the engine so shortly before the load
 // that the load is not a violation.
-func (r *run) recentlySpoilt(one engineLoad) bool {
-	at := time.Unix(0, one.At)
+func (r *run) recentlySpoilt(load engineLoad) bool {
+	at := time.Unix(0, load.At)
 	return slices.ContainsFunc(r.faultLog, func(struck *faultRecord) bool {
-		return struck.kind == spoilChunk && struck.member == one.member && !struck.from.After(at) && struck.from.Add(spoilSlack).After(at)
+		return struck.kind == spoilChunk && struck.member == load.member && !struck.from.After(at) && struck.from.Add(spoilSlack).After(at)
 	})
 }
--- a/bench/internal/sitesoak/checks_test.go
+++ b/bench/internal/sitesoak/checks_test.go
@@ -123,11 +123,11 @@
 	case "run":
 		return j.addRun(words[1], fields(words[2:]))
 	case "load":
-		one := platformtest.Load{At: parseTime(words[3]).UnixNano(), Digest: "bad"}
-		if _, err := fmt.Sscan(words[2], &one.Version); err != nil {
+		load := platformtest.Load{At: parseTime(words[3]).UnixNano(), Digest: "bad"}
+		if _, err := fmt.Sscan(words[2], &load.Version); err != nil {
 			return err
 		}
-		r.loads = append(r.loads, engineLoad{Load: one, member: j.member(words[1])})
+		r.loads = append(r.loads, engineLoad{Load: load, member: j.member(words[1])})
 	case "leave":
 		r.departures = append(r.departures, departure{endpoint: words[1], at: parseTime(words[2])})
 	case "change":
@@ -143,41 +143,41 @@
 
 func (j *scriptedRun) addTry(id string, values map[string]string) error {
 	nanos := func(name string) int64 { return parseTime(values[name]).UnixNano() }
-	one := &Try{ID: id, Entry: j.member(values["entry"]).Callers(), Key: values["key"], Sent: nanos("sent"), Ended: nanos("ended"), Deadline: 6 * time.Second}
-	if _, err := fmt.Sscan(values["status"], &one.Status); err != nil {
+	try := &Try{ID: id, Entry: j.member(values["entry"]).Callers(), Key: values["key"], Sent: nanos("sent"), Ended: nanos("ended"), Deadline: 6 * time.Second}
+	if _, err := fmt.Sscan(values["status"], &try.Status); err != nil {
 		return err
 	}
-	_, one.Whole = values["whole"]
-	_, one.Left = values["left"]
+	_, try.Whole = values["whole"]
+	_, try.Left = values["left"]
 	if _, broken := values["broken"]; broken {
-		one.Broken = "EOF"
+		try.Broken = "EOF"
 	}
 	if _, wrong := values["wrong"]; wrong {
-		one.Wrong = "another's"
+		try.Wrong = "another's"
 	}
 	for _, known := range j.run.operator.routes {
 		if known.name == values["route"] {
-			one.request = &request{route: known}
-			one.Route = known.name
+			try.request = &request{route: known}
+			try.Route = known.name
 		}
 	}
-	j.callers.tries = append(j.callers.tries, one)
+	j.callers.tries = append(j.callers.tries, try)
 	return nil
 }
 
 func (j *scriptedRun) addRun(id string, values map[string]string) error {
-	one := platformtest.Run{ID: id, Endpoint: values["endpoint"], Arrived: parseTime(values["arrived"]).UnixNano(), End: platformtest.End(values["end"])}
-	for name, into := range map[string]*int64{"began": &one.Began, "ended": &one.Ended} {
+	execution := platformtest.Run{ID: id, Endpoint: values["endpoint"], Arrived: parseTime(values["arrived"]).UnixNano(), End: platformtest.End(values["end"])}
+	for name, into := range map[string]*int64{"began": &execution.Began, "ended": &execution.Ended} {
 		if values[name] != "" {
 			*into = parseTime(values[name]).UnixNano()
 		}
 	}
 	if values["version"] != "" {
-		if _, err := fmt.Sscan(values["version"], &one.Version); err != nil {
+		if _, err := fmt.Sscan(values["version"], &execution.Version); err != nil {
 			return err
 		}
 	}
-	j.run.runs = append(j.run.runs, one)
+	j.run.runs = append(j.run.runs, execution)
 	return nil
 }
 
--- a/bench/internal/sitesoak/checks_time.go
+++ b/bench/internal/sitesoak/checks_time.go
@@ -22,19 +22,19 @@
 // checkVersions checks that no request begins on weights that were replaced too long ago,
 // unless timing is exempt at its entry.
 func (r *run) checkVersions(tries map[string]*Try, entries map[string]*site.Member) {
-	for _, one := range r.runs {
-		sent := tries[one.ID]
-		if one.Version == 0 || one.Began == 0 || sent == nil {
+	for _, execution := range r.runs {
+		sent := tries[execution.ID]
+		if execution.Version == 0 || execution.Began == 0 || sent == nil {
 			continue
 		}
 		for _, newer := range r.operator.declaredVersions {
-			began := time.Unix(0, one.Began)
-			if newer.version <= one.Version || began.Before(newer.at.Add(bounds.Version)) {
+			began := time.Unix(0, execution.Began)
+			if newer.version <= execution.Version || began.Before(newer.at.Add(bounds.Version)) {
 				continue
 			}
 			if !r.timingExempt(entries[sent.Entry], newer.at, began) {
 				r.recordViolation("VERSION", fmt.Sprintf("%s arrived at %s %v and began on version %d %v after version %d",
-					one.ID, one.Endpoint, time.Unix(0, one.Arrived).Sub(newer.at), one.Version, began.Sub(newer.at), newer.version))
+					execution.ID, execution.Endpoint, time.Unix(0, execution.Arrived).Sub(newer.at), execution.Version, began.Sub(newer.at), newer.version))
 			}
 			break
 		}
@@ -44,17 +44,17 @@
 // checkDrains checks that a leaving endpoint gets no new requests after its drain time.
 func (r *run) checkDrains(tries map[string]*Try, entries map[string]*site.Member) {
 	leaving := map[string]time.Time{}
-	for _, one := range r.departures {
-		leaving[one.endpoint] = one.at
+	for _, departure := range r.departures {
+		leaving[departure.endpoint] = departure.at
 	}
-	for _, one := range r.runs {
-		sent, asked := tries[one.ID], leaving[one.Endpoint]
-		arrived := time.Unix(0, one.Arrived)
+	for _, execution := range r.runs {
+		sent, asked := tries[execution.ID], leaving[execution.Endpoint]
+		arrived := time.Unix(0, execution.Arrived)
 		if sent == nil || asked.IsZero() || arrived.Before(asked.Add(leaveDelay+bounds.Drain)) {
 			continue
 		}
 		if !r.timingExempt(entries[sent.Entry], asked, arrived) {
-			r.recordViolation("DRAIN", fmt.Sprintf("%s arrived at %s %v after it was asked to leave", one.ID, one.Endpoint, arrived.Sub(asked)))
+			r.recordViolation("DRAIN", fmt.Sprintf("%s arrived at %s %v after it was asked to leave", execution.ID, execution.Endpoint, arrived.Sub(asked)))
 		}
 	}
 }
@@ -63,11 +63,11 @@
 // affected by a fault or stopped shortly before, or the store, a link or this machine was
 // disturbed since the earlier time.
 func (r *run) timingExempt(entry *site.Member, since, at time.Time) bool {
-	if r.faultWithin(at, at, func(one *faultRecord) bool { return one.affects(entry.ID) }) {
+	if r.faultWithin(at, at, func(fault *faultRecord) bool { return fault.affects(entry.ID) }) {
 		return true
 	}
-	away := r.faultWithin(since, at, func(one *faultRecord) bool {
-		return one.member == nil || one.member.Kind == site.Store || doorFaults[one.kind].Status != 0 || linkFaults[one.kind] != platformtest.LinkFaults{} || doorFaults[one.kind].Link != platformtest.LinkFaults{}
+	away := r.faultWithin(since, at, func(fault *faultRecord) bool {
+		return fault.member == nil || fault.member.Kind == site.Store || doorFaults[fault.kind].Status != 0 || linkFaults[fault.kind] != platformtest.LinkFaults{} || doorFaults[fault.kind].Link != platformtest.LinkFaults{}
 	})
 	return away || r.stops.stoppedNear(entry, at) || r.stalls.within(since, at)
 }
@@ -77,18 +77,18 @@
 	total, served := 0, 0
 	var last int64
 	for _, group := range r.callers {
-		for _, one := range group.snapshot() {
-			last = max(last, one.Sent)
+		for _, try := range group.snapshot() {
+			last = max(last, try.Sent)
 		}
 	}
 	from := last - (settleTime / 4).Nanoseconds()
 	for _, group := range r.callers {
-		for _, one := range group.snapshot() {
-			if one.Sent < from {
+		for _, try := range group.snapshot() {
+			if try.Sent < from {
 				continue
 			}
 			total++
-			if one.Whole && one.Status < http.StatusMultipleChoices {
+			if try.Whole && try.Status < http.StatusMultipleChoices {
 				served++
 			}
 		}
--- a/bench/internal/sitesoak/operator.go
+++ b/bench/internal/sitesoak/operator.go
@@ -217,14 +217,14 @@
 		if o.longTimeouts {
 			timeout += time.Second
 		}
-		one := object{
+		definition := object{
 			"name": r.name, "host": r.host, "path_prefix": r.path, "kind": r.kind, "timeout_ms": timeout.Milliseconds(),
 			"target_latency_ms": r.target.Milliseconds(), "priority": 1, "service": r.service, "max_attempts": r.attempts,
 		}
 		if r.stream {
-			one["resumable"], one["gap_aim_ms"] = true, r.gap.Milliseconds()
+			definition["resumable"], definition["gap_aim_ms"] = true, r.gap.Milliseconds()
 		}
-		list = append(list, one)
+		list = append(list, definition)
 	}
 	for i := range o.extraRoutes {
 		list = append(list, object{"name": fmt.Sprint("extra-", i), "host": "c.example", "path_prefix": fmt.Sprintf("/x%d/", i), "kind": kindSafe, "timeout_ms": 1000, "service": site.AppService, "max_attempts": 1})
--- a/bench/internal/sitesoak/probe.go
+++ b/bench/internal/sitesoak/probe.go
@@ -44,22 +44,22 @@
 	client := &http.Client{Timeout: probeTimeout}
 	for number := 0; sleep(ctx, probeInterval) == nil; number++ {
 		entries := r.site.Members(site.Entry)
-		one := probe{entry: entries[number%len(entries)], route: number / len(entries) % probeRoutes, sent: time.Now()}
-		status, err := sendProbe(client, one, number)
-		one.ended = time.Now()
+		p := probe{entry: entries[number%len(entries)], route: number / len(entries) % probeRoutes, sent: time.Now()}
+		status, err := sendProbe(client, p, number)
+		p.ended = time.Now()
 		switch {
 		case err != nil || status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 			continue // the status does not depend on the routes
 		case status == http.StatusNotFound:
 		default:
-			one.routeExists = true
+			p.routeExists = true
 		}
-		r.probes = append(r.probes, one)
+		r.probes = append(r.probes, p)
 	}
 }
 
-func sendProbe(client *http.Client, one probe, number int) (status int, err error) {
-	req, err := http.NewRequest(http.MethodGet, "http://"+one.entry.Callers()+probePath(one.route)+"x", nil)
+func sendProbe(client *http.Client, p probe, number int) (status int, err error) {
+	req, err := http.NewRequest(http.MethodGet, "http://"+p.entry.Callers()+probePath(p.route)+"x", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -83,29 +83,29 @@
 		at     time.Time
 	}
 	observations := map[*site.Member]observation{}
-	for _, one := range r.probes {
-		last := observations[one.entry]
-		if r.mayHaveRestarted(one.entry, last.at, one.ended) {
+	for _, p := range r.probes {
+		last := observations[p.entry]
+		if r.mayHaveRestarted(p.entry, last.at, p.ended) {
 			last.newest = 0
 		}
 		firstMatch := func(from int) int {
-			at := slices.IndexFunc(changes[from:], func(c configChange) bool { return c.probes[one.route] == one.routeExists && c.sentAt.Before(one.ended) })
+			at := slices.IndexFunc(changes[from:], func(c configChange) bool { return c.probes[p.route] == p.routeExists && c.sentAt.Before(p.ended) })
 			if at < 0 {
 				return at
 			}
 			return from + at
 		}
-		required := newestAcknowledged(changes, one.sent.Add(-bounds.Apply))
-		if firstMatch(required) < 0 && !r.timingExempt(one.entry, one.sent.Add(-bounds.Apply), one.sent) {
+		required := newestAcknowledged(changes, p.sent.Add(-bounds.Apply))
+		if firstMatch(required) < 0 && !r.timingExempt(p.entry, p.sent.Add(-bounds.Apply), p.sent) {
 			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s handled route %d (there: %t) as only configurations before number %d of %d allow",
-				one.entry.Name, one.sent.Format("15:04:05.000"), one.route, one.routeExists, required, len(changes)))
+				p.entry.Name, p.sent.Format("15:04:05.000"), p.route, p.routeExists, required, len(changes)))
 		}
 		at := firstMatch(last.newest)
 		if at < 0 {
-			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s went back to a configuration before number %d", one.entry.Name, one.sent.Format("15:04:05.000"), last.newest))
+			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s went back to a configuration before number %d", p.entry.Name, p.sent.Format("15:04:05.000"), last.newest))
 			at = last.newest
 		}
-		observations[one.entry] = observation{newest: at, at: one.sent}
+		observations[p.entry] = observation{newest: at, at: p.sent}
 	}
 }
 
@@ -121,6 +121,6 @@
 
 // mayHaveRestarted reports whether an entry's process may have been replaced since a time.
 func (r *run) mayHaveRestarted(entry *site.Member, since, at time.Time) bool {
-	killed := r.faultWithin(since, at, func(one *faultRecord) bool { return killKinds[one.kind] && one.affects(entry.ID) })
+	killed := r.faultWithin(since, at, func(fault *faultRecord) bool { return killKinds[fault.kind] && fault.affects(entry.ID) })
 	return killed || r.stops.stoppedNear(entry, at)
 }
--- a/bench/internal/sitesoak/run.go
+++ b/bench/internal/sitesoak/run.go
@@ -211,16 +211,16 @@
 	load.Go(func() { r.stalls.detect(loadCtx) })
 	load.Go(func() { r.sendProbes(loadCtx) })
 	began := time.Now()
-	for _, one := range events {
-		if err := sleep(ctx, warmupTime+one.at-time.Since(began)); err != nil {
+	for _, next := range events {
+		if err := sleep(ctx, warmupTime+next.at-time.Since(began)); err != nil {
 			return err
 		}
-		r.options.Progress.Info("event", "event", one.String())
+		r.options.Progress.Info("event", "event", next.String())
 		r.pending.Go(func() {
-			if err := r.applyEvent(ctx, one); err != nil {
+			if err := r.applyEvent(ctx, next); err != nil {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.harnessErr = errors.Join(r.harnessErr, fmt.Errorf("%s: %w", one, err))
+				r.harnessErr = errors.Join(r.harnessErr, fmt.Errorf("%s: %w", next, err))
 			}
 		})
 	}
@@ -250,8 +250,8 @@
 			return
 		}
 		number++
-		wanted := r.request(random, domain, number)
-		requests.Go(func() { r.callers[domain].serve(context.WithoutCancel(ctx), wanted) })
+		outgoing := r.request(random, domain, number)
+		requests.Go(func() { r.callers[domain].serve(context.WithoutCancel(ctx), outgoing) })
 	}
 }
 
@@ -269,13 +269,13 @@
 			break
 		}
 	}
-	wanted := &request{route: chosen, leavesEarly: r.leaveEarly.Load() && random.IntN(3) == 0, reusesConnection: random.IntN(reuseOneIn) == 0, key: r.operator.activeKey(random), domain: domains[domain]}
-	wanted.work.Subject = domains[domain] + "-" + strconv.Itoa(number)
+	outgoing := &request{route: chosen, leavesEarly: r.leaveEarly.Load() && random.IntN(3) == 0, reusesConnection: random.IntN(reuseOneIn) == 0, key: r.operator.activeKey(random), domain: domains[domain]}
+	outgoing.work.Subject = domains[domain] + "-" + strconv.Itoa(number)
 	if chosen.stream {
-		wanted.tokens = int(min(3*chosen.prompt, 1+chosen.prompt*random.ExpFloat64()))
-		wanted.work.Events = int(min(maxEvents, 1+chosen.events*random.ExpFloat64()))
+		outgoing.tokens = int(min(3*chosen.prompt, 1+chosen.prompt*random.ExpFloat64()))
+		outgoing.work.Events = int(min(maxEvents, 1+chosen.events*random.ExpFloat64()))
 	}
-	return wanted
+	return outgoing
 }
 
 // recordViolation counts a violation and keeps the first few examples of each rule.
--- a/bench/internal/sitesoak/spans.go
+++ b/bench/internal/sitesoak/spans.go
@@ -26,9 +26,9 @@
 func (s *stops) mayHaveCut(entry *site.Member, sent, ended time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.list, func(one faultRecord) bool {
-		late := one.from.Add(bounds.Grace - bounds.Grace/6)
-		return one.member == entry && ended.After(late) && ended.Before(one.to) && sent.Before(one.to)
+	return slices.ContainsFunc(s.list, func(fault faultRecord) bool {
+		late := fault.from.Add(bounds.Grace - bounds.Grace/6)
+		return fault.member == entry && ended.After(late) && ended.Before(fault.to) && sent.Before(fault.to)
 	})
 }
 
@@ -36,8 +36,8 @@
 func (s *stops) stoppedNear(entry *site.Member, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.list, func(one faultRecord) bool {
-		return one.member == entry && one.from.Before(at) && one.to.Add(bounds.Contact).After(at)
+	return slices.ContainsFunc(s.list, func(fault faultRecord) bool {
+		return fault.member == entry && fault.from.Before(at) && fault.to.Add(bounds.Contact).After(at)
 	})
 }
 
@@ -76,7 +76,7 @@
 func (s *stalls) within(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.list, func(one faultRecord) bool {
-		return one.from.Before(to) && one.to.Add(bounds.Contact).After(from)
+	return slices.ContainsFunc(s.list, func(fault faultRecord) bool {
+		return fault.from.Before(to) && fault.to.Add(bounds.Contact).After(from)
 	})
 }
