--- a/bench/internal/sitesoak/act.go
+++ b/bench/internal/sitesoak/act.go
@@ -120,7 +120,7 @@
 		all := slices.Concat(r.site.Members(site.Entry), r.site.Members(site.Agent), r.site.Members(site.Engine))
 		return r.killAndRestart(ctx, event.length, all...)
 	}
-	return fmt.Errorf("no action for %s", event.kind)
+	return fmt.Errorf("event kind %s has no action", event.kind)
 }
 
 // burstFactor is added to the load factor of 1 during a burst.
@@ -227,7 +227,7 @@
 		if r.excusedByFault(m.ID, time.Now().Add(-bounds.Grace), time.Now()) {
 			return nil // killed by another event, which also restarts it
 		}
-		r.recordViolation("stop", fmt.Sprintf("%s did not end cleanly within %v: %v", m.Name, bounds.Grace, err))
+		r.recordViolation("stop", fmt.Sprintf("%s did not exit cleanly within %v: %v", m.Name, bounds.Grace, err))
 		_ = m.Process().Kill()
 	}
 	return r.site.Begin(ctx, m)
--- a/bench/internal/sitesoak/caller.go
+++ b/bench/internal/sitesoak/caller.go
@@ -223,17 +223,17 @@
 func (t *Try) read(resp *http.Response, conn *connection, end time.Time) error {
 	good := resp.StatusCode < http.StatusMultipleChoices
 	if id := resp.Header.Get("X-Attempt-Id"); good && id != t.ID {
-		t.Wrong = "it belongs to " + id
+		t.Wrong = "response belongs to request " + id
 	}
 	if good && !strings.HasPrefix(resp.Header.Get("X-Server-Stamp"), "stamp.") {
-		t.Wrong = "it has no signature"
+		t.Wrong = "response has no signature"
 	}
 	if good && t.request.route.stream {
 		return t.readStream(resp, conn, end)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if want := t.request.text(); err == nil && good && string(body) != want {
-		t.Wrong = fmt.Sprintf("the body is %q, not %q", body, want)
+		t.Wrong = fmt.Sprintf("response body is %q, want %q", body, want)
 	}
 	return err
 }
@@ -266,12 +266,12 @@
 		}
 		number := t.After + t.Events + 1
 		if want := fmt.Sprintf("id: %d\ndata: %s\n", number, t.request.work.Text(number)); event != want {
-			t.Wrong = fmt.Sprintf("event %d is %q", number, event)
+			t.Wrong = fmt.Sprintf("event %d has unexpected content %q", number, event)
 		}
 		t.Events++
 	}
 	if got := t.After + t.Events; got != t.request.work.Events {
-		t.Wrong = fmt.Sprintf("it ended after %d of %d events", got, t.request.work.Events)
+		t.Wrong = fmt.Sprintf("stream ended after %d of %d events", got, t.request.work.Events)
 	}
 	return nil
 }
@@ -317,7 +317,7 @@
 		}
 		failed[address] = true
 	}
-	return nil, errors.New("no entry takes a connection")
+	return nil, errors.New("no entry accepted a connection")
 }
 
 // chooseEntry picks a random address that has not failed.
@@ -389,7 +389,7 @@
 	if len(named) > 0 {
 		return named, nil
 	}
-	return nil, errors.New("no directory answers")
+	return nil, errors.New("no directory server answered")
 }
 
 // resolve asks one directory for the entries' addresses and their TTL.
@@ -412,7 +412,7 @@
 		TTL       float64  `json:"ttl_s"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || len(body.Addresses) == 0 {
-		return nil, 0, errors.Join(errors.New("the answer names no entry"), err)
+		return nil, 0, errors.Join(errors.New("directory response contains no entry"), err)
 	}
 	return body.Addresses, time.Duration(body.TTL * float64(time.Second)), nil
 }
--- a/bench/internal/sitesoak/checks.go
+++ b/bench/internal/sitesoak/checks.go
@@ -60,14 +60,14 @@
 		}
 	}
 	if after.total >= minAbandoned && float64(after.continued) > maxContinuedFraction*float64(after.total) {
-		r.recordViolation("GONE", fmt.Sprintf("endpoints were at work on %d of %d requests %v after their callers had left", after.continued, after.total, leaveSlack))
+		r.recordViolation("GONE", fmt.Sprintf("endpoints were still processing %d of %d requests %v after their callers had disconnected", after.continued, after.total, leaveSlack))
 	}
 	if gone > maxLateRuns {
-		r.recordViolation("GONE", fmt.Sprintf("%d requests reached endpoints over %v after their callers had left", gone, leaveSlack))
+		r.recordViolation("GONE", fmt.Sprintf("%d requests reached endpoints more than %v after their callers had disconnected", gone, leaveSlack))
 	}
 	for _, execution := range r.runs {
 		if tries[execution.ID] == nil && !isProbe(execution.ID) {
-			r.recordViolation("UNASKED", fmt.Sprintf("%s ran %s, which nobody sent", execution.Endpoint, execution.ID))
+			r.recordViolation("UNASKED", fmt.Sprintf("endpoint %s ran request %s, which no caller sent", execution.Endpoint, execution.ID))
 		}
 	}
 	r.checkRepeats(byID, tries)
@@ -166,25 +166,25 @@
 	}
 	ran := countBegan(runs)
 	if ran > 1 && !try.request.route.repeatable() {
-		r.recordViolation("TWICE", fmt.Sprintf("%s ran %d times", try.ID, ran))
+		r.recordViolation("TWICE", fmt.Sprintf("request %s ran %d times, but its route is not repeatable", try.ID, ran))
 	}
 	if ran > try.request.route.attempts {
-		r.recordViolation("ATTEMPTS", fmt.Sprintf("%s ran at %d endpoints of %d", try.ID, ran, try.request.route.attempts))
+		r.recordViolation("ATTEMPTS", fmt.Sprintf("request %s ran %d times, but its route allows %d attempts", try.ID, ran, try.request.route.attempts))
 	}
 	promised := try.Status == http.StatusServiceUnavailable || try.Status == http.StatusTooManyRequests || try.Status == http.StatusRequestTimeout
 	if promised && ran > 0 && !try.request.route.repeatable() {
-		r.recordViolation("REFUSED", fmt.Sprintf("%s got %d and ran", try.ID, try.Status))
+		r.recordViolation("REFUSED", fmt.Sprintf("request %s was refused with status %d but ran", try.ID, try.Status))
 	}
 	r.operator.mu.Lock()
 	revoked, gone := r.operator.revoked[try.Key]
 	r.operator.mu.Unlock()
 	sent := time.Unix(0, try.Sent)
 	if gone && ran > 0 && sent.After(revoked.Add(bounds.Revoke)) {
-		r.recordViolation("REVOKED", fmt.Sprintf("%s ran with a key that was taken away %v before", try.ID, sent.Sub(revoked)))
+		r.recordViolation("REVOKED", fmt.Sprintf("request %s ran with a key that was revoked %v earlier", try.ID, sent.Sub(revoked)))
 	}
 	denied := try.Status == http.StatusUnauthorized || try.Status == http.StatusNotFound || try.Status == http.StatusForbidden
 	if denied && !gone {
-		r.recordViolation("DENIED", fmt.Sprintf("%s got %d", try.ID, try.Status))
+		r.recordViolation("DENIED", fmt.Sprintf("request %s was denied with status %d", try.ID, try.Status))
 	}
 }
 
@@ -211,7 +211,7 @@
 	if r.excusedByFault(entry.ID, sent, ended) || r.stops.mayHaveCut(entry, sent, ended) {
 		return
 	}
-	r.recordViolation("LOST", fmt.Sprintf("%s at %s %s after %v and %d events, status %d: %s; runs %s",
+	r.recordViolation("LOST", fmt.Sprintf("request %s to %s, sent at %s, broke off after %v and %d events with status %d: %s; runs %s",
 		try.ID, entry.Name, sent.Format("15:04:05.000"), ended.Sub(sent).Round(time.Millisecond), try.Events, try.Status, try.Broken, describe(runs)))
 }
 
@@ -306,7 +306,7 @@
 				most = max(most, between(requests[service], from-back.Nanoseconds(), at-back.Nanoseconds()))
 			}
 			if allowed := bounds.Ratio*float64(most) + bounds.Slack; float64(i-first+1) > allowed {
-				r.recordViolation("BUDGET", fmt.Sprintf("%s: %d repeats within %v, %.0f allowed", service, i-first+1, bounds.Window, allowed))
+				r.recordViolation("BUDGET", fmt.Sprintf("service %s: %d repeats within %v, at most %.0f allowed", service, i-first+1, bounds.Window, allowed))
 				break
 			}
 		}
@@ -329,7 +329,7 @@
 			sum.Write(chunk)
 		}
 		if want := hex.EncodeToString(sum.Sum(nil)); load.Digest != want && !r.recentlySpoilt(load) {
-			r.recordViolation("WHOLE", fmt.Sprintf("%s loaded version %d from chunks that are not its own", load.member.Name, load.Version))
+			r.recordViolation("WHOLE", fmt.Sprintf("%s loaded version %d with a digest that does not match its chunks", load.member.Name, load.Version))
 		}
 	}
 }
--- a/bench/internal/sitesoak/checks_time.go
+++ b/bench/internal/sitesoak/checks_time.go
@@ -33,7 +33,7 @@
 				continue
 			}
 			if !r.timingExempt(entries[sent.Entry], newer.at, began) {
-				r.recordViolation("VERSION", fmt.Sprintf("%s arrived at %s %v and began on version %d %v after version %d",
+				r.recordViolation("VERSION", fmt.Sprintf("request %s arrived at %s %v after the newer version and began on version %d %v after version %d",
 					execution.ID, execution.Endpoint, time.Unix(0, execution.Arrived).Sub(newer.at), execution.Version, began.Sub(newer.at), newer.version))
 			}
 			break
@@ -54,7 +54,7 @@
 			continue
 		}
 		if !r.timingExempt(entries[sent.Entry], asked, arrived) {
-			r.recordViolation("DRAIN", fmt.Sprintf("%s arrived at %s %v after it was asked to leave", execution.ID, execution.Endpoint, arrived.Sub(asked)))
+			r.recordViolation("DRAIN", fmt.Sprintf("request %s arrived at %s %v after the endpoint was asked to drain", execution.ID, execution.Endpoint, arrived.Sub(asked)))
 		}
 	}
 }
@@ -94,6 +94,6 @@
 		}
 	}
 	if total >= minServedSample && float64(served) < minServedFraction*float64(total) {
-		r.recordViolation("RECOVER", fmt.Sprintf("%d of the last %d requests were served", served, total))
+		r.recordViolation("RECOVER", fmt.Sprintf("only %d of the last %d requests succeeded", served, total))
 	}
 }
--- a/bench/internal/sitesoak/probe.go
+++ b/bench/internal/sitesoak/probe.go
@@ -97,12 +97,12 @@
 		}
 		required := newestAcknowledged(changes, p.sent.Add(-bounds.Apply))
 		if firstMatch(required) < 0 && !r.timingExempt(p.entry, p.sent.Add(-bounds.Apply), p.sent) {
-			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s handled route %d (there: %t) as only configurations before number %d of %d allow",
+			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s handled route %d (exists: %t) according to a configuration older than number %d of %d",
 				p.entry.Name, p.sent.Format("15:04:05.000"), p.route, p.routeExists, required, len(changes)))
 		}
 		at := firstMatch(last.newest)
 		if at < 0 {
-			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s went back to a configuration before number %d", p.entry.Name, p.sent.Format("15:04:05.000"), last.newest))
+			r.recordViolation("CONFIG", fmt.Sprintf("%s at %s reverted to a configuration older than number %d", p.entry.Name, p.sent.Format("15:04:05.000"), last.newest))
 			at = last.newest
 		}
 		observations[p.entry] = observation{newest: at, at: p.sent}
