--- a/bench/internal/cmd/cmd_burst.go
+++ b/bench/internal/cmd/cmd_burst.go
@@ -12,14 +12,15 @@
 
 type burstOptions struct {
 	common
-	Case     string  `long:"case" description:"one case's name; empty runs all"`
-	Runs     int     `long:"runs" default:"1" description:"runs of each case"`
-	ModelMiB float64 `long:"model-mib" default:"8" description:"size of the weights"`
-	List     bool    `long:"list" description:"print the cases' names and run none"`
+	Case     string  `long:"case" description:"name of the case to run; empty runs all cases"`
+	Runs     int     `long:"runs" default:"1" description:"number of runs of each case"`
+	ModelMiB float64 `long:"model-mib" default:"8" description:"size of the model weights in MiB"`
+	List     bool    `long:"list" description:"print the case names and exit"`
 }
 
-const burstHelp = `Measures how long it takes until a model serves on N hosts, and what the origin
-sends meanwhile: real processes, paced links, one JSON line a case.
+const burstHelp = `Measures how long it takes until a model serves on N hosts, and how much the origin
+sends in that time. Runs real processes over rate-limited links and prints one JSON
+line per case.
 
 Examples:
   comfreybench burst --list
@@ -29,7 +30,7 @@
 	options := &burstOptions{}
 	return &cli.Command{
 		Name:    "burst",
-		Short:   "measure bursts of weights",
+		Short:   "measure simultaneous downloads of model weights",
 		Long:    burstHelp,
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runBurst(ctx, options) },
@@ -96,10 +97,10 @@
 		}
 	}
 	if chosen == 0 {
-		return failure.New(failure.Invalid, "there is no case "+want.name, "choose one that --list names")
+		return failure.New(failure.Invalid, "unknown case "+want.name, "run with --list to see the case names")
 	}
 	if failed > 0 {
-		return failure.New(failure.Internal, "cases failed", "read the lines with an error, and the processes' log in the output directory")
+		return failure.New(failure.Internal, "cases failed", "check the error lines and the log of the processes in the output directory")
 	}
 	return nil
 }
--- a/bench/internal/cmd/cmd_capacity.go
+++ b/bench/internal/cmd/cmd_capacity.go
@@ -11,14 +11,14 @@
 )
 
 type capacityOptions struct {
-	In      []string `long:"in" value-name:"FILE" description:"JSON lines of the benches; may be given again"`
-	Out     string   `long:"out" value-name:"PAGE" description:"page that takes the table between its markers; empty prints it"`
-	Measure bool     `long:"measure" description:"measure the decision cores at growing sizes and print JSON lines"`
+	In      []string `long:"in" value-name:"FILE" description:"file with JSON lines of the benchmarks; can be repeated"`
+	Out     string   `long:"out" value-name:"PAGE" description:"page whose marked section is replaced by the table; empty prints the table"`
+	Measure bool     `long:"measure" description:"measure the decision cores at increasing sizes and print JSON lines"`
 }
 
-const capacityHelp = `Computes what each role would spend at the size that the users expect: slopes by
-least squares through what the benches measured, against the budgets. With
---measure it measures what needs no whole deployment, within a minute.
+const capacityHelp = `Computes the resource use of each role at the size that the users expect, from
+least-squares slopes through the benchmark results, and compares it with the budgets.
+With --measure, measures the parts that need no complete deployment, within a minute.
 
 Examples:
   comfreybench capacity --measure > docs/measurements/slopes.jsonl
@@ -28,7 +28,7 @@
 	options := &capacityOptions{}
 	return &cli.Command{
 		Name:    "capacity",
-		Short:   "compute what the full size needs",
+		Short:   "compute the resource needs at full size",
 		Long:    capacityHelp,
 		Options: options,
 		Run:     func(context.Context, []string) error { return runCapacity(options) },
@@ -40,13 +40,13 @@
 		return capacity.Measure(os.Stdout)
 	}
 	if len(options.In) == 0 {
-		return failure.New(failure.Invalid, "there are no measurements", "name files of JSON lines with --in, or measure with --measure")
+		return failure.New(failure.Invalid, "no measurements given", "pass files of JSON lines with --in, or run with --measure")
 	}
 	var measured bytes.Buffer
 	for _, name := range options.In {
 		lines, err := os.ReadFile(name)
 		if err != nil {
-			return failure.Wrap(err, failure.Invalid, "cannot read the measurements", "name a file of JSON lines with --in")
+			return failure.Wrap(err, failure.Invalid, "cannot read the measurements", "pass a file of JSON lines with --in")
 		}
 		measured.Write(lines)
 		measured.WriteByte('\n')
--- a/bench/internal/cmd/cmd_control.go
+++ b/bench/internal/cmd/cmd_control.go
@@ -9,14 +9,14 @@
 
 type controlOptions struct {
 	common
-	Case string `long:"case" description:"one case's name; empty runs all"`
-	Runs int    `long:"runs" default:"1" description:"runs of each case"`
-	List bool   `long:"list" description:"print the cases' names and run none"`
+	Case string `long:"case" description:"name of the case to run; empty runs all cases"`
+	Runs int    `long:"runs" default:"1" description:"number of runs of each case"`
+	List bool   `long:"list" description:"print the case names and exit"`
 }
 
-const controlHelp = `Measures how documents come into force on every node, what that costs each node and
-the key-value service, and what an outage or a restart of all does: real
-processes, one JSON line a case. The exit code is 1 where a revision fell.
+const controlHelp = `Measures how documents take effect on every node, what that costs each node and the
+key-value service, and the effect of an outage or a restart of all nodes. Runs real
+processes and prints one JSON line per case. The exit code is 1 if a revision decreased.
 
 Examples:
   comfreybench control --list
--- a/bench/internal/cmd/cmd_demo.go
+++ b/bench/internal/cmd/cmd_demo.go
@@ -17,15 +17,15 @@
 
 type demoOptions struct {
 	common
-	Hosts     int     `long:"hosts" default:"12" description:"hosts, each an engine with its agent"`
-	Objective string  `long:"objective" default:"time" choice:"time" choice:"originBytes" description:"what rollouts optimise"`
-	ModelMiB  float64 `long:"model-mib" default:"8" description:"size of the weights"`
+	Hosts     int     `long:"hosts" default:"12" description:"number of hosts, each running an engine and its agent"`
+	Objective string  `long:"objective" default:"time" choice:"time" choice:"originBytes" description:"what rollouts optimise for"`
+	ModelMiB  float64 `long:"model-mib" default:"8" description:"size of the model weights in MiB"`
 }
 
-const demoHelp = `Starts one whole deployment over loopback, rolls a model out, sends requests, rolls to
-a second version while they run, lets one entry and one host leave, and ends
-all that it started. Progress goes to standard error; the last line on standard
-output is one JSON object. The exit code is 1 where an invariant broke.
+const demoHelp = `Starts a complete deployment over loopback, rolls out a model, sends requests, rolls out
+a second version while they run, shuts down one entry and one host, and stops every
+process that it started. Progress goes to standard error; the last line on standard
+output is one JSON object. The exit code is 1 if an invariant broke.
 
 Example:
   comfreybench demo --hosts 12 --objective originBytes --model-mib 16`
@@ -34,7 +34,7 @@
 	options := &demoOptions{}
 	return &cli.Command{
 		Name:    "demo",
-		Short:   "run one whole deployment and check it",
+		Short:   "run a complete deployment and check it",
 		Long:    demoHelp,
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runDemo(ctx, options) },
@@ -60,7 +60,7 @@
 		Seed:       options.Seed,
 	})
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "the demo did not come to its end",
+		return failure.Wrap(err, failure.Internal, "the demo did not finish",
 			"read "+filepath.Join(options.Out, "demo.log"))
 	}
 	if err := json.NewEncoder(os.Stdout).Encode(result); err != nil {
@@ -74,20 +74,20 @@
 
 // common are the options of every subcommand.
 type common struct {
-	Bin  string `long:"bin" default:"bin" description:"directory of the built programs"`
-	Out  string `long:"out" default:"out" description:"directory for the processes' logs"`
-	Seed uint64 `long:"seed" default:"1" description:"seed of loads, contents and faults"`
+	Bin  string `long:"bin" default:"bin" description:"directory with the built programs"`
+	Out  string `long:"out" default:"out" description:"directory for the logs of the processes"`
+	Seed uint64 `long:"seed" default:"1" description:"random seed for load, content and faults"`
 }
 
 // processLog creates the file to which all processes log.
 func (c *common) processLog(name string) (*os.File, func(), error) {
 	const dirMode = 0o755
 	if err := os.MkdirAll(c.Out, dirMode); err != nil {
-		return nil, nil, failure.Wrap(err, failure.Invalid, "cannot make the directory of logs", "name another with --out")
+		return nil, nil, failure.Wrap(err, failure.Invalid, "cannot create the log directory", "choose another directory with --out")
 	}
 	file, err := os.Create(filepath.Join(c.Out, name))
 	if err != nil {
-		return nil, nil, failure.Wrap(err, failure.Invalid, "cannot write the processes' log", "name another directory with --out")
+		return nil, nil, failure.Wrap(err, failure.Invalid, "cannot write the log of the processes", "choose another directory with --out")
 	}
 	return file, func() { _ = file.Close() }, nil
 }
--- a/bench/internal/cmd/cmd_deployment.go
+++ b/bench/internal/cmd/cmd_deployment.go
@@ -14,16 +14,16 @@
 type deploymentOptions struct {
 	common
 	Entries   int     `long:"entries" default:"9" description:"entry hosts"`
-	Hosts     int     `long:"hosts" default:"12" description:"hosts, each an engine with its agent"`
-	Services  int     `long:"services" default:"1" description:"plain services with their agents"`
-	ModelMiB  float64 `long:"model-mib" default:"8" description:"size of the weights"`
-	Customers int     `long:"customers" default:"10" description:"customers in the document"`
-	Info      string  `long:"info" description:"file for the JSON object, in place of standard output"`
-	LogLevel  string  `long:"log-level" default:"info" description:"of the system's processes"`
+	Hosts     int     `long:"hosts" default:"12" description:"number of hosts, each running an engine and its agent"`
+	Services  int     `long:"services" default:"1" description:"number of plain services, each with its agent"`
+	ModelMiB  float64 `long:"model-mib" default:"8" description:"size of the model weights in MiB"`
+	Customers int     `long:"customers" default:"10" description:"number of customers in the document"`
+	Info      string  `long:"info" description:"file to write the JSON object to instead of standard output"`
+	LogLevel  string  `long:"log-level" default:"info" description:"log level of the started processes"`
 }
 
-const deploymentHelp = `Starts one whole deployment, rolls a model out, prints one JSON object with addresses
-and keys, and keeps the deployment until SIGINT or SIGTERM.
+const deploymentHelp = `Starts a complete deployment, rolls out a model, prints one JSON object with addresses
+and keys, and keeps the deployment running until SIGINT or SIGTERM.
 
 Example:
   comfreybench deployment --entries 3 --hosts 4`
@@ -32,7 +32,7 @@
 	options := &deploymentOptions{}
 	return &cli.Command{
 		Name:    "deployment",
-		Short:   "keep one whole deployment to try things on",
+		Short:   "run a complete deployment for experiments",
 		Long:    deploymentHelp,
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runDeployment(ctx, options) },
@@ -86,7 +86,7 @@
 	}
 	partial := name + ".partial"
 	if err := os.WriteFile(partial, text, mode); err != nil {
-		return failure.Wrap(err, failure.Invalid, "cannot write the deployment's description", "name a writable file with --info")
+		return failure.Wrap(err, failure.Invalid, "cannot write the description of the deployment", "choose a writable file with --info")
 	}
 	return os.Rename(partial, name)
 }
--- a/bench/internal/cmd/cmd_policy.go
+++ b/bench/internal/cmd/cmd_policy.go
@@ -20,30 +20,31 @@
 )
 
 type policyOptions struct {
-	Load    string        `long:"load" value-name:"FILE" description:"the load, as JSON; empty plays the one that is built in"`
-	Entries int           `long:"entries" description:"entries; 0 takes the load's"`
-	Engines int           `long:"engines" description:"engines; 0 takes the load's. What is asked grows with them"`
-	Regions int           `long:"regions" description:"regions; 0 takes the load's"`
-	Rates   []float64     `long:"rate" default:"1" description:"multiplies what is asked; may be given again"`
-	Seeds   string        `long:"seeds" default:"1" value-name:"A..B" description:"a seed, or the first and the last of several"`
-	Without []string      `long:"without" value-name:"MECHANISM" description:"leaves a mechanism out; may be given again"`
-	Near    int           `long:"near" description:"engines of its failure domain that an entry sends to where there are many; 0: the usual"`
-	Senders int           `long:"senders" description:"entries of its failure domain at least that send to an engine; 0: the usual"`
-	Far     int           `long:"far" description:"engines of other failure domains at most that an entry sends to; 0: the usual, below 0: none"`
-	HomeGap time.Duration `long:"home-gap" description:"least time between two states of an engine to the entry it is home to; 0: the usual"`
-	NearGap time.Duration `long:"near-gap" description:"the same to others of its failure domain"`
-	FarGap  time.Duration `long:"far-gap" description:"the same to entries of other failure domains"`
-	Looks   time.Duration `long:"look" description:"how often an agent looks at its engine while something runs"`
-	Jobs    int           `long:"jobs" default:"4" description:"plays at once"`
-	Plot    string        `long:"plot" value-name:"FILE.svg" description:"draws answers in aim against offered load"`
+	Load    string        `long:"load" value-name:"FILE" description:"load description as JSON; empty uses the built-in one"`
+	Entries int           `long:"entries" description:"number of entries; 0 uses the load's value"`
+	Engines int           `long:"engines" description:"number of engines; 0 uses the load's value. The offered load scales with it"`
+	Regions int           `long:"regions" description:"number of regions; 0 uses the load's value"`
+	Rates   []float64     `long:"rate" default:"1" description:"factor applied to the offered load; can be repeated"`
+	Seeds   string        `long:"seeds" default:"1" value-name:"A..B" description:"a seed, or the first and the last of a range"`
+	Without []string      `long:"without" value-name:"MECHANISM" description:"mechanism to disable; can be repeated"`
+	Near    int           `long:"near" description:"number of engines in its failure domain that an entry sends to if there are many; 0 uses the default"`
+	Senders int           `long:"senders" description:"minimum number of entries in its failure domain that send to an engine; 0 uses the default"`
+	Far     int           `long:"far" description:"maximum number of engines in other failure domains that an entry sends to; 0 uses the default, a negative value means none"`
+	HomeGap time.Duration `long:"home-gap" description:"minimum interval between state reports of an engine to its home entry; 0 uses the default"`
+	NearGap time.Duration `long:"near-gap" description:"minimum interval between state reports to other entries in its failure domain; 0 uses the default"`
+	FarGap  time.Duration `long:"far-gap" description:"minimum interval between state reports to entries in other failure domains; 0 uses the default"`
+	Looks   time.Duration `long:"look" description:"interval at which an agent polls its engine while requests run"`
+	Jobs    int           `long:"jobs" default:"4" description:"number of simulations to run in parallel"`
+	Plot    string        `long:"plot" value-name:"FILE.svg" description:"write a plot of answers within target against offered load"`
 }
 
-const policyHelp = `Plays the decisions of entries in virtual time: the product's own cores over
-described arrivals, links and engines. One JSON line a play: how what was asked
-ended, the worst parts, and what entries and agents sent one another.
+const policyHelp = `Simulates the decisions of entries in virtual time: runs the product's own decision
+cores over modelled arrivals, links and engines. Prints one JSON line per simulation:
+the outcomes of the requests, the worst parts, and what entries and agents sent to
+one another.
 
-A figure is worth as much as the model: docs/design/scale.md has its error against
-played days.
+The results are only as accurate as the model: docs/design/scale.md has its error
+against played days.
 
 Examples:
   comfreybench policy --rate 0.8 --rate 1 --rate 1.2 --seeds 1..3 --plot curve.svg
@@ -54,7 +55,7 @@
 	options := &policyOptions{}
 	return &cli.Command{
 		Name:    "policy",
-		Short:   "play decisions in virtual time",
+		Short:   "simulate decisions in virtual time",
 		Long:    policyHelp + "\n\nMechanisms:" + mechanisms(),
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runPolicy(ctx, options) },
@@ -125,7 +126,7 @@
 	without := map[string]bool{}
 	for _, name := range o.Without {
 		if policy.Mechanisms[name] == "" {
-			return nil, failure.New(failure.Invalid, "there is no mechanism "+strconv.Quote(name), "give one of: "+
+			return nil, failure.New(failure.Invalid, "unknown mechanism "+strconv.Quote(name), "give one of: "+
 				strings.Join(slices.Sorted(maps.Keys(policy.Mechanisms)), ", "))
 		}
 		without[name] = true
@@ -133,7 +134,7 @@
 	var plays []policy.Options
 	for _, rate := range o.Rates {
 		if rate <= 0 || rate > maxRate {
-			return nil, failure.New(failure.Invalid, fmt.Sprintf("--rate %v is out of range", rate), fmt.Sprintf("give a number over 0, at most %v", maxRate))
+			return nil, failure.New(failure.Invalid, fmt.Sprintf("--rate %v is out of range", rate), fmt.Sprintf("give a number above 0 and at most %v", maxRate))
 		}
 		for seed := first; seed <= last; seed++ {
 			plays = append(plays, policy.Options{Seed: seed, Rate: rate, Shares: o.shares(), Gaps: o.gaps(), Looks: o.Looks, Without: without})
@@ -181,7 +182,7 @@
 	first, errFirst := strconv.ParseUint(low, 10, 64)
 	last, errLast := strconv.ParseUint(high, 10, 64)
 	if errFirst != nil || errLast != nil || last < first || last-first >= maxSeeds {
-		return 0, 0, failure.New(failure.Invalid, "--seeds "+strconv.Quote(text)+" is no range", fmt.Sprintf("give a number, or two as 1..5, at most %d of them", maxSeeds))
+		return 0, 0, failure.New(failure.Invalid, "--seeds "+strconv.Quote(text)+" is not a valid range", fmt.Sprintf("give a number or a range such as 1..5 with at most %d seeds", maxSeeds))
 	}
 	return first, last, nil
 }
--- a/bench/internal/cmd/cmd_requests.go
+++ b/bench/internal/cmd/cmd_requests.go
@@ -9,14 +9,14 @@
 
 type requestsOptions struct {
 	common
-	Case string `long:"case" description:"one case's name; empty runs all"`
-	Runs int    `long:"runs" default:"1" description:"runs of each case"`
-	List bool   `long:"list" description:"print the cases' names and run none"`
+	Case string `long:"case" description:"name of the case to run; empty runs all cases"`
+	Runs int    `long:"runs" default:"1" description:"number of runs of each case"`
+	List bool   `long:"list" description:"print the case names and exit"`
 }
 
-const requestsHelp = `Measures requests under load, faults and shutdowns: real processes, open arrivals,
-one JSON line a case. Outcomes are judged by the callers, runs are counted by
-the back ends. The exit code is 1 where an invariant broke.
+const requestsHelp = `Measures requests under load, faults and shutdowns. Runs real processes with
+open-loop arrivals and prints one JSON line per case. The callers judge the outcomes,
+the back ends count the runs. The exit code is 1 if an invariant broke.
 
 Examples:
   comfreybench requests --list
--- a/bench/internal/cmd/cmd_soak.go
+++ b/bench/internal/cmd/cmd_soak.go
@@ -14,13 +14,13 @@
 
 type soakOptions struct {
 	common
-	Seconds float64 `long:"seconds" default:"60" description:"how long faults happen"`
-	Plan    bool    `long:"plan" description:"print the seed's events and run none"`
+	Seconds float64 `long:"seconds" default:"60" description:"duration of the fault phase, in seconds"`
+	Plan    bool    `long:"plan" description:"print the events of the seed and exit"`
 }
 
-const soakHelp = `Lets random faults happen to a deployment under load: hosts, entries, engines, links,
-the platform and the document. The invariants are checked from the records of
-the callers and the back ends. Prints one JSON line; the exit code is 1 where an
+const soakHelp = `Injects random faults into a deployment under load: hosts, entries, engines, links,
+the platform and the document. Checks the invariants against the records of the
+callers and the back ends. Prints one JSON line; the exit code is 1 if an
 invariant broke. The same seed gives the same events.
 
 Examples:
@@ -31,7 +31,7 @@
 	options := &soakOptions{}
 	return &cli.Command{
 		Name:    "soak",
-		Short:   "random faults under load",
+		Short:   "inject random faults under load",
 		Long:    soakHelp,
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runSoak(ctx, options) },
@@ -65,8 +65,8 @@
 		return problem
 	}
 	if err != nil || result.Violations > 0 {
-		return failure.New(failure.Internal, "the run broke an invariant or did not come to its end",
-			"read the JSON line and "+filepath.Join(options.Out, "soak.log"))
+		return failure.New(failure.Internal, "the run violated an invariant or did not finish",
+			"check the JSON line and "+filepath.Join(options.Out, "soak.log"))
 	}
 	return nil
 }
--- a/bench/internal/cmd/cmd_soak_platform.go
+++ b/bench/internal/cmd/cmd_soak_platform.go
@@ -14,18 +14,18 @@
 
 type soakPlatformOptions struct {
 	common
-	Seconds float64 `long:"seconds" default:"60" description:"how long planned work and faults happen"`
+	Seconds float64 `long:"seconds" default:"60" description:"duration of the event phase, in seconds"`
 	Entries int     `long:"entries" default:"9" description:"entries"`
-	Engines int     `long:"engines" default:"14" description:"engines, each with its agent"`
-	Load    float64 `long:"load" default:"0.8" description:"requests as a part of what the engines serve"`
-	Gap     float64 `long:"gap" default:"0.8" description:"mean seconds between two events"`
-	Events  string  `long:"events" default:"all" choice:"all" choice:"none" choice:"planned" choice:"hiccups" description:"what happens: all, nothing, planned work, or that and hiccups"`
+	Engines int     `long:"engines" default:"14" description:"number of engines, each with its agent"`
+	Load    float64 `long:"load" default:"0.8" description:"request load as a fraction of the engines' capacity"`
+	Gap     float64 `long:"gap" default:"0.8" description:"mean time between two events, in seconds"`
+	Events  string  `long:"events" default:"all" choice:"all" choice:"none" choice:"planned" choice:"hiccups" description:"which events to inject: all, none, planned operations, or planned operations and hiccups"`
 }
 
-const soakPlatformHelp = `Lets planned work, hiccups and faults happen to a deployment behind a platform: plain
-processes on loopback, with stand-ins of the platform. Checks the platform's rules from
-the records of callers and endpoints. Prints one JSON line; the exit code is 1 where a
-rule broke. The same seed gives the same events.
+const soakPlatformHelp = `Injects planned operations, hiccups and faults into a deployment behind a platform: plain
+processes on loopback, with stand-ins for the platform. Checks the platform's rules against
+the records of callers and endpoints. Prints one JSON line; the exit code is 1 if a rule
+was violated. The same seed gives the same events.
 
 Examples:
   comfreybench soak-platform --seed 7 --seconds 60
@@ -35,7 +35,7 @@
 	options := &soakPlatformOptions{}
 	return &cli.Command{
 		Name:    "soak-platform",
-		Short:   "random faults under load, behind a platform",
+		Short:   "inject random faults under load, behind a platform",
 		Long:    soakPlatformHelp,
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runSoakPlatform(ctx, options) },
@@ -63,8 +63,8 @@
 		return problem
 	}
 	if err != nil || len(result.Broken) > 0 {
-		return failure.New(failure.Internal, "the run broke a rule or did not come to its end",
-			"read the JSON line and "+filepath.Join(options.Out, "soak-platform.log"))
+		return failure.New(failure.Internal, "the run violated a rule or did not finish",
+			"check the JSON line and "+filepath.Join(options.Out, "soak-platform.log"))
 	}
 	return nil
 }
