--- a/bench/internal/sitesoak/act.go
+++ b/bench/internal/sitesoak/act.go
@@ -120,7 +120,7 @@
 		all := slices.Concat(r.site.Members(site.Entry), r.site.Members(site.Agent), r.site.Members(site.Engine))
 		return r.killAndRestart(ctx, event.length, all...)
 	}
-	return fmt.Errorf("no action for %s", event.kind)
+	return fmt.Errorf("event kind %s has no action", event.kind)
 }
 
 // burstFactor is added to the load factor of 1 during a burst.
@@ -210,8 +210,8 @@
 // killedSince reports whether another event killed a member after the given time. That event
 // also restarts it.
 func (r *run) killedSince(m *site.Member, at time.Time) bool {
-	return r.faultWithin(at, time.Now(), func(one *faultRecord) bool {
-		return killKinds[one.kind] && one.from.After(at) && one.affects(m.ID)
+	return r.faultWithin(at, time.Now(), func(fault *faultRecord) bool {
+		return killKinds[fault.kind] && fault.from.After(at) && fault.affects(m.ID)
 	})
 }
 
@@ -227,7 +227,7 @@
 		if r.excusedByFault(m.ID, time.Now().Add(-bounds.Grace), time.Now()) {
 			return nil // killed by another event, which also restarts it
 		}
-		r.recordViolation("stop", fmt.Sprintf("%s did not end cleanly within %v: %v", m.Name, bounds.Grace, err))
+		r.recordViolation("stop", fmt.Sprintf("%s did not exit cleanly within %v: %v", m.Name, bounds.Grace, err))
 		_ = m.Process().Kill()
 	}
 	return r.site.Begin(ctx, m)
@@ -281,8 +281,8 @@
 	r.runs = append(r.runs, record.Runs...)
 	r.peaks[m.Kind] = max(r.peaks[m.Kind], record.Connections)
 	r.reset += record.Refused
-	for _, one := range record.Loads {
-		r.loads = append(r.loads, engineLoad{Load: one, member: m})
+	for _, load := range record.Loads {
+		r.loads = append(r.loads, engineLoad{Load: load, member: m})
 	}
 }
 
