--- a/bench/internal/policy/caller.go
+++ b/bench/internal/policy/caller.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// ask is one request of a caller, including its retries.
-type ask struct {
-	class    *Class
-	number   int // index of the class in Load.Classes
-	region   int
-	size     int // prompt tokens
-	answer   int // answer tokens
-	asked    time.Duration
-	deadline time.Duration
-	tries    int
-	over     bool // the request has ended, with any outcome
+// request is one request of a caller, including its retries.
+type request struct {
+	class        *Class
+	classIndex   int // index of the class in Load.Classes
+	region       int
+	promptTokens int // prompt tokens
+	answerTokens int // answer tokens
+	arrivedAt    time.Duration
+	deadline     time.Duration
+	retries      int
+	done         bool // the request has ended, with any outcome
 
-	first, newest time.Duration // arrival of the first and latest event; 0 if there was none
-	longest       time.Duration // longest pause between two events
-	state         outcome
+	firstEventAt, lastEventAt time.Duration // arrival of the first and latest event; 0 if there was none
+	longestPause              time.Duration // longest pause between two events
+	outcome                   outcome
 }
 
 // arrive creates a request in the region and schedules the next arrival there.
 func (s *sim) arrive(region int) {
-	s.after(s.gap(region), func() { s.arrive(region) })
-	a := &ask{region: region, asked: s.now}
-	a.class = s.drawClass()
-	a.number = slices.IndexFunc(s.load.Classes, func(class Class) bool { return class.Name == a.class.Name })
-	a.size, a.answer = s.draw(a.class.Prompt), s.draw(a.class.Answer)
-	given := s.load.Callers.DeadlineMillis * (1 - s.load.Callers.Patience*s.rng.Float64())
-	a.deadline = s.now + millis(given)
-	s.out.begin(a)
-	s.send(a)
-	s.after(a.deadline-s.now, func() { s.finish(a, failed) })
+	s.after(s.interarrivalTime(region), func() { s.arrive(region) })
+	req := &request{region: region, arrivedAt: s.now}
+	req.class = s.drawClass()
+	req.classIndex = slices.IndexFunc(s.load.Classes, func(class Class) bool { return class.Name == req.class.Name })
+	req.promptTokens, req.answerTokens = s.draw(req.class.Prompt), s.draw(req.class.Answer)
+	timeout := s.load.Callers.DeadlineMillis * (1 - s.load.Callers.Patience*s.rng.Float64())
+	req.deadline = s.now + millis(timeout)
+	s.tally.begin(req)
+	s.send(req)
+	s.after(req.deadline-s.now, func() { s.finish(req, failed) })
 }
 
 // sharesSum returns the sum of the shares of all classes.
@@ -47,10 +47,10 @@
 
 // send sends the request to a random entry in the caller's region, or to any
 // entry if the region has none.
-func (s *sim) send(a *ask) {
+func (s *sim) send(req *request) {
 	var near []*entry
 	for _, ent := range s.entries {
-		if ent.region == a.region {
+		if ent.region == req.region {
 			near = append(near, ent)
 		}
 	}
@@ -58,52 +58,52 @@
 		near = s.entries
 	}
 	ent := near[s.rng.IntN(len(near))]
-	s.after(s.callerDelay(), func() { ent.receive(a) })
+	s.after(s.callerDelay(), func() { ent.receive(req) })
 }
 
 // refused tells the caller that its request was not run. The caller retries
 // after wait if it has retries left and wait is at most a third of the time left.
-func (s *sim) refused(a *ask, wait time.Duration) {
-	if a.over {
+func (s *sim) refused(req *request, wait time.Duration) {
+	if req.done {
 		return
 	}
-	left := a.deadline - s.now
-	if a.tries < s.load.Callers.Retries && wait <= left/3 {
-		a.tries++
-		s.out.returns++
+	left := req.deadline - s.now
+	if req.retries < s.load.Callers.Retries && wait <= left/3 {
+		req.retries++
+		s.tally.retries++
 		s.after(wait, func() {
-			if !a.over {
-				s.send(a)
+			if !req.done {
+				s.send(req)
 			}
 		})
 		return
 	}
-	s.finish(a, refused)
+	s.finish(req, refused)
 }
 
 // event records that an event of the answer reached the caller.
-func (s *sim) event(a *ask) {
-	if a.over {
+func (s *sim) event(req *request) {
+	if req.done {
 		return
 	}
-	if a.first == 0 {
-		a.first = s.now
+	if req.firstEventAt == 0 {
+		req.firstEventAt = s.now
 	} else {
-		a.longest = max(a.longest, s.now-a.newest)
+		req.longestPause = max(req.longestPause, s.now-req.lastEventAt)
 	}
-	a.newest = s.now
+	req.lastEventAt = s.now
 }
 
 // finish ends the request with an outcome. An answer in aim counts as late if its
 // first event or a pause took longer than its class allows.
-func (s *sim) finish(a *ask, how outcome) {
-	if a.over {
+func (s *sim) finish(req *request, result outcome) {
+	if req.done {
 		return
 	}
-	a.over = true
-	if how == inAim && (a.first-a.asked > millis(a.class.TargetMillis) || a.longest > millis(a.class.GapMillis)) {
-		how = late
+	req.done = true
+	if result == inAim && (req.firstEventAt-req.arrivedAt > millis(req.class.TargetMillis) || req.longestPause > millis(req.class.GapMillis)) {
+		result = late
 	}
-	a.state = how
-	s.out.end(a)
+	req.outcome = result
+	s.tally.end(req)
 }
--- a/bench/internal/policy/entry.go
+++ b/bench/internal/policy/entry.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// mostSends is the maximum number of endpoints that a request is sent to. A
+	// maxSends is the maximum number of endpoints that a request is sent to. A
 	// request is sent to another endpoint only if the previous one did not run
 	// it, as in a gateway.
-	mostSends = 4
-	// stallTargets is the time to wait for a first event before another engine is
+	maxSends = 4
+	// stallTimeoutFactor is the time to wait for a first event before another engine is
 	// tried, as a multiple of the target.
-	stallTargets = 3
+	stallTimeoutFactor = 3
 )
 
 // entry is a simulated entry that uses the product's own decision code.
 type entry struct {
-	sim      *sim
-	id       string
-	region   int
-	fleet    *fleet.Fleet
-	group    *fleet.Group
-	line     admission.Line
-	callers  admission.RetryDetector
-	waiting  map[*admission.Request]*exchange
-	parts    map[string]deal.Assignment
-	reported map[string]int // unread prompt tokens as reported, by address
+	sim         *sim
+	id          string
+	region      int
+	fleet       *fleet.Fleet
+	group       *fleet.Group
+	queue       admission.Line
+	callers     admission.RetryDetector
+	waiting     map[*admission.Request]*exchange
+	assignments map[string]deal.Assignment
+	reported    map[string]int // unread prompt tokens as reported, by address
 }
 
 // exchange is the handling of one attempt of a request by an entry.
 type exchange struct {
-	entry    *entry
-	ask      *ask
-	adm      admission.Request
-	sends    int
-	tries    []fleet.Incarnation
-	grant    *fleet.Grant
-	host     *host
-	work     *engine.Work
-	given    int // tokens that were sent to the caller
-	over     bool
-	waitings int // how often it entered the queue; timers of earlier waits are ignored
+	entry      *entry
+	request    *request
+	adm        admission.Request
+	sendCount  int
+	attempted  []fleet.Incarnation
+	grant      *fleet.Grant
+	host       *host
+	work       *engine.Work
+	tokensSent int // tokens that were sent to the caller
+	done       bool
+	waitCount  int // how often it entered the queue; timers of earlier waits are ignored
 }
 
 func (s *sim) addEntry(number int) {
@@ -61,78 +61,78 @@
 	ent.group = ent.fleet.Group(service)
 	s.entries = append(s.entries, ent)
 	s.byID[ent.id] = ent
-	for _, one := range s.order {
-		ent.register(one)
+	for _, eng := range s.order {
+		ent.register(eng)
 	}
 }
 
-func (e *entry) register(one *host) {
+func (e *entry) register(eng *host) {
 	reg := fleet.Registration{
-		ID: one.id, Service: service, Address: one.address, FailureDomain: domain(one.region), Slots: e.sim.spec.Slots,
+		ID: eng.id, Service: service, Address: eng.address, FailureDomain: domain(eng.region), Slots: e.sim.spec.Slots,
 	}
-	if one.loaded > 0 {
-		reg.Loaded = map[string]uint64{model: one.loaded}
+	if eng.loaded > 0 {
+		reg.Loaded = map[string]uint64{model: eng.loaded}
 	}
 	e.fleet.Register(reg)
 }
 
-// deal reassigns the engines to the entries, as each entry does when engines are
-// added or removed.
-func (s *sim) deal() {
+// assignEngines reassigns the engines to the entries, as each entry does when
+// engines are added or removed.
+func (s *sim) assignEngines() {
 	var entries, engines []deal.Place
 	for _, ent := range s.entries {
 		entries = append(entries, deal.Place{ID: ent.id, Region: domain(ent.region), FailureDomain: domain(ent.region)})
 	}
-	for _, one := range s.order {
-		engines = append(engines, deal.Place{ID: one.address, Region: domain(one.region), FailureDomain: domain(one.region)})
+	for _, eng := range s.order {
+		engines = append(engines, deal.Place{ID: eng.address, Region: domain(eng.region), FailureDomain: domain(eng.region)})
 	}
 	for i, ent := range s.entries {
-		ent.parts = deal.NewWith(s.opts.Shares, entries[i], entries).Assignments(engines)
+		ent.assignments = deal.NewWith(s.opts.Shares, entries[i], entries).Assignments(engines)
 		if s.without("dealing") {
-			ent.dealAll(engines)
+			ent.assignAll(engines)
 		}
 		if s.without("homes") {
-			ent.dealHomes()
+			ent.makeNearHomes()
 		}
-		ent.fleet.SetAssignments(ent.parts)
-		ent.followAll()
+		ent.fleet.SetAssignments(ent.assignments)
+		ent.updateSubscriptions()
 	}
 }
 
-// dealAll assigns every engine to the entry.
-func (e *entry) dealAll(engines []deal.Place) {
+// assignAll assigns every engine to the entry.
+func (e *entry) assignAll(engines []deal.Place) {
 	for _, eng := range engines {
-		if e.parts[eng.ID].Reach != deal.Outside {
+		if e.assignments[eng.ID].Reach != deal.Outside {
 			continue
 		}
 		reach := deal.Far
 		if eng.FailureDomain == domain(e.region) {
 			reach = deal.Near
 		}
-		e.parts[eng.ID] = deal.Assignment{Reach: reach}
+		e.assignments[eng.ID] = deal.Assignment{Reach: reach}
 	}
 }
 
-// dealHomes makes the entry a home of every near engine.
-func (e *entry) dealHomes() {
-	for address, part := range e.parts {
+// makeNearHomes makes the entry a home of every near engine.
+func (e *entry) makeNearHomes() {
+	for address, part := range e.assignments {
 		if part.Reach == deal.Near {
-			e.parts[address] = deal.Assignment{Reach: deal.Home, SendsGuidance: part.SendsGuidance}
+			e.assignments[address] = deal.Assignment{Reach: deal.Home, SendsGuidance: part.SendsGuidance}
 		}
 	}
 }
 
 // receive accepts a request from a caller and places it.
-func (e *entry) receive(a *ask) {
-	if a.over {
+func (e *entry) receive(req *request) {
+	if req.done {
 		return
 	}
 	s := e.sim
-	left := a.deadline - s.now
-	x := &exchange{entry: e, ask: a}
+	left := req.deadline - s.now
+	x := &exchange{entry: e, request: req}
 	x.adm = admission.Request{
-		Engine: s.spec, Target: millis(a.class.TargetMillis), MaxPause: millis(a.class.GapMillis), Prompt: a.size,
-		Priority: a.class.Priority, Retried: e.callers.IsRetry(a.class.Name, left), Arrived: s.clock(),
+		Engine: s.spec, Target: millis(req.class.TargetMillis), MaxPause: millis(req.class.GapMillis), Prompt: req.promptTokens,
+		Priority: req.class.Priority, Retried: e.callers.IsRetry(req.class.Name, left), Arrived: s.clock(),
 	}
 	x.adm.SetDeadline(0, left)
 	s.after(left, func() { x.abandon() })
@@ -143,8 +143,8 @@
 func (x *exchange) place() {
 	e, s := x.entry, x.entry.sim
 	now := s.clock()
-	if head := e.line.Head(now); head == nil {
-		if x.pick() {
+	if head := e.queue.Head(now); head == nil {
+		if x.dispatch() {
 			return
 		}
 	}
@@ -152,28 +152,28 @@
 		x.refuse(fleet.Full)
 		return
 	}
-	e.line.Enter(now, &x.adm)
+	e.queue.Enter(now, &x.adm)
 	e.waiting[&x.adm] = x
-	x.waitings++
-	waiting := x.waitings
+	x.waitCount++
+	waiting := x.waitCount
 	s.after(x.adm.WaitUntil(now).Sub(now), func() {
-		if x.waits() && x.waitings == waiting {
+		if x.isWaiting() && x.waitCount == waiting {
 			x.refuse(fleet.Full)
 		}
 	})
 	if s.without("late") {
 		s.after(time.Duration(1), func() { e.refuseLate() })
 	}
-	e.lookAtChange()
+	e.scheduleQueueCheck()
 }
 
-func (x *exchange) waits() bool { return x.entry.waiting[&x.adm] == x }
+func (x *exchange) isWaiting() bool { return x.entry.waiting[&x.adm] == x }
 
-// lookAtChange schedules another look for when the head of the queue changes
+// scheduleQueueCheck schedules another check for when the head of the queue changes
 // because a request becomes late.
-func (e *entry) lookAtChange() {
-	if at := e.line.NextChange(); !at.IsZero() {
-		e.sim.after(at.Sub(e.sim.clock()), func() { e.refuseLate(); e.look() })
+func (e *entry) scheduleQueueCheck() {
+	if at := e.queue.NextChange(); !at.IsZero() {
+		e.sim.after(at.Sub(e.sim.clock()), func() { e.refuseLate(); e.dispatchWaiting() })
 	}
 }
 
@@ -195,51 +195,51 @@
 	}
 }
 
-// look sends waiting requests to engines in queue order until none has capacity.
-func (e *entry) look() {
-	for head := e.line.Head(e.sim.clock()); head != nil; head = e.line.Head(e.sim.clock()) {
-		if !e.waiting[head].pick() {
+// dispatchWaiting sends waiting requests to engines in queue order until none has capacity.
+func (e *entry) dispatchWaiting() {
+	for head := e.queue.Head(e.sim.clock()); head != nil; head = e.queue.Head(e.sim.clock()) {
+		if !e.waiting[head].dispatch() {
 			return
 		}
 	}
 }
 
-// pick reserves capacity on an engine and sends the request there. It reports
+// dispatch reserves capacity on an engine and sends the request there. It reports
 // whether an engine was available.
-func (x *exchange) pick() bool {
+func (x *exchange) dispatch() bool {
 	e, s := x.entry, x.entry.sim
 	need := x.adm.Need(s.clock(), model, domain(e.region), len(s.entries))
-	need.Exclude = x.tries
+	need.Exclude = x.attempted
 	if s.without("unread") {
 		need.MaxPendingPrefill = 0
 	}
-	s.out.picks++
+	s.tally.dispatchAttempts++
 	grant, verdict := e.group.Pick(need)
 	if verdict != fleet.Granted {
 		return false
 	}
-	x.leaveLine()
+	x.leaveQueue()
 	x.grant, x.host = grant, s.engines[grant.Address()]
-	x.tries = append(x.tries, grant.Incarnation())
-	x.sends++
+	x.attempted = append(x.attempted, grant.Incarnation())
+	x.sendCount++
 	x.adm.Sent = true
-	e.reportReading(x.host)
-	x.work = &engine.Work{Prompt: x.ask.size + x.given, Answer: max(1, x.ask.answer-x.given), Rank: x.adm.Rank(s.clock())}
+	e.reportPendingPrefill(x.host)
+	x.work = &engine.Work{Prompt: x.request.promptTokens + x.tokensSent, Answer: max(1, x.request.answerTokens-x.tokensSent), Rank: x.adm.Rank(s.clock())}
 	work, to := x.work, x.host
 	s.after(s.delay(e.region, to.region), func() { to.arrive(x, work) })
 	if !x.adm.Started {
-		s.after(stallTargets*x.adm.Target, func() {
-			if x.work == work && !x.over && x.ask.first == 0 && to.dark {
-				x.ended(fleet.Silent)
+		s.after(stallTimeoutFactor*x.adm.Target, func() {
+			if x.work == work && !x.done && x.request.firstEventAt == 0 && to.unresponsive {
+				x.handleFailure(fleet.Silent)
 			}
 		})
 	}
 	return true
 }
 
-func (x *exchange) leaveLine() {
-	if x.waits() {
-		x.entry.line.Leave(&x.adm)
+func (x *exchange) leaveQueue() {
+	if x.isWaiting() {
+		x.entry.queue.Leave(&x.adm)
 		delete(x.entry.waiting, &x.adm)
 	}
 }
@@ -247,61 +247,61 @@
 // refuse ends the exchange and tells the caller when to retry. If the answer had
 // begun, the request fails.
 func (x *exchange) refuse(verdict fleet.Verdict) {
-	if x.over {
+	if x.done {
 		return
 	}
-	x.leaveLine()
-	x.over = true
+	x.leaveQueue()
+	x.done = true
 	e, s := x.entry, x.entry.sim
 	if x.adm.Started {
-		s.after(s.callerDelay(), func() { s.finish(x.ask, failed) })
+		s.after(s.callerDelay(), func() { s.finish(x.request, failed) })
 		return
 	}
-	wait := x.adm.RetryAfter(verdict, e.line.Len(), len(s.entries))
-	s.out.refusals++
-	s.after(s.callerDelay(), func() { s.refused(x.ask, wait) })
+	wait := x.adm.RetryAfter(verdict, e.queue.Len(), len(s.entries))
+	s.tally.refusals++
+	s.after(s.callerDelay(), func() { s.refused(x.request, wait) })
 }
 
 // event handles an event from an engine and forwards it to the caller.
 func (x *exchange) event(work *engine.Work, tokens int) {
-	if x.over || x.work != work {
+	if x.done || x.work != work {
 		return
 	}
 	s := x.entry.sim
 	x.adm.Started = true
 	x.grant.Began()
-	x.entry.reportReading(x.host)
-	x.given += tokens
-	s.after(s.callerDelay(), func() { s.event(x.ask) })
+	x.entry.reportPendingPrefill(x.host)
+	x.tokensSent += tokens
+	s.after(s.callerDelay(), func() { s.event(x.request) })
 }
 
-// served ends the request successfully.
-func (x *exchange) served(work *engine.Work) {
-	if x.over || x.work != work {
+// complete ends the request successfully.
+func (x *exchange) complete(work *engine.Work) {
+	if x.done || x.work != work {
 		return
 	}
-	x.over = true
+	x.done = true
 	x.release(fleet.Served)
 	s := x.entry.sim
-	s.after(s.callerDelay(), func() { s.finish(x.ask, inAim) })
+	s.after(s.callerDelay(), func() { s.finish(x.request, inAim) })
 }
 
 // release returns the reserved capacity and serves waiting requests.
 func (x *exchange) release(outcome fleet.Outcome) {
 	x.grant.Done(outcome)
-	x.entry.reportReading(x.host)
-	x.entry.look()
+	x.entry.reportPendingPrefill(x.host)
+	x.entry.dispatchWaiting()
 }
 
-// ended handles an engine's failure to serve the request: it tries another engine,
-// or refuses after mostSends attempts.
-func (x *exchange) ended(outcome fleet.Outcome) {
-	if x.over {
+// handleFailure handles an engine's failure to serve the request: it tries another
+// engine, or refuses after maxSends attempts.
+func (x *exchange) handleFailure(outcome fleet.Outcome) {
+	if x.done {
 		return
 	}
 	x.work = nil
 	x.release(outcome)
-	if x.sends >= mostSends {
+	if x.sendCount >= maxSends {
 		x.refuse(fleet.Full)
 		return
 	}
@@ -310,11 +310,11 @@
 
 // abandon ends the request when its deadline passes.
 func (x *exchange) abandon() {
-	if x.over {
+	if x.done {
 		return
 	}
-	x.leaveLine()
-	x.over = true
+	x.leaveQueue()
+	x.done = true
 	if x.work == nil {
 		return
 	}
@@ -323,15 +323,15 @@
 	x.release(fleet.Abandoned)
 }
 
-// reportReading reports to an agent how many prompt tokens of the entry its engine
+// reportPendingPrefill reports to an agent how many prompt tokens of the entry its engine
 // has not read yet.
-func (e *entry) reportReading(to *host) {
+func (e *entry) reportPendingPrefill(to *host) {
 	s := e.sim
 	tokens := e.fleet.PendingPrefill(service, to.address)
 	if s.without("reading") || s.without("states") || tokens == e.reported[to.address] {
 		return
 	}
 	e.reported[to.address] = tokens
-	s.out.message(e.region, to.region, readingBytes)
-	s.after(s.delay(e.region, to.region), func() { to.observeReading(e, tokens) })
+	s.tally.message(e.region, to.region, prefillReportBytes)
+	s.after(s.delay(e.region, to.region), func() { to.observePendingPrefill(e, tokens) })
 }
--- a/bench/internal/policy/events.go
+++ b/bench/internal/policy/events.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// happen starts an event of the load.
-func (s *sim) happen(one Event) {
-	last := seconds(one.ForSeconds)
-	switch one.Kind {
+// startEvent starts an event of the load.
+func (s *sim) startEvent(ev Event) {
+	duration := seconds(ev.ForSeconds)
+	switch ev.Kind {
 	case "burst":
-		s.factor *= one.Factor
-		s.after(last, func() { s.factor /= one.Factor })
+		s.factor *= ev.Factor
+		s.after(duration, func() { s.factor /= ev.Factor })
 	case "add":
-		s.add(one, last)
+		s.addHosts(ev, duration)
 	case "load":
-		s.loadAll(last)
+		s.reloadAll(duration)
 	default:
-		for _, hit := range s.chosen(one.Share) {
-			s.strike(hit, one, last)
+		for _, target := range s.sampleHosts(ev.Share) {
+			s.applyFault(target, ev, duration)
 		}
 	}
 }
 
-// chosen selects a share of the engines at random.
-func (s *sim) chosen(share float64) []*host {
+// sampleHosts selects a share of the engines at random.
+func (s *sim) sampleHosts(share float64) []*host {
 	count := min(len(s.order), int(share*float64(len(s.order))+0.5))
 	var list []*host
 	for _, i := range s.rng.Perm(len(s.order))[:count] {
@@ -32,72 +32,72 @@
 	return list
 }
 
-// add adds engines at even intervals over the duration last. They are added with
-// the model loaded.
-func (s *sim) add(one Event, last time.Duration) {
-	count := int(one.Share*float64(len(s.order)) + 0.5)
+// addHosts adds engines at even intervals over the given duration. They are added
+// with the model loaded.
+func (s *sim) addHosts(ev Event, duration time.Duration) {
+	count := int(ev.Share*float64(len(s.order)) + 0.5)
 	for i := range count {
-		s.after(last*time.Duration(i)/time.Duration(max(1, count)), func() {
+		s.after(duration*time.Duration(i)/time.Duration(max(1, count)), func() {
 			added := s.addHost(s.rng.IntN(s.load.Regions), true)
 			for _, ent := range s.entries {
 				ent.register(added)
 			}
-			s.deal()
+			s.assignEngines()
 		})
 	}
 }
 
-// strike applies a fault to one engine: it disappears, or it stops responding or
-// slows down for the duration last.
-func (s *sim) strike(hit *host, one Event, last time.Duration) {
-	switch one.Kind {
+// applyFault applies a fault to one engine: it disappears, or it stops responding or
+// slows down for the given duration.
+func (s *sim) applyFault(target *host, ev Event, duration time.Duration) {
+	switch ev.Kind {
 	case "gone":
-		hit.dark = true
-		hit.cut()
-		s.after(time.Second, func() { s.remove(hit) })
+		target.unresponsive = true
+		target.abortAll()
+		s.after(time.Second, func() { s.removeHost(target) })
 	case "dark":
-		hit.dark = true
-		hit.cut()
-		s.after(last, func() { hit.dark = false })
+		target.unresponsive = true
+		target.abortAll()
+		s.after(duration, func() { target.unresponsive = false })
 	case "slow":
-		hit.slow = one.Factor
-		s.after(last, func() { hit.slow = 1 })
+		target.slowdown = ev.Factor
+		s.after(duration, func() { target.slowdown = 1 })
 	}
 }
 
-// remove unregisters an engine from all entries.
-func (s *sim) remove(gone *host) {
+// removeHost unregisters an engine from all entries.
+func (s *sim) removeHost(gone *host) {
 	var left []*host
-	for _, one := range s.order {
-		if one != gone {
-			left = append(left, one)
+	for _, eng := range s.order {
+		if eng != gone {
+			left = append(left, eng)
 		}
 	}
 	s.order = left
 	for _, ent := range s.entries {
 		ent.fleet.Remove(gone.id, s.clock())
 	}
-	s.deal()
+	s.assignEngines()
 }
 
-// loadAll has all engines load a version, one after another in random order, over
-// the duration last.
-func (s *sim) loadAll(last time.Duration) {
+// reloadAll has all engines load a version, one after another in random order, over
+// the given duration.
+func (s *sim) reloadAll(duration time.Duration) {
 	for i, at := range s.rng.Perm(len(s.order)) {
-		one := s.order[at]
-		s.after(last*time.Duration(i)/time.Duration(len(s.order)), one.reload)
+		eng := s.order[at]
+		s.after(duration*time.Duration(i)/time.Duration(len(s.order)), eng.reload)
 	}
 }
 
-// reload announces a load, aborts the requests that still run after noticeTime,
+// reload announces a load, aborts the requests that still run after loadNoticePeriod,
 // and serves again when the load is complete.
 func (h *host) reload() {
-	if h.ordering || h.dark {
+	if h.loading || h.unresponsive {
 		return
 	}
-	h.ordering = true
-	h.sim.after(noticeTime, func() {
-		h.cut()
-		h.sim.after(millis(h.sim.load.Engine.LoadMillis), func() { h.ordering = false })
+	h.loading = true
+	h.sim.after(loadNoticePeriod, func() {
+		h.abortAll()
+		h.sim.after(millis(h.sim.load.Engine.LoadMillis), func() { h.loading = false })
 	})
 }
--- a/bench/internal/policy/helpers_test.go
+++ b/bench/internal/policy/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func jsonOf(t *testing.T, value any) string {
+func mustMarshal(t *testing.T, value any) string {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/bench/internal/policy/plot.go
+++ b/bench/internal/policy/plot.go
@@ -18,24 +18,24 @@
 // The format follows from the extension of file.
 func Plot(results []Result, file string) error {
 	byRate := map[float64][]Result{}
-	for _, one := range results {
-		byRate[one.Rate] = append(byRate[one.Rate], one)
+	for _, result := range results {
+		byRate[result.Rate] = append(byRate[result.Rate], result)
 	}
-	var inAim, whole, bound plotter.XYs
+	var inAim, complete, limit plotter.XYs
 	for _, rate := range slices.Sorted(maps.Keys(byRate)) {
 		group := byRate[rate]
-		asked := mean(group, func(r Result) float64 { return r.AskedPerS })
-		inAim = append(inAim, plotter.XY{X: asked, Y: mean(group, func(r Result) float64 { return r.AskedPerS * r.InAim })})
-		whole = append(whole, plotter.XY{X: asked, Y: mean(group, func(r Result) float64 { return r.AskedPerS * (r.InAim + r.Late) })})
-		bound = append(bound, plotter.XY{X: asked, Y: min(asked, mean(group, func(r Result) float64 { return r.FluidPerS }))})
+		arrivalRate := mean(group, func(r Result) float64 { return r.AskedPerS })
+		inAim = append(inAim, plotter.XY{X: arrivalRate, Y: mean(group, func(r Result) float64 { return r.AskedPerS * r.InAim })})
+		complete = append(complete, plotter.XY{X: arrivalRate, Y: mean(group, func(r Result) float64 { return r.AskedPerS * (r.InAim + r.Late) })})
+		limit = append(limit, plotter.XY{X: arrivalRate, Y: min(arrivalRate, mean(group, func(r Result) float64 { return r.FluidPerS }))})
 	}
-	picture := plot.New()
-	picture.Title.Text = fmt.Sprintf("%s: %d entries, %d engines", results[0].Load, results[0].Entries, results[0].Engines)
-	picture.X.Label.Text = "requests asked a second"
-	picture.Y.Label.Text = "answers a second"
-	err := plotutil.AddLinePoints(picture, "in aim", inAim, "whole", whole, "bound of the engines", bound)
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("%s: %d entries, %d engines", results[0].Load, results[0].Entries, results[0].Engines)
+	chart.X.Label.Text = "requests asked a second"
+	chart.Y.Label.Text = "answers a second"
+	err := plotutil.AddLinePoints(chart, "in aim", inAim, "whole", complete, "bound of the engines", limit)
 	if err == nil {
-		err = picture.Save(6*vg.Inch, 4*vg.Inch, file)
+		err = chart.Save(6*vg.Inch, 4*vg.Inch, file)
 	}
 	if err != nil {
 		return failure.Wrap(err, failure.Invalid, "the plot can't be drawn", "name a file that ends with .svg or .png, in a folder that exists")
@@ -45,8 +45,8 @@
 
 func mean(results []Result, of func(Result) float64) float64 {
 	sum := 0.0
-	for _, one := range results {
-		sum += of(one)
+	for _, result := range results {
+		sum += of(result)
 	}
 	return sum / float64(len(results))
 }
--- a/bench/internal/policy/policy_test.go
+++ b/bench/internal/policy/policy_test.go
@@ -11,7 +11,7 @@
 )
 
 // small returns the built-in load with few machines and a short duration.
-func small(t *testing.T, entries, engines int) *Load {
+func smallLoad(t *testing.T, entries, engines int) *Load {
 	t.Helper()
 	load, err := Usual().Sized(entries, engines, 3)
 	if err != nil {
@@ -29,11 +29,11 @@
 	return opts
 }
 
-func TestPlaysOfOneSeedAreEqual(t *testing.T) {
+func TestSameSeedGivesEqualResults(t *testing.T) {
 	for _, without := range [][]string{nil, {"late"}, {"states", "dealing"}, {"homes", "unread", "reading"}} {
-		first, second := Play(small(t, 9, 24), options(0.8, without...)), Play(small(t, 9, 24), options(0.8, without...))
+		first, second := Play(smallLoad(t, 9, 24), options(0.8, without...)), Play(smallLoad(t, 9, 24), options(0.8, without...))
 		first.WallSeconds, second.WallSeconds = 0, 0
-		if got, want := jsonOf(t, first), jsonOf(t, second); got != want {
+		if got, want := mustMarshal(t, first), mustMarshal(t, second); got != want {
 			t.Errorf("without %v: got %s and %s, want equal results", without, got, want)
 		}
 	}
@@ -42,7 +42,7 @@
 // Guards against requests that never end or are counted twice: the shares of the
 // outcomes must add up to 1.
 func TestEveryRequestEnds(t *testing.T) {
-	load := small(t, 9, 24)
+	load := smallLoad(t, 9, 24)
 	load.Events = []Event{
 		{Kind: "dark", AtSeconds: 3, ForSeconds: 2, Share: 0.2}, {Kind: "slow", AtSeconds: 3, ForSeconds: 4, Share: 0.2, Factor: 4},
 		{Kind: "load", AtSeconds: 4, ForSeconds: 3}, {Kind: "add", AtSeconds: 2, ForSeconds: 2, Share: 0.5},
@@ -51,17 +51,17 @@
 	s := newSim(load, options(1))
 	s.run()
 	asked := 0
-	for _, part := range s.out.byClass {
-		asked += part.asked()
+	for _, part := range s.tally.byClass {
+		asked += part.total()
 	}
-	if got := s.out.all.asked(); got == 0 || got != asked {
+	if got := s.tally.all.total(); got == 0 || got != asked {
 		t.Errorf("got %d requests ended and %d by class, want the same", got, asked)
 	}
-	if owed := 0.0; s.out.owed <= owed || s.out.worth > s.out.owed {
-		t.Errorf("got worth %v of %v owed, want a part of it", s.out.worth, s.out.owed)
+	if minWorth := 0.0; s.tally.maxWorth <= minWorth || s.tally.worth > s.tally.maxWorth {
+		t.Errorf("got worth %v of %v owed, want a part of it", s.tally.worth, s.tally.maxWorth)
 	}
-	found := s.out.result()
-	if sum := found.InAim + found.Late + found.Refused + found.Failed; sum < 0.999 || sum > 1.001 {
+	result := s.tally.result()
+	if sum := result.InAim + result.Late + result.Refused + result.Failed; sum < 0.999 || sum > 1.001 {
 		t.Errorf("got shares that make %v, want 1", sum)
 	}
 }
@@ -72,11 +72,11 @@
 // request there, and the prompts queued behind one another. The load has 60 entries
 // and 141 engines in three domains at the limit of what the engines can serve,
 // prompts of 600 to 1,300 tokens and targets of 500 to 800 ms.
-func TestFewSendersAnEngineAreBetterThanAll(t *testing.T) {
-	load := small(t, 60, 141)
-	few, all := options(0.68), options(0.68)
+func TestLimitedSendersServeMoreInAimThanAll(t *testing.T) {
+	load := smallLoad(t, 60, 141)
+	limited, all := options(0.68), options(0.68)
 	all.Shares = deal.Shares{Near: 1000, Senders: 1000, Far: deal.DefaultShares.Far}
-	got, against := Play(load, few), Play(load, all)
+	got, against := Play(load, limited), Play(load, all)
 	if got.InAim < against.InAim+0.02 {
 		t.Errorf("got %.3f in aim with few senders and %.3f with all, want more by 0.02", got.InAim, against.InAim)
 	}
@@ -86,9 +86,9 @@
 }
 
 // Guards against a message rate per entry that grows with the size of the fleet.
-func TestMessagesOfAnEntryDoNotGrowWithTheFleet(t *testing.T) {
-	base := Play(small(t, 18, 42), options(0.5))
-	grown := Play(small(t, 72, 168), options(0.5))
+func TestMessageRatePerEntryDoesNotGrowWithFleet(t *testing.T) {
+	base := Play(smallLoad(t, 18, 42), options(0.5))
+	grown := Play(smallLoad(t, 72, 168), options(0.5))
 	if got, bound := grown.MessagesPerS, 1.25*base.MessagesPerS; got > bound {
 		t.Errorf("got %.0f messages an entry and second at four times the size, want at most %.0f", got, bound)
 	}
@@ -97,21 +97,21 @@
 	}
 }
 
-func TestWrongLoadsNameLineFieldAndRemedy(t *testing.T) {
+func TestParseErrorsNameLineFieldAndRemedy(t *testing.T) {
 	good, err := os.ReadFile("usual.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range []struct{ old, with, want string }{
+	for _, test := range []struct{ old, replacement, want string }{
 		{`"regions": 5`, `"regions": 0`, "line 3: /regions: "},
 		{`"chunkTokens"`, `"chunkTokenz"`, `"chunkTokenz" is not known`},
 		{`"seconds": 30,`, `"seconds": 30`, "line 4"},
 		{`"callers":`, `"events": [{"kind": "fire", "atSeconds": 1}], "callers":`, "give add, gone, dark, slow, load or burst"},
 	} {
-		text := strings.Replace(string(good), one.old, one.with, 1)
+		text := strings.Replace(string(good), test.old, test.replacement, 1)
 		_, err := Parse([]byte(text))
-		if err == nil || failure.KindOf(err) != failure.Invalid || !strings.Contains(err.Error(), one.want) {
-			t.Errorf("%s: got %v, want an error of kind invalid with %q", one.with, err, one.want)
+		if err == nil || failure.KindOf(err) != failure.Invalid || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: got %v, want an error of kind invalid with %q", test.replacement, err, test.want)
 		}
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); failure.KindOf(err) != failure.Invalid {
--- a/bench/internal/policy/sim.go
+++ b/bench/internal/policy/sim.go
@@ -28,7 +28,7 @@
 	// entry, by the engine's reach.
 	Gaps Gaps
 	// Looks is the interval at which an agent polls its engine while requests
-	// run. 0 means usualLooks.
+	// run. 0 means defaultPollInterval.
 	Looks time.Duration
 	// Without names the mechanisms that are disabled; see Mechanisms.
 	Without map[string]bool
@@ -66,7 +66,7 @@
 	order   []*host
 	rates   []float64 // requests per second by region
 	factor  float64   // multiplier of the request rates during bursts
-	out     *tally
+	tally   *tally
 }
 
 // epoch is the wall-clock time at which a simulation begins. Its value is arbitrary,
@@ -81,21 +81,21 @@
 		load: load, opts: opts, spec: load.spec(), rng: rand.New(rand.NewPCG(opts.Seed, 1)),
 		byID: map[string]*entry{}, engines: map[string]*host{}, factor: 1,
 	}
-	s.out = newTally(s)
+	s.tally = newTally(s)
 	for i := range load.Engines {
 		s.addHost(i%load.Regions, true)
 	}
 	for i := range load.Entries {
 		s.addEntry(i)
 	}
-	s.deal()
+	s.assignEngines()
 	s.drawRates()
 	return s
 }
 
 func (s *sim) clock() time.Time { return epoch.Add(s.now) }
 
-// drawRates sets the request rate of each region.
+// setRates sets the request rate of each region.
 func (s *sim) drawRates() {
 	mean := s.load.RequestsPerSecond * s.opts.Rate / float64(s.load.Regions)
 	sum := 0.0
@@ -122,10 +122,10 @@
 // run simulates the load to its end.
 func (s *sim) run() {
 	for region := range s.load.Regions {
-		s.after(s.gap(region), func() { s.arrive(region) })
+		s.after(s.interarrivalTime(region), func() { s.arrive(region) })
 	}
-	for _, one := range s.load.Events {
-		s.after(seconds(one.AtSeconds), func() { s.happen(one) })
+	for _, ev := range s.load.Events {
+		s.after(seconds(ev.AtSeconds), func() { s.startEvent(ev) })
 	}
 	end := seconds(s.load.Seconds)
 	for len(s.queue.list) > 0 {
@@ -138,8 +138,8 @@
 	}
 }
 
-// gap draws the time until the next request in a region.
-func (s *sim) gap(region int) time.Duration {
+// interarrivalTime draws the time until the next request in a region.
+func (s *sim) interarrivalTime(region int) time.Duration {
 	return seconds(s.rng.ExpFloat64() / (s.rates[region] * s.factor))
 }
 
@@ -180,11 +180,11 @@
 
 // events is a heap of events ordered by time.
 type events struct {
-	list []event
-	made uint64
+	list       []event
+	lastNumber uint64
 }
 
-func (e *events) next() uint64 { e.made++; return e.made }
+func (e *events) next() uint64 { e.lastNumber++; return e.lastNumber }
 
 func (e *events) Len() int { return len(e.list) }
 func (e *events) Less(i, j int) bool {
@@ -194,11 +194,11 @@
 	return e.list[i].number < e.list[j].number
 }
 func (e *events) Swap(i, j int) { e.list[i], e.list[j] = e.list[j], e.list[i] }
-func (e *events) Push(one any)  { e.list = append(e.list, one.(event)) }
+func (e *events) Push(item any) { e.list = append(e.list, item.(event)) }
 func (e *events) Pop() any {
 	last := len(e.list) - 1
-	one := e.list[last]
+	item := e.list[last]
 	e.list[last] = event{}
 	e.list = e.list[:last]
-	return one
+	return item
 }
--- a/bench/internal/policy/tally.go
+++ b/bench/internal/policy/tally.go
@@ -14,41 +14,41 @@
 	late            // complete, but the first event or a pause exceeded the limit of its class
 	refused         // rejected without having run
 	failed          // interrupted, or its deadline passed
-	outcomes
+	outcomeCount
 )
 
 // window is the length of the intervals among which Result.WorstWindow is found.
 const window = 2 * time.Second
 
 // counts holds the number of requests by outcome.
-type counts [outcomes]int
+type counts [outcomeCount]int
 
-func (c counts) asked() int { return c[inAim] + c[late] + c[refused] + c[failed] }
+func (c counts) total() int { return c[inAim] + c[late] + c[refused] + c[failed] }
 
 func (c counts) share(of outcome) float64 {
-	if c.asked() == 0 {
+	if c.total() == 0 {
 		return 0
 	}
-	return float64(c[of]) / float64(c.asked())
+	return float64(c[of]) / float64(c.total())
 }
 
 // tally collects the statistics of a simulation.
 type tally struct {
-	sim      *sim
-	all      counts
-	byClass  []counts
-	byRegion []counts
-	byWindow []counts
-	worth    float64
-	owed     float64
-	firsts   []time.Duration
-	returns  int // retries by callers
-	refusals int // requests refused by entries
-	picks    int
-	states   int // state messages sent by agents
-	messages int
-	farBytes int // bytes sent between regions
-	events   int // stream events sent by engines
+	sim              *sim
+	all              counts
+	byClass          []counts
+	byRegion         []counts
+	byWindow         []counts
+	worth            float64
+	maxWorth         float64
+	firstEventDelays []time.Duration
+	retries          int // retries by callers
+	refusals         int // requests refused by entries
+	dispatchAttempts int
+	states           int // state messages sent by agents
+	messages         int
+	interRegionBytes int // bytes sent between regions
+	events           int // stream events sent by engines
 }
 
 func newTally(s *sim) *tally {
@@ -60,39 +60,39 @@
 
 // counted reports whether a request is included in the results: it arrived after
 // the warm-up and early enough to end before the simulation does.
-func (t *tally) counted(a *ask) bool {
-	return a.asked >= seconds(t.sim.load.WarmSeconds) && a.asked < seconds(t.sim.load.Seconds)-millis(t.sim.load.Callers.DeadlineMillis)
+func (t *tally) counted(req *request) bool {
+	return req.arrivedAt >= seconds(t.sim.load.WarmSeconds) && req.arrivedAt < seconds(t.sim.load.Seconds)-millis(t.sim.load.Callers.DeadlineMillis)
 }
 
-func (t *tally) begin(a *ask) {
-	if t.counted(a) {
-		t.owed += a.class.Worth
+func (t *tally) begin(req *request) {
+	if t.counted(req) {
+		t.maxWorth += req.class.Worth
 	}
 }
 
-func (t *tally) end(a *ask) {
-	if !t.counted(a) {
+func (t *tally) end(req *request) {
+	if !t.counted(req) {
 		return
 	}
-	t.all[a.state]++
-	t.byClass[a.number][a.state]++
-	t.byRegion[a.region][a.state]++
-	t.byWindow[int(a.asked/window)][a.state]++
-	switch a.state {
+	t.all[req.outcome]++
+	t.byClass[req.classIndex][req.outcome]++
+	t.byRegion[req.region][req.outcome]++
+	t.byWindow[int(req.arrivedAt/window)][req.outcome]++
+	switch req.outcome {
 	case inAim:
-		t.worth += a.class.Worth
+		t.worth += req.class.Worth
 	case late:
-		t.worth += a.class.LateWorth
+		t.worth += req.class.LateWorth
 	}
-	if a.first > 0 {
-		t.firsts = append(t.firsts, a.first-a.asked)
+	if req.firstEventAt > 0 {
+		t.firstEventDelays = append(t.firstEventDelays, req.firstEventAt-req.arrivedAt)
 	}
 }
 
 func (t *tally) message(from, to, bytes int) {
 	t.messages++
 	if from != to {
-		t.farBytes += bytes
+		t.interRegionBytes += bytes
 	}
 }
 
@@ -136,48 +136,48 @@
 	began := time.Now()
 	s := newSim(load, opts)
 	s.run()
-	found := s.out.result()
-	found.WallSeconds = time.Since(began).Seconds()
-	return found
+	result := s.tally.result()
+	result.WallSeconds = time.Since(began).Seconds()
+	return result
 }
 
 func (t *tally) result() Result {
 	s := t.sim
 	span := s.load.Seconds
 	counted := span - s.load.WarmSeconds - s.load.Callers.DeadlineMillis/1000
-	found := Result{
+	result := Result{
 		Load: s.load.Name, Seed: s.opts.Seed, Rate: s.opts.Rate, Entries: len(s.entries), Engines: len(s.order), Regions: s.load.Regions,
 		Near: s.opts.Shares.Near, Far: s.opts.Shares.Far,
-		Asked: t.all.asked(), AskedPerS: float64(t.all.asked()) / counted,
+		Asked: t.all.total(), AskedPerS: float64(t.all.total()) / counted,
 		InAim: t.all.share(inAim), Late: t.all.share(late), Refused: t.all.share(refused), Failed: t.all.share(failed),
-		Worth:      t.worth / math.Max(1, t.owed),
-		WorstClass: worst(t.byClass), WorstRegion: worst(t.byRegion), WorstWindow: worst(t.byWindow),
-		FirstP50: quantile(t.firsts, 0.5), FirstP90: quantile(t.firsts, 0.9),
-		EventsPerS: float64(t.events) / span, FluidPerS: s.fluid(), Returns: t.returns,
+		Worth:      t.worth / math.Max(1, t.maxWorth),
+		WorstClass: lowestShareInAim(t.byClass), WorstRegion: lowestShareInAim(t.byRegion), WorstWindow: lowestShareInAim(t.byWindow),
+		FirstP50: quantile(t.firstEventDelays, 0.5), FirstP90: quantile(t.firstEventDelays, 0.9),
+		EventsPerS: float64(t.events) / span, FluidPerS: s.maxThroughput(), Returns: t.retries,
 		StatesPerS:   float64(t.states) / span / float64(len(s.entries)),
-		MessagesPerS: float64(t.messages) / span / float64(len(s.entries)), FarBytesPerS: float64(t.farBytes) / span,
+		MessagesPerS: float64(t.messages) / span / float64(len(s.entries)), FarBytesPerS: float64(t.interRegionBytes) / span,
 	}
 	for name, on := range s.opts.Without {
 		if on {
-			found.Without = append(found.Without, name)
+			result.Without = append(result.Without, name)
 		}
 	}
-	slices.Sort(found.Without)
+	slices.Sort(result.Without)
 	for _, ent := range s.entries {
-		found.FeedsMost = max(found.FeedsMost, len(ent.parts))
+		result.FeedsMost = max(result.FeedsMost, len(ent.assignments))
 	}
-	return found
+	return result
 }
 
-// worst returns the lowest share in aim among the parts with at least 20 requests.
-func worst(parts []counts) float64 {
-	least := 1.0
+// lowestShareInAim returns the lowest share in aim among the parts with at least 20 requests.
+func lowestShareInAim(parts []counts) float64 {
+	lowest := 1.0
 	for _, part := range parts {
-		if part.asked() >= 20 {
-			least = min(least, part.share(inAim))
+		if part.total() >= 20 {
+			lowest = min(lowest, part.share(inAim))
 		}
 	}
-	return least
+	return lowest
 }
 
 func quantile(times []time.Duration, part float64) float64 {
--- a/bench/internal/policy/throughput.go
+++ b/bench/internal/policy/throughput.go
@@ -7,18 +7,18 @@
 	"comfreyrelay.example/relay/engine"
 )
 
-// fluidSpan is the virtual time for which a saturated engine is simulated to
+// throughputSpan is the virtual time for which a saturated engine is simulated to
 // measure its throughput.
-const fluidSpan = 60 * time.Second
+const throughputSpan = 60 * time.Second
 
-// fluid returns the requests per second that all engines serve together when they
+// maxThroughput returns the requests per second that all engines serve together when they
 // always have waiting work. It is an upper bound for any policy and does not
 // account for pauses.
-func (s *sim) fluid() float64 {
+func (s *sim) maxThroughput() float64 {
 	other := &sim{load: s.load, opts: s.opts, spec: s.spec, rng: rand.New(rand.NewPCG(s.opts.Seed, 2))}
 	batch := engine.NewBatch(s.spec, s.spec.Slots, s.load.Engine.MemoryTokens)
 	served, now := 0, time.Duration(0)
-	for now < fluidSpan {
+	for now < throughputSpan {
 		for batch.Waiting() < 2 {
 			class := other.drawClass()
 			if !batch.Add(&engine.Work{Prompt: other.draw(class.Prompt), Answer: other.draw(class.Answer)}) {
@@ -33,7 +33,7 @@
 		_, done := batch.End()
 		served += len(done)
 	}
-	return float64(served) / fluidSpan.Seconds() * float64(len(s.order))
+	return float64(served) / throughputSpan.Seconds() * float64(len(s.order))
 }
 
 // drawClass draws a class at random, weighted by the shares.
