--- a/bench/internal/policy/load.go
+++ b/bench/internal/policy/load.go
@@ -126,7 +126,7 @@
 func Read(name string) (*Load, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the load can't be read", "name a file that exists")
+		return nil, failure.Wrap(err, failure.Invalid, "cannot read the load file", "name a file that exists")
 	}
 	return Parse(text)
 }
@@ -138,11 +138,11 @@
 		problems = checker.Check(tree)
 	}
 	if len(problems) > 0 {
-		return nil, failure.New(failure.Invalid, schema.FormatWithLines(text, problems), "correct the load; nothing was played")
+		return nil, failure.New(failure.Invalid, schema.FormatWithLines(text, problems), "correct the load; no simulation was run")
 	}
 	load := &Load{}
 	if err := json.Unmarshal(text, load); err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the load can't be read", "correct the load; nothing was played")
+		return nil, failure.Wrap(err, failure.Invalid, "cannot decode the load", "correct the load; no simulation was run")
 	}
 	return load, nil
 }
@@ -196,7 +196,7 @@
 	}
 	text, err := json.Marshal(sized)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "the load can't be written", "report it")
+		return nil, failure.Wrap(err, failure.Internal, "cannot encode the load", "report it")
 	}
 	return Parse(text)
 }
--- a/bench/internal/policy/plot.go
+++ b/bench/internal/policy/plot.go
@@ -31,14 +31,14 @@
 	}
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("%s: %d entries, %d engines", results[0].Load, results[0].Entries, results[0].Engines)
-	chart.X.Label.Text = "requests asked a second"
-	chart.Y.Label.Text = "answers a second"
-	err := plotutil.AddLinePoints(chart, "in aim", inAim, "whole", complete, "bound of the engines", limit)
+	chart.X.Label.Text = "requests per second"
+	chart.Y.Label.Text = "answers per second"
+	err := plotutil.AddLinePoints(chart, "in aim", inAim, "whole", complete, "throughput limit of the engines", limit)
 	if err == nil {
 		err = chart.Save(6*vg.Inch, 4*vg.Inch, file)
 	}
 	if err != nil {
-		return failure.Wrap(err, failure.Invalid, "the plot can't be drawn", "name a file that ends with .svg or .png, in a folder that exists")
+		return failure.Wrap(err, failure.Invalid, "cannot write the plot", "name a file that ends with .svg or .png, in a folder that exists")
 	}
 	return nil
 }
--- a/bench/internal/policy/policy_test.go
+++ b/bench/internal/policy/policy_test.go
@@ -55,14 +55,14 @@
 		asked += part.total()
 	}
 	if got := s.tally.all.total(); got == 0 || got != asked {
-		t.Errorf("got %d requests ended and %d by class, want the same", got, asked)
+		t.Errorf("got %d ended requests in total and %d summed over classes, want equal counts above 0", got, asked)
 	}
 	if minWorth := 0.0; s.tally.maxWorth <= minWorth || s.tally.worth > s.tally.maxWorth {
-		t.Errorf("got worth %v of %v owed, want a part of it", s.tally.worth, s.tally.maxWorth)
+		t.Errorf("got worth %v of at most %v, want a positive maximum that is not exceeded", s.tally.worth, s.tally.maxWorth)
 	}
 	result := s.tally.result()
 	if sum := result.InAim + result.Late + result.Refused + result.Failed; sum < 0.999 || sum > 1.001 {
-		t.Errorf("got shares that make %v, want 1", sum)
+		t.Errorf("got outcome shares that add up to %v, want 1", sum)
 	}
 }
 
@@ -78,10 +78,10 @@
 	all.Shares = deal.Shares{Near: 1000, Senders: 1000, Far: deal.DefaultShares.Far}
 	got, against := Play(load, limited), Play(load, all)
 	if got.InAim < against.InAim+0.02 {
-		t.Errorf("got %.3f in aim with few senders and %.3f with all, want more by 0.02", got.InAim, against.InAim)
+		t.Errorf("got share %.3f in aim with limited senders and %.3f with all, want at least 0.02 more", got.InAim, against.InAim)
 	}
 	if got.StatesPerS > against.StatesPerS/2 {
-		t.Errorf("got %.0f and %.0f states an entry and second, want less than half", got.StatesPerS, against.StatesPerS)
+		t.Errorf("got %.0f state messages per entry and second with limited senders and %.0f with all, want at most half", got.StatesPerS, against.StatesPerS)
 	}
 }
 
@@ -90,10 +90,10 @@
 	base := Play(smallLoad(t, 18, 42), options(0.5))
 	grown := Play(smallLoad(t, 72, 168), options(0.5))
 	if got, bound := grown.MessagesPerS, 1.25*base.MessagesPerS; got > bound {
-		t.Errorf("got %.0f messages an entry and second at four times the size, want at most %.0f", got, bound)
+		t.Errorf("got %.0f messages per entry and second at four times the size, want at most %.0f", got, bound)
 	}
 	if grown.InAim < base.InAim-0.01 {
-		t.Errorf("got %.3f in aim at four times the size, %.3f before, want no less", grown.InAim, base.InAim)
+		t.Errorf("got share %.3f in aim at four times the size and %.3f at the base size, want at most 0.01 less", grown.InAim, base.InAim)
 	}
 }
 
@@ -115,7 +115,7 @@
 		}
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); failure.KindOf(err) != failure.Invalid {
-		t.Errorf("got %v for a file that is not there, want kind invalid", err)
+		t.Errorf("got %v for a missing file, want kind invalid", err)
 	}
 }
 
@@ -126,10 +126,10 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(file); err != nil || !strings.Contains(string(text), "<svg") {
-		t.Errorf("got no picture: %v", err)
+		t.Errorf("got no SVG image: %v", err)
 	}
 	if err := Plot(results, filepath.Join(t.TempDir(), "none", "curve.svg")); failure.KindOf(err) != failure.Invalid {
-		t.Errorf("got %v for a folder that is not there, want kind invalid", err)
+		t.Errorf("got %v for a missing folder, want kind invalid", err)
 	}
 }
 
@@ -138,7 +138,7 @@
 func TestLoadFilesCanBeRead(t *testing.T) {
 	files, err := filepath.Glob("../../loads/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("got files %v, %v; want some", files, err)
+		t.Fatalf("got files %v, %v; want at least one file", files, err)
 	}
 	for _, file := range files {
 		load, err := Read(file)
--- a/bench/internal/policy/sim.go
+++ b/bench/internal/policy/sim.go
@@ -44,12 +44,12 @@
 // Mechanisms maps each name allowed in Options.Without to the behavior of the
 // system when that mechanism is disabled.
 var Mechanisms = map[string]string{
-	"homes":   "every entry of its domain fills an engine's slots as its home does",
-	"dealing": "every entry sends to every engine and follows it",
-	"late":    "who can't be in time any more is refused at once",
-	"unread":  "prompts that wait at an engine are not bounded",
-	"states":  "agents report nothing; entries know of engines from answers alone",
-	"reading": "entries do not report to agents which prompts are not read yet",
+	"homes":   "every entry in an engine's failure domain fills its slots as its home entry does",
+	"dealing": "every entry sends to every engine and subscribes to its state",
+	"late":    "requests that can no longer meet their target are refused at once",
+	"unread":  "the prompt tokens that wait at an engine are not limited",
+	"states":  "agents report no state; entries learn about engines only from answers",
+	"reading": "entries do not report unread prompt tokens to agents",
 }
 
 // sim is a discrete-event simulation of one load.
