--- a/bench/internal/policy/caller.go
+++ b/bench/internal/policy/caller.go
@@ -48,16 +48,16 @@
 // send sends the request to a random entry in the caller's region, or to any
 // entry if the region has none.
 func (s *sim) send(req *request) {
-	var near []*entry
+	var candidates []*entry
 	for _, ent := range s.entries {
 		if ent.region == req.region {
-			near = append(near, ent)
+			candidates = append(candidates, ent)
 		}
 	}
-	if len(near) == 0 {
-		near = s.entries
+	if len(candidates) == 0 {
+		candidates = s.entries
 	}
-	ent := near[s.rng.IntN(len(near))]
+	ent := candidates[s.rng.IntN(len(candidates))]
 	s.after(s.callerDelay(), func() { ent.receive(req) })
 }
 
@@ -67,8 +67,8 @@
 	if req.done {
 		return
 	}
-	left := req.deadline - s.now
-	if req.retries < s.load.Callers.Retries && wait <= left/3 {
+	remaining := req.deadline - s.now
+	if req.retries < s.load.Callers.Retries && wait <= remaining/3 {
 		req.retries++
 		s.tally.retries++
 		s.after(wait, func() {
--- a/bench/internal/policy/entry.go
+++ b/bench/internal/policy/entry.go
@@ -115,9 +115,9 @@
 
 // makeNearHomes makes the entry a home of every near engine.
 func (e *entry) makeNearHomes() {
-	for address, part := range e.assignments {
-		if part.Reach == deal.Near {
-			e.assignments[address] = deal.Assignment{Reach: deal.Home, SendsGuidance: part.SendsGuidance}
+	for address, assignment := range e.assignments {
+		if assignment.Reach == deal.Near {
+			e.assignments[address] = deal.Assignment{Reach: deal.Home, SendsGuidance: assignment.SendsGuidance}
 		}
 	}
 }
@@ -128,14 +128,14 @@
 		return
 	}
 	s := e.sim
-	left := req.deadline - s.now
+	remaining := req.deadline - s.now
 	x := &exchange{entry: e, request: req}
 	x.adm = admission.Request{
 		Engine: s.spec, Target: millis(req.class.TargetMillis), MaxPause: millis(req.class.GapMillis), Prompt: req.promptTokens,
-		Priority: req.class.Priority, Retried: e.callers.IsRetry(req.class.Name, left), Arrived: s.clock(),
+		Priority: req.class.Priority, Retried: e.callers.IsRetry(req.class.Name, remaining), Arrived: s.clock(),
 	}
-	x.adm.SetDeadline(0, left)
-	s.after(left, func() { x.abandon() })
+	x.adm.SetDeadline(0, remaining)
+	s.after(remaining, func() { x.abandon() })
 	x.place()
 }
 
@@ -189,13 +189,14 @@
 			tooLate = append(tooLate, x)
 		}
 	}
-	slices.SortFunc(tooLate, func(left, right *exchange) int { return left.adm.Arrived.Compare(right.adm.Arrived) })
+	slices.SortFunc(tooLate, func(a, b *exchange) int { return a.adm.Arrived.Compare(b.adm.Arrived) })
 	for _, x := range tooLate {
 		x.refuse(fleet.Full)
 	}
 }
 
-// dispatchWaiting sends waiting requests to engines in queue order until none has capacity.
+// dispatchWaiting sends waiting requests to engines in queue order until none has
+// capacity.
 func (e *entry) dispatchWaiting() {
 	for head := e.queue.Head(e.sim.clock()); head != nil; head = e.queue.Head(e.sim.clock()) {
 		if !e.waiting[head].dispatch() {
@@ -323,8 +324,8 @@
 	x.release(fleet.Abandoned)
 }
 
-// reportPendingPrefill reports to an agent how many prompt tokens of the entry its engine
-// has not read yet.
+// reportPendingPrefill reports to an agent how many of the prompt tokens that this
+// entry sent its engine has not read yet.
 func (e *entry) reportPendingPrefill(to *host) {
 	s := e.sim
 	tokens := e.fleet.PendingPrefill(service, to.address)
--- a/bench/internal/policy/events.go
+++ b/bench/internal/policy/events.go
@@ -25,11 +25,11 @@
 // sampleHosts selects a share of the engines at random.
 func (s *sim) sampleHosts(share float64) []*host {
 	count := min(len(s.order), int(share*float64(len(s.order))+0.5))
-	var list []*host
+	var sample []*host
 	for _, i := range s.rng.Perm(len(s.order))[:count] {
-		list = append(list, s.order[i])
+		sample = append(sample, s.order[i])
 	}
-	return list
+	return sample
 }
 
 // addHosts adds engines at even intervals over the given duration. They are added
@@ -66,16 +66,16 @@
 }
 
 // removeHost unregisters an engine from all entries.
-func (s *sim) removeHost(gone *host) {
-	var left []*host
+func (s *sim) removeHost(removed *host) {
+	var remaining []*host
 	for _, eng := range s.order {
-		if eng != gone {
-			left = append(left, eng)
+		if eng != removed {
+			remaining = append(remaining, eng)
 		}
 	}
-	s.order = left
+	s.order = remaining
 	for _, ent := range s.entries {
-		ent.fleet.Remove(gone.id, s.clock())
+		ent.fleet.Remove(removed.id, s.clock())
 	}
 	s.assignEngines()
 }
@@ -83,8 +83,8 @@
 // reloadAll has all engines load a version, one after another in random order, over
 // the given duration.
 func (s *sim) reloadAll(duration time.Duration) {
-	for i, at := range s.rng.Perm(len(s.order)) {
-		eng := s.order[at]
+	for i, index := range s.rng.Perm(len(s.order)) {
+		eng := s.order[index]
 		s.after(duration*time.Duration(i)/time.Duration(len(s.order)), eng.reload)
 	}
 }
--- a/bench/internal/policy/host.go
+++ b/bench/internal/policy/host.go
@@ -15,11 +15,11 @@
 	defaultPollInterval = 30 * time.Millisecond
 	idlePollInterval    = 80 * time.Millisecond
 	// maxStateInterval is the maximum interval between two state messages, unless the
-	// follower's gap is longer.
+	// follower's minInterval is longer.
 	maxStateInterval = 250 * time.Millisecond
 	// loadNoticePeriod is how long before a load entries stop sending new requests.
 	loadNoticePeriod = 600 * time.Millisecond
-	// stateBytes and prefillReportBytes are the sizes of state and reading messages on a
+	// stateBytes and prefillReportBytes are the sizes of state messages and prefill reports on a
 	// link, including headers.
 	stateBytes         = 150
 	prefillReportBytes = 110
@@ -79,7 +79,8 @@
 	return defaultPollInterval
 }
 
-// updateSubscriptions starts and stops state subscriptions according to the entry's assignments.
+// updateSubscriptions starts and stops state subscriptions according to the entry's
+// assignments.
 func (e *entry) updateSubscriptions() {
 	for _, eng := range e.sim.order {
 		reach := e.assignments[eng.address].Reach
@@ -183,16 +184,16 @@
 	h.changed()
 }
 
-// arrive accepts a request, or replies that it did not run. A dark engine does not
-// reply.
+// arrive accepts a request, or replies that it did not run. An unresponsive engine
+// does not reply.
 func (h *host) arrive(x *exchange, work *engine.Work) {
 	s := h.sim
 	if h.unresponsive {
 		return
 	}
-	back := s.delay(h.region, x.entry.region)
+	replyDelay := s.delay(h.region, x.entry.region)
 	if h.loaded == 0 || h.loading && len(h.exchanges) == 0 || x.request.done || !h.batch.Add(work) {
-		s.after(back, func() {
+		s.after(replyDelay, func() {
 			if x.work == work {
 				x.handleFailure(fleet.Refused)
 			}
@@ -211,12 +212,12 @@
 
 // pass begins the next pass if there is work.
 func (h *host) pass() {
-	took, ok := h.batch.Begin()
+	passDuration, ok := h.batch.Begin()
 	if !ok {
 		return
 	}
 	number := h.epochs
-	h.sim.after(time.Duration(float64(took)*h.slowdown), func() {
+	h.sim.after(time.Duration(float64(passDuration)*h.slowdown), func() {
 		if number == h.epochs && !h.unresponsive {
 			h.endPass()
 		}
@@ -235,11 +236,11 @@
 		h.eventsSent++
 		s.tally.events++
 		tokens := work.LastPassTokens()
-		way := s.delay(h.region, x.entry.region)
+		eventDelay := s.delay(h.region, x.entry.region)
 		if work.Written() == tokens {
-			way += millis(s.load.Engine.FirstMillis)
+			eventDelay += millis(s.load.Engine.FirstMillis)
 		}
-		s.after(way, func() { x.event(work, tokens) })
+		s.after(eventDelay, func() { x.event(work, tokens) })
 	}
 	for _, work := range done {
 		x := h.exchanges[work]
--- a/bench/internal/policy/policy_test.go
+++ b/bench/internal/policy/policy_test.go
@@ -51,8 +51,8 @@
 	s := newSim(load, options(1))
 	s.run()
 	asked := 0
-	for _, part := range s.tally.byClass {
-		asked += part.total()
+	for _, counts := range s.tally.byClass {
+		asked += counts.total()
 	}
 	if got := s.tally.all.total(); got == 0 || got != asked {
 		t.Errorf("got %d ended requests in total and %d summed over classes, want equal counts above 0", got, asked)
@@ -76,12 +76,12 @@
 	load := smallLoad(t, 60, 141)
 	limited, all := options(0.68), options(0.68)
 	all.Shares = deal.Shares{Near: 1000, Senders: 1000, Far: deal.DefaultShares.Far}
-	got, against := Play(load, limited), Play(load, all)
-	if got.InAim < against.InAim+0.02 {
-		t.Errorf("got share %.3f in aim with limited senders and %.3f with all, want at least 0.02 more", got.InAim, against.InAim)
+	got, baseline := Play(load, limited), Play(load, all)
+	if got.InAim < baseline.InAim+0.02 {
+		t.Errorf("got share %.3f in aim with limited senders and %.3f with all, want at least 0.02 more", got.InAim, baseline.InAim)
 	}
-	if got.StatesPerS > against.StatesPerS/2 {
-		t.Errorf("got %.0f state messages per entry and second with limited senders and %.0f with all, want at most half", got.StatesPerS, against.StatesPerS)
+	if got.StatesPerS > baseline.StatesPerS/2 {
+		t.Errorf("got %.0f state messages per entry and second with limited senders and %.0f with all, want at most half", got.StatesPerS, baseline.StatesPerS)
 	}
 }
 
--- a/bench/internal/policy/sim.go
+++ b/bench/internal/policy/sim.go
@@ -95,7 +95,7 @@
 
 func (s *sim) clock() time.Time { return epoch.Add(s.now) }
 
-// setRates sets the request rate of each region.
+// drawRates sets the request rate of each region.
 func (s *sim) drawRates() {
 	mean := s.load.RequestsPerSecond * s.opts.Rate / float64(s.load.Regions)
 	sum := 0.0
--- a/bench/internal/policy/tally.go
+++ b/bench/internal/policy/tally.go
@@ -143,19 +143,19 @@
 
 func (t *tally) result() Result {
 	s := t.sim
-	span := s.load.Seconds
-	counted := span - s.load.WarmSeconds - s.load.Callers.DeadlineMillis/1000
+	totalSeconds := s.load.Seconds
+	measuredSeconds := totalSeconds - s.load.WarmSeconds - s.load.Callers.DeadlineMillis/1000
 	result := Result{
 		Load: s.load.Name, Seed: s.opts.Seed, Rate: s.opts.Rate, Entries: len(s.entries), Engines: len(s.order), Regions: s.load.Regions,
 		Near: s.opts.Shares.Near, Far: s.opts.Shares.Far,
-		Asked: t.all.total(), AskedPerS: float64(t.all.total()) / counted,
+		Asked: t.all.total(), AskedPerS: float64(t.all.total()) / measuredSeconds,
 		InAim: t.all.share(inAim), Late: t.all.share(late), Refused: t.all.share(refused), Failed: t.all.share(failed),
 		Worth:      t.worth / math.Max(1, t.maxWorth),
 		WorstClass: lowestShareInAim(t.byClass), WorstRegion: lowestShareInAim(t.byRegion), WorstWindow: lowestShareInAim(t.byWindow),
 		FirstP50: quantile(t.firstEventDelays, 0.5), FirstP90: quantile(t.firstEventDelays, 0.9),
-		EventsPerS: float64(t.events) / span, FluidPerS: s.maxThroughput(), Returns: t.retries,
-		StatesPerS:   float64(t.states) / span / float64(len(s.entries)),
-		MessagesPerS: float64(t.messages) / span / float64(len(s.entries)), FarBytesPerS: float64(t.interRegionBytes) / span,
+		EventsPerS: float64(t.events) / totalSeconds, FluidPerS: s.maxThroughput(), Returns: t.retries,
+		StatesPerS:   float64(t.states) / totalSeconds / float64(len(s.entries)),
+		MessagesPerS: float64(t.messages) / totalSeconds / float64(len(s.entries)), FarBytesPerS: float64(t.interRegionBytes) / totalSeconds,
 	}
 	for name, on := range s.opts.Without {
 		if on {
@@ -169,21 +169,22 @@
 	return result
 }
 
-// lowestShareInAim returns the lowest share in aim among the parts with at least 20 requests.
-func lowestShareInAim(parts []counts) float64 {
+// lowestShareInAim returns the lowest share in aim among the groups with at least
+// 20 requests.
+func lowestShareInAim(groups []counts) float64 {
 	lowest := 1.0
-	for _, part := range parts {
-		if part.total() >= 20 {
-			lowest = min(lowest, part.share(inAim))
+	for _, group := range groups {
+		if group.total() >= 20 {
+			lowest = min(lowest, group.share(inAim))
 		}
 	}
 	return lowest
 }
 
-func quantile(times []time.Duration, part float64) float64 {
+func quantile(times []time.Duration, fraction float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(times))
-	return float64(sorted[int(part*float64(len(sorted)-1))]) / float64(time.Millisecond)
+	return float64(sorted[int(fraction*float64(len(sorted)-1))]) / float64(time.Millisecond)
 }
--- a/bench/internal/policy/throughput.go
+++ b/bench/internal/policy/throughput.go
@@ -11,25 +11,25 @@
 // measure its throughput.
 const throughputSpan = 60 * time.Second
 
-// maxThroughput returns the requests per second that all engines serve together when they
-// always have waiting work. It is an upper bound for any policy and does not
-// account for pauses.
+// maxThroughput returns the requests per second that all engines serve together
+// when they always have waiting work. It is an upper bound for any policy and does
+// not account for pauses.
 func (s *sim) maxThroughput() float64 {
-	other := &sim{load: s.load, opts: s.opts, spec: s.spec, rng: rand.New(rand.NewPCG(s.opts.Seed, 2))}
+	sampler := &sim{load: s.load, opts: s.opts, spec: s.spec, rng: rand.New(rand.NewPCG(s.opts.Seed, 2))}
 	batch := engine.NewBatch(s.spec, s.spec.Slots, s.load.Engine.MemoryTokens)
 	served, now := 0, time.Duration(0)
 	for now < throughputSpan {
 		for batch.Waiting() < 2 {
-			class := other.drawClass()
-			if !batch.Add(&engine.Work{Prompt: other.draw(class.Prompt), Answer: other.draw(class.Answer)}) {
+			class := sampler.drawClass()
+			if !batch.Add(&engine.Work{Prompt: sampler.draw(class.Prompt), Answer: sampler.draw(class.Answer)}) {
 				break
 			}
 		}
-		took, ok := batch.Begin()
+		passDuration, ok := batch.Begin()
 		if !ok {
 			break
 		}
-		now += took
+		now += passDuration
 		_, done := batch.End()
 		served += len(done)
 	}
