--- a/bench/internal/capacity/capacity.go
+++ b/bench/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity computes what each role would spend at the size that the
-// users expect, from slopes that the benches measured, and measures those
-// slopes that need no whole deployment.
+// Package capacity extrapolates the resource use of each role to the expected
+// full size by linear regression over benchmark results. It also runs the
+// benchmarks that need no complete deployment.
 package capacity
 
 import (
@@ -11,8 +11,8 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Write computes the table from the measurements and puts it between the
-// markers of the page at the path.
+// Write computes the capacity table from the measurements and replaces the text
+// between the markers of the page at path with it.
 func Write(measured []byte, path string) error {
 	table, err := Table(measured)
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 	page, err := os.ReadFile(path)
 	if err != nil {
-		return failure.Wrap(err, failure.Invalid, "cannot read the page that takes the table", "name it with --out")
+		return failure.Wrap(err, failure.Invalid, "cannot read the page to update", "give its path with --out")
 	}
 	changed, err := replaceTable(page, table)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return os.WriteFile(path, changed, pageMode)
 }
 
-// Print computes the table and prints it.
+// Print computes the capacity table from the measurements and writes it to out.
 func Print(measured []byte, out io.Writer) error {
 	table, err := Table(measured)
 	if err != nil {
--- a/bench/internal/capacity/capacity_test.go
+++ b/bench/internal/capacity/capacity_test.go
@@ -10,7 +10,8 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// committed returns the measurements that the page was made from.
+// committed returns the measurements in docs/measurements, from which the table
+// in docs/CAPACITY.md is generated.
 func committed(t *testing.T) []byte {
 	t.Helper()
 	names, err := filepath.Glob("../../../docs/measurements/*.jsonl")
@@ -28,9 +29,9 @@
 	return all.Bytes()
 }
 
-// TestPageIsMadeFromItsMeasurements: a table that was edited by hand, or left
-// behind by new measurements or rows, claims what nobody measured. Remedy: make
-// capacity.
+// TestPageIsMadeFromItsMeasurements: guards against a table that was edited by
+// hand or not regenerated after measurements or rows changed, and so shows
+// figures that were not measured. Run make capacity to regenerate it.
 func TestPageIsMadeFromItsMeasurements(t *testing.T) {
 	want, err := Table(committed(t))
 	if err != nil {
--- a/bench/internal/capacity/fit.go
+++ b/bench/internal/capacity/fit.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// fit is a straight line through points by least squares.
+// fit is a straight line fitted to points by least squares.
 type fit struct {
 	intercept, slope float64
 	slopeError       float64 // standard error
@@ -11,8 +11,8 @@
 	meanX, spreadX   float64 // spreadX is the sum of squared distances from meanX
 }
 
-// leastSquares fits a line. Points that all have the same x, or one point only,
-// give a level line at their mean.
+// leastSquares fits a line to points. A single point, or points that all have the
+// same x, give a horizontal line at their mean.
 func leastSquares(points []point) fit {
 	line := fit{points: len(points)}
 	if line.points == 0 {
@@ -42,6 +42,8 @@
 	return line
 }
 
+// residual returns the standard deviation of the points from the line, with the
+// degrees of freedom reduced by the number of fitted parameters.
 func residual(points []point, line fit, parameters int) float64 {
 	if len(points) <= parameters {
 		return 0
@@ -54,7 +56,7 @@
 	return math.Sqrt(sum / float64(len(points)-parameters))
 }
 
-// at returns the line's value at x and its standard error.
+// at returns the value of the line at x and the standard error of that value.
 func (f fit) at(x float64) (value, uncertainty float64) {
 	if f.points == 0 {
 		return 0, 0
--- a/bench/internal/capacity/fleet.go
+++ b/bench/internal/capacity/fleet.go
@@ -13,17 +13,20 @@
 )
 
 const (
-	// domains and regions of the measured fleets, as at full size.
+	// domains and regions are the numbers of failure domains and regions in the
+	// simulated fleets, the same as at full size.
 	domains = 34
 	regions = 11
-	// reportedPrefixes is what an agent reports of its engine's cache at most.
+	// reportedPrefixes is the largest number of cached prefixes that an agent
+	// reports for its engine.
 	reportedPrefixes = 64
 	measuredVersion  = "9f2c61d20b8f4f1a9f2c61d20b8f4f1a9f2c61d20b8f4f1a9f2c61d20b8f4f1a"
 )
 
-// epoch is the moment of all measurements that need one.
+// epoch is the fixed start time of all simulated measurements.
 var epoch = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
 
+// node returns the description of the simulated node number n of the given role.
 func node(role string, n int) *wire.Node {
 	domain := n % domains
 	made := &wire.Node{
@@ -40,6 +43,7 @@
 	return made
 }
 
+// hostReport returns the full report of simulated host n.
 func hostReport(n int, sequence uint64, prefixes int) *wire.HostReport {
 	report := &wire.HostReport{
 		Node: node("agent", n), Sequence: sequence, Endpoint: "engine", EngineRole: "both",
@@ -56,8 +60,8 @@
 	return report
 }
 
-// arrived returns the report as it is in memory after it came over the wire:
-// no string of it is shared.
+// arrived returns a copy of the report that was encoded and decoded, so that it
+// shares no strings with the original, as after a transfer between processes.
 func arrived(report *wire.HostReport) *wire.HostReport {
 	data, err := proto.Marshal(report)
 	if err != nil {
@@ -70,8 +74,8 @@
 	return fresh
 }
 
-// link is the way of one host's own reports to its home entry, as both ends'
-// internal/control has it.
+// link simulates the transfer of one host's reports to its home entry, as
+// implemented in internal/control of the agent and the entry.
 type link struct {
 	baseline spread.Baseline
 	home     *membership.Table
@@ -79,14 +83,14 @@
 
 func newLink() *link { return &link{home: membership.New(membership.DefaultLimits())} }
 
-// pass passes on a report and returns what went, and the report as the entry
-// holds it.
+// pass sends a report to the home entry. It returns the message sent, which may be
+// an amendment, and the complete report as the entry stores it.
 func (l *link) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
 	sent = arrived(l.baseline.Next(report, now))
 	received := arrived(sent)
 	if received.GetNode() == nil {
-		received.Node = membership.NameOnly(report.GetNode()) // the message's sender
-		received.Node.Role = ""                               // as an amendment bears it
+		received.Node = membership.NameOnly(report.GetNode()) // the entry takes the node from the message's sender
+		received.Node.Role = ""                               // an amendment carries no role
 	}
 	held, ok := l.home.Complete(received)
 	if !ok {
@@ -98,8 +102,8 @@
 	return sent, held
 }
 
-// heldReport returns a host's report as an entry holds it after the sequence's
-// first came whole.
+// heldReport returns a host's report as an entry stores it after receiving the
+// first report of the sequence in full and the later ones through the link.
 func heldReport(n int, sequence uint64) *wire.HostReport {
 	reports := newLink()
 	var held *wire.HostReport
@@ -109,6 +113,8 @@
 	return held
 }
 
+// entryReport returns the report of simulated entry n with the demand of the given
+// number of customers.
 func entryReport(n int, sequence uint64, customers int) *wire.EntryReport {
 	report := &wire.EntryReport{
 		Node: node("entry", n), Sequence: sequence, InFlight: 120, RequestsPerSecond: 101.2, Revision: 66_000, PlanRevision: 3_000,
--- a/bench/internal/capacity/points.go
+++ b/bench/internal/capacity/points.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// record is one JSON line of a bench.
+// record is one JSON line of benchmark output.
 type record map[string]any
 
 func (r record) text(name string) string {
@@ -25,11 +25,11 @@
 	return value, ok
 }
 
-// maxLine bounds one JSON line, bytes.
+// maxLine is the largest accepted length of a JSON line, in bytes.
 const maxLine = 1 << 20
 
-// parse reads JSON lines. Those of cases that did not come to their end hold no
-// figures and are left out.
+// parse decodes the JSON lines of the benchmarks. It skips lines with an error,
+// since a case that did not complete has no valid figures.
 func parse(measured []byte) ([]record, error) {
 	var records []record
 	lines := bufio.NewScanner(bytes.NewReader(measured))
@@ -40,8 +40,8 @@
 		}
 		rec := record{}
 		if err := json.Unmarshal(lines.Bytes(), &rec); err != nil {
-			return nil, failure.Wrap(err, failure.Invalid, fmt.Sprintf("line %d of the measurements is no JSON object", n),
-				"give the JSON lines of the benches as they were printed")
+			return nil, failure.Wrap(err, failure.Invalid, fmt.Sprintf("line %d of the measurements is not a JSON object", n),
+				"pass the benchmarks' JSON lines unmodified")
 		}
 		if rec.text("error") == "" {
 			records = append(records, rec)
@@ -53,20 +53,22 @@
 // point is one measurement of y at x.
 type point struct{ x, y float64 }
 
-// series says where the points of one slope stand in the lines.
+// series selects the records and fields that provide the points of one fit.
 type series struct {
 	bench string
-	// cases that count; all where empty.
+	// cases lists the cases to include; empty includes all.
 	cases []string
 	x, y  string
-	// over divides x, so that a deployment is compared by agents an entry.
+	// over divides x if positive, for example to get the agents per entry of a
+	// deployment.
 	over float64
-	// least leaves out points with a smaller x: below it another rule holds.
+	// least excludes points with a smaller x, where the cost follows another rule.
 	least float64
-	// root takes the square root of x, where the cost grows so.
+	// root fits against the square root of x, for costs that grow with it.
 	root bool
 }
 
+// points returns the points of the series in records.
 func (s series) points(records []record) []point {
 	var points []point
 	for _, rec := range records {
@@ -82,7 +84,7 @@
 	return points
 }
 
-// scaled turns a size into the x of the line.
+// scaled converts a size to the x coordinate of the fit.
 func (s series) scaled(x float64) float64 {
 	if s.over > 0 {
 		x /= s.over
@@ -93,11 +95,12 @@
 	return x
 }
 
+// covers reports whether the series includes the named case.
 func (s series) covers(name string) bool {
 	return len(s.cases) == 0 || slices.Contains(s.cases, name)
 }
 
-// axis names the x of the line.
+// axis returns the label of the x coordinate.
 func (s series) axis() string {
 	name := s.x
 	if s.bench == slopesBench {
--- a/bench/internal/capacity/rows.go
+++ b/bench/internal/capacity/rows.go
@@ -1,31 +1,32 @@
 package capacity
 
-// Series of the deployment's benches.
+// Cases of the benchmarks that run a whole deployment.
 var (
 	byAgents  = []string{"agents-18", "agents-50", "agents-100", "agents-200"}
 	byChanges = []string{"changes-0.1", "changes-0.5", "agents-50", "changes-5"}
 	bySize    = []string{"n18-time", "n50-time", "n100-time", "n200-time"}
 )
 
-// The deployment of bench-control.
+// Size of the deployment that bench-control runs.
 const (
 	benchEntries   = 9.0
-	measuredLeases = 4.0 // three watches and the planner's
+	measuredLeases = 4.0 // three watcher leases and the planner's
 )
 
-// slope is a series of the cores' measurements, the size on the x axis.
+// slope returns the series of a case that Measure prints, with the size as x.
 func slope(name string) *series {
 	return &series{bench: slopesBench, cases: []string{name}, x: "size", y: "value"}
 }
 
+// rootSlope is like slope, but fits against the square root of the size.
 func rootSlope(name string) *series {
 	out := slope(name)
 	out.root = true
 	return out
 }
 
-// control is a series of bench-control by agents, with one entry's share of
-// them on the x axis where perEntry is set.
+// control returns a series of bench-control with the number of agents as x, or
+// the agents per entry if perEntry is set.
 func control(y string, perEntry bool) *series {
 	out := &series{bench: "control", cases: byAgents, x: "agents", y: y}
 	if perEntry {
@@ -34,38 +35,46 @@
 	return out
 }
 
+// byRate returns a series of bench-control with the document changes per second as
+// x.
 func byRate(y string) *series {
 	return &series{bench: "control", cases: byChanges, x: "changesPerSecond", y: y}
 }
 
-// Sizes that the rows look at.
+// Sizes and factors that the rows use.
 const (
-	// reportedToAgent is the number of hosts that an agent of a large fleet learns
-	// of: its failure domain and 64 others; spread.WeightPeers.
+	// reportedToAgent is the number of hosts reported to an agent of a large fleet:
+	// those of its failure domain and 64 others. See spread.WeightPeers.
 	reportedToAgent = hostsPerDomain + 64
 	tokensPerCall   = fullTokensPerSecond / fullRequestsPerSecond
 	callsPerEntry   = fullRequestsPerSecond / fullEntries
-	// agentsOfNine gives 9 entries as many agents each as at full size.
+	// agentsOfNine is the number of agents at which a deployment of 9 entries has
+	// as many agents per entry as at full size.
 	agentsOfNine = agentsPerEntry * benchEntries
 	keysPerEntry = callsPerEntry * onceHorizonSeconds * assumedOnceShare
 	leases       = fullDomains + 1
-	// hostReportRate is what an entry sends of hosts' reports to all others,
-	// bytes a second: reportBytesPerSecond of entry/internal/control.
+	// hostReportRate limits the host reports that an entry sends to all other
+	// entries together, in bytes per second: reportBytesPerSecond of
+	// entry/internal/control.
 	hostReportRate = 3 << 10
-	// lostAfter is the silence after which a far host counts as lost, seconds;
-	// membership.DefaultLimits.
+	// lostAfter is the time without a report after which a host of another region
+	// is considered lost, in seconds. See membership.DefaultLimits.
 	lostAfter = 30 + 0.15*fullHosts
-	// heapFactor is what the collector lets a heap grow to, of what is in use.
+	// heapFactor is the ratio of heap size to live data that the garbage collector
+	// allows.
 	heapFactor = 2.0
 	mebibyte   = 1 << 20
-	// percentOfMicros turns microseconds a second into percent of a core.
+	// percentOfMicros and percentOfMillis convert microseconds and milliseconds per
+	// second to percent of a core.
 	percentOfMicros = 1e-4
 	percentOfMillis = 1e-1
-	// rounds is in how many steps news reaches 820 entries, against 1 of 9:
+	// rounds is the number of gossip rounds in which an update reaches 820 entries;
+	// 9 entries need 1. See
 	// TestNewsReachesEveryEntry of relay/spread.
 	rounds = 5.0
 )
 
+// rows returns all rows of the capacity table.
 func rows() []row {
 	all := entryRows()
 	all = append(all, requestRows()...)
@@ -156,13 +165,15 @@
 	}
 }
 
+// leastOf is like slope, but excludes sizes below least.
 func leastOf(name string, least float64) *series {
 	out := slope(name)
 	out.least = least
 	return out
 }
 
-// listTerms are the bytes a second that the readers of the platform's list cost.
+// listTerms returns the terms for the bytes per second that the given number of
+// processes transfer to read the platform's host list.
 func listTerms(readers float64) []term {
 	return []term{
 		{name: "changed", from: slope(caseListBytes), size: nodes, factor: readers * listWholePerSecond},
@@ -170,7 +181,8 @@
 	}
 }
 
-// requestRows are no control: they have no budget.
+// requestRows returns the rows of the request path. Request traffic itself has no
+// budget, which covers control only; the routing rows are checked against it.
 func requestRows() []row {
 	return []row{
 		{
@@ -319,10 +331,10 @@
 }
 
 const (
-	// meanAgents is the middle of the measured deployments: calls at rest do not grow
-	// with the agents.
+	// meanAgents is the mean number of agents of the measured deployments. The fit is
+	// evaluated there because the call rate at rest does not grow with the agents.
 	meanAgents = 92.0
-	// swapsPerSecond is what a host asks of its 7 neighbours while there is news
-	// on both sides, each second; it answers as many.
+	// swapsPerSecond is the number of bitmap requests that a host sends to its 7
+	// neighbours per second while both sides have new chunks. It answers as many.
 	swapsPerSecond = 7.0
 )
--- a/bench/internal/capacity/slope_burst.go
+++ b/bench/internal/capacity/slope_burst.go
@@ -10,15 +10,15 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of a burst.
+// Cases of the burst benchmark, the distribution of a version to many hosts.
 const (
 	caseHaveBytes   = "haveBytes/chunks"
 	casePeersMicros = "burstPeersMicros/hosts"
 	caseCoreBytes   = "burstCoreBytes/hosts"
 )
 
-// measureBurst prints the bytes of one swap of bitmaps, and what a change of the
-// list of peers costs one host: time, and memory of the core.
+// measureBurst prints the bytes of one exchange of chunk bitmaps, the time that a
+// host needs to apply a changed peer list, and the memory of its burst core.
 func measureBurst(lines *printer) error {
 	for _, chunks := range []int{64, 1_024, assumedChunks} {
 		words := make([]uint64, (chunks+63)/64)
--- a/bench/internal/capacity/slope_documents.go
+++ b/bench/internal/capacity/slope_documents.go
@@ -10,15 +10,16 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of the document.
+// Cases of the document benchmark.
 const (
 	caseChangeBytes    = "changeBytes/customers"
 	caseDocumentBytes  = "documentBytes/customers"
 	caseDocumentMillis = "documentJoinMillis/customers"
 )
 
-// measureDocuments prints the bytes that one customer's change moves to each
-// process that has the revision before, the bytes of all parts, and the time to put them together.
+// measureDocuments prints the bytes that a change to one customer transfers to a
+// process that has the previous revision, the bytes of all parts, and the time to
+// join the parts.
 func measureDocuments(lines *printer) error {
 	for _, customers := range []int{10, 100, 1_000, 10_000} {
 		before, after := deploymentDocument(customers), deploymentDocument(customers)
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// rootOf returns the root as it travels between processes.
+// rootOf returns the document root in the form that processes exchange.
 func rootOf(number uint32, parts []document.PartBytes) *wire.Root {
 	const identifier = "0192d1f0-0000-7000-8000-000000000000"
 	root := &wire.Root{Revision: number, SubmissionId: identifier, Audit: &wire.Audit{Revision: number}}
@@ -61,6 +62,7 @@
 	return revision.Slim(root)
 }
 
+// deploymentDocument returns an example document with the given number of customers.
 func deploymentDocument(customers int) *wire.Document {
 	doc := document.Example()
 	doc.Customers = nil
--- a/bench/internal/capacity/slope_keys.go
+++ b/bench/internal/capacity/slope_keys.go
@@ -9,14 +9,14 @@
 	"comfreyrelay.example/relay/once"
 )
 
-// Cases of the memory of once keys.
+// Cases of the benchmark of once keys.
 const (
 	caseKeyBytes  = "onceKeyBytes/keys"
 	caseKeyMicros = "onceClaimMicros/keys"
 )
 
-// measureKeys prints the memory of the keys that an owner remembers, and the
-// time of one claim with its settlement.
+// measureKeys prints the memory of the once keys that an owner stores and the time
+// to claim and settle one key.
 func measureKeys(lines *printer) error {
 	const owner = "0192d1f0-0000-7000-8000-000000000000"
 	for _, n := range []int{1_000, 10_000, 100_000, 370_000} {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// runKey claims and settles the key i of n that are made within the hour.
+// runKey claims and settles key i of n keys created evenly over one hour.
 func runKey(held *once.Authority, owner string, i, n int) {
 	now := epoch.Add(time.Duration(i) * time.Hour / time.Duration(n))
 	id := uuid.UUID{}
--- a/bench/internal/capacity/slope_list.go
+++ b/bench/internal/capacity/slope_list.go
@@ -13,14 +13,15 @@
 	"comfreyrelay.example/relay/hostlist"
 )
 
-// Cases of the platform's list.
+// Cases of the benchmark of the platform's host list.
 const (
 	caseListBytes     = "hostListBytes/hosts"
 	caseListMillis    = "hostListMillis/hosts"
 	caseListUnchanged = "hostListUnchangedBytes/hosts"
 )
 
-// listedHost is one line of the platform's list, as docs/PROTOCOLS.md has it.
+// listedHost is one host in the platform's list, in the format that
+// docs/PROTOCOLS.md defines.
 type listedHost struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
@@ -33,9 +34,9 @@
 	State          string `json:"state"`
 }
 
-// measureList prints the bytes of one reading of the platform's list, which
-// every process reads, where the list changed and where it did not, and the
-// time to decode a changed one.
+// measureList prints the bytes of one read of the platform's host list, which every
+// process polls, for a changed and for an unchanged list, and the time to decode a
+// changed list.
 func measureList(lines *printer) error {
 	for _, n := range hostSizes {
 		text, err := listOf(n)
@@ -56,6 +57,7 @@
 	return nil
 }
 
+// listOf returns the JSON list of n simulated hosts.
 func listOf(n int) ([]byte, error) {
 	list := struct {
 		Hosts []listedHost `json:"hosts"`
@@ -70,8 +72,8 @@
 	return json.Marshal(list)
 }
 
-// unchangedListBytes returns what a second reading of the same list moves on the
-// connection, both ways.
+// unchangedListBytes returns the bytes, in both directions, that a second read of
+// an unchanged list transfers on the connection.
 func unchangedListBytes(text []byte) (float64, error) {
 	const tag = `"9f2c61d20b8f4f1a"`
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -98,7 +100,7 @@
 	return float64(moved.Load() - before), err
 }
 
-// countedConn adds what it moves to a sum, bytes.
+// countedConn adds the bytes that it reads and writes to a counter.
 type countedConn struct {
 	net.Conn
 
--- a/bench/internal/capacity/slope_messages.go
+++ b/bench/internal/capacity/slope_messages.go
@@ -11,7 +11,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of one entry's messages.
+// Cases of the benchmark of the messages that an entry sends.
 const (
 	caseEntrySelect     = "messageToEntryMicros/hosts"
 	caseAgentSelect     = "messageToAgentMicros/hosts"
@@ -20,8 +20,8 @@
 	caseEntriesReported = "entriesToldOf50/customers"
 )
 
-// measureMessages prints the time of choosing the host reports of one message:
-// to an entry, of 10 hosts that are news among n that are not; and to an agent.
+// measureMessages prints the time to select the host reports for one message: to an
+// entry, when 10 of n hosts have news, and to an agent.
 func measureMessages(lines *printer) error {
 	const news, room = 10, 3 << 10
 	for _, n := range hostSizes {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// selectForAgent does what an entry does for each call of an agent.
+// selectForAgent selects host reports as an entry does for each call of an agent.
 func selectForAgent(agent *wire.Node, candidates []spread.Candidate, digest *spread.Digest) {
 	peers := spread.WeightPeers(agent, candidates)
 	for i := range peers {
@@ -52,10 +52,10 @@
 	digest.Select(peers, epoch.Add(time.Second), 0)
 }
 
-// measureEntryReports prints the bytes a second of entries' reports to one
-// neighbour and to one agent, when each entry reports every 2 s with the demand
-// of 10 customers; and how many of 50 entries the neighbour learns of where they
-// report more customers.
+// measureEntryReports prints the bytes per second of entry reports sent to one
+// neighbour and to one agent, when each entry reports the demand of 10 customers
+// every 2 s. It also prints how many of 50 entries a neighbour learns of as the
+// number of reported customers grows.
 func measureEntryReports(lines *printer) error {
 	const usualCustomers, usualEntries = 10, 50
 	for _, n := range []int{9, 50, 200, fullEntries} {
@@ -71,19 +71,19 @@
 	return nil
 }
 
-// entryNews is what one receiver knows of the entries.
+// entryNews summarizes the entry reports that one receiver got.
 type entryNews struct {
 	bytesPerSecond float64
 	entries        int // other than the sender
 }
 
-// followEntries lets an entry send two minutes of messages to the receiver and
-// counts those of the second.
+// followEntries simulates two minutes of messages from an entry to the receiver. It
+// counts the bytes of the second minute only, and the entries reported in both.
 func followEntries(entries, customers int, receiver *wire.Node, interval time.Duration) entryNews {
 	const (
 		toEntries, toAgents = 15 * time.Second, 30 * time.Second // relay ages
 		perEntry            = 75 * time.Millisecond              // relay age for each entry
-		room                = 4 << 10                            // bytes of a message
+		room                = 4 << 10                            // largest size of a message, in bytes
 		beat, length        = 2 * time.Second, time.Minute
 	)
 	digest := spread.NewEntryDigest(max(toEntries, time.Duration(entries)*perEntry))
--- a/bench/internal/capacity/slope_plans.go
+++ b/bench/internal/capacity/slope_plans.go
@@ -9,7 +9,7 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of the plan.
+// Cases of the plan benchmark.
 const (
 	casePlanMillis = "planMillis/hosts"
 	casePlanSteady = "planSteadyMillis/hosts"
@@ -17,8 +17,9 @@
 	casePlanDomain = "planOfDomainBytes/hosts of one domain"
 )
 
-// measurePlans prints the time of the first plan of a fleet, of a look that finds
-// nothing to change, and the plan's bytes, whole and for one failure domain.
+// measurePlans prints the time to compute the first plan of a fleet, the time of a
+// check that changes nothing, and the encoded size of the whole plan and of its
+// part for one failure domain.
 func measurePlans(lines *printer) error {
 	for _, n := range hostSizes {
 		input := planInput(n)
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// planInput is a fleet without a plan whose hosts all get one of four models.
+// planInput returns a fleet of n hosts without a plan, and a document that assigns
+// each host one of four models.
 func planInput(n int) placement.Input {
 	const models = 4
 	doc := &wire.Document{}
--- a/bench/internal/capacity/slope_reports.go
+++ b/bench/internal/capacity/slope_reports.go
@@ -9,16 +9,17 @@
 	"comfreyrelay.example/relay/spread"
 )
 
-// Cases of the reports' sizes.
+// Cases of the benchmark of report sizes.
 const (
 	caseOwnReport     = "ownReportBytesPerSecond/prefixes"
 	caseRelayedReport = "relayedReportBytes/prefixes"
 	caseEntryReport   = "entryReportBytes/customers"
 )
 
-// measureReports prints the bytes of reports as they go: a host's own each
-// second, whole or as an amendment; the mean of one that an entry passes on to
-// another at each refresh; and an entry's own to one that has its description.
+// measureReports prints the encoded sizes of reports: a host's own per second, in
+// full or as an amendment; the mean of a host report that an entry relays to
+// another at each refresh; and an entry's own, to a receiver that already has its
+// description.
 func measureReports(lines *printer) error {
 	for _, prefixes := range []int{0, 16, reportedPrefixes} {
 		lines.line(caseOwnReport, prefixes, ownReportBytes(prefixes), "bytes a second")
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// ownReportBytes follows a host that reports each second for a minute.
+// ownReportBytes returns the mean bytes per second of a host that reports every
+// second for a minute.
 func ownReportBytes(prefixes int) float64 {
 	const length = 60
 	reports := newLink()
@@ -44,8 +46,8 @@
 	return float64(sum) / length
 }
 
-// relayedReportBytes follows a host that one entry reports to another at each
-// refresh, with room for all.
+// relayedReportBytes returns the mean bytes of a host's report that one entry relays
+// to another at each refresh, with a message limit that excludes nothing.
 func relayedReportBytes(prefixes int) float64 {
 	const refreshes, room = 60, 1 << 20
 	digest := spread.NewDigest(refreshLeast, true)
--- a/bench/internal/capacity/slope_route.go
+++ b/bench/internal/capacity/slope_route.go
@@ -7,14 +7,14 @@
 	"comfreyrelay.example/relay/route"
 )
 
-// Cases of choosing a host.
+// Cases of the routing benchmark.
 const (
 	caseRouteUpdate = "routeUpdateMicros/hosts"
 	casePickMicros  = "routePickMicros/hosts"
 )
 
-// measureRoute prints the time of taking in one view's hosts with a tenth of
-// them changed, and of one choice.
+// measureRoute prints the time to update the routing table when a tenth of the hosts
+// changed, and the time to pick a host for one request.
 func measureRoute(lines *printer) error {
 	for _, n := range hostSizes {
 		table := route.NewTable(route.Options{Region: "region-01", FailureDomain: "domain-01", Seed: 1})
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// routeHosts returns n simulated hosts as the routing table stores them.
 func routeHosts(n int) []route.Host {
 	hosts := make([]route.Host, n)
 	for i := range hosts {
--- a/bench/internal/capacity/slope_spread.go
+++ b/bench/internal/capacity/slope_spread.go
@@ -8,25 +8,26 @@
 	"comfreyrelay.example/relay/spread"
 )
 
-// caseLeavingWait is how long news of a far host waits.
+// caseLeavingWait is the delay until neighbours learn that a host of another region
+// is leaving.
 const caseLeavingWait = "leavingFarHostSeconds/hosts"
 
 const (
-	// spreadHalf is how long one entry's messages are followed before and after
-	// a host leaves, spreadStep the time between two to one neighbour.
+	// spreadHalf is the simulated time before and after a host leaves, and
+	// spreadStep the interval between messages to the same neighbour.
 	spreadHalf = 150 * time.Second
 	spreadStep = 5 * time.Second
 	// refreshLeast and refreshPerHost are the age at which an unchanged report
-	// is sent again, and reportBurst the bytes that may gather: as they stand in
-	// entry/internal/control.
+	// is sent again, and reportBurst the most unused bytes that the send
+	// allowance accumulates. They are copied from entry/internal/control.
 	refreshLeast   = 10 * time.Second
 	refreshPerHost = 100 * time.Millisecond
 	reportBurst    = 64 << 10
 )
 
-// measureSpread prints how long the news that a host of another region leaves
-// takes from one entry of a large deployment, which is not the host's home, to half
-// of its neighbours. It is followed for spreadHalf at most.
+// measureSpread prints how long an entry that is not the home of a leaving host of
+// another region takes to notify half of its neighbours. The simulation stops after
+// spreadHalf.
 func measureSpread(lines *printer) error {
 	for _, n := range hostSizes {
 		lines.line(caseLeavingWait, n, leavingWait(n).Seconds(), "seconds")
@@ -34,8 +35,9 @@
 	return nil
 }
 
-// leavingWait lets an entry notify 16 neighbours of n hosts that report all the
-// time, within its allowance.
+// leavingWait simulates an entry that relays the continuous reports of n hosts to 16
+// neighbours within its send allowance. It returns the time from the moment a host
+// leaves until half of the neighbours know.
 func leavingWait(n int) time.Duration {
 	candidates := candidatesOf(n, 1)
 	refresh := max(refreshLeast, time.Duration(n)*refreshPerHost)
@@ -48,8 +50,8 @@
 	}
 	allowance := spread.NewAllowance(hostReportRate, reportBurst, epoch)
 	leaver := farthest(candidates)
-	reported := 0 // neighbours, of the leaving
-	turn := 0     // who is notified first: calls come in no order
+	reported := 0 // neighbours that know that the host leaves
+	turn := 0     // rotates which neighbour is notified first, since calls arrive in no fixed order
 	for at := time.Duration(0); at < 2*spreadHalf; at += spreadStep {
 		now := epoch.Add(at)
 		for i := range candidates {
@@ -74,7 +76,8 @@
 	return spreadHalf
 }
 
-// farthest returns a host of another region; the last where there is none.
+// farthest returns the index of a host of another region whose home is another
+// entry, or the last index if there is none.
 func farthest(candidates []spread.Candidate) int {
 	for i, candidate := range candidates {
 		if candidate.Nearness == spread.Far && !candidate.Home {
--- a/bench/internal/capacity/slope_tokens.go
+++ b/bench/internal/capacity/slope_tokens.go
@@ -17,19 +17,20 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of one answer.
+// Cases of the benchmark of token streams.
 const (
 	caseStreamCPU   = "streamCpuMicros/tokens"
 	caseStreamBytes = "streamBytes/tokens"
 )
 
-// tokenServer answers every attempt with so many tokens, a frame each.
+// tokenServer answers every attempt with the given number of tokens, one per frame.
 type tokenServer struct {
 	wire.DRPCHostUnimplementedServer
 
 	tokens int
 }
 
+// tokenFrame returns a frame with one token.
 func tokenFrame(sequence int) *wire.Frame {
 	return &wire.Frame{
 		RequestId: "0192d1f0-0000-7000-8000-000000000000", Attempt: 1, Sequence: uint32(sequence), Kind: "tokens",
@@ -37,7 +38,7 @@
 	}
 }
 
-// Run streams the tokens.
+// Run streams the configured number of token frames.
 func (s *tokenServer) Run(_ *wire.Attempt, stream wire.DRPCHost_RunStream) error {
 	for i := range s.tokens {
 		if err := stream.Send(tokenFrame(i)); err != nil {
@@ -47,9 +48,9 @@
 	return nil
 }
 
-// measureTokens prints the processor time and message bytes of whole streams
-// over loopback in clear text: sender and receiver together, the receiver
-// turning each frame into the callers' JSON.
+// measureTokens prints the CPU time and message bytes of complete streams over
+// loopback without TLS. The CPU time covers sender and receiver, which encodes each
+// frame as JSON as for a caller.
 func measureTokens(lines *printer) error {
 	server := &tokenServer{}
 	mux := drpcmux.New()
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// streamCPU returns the process's time for one stream, in microseconds: the
-// least of several tries.
+// streamCPU returns the CPU time of the process for one stream, in microseconds. It
+// takes the minimum of several tries.
 func streamCPU(ctx context.Context, client wire.DRPCHostClient) (float64, error) {
 	const streams = 200
 	best := time.Hour
@@ -102,6 +103,7 @@
 	return float64(best.Nanoseconds()) / 1_000, nil
 }
 
+// readStream receives one stream to its end and encodes each frame as JSON.
 func readStream(ctx context.Context, client wire.DRPCHostClient) error {
 	stream, err := client.Run(ctx, &wire.Attempt{})
 	for err == nil {
@@ -116,6 +118,7 @@
 	return err
 }
 
+// cpuTime returns the user and system CPU time of the process.
 func cpuTime() (time.Duration, error) {
 	var use syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &use); err != nil {
--- a/bench/internal/capacity/slope_views.go
+++ b/bench/internal/capacity/slope_views.go
@@ -9,17 +9,18 @@
 	"comfreyrelay.example/relay/view"
 )
 
-// Cases of an entry's picture of the hosts.
+// Cases of the benchmark of an entry's view of the hosts.
 const (
 	caseViewBuild  = "viewBuildMicros/hosts"
 	caseHostMemory = "knownHostsBytes/hosts"
 	caseMarkMemory = "digestBytes/hosts"
 )
 
-// tableShards is how many tables an entry spreads its members over.
+// tableShards is the number of membership tables among which an entry divides its
+// members.
 const tableShards = 16
 
-// knownHosts is an entry's tables with n hosts known.
+// knownHosts returns an entry's membership tables filled with n hosts.
 func knownHosts(n int) []*membership.Table {
 	tables := make([]*membership.Table, tableShards)
 	for i := range tables {
@@ -31,8 +32,8 @@
 	return tables
 }
 
-// buildView does what an entry does for each view: it judges every host and
-// sorts them.
+// buildView builds a view as an entry does: it evaluates the state of every host and
+// sorts the hosts.
 func buildView(tables []*membership.Table, n int) *view.Snapshot {
 	out := membership.ExternalState{Self: "entry-00001", HostCount: n}
 	hosts := make([]view.Host, 0, n)
@@ -43,8 +44,8 @@
 	return &view.Snapshot{Hosts: hosts}
 }
 
-// measureViews prints the time of one view and the memory of an entry's tables,
-// its view, and what it remembers of one neighbour's knowledge.
+// measureViews prints the time to build one view, the memory of an entry's tables
+// and view, and the memory of the digest that it keeps for one neighbour.
 func measureViews(lines *printer) error {
 	for _, n := range hostSizes {
 		tables := knownHosts(n)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// candidatesOf returns the reports that an entry could pass on.
+// candidatesOf returns the reports of n hosts that an entry could relay.
 func candidatesOf(n int, sequence uint64) []spread.Candidate {
 	self := node("entry", 1)
 	candidates := make([]spread.Candidate, n)
@@ -74,8 +75,8 @@
 	return candidates
 }
 
-// digestOfAll returns the memory of a neighbour that knows all of them. Each
-// mark holds strings of its own, as after a later report.
+// digestOfAll returns the digest of a neighbour that knows all n hosts. Each mark
+// holds its own strings, as it does after a later report.
 func digestOfAll(n int) *spread.Digest {
 	digest := spread.NewDigest(time.Hour, true)
 	for i := range n {
--- a/bench/internal/capacity/slopes.go
+++ b/bench/internal/capacity/slopes.go
@@ -8,24 +8,25 @@
 	"time"
 )
 
-// slopesBench names the lines that Measure prints.
+// slopesBench is the bench name in the lines that Measure prints.
 const slopesBench = "slopes"
 
-// Line is one measurement of a decision core at one size.
+// Line is the JSON line of one measurement at one size.
 type Line struct {
 	Bench string `json:"bench"`
-	// Case is what was measured, a slash, and what the size counts.
+	// Case is the measured quantity, a slash, and the unit of the size.
 	Case  string  `json:"case"`
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 }
 
-// hostSizes are the fleets measured: today's deployment, the largest one that the
-// benches start, and the way to the full size.
+// hostSizes are the measured fleet sizes: the present deployment, the largest one
+// that the benchmarks start, and two steps up to the full size.
 var hostSizes = []int{18, 200, 1_000, 10_000}
 
-// printer writes lines; the first error sticks.
+// printer writes measurements as JSON lines. After an error it writes nothing more
+// and keeps that error.
 type printer struct {
 	out *json.Encoder
 	err error
@@ -37,8 +38,8 @@
 	}
 }
 
-// Measure runs the decision cores at growing sizes and prints one JSON line
-// each.
+// Measure benchmarks the decision logic at growing sizes and writes one JSON line per
+// measurement to out.
 func Measure(out io.Writer) error {
 	lines := &printer{out: json.NewEncoder(out)}
 	for _, measure := range []func(*printer) error{
@@ -53,13 +54,13 @@
 }
 
 const (
-	// measureLeast is how long one try runs at least; measureTries are made and
-	// the quickest counts, since a busy machine only ever slows one down.
+	// measureLeast is the minimum duration of one try. Of measureTries tries the
+	// fastest counts, since load on the machine can only slow a try down.
 	measureLeast = 20 * time.Millisecond
 	measureTries = 5
 )
 
-// micros returns how long do takes, in microseconds.
+// micros returns the duration of one call of do, in microseconds.
 func micros(do func()) float64 {
 	do()
 	best := math.Inf(1)
@@ -75,7 +76,7 @@
 	return best
 }
 
-// heapBytes returns what make's result holds on the heap.
+// heapBytes returns the heap memory that the result of build retains, in bytes.
 func heapBytes[T any](build func() T) float64 {
 	before := heapNow()
 	kept := build()
@@ -84,6 +85,7 @@
 	return grown
 }
 
+// heapNow returns the size of the live heap after garbage collection, in bytes.
 func heapNow() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/bench/internal/capacity/table.go
+++ b/bench/internal/capacity/table.go
@@ -10,33 +10,33 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// Markers of the page around the table.
+// Markers that enclose the table in the page.
 const (
 	tableBegin = "<!-- capacity: begin -->\n"
 	tableEnd   = "<!-- capacity: end -->\n"
 )
 
-// row is one line of the table: the sum of terms against a budget.
+// row is one line of the table. It compares the sum of its terms with a budget.
 type row struct {
 	role, what, unit string
 	terms            []term
 	budget           float64 // 0: none
-	least            float64 // what is needed at least, in place of a budget; 0: none
-	carrier          string  // mechanism that carries it, or what would
+	least            float64 // required minimum, in place of a budget; 0: none
+	carrier          string  // mechanism that keeps the figure low, or the one needed for it
 }
 
-// term is a slope at one size, times a factor. Without a series it is the
-// factor itself, a figure that follows from the code.
+// term is a fit evaluated at one size, times a factor. Without a series its value is
+// the factor, a constant that follows from the code.
 type term struct {
 	name   string
 	from   *series
 	size   float64
 	factor float64
-	// rise counts what the size adds only: the intercept stands in another term.
+	// rise omits the intercept, which another term includes.
 	rise bool
 }
 
-// judged is a row with its figures.
+// judged is a row with its computed figures.
 type judged struct {
 	row
 	fits        []fit
@@ -45,6 +45,7 @@
 	missing     bool // a slope has no points
 }
 
+// judge fits the terms of a row to the records and sums them at full size.
 func judge(r row, records []record) judged {
 	out := judged{row: r}
 	variance := 0.0
@@ -68,6 +69,7 @@
 	return out
 }
 
+// verdict returns whether the value meets the budget or the required minimum.
 func (j judged) verdict() string {
 	switch {
 	case j.missing:
@@ -80,6 +82,7 @@
 	return "**does not fit yet**"
 }
 
+// figure formats the value with its standard error and unit.
 func (j judged) figure() string {
 	if j.missing {
 		return ""
@@ -87,6 +90,7 @@
 	return fmt.Sprintf("%s ± %s %s", round(j.value), round(j.uncertainty), j.unit)
 }
 
+// limit formats the budget or the required minimum.
 func (r row) limit() string {
 	switch {
 	case r.budget > 0:
@@ -97,6 +101,7 @@
 	return ""
 }
 
+// slopes formats the fits of all terms.
 func (j judged) slopes() string {
 	var parts []string
 	for i, part := range j.terms {
@@ -105,6 +110,7 @@
 	return strings.Join(parts, "; ")
 }
 
+// describe formats the fit and factor of a term.
 func (t term) describe(line fit) string {
 	if t.from == nil {
 		return t.name + ": " + round(t.factor)
@@ -123,7 +129,7 @@
 	return text
 }
 
-// Table computes the table from the JSON lines of the benches.
+// Table computes the Markdown table from the benchmarks' JSON lines.
 func Table(measured []byte) ([]byte, error) {
 	records, err := parse(measured)
 	if err != nil {
@@ -140,7 +146,7 @@
 	return out.Bytes(), nil
 }
 
-// round prints three significant digits, and thousands with commas.
+// round formats value with three significant digits and commas between thousands.
 func round(value float64) string {
 	if value == 0 {
 		return "0"
@@ -161,7 +167,7 @@
 	return whole
 }
 
-// replaceTable puts the table between the page's markers.
+// replaceTable replaces the text between the markers of page with table.
 func replaceTable(page, table []byte) ([]byte, error) {
 	before, rest, found := bytes.Cut(page, []byte(tableBegin))
 	_, after, closed := bytes.Cut(rest, []byte(tableEnd))
