--- a/bench/internal/capacity/capacity_test.go
+++ b/bench/internal/capacity/capacity_test.go
@@ -10,9 +10,9 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// committed returns the measurements in docs/measurements, from which the table
+// committedMeasurements returns the measurements in docs/measurements, from which the table
 // in docs/CAPACITY.md is generated.
-func committed(t *testing.T) []byte {
+func committedMeasurements(t *testing.T) []byte {
 	t.Helper()
 	names, err := filepath.Glob("../../../docs/measurements/*.jsonl")
 	if err != nil || len(names) == 0 {
@@ -33,7 +33,7 @@
 // hand or not regenerated after measurements or rows changed, and so shows
 // figures that were not measured. Run make capacity to regenerate it.
 func TestPageIsMadeFromItsMeasurements(t *testing.T) {
-	want, err := Table(committed(t))
+	want, err := Table(committedMeasurements(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,12 +48,12 @@
 }
 
 func TestEveryRowIsMeasured(t *testing.T) {
-	records, err := parse(committed(t))
+	records, err := parse(committedMeasurements(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range rows() {
-		if judge(r, records).missing {
+		if evaluate(r, records).missing {
 			t.Errorf("got no points for %q of the %s, want a bench that gives them", r.what, r.role)
 		}
 	}
--- a/bench/internal/capacity/fit_test.go
+++ b/bench/internal/capacity/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func near(got, want float64) bool { return math.Abs(got-want) <= 1e-9*max(1, math.Abs(want)) }
+func approxEqual(got, want float64) bool { return math.Abs(got-want) <= 1e-9*max(1, math.Abs(want)) }
 
 // The example is Anscombe's first data set, whose fit is in every textbook:
 // 3.0001 + 0.5001·x, standard error of the slope 0.1179.
@@ -31,7 +31,7 @@
 		}
 	}
 	value, uncertainty := line.at(9) // the mean: s/√n
-	if !near(uncertainty, line.residual/math.Sqrt(11)) || math.Abs(value-7.5009) > 1e-3 {
+	if !approxEqual(uncertainty, line.residual/math.Sqrt(11)) || math.Abs(value-7.5009) > 1e-3 {
 		t.Errorf("got %g ± %g at the mean, want 7.5009 ± %g", value, uncertainty, line.residual/math.Sqrt(11))
 	}
 }
@@ -50,7 +50,7 @@
 		{"the same x", []point{{4, 1}, {4, 3}}, 100, 2, 1},
 	} {
 		value, deviation := leastSquares(test.points).at(test.at)
-		if !near(value, test.value) || !near(deviation, test.deviation) {
+		if !approxEqual(value, test.value) || !approxEqual(deviation, test.deviation) {
 			t.Errorf("%s: got %g ± %g, want %g ± %g", test.name, value, deviation, test.value, test.deviation)
 		}
 	}
--- a/bench/internal/capacity/fleet.go
+++ b/bench/internal/capacity/fleet.go
@@ -23,8 +23,8 @@
 	measuredVersion  = "9f2c61d20b8f4f1a9f2c61d20b8f4f1a9f2c61d20b8f4f1a9f2c61d20b8f4f1a"
 )
 
-// epoch is the fixed start time of all simulated measurements.
-var epoch = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
+// startTime is the fixed start time of all simulated measurements.
+var startTime = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
 
 // node returns the description of the simulated node number n of the given role.
 func node(role string, n int) *wire.Node {
@@ -60,9 +60,9 @@
 	return report
 }
 
-// arrived returns a copy of the report that was encoded and decoded, so that it
+// copyOverWire returns a copy of the report that was encoded and decoded, so that it
 // shares no strings with the original, as after a transfer between processes.
-func arrived(report *wire.HostReport) *wire.HostReport {
+func copyOverWire(report *wire.HostReport) *wire.HostReport {
 	data, err := proto.Marshal(report)
 	if err != nil {
 		panic(err) // a report made here always encodes
@@ -74,20 +74,22 @@
 	return fresh
 }
 
-// link simulates the transfer of one host's reports to its home entry, as
+// reportLink simulates the transfer of one host's reports to its home entry, as
 // implemented in internal/control of the agent and the entry.
-type link struct {
+type reportLink struct {
 	baseline spread.Baseline
 	home     *membership.Table
 }
 
-func newLink() *link { return &link{home: membership.New(membership.DefaultLimits())} }
+func newReportLink() *reportLink {
+	return &reportLink{home: membership.New(membership.DefaultLimits())}
+}
 
 // pass sends a report to the home entry. It returns the message sent, which may be
 // an amendment, and the complete report as the entry stores it.
-func (l *link) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
-	sent = arrived(l.baseline.Next(report, now))
-	received := arrived(sent)
+func (l *reportLink) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
+	sent = copyOverWire(l.baseline.Next(report, now))
+	received := copyOverWire(sent)
 	if received.GetNode() == nil {
 		received.Node = membership.NameOnly(report.GetNode()) // the entry takes the node from the message's sender
 		received.Node.Role = ""                               // an amendment carries no role
@@ -102,13 +104,13 @@
 	return sent, held
 }
 
-// heldReport returns a host's report as an entry stores it after receiving the
+// storedReport returns a host's report as an entry stores it after receiving the
 // first report of the sequence in full and the later ones through the link.
-func heldReport(n int, sequence uint64) *wire.HostReport {
-	reports := newLink()
+func storedReport(n int, sequence uint64) *wire.HostReport {
+	reports := newReportLink()
 	var held *wire.HostReport
 	for s := uint64(1); s <= sequence; s++ {
-		_, held = reports.pass(hostReport(n, s, reportedPrefixes), epoch.Add(time.Duration(s)*time.Second))
+		_, held = reports.pass(hostReport(n, s, reportedPrefixes), startTime.Add(time.Duration(s)*time.Second))
 	}
 	return held
 }
--- a/bench/internal/capacity/rows.go
+++ b/bench/internal/capacity/rows.go
@@ -2,9 +2,9 @@
 
 // Cases of the benchmarks that run a whole deployment.
 var (
-	byAgents  = []string{"agents-18", "agents-50", "agents-100", "agents-200"}
-	byChanges = []string{"changes-0.1", "changes-0.5", "agents-50", "changes-5"}
-	bySize    = []string{"n18-time", "n50-time", "n100-time", "n200-time"}
+	casesByAgents  = []string{"agents-18", "agents-50", "agents-100", "agents-200"}
+	casesByChanges = []string{"changes-0.1", "changes-0.5", "agents-50", "changes-5"}
+	casesByHosts   = []string{"n18-time", "n50-time", "n100-time", "n200-time"}
 )
 
 // Size of the deployment that bench-control runs.
@@ -18,27 +18,27 @@
 	return &series{bench: slopesBench, cases: []string{name}, x: "size", y: "value"}
 }
 
-// rootSlope is like slope, but fits against the square root of the size.
-func rootSlope(name string) *series {
+// sqrtSlope is like slope, but fits against the square root of the size.
+func sqrtSlope(name string) *series {
 	out := slope(name)
 	out.root = true
 	return out
 }
 
-// control returns a series of bench-control with the number of agents as x, or
+// controlByAgents returns a series of bench-control with the number of agents as x, or
 // the agents per entry if perEntry is set.
-func control(y string, perEntry bool) *series {
-	out := &series{bench: "control", cases: byAgents, x: "agents", y: y}
+func controlByAgents(y string, perEntry bool) *series {
+	out := &series{bench: "control", cases: casesByAgents, x: "agents", y: y}
 	if perEntry {
 		out.over = benchEntries
 	}
 	return out
 }
 
-// byRate returns a series of bench-control with the document changes per second as
+// controlByChangeRate returns a series of bench-control with the document changes per second as
 // x.
-func byRate(y string) *series {
-	return &series{bench: "control", cases: byChanges, x: "changesPerSecond", y: y}
+func controlByChangeRate(y string) *series {
+	return &series{bench: "control", cases: casesByChanges, x: "changesPerSecond", y: y}
 }
 
 // Sizes and factors that the rows use.
@@ -48,11 +48,11 @@
 	reportedToAgent = hostsPerDomain + 64
 	tokensPerCall   = fullTokensPerSecond / fullRequestsPerSecond
 	callsPerEntry   = fullRequestsPerSecond / fullEntries
-	// agentsOfNine is the number of agents at which a deployment of 9 entries has
+	// agentsForBenchEntries is the number of agents at which a deployment of 9 entries has
 	// as many agents per entry as at full size.
-	agentsOfNine = agentsPerEntry * benchEntries
-	keysPerEntry = callsPerEntry * onceHorizonSeconds * assumedOnceShare
-	leases       = fullDomains + 1
+	agentsForBenchEntries = agentsPerEntry * benchEntries
+	keysPerEntry          = callsPerEntry * onceHorizonSeconds * assumedOnceShare
+	leases                = fullDomains + 1
 	// hostReportRate limits the host reports that an entry sends to all other
 	// entries together, in bytes per second: reportBytesPerSecond of
 	// entry/internal/control.
@@ -68,10 +68,10 @@
 	// second to percent of a core.
 	percentOfMicros = 1e-4
 	percentOfMillis = 1e-1
-	// rounds is the number of gossip rounds in which an update reaches 820 entries;
+	// gossipRounds is the number of gossip rounds in which an update reaches 820 entries;
 	// 9 entries need 1. See
 	// TestNewsReachesEveryEntry of relay/spread.
-	rounds = 5.0
+	gossipRounds = 5.0
 )
 
 // rows returns all rows of the capacity table.
@@ -79,7 +79,7 @@
 	all := entryRows()
 	all = append(all, requestRows()...)
 	all = append(all, agentRows()...)
-	all = append(all, holderRows()...)
+	all = append(all, leaseHolderRows()...)
 	return append(all, platformRows()...)
 }
 
@@ -87,17 +87,17 @@
 	return []row{
 		{
 			role: "entry", what: "control bytes in and out, 12 agents each, a deployment of 9 entries", unit: "B/s", budget: budgetBytes,
-			terms:   []term{{name: "measured", from: control("controlBytesPerEntryPerSecond", true), size: agentsOfNine, factor: 1}},
+			terms:   []term{{name: "measured", from: controlByAgents("controlBytesPerEntryPerSecond", true), size: agentsForBenchEntries, factor: 1}},
 			carrier: "held calls, amendments; the bench's interval is 0.5 s, the default 1 s and 2 s",
 		},
 		{
 			role: "entry", what: "entries' reports, to and from 8 neighbours called and 8 calling", unit: "B/s", budget: budgetBytes,
-			terms:   []term{{name: "to one", from: leastOf(caseEntryGossip, 200), size: fullEntries, factor: 2 * neighbours}},
+			terms:   []term{{name: "to one", from: slopeFrom(caseEntryReportsToEntry, 200), size: fullEntries, factor: 2 * neighbours}},
 			carrier: "a cap of 4 KiB a message; would need one cap a process, and sums by failure domain instead of each entry's report",
 		},
 		{
 			role: "entry", what: "entries' reports, to its agents", unit: "B/s", budget: budgetBytes,
-			terms:   []term{{name: "to one", from: leastOf(caseAgentEntries, 50), size: fullEntries, factor: agentsPerEntry * agentCallsPerSecond}},
+			terms:   []term{{name: "to one", from: slopeFrom(caseEntryReportsToAgent, 50), size: fullEntries, factor: agentsPerEntry * agentCallsPerSecond}},
 			carrier: "presence without demand each 30 s, and the same cap; an agent needs its own failure domain's entries and a few others only",
 		},
 		{
@@ -112,17 +112,17 @@
 		},
 		{
 			role: "entry", what: "news that a far host leaves, one step to half of the neighbours, at least", unit: "s", budget: budgetLeaving,
-			terms:   []term{{name: "wait", from: leastOf(caseLeavingWait, 1_000), size: fullHosts, factor: 1}},
+			terms:   []term{{name: "wait", from: slopeFrom(caseLeavingWait, 1_000), size: fullHosts, factor: 1}},
 			carrier: "leaving and lost hosts go before all others, on credit: in the next message",
 		},
 		{
 			role: "entry", what: "other entries that a neighbour hears of, of 50, with 1,000 customers in use", unit: "entries", least: 48,
-			terms:   []term{{name: "reported", from: leastOf(caseEntriesReported, 1_000), size: assumedCustomers, factor: 1}},
+			terms:   []term{{name: "reported", from: slopeFrom(caseEntriesReported, 1_000), size: assumedCustomers, factor: 1}},
 			carrier: "one report fills a message at 100 customers, and one above 4 KiB stops those behind it: would need demand apart from the report",
 		},
 		{
 			role: "entry", what: "one customer's change, in and to agents and one neighbour", unit: "B/s", budget: budgetBytes,
-			terms:   []term{{name: "change", from: rootSlope(caseChangeBytes), size: assumedCustomers, factor: changesPerSecond * (2 + agentsPerEntry)}},
+			terms:   []term{{name: "change", from: sqrtSlope(caseChangeBytes), size: assumedCustomers, factor: changesPerSecond * (2 + agentsPerEntry)}},
 			carrier: "parts by content hash, roots as differences; agents use no customers' parts: would need agents to be sent only what they use",
 		},
 		{
@@ -144,7 +144,7 @@
 				{name: "view µs", from: slope(caseViewBuild), size: fullHosts, factor: viewsPerSecond * percentOfMicros},
 				{name: "message to an entry µs", from: slope(caseEntrySelect), size: fullHosts, factor: neighbours * entryCallsPerSecond * percentOfMicros},
 				{name: "message to an agent µs", from: slope(caseAgentSelect), size: fullHosts, factor: agentsPerEntry * agentCallsPerSecond * percentOfMicros},
-				{name: "list ms", from: slope(caseListMillis), size: nodes, factor: listWholePerSecond * percentOfMillis},
+				{name: "list ms", from: slope(caseListMillis), size: nodes, factor: listChangesPerSecond * percentOfMillis},
 				{name: "document ms", from: slope(caseDocumentMillis), size: assumedCustomers, factor: changesPerSecond * percentOfMillis},
 			},
 			carrier: "views at most a fiftieth of a core; each message looks at every host: would need the changed hosts only, and an agent's peers kept between calls",
@@ -152,10 +152,10 @@
 		{
 			role: "entry", what: "memory", unit: "MiB", budget: budgetMiB,
 			terms: []term{
-				{name: "small deployment's process", from: control("residentMib", true), size: agentsOfNine, factor: 1},
+				{name: "small deployment's process", from: controlByAgents("residentMib", true), size: agentsForBenchEntries, factor: 1},
 				{name: "hosts", from: slope(caseHostMemory), size: fullHosts, factor: heapFactor / mebibyte},
-				{name: "neighbours' digests", from: slope(caseMarkMemory), size: fullHosts, factor: neighbours * heapFactor / mebibyte},
-				{name: "agents' digests", from: slope(caseMarkMemory), size: reportedToAgent, factor: agentsPerEntry * heapFactor / mebibyte},
+				{name: "neighbours' digests", from: slope(caseDigestMemory), size: fullHosts, factor: neighbours * heapFactor / mebibyte},
+				{name: "agents' digests", from: slope(caseDigestMemory), size: reportedToAgent, factor: agentsPerEntry * heapFactor / mebibyte},
 				{name: "once keys", from: slope(caseKeyBytes), size: keysPerEntry, factor: heapFactor / mebibyte},
 				{name: "plan", from: slope(casePlanBytes), size: fullHosts, factor: 3 * heapFactor / mebibyte},
 				{name: "document", from: slope(caseDocumentBytes), size: assumedCustomers, factor: 5 * heapFactor / mebibyte},
@@ -165,8 +165,8 @@
 	}
 }
 
-// leastOf is like slope, but excludes sizes below least.
-func leastOf(name string, least float64) *series {
+// slopeFrom is like slope, but excludes sizes below least.
+func slopeFrom(name string, least float64) *series {
 	out := slope(name)
 	out.least = least
 	return out
@@ -176,8 +176,8 @@
 // processes transfer to read the platform's host list.
 func listTerms(readers float64) []term {
 	return []term{
-		{name: "changed", from: slope(caseListBytes), size: nodes, factor: readers * listWholePerSecond},
-		{name: "unchanged", from: slope(caseListUnchanged), size: nodes, factor: readers * (listReadsPerSecond - listWholePerSecond)},
+		{name: "changed", from: slope(caseListBytes), size: nodes, factor: readers * listChangesPerSecond},
+		{name: "unchanged", from: slope(caseListUnchanged), size: nodes, factor: readers * (listReadsPerSecond - listChangesPerSecond)},
 	}
 }
 
@@ -217,14 +217,14 @@
 	return []row{
 		{
 			role: "agent", what: "control bytes in and out, measured with 9 entries", unit: "B/s", budget: budgetBytes,
-			terms:   []term{{name: "measured", from: control("controlBytesPerAgentPerSecond", false), size: reportedToAgent, factor: 1}},
+			terms:   []term{{name: "measured", from: controlByAgents("controlBytesPerAgentPerSecond", false), size: reportedToAgent, factor: 1}},
 			carrier: "reports of the own failure domain and 64 others only; its questions to its own engine are in the figure, and the bench's interval is half the default",
 		},
 		{
 			role: "agent", what: "report up, entries' and hosts' reports down", unit: "B/s", budget: budgetBytes,
 			terms: []term{
 				{name: "report", from: slope(caseOwnReport), size: reportedPrefixes, factor: agentCallsPerSecond},
-				{name: "entries", from: leastOf(caseAgentEntries, 50), size: fullEntries, factor: 1},
+				{name: "entries", from: slopeFrom(caseEntryReportsToAgent, 50), size: fullEntries, factor: 1},
 				{name: "cap on hosts", factor: 1 << 10},
 			},
 			carrier: "one home entry; whole each 10 s, else amendments; caps a message and a second",
@@ -232,7 +232,7 @@
 		{
 			role: "agent", what: "documents and its domain's plans", unit: "B/s", budget: budgetBytes,
 			terms: []term{
-				{name: "change", from: rootSlope(caseChangeBytes), size: assumedCustomers, factor: changesPerSecond},
+				{name: "change", from: sqrtSlope(caseChangeBytes), size: assumedCustomers, factor: changesPerSecond},
 				{name: "plan", from: slope(casePlanDomain), size: hostsPerDomain, factor: plansPerSecond},
 			},
 			carrier: "parts by content hash, roots as differences; the plan of its failure domain only",
@@ -245,15 +245,15 @@
 		{
 			role: "agent", what: "control's processor time, measured with 9 entries, and the list", unit: "% of a core", budget: budgetCPUPercent,
 			terms: []term{
-				{name: "measured", from: control("controlCpuPercentPerAgent", false), size: reportedToAgent, factor: 1},
-				{name: "list ms", from: slope(caseListMillis), size: nodes, factor: listWholePerSecond * percentOfMillis},
+				{name: "measured", from: controlByAgents("controlCpuPercentPerAgent", false), size: reportedToAgent, factor: 1},
+				{name: "list ms", from: slope(caseListMillis), size: nodes, factor: listChangesPerSecond * percentOfMillis},
 			},
 			carrier: "held calls",
 		},
 		{
 			role: "agent", what: "memory, without chunks", unit: "MiB", budget: budgetMiB,
 			terms: []term{
-				{name: "measured", from: control("residentMibAgent", false), size: reportedToAgent, factor: 1},
+				{name: "measured", from: controlByAgents("residentMibAgent", false), size: reportedToAgent, factor: 1},
 				{name: "list", from: slope(caseListBytes), size: nodes, factor: heapFactor / mebibyte},
 				{name: "burst core", from: slope(caseCoreBytes), size: nodes, factor: heapFactor / mebibyte},
 			},
@@ -272,11 +272,11 @@
 	}
 }
 
-func holderRows() []row {
+func leaseHolderRows() []row {
 	return []row{
 		{
 			role: "planner", what: "looks at the plan, twice a second", unit: "% of a core", budget: budgetCPUPercent,
-			terms:   []term{{name: "look ms", from: slope(casePlanSteady), size: fullHosts, factor: viewsPerSecond * percentOfMillis}},
+			terms:   []term{{name: "look ms", from: slope(casePlanUnchanged), size: fullHosts, factor: viewsPerSecond * percentOfMillis}},
 			carrier: "one lease-holder looks at every view; would need to look at failure domains that changed only",
 		},
 		{
@@ -291,7 +291,7 @@
 		},
 		{
 			role: "watchers", what: "document in force on all, of 12 agents an entry", unit: "s", budget: budgetInForce,
-			terms:   []term{{name: "99th of 100", from: control("inForceSecondsP99", true), size: agentsOfNine, factor: rounds}},
+			terms:   []term{{name: "99th of 100", from: controlByAgents("inForceSecondsP99", true), size: agentsForBenchEntries, factor: gossipRounds}},
 			carrier: "one watcher a failure domain, held calls between entries: 5 rounds reach 820, and 1 reaches 9; no link between regions is in the figure",
 		},
 	}
@@ -302,17 +302,17 @@
 		{
 			role: "service", what: "reads", unit: "calls/s", budget: budgetReads,
 			terms: []term{
-				{name: "at rest, of 4 leases", from: control("idleKvReadsPerSecond", false), size: meanAgents, factor: leases / measuredLeases},
+				{name: "at rest, of 4 leases", from: controlByAgents("idleKvReadsPerSecond", false), size: meanAgents, factor: leases / measuredLeases},
 				{name: "polls of all entries", factor: fullEntries * keyPollsPerSecond},
-				{name: "a change", from: byRate("kvReadsPerSecond"), size: changesPerSecond, factor: fullDomains / 3, rise: true},
+				{name: "a change", from: controlByChangeRate("kvReadsPerSecond"), size: changesPerSecond, factor: fullDomains / 3, rise: true},
 			},
 			carrier: "few watch, at most three claim a lease; agents never call",
 		},
 		{
 			role: "service", what: "writes", unit: "calls/s", budget: budgetWrites,
 			terms: []term{
-				{name: "at rest, of 4 leases", from: control("idleKvWritesPerSecond", false), size: meanAgents, factor: leases / measuredLeases},
-				{name: "a change", from: byRate("kvWritesPerSecond"), size: changesPerSecond, factor: 1, rise: true},
+				{name: "at rest, of 4 leases", from: controlByAgents("idleKvWritesPerSecond", false), size: meanAgents, factor: leases / measuredLeases},
+				{name: "a change", from: controlByChangeRate("kvWritesPerSecond"), size: changesPerSecond, factor: 1, rise: true},
 				{name: "plans", factor: plansPerSecond},
 			},
 			carrier: "one lease a failure domain and one planner's; a budget in each process",
@@ -324,7 +324,7 @@
 		},
 		{
 			role: "origin", what: "copies of a version sent to 1,200 hosts", unit: "copies", budget: 4,
-			terms:   []term{{name: "measured", from: &series{bench: "burst", cases: bySize, x: "hosts", y: "originCopies"}, size: fullBurstHosts, factor: 1}},
+			terms:   []term{{name: "measured", from: &series{bench: "burst", cases: casesByHosts, x: "hosts", y: "originCopies"}, size: fullBurstHosts, factor: 1}},
 			carrier: "owners of chunks by rendezvous hash; the document bounds the copies",
 		},
 	}
--- a/bench/internal/capacity/size.go
+++ b/bench/internal/capacity/size.go
@@ -48,9 +48,9 @@
 	keyPollsPerSecond   = 3 / 45. // of one entry: root, plan and drain marks, jittered 60 s
 )
 
-// listWholePerSecond is the rate of reads of the host list that find it changed,
+// listChangesPerSecond is the rate of reads of the host list that find it changed,
 // because a host left or returned since the previous read.
-var listWholePerSecond = listReadsPerSecond * (1 - math.Exp(-plansPerSecond/listReadsPerSecond))
+var listChangesPerSecond = listReadsPerSecond * (1 - math.Exp(-plansPerSecond/listReadsPerSecond))
 
 // Budgets for control traffic and processing, per node unless stated otherwise.
 const (
--- a/bench/internal/capacity/slope_burst.go
+++ b/bench/internal/capacity/slope_burst.go
@@ -30,12 +30,12 @@
 		even, odd := burstPeers(n), burstPeers(n)[1:]
 		core := newCore(even)
 		step := 0
-		lines.line(casePeersMicros, n, micros(func() {
+		lines.line(casePeersMicros, n, microsPerCall(func() {
 			list := even
 			if step++; step%2 == 0 {
 				list = odd
 			}
-			now := epoch.Add(time.Duration(step) * time.Second)
+			now := startTime.Add(time.Duration(step) * time.Second)
 			core.SetPeers(now, list)
 			core.Decide(now)
 		}), "microseconds")
@@ -46,8 +46,8 @@
 
 func newCore(peers []burst.Peer) *burst.Core {
 	core := burst.New(burst.Config{Self: peers[0], Version: measuredVersion, Chunks: assumedChunks, OriginCopies: 4})
-	core.SetPeers(epoch, peers)
-	core.Decide(epoch)
+	core.SetPeers(startTime, peers)
+	core.Decide(startTime)
 	return core
 }
 
--- a/bench/internal/capacity/slope_documents.go
+++ b/bench/internal/capacity/slope_documents.go
@@ -41,7 +41,7 @@
 		lines.line(caseChangeBytes, customers, float64(moved), "bytes")
 		lines.line(caseDocumentBytes, customers, float64(total), "bytes")
 		var err error
-		lines.line(caseDocumentMillis, customers, micros(func() {
+		lines.line(caseDocumentMillis, customers, microsPerCall(func() {
 			_, err = document.Join(root, func(hash string) []byte { return contents[hash] })
 		})/1_000, "milliseconds")
 		if err != nil {
--- a/bench/internal/capacity/slope_keys.go
+++ b/bench/internal/capacity/slope_keys.go
@@ -24,23 +24,23 @@
 		grown := heapBytes(func() *once.Authority {
 			held = once.NewAuthority(owner, once.Options{MaxKeys: once.DefaultMaxKeys})
 			for i := range n {
-				runKey(held, owner, i, n)
+				claimAndSettle(held, owner, i, n)
 			}
 			return held
 		})
 		lines.line(caseKeyBytes, n, grown, "bytes")
 		next := n
-		lines.line(caseKeyMicros, n, micros(func() {
-			runKey(held, owner, next%n, n)
+		lines.line(caseKeyMicros, n, microsPerCall(func() {
+			claimAndSettle(held, owner, next%n, n)
 			next++
 		}), "microseconds")
 	}
 	return nil
 }
 
-// runKey claims and settles key i of n keys created evenly over one hour.
-func runKey(held *once.Authority, owner string, i, n int) {
-	now := epoch.Add(time.Duration(i) * time.Hour / time.Duration(n))
+// claimAndSettle claims and settles key i of n keys created evenly over one hour.
+func claimAndSettle(held *once.Authority, owner string, i, n int) {
+	now := startTime.Add(time.Duration(i) * time.Hour / time.Duration(n))
 	id := uuid.UUID{}
 	binary.BigEndian.PutUint64(id[:8], uint64(now.UnixMilli())<<16|0x7000)
 	binary.BigEndian.PutUint64(id[8:], uint64(i)&(1<<62-1)|1<<63)
--- a/bench/internal/capacity/slope_list.go
+++ b/bench/internal/capacity/slope_list.go
@@ -39,12 +39,12 @@
 // changed list.
 func measureList(lines *printer) error {
 	for _, n := range hostSizes {
-		text, err := listOf(n)
+		text, err := encodeHostList(n)
 		if err != nil {
 			return err
 		}
 		lines.line(caseListBytes, n, float64(len(text)), "bytes")
-		lines.line(caseListMillis, n, micros(func() { _, err = hostlist.Parse(bytes.NewReader(text)) })/1_000, "milliseconds")
+		lines.line(caseListMillis, n, microsPerCall(func() { _, err = hostlist.Parse(bytes.NewReader(text)) })/1_000, "milliseconds")
 		if err != nil {
 			return fmt.Errorf("list of %d hosts: %w", n, err)
 		}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// listOf returns the JSON list of n simulated hosts.
-func listOf(n int) ([]byte, error) {
+// encodeHostList returns the JSON list of n simulated hosts.
+func encodeHostList(n int) ([]byte, error) {
 	list := struct {
 		Hosts []listedHost `json:"hosts"`
 	}{}
--- a/bench/internal/capacity/slope_messages.go
+++ b/bench/internal/capacity/slope_messages.go
@@ -13,11 +13,11 @@
 
 // Cases of the benchmark of the messages that an entry sends.
 const (
-	caseEntrySelect     = "messageToEntryMicros/hosts"
-	caseAgentSelect     = "messageToAgentMicros/hosts"
-	caseEntryGossip     = "entryReportBytesToEntry/entries"
-	caseAgentEntries    = "entryReportBytesToAgent/entries"
-	caseEntriesReported = "entriesToldOf50/customers"
+	caseEntrySelect         = "messageToEntryMicros/hosts"
+	caseAgentSelect         = "messageToAgentMicros/hosts"
+	caseEntryReportsToEntry = "entryReportBytesToEntry/entries"
+	caseEntryReportsToAgent = "entryReportBytesToAgent/entries"
+	caseEntriesReported     = "entriesToldOf50/customers"
 )
 
 // measureMessages prints the time to select the host reports for one message: to an
@@ -30,14 +30,14 @@
 			fresh[i].Report.Leaving = true
 		}
 		digest := digestOfAll(n)
-		lines.line(caseEntrySelect, n, micros(func() {
+		lines.line(caseEntrySelect, n, microsPerCall(func() {
 			for i := range min(news, n) {
-				digest.Received(known[i].Report, epoch)
+				digest.Received(known[i].Report, startTime)
 			}
-			digest.Select(fresh, epoch.Add(time.Second), room)
+			digest.Select(fresh, startTime.Add(time.Second), room)
 		}), "microseconds")
 		agent := node("agent", 1)
-		lines.line(caseAgentSelect, n, micros(func() { selectForAgent(agent, fresh, digest) }), "microseconds")
+		lines.line(caseAgentSelect, n, microsPerCall(func() { selectForAgent(agent, fresh, digest) }), "microseconds")
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 		peers[i].Home = false
 		peers[i].Nearness = spread.Nearness(agent, peers[i].Report.GetNode())
 	}
-	digest.Select(peers, epoch.Add(time.Second), 0)
+	digest.Select(peers, startTime.Add(time.Second), 0)
 }
 
 // measureEntryReports prints the bytes per second of entry reports sent to one
@@ -59,27 +59,27 @@
 func measureEntryReports(lines *printer) error {
 	const usualCustomers, usualEntries = 10, 50
 	for _, n := range []int{9, 50, 200, fullEntries} {
-		toEntry := followEntries(n, usualCustomers, node("entry", 0), 2*time.Second)
-		lines.line(caseEntryGossip, n, toEntry.bytesPerSecond, "bytes a second")
-		toAgent := followEntries(n, usualCustomers, node("agent", 0), time.Second)
-		lines.line(caseAgentEntries, n, toAgent.bytesPerSecond, "bytes a second")
+		toEntry := simulateEntryReports(n, usualCustomers, node("entry", 0), 2*time.Second)
+		lines.line(caseEntryReportsToEntry, n, toEntry.bytesPerSecond, "bytes a second")
+		toAgent := simulateEntryReports(n, usualCustomers, node("agent", 0), time.Second)
+		lines.line(caseEntryReportsToAgent, n, toAgent.bytesPerSecond, "bytes a second")
 	}
 	for _, customers := range []int{10, 100, 110, 1_000} {
-		news := followEntries(usualEntries, customers, node("entry", 0), 2*time.Second)
+		news := simulateEntryReports(usualEntries, customers, node("entry", 0), 2*time.Second)
 		lines.line(caseEntriesReported, customers, float64(news.entries), "entries")
 	}
 	return nil
 }
 
-// entryNews summarizes the entry reports that one receiver got.
-type entryNews struct {
+// entryReportStats summarizes the entry reports that one receiver got.
+type entryReportStats struct {
 	bytesPerSecond float64
 	entries        int // other than the sender
 }
 
-// followEntries simulates two minutes of messages from an entry to the receiver. It
+// simulateEntryReports simulates two minutes of messages from an entry to the receiver. It
 // counts the bytes of the second minute only, and the entries reported in both.
-func followEntries(entries, customers int, receiver *wire.Node, interval time.Duration) entryNews {
+func simulateEntryReports(entries, customers int, receiver *wire.Node, interval time.Duration) entryReportStats {
 	const (
 		toEntries, toAgents = 15 * time.Second, 30 * time.Second // relay ages
 		perEntry            = 75 * time.Millisecond              // relay age for each entry
@@ -98,9 +98,9 @@
 		own := entryReport(1, uint64(at/beat), customers)
 		others := make([]view.Peer, 0, entries)
 		for i := range entries {
-			others = append(others, view.NewPeer(entryReport(i, uint64(at/beat), customers), epoch.Add(at.Truncate(beat)), false, false))
+			others = append(others, view.NewPeer(entryReport(i, uint64(at/beat), customers), startTime.Add(at.Truncate(beat)), false, false))
 		}
-		for _, report := range choose(own, others, receiver.GetId(), epoch.Add(at), room) {
+		for _, report := range choose(own, others, receiver.GetId(), startTime.Add(at), room) {
 			if id := report.GetNode().GetId(); id != own.GetNode().GetId() {
 				reported[id] = true
 			}
@@ -109,5 +109,5 @@
 			}
 		}
 	}
-	return entryNews{bytesPerSecond: float64(sent) / length.Seconds(), entries: len(reported)}
+	return entryReportStats{bytesPerSecond: float64(sent) / length.Seconds(), entries: len(reported)}
 }
--- a/bench/internal/capacity/slope_plans.go
+++ b/bench/internal/capacity/slope_plans.go
@@ -11,10 +11,10 @@
 
 // Cases of the plan benchmark.
 const (
-	casePlanMillis = "planMillis/hosts"
-	casePlanSteady = "planSteadyMillis/hosts"
-	casePlanBytes  = "planBytes/hosts"
-	casePlanDomain = "planOfDomainBytes/hosts of one domain"
+	casePlanMillis    = "planMillis/hosts"
+	casePlanUnchanged = "planSteadyMillis/hosts"
+	casePlanBytes     = "planBytes/hosts"
+	casePlanDomain    = "planOfDomainBytes/hosts of one domain"
 )
 
 // measurePlans prints the time to compute the first plan of a fleet, the time of a
@@ -24,13 +24,13 @@
 	for _, n := range hostSizes {
 		input := planInput(n)
 		var plan *wire.Plan
-		lines.line(casePlanMillis, n, micros(func() { plan = placement.Next(input) })/1_000, "milliseconds")
+		lines.line(casePlanMillis, n, microsPerCall(func() { plan = placement.Next(input) })/1_000, "milliseconds")
 		if plan == nil {
 			return fmt.Errorf("no plan for %d hosts", n)
 		}
 		steady := input
 		steady.Previous = plan
-		lines.line(casePlanSteady, n, micros(func() { placement.Next(steady) })/1_000, "milliseconds")
+		lines.line(casePlanUnchanged, n, microsPerCall(func() { placement.Next(steady) })/1_000, "milliseconds")
 		lines.line(casePlanBytes, n, float64(proto.Size(plan)), "bytes")
 		part := &wire.Plan{PlanRevision: plan.GetPlanRevision(), Revision: plan.GetRevision(), Fence: plan.GetFence()}
 		for _, assignment := range plan.GetAssignments() {
--- a/bench/internal/capacity/slope_reports.go
+++ b/bench/internal/capacity/slope_reports.go
@@ -37,10 +37,10 @@
 // second for a minute.
 func ownReportBytes(prefixes int) float64 {
 	const length = 60
-	reports := newLink()
+	reports := newReportLink()
 	sum := 0
 	for s := range length {
-		sent, _ := reports.pass(hostReport(1, uint64(s+1), prefixes), epoch.Add(time.Duration(s)*time.Second))
+		sent, _ := reports.pass(hostReport(1, uint64(s+1), prefixes), startTime.Add(time.Duration(s)*time.Second))
 		sum += proto.Size(sent)
 	}
 	return float64(sum) / length
@@ -50,10 +50,10 @@
 // to another at each refresh, with a message limit that excludes nothing.
 func relayedReportBytes(prefixes int) float64 {
 	const refreshes, room = 60, 1 << 20
-	digest := spread.NewDigest(refreshLeast, true)
+	digest := spread.NewDigest(minRefresh, true)
 	sum := 0
 	for r := range refreshes {
-		now := epoch.Add(time.Duration(r) * refreshLeast)
+		now := startTime.Add(time.Duration(r) * minRefresh)
 		candidate := spread.Candidate{Report: hostReport(1, uint64(r+1), prefixes), SeenAt: now, Nearness: spread.Far}
 		for _, report := range digest.Select([]spread.Candidate{candidate}, now, room) {
 			sum += proto.Size(report)
--- a/bench/internal/capacity/slope_route.go
+++ b/bench/internal/capacity/slope_route.go
@@ -19,9 +19,9 @@
 	for _, n := range hostSizes {
 		table := route.NewTable(route.Options{Region: "region-01", FailureDomain: "domain-01", Seed: 1})
 		hosts := routeHosts(n)
-		table.Update(epoch, hosts, fullEntries)
-		now := epoch
-		lines.line(caseRouteUpdate, n, micros(func() {
+		table.Update(startTime, hosts, fullEntries)
+		now := startTime
+		lines.line(caseRouteUpdate, n, microsPerCall(func() {
 			now = now.Add(time.Second)
 			for i := 0; i < n; i += 10 {
 				hosts[i].Sequence++
@@ -30,7 +30,7 @@
 			table.Update(now, hosts, fullEntries)
 		}), "microseconds")
 		prompt := uint64(0)
-		lines.line(casePickMicros, n, micros(func() {
+		lines.line(casePickMicros, n, microsPerCall(func() {
 			prompt++
 			ask := route.Requirements{Versions: []string{measuredVersion}, Prefix: route.PrefixOf(strconv.FormatUint(prompt, 10))}
 			if choice, reason := table.Pick(now, ask); reason == route.Chosen {
@@ -49,7 +49,7 @@
 		hosts[i] = route.Host{
 			ID: report.GetNode().GetId(), Incarnation: report.GetNode().GetIncarnation(), Address: report.GetNode().GetControlAddress(),
 			Region: report.GetNode().GetRegion(), FailureDomain: report.GetNode().GetFailureDomain(), Version: measuredVersion,
-			Running: 3, Slots: 8, Sequence: 1, SeenAt: epoch, Prefixes: report.GetPrefixes(),
+			Running: 3, Slots: 8, Sequence: 1, SeenAt: startTime, Prefixes: report.GetPrefixes(),
 		}
 	}
 	return hosts
--- a/bench/internal/capacity/slope_spread.go
+++ b/bench/internal/capacity/slope_spread.go
@@ -13,21 +13,21 @@
 const caseLeavingWait = "leavingFarHostSeconds/hosts"
 
 const (
-	// spreadHalf is the simulated time before and after a host leaves, and
-	// spreadStep the interval between messages to the same neighbour.
-	spreadHalf = 150 * time.Second
-	spreadStep = 5 * time.Second
-	// refreshLeast and refreshPerHost are the age at which an unchanged report
+	// simulationHalf is the simulated time before and after a host leaves, and
+	// messageInterval the interval between messages to the same neighbour.
+	simulationHalf  = 150 * time.Second
+	messageInterval = 5 * time.Second
+	// minRefresh and refreshPerHost are the age at which an unchanged report
 	// is sent again, and reportBurst the most unused bytes that the send
 	// allowance accumulates. They are copied from entry/internal/control.
-	refreshLeast   = 10 * time.Second
+	minRefresh     = 10 * time.Second
 	refreshPerHost = 100 * time.Millisecond
 	reportBurst    = 64 << 10
 )
 
 // measureSpread prints how long an entry that is not the home of a leaving host of
 // another region takes to notify half of its neighbours. The simulation stops after
-// spreadHalf.
+// simulationHalf.
 func measureSpread(lines *printer) error {
 	for _, n := range hostSizes {
 		lines.line(caseLeavingWait, n, leavingWait(n).Seconds(), "seconds")
@@ -40,25 +40,25 @@
 // leaves until half of the neighbours know.
 func leavingWait(n int) time.Duration {
 	candidates := candidatesOf(n, 1)
-	refresh := max(refreshLeast, time.Duration(n)*refreshPerHost)
+	refresh := max(minRefresh, time.Duration(n)*refreshPerHost)
 	sessions := make([]*spread.Digest, int(neighbours))
 	for i := range sessions {
 		sessions[i] = spread.NewDigest(refresh, true)
 		for h, candidate := range candidates {
-			sessions[i].Received(candidate.Report, epoch.Add(-refresh*time.Duration(h)/time.Duration(n)))
+			sessions[i].Received(candidate.Report, startTime.Add(-refresh*time.Duration(h)/time.Duration(n)))
 		}
 	}
-	allowance := spread.NewAllowance(hostReportRate, reportBurst, epoch)
-	leaver := farthest(candidates)
+	allowance := spread.NewAllowance(hostReportRate, reportBurst, startTime)
+	leavingHost := farHostIndex(candidates)
 	reported := 0 // neighbours that know that the host leaves
 	turn := 0     // rotates which neighbour is notified first, since calls arrive in no fixed order
-	for at := time.Duration(0); at < 2*spreadHalf; at += spreadStep {
-		now := epoch.Add(at)
+	for at := time.Duration(0); at < 2*simulationHalf; at += messageInterval {
+		now := startTime.Add(at)
 		for i := range candidates {
 			candidates[i].Report.Sequence++
 			candidates[i].SeenAt = now
 		}
-		candidates[leaver].Report.Leaving = at >= spreadHalf
+		candidates[leavingHost].Report.Leaving = at >= simulationHalf
 		for i := range sessions {
 			session := sessions[(i+turn)%len(sessions)]
 			for _, report := range session.Select(candidates, now, allowance.Left(now)) {
@@ -70,15 +70,15 @@
 		}
 		turn++
 		if reported >= len(sessions)/2 {
-			return at - spreadHalf
+			return at - simulationHalf
 		}
 	}
-	return spreadHalf
+	return simulationHalf
 }
 
-// farthest returns the index of a host of another region whose home is another
+// farHostIndex returns the index of a host of another region whose home is another
 // entry, or the last index if there is none.
-func farthest(candidates []spread.Candidate) int {
+func farHostIndex(candidates []spread.Candidate) int {
 	for i, candidate := range candidates {
 		if candidate.Nearness == spread.Far && !candidate.Home {
 			return i
--- a/bench/internal/capacity/slope_views.go
+++ b/bench/internal/capacity/slope_views.go
@@ -11,23 +11,23 @@
 
 // Cases of the benchmark of an entry's view of the hosts.
 const (
-	caseViewBuild  = "viewBuildMicros/hosts"
-	caseHostMemory = "knownHostsBytes/hosts"
-	caseMarkMemory = "digestBytes/hosts"
+	caseViewBuild    = "viewBuildMicros/hosts"
+	caseHostMemory   = "knownHostsBytes/hosts"
+	caseDigestMemory = "digestBytes/hosts"
 )
 
 // tableShards is the number of membership tables among which an entry divides its
 // members.
 const tableShards = 16
 
-// knownHosts returns an entry's membership tables filled with n hosts.
-func knownHosts(n int) []*membership.Table {
+// filledTables returns an entry's membership tables filled with n hosts.
+func filledTables(n int) []*membership.Table {
 	tables := make([]*membership.Table, tableShards)
 	for i := range tables {
 		tables[i] = membership.New(membership.DefaultLimits())
 	}
 	for i := range n {
-		tables[i%tableShards].ObserveHost(arrived(hostReport(i, 1, reportedPrefixes)), epoch)
+		tables[i%tableShards].ObserveHost(copyOverWire(hostReport(i, 1, reportedPrefixes)), startTime)
 	}
 	return tables
 }
@@ -38,7 +38,7 @@
 	out := membership.ExternalState{Self: "entry-00001", HostCount: n}
 	hosts := make([]view.Host, 0, n)
 	for _, table := range tables {
-		hosts = append(hosts, table.Hosts(epoch.Add(time.Second), out)...)
+		hosts = append(hosts, table.Hosts(startTime.Add(time.Second), out)...)
 	}
 	membership.SortHosts(hosts)
 	return &view.Snapshot{Hosts: hosts}
@@ -48,16 +48,16 @@
 // and view, and the memory of the digest that it keeps for one neighbour.
 func measureViews(lines *printer) error {
 	for _, n := range hostSizes {
-		tables := knownHosts(n)
-		lines.line(caseViewBuild, n, micros(func() { buildView(tables, n) }), "microseconds")
+		tables := filledTables(n)
+		lines.line(caseViewBuild, n, microsPerCall(func() { buildView(tables, n) }), "microseconds")
 		held := heapBytes(func() any {
-			tables := knownHosts(n)
+			tables := filledTables(n)
 			return []any{tables, buildView(tables, n)}
 		})
 		lines.line(caseHostMemory, n, held, "bytes")
 		runtime.KeepAlive(tables)
 		marks := heapBytes(func() *spread.Digest { return digestOfAll(n) })
-		lines.line(caseMarkMemory, n, marks, "bytes")
+		lines.line(caseDigestMemory, n, marks, "bytes")
 	}
 	return nil
 }
@@ -67,9 +67,9 @@
 	self := node("entry", 1)
 	candidates := make([]spread.Candidate, n)
 	for i := range candidates {
-		report := heldReport(i, sequence)
+		report := storedReport(i, sequence)
 		candidates[i] = spread.Candidate{
-			Report: report, SeenAt: epoch, Home: report.GetHome() == self.GetId(), Nearness: spread.Nearness(self, report.GetNode()),
+			Report: report, SeenAt: startTime, Home: report.GetHome() == self.GetId(), Nearness: spread.Nearness(self, report.GetNode()),
 		}
 	}
 	return candidates
@@ -80,7 +80,7 @@
 func digestOfAll(n int) *spread.Digest {
 	digest := spread.NewDigest(time.Hour, true)
 	for i := range n {
-		digest.Received(arrived(hostReport(i, 1, 0)), epoch)
+		digest.Received(copyOverWire(hostReport(i, 1, 0)), startTime)
 	}
 	return digest
 }
--- a/bench/internal/capacity/slopes.go
+++ b/bench/internal/capacity/slopes.go
@@ -54,20 +54,20 @@
 }
 
 const (
-	// measureLeast is the minimum duration of one try. Of measureTries tries the
+	// minTryDuration is the minimum duration of one try. Of measureTries tries the
 	// fastest counts, since load on the machine can only slow a try down.
-	measureLeast = 20 * time.Millisecond
-	measureTries = 5
+	minTryDuration = 20 * time.Millisecond
+	measureTries   = 5
 )
 
-// micros returns the duration of one call of do, in microseconds.
-func micros(do func()) float64 {
+// microsPerCall returns the duration of one call of do, in microseconds.
+func microsPerCall(do func()) float64 {
 	do()
 	best := math.Inf(1)
 	for range measureTries {
 		count := 0
 		began := time.Now()
-		for time.Since(began) < measureLeast {
+		for time.Since(began) < minTryDuration {
 			do()
 			count++
 		}
@@ -78,15 +78,15 @@
 
 // heapBytes returns the heap memory that the result of build retains, in bytes.
 func heapBytes[T any](build func() T) float64 {
-	before := heapNow()
+	before := liveHeapBytes()
 	kept := build()
-	grown := heapNow() - before
+	grown := liveHeapBytes() - before
 	runtime.KeepAlive(kept)
 	return grown
 }
 
-// heapNow returns the size of the live heap after garbage collection, in bytes.
-func heapNow() float64 {
+// liveHeapBytes returns the size of the live heap after garbage collection, in bytes.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/bench/internal/capacity/table.go
+++ b/bench/internal/capacity/table.go
@@ -36,8 +36,8 @@
 	rise bool
 }
 
-// judged is a row with its computed figures.
-type judged struct {
+// rowResult is a row with its computed figures.
+type rowResult struct {
 	row
 	fits        []fit
 	value       float64
@@ -45,9 +45,9 @@
 	missing     bool // a slope has no points
 }
 
-// judge fits the terms of a row to the records and sums them at full size.
-func judge(r row, records []record) judged {
-	out := judged{row: r}
+// evaluate fits the terms of a row to the records and sums them at full size.
+func evaluate(r row, records []record) rowResult {
+	out := rowResult{row: r}
 	variance := 0.0
 	for _, part := range r.terms {
 		if part.from == nil {
@@ -70,7 +70,7 @@
 }
 
 // verdict returns whether the value meets the budget or the required minimum.
-func (j judged) verdict() string {
+func (j rowResult) verdict() string {
 	switch {
 	case j.missing:
 		return "not measured"
@@ -83,7 +83,7 @@
 }
 
 // figure formats the value with its standard error and unit.
-func (j judged) figure() string {
+func (j rowResult) figure() string {
 	if j.missing {
 		return ""
 	}
@@ -102,7 +102,7 @@
 }
 
 // slopes formats the fits of all terms.
-func (j judged) slopes() string {
+func (j rowResult) slopes() string {
 	var parts []string
 	for i, part := range j.terms {
 		parts = append(parts, part.describe(j.fits[i]))
@@ -139,7 +139,7 @@
 	out.WriteString("| role | line | at full size | budget | | slope (intercept + slope·x, standard error of the slope, points) | carried by |\n")
 	out.WriteString("|---|---|---|---|---|---|---|\n")
 	for _, r := range rows() {
-		line := judge(r, records)
+		line := evaluate(r, records)
 		fmt.Fprintf(out, "| %s | %s | %s | %s | %s | %s | %s |\n",
 			line.role, line.what, line.figure(), line.limit(), line.verdict(), line.slopes(), line.carrier)
 	}
--- a/bench/internal/capacity/table_test.go
+++ b/bench/internal/capacity/table_test.go
@@ -14,14 +14,14 @@
 	return records
 }
 
-const fourLines = `{"bench":"slopes","case":"cost/hosts","size":10,"value":30}
+const sampleLines = `{"bench":"slopes","case":"cost/hosts","size":10,"value":30}
 {"bench":"slopes","case":"cost/hosts","size":20,"value":50}
 {"bench":"slopes","case":"cost/hosts","size":30,"value":9999,"error":"it broke"}
 {"bench":"slopes","case":"other/hosts","size":20,"value":9999}
 `
 
 func TestJudge(t *testing.T) {
-	records := lines(t, fourLines)
+	records := lines(t, sampleLines)
 	grown := *slope("cost/hosts")
 	for _, test := range []struct {
 		name    string
@@ -35,7 +35,7 @@
 		{"the rise only", row{unit: "B", terms: []term{{from: &grown, size: 100, factor: 1, rise: true}}}, "200 ± 0 B", ""},
 		{"no points", row{unit: "B", budget: 1, terms: []term{{from: slope("none/hosts"), size: 1, factor: 1}}}, "", "not measured"},
 	} {
-		out := judge(test.row, records)
+		out := evaluate(test.row, records)
 		if out.figure() != test.figure || out.verdict() != test.verdict {
 			t.Errorf("%s: got %q %q, want %q %q", test.name, out.figure(), out.verdict(), test.figure, test.verdict)
 		}
@@ -43,7 +43,7 @@
 }
 
 func TestSeriesScales(t *testing.T) {
-	records := lines(t, fourLines)
+	records := lines(t, sampleLines)
 	scaled := *slope("cost/hosts")
 	scaled.over, scaled.root, scaled.least = 5, true, 15
 	points := scaled.points(records)
