--- a/bench/internal/capacity/capacity_test.go
+++ b/bench/internal/capacity/capacity_test.go
@@ -10,8 +10,8 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// committedMeasurements returns the measurements in docs/measurements, from which the table
-// in docs/CAPACITY.md is generated.
+// committedMeasurements returns the measurements in docs/measurements, from which
+// the table in docs/CAPACITY.md is generated.
 func committedMeasurements(t *testing.T) []byte {
 	t.Helper()
 	names, err := filepath.Glob("../../../docs/measurements/*.jsonl")
@@ -54,7 +54,7 @@
 	}
 	for _, r := range rows() {
 		if evaluate(r, records).missing {
-			t.Errorf("got no points for %q of the %s, want a bench that gives them", r.what, r.role)
+			t.Errorf("got no points for %q of the %s, want a bench that gives them", r.quantity, r.role)
 		}
 	}
 }
--- a/bench/internal/capacity/fleet.go
+++ b/bench/internal/capacity/fleet.go
@@ -74,20 +74,18 @@
 	return fresh
 }
 
-// reportLink simulates the transfer of one host's reports to its home entry, as
+// uplink simulates the transfer of one host's reports to its home entry, as
 // implemented in internal/control of the agent and the entry.
-type reportLink struct {
+type uplink struct {
 	baseline spread.Baseline
 	home     *membership.Table
 }
 
-func newReportLink() *reportLink {
-	return &reportLink{home: membership.New(membership.DefaultLimits())}
-}
+func newUplink() *uplink { return &uplink{home: membership.New(membership.DefaultLimits())} }
 
 // pass sends a report to the home entry. It returns the message sent, which may be
 // an amendment, and the complete report as the entry stores it.
-func (l *reportLink) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
+func (l *uplink) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
 	sent = copyOverWire(l.baseline.Next(report, now))
 	received := copyOverWire(sent)
 	if received.GetNode() == nil {
@@ -107,7 +105,7 @@
 // storedReport returns a host's report as an entry stores it after receiving the
 // first report of the sequence in full and the later ones through the link.
 func storedReport(n int, sequence uint64) *wire.HostReport {
-	reports := newReportLink()
+	reports := newUplink()
 	var held *wire.HostReport
 	for s := uint64(1); s <= sequence; s++ {
 		_, held = reports.pass(hostReport(n, s, reportedPrefixes), startTime.Add(time.Duration(s)*time.Second))
--- a/bench/internal/capacity/points.go
+++ b/bench/internal/capacity/points.go
@@ -59,13 +59,13 @@
 	// cases lists the cases to include; empty includes all.
 	cases []string
 	x, y  string
-	// over divides x if positive, for example to get the agents per entry of a
+	// divisor divides x if positive, for example to get the agents per entry of a
 	// deployment.
-	over float64
-	// least excludes points with a smaller x, where the cost follows another rule.
-	least float64
-	// root fits against the square root of x, for costs that grow with it.
-	root bool
+	divisor float64
+	// minX excludes points with a smaller x, where the cost follows another rule.
+	minX float64
+	// sqrt fits against the square root of x, for costs that grow with it.
+	sqrt bool
 }
 
 // points returns the points of the series in records.
@@ -77,19 +77,19 @@
 		}
 		x, hasX := rec.number(s.x)
 		y, hasY := rec.number(s.y)
-		if hasX && hasY && x >= s.least {
-			points = append(points, point{s.scaled(x), y})
+		if hasX && hasY && x >= s.minX {
+			points = append(points, point{s.scale(x), y})
 		}
 	}
 	return points
 }
 
-// scaled converts a size to the x coordinate of the fit.
-func (s series) scaled(x float64) float64 {
-	if s.over > 0 {
-		x /= s.over
+// scale converts a size to the x coordinate of the fit.
+func (s series) scale(x float64) float64 {
+	if s.divisor > 0 {
+		x /= s.divisor
 	}
-	if s.root {
+	if s.sqrt {
 		x = math.Sqrt(x)
 	}
 	return x
@@ -106,10 +106,10 @@
 	if s.bench == slopesBench {
 		_, name, _ = strings.Cut(s.cases[0], "/")
 	}
-	if s.over > 0 {
+	if s.divisor > 0 {
 		name += " an entry"
 	}
-	if s.root {
+	if s.sqrt {
 		return "√" + name
 	}
 	return name
--- a/bench/internal/capacity/slope_messages.go
+++ b/bench/internal/capacity/slope_messages.go
@@ -77,8 +77,9 @@
 	entries        int // other than the sender
 }
 
-// simulateEntryReports simulates two minutes of messages from an entry to the receiver. It
-// counts the bytes of the second minute only, and the entries reported in both.
+// simulateEntryReports simulates two minutes of messages from an entry to the
+// receiver. It counts the bytes of the second minute only, and the entries reported
+// in both.
 func simulateEntryReports(entries, customers int, receiver *wire.Node, interval time.Duration) entryReportStats {
 	const (
 		toEntries, toAgents = 15 * time.Second, 30 * time.Second // relay ages
--- a/bench/internal/capacity/slope_reports.go
+++ b/bench/internal/capacity/slope_reports.go
@@ -37,7 +37,7 @@
 // second for a minute.
 func ownReportBytes(prefixes int) float64 {
 	const length = 60
-	reports := newReportLink()
+	reports := newUplink()
 	sum := 0
 	for s := range length {
 		sent, _ := reports.pass(hostReport(1, uint64(s+1), prefixes), startTime.Add(time.Duration(s)*time.Second))
--- a/bench/internal/capacity/slope_spread.go
+++ b/bench/internal/capacity/slope_spread.go
@@ -25,9 +25,9 @@
 	reportBurst    = 64 << 10
 )
 
-// measureSpread prints how long an entry that is not the home of a leaving host of
-// another region takes to notify half of its neighbours. The simulation stops after
-// simulationHalf.
+// measureSpread prints how long an entry of a large deployment takes to notify half
+// of its neighbours that a host of another region, whose home is another entry, is
+// leaving. The simulation stops simulationHalf after the host leaves.
 func measureSpread(lines *printer) error {
 	for _, n := range hostSizes {
 		lines.line(caseLeavingWait, n, leavingWait(n).Seconds(), "seconds")
--- a/bench/internal/capacity/table.go
+++ b/bench/internal/capacity/table.go
@@ -18,22 +18,22 @@
 
 // row is one line of the table. It compares the sum of its terms with a budget.
 type row struct {
-	role, what, unit string
-	terms            []term
-	budget           float64 // 0: none
-	least            float64 // required minimum, in place of a budget; 0: none
-	carrier          string  // mechanism that keeps the figure low, or the one needed for it
+	role, quantity, unit string
+	terms                []term
+	budget               float64 // 0: none
+	minimum              float64 // required minimum, in place of a budget; 0: none
+	mechanism            string  // mechanism that keeps the figure low, or the one needed for it
 }
 
 // term is a fit evaluated at one size, times a factor. Without a series its value is
 // the factor, a constant that follows from the code.
 type term struct {
 	name   string
-	from   *series
+	series *series
 	size   float64
 	factor float64
-	// rise omits the intercept, which another term includes.
-	rise bool
+	// slopeOnly omits the intercept, which another term includes.
+	slopeOnly bool
 }
 
 // rowResult is a row with its computed figures.
@@ -50,17 +50,17 @@
 	out := rowResult{row: r}
 	variance := 0.0
 	for _, part := range r.terms {
-		if part.from == nil {
+		if part.series == nil {
 			out.fits = append(out.fits, fit{})
 			out.value += part.factor
 			continue
 		}
-		line := leastSquares(part.from.points(records))
+		line := leastSquares(part.series.points(records))
 		out.missing = out.missing || line.points == 0
 		out.fits = append(out.fits, line)
-		value, uncertainty := line.at(part.from.scaled(part.size))
-		if part.rise {
-			value, uncertainty = line.slope*part.from.scaled(part.size), line.slopeError*part.from.scaled(part.size)
+		value, uncertainty := line.at(part.series.scale(part.size))
+		if part.slopeOnly {
+			value, uncertainty = line.slope*part.series.scale(part.size), line.slopeError*part.series.scale(part.size)
 		}
 		out.value += value * part.factor
 		variance += uncertainty * uncertainty * part.factor * part.factor
@@ -69,25 +69,26 @@
 	return out
 }
 
-// verdict returns whether the value meets the budget or the required minimum.
-func (j rowResult) verdict() string {
+// verdict states whether the value meets the budget or the required minimum. It is
+// empty for a measured row that has neither.
+func (r rowResult) verdict() string {
 	switch {
-	case j.missing:
+	case r.missing:
 		return "not measured"
-	case j.budget == 0 && j.least == 0:
+	case r.budget == 0 && r.minimum == 0:
 		return ""
-	case j.budget > 0 && j.value <= j.budget, j.least > 0 && j.value >= j.least:
+	case r.budget > 0 && r.value <= r.budget, r.minimum > 0 && r.value >= r.minimum:
 		return "fits"
 	}
 	return "**does not fit yet**"
 }
 
 // figure formats the value with its standard error and unit.
-func (j rowResult) figure() string {
-	if j.missing {
+func (r rowResult) figure() string {
+	if r.missing {
 		return ""
 	}
-	return fmt.Sprintf("%s ± %s %s", round(j.value), round(j.uncertainty), j.unit)
+	return fmt.Sprintf("%s ± %s %s", round(r.value), round(r.uncertainty), r.unit)
 }
 
 // limit formats the budget or the required minimum.
@@ -95,32 +96,32 @@
 	switch {
 	case r.budget > 0:
 		return round(r.budget) + " " + r.unit
-	case r.least > 0:
-		return "at least " + round(r.least) + " " + r.unit
+	case r.minimum > 0:
+		return "at least " + round(r.minimum) + " " + r.unit
 	}
 	return ""
 }
 
 // slopes formats the fits of all terms.
-func (j rowResult) slopes() string {
+func (r rowResult) slopes() string {
 	var parts []string
-	for i, part := range j.terms {
-		parts = append(parts, part.describe(j.fits[i]))
+	for i, part := range r.terms {
+		parts = append(parts, part.describe(r.fits[i]))
 	}
 	return strings.Join(parts, "; ")
 }
 
 // describe formats the fit and factor of a term.
 func (t term) describe(line fit) string {
-	if t.from == nil {
+	if t.series == nil {
 		return t.name + ": " + round(t.factor)
 	}
 	text := fmt.Sprintf("%s: %s (n=%d)", t.name, round(line.intercept), line.points)
 	if line.slope != 0 {
 		text = fmt.Sprintf("%s: %s + %s·%s (± %s, n=%d) at %s", t.name, round(line.intercept), round(line.slope),
-			t.from.axis(), round(line.slopeError), line.points, round(t.from.scaled(t.size)))
+			t.series.axis(), round(line.slopeError), line.points, round(t.series.scale(t.size)))
 	}
-	if t.rise {
+	if t.slopeOnly {
 		text += ", the rise only"
 	}
 	if t.factor != 1 {
@@ -141,7 +142,7 @@
 	for _, r := range rows() {
 		line := evaluate(r, records)
 		fmt.Fprintf(out, "| %s | %s | %s | %s | %s | %s | %s |\n",
-			line.role, line.what, line.figure(), line.limit(), line.verdict(), line.slopes(), line.carrier)
+			line.role, line.quantity, line.figure(), line.limit(), line.verdict(), line.slopes(), line.mechanism)
 	}
 	return out.Bytes(), nil
 }
--- a/bench/internal/capacity/table_test.go
+++ b/bench/internal/capacity/table_test.go
@@ -29,11 +29,11 @@
 		figure  string
 		verdict string
 	}{
-		{"within", row{unit: "B", budget: 300, terms: []term{{from: &grown, size: 100, factor: 1}}}, "210 ± 0 B", "fits"},
-		{"beyond", row{unit: "B", budget: 200, terms: []term{{from: &grown, size: 100, factor: 1}}}, "210 ± 0 B", "**does not fit yet**"},
-		{"sum with a constant", row{unit: "B", terms: []term{{from: &grown, size: 100, factor: 2}, {factor: 5}}}, "425 ± 0 B", ""},
-		{"the rise only", row{unit: "B", terms: []term{{from: &grown, size: 100, factor: 1, rise: true}}}, "200 ± 0 B", ""},
-		{"no points", row{unit: "B", budget: 1, terms: []term{{from: slope("none/hosts"), size: 1, factor: 1}}}, "", "not measured"},
+		{"within", row{unit: "B", budget: 300, terms: []term{{series: &grown, size: 100, factor: 1}}}, "210 ± 0 B", "fits"},
+		{"beyond", row{unit: "B", budget: 200, terms: []term{{series: &grown, size: 100, factor: 1}}}, "210 ± 0 B", "**does not fit yet**"},
+		{"sum with a constant", row{unit: "B", terms: []term{{series: &grown, size: 100, factor: 2}, {factor: 5}}}, "425 ± 0 B", ""},
+		{"the rise only", row{unit: "B", terms: []term{{series: &grown, size: 100, factor: 1, slopeOnly: true}}}, "200 ± 0 B", ""},
+		{"no points", row{unit: "B", budget: 1, terms: []term{{series: slope("none/hosts"), size: 1, factor: 1}}}, "", "not measured"},
 	} {
 		out := evaluate(test.row, records)
 		if out.figure() != test.figure || out.verdict() != test.verdict {
@@ -45,7 +45,7 @@
 func TestSeriesScales(t *testing.T) {
 	records := lines(t, sampleLines)
 	scaled := *slope("cost/hosts")
-	scaled.over, scaled.root, scaled.least = 5, true, 15
+	scaled.divisor, scaled.sqrt, scaled.minX = 5, true, 15
 	points := scaled.points(records)
 	if len(points) != 1 || points[0] != (point{2, 50}) {
 		t.Errorf("got points %v, want only (2, 50): the root of 20/5", points)
