--- a/bench/internal/capacity/rows.go
+++ b/bench/internal/capacity/rows.go
@@ -57,8 +57,8 @@
 	// entries together, in bytes per second: reportBytesPerSecond of
 	// entry/internal/control.
 	hostReportRate = 3 << 10
-	// lostAfter is the time without a report after which a host of another region
-	// is considered lost, in seconds. See membership.DefaultLimits.
+	// lostAfter is the time without a report after which a host that reports to
+	// another entry is considered lost, in seconds. See membership.DefaultLimits.
 	lostAfter = 30 + 0.15*fullHosts
 	// heapFactor is the ratio of heap size to live data that the garbage collector
 	// allows.
