--- a/bench/internal/capacity/capacity_test.go
+++ b/bench/internal/capacity/capacity_test.go
@@ -29,7 +29,7 @@
 	return all.Bytes()
 }
 
-// TestPageIsMadeFromItsMeasurements: guards against a table that was edited by
+// TestPageIsMadeFromItsMeasurements guards against a table that was edited by
 // hand or not regenerated after measurements or rows changed, and so shows
 // figures that were not measured. Run make capacity to regenerate it.
 func TestPageIsMadeFromItsMeasurements(t *testing.T) {
