--- a/bench/internal/capacity/fleet.go
+++ b/bench/internal/capacity/fleet.go
@@ -13,17 +13,20 @@
 )
 
 const (
-	// domains and regions of the measured fleets, as at full size.
+	// domains and regions are the numbers of failure domains and regions in the
+	// simulated fleets, the same as at full size.
 	domains = 34
 	regions = 11
-	// reportedPrefixes is what an agent reports of its engine's cache at most.
+	// reportedPrefixes is the largest number of cached prefixes that an agent
+	// reports for its engine.
 	reportedPrefixes = 64
 	measuredVersion  = "9f2c61d20b8f4f1a9f2c61d20b8f4f1a9f2c61d20b8f4f1a9f2c61d20b8f4f1a"
 )
 
-// epoch is the moment of all measurements that need one.
-var epoch = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
+// startTime is the fixed start time of all simulated measurements.
+var startTime = time.Date(2026, 1, 7, 9, 0, 0, 0, time.UTC)
 
+// node returns the description of the simulated node number n of the given role.
 func node(role string, n int) *wire.Node {
 	domain := n % domains
 	made := &wire.Node{
@@ -40,6 +43,7 @@
 	return made
 }
 
+// hostReport returns the full report of simulated host n.
 func hostReport(n int, sequence uint64, prefixes int) *wire.HostReport {
 	report := &wire.HostReport{
 		Node: node("agent", n), Sequence: sequence, Endpoint: "engine", EngineRole: "both",
@@ -56,9 +60,9 @@
 	return report
 }
 
-// arrived returns the report as it is in memory after it came over the wire:
-// no string of it is shared.
-func arrived(report *wire.HostReport) *wire.HostReport {
+// copyOverWire returns a copy of the report that was encoded and decoded, so that it
+// shares no strings with the original, as after a transfer between processes.
+func copyOverWire(report *wire.HostReport) *wire.HostReport {
 	data, err := proto.Marshal(report)
 	if err != nil {
 		panic(err) // a report made here always encodes
@@ -70,23 +74,23 @@
 	return fresh
 }
 
-// link is the way of one host's own reports to its home entry, as both ends'
-// internal/control has it.
-type link struct {
+// uplink simulates the transfer of one host's reports to its home entry, as
+// implemented in internal/control of the agent and the entry.
+type uplink struct {
 	baseline spread.Baseline
 	home     *membership.Table
 }
 
-func newLink() *link { return &link{home: membership.New(membership.DefaultLimits())} }
+func newUplink() *uplink { return &uplink{home: membership.New(membership.DefaultLimits())} }
 
-// pass passes on a report and returns what went, and the report as the entry
-// holds it.
-func (l *link) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
-	sent = arrived(l.baseline.Next(report, now))
-	received := arrived(sent)
+// pass sends a report to the home entry. It returns the message sent, which may be
+// an amendment, and the complete report as the entry stores it.
+func (l *uplink) pass(report *wire.HostReport, now time.Time) (sent, held *wire.HostReport) {
+	sent = copyOverWire(l.baseline.Next(report, now))
+	received := copyOverWire(sent)
 	if received.GetNode() == nil {
-		received.Node = membership.NameOnly(report.GetNode()) // the message's sender
-		received.Node.Role = ""                               // as an amendment bears it
+		received.Node = membership.NameOnly(report.GetNode()) // the entry takes the node from the message's sender
+		received.Node.Role = ""                               // an amendment carries no role
 	}
 	held, ok := l.home.Complete(received)
 	if !ok {
@@ -98,17 +102,19 @@
 	return sent, held
 }
 
-// heldReport returns a host's report as an entry holds it after the sequence's
-// first came whole.
-func heldReport(n int, sequence uint64) *wire.HostReport {
-	reports := newLink()
+// storedReport returns a host's report as an entry stores it after receiving the
+// first report of the sequence in full and the later ones through the link.
+func storedReport(n int, sequence uint64) *wire.HostReport {
+	reports := newUplink()
 	var held *wire.HostReport
 	for s := uint64(1); s <= sequence; s++ {
-		_, held = reports.pass(hostReport(n, s, reportedPrefixes), epoch.Add(time.Duration(s)*time.Second))
+		_, held = reports.pass(hostReport(n, s, reportedPrefixes), startTime.Add(time.Duration(s)*time.Second))
 	}
 	return held
 }
 
+// entryReport returns the report of simulated entry n with the demand of the given
+// number of customers.
 func entryReport(n int, sequence uint64, customers int) *wire.EntryReport {
 	report := &wire.EntryReport{
 		Node: node("entry", n), Sequence: sequence, InFlight: 120, RequestsPerSecond: 101.2, Revision: 66_000, PlanRevision: 3_000,
--- a/bench/internal/capacity/points.go
+++ b/bench/internal/capacity/points.go
@@ -12,7 +12,7 @@
 	"comfreyrelay.example/relay/failure"
 )
 
-// record is one JSON line of a bench.
+// record is one JSON line of benchmark output.
 type record map[string]any
 
 func (r record) text(name string) string {
@@ -25,11 +25,11 @@
 	return value, ok
 }
 
-// maxLine bounds one JSON line, bytes.
+// maxLine is the largest accepted length of a JSON line, in bytes.
 const maxLine = 1 << 20
 
-// parse reads JSON lines. Those of cases that did not come to their end hold no
-// figures and are left out.
+// parse decodes the JSON lines of the benchmarks. It skips lines with an error,
+// since a case that did not complete has no valid figures.
 func parse(measured []byte) ([]record, error) {
 	var records []record
 	lines := bufio.NewScanner(bytes.NewReader(measured))
@@ -40,8 +40,8 @@
 		}
 		rec := record{}
 		if err := json.Unmarshal(lines.Bytes(), &rec); err != nil {
-			return nil, failure.Wrap(err, failure.Invalid, fmt.Sprintf("line %d of the measurements is no JSON object", n),
-				"give the JSON lines of the benches as they were printed")
+			return nil, failure.Wrap(err, failure.Invalid, fmt.Sprintf("line %d of the measurements is not a JSON object", n),
+				"pass the benchmarks' JSON lines unmodified")
 		}
 		if rec.text("error") == "" {
 			records = append(records, rec)
@@ -53,20 +53,22 @@
 // point is one measurement of y at x.
 type point struct{ x, y float64 }
 
-// series says where the points of one slope stand in the lines.
+// series selects the records and fields that provide the points of one fit.
 type series struct {
 	bench string
-	// cases that count; all where empty.
+	// cases lists the cases to include; empty includes all.
 	cases []string
 	x, y  string
-	// over divides x, so that a deployment is compared by agents an entry.
-	over float64
-	// least leaves out points with a smaller x: below it another rule holds.
-	least float64
-	// root takes the square root of x, where the cost grows so.
-	root bool
+	// divisor divides x if positive, for example to get the agents per entry of a
+	// deployment.
+	divisor float64
+	// minX excludes points with a smaller x, where the cost follows another rule.
+	minX float64
+	// sqrt fits against the square root of x, for costs that grow with it.
+	sqrt bool
 }
 
+// points returns the points of the series in records.
 func (s series) points(records []record) []point {
 	var points []point
 	for _, rec := range records {
@@ -75,38 +77,39 @@
 		}
 		x, hasX := rec.number(s.x)
 		y, hasY := rec.number(s.y)
-		if hasX && hasY && x >= s.least {
-			points = append(points, point{s.scaled(x), y})
+		if hasX && hasY && x >= s.minX {
+			points = append(points, point{s.scale(x), y})
 		}
 	}
 	return points
 }
 
-// scaled turns a size into the x of the line.
-func (s series) scaled(x float64) float64 {
-	if s.over > 0 {
-		x /= s.over
+// scale converts a size to the x coordinate of the fit.
+func (s series) scale(x float64) float64 {
+	if s.divisor > 0 {
+		x /= s.divisor
 	}
-	if s.root {
+	if s.sqrt {
 		x = math.Sqrt(x)
 	}
 	return x
 }
 
+// covers reports whether the series includes the named case.
 func (s series) covers(name string) bool {
 	return len(s.cases) == 0 || slices.Contains(s.cases, name)
 }
 
-// axis names the x of the line.
+// axis returns the label of the x coordinate.
 func (s series) axis() string {
 	name := s.x
 	if s.bench == slopesBench {
 		_, name, _ = strings.Cut(s.cases[0], "/")
 	}
-	if s.over > 0 {
+	if s.divisor > 0 {
 		name += " an entry"
 	}
-	if s.root {
+	if s.sqrt {
 		return "√" + name
 	}
 	return name
--- a/bench/internal/capacity/slope_burst.go
+++ b/bench/internal/capacity/slope_burst.go
@@ -10,15 +10,15 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of a burst.
+// Cases of the burst benchmark, the distribution of a version to many hosts.
 const (
 	caseHaveBytes   = "haveBytes/chunks"
 	casePeersMicros = "burstPeersMicros/hosts"
 	caseCoreBytes   = "burstCoreBytes/hosts"
 )
 
-// measureBurst prints the bytes of one swap of bitmaps, and what a change of the
-// list of peers costs one host: time, and memory of the core.
+// measureBurst prints the bytes of one exchange of chunk bitmaps, the time that a
+// host needs to apply a changed peer list, and the memory of its burst core.
 func measureBurst(lines *printer) error {
 	for _, chunks := range []int{64, 1_024, assumedChunks} {
 		words := make([]uint64, (chunks+63)/64)
@@ -30,12 +30,12 @@
 		even, odd := burstPeers(n), burstPeers(n)[1:]
 		core := newCore(even)
 		step := 0
-		lines.line(casePeersMicros, n, micros(func() {
+		lines.line(casePeersMicros, n, microsPerCall(func() {
 			list := even
 			if step++; step%2 == 0 {
 				list = odd
 			}
-			now := epoch.Add(time.Duration(step) * time.Second)
+			now := startTime.Add(time.Duration(step) * time.Second)
 			core.SetPeers(now, list)
 			core.Decide(now)
 		}), "microseconds")
@@ -46,8 +46,8 @@
 
 func newCore(peers []burst.Peer) *burst.Core {
 	core := burst.New(burst.Config{Self: peers[0], Version: measuredVersion, Chunks: assumedChunks, OriginCopies: 4})
-	core.SetPeers(epoch, peers)
-	core.Decide(epoch)
+	core.SetPeers(startTime, peers)
+	core.Decide(startTime)
 	return core
 }
 
--- a/bench/internal/capacity/slope_plans.go
+++ b/bench/internal/capacity/slope_plans.go
@@ -9,27 +9,28 @@
 	"comfreyrelay.example/relay/wire"
 )
 
-// Cases of the plan.
+// Cases of the plan benchmark.
 const (
-	casePlanMillis = "planMillis/hosts"
-	casePlanSteady = "planSteadyMillis/hosts"
-	casePlanBytes  = "planBytes/hosts"
-	casePlanDomain = "planOfDomainBytes/hosts of one domain"
+	casePlanMillis    = "planMillis/hosts"
+	casePlanUnchanged = "planSteadyMillis/hosts"
+	casePlanBytes     = "planBytes/hosts"
+	casePlanDomain    = "planOfDomainBytes/hosts of one domain"
 )
 
-// measurePlans prints the time of the first plan of a fleet, of a look that finds
-// nothing to change, and the plan's bytes, whole and for one failure domain.
+// measurePlans prints the time to compute the first plan of a fleet, the time of a
+// check that changes nothing, and the encoded size of the whole plan and of its
+// part for one failure domain.
 func measurePlans(lines *printer) error {
 	for _, n := range hostSizes {
 		input := planInput(n)
 		var plan *wire.Plan
-		lines.line(casePlanMillis, n, micros(func() { plan = placement.Next(input) })/1_000, "milliseconds")
+		lines.line(casePlanMillis, n, microsPerCall(func() { plan = placement.Next(input) })/1_000, "milliseconds")
 		if plan == nil {
 			return fmt.Errorf("no plan for %d hosts", n)
 		}
 		steady := input
 		steady.Previous = plan
-		lines.line(casePlanSteady, n, micros(func() { placement.Next(steady) })/1_000, "milliseconds")
+		lines.line(casePlanUnchanged, n, microsPerCall(func() { placement.Next(steady) })/1_000, "milliseconds")
 		lines.line(casePlanBytes, n, float64(proto.Size(plan)), "bytes")
 		part := &wire.Plan{PlanRevision: plan.GetPlanRevision(), Revision: plan.GetRevision(), Fence: plan.GetFence()}
 		for _, assignment := range plan.GetAssignments() {
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// planInput is a fleet without a plan whose hosts all get one of four models.
+// planInput returns a fleet of n hosts without a plan, and a document that assigns
+// each host one of four models.
 func planInput(n int) placement.Input {
 	const models = 4
 	doc := &wire.Document{}
