--- a/standin/internal/engine/generate.go
+++ b/standin/internal/engine/generate.go
@@ -27,10 +27,10 @@
 }
 
 // errInjectedFault ends a generation that an injected fault aborts.
-var errInjectedFault = errors.New("broken by a fault")
+var errInjectedFault = errors.New("interrupted by an injected fault")
 
 // errWeightsUnloaded ends a generation whose weights were unloaded.
-var errWeightsUnloaded = errors.New("the weights were taken away")
+var errWeightsUnloaded = errors.New("the weights were unloaded while the request ran")
 
 // errCancelled ends a generation that was cancelled.
 var errCancelled = errors.New("cancelled")
@@ -115,7 +115,7 @@
 	case <-current.cancelled:
 		return failure.New(failure.Unavailable, "the request was cancelled before it began", "send it again if it is still wanted")
 	case <-ctx.Done():
-		return failure.Wrap(ctx.Err(), failure.Unavailable, "the client went away before the request began", "send it again")
+		return failure.Wrap(ctx.Err(), failure.Unavailable, "the client disconnected before the request began", "send it again")
 	}
 }
 
@@ -125,7 +125,7 @@
 			fmt.Sprintf("send a requestId and maxTokens from 1 to %d", MaxTokens))
 	}
 	if len(request.ResumeTokens) > request.MaxTokens {
-		return failure.New(failure.Invalid, "more tokens to resume from than the answer may hold", "resume with fewer tokens")
+		return failure.New(failure.Invalid, "resumeTokens holds more tokens than maxTokens", "resume with fewer tokens")
 	}
 	if e.faults.FailFast {
 		return failure.New(failure.Unavailable, "the engine refuses all requests", "ask another host")
@@ -135,10 +135,10 @@
 
 func (e *Engine) checkLoaded(request Request) error {
 	if e.loaded == nil || e.loaded.model != request.Model {
-		return failure.New(failure.Conflict, "model "+strconv.Quote(request.Model)+" is not loaded", "order a load first")
+		return failure.New(failure.Conflict, "model "+strconv.Quote(request.Model)+" is not loaded", "send a load order first")
 	}
 	if request.Adapter != "" && e.loaded.adapter(request.Adapter) == nil {
-		return failure.New(failure.Conflict, "adapter "+strconv.Quote(request.Adapter)+" is not loaded", "order a load with it first")
+		return failure.New(failure.Conflict, "adapter "+strconv.Quote(request.Adapter)+" is not loaded", "send a load order that includes it first")
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 		e.ledger.report(Violation{
 			Kind:      violationOtherResume,
 			RequestID: current.request.RequestID,
-			Detail:    fmt.Sprintf("token %d to resume from is not of version %s and this prompt", i, current.weights.version),
+			Detail:    fmt.Sprintf("resume token %d does not match version %s and the prompt", i, current.weights.version),
 		})
 		return
 	}
--- a/standin/internal/engine/handler.go
+++ b/standin/internal/engine/handler.go
@@ -68,7 +68,7 @@
 func (e *Engine) serveGetChunk(w http.ResponseWriter, r *http.Request) {
 	bytes, held := e.chunks.get(chi.URLParam(r, "hash"))
 	if !held {
-		writeError(w, failure.New(failure.NotFound, "the chunk is not held", "put it first"))
+		writeError(w, failure.New(failure.NotFound, "the chunk is not stored", "upload it first"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -181,7 +181,7 @@
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	if err := decoder.Decode(into); err != nil {
-		writeError(w, failure.Wrap(err, failure.Invalid, "the body is not the JSON expected", "see docs/PROTOCOLS.md"))
+		writeError(w, failure.Wrap(err, failure.Invalid, "the body is not the expected JSON", "see docs/PROTOCOLS.md"))
 		return false
 	}
 	// net/http detects a client disconnect only after the body has been read.
--- a/standin/internal/engine/kvcache.go
+++ b/standin/internal/engine/kvcache.go
@@ -25,7 +25,7 @@
 			return KVCache{RequestID: id, Version: current.weights.version, Prompt: current.request.Prompt}, nil
 		}
 	}
-	return KVCache{}, failure.New(failure.NotFound, "request "+id+" does not run here", "export while the request runs")
+	return KVCache{}, failure.New(failure.NotFound, "request "+id+" is not running on this engine", "export while the request runs")
 }
 
 // Import registers a KV cache, which gives the request the first-token time of a
@@ -37,7 +37,7 @@
 		return failure.New(failure.Conflict, "the KV cache belongs to version "+moved.Version, "import it on a host of that version")
 	}
 	if len(e.imported) >= maxImported {
-		return failure.New(failure.Exhausted, "too many imported caches wait", "send their requests first")
+		return failure.New(failure.Exhausted, "too many imported KV caches are waiting for their requests", "send their requests first")
 	}
 	e.imported[id] = true
 	e.cache.use(answer.Prefix(moved.Prompt), e.clock.Now())
--- a/standin/internal/engine/ledger.go
+++ b/standin/internal/engine/ledger.go
@@ -111,7 +111,7 @@
 		l.trackID(id)
 	}
 	if account.Content != content {
-		l.addViolationLocked(Violation{Kind: violationTwoRequests, RequestID: id, Detail: "the id came with another prompt, model or adapter before"})
+		l.addViolationLocked(Violation{Kind: violationTwoRequests, RequestID: id, Detail: "the id was used before with another prompt, model or adapter"})
 	}
 	account.Begun++
 	account.Version = version
@@ -152,7 +152,7 @@
 	case cutOff:
 		account.CutOff++
 		l.totals.CutOff++
-		l.addViolationLocked(Violation{Kind: violationCutOff, RequestID: id, Detail: "an order took the weights away while the request ran"})
+		l.addViolationLocked(Violation{Kind: violationCutOff, RequestID: id, Detail: "an order unloaded the weights while the request ran"})
 	case cancelled:
 		account.Cancelled++
 		l.totals.Cancelled++
--- a/standin/internal/engine/orders.go
+++ b/standin/internal/engine/orders.go
@@ -98,7 +98,7 @@
 	}
 	if e.options.ChecksFencing {
 		e.ledger.order(func(totals *OrderTotals) { totals.OldRefused++ })
-		return failure.New(failure.Stale, fmt.Sprintf("fence %d is older than %d", fence, e.fence), "take the lease again before ordering")
+		return failure.New(failure.Stale, fmt.Sprintf("fence %d is older than %d", fence, e.fence), "reacquire the lease before sending orders")
 	}
 	e.ledger.order(func(totals *OrderTotals) { totals.OldObeyed++ })
 	return nil
@@ -119,7 +119,7 @@
 func (e *Engine) loadVersion(order Order) error {
 	faults := e.Faults()
 	if faults.RefuseLoad {
-		return failure.New(failure.Unavailable, "the engine refuses to load", "try again later or take the host out")
+		return failure.New(failure.Unavailable, "the engine refuses to load", "try again later or remove the host")
 	}
 	if err := e.checkAllChunks(order); err != nil {
 		e.ledger.order(func(totals *OrderTotals) { totals.NotWhole++ })
@@ -138,7 +138,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Dead {
-		return failure.New(failure.Unavailable, "the host died", "order another host")
+		return failure.New(failure.Unavailable, "the host died", "send the order to another host")
 	}
 	e.cache.clear(e.clock.Now())
 	e.loaded = &weights{model: order.Model, version: order.Version, unloaded: make(chan struct{})}
@@ -205,13 +205,13 @@
 
 func (e *Engine) checkChunks(model, version, base string, hashes []string) error {
 	if len(hashes) == 0 {
-		return failure.New(failure.Corrupt, "the order names no chunks of version "+version, "name all chunks of its manifest")
+		return failure.New(failure.Corrupt, "the order lists no chunks for version "+version, "list all chunks of its manifest")
 	}
 	sizes := make([]int, len(hashes))
 	for i, hash := range hashes {
 		bytes, held := e.chunks.get(hash)
 		if !held {
-			return failure.New(failure.Corrupt, fmt.Sprintf("chunk %d (%s) of version %s is missing", i, hash, version), "put the chunk and order again")
+			return failure.New(failure.Corrupt, fmt.Sprintf("chunk %d (%s) of version %s is missing", i, hash, version), "upload the chunk and send the order again")
 		}
 		sizes[i] = len(bytes)
 	}
@@ -219,7 +219,7 @@
 		return nil // the manifest's chunk size cannot be derived from a single chunk, which is complete by itself
 	}
 	if rebuilt := versionOfChunks(model, base, hashes, sizes); rebuilt != version {
-		return failure.New(failure.Corrupt, "the chunks are not those of version "+version, "order the chunks of one manifest, in its order")
+		return failure.New(failure.Corrupt, "the chunks do not match version "+version, "list the chunks of one manifest in its order")
 	}
 	return nil
 }
