--- a/standin/internal/service/handler.go
+++ b/standin/internal/service/handler.go
@@ -64,7 +64,7 @@
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	if err := decoder.Decode(into); err != nil {
-		writeError(w, failure.Wrap(err, failure.Invalid, "the body is not the JSON expected", "see docs/PROTOCOLS.md"))
+		writeError(w, failure.Wrap(err, failure.Invalid, "the body is not the expected JSON", "see docs/PROTOCOLS.md"))
 		return false
 	}
 	// net/http detects a client disconnect only after the body has been read.
--- a/standin/internal/service/service.go
+++ b/standin/internal/service/service.go
@@ -23,7 +23,7 @@
 const queuePerSlot = 8
 
 // errReplyLost means that the call ran but its response must not be sent.
-var errReplyLost = errors.New("the reply is lost")
+var errReplyLost = errors.New("the reply was dropped by an injected fault")
 
 // Options configures a Service.
 type Options struct {
@@ -135,7 +135,7 @@
 }
 
 func (s *Service) waitForSlot(ctx context.Context) error {
-	errClientGone := failure.New(failure.Unavailable, "the client went away before the call began", "send it again")
+	errClientGone := failure.New(failure.Unavailable, "the client disconnected before the call began", "send it again")
 	for {
 		s.mu.Lock()
 		stalled, changed := s.faults.Stall, s.faultsChanged
