--- a/standin/internal/cmd/cmd_engine.go
+++ b/standin/internal/cmd/cmd_engine.go
@@ -19,24 +19,23 @@
 	Count            int           `long:"count" default:"1" description:"engines in this process, on consecutive ports"`
 	Slots            int           `long:"slots" default:"16" description:"requests that run at once"`
 	Queue            int           `long:"queue" default:"64" description:"requests that wait for a slot"`
-	TokenMillis      float64       `long:"token-millis" default:"20" description:"gap between tokens of a request that runs alone; about twice as long with all slots taken"`
+	TokenMillis      float64       `long:"token-millis" default:"20" description:"interval between tokens of a request that runs alone; about twice as long with all slots in use"`
 	FirstTokenMillis float64       `long:"first-token-millis" default:"60" description:"time to the first token of a short prompt with a cold prefix; a quarter with a cached one"`
-	LoadMillis       float64       `long:"load-millis" default:"200" description:"time to load a version whose chunks are there"`
+	LoadMillis       float64       `long:"load-millis" default:"200" description:"time to load a version whose chunks are stored"`
 	ChecksFencing    bool          `long:"checks-fencing" description:"refuse orders with an old fence"`
 	StatusLag        time.Duration `long:"status-lag" default:"2s" description:"age of the load figures in a status and of cache events"`
 	CachePrefixes    int           `long:"cache-prefixes" default:"64" description:"prompt prefixes cached"`
 	EventLoss        float64       `long:"event-loss" default:"0.05" description:"fraction of cache events that are never published"`
-	StoreMiB         int64         `long:"store-mib" default:"256" description:"bytes of chunks each engine keeps, in MiB; equal chunks are kept once a process"`
-	Seed             uint64        `long:"seed" default:"1" description:"seed of the losses"`
+	StoreMiB         int64         `long:"store-mib" default:"256" description:"chunk storage of each engine, in MiB; equal chunks are stored once per process"`
+	Seed             uint64        `long:"seed" default:"1" description:"seed of the random event losses"`
 }
 
 const engineHelp = `Stands in for model engines that batch continuously, cache prompt prefixes, obey
-orders and keep chunks of weights. Each engine prints the
-address it listens on.
+orders and store chunks of weights. Each engine prints the address it listens on.
 
-The load figures of /status lag; what is loaded does not. GET /ledger is the
-engine's own record (?summary=1 leaves out the counts by request id), and POST
-/faults sets all fault knobs at once:
+The load figures of /status lag; the model, version and adapters loaded do not.
+GET /ledger is the engine's own record (?summary=1 leaves out the counts by
+request id), and POST /faults sets all fault knobs at once:
   {"slowFactor":10,"failFast":true,"errorAfterBegin":true,"stall":true,
    "refuseLoad":true,"dropLoad":true,"dieAfterTokens":5,"reportIdle":true,"dead":true}
 
@@ -61,7 +60,7 @@
 
 func runEngines(ctx context.Context, options *engineOptions) error {
 	if options.Slots < 1 || options.Queue < 0 || options.TokenMillis <= 0 {
-		return failure.New(failure.Invalid, "slots, queue or token time are out of bounds", "use --slots of 1 or more and a positive --token-millis")
+		return failure.New(failure.Invalid, "slots, queue or token time is out of bounds", "use --slots of 1 or more and a positive --token-millis")
 	}
 	first, err := withPort(options.Listen, options.Port)
 	if err != nil {
@@ -110,7 +109,7 @@
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return "", failure.Wrap(err, failure.Invalid, "the address is not an IP number with a port", "write --listen 127.0.0.1:7100")
+		return "", failure.Wrap(err, failure.Invalid, "the address is not an IP address with a port", "write --listen 127.0.0.1:7100")
 	}
 	return net.JoinHostPort(host, strconv.Itoa(port)), nil
 }
--- a/standin/internal/cmd/cmd_hosts.go
+++ b/standin/internal/cmd/cmd_hosts.go
@@ -16,12 +16,12 @@
 func hostsCommand() *cli.Command {
 	var opts struct {
 		Listen string        `long:"listen" default:"127.0.0.1:0" description:"IP address and port"`
-		File   string        `long:"file" description:"JSON file with the hosts at the start"`
-		Lag    time.Duration `long:"lag" default:"0s" description:"how late changes appear"`
+		File   string        `long:"file" description:"JSON file with the initial hosts"`
+		Lag    time.Duration `long:"lag" default:"0s" description:"delay until a change becomes visible"`
 	}
 	return &cli.Command{
 		Name:  "hosts",
-		Short: "the platform's lagging list of hosts",
+		Short: "stand in for the platform's host list, which lags",
 		Long: "Answers GET /hosts. POST /hosts replaces the list, PUT and DELETE /hosts/{id} change one host. " +
 			"POST /faults sets fault knobs.",
 		Options: &opts,
--- a/standin/internal/cmd/cmd_load.go
+++ b/standin/internal/cmd/cmd_load.go
@@ -22,41 +22,41 @@
 
 type loadOptions struct {
 	Entries       []string      `long:"entry" description:"ip:port of an entry to ask which entry to use; may be repeated"`
-	Direct        []string      `long:"direct" description:"base URL of an engine to ask past the system; may be repeated"`
+	Direct        []string      `long:"direct" description:"base URL of an engine to call directly, bypassing the entries; may be repeated"`
 	Customers     []string      `long:"customer" description:"name:key:share; may be repeated"`
-	Callers       int           `long:"callers" default:"8" description:"callers of each customer that keep a directory of their own"`
+	Callers       int           `long:"callers" default:"8" description:"callers per customer, each with its own directory"`
 	Services      []string      `long:"services" description:"name:fraction of the requests that call this plain service; may be repeated"`
 	Adapters      []string      `long:"adapter" description:"name:version:fraction of the requests that use this adapter; may be repeated"`
-	Versions      []string      `long:"versions" description:"version that answers may bear; may be repeated; none means any"`
-	Rate          float64       `long:"rate" default:"50" description:"mean arrivals a second"`
-	Seconds       float64       `long:"seconds" default:"10" description:"how long requests arrive"`
-	Seed          uint64        `long:"seed" default:"1" description:"seed of arrivals and contents"`
-	Model         string        `long:"model" default:"parcel" description:"model to ask"`
+	Versions      []string      `long:"versions" description:"version accepted in answers; may be repeated; any version if not given"`
+	Rate          float64       `long:"rate" default:"50" description:"mean arrivals per second"`
+	Seconds       float64       `long:"seconds" default:"10" description:"duration of the load, in seconds"`
+	Seed          uint64        `long:"seed" default:"1" description:"seed of arrival times and request contents"`
+	Model         string        `long:"model" default:"parcel" description:"model to request"`
 	MaxTokens     int           `long:"max-tokens" default:"32" description:"tokens of each answer"`
 	PromptBytes   int           `long:"prompt-bytes" default:"200" description:"length of a prompt"`
 	PromptGroups  int           `long:"prompt-groups" default:"32" description:"prefixes that prompts share; 0 gives each its own"`
 	NonRepeatable float64       `long:"nonrepeatable" default:"0" description:"fraction of the requests that may run at most once"`
 	Stream        float64       `long:"stream" default:"1" description:"fraction of the requests to models answered as a stream"`
-	DoubleSend    float64       `long:"double-send" default:"0" description:"fraction of those not repeatable that are sent through two entries at once"`
-	Deadline      time.Duration `long:"deadline" default:"5s" description:"time for an answer from the planned arrival, retries included"`
-	Retries       int           `long:"retries" default:"3" description:"times that a request that was not run is sent again"`
+	DoubleSend    float64       `long:"double-send" default:"0" description:"fraction of the non-repeatable requests that are sent through two entries at once"`
+	Deadline      time.Duration `long:"deadline" default:"5s" description:"time limit for an answer, from the planned arrival and including retries"`
+	Retries       int           `long:"retries" default:"3" description:"maximum number of retries of a request that was not run"`
 	ResendUnknown bool          `long:"resend-unknown" description:"send repeatable requests again after an unknown outcome"`
-	MaxInFlight   int           `long:"max-in-flight" default:"20000" description:"requests in flight at once; arrivals above are counted as overrun"`
+	MaxInFlight   int           `long:"max-in-flight" default:"20000" description:"maximum number of requests in flight; arrivals beyond it are counted as overrun"`
 	Control       string        `long:"control" description:"ip:port that serves POST /versions, GET /summary and POST /stop"`
-	LedgerFile    string        `long:"ledger-file" description:"file for one JSON line a request"`
+	LedgerFile    string        `long:"ledger-file" description:"file that receives one JSON line per request"`
 }
 
-const loadHelp = `The caller: sends requests at random times whatever the answers, and checks each
-answer by itself against what the version and the prompt give. Prints one JSON
-object at the end and logs the progress on stderr every second.
+const loadHelp = `Sends requests at random times, independent of the answers, and checks each
+answer against the one computed from the version and the prompt. Prints one JSON
+object at the end and logs progress to stderr every second.
 
-Every request has one outcome: answered (whole and right; late ones are counted
-in it and apart), notRun, unknown, wrongAnswer, wrongVersion or cutOff. Times
-count from the planned arrival.
+Every request has one outcome: answered (complete and correct; late answers are
+included and also counted separately), notRun, unknown, wrongAnswer,
+wrongVersion or cutOff. Times are measured from the planned arrival.
 
 POST /versions at the control address takes
   {"add":["<version>"],"remove":["<version>"],"addAdapters":{"<name>":"<version>"}}
-and a version that was removed stays right for requests sent before.
+and a removed version stays valid for requests sent before the removal.
 
 Examples:
   comfreystandin load --entry 127.0.0.1:8080 --customer post:key1:9 --customer shop:key2:1 \
@@ -67,7 +67,7 @@
 	options := &loadOptions{}
 	return &cli.Command{
 		Name:    "load",
-		Short:   "the caller: send requests and check the answers",
+		Short:   "send requests and check the answers",
 		Long:    loadHelp,
 		Options: options,
 		Run:     func(ctx context.Context, _ []string) error { return runLoad(ctx, options) },
@@ -95,7 +95,7 @@
 		defer control.Close()
 		go func() {
 			if err := control.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-				log.Warn("the control address does not serve", "address", options.Control, "error", err)
+				log.Warn("cannot serve the control address", "address", options.Control, "error", err)
 			}
 		}()
 	}
--- a/standin/internal/cmd/cmd_publish.go
+++ b/standin/internal/cmd/cmd_publish.go
@@ -25,14 +25,14 @@
 		ChunkKib int     `long:"chunk-kib" default:"256" description:"size of a chunk"`
 		Seed     uint64  `long:"seed" default:"1" description:"seed of the weights"`
 		Kind     string  `long:"kind" default:"base" choice:"base" choice:"adapter" description:"kind of version"`
-		Base     string  `long:"base" description:"for an adapter: the version that it lies over"`
-		From     string  `long:"from" description:"make it from this version"`
+		Base     string  `long:"base" description:"for an adapter: its base version"`
+		From     string  `long:"from" description:"derive the version from this one"`
 		Change   float64 `long:"change-fraction" description:"with --from: the fraction of chunks that differ"`
 	}
 	return &cli.Command{
 		Name:    "publish",
-		Short:   "let the origin make a version",
-		Long:    "Prints {\"version\",\"chunks\",\"bytes\"}. The same options make the same version.",
+		Short:   "create a version at the origin",
+		Long:    "Prints {\"version\",\"chunks\",\"bytes\"}. The same options give the same version.",
 		Options: &opts,
 		Run: func(ctx context.Context, _ []string) error {
 			return publish(ctx, opts.Origin, origin.Publication{
@@ -50,7 +50,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, strings.TrimSuffix(base, "/")+"/publish", bytes.NewReader(text))
 	if err != nil {
-		return failure.Wrap(err, failure.Invalid, "the origin's address is wrong", "give --origin http://ip:port")
+		return failure.Wrap(err, failure.Invalid, "the origin's address is not valid", "give --origin http://ip:port")
 	}
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -59,7 +59,7 @@
 	defer answer.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.Unavailable, "the origin's answer broke off", "publish again")
+		return failure.Wrap(err, failure.Unavailable, "the origin's answer was cut short", "publish again")
 	}
 	if answer.StatusCode != http.StatusOK {
 		return failure.New(failure.Invalid, "the origin refused: "+strings.TrimSpace(string(body)), "correct the options")
--- a/standin/internal/cmd/cmd_site.go
+++ b/standin/internal/cmd/cmd_site.go
@@ -12,9 +12,10 @@
 }
 
 const siteHelp = `Stands in for one part of a platform: its metadata store, an endpoint, the origin
-of weights or the network between processes, as the "role" in the file says. The file's "address" serves the part, its
-"control" takes POST /faults and GET /record, of a store also PUT and DELETE /key, of an
-endpoint also POST /leave.
+of weights or the network between processes, selected by "role" in the file. The
+part listens on the file's "address". Its "control" address accepts POST /faults
+and GET /record, for a store also PUT and DELETE /key, and for an endpoint also
+POST /leave.
 
 Example:
   comfreystandin site --file endpoint-1.json`
--- a/standin/internal/cmd/endpoint.go
+++ b/standin/internal/cmd/endpoint.go
@@ -38,10 +38,10 @@
 func addresses(first string, count int) ([]string, error) {
 	start, err := netip.ParseAddrPort(first)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Invalid, "the address is not an IP number with a port", "write --listen 127.0.0.1:7100")
+		return nil, failure.Wrap(err, failure.Invalid, "the address is not an IP address with a port", "write --listen 127.0.0.1:7100")
 	}
 	if count < 1 || int(start.Port())+count > 1<<16 {
-		return nil, failure.New(failure.Invalid, fmt.Sprintf("%d stand-ins do not fit behind port %d", count, start.Port()), "choose another --count or --listen")
+		return nil, failure.New(failure.Invalid, fmt.Sprintf("%d consecutive ports from port %d are out of range", count, start.Port()), "choose another --count or --listen")
 	}
 	all := make([]string, count)
 	for i := range all {
