--- a/bench/internal/cmd/cmd_policy.go
+++ b/bench/internal/cmd/cmd_policy.go
@@ -85,7 +85,7 @@
 	for i, play := range plays {
 		group.Go(func() error {
 			if ctx.Err() == nil {
-				results[i] = policy.Play(load, play)
+				results[i] = policy.Simulate(load, play)
 			}
 			return ctx.Err()
 		})
@@ -107,7 +107,7 @@
 
 // load reads the load and scales it to the size given by the flags.
 func (o *policyOptions) load() (*policy.Load, error) {
-	load, err := policy.Usual(), error(nil)
+	load, err := policy.DefaultLoad(), error(nil)
 	if o.Load != "" {
 		load, err = policy.Read(o.Load)
 	}
@@ -137,7 +137,7 @@
 			return nil, failure.New(failure.Invalid, fmt.Sprintf("--rate %v is out of range", rate), fmt.Sprintf("give a number above 0 and at most %v", maxRate))
 		}
 		for seed := first; seed <= last; seed++ {
-			plays = append(plays, policy.Options{Seed: seed, Rate: rate, Shares: o.shares(), Gaps: o.gaps(), Looks: o.Looks, Without: without})
+			plays = append(plays, policy.Options{Seed: seed, Rate: rate, Shares: o.shares(), Gaps: o.gaps(), PollInterval: o.Looks, Without: without})
 		}
 	}
 	return plays, nil
@@ -160,9 +160,9 @@
 
 func (o *policyOptions) gaps() policy.Gaps {
 	return policy.Gaps{
-		Home: orUsual(o.HomeGap, policy.UsualGaps.Home),
-		Near: orUsual(o.NearGap, policy.UsualGaps.Near),
-		Far:  orUsual(o.FarGap, policy.UsualGaps.Far),
+		Home: orUsual(o.HomeGap, policy.DefaultGaps.Home),
+		Near: orUsual(o.NearGap, policy.DefaultGaps.Near),
+		Far:  orUsual(o.FarGap, policy.DefaultGaps.Far),
 	}
 }
 
--- a/bench/internal/policy/host.go
+++ b/bench/internal/policy/host.go
@@ -73,8 +73,8 @@
 
 // pollInterval returns the polling interval for engines that run requests.
 func (s *sim) pollInterval() time.Duration {
-	if s.opts.Looks > 0 {
-		return s.opts.Looks
+	if s.opts.PollInterval > 0 {
+		return s.opts.PollInterval
 	}
 	return defaultPollInterval
 }
--- a/bench/internal/policy/load.go
+++ b/bench/internal/policy/load.go
@@ -171,8 +171,8 @@
 //go:embed usual.json
 var usualLoad []byte
 
-// Usual returns the built-in load: a deployment of five regions at its full rate.
-func Usual() *Load {
+// DefaultLoad returns the built-in load: a deployment of five regions at its full rate.
+func DefaultLoad() *Load {
 	load, err := Parse(usualLoad)
 	if err != nil {
 		panic("usual.json: " + err.Error())
--- a/bench/internal/policy/policy_test.go
+++ b/bench/internal/policy/policy_test.go
@@ -13,7 +13,7 @@
 // small returns the built-in load with few machines and a short duration.
 func smallLoad(t *testing.T, entries, engines int) *Load {
 	t.Helper()
-	load, err := Usual().Sized(entries, engines, 3)
+	load, err := DefaultLoad().Sized(entries, engines, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 }
 
 func options(rate float64, without ...string) Options {
-	opts := Options{Seed: 1, Rate: rate, Shares: deal.DefaultShares, Gaps: UsualGaps, Without: map[string]bool{}}
+	opts := Options{Seed: 1, Rate: rate, Shares: deal.DefaultShares, Gaps: DefaultGaps, Without: map[string]bool{}}
 	for _, name := range without {
 		opts.Without[name] = true
 	}
@@ -31,7 +31,7 @@
 
 func TestSameSeedGivesEqualResults(t *testing.T) {
 	for _, without := range [][]string{nil, {"late"}, {"states", "dealing"}, {"homes", "unread", "reading"}} {
-		first, second := Play(smallLoad(t, 9, 24), options(0.8, without...)), Play(smallLoad(t, 9, 24), options(0.8, without...))
+		first, second := Simulate(smallLoad(t, 9, 24), options(0.8, without...)), Simulate(smallLoad(t, 9, 24), options(0.8, without...))
 		first.WallSeconds, second.WallSeconds = 0, 0
 		if got, want := mustMarshal(t, first), mustMarshal(t, second); got != want {
 			t.Errorf("without %v: got %s and %s, want equal results", without, got, want)
@@ -76,7 +76,7 @@
 	load := smallLoad(t, 60, 141)
 	limited, all := options(0.68), options(0.68)
 	all.Shares = deal.Shares{Near: 1000, Senders: 1000, Far: deal.DefaultShares.Far}
-	got, baseline := Play(load, limited), Play(load, all)
+	got, baseline := Simulate(load, limited), Simulate(load, all)
 	if got.InAim < baseline.InAim+0.02 {
 		t.Errorf("got share %.3f in aim with limited senders and %.3f with all, want at least 0.02 more", got.InAim, baseline.InAim)
 	}
@@ -87,8 +87,8 @@
 
 // Guards against a message rate per entry that grows with the size of the fleet.
 func TestMessageRatePerEntryDoesNotGrowWithFleet(t *testing.T) {
-	base := Play(smallLoad(t, 18, 42), options(0.5))
-	grown := Play(smallLoad(t, 72, 168), options(0.5))
+	base := Simulate(smallLoad(t, 18, 42), options(0.5))
+	grown := Simulate(smallLoad(t, 72, 168), options(0.5))
 	if got, bound := grown.MessagesPerS, 1.25*base.MessagesPerS; got > bound {
 		t.Errorf("got %.0f messages per entry and second at four times the size, want at most %.0f", got, bound)
 	}
--- a/bench/internal/policy/sim.go
+++ b/bench/internal/policy/sim.go
@@ -27,9 +27,9 @@
 	// Gaps are the minimum intervals between state updates of an engine at an
 	// entry, by the engine's reach.
 	Gaps Gaps
-	// Looks is the interval at which an agent polls its engine while requests
+	// PollInterval is the interval at which an agent polls its engine while requests
 	// run. 0 means defaultPollInterval.
-	Looks time.Duration
+	PollInterval time.Duration
 	// Without names the mechanisms that are disabled; see Mechanisms.
 	Without map[string]bool
 }
@@ -38,8 +38,8 @@
 // an entry receives.
 type Gaps struct{ Home, Near, Far time.Duration }
 
-// UsualGaps are the intervals that the product uses.
-var UsualGaps = Gaps{Home: 25 * time.Millisecond, Near: 60 * time.Millisecond, Far: 250 * time.Millisecond}
+// DefaultGaps are the intervals that the product uses.
+var DefaultGaps = Gaps{Home: 25 * time.Millisecond, Near: 60 * time.Millisecond, Far: 250 * time.Millisecond}
 
 // Mechanisms maps each name allowed in Options.Without to the behavior of the
 // system when that mechanism is disabled.
--- a/bench/internal/policy/tally.go
+++ b/bench/internal/policy/tally.go
@@ -131,8 +131,8 @@
 	WallSeconds  float64 `json:"wallSeconds"`
 }
 
-// Play simulates a load and returns its result.
-func Play(load *Load, opts Options) Result {
+// Simulate simulates a load and returns its result.
+func Simulate(load *Load, opts Options) Result {
 	began := time.Now()
 	s := newSim(load, opts)
 	s.run()
