--- a/agent/internal/cmd/cmd.go
+++ b/agent/internal/cmd/cmd.go
@@ -13,7 +13,7 @@
 
 const program = "comfreyagent"
 
-// Main parses the arguments, runs the agent until it is told to stop, and
+// Main parses the arguments, runs the agent until it receives a stop signal, and
 // returns the exit code.
 func Main(version string, args []string, out, errOut io.Writer) int {
 	daemon := cli.Daemon[*wire.AgentSettings]{
--- a/agent/internal/cmd/process.go
+++ b/agent/internal/cmd/process.go
@@ -132,7 +132,7 @@
 }
 
 // ignoreAfterCancel discards the error of a component once ctx is done, since
-// the component was told to stop.
+// the component was stopped on purpose.
 func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
--- a/agent/internal/control/control_test.go
+++ b/agent/internal/control/control_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// Guards against applying a document that nobody submitted. A root lacks a part
+// Guards against applying a document that was never submitted. A root lacks a part
 // while each remaining part is valid, or is a delta from a root with different
 // content; checking the parts only one by one would miss this.
 func TestRootIsCheckedAsAWhole(t *testing.T) {
--- a/agent/internal/onsite/poller.go
+++ b/agent/internal/onsite/poller.go
@@ -133,7 +133,7 @@
 	return p.pinnedRequests
 }
 
-// setLoadPending sets whether entries are told that a load order is imminent.
+// setLoadPending sets whether the agent reports to entries that a load order is imminent.
 func (p *enginePoller) setLoadPending(pending bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/agent/internal/weights/faults_test.go
+++ b/agent/internal/weights/faults_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against chunks that nobody fetches from the origin because their owner is dead,
+// Guards against chunks that no host fetches from the origin because their owner is dead,
 // so that the other hosts wait for it. The host dies while it sends and stays in the list
 // of peers.
 func TestDeadHostInPeerListDoesNotBlockFleet(t *testing.T) {
--- a/agent/internal/weights/manager_test.go
+++ b/agent/internal/weights/manager_test.go
@@ -75,7 +75,7 @@
 }
 
 // Guards against a manifest that is accepted without a check of its hash, so that a host
-// serves weights that nobody published. The origin first answers with another manifest
+// serves weights that were never published. The origin first answers with another manifest
 // under the version's name, later with the right one.
 func TestMismatchedManifestFailsUntilOriginServesRightOne(t *testing.T) {
 	fleet := newTestFleet(t, 2)
--- a/bench/internal/policy/load.go
+++ b/bench/internal/policy/load.go
@@ -99,7 +99,7 @@
 	// Patience is the maximum fraction by which a caller's deadline is shortened.
 	Patience float64 `json:"patience"`
 	// Retries is the maximum number of retries. A caller retries only if the wait
-	// that it was told is at most a third of the time left.
+	// that the response gives is at most a third of the time left.
 	Retries int `json:"retries"`
 }
 
--- a/bench/internal/soak/act.go
+++ b/bench/internal/soak/act.go
@@ -136,7 +136,7 @@
 }
 
 // changeDocument submits a changed document. A rejected submission is not an
-// error, because the service may be down. The load is told about a new version
+// error, because the service may be down. The load learns of a new version
 // before any host can answer with it.
 func (r *run) changeDocument(ctx context.Context, kind Kind) error {
 	r.documentMu.Lock()
--- a/entry/internal/callers/call.go
+++ b/entry/internal/callers/call.go
@@ -130,9 +130,9 @@
 	return false
 }
 
-// releaseKey settles the key of a request that did not run, before the caller is
-// told so. It raises the problem's Retry-After to at least once.ReclaimDelay, because the
-// key can't be claimed again before that.
+// releaseKey settles the key of a request that did not run, before the caller
+// receives that result. It raises the problem's Retry-After to at least
+// once.ReclaimDelay, because the key can't be claimed again before that.
 func (c *call) releaseKey(prob *problem) {
 	if c.grant == nil {
 		return
@@ -200,7 +200,7 @@
 const writeGrace = time.Second
 
 // answer reports the result to the caller and to the key's owner. If the request
-// did not run, the key is released before the caller is told. If it ran, the key
+// did not run, the key is released before the caller is answered. If it ran, the key
 // is settled without making the caller wait for another process.
 func (c *call) answer(result dispatch.Result) {
 	defer func() { _ = http.NewResponseController(c.w).SetWriteDeadline(time.Time{}) }()
--- a/entry/internal/dispatch/dispatcher.go
+++ b/entry/internal/dispatch/dispatcher.go
@@ -144,7 +144,7 @@
 
 // cutoff returns when attempts are abandoned. It is slightly before the deadline,
 // so that a cancel request can still establish whether the attempt ran and the
-// caller is told in time.
+// caller receives the result in time.
 func (r *requestRun) cutoff() time.Time {
 	left := r.req.Deadline.Sub(r.started)
 	return r.req.Deadline.Add(-min(cancelTimeout, left/cancelTimeDivisor))
--- a/entry/internal/dispatch/hostpool.go
+++ b/entry/internal/dispatch/hostpool.go
@@ -17,7 +17,7 @@
 const (
 	tickInterval = 20 * time.Millisecond // how often waiting requests are placed again
 	maxWaiting   = limit.DefaultMaxWaiting
-	// noHostRetry is the retry-after time that callers are told if no host serves the
+	// noHostRetry is the retry-after time that callers receive if no host serves the
 	// request or the retry budget is exhausted.
 	noHostRetry = time.Second
 	// Other retry-after times are clamped to these bounds.
@@ -51,7 +51,7 @@
 	req      *Request
 	criteria func() route.Requirements // evaluated at each try, because the allowed versions change
 	item     limit.Item
-	result   chan placement // capacity 1; written once, by whoever removes the waiter from the queue
+	result   chan placement // capacity 1; written once, by the goroutine that removes the waiter from the queue
 }
 
 // placement is the result of a request for a host.
--- a/entry/internal/dispatch/receiver.go
+++ b/entry/internal/dispatch/receiver.go
@@ -12,7 +12,7 @@
 // caller can thereby wait for a frame and a timer at the same time.
 type receiver struct {
 	requests chan struct{}
-	results  chan received // capacity 1, so the goroutine does not block when nobody waits for the frame
+	results  chan received // capacity 1, so the goroutine does not block when no receiver waits for the frame
 }
 
 func newReceiver(stream Stream) *receiver {
--- a/entry/internal/gateway/gateway.go
+++ b/entry/internal/gateway/gateway.go
@@ -109,7 +109,7 @@
 }
 
 // DisableKeepAlives makes each answer that begins from now on close its connection. A connection whose answer
-// began before stays open: the caller was not told that it closes, and its next request, which may
+// began before stays open: the caller was not informed that it closes, and its next request, which may
 // be in transit, would be lost.
 func (g *Gateway) DisableKeepAlives() { g.closeConns.Store(true) }
 
--- a/entry/internal/gateway/run.go
+++ b/entry/internal/gateway/run.go
@@ -165,7 +165,7 @@
 	x.sentAt = g.cfg.Clock.Now()
 	x.adm.Sent = true
 	// From here on the endpoint may run the request. However this attempt ends, the caller must
-	// not be told "not run" unless the endpoint proves it.
+	// not receive "not run" unless the endpoint proves it.
 	x.mayHaveRun, x.mayHaveRunBefore = true, x.mayHaveRun
 	remaining := x.adm.Deadline.Sub(g.cfg.Clock.Now())
 	out := g.cfg.Wire.Encode(x.req, call.Sending{
--- a/entry/internal/gateway/stall.go
+++ b/entry/internal/gateway/stall.go
@@ -23,7 +23,7 @@
 	minCallerTimeout     = 2 * time.Second
 	callerTimeoutTargets = 4
 	callerTimeoutGaps    = 8
-	// callerTimeoutMargin is how long before that timeout the caller is told that its stream
+	// callerTimeoutMargin is how long before that timeout the caller is informed that its stream
 	// cannot continue here. It exceeds the interval between two checks.
 	callerTimeoutMargin = 400 * time.Millisecond
 )
--- a/entry/internal/onsite/news_client.go
+++ b/entry/internal/onsite/news_client.go
@@ -22,7 +22,7 @@
 	newsTimeout = 3 * newsRequestInterval
 	// newsRetryPause is the mean pause before a stream is reopened.
 	newsRetryPause = 200 * time.Millisecond
-	// sourceCheckInterval is how often an entry selects its sources anew, in addition to each
+	// sourceCheckInterval is how often an entry selects its sources again, in addition to each
 	// change of the state.
 	sourceCheckInterval = time.Second
 )
--- a/entry/internal/onsite/quarantine_test.go
+++ b/entry/internal/onsite/quarantine_test.go
@@ -159,7 +159,7 @@
 // Guards against a request that crashes one engine after another because its retries are not
 // recognized. The entry sent it to two engines, both crashed as they started to run it, and the
 // caller got 502. The caller retried with a new ID at any entry, which crashed two more. Entries
-// forgot a request with its response and were not told what others saw. Under one customer's
+// forgot a request with its response and did not receive what other entries had observed. Under one customer's
 // request 54 engines crashed in half a minute, and a third of the other requests were late or
 // lost. In a test with a simulated engine that crashes on one body, the attempts at nine entries
 // had the same fingerprint and each crashed two endpoints; with crashes counted by fingerprint
--- a/entry/internal/onsite/run.go
+++ b/entry/internal/onsite/run.go
@@ -47,7 +47,7 @@
 	// an address for some time after they received it.
 	drainAcceptPeriod = 2500 * time.Millisecond
 	// drainRejectPeriod is the minimum time for which a draining entry rejects requests
-	// afterwards, so that callers that still use its address are told that nothing was run.
+	// afterwards, so that callers that still use its address receive an answer that nothing was run.
 	drainRejectPeriod = 700 * time.Millisecond
 	// killMargin is subtracted from the grace period, so that the entry exits before the platform
 	// kills it.
--- a/entry/internal/store/simulation_test.go
+++ b/entry/internal/store/simulation_test.go
@@ -142,7 +142,7 @@
 	sim.service.faults, sim.service.down = nil, false
 }
 
-// recordOutcome stores the outcome that the submitter was told.
+// recordOutcome stores the outcome that the submitter received.
 func (sim *simulation) recordOutcome(id string, err error) {
 	switch {
 	case err == nil:
--- a/entry/internal/upstream/conn.go
+++ b/entry/internal/upstream/conn.go
@@ -127,7 +127,7 @@
 }
 
 // reusable reports whether an idle connection is still open and has received no
-// data. Unexpected bytes belong to no request and could not be told apart from
+// data. Unexpected bytes belong to no request and could not be distinguished from
 // the next response.
 func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
--- a/relay/admission/callers.go
+++ b/relay/admission/callers.go
@@ -15,7 +15,7 @@
 	// quantileInterval is the number of callers after which the quantile is recomputed.
 	quantileInterval = 8
 	// maxRoutes bounds the routes remembered, as operators add and remove routes all
-	// the time. When it is exceeded, all routes are learned anew.
+	// the time. When it is exceeded, all routes are learned again.
 	maxRoutes = 4096
 	// usualQuantile is the quantile of the timeouts that counts as usual. With up to
 	// seven in ten callers returned, it is still the timeout of a new one, and a single
--- a/relay/burst/origin.go
+++ b/relay/burst/origin.go
@@ -16,8 +16,8 @@
 //
 // Hence, among hosts that can reach each other, at most maxOriginWindow chunks are requested from
 // the origin at once, each by at most copiesAllowed hosts. A chunk is fetched at most
-// copiesAllowed times, plus once for each fetch that failed or whose host delivers the chunk to
-// nobody, and by at most maxOwnerRanks hosts, however many hosts fail.
+// copiesAllowed times, plus once for each fetch that failed or whose host delivers the chunk to no
+// other host, and by at most maxOwnerRanks hosts, however many hosts fail.
 func (c *Core) fetchDueChunks(now time.Time) {
 	if now.Before(c.nextOriginScan) || !c.readyForOrigin(now) {
 		return
@@ -331,7 +331,7 @@
 
 // queryOwner contacts the first owner that ranks before this host and is not absent, if it has not
 // reported yet. Called for chunks that are due soon, it finds absent owners one after the other,
-// so that nobody waits for a host that is gone or does not take part.
+// so that no host waits for one that is gone or does not take part.
 func (c *Core) queryOwner(now time.Time, chunk int) {
 	for _, owner := range c.ownersOf(chunk) {
 		if owner == nil {
--- a/relay/cli/cli.go
+++ b/relay/cli/cli.go
@@ -18,7 +18,7 @@
 	ExitOK          = 0
 	ExitFailed      = 1 // the operation failed
 	ExitUsage       = 2 // arguments, settings or documents are wrong
-	ExitConflict    = 3 // somebody else changed it first
+	ExitConflict    = 3 // another writer changed it first
 	ExitUnavailable = 4 // a dependency is down or a limit is reached: try again
 	ExitUnknown     = 5 // the operation may or may not have taken effect
 	ExitRefused     = 6 // the key is missing or unknown
--- a/relay/drain/drain.go
+++ b/relay/drain/drain.go
@@ -17,7 +17,7 @@
 	Open Phase = iota
 	// Draining admits no work and waits for running work to finish.
 	Draining
-	// Cancelling is past the deadline: running work has been told to stop.
+	// Cancelling is past the deadline: running work has been cancelled.
 	Cancelling
 	// Drained admits no work and has none running.
 	Drained
@@ -110,7 +110,7 @@
 
 // Abandon ends a drain that is no longer needed before anything was changed:
 // running work continues and new work is admitted. It reports false if running
-// work has already been told to stop.
+// work has already been cancelled.
 func (l *WorkTracker) Abandon() bool {
 	if l.phase == Cancelling {
 		return false
--- a/relay/failure/failure.go
+++ b/relay/failure/failure.go
@@ -15,7 +15,7 @@
 const (
 	Invalid      Kind = "invalid"      // the input is wrong; retrying does not help
 	Unauthorized Kind = "unauthorized" // the key is missing or unknown
-	Conflict     Kind = "conflict"     // somebody else changed it first
+	Conflict     Kind = "conflict"     // another writer changed it first
 	NotFound     Kind = "notFound"     // it does not exist
 	Unavailable  Kind = "unavailable"  // a dependency is down; try again
 	Exhausted    Kind = "exhausted"    // a limit or budget is used up
--- a/relay/fleet/notice.go
+++ b/relay/fleet/notice.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// notice is what an endpoint's incarnation told this entry in its answers about new requests. A
+// notice is what an endpoint's incarnation reported to this entry in its answers about new requests. A
 // registration says the same later, or not at all while the platform's store is down, so it never
 // clears a notice.
 type notice struct {
--- a/relay/limit/bucket.go
+++ b/relay/limit/bucket.go
@@ -47,7 +47,7 @@
 		return 0
 	}
 	// Add a nanosecond: filling rounds, and a bucket short by the last bit would refuse a caller
-	// who waited exactly as told.
+	// that waited exactly the returned time.
 	return time.Duration(math.Ceil((needed-b.level)/rate*float64(time.Second))) + time.Nanosecond
 }
 
--- a/relay/manifest/fuzz_test.go
+++ b/relay/manifest/fuzz_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against a host serving weights that nobody published: the origin or a
+// Guards against a host serving weights that were never published: the origin or a
 // peer sends another manifest than the one requested, and the host accepts it
 // because it matches its own hash.
 func TestDecodeRejectsOtherVersions(t *testing.T) {
--- a/relay/quarantine/ledger.go
+++ b/relay/quarantine/ledger.go
@@ -229,7 +229,7 @@
 }
 
 // Served records that an endpoint answered a request successfully. It reports whether the other
-// entries must be told: an entry that knows only what was reported to all might hold the request
+// entries must be informed: an entry that knows only what was reported to all might hold the request
 // after one more end.
 func (l *Ledger) Served(fp Fingerprint) (report bool) {
 	l.mu.RLock()
--- a/relay/quarantine/limits_test.go
+++ b/relay/quarantine/limits_test.go
@@ -105,7 +105,7 @@
 	return led, frequent
 }
 
-// Guards against entries that answer nobody for seconds: a frequent request is in progress wherever
+// Guards against entries that answer no request for seconds: a frequent request is in progress wherever
 // an endpoint ends, thousands of endpoints end in ten minutes, and the request keeps arriving. Each
 // arrival and each send used to recompute the score of every request at every end of this one, which
 // held the lock for 164 ms at 5,000 ends.
--- a/relay/spread/neighbours.go
+++ b/relay/spread/neighbours.go
@@ -1,5 +1,5 @@
 // Package spread decides how reports are distributed between nodes: which entries an entry
-// keeps calls to, which reports go into one message, and which hosts an agent is told about.
+// keeps calls to, which reports go into one message, and which hosts are reported to an agent.
 package spread
 
 import (
--- a/relay/spread/sample.go
+++ b/relay/spread/sample.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxUnsampledFleet is the number of hosts up to which each agent is told about all.
+	// maxUnsampledFleet is the number of hosts up to which all are reported to each agent.
 	maxUnsampledFleet = 300
 	// sampleSize bounds the hosts of other failure domains that an agent of a larger fleet
-	// is told about.
+	// receives.
 	sampleSize = 64
 )
 
-// WeightPeers returns the hosts that an agent is told about, from which it can fetch weights. In
+// WeightPeers returns the hosts that are reported to an agent, from which it can fetch weights. In
 // a small fleet these are all hosts; in a large one those of its failure domain and a sample of
 // others by rendezvous hash, so that chunks reach every failure domain at a bounded cost.
 func WeightPeers(agent *wire.Node, hosts []Candidate) []Candidate {
