--- a/ctl/internal/client/client.go
+++ b/ctl/internal/client/client.go
@@ -64,7 +64,7 @@
 	}
 	for _, entry := range opts.Entries {
 		if _, err := netip.ParseAddrPort(entry); err != nil {
-			return nil, failure.New(failure.Invalid, fmt.Sprintf("the entry %q is not an IP address with a port", entry),
+			return nil, failure.New(failure.Invalid, fmt.Sprintf("the entry %q is not an IP number with a port", entry),
 				"write it as 127.0.0.1:7102")
 		}
 	}
